--- a/benchmarks/added_time.py
+++ b/benchmarks/added_time.py
@@ -101,7 +101,7 @@
 
 def be_a_node(path: str, name: str) -> None:
     """`python -m rosewheel` with its collections and its writes of what it learned noted in this file."""
-    from rosewheel.relay.snapshots import Snapshots
+    from rosewheel.proxy.snapshots import Snapshots
 
     began, plain = [0.0], Snapshots._put
     with Path(path).open("w", buffering=1) as file:
--- a/benchmarks/balance.py
+++ b/benchmarks/balance.py
@@ -16,21 +16,19 @@
 from random import Random
 from typing import Any
 
-from rosewheel.decide import policy, pool
-from rosewheel.decide.interface import (
-    Alarm,
-    Effect,
-    ListForm,
-    Membership,
-    Outcome,
-    Request,
-    Result,
-    Send,
+from rosewheel.policy import balancer, pool
+from rosewheel.policy.actions import ForwardRequest
+from rosewheel.policy.balancer import Balancer
+from rosewheel.policy.events import (
+    AttemptFinished,
+    AttemptResult,
+    EndpointListForm,
+    EndpointListUpdate,
+    RequestReceived,
     Server,
-    ServiceClass,
-    Settings,
+    TimerFired,
 )
-from rosewheel.decide.policy import Balancer
+from rosewheel.policy.settings import Idempotency, ServiceClass, Settings
 
 WORK_MS = 100.0
 
@@ -38,23 +36,27 @@
 def play(servers: int, load: float, seconds: float, nodes: int, seed: int, whole: bool) -> dict[str, Any]:
     """One run; `whole`: every server is looked at for each request, whatever the size of the pool."""
     kept = pool.WHOLE
-    pool.WHOLE = policy.WHOLE = 10**9 if whole else kept
+    pool.WHOLE = balancer.WHOLE = 10**9 if whole else kept
     try:
         return _play(servers, load, seconds, nodes, Random(seed), seed)
     finally:
-        pool.WHOLE = policy.WHOLE = kept
+        pool.WHOLE = balancer.WHOLE = kept
 
 
 def _play(servers: int, load: float, seconds: float, nodes: int, rng: Random, seed: int) -> dict[str, Any]:
     speeds = [rng.choice((0.6, 1.0, 1.0, 1.6)) for _ in range(servers)]
     per_ms = load * sum(speeds) / WORK_MS
     settings = Settings(
-        classes=(ServiceClass("read", aim_ms=2000, give_up_ms=8000, effect=Effect.SAFE),),
-        siblings=nodes,
+        classes=(
+            ServiceClass(
+                "read", latency_objective_ms=2000, deadline_ms=8000, idempotency=Idempotency.IDEMPOTENT
+            ),
+        ),
+        balancer_count=nodes,
         max_attempts=3,
     )
     fronts = [Balancer(settings, seed * 100 + at, 0.0) for at in range(nodes)]
-    listed = Membership(ListForm.FULL, tuple(Server(str(at)) for at in range(servers)))
+    listed = EndpointListUpdate(EndpointListForm.SNAPSHOT, tuple(Server(str(at)) for at in range(servers)))
     for front in fronts:
         front.handle(0.0, listed)
     events: list[tuple[float, int, str, Any]] = [(0.0, 0, "ask", None)]
@@ -76,14 +78,14 @@
     while events:
         now, _, kind, what = heapq.heappop(events)
         if kind == "period" and now < end:
-            fronts[what].handle(now, Alarm("period"))
+            fronts[what].handle(now, TimerFired("period"))
             push(now + fronts[what].period_ms, "period", what)
         elif kind == "ask" and now < end:
             push(now + rng.expovariate(per_ms), "ask", None)
             number += 1
             node = rng.randrange(nodes)
-            acts = fronts[node].handle(now, Request(f"r{number}", "read", now + 8000.0))
-            sends = [act for act in acts if isinstance(act, Send)]
+            acts = fronts[node].handle(now, RequestReceived(f"r{number}", "read", now + 8000.0))
+            sends = [act for act in acts if isinstance(act, ForwardRequest)]
             refused += not sends
             for act in sends:
                 at = int(act.server)
@@ -94,7 +96,9 @@
             node, id, asked, work = queues[what].popleft()
             busy[what] += work
             report = {"queue": float(sum(1 for row in queues[what] if row[0] != node))}
-            fronts[node].handle(now, Outcome(id, 0, str(what), Result.OK, now - asked, True, report))
+            fronts[node].handle(
+                now, AttemptFinished(id, 0, str(what), AttemptResult.OK, now - asked, True, report)
+            )
             latencies.append(now - asked)
             if queues[what]:
                 push(now + queues[what][0][3], "done", what)
--- a/benchmarks/decisions.py
+++ b/benchmarks/decisions.py
@@ -19,20 +19,18 @@
 from pathlib import Path
 from random import Random
 
-from rosewheel.decide.interface import (
-    Alarm,
-    Effect,
-    ListForm,
-    Membership,
-    Outcome,
-    Request,
-    Result,
-    Send,
+from rosewheel.policy.actions import ForwardRequest
+from rosewheel.policy.balancer import Balancer
+from rosewheel.policy.events import (
+    AttemptFinished,
+    AttemptResult,
+    EndpointListForm,
+    EndpointListUpdate,
+    RequestReceived,
     Server,
-    ServiceClass,
-    Settings,
+    TimerFired,
 )
-from rosewheel.decide.policy import Balancer
+from rosewheel.policy.settings import Idempotency, ServiceClass, Settings
 
 LIMIT = 1.5
 IN_FLIGHT_EACH = 1.5  # calls in flight for each server, up to `IN_FLIGHT_MOST`
@@ -44,18 +42,35 @@
 
     def __init__(self, servers: int, cold: float) -> None:
         classes = (
-            ServiceClass("post", aim_ms=2500, give_up_ms=6000, worth=8, effect=Effect.UNSAFE),
-            ServiceClass("note", aim_ms=2500, give_up_ms=6000, worth=3, effect=Effect.KEYED),
+            ServiceClass(
+                "post",
+                latency_objective_ms=2500,
+                deadline_ms=6000,
+                priority_weight=8,
+                idempotency=Idempotency.NON_IDEMPOTENT,
+            ),
+            ServiceClass(
+                "note",
+                latency_objective_ms=2500,
+                deadline_ms=6000,
+                priority_weight=3,
+                idempotency=Idempotency.IDEMPOTENT_WITH_KEY,
+            ),
         )
         settings = Settings(
-            classes=classes, zone="a", siblings=2, max_attempts=3, cold_from=0.12, cold_ms=24000.0
+            classes=classes,
+            zone="a",
+            balancer_count=2,
+            max_attempts=3,
+            warm_up_initial_share=0.12,
+            warm_up_ms=24000.0,
         )
         self.rng, self.now, self.number = Random(1), 100_000.0, 0
         self.balancer = Balancer(settings, 1, self.now)
         born = [self.now - 1.0 if self.rng.random() < cold else None for _ in range(servers)]
         rows = (Server(f"equipo-{at}", "ab"[at % 2], at % 7, launched_ms=born[at]) for at in range(servers))
-        self.balancer.handle(self.now, Membership(ListForm.FULL, tuple(rows)))
-        self.out: deque[Send] = deque()
+        self.balancer.handle(self.now, EndpointListUpdate(EndpointListForm.SNAPSHOT, tuple(rows)))
+        self.out: deque[ForwardRequest] = deque()
         self.most = int(min(IN_FLIGHT_MOST, servers * IN_FLIGHT_EACH))
         self.period = self.now
         self.refused = 0
@@ -67,20 +82,21 @@
         name = f"r{self.number}"
         began = time.perf_counter()
         acts = self.balancer.handle(
-            self.now, Request(name, "post" if self.number % 2 else "note", self.now + 6000.0)
+            self.now, RequestReceived(name, "post" if self.number % 2 else "note", self.now + 6000.0)
         )
         if len(self.out) >= self.most:
             done = self.out.popleft()
             self.balancer.handle(
-                self.now, Outcome(done.id, 0, done.server, Result.OK, 100.0, True, {"queue": 1.0})
+                self.now,
+                AttemptFinished(done.id, 0, done.server, AttemptResult.OK, 100.0, True, {"queue": 1.0}),
             )
         took = time.perf_counter() - began
-        sends = [act for act in acts if isinstance(act, Send)]
+        sends = [act for act in acts if isinstance(act, ForwardRequest)]
         self.out.extend(sends)
         self.refused += not sends
         if self.now - self.period >= self.balancer.period_ms:
             self.period = self.now
-            self.balancer.handle(self.now, Alarm("period"))
+            self.balancer.handle(self.now, TimerFired("period"))
         return took
 
 
--- a/benchmarks/graph.py
+++ b/benchmarks/graph.py
@@ -30,7 +30,7 @@
 
 from rosewheel.lab import graph, plan, records
 from rosewheel.lab.scenario import Scenario
-from rosewheel.lab.virtual.simulate import Simulation
+from rosewheel.lab.simulation.simulate import Simulation
 
 WORK_MS = 10.0
 EQUIPOS = 8  # for each visit of a request
--- a/benchmarks/lists.py
+++ b/benchmarks/lists.py
@@ -21,21 +21,26 @@
 import uvloop
 
 from rosewheel.config.platform import Config
-from rosewheel.decide.interface import Effect, ListForm, ServiceClass, Settings
 from rosewheel.discovery.catalog import entries_from
-from rosewheel.node.bounds import Bounds
-from rosewheel.relay.relay import Relay
+from rosewheel.node.limits import Bounds
+from rosewheel.policy.events import EndpointListForm
+from rosewheel.policy.settings import Idempotency, ServiceClass, Settings
+from rosewheel.proxy.proxy import Relay
 
 
 def relay() -> Relay:
-    classes = (ServiceClass("post", aim_ms=2500, give_up_ms=6000, effect=Effect.UNSAFE),)
+    classes = (
+        ServiceClass(
+            "post", latency_objective_ms=2500, deadline_ms=6000, idempotency=Idempotency.NON_IDEMPOTENT
+        ),
+    )
     made = Relay(
         Config(
             name="n0",
             listen=("127.0.0.1", 0),
             discovery=("127.0.0.1", 1),
             seed=1,
-            settings=Settings(classes=classes, cold_from=0.2, cold_ms=10_000.0),
+            settings=Settings(classes=classes, warm_up_initial_share=0.2, warm_up_ms=10_000.0),
             bounds=Bounds(),
             known={"seq": 0, "hosts": []},
         )
@@ -76,7 +81,7 @@
             await asyncio.sleep(0)
         each.append(time.perf_counter() - began)
         began = time.perf_counter()
-        whole._heard(ListForm.FULL, entries_from(orjson.loads(text)["hosts"]))
+        whole._heard(EndpointListForm.SNAPSHOT, entries_from(orjson.loads(text)["hosts"]))
         at_once.append(time.perf_counter() - began)
         await asyncio.sleep(0)
     assert set(node.node.servers) == set(whole.node.servers)
--- a/benchmarks/sizes.py
+++ b/benchmarks/sizes.py
@@ -19,7 +19,7 @@
 
 from rosewheel.lab import plan as plans
 from rosewheel.lab import scenario as scenarios
-from rosewheel.lab.virtual.simulate import simulate
+from rosewheel.lab.simulation.simulate import simulate
 
 SHOWN = (
     ("service", "service"),
--- a/benchmarks/snapshot.py
+++ b/benchmarks/snapshot.py
@@ -14,35 +14,40 @@
 import time
 from pathlib import Path
 
-from rosewheel.decide.interface import (
-    Effect,
-    ListForm,
-    Membership,
-    Outcome,
-    Request,
-    Result,
-    Send,
+from rosewheel.policy.actions import ForwardRequest
+from rosewheel.policy.balancer import Balancer
+from rosewheel.policy.events import (
+    AttemptFinished,
+    AttemptResult,
+    EndpointListForm,
+    EndpointListUpdate,
+    RequestReceived,
     Server,
-    ServiceClass,
-    Settings,
 )
-from rosewheel.decide.policy import Balancer
-from rosewheel.relay.snapshots import COST_SHARE, PERIOD_S, Snapshots
+from rosewheel.policy.settings import Idempotency, ServiceClass, Settings
+from rosewheel.proxy.snapshots import COST_SHARE, PERIOD_S, Snapshots
 
 
 def measure(servers: int, repeat: int) -> dict[str, float]:
     """Medians in microseconds of a snapshot and of a decision with its outcome, and the snapshot's share of time."""
-    service = ServiceClass("post", aim_ms=2500, give_up_ms=6000, effect=Effect.UNSAFE)
+    service = ServiceClass(
+        "post", latency_objective_ms=2500, deadline_ms=6000, idempotency=Idempotency.NON_IDEMPOTENT
+    )
     balancer = Balancer(Settings(classes=(service,), max_attempts=3), seed=1, now_ms=0.0)
-    balancer.handle(0.0, Membership(ListForm.FULL, tuple(Server(f"equipo-{at}") for at in range(servers))))
+    balancer.handle(
+        0.0,
+        EndpointListUpdate(EndpointListForm.SNAPSHOT, tuple(Server(f"equipo-{at}") for at in range(servers))),
+    )
     decisions: list[float] = []
     now = 0.0
     for number in range(max(repeat, 2 * min(servers, 200))):
         now += 1.0
         began = time.perf_counter()
-        acts = balancer.handle(now, Request(f"r{number}", "post", now + 6000.0))
-        sent = next(act for act in acts if isinstance(act, Send))
-        balancer.handle(now + 0.5, Outcome(sent.id, 0, sent.server, Result.OK, 100.0, True, {"queue": 1.0}))
+        acts = balancer.handle(now, RequestReceived(f"r{number}", "post", now + 6000.0))
+        sent = next(act for act in acts if isinstance(act, ForwardRequest))
+        balancer.handle(
+            now + 0.5, AttemptFinished(sent.id, 0, sent.server, AttemptResult.OK, 100.0, True, {"queue": 1.0})
+        )
         decisions.append(time.perf_counter() - began)
     with tempfile.TemporaryDirectory() as folder:
         snapshots = Snapshots(folder, "n0", lambda: (balancer.learned(now), 1.0))
--- a/benchmarks/startup.py
+++ b/benchmarks/startup.py
@@ -31,7 +31,7 @@
 from pathlib import Path
 from typing import Any
 
-IMPORTS = "import rosewheel.relay.serve, rosewheel.config.platform, rosewheel.logs"
+IMPORTS = "import rosewheel.proxy.process, rosewheel.config.platform, rosewheel.logs"
 LIBRARIES = "import uvloop, httptools, orjson"
 PARTS = {"interpreter": "pass", "asyncio": "import asyncio", "libraries": LIBRARIES, "imports": IMPORTS}
 SERVES = re.compile(r" serves, ([0-9]+) ms of CPU")
--- a/benchmarks/timers.py
+++ b/benchmarks/timers.py
@@ -14,9 +14,10 @@
 import time
 from collections import deque
 
-from rosewheel.decide.interface import ListForm, Request, Result, Server, ServiceClass, Settings
-from rosewheel.node.bounds import Bounds
 from rosewheel.node.core import Dispatch, Node
+from rosewheel.node.limits import Bounds
+from rosewheel.policy.events import AttemptResult, EndpointListForm, RequestReceived, Server
+from rosewheel.policy.settings import ServiceClass, Settings
 
 SLOT_MS = 16.0
 
@@ -42,11 +43,11 @@
 
 
 def made(kind: type[Node]) -> Node:
-    service = ServiceClass("post", aim_ms=2500, give_up_ms=6000)
+    service = ServiceClass("post", latency_objective_ms=2500, deadline_ms=6000)
     node = kind(Settings(classes=(service,)), Bounds(), 1, 0.0)
     if isinstance(node, Wheel):
         node.slots = {}
-    node.members(0.0, ListForm.FULL, tuple(Server(f"s{at}") for at in range(10)))
+    node.members(0.0, EndpointListForm.SNAPSHOT, tuple(Server(f"s{at}") for at in range(10)))
     return node
 
 
@@ -56,11 +57,11 @@
     began = time.perf_counter()
     for number in range(requests):
         now += 0.25  # 4,000 requests a second
-        effects = node.request(now, Request(f"r{number}", "post", now + 6000.0))
+        effects = node.request(now, RequestReceived(f"r{number}", "post", now + 6000.0))
         out.extend((one.id, one.attempt) for one in effects if isinstance(one, Dispatch))
         if len(out) > most:
             id, attempt = out.popleft()
-            node.ended(now, id, attempt, Result.OK)
+            node.ended(now, id, attempt, AttemptResult.OK)
         if isinstance(node, Wheel):
             if not number % 64:
                 node.turn(now)
--- a/rosewheel/__init__.py
+++ b/rosewheel/__init__.py
@@ -5,8 +5,8 @@
 from typing import TYPE_CHECKING
 
 if TYPE_CHECKING:
-    from rosewheel.decide.interface import Settings
-    from rosewheel.decide.policy import Balancer
+    from rosewheel.policy.balancer import Balancer
+    from rosewheel.policy.settings import Settings
 
 __all__ = ["Balancer", "Settings"]
 
@@ -14,11 +14,11 @@
 def __getattr__(name: str) -> object:
     """The module by itself, when it is asked for: whoever imports another part of the package first says how."""
     if name == "Balancer":
-        from rosewheel.decide.policy import Balancer
+        from rosewheel.policy.balancer import Balancer
 
         return Balancer
     if name == "Settings":
-        from rosewheel.decide.interface import Settings
+        from rosewheel.policy.settings import Settings
 
         return Settings
     raise AttributeError(f"module {__name__!r} has no attribute {name!r}")
--- a/rosewheel/__main__.py
+++ b/rosewheel/__main__.py
@@ -11,10 +11,10 @@
     gc.disable()
     from rosewheel import logs
     from rosewheel.config import platform
-    from rosewheel.relay import serve
+    from rosewheel.proxy import process
 
     logs.start()
-    return serve.run(lambda again: platform.load(again=again))
+    return process.run(lambda again: platform.load(again=again))
 
 
 if __name__ == "__main__":
--- a/rosewheel/adapter.py
+++ b/rosewheel/adapter.py
@@ -1,6 +1,6 @@
 """The wire adapter: reads the simulator's batches on standard input and writes replies on standard output.
 
-Translation only; the decisions are those of rosewheel.decide. One process hosts many nodes, sharing nothing.
+Translation only; the decisions are those of rosewheel.policy. One process hosts many nodes, sharing nothing.
 """
 
 from __future__ import annotations
@@ -12,42 +12,44 @@
 
 import orjson
 
-from rosewheel.decide.interface import (
+from rosewheel.policy.actions import (
     Action,
-    Alarm,
-    Cancel,
+    CancelAttempt,
+    CheckHealth,
+    FailRequest,
+    ForwardRequest,
+    RejectRequest,
+    StartTimer,
+    WatchEndpoints,
+)
+from rosewheel.policy.balancer import Balancer
+from rosewheel.policy.events import (
+    AttemptFinished,
+    AttemptResult,
+    ClientDisconnected,
+    EndpointListForm,
+    EndpointListUpdate,
     Event,
-    Fail,
-    Lapsed,
-    ListForm,
-    Membership,
-    Outcome,
-    Probe,
-    Probed,
-    Refuse,
-    Request,
-    Result,
-    Send,
+    HealthCheckFinished,
+    RequestReceived,
+    ResponseStarted,
     Server,
     ServerState,
-    Started,
-    Wake,
-    Watch,
+    TimerFired,
 )
-from rosewheel.decide.policy import Balancer
-from rosewheel.decide.settings import settings_from
+from rosewheel.policy.settings_codec import settings_from
 
 Row = dict[str, Any]
 
 RESULTS = {
-    0: Result.OK,
-    255: Result.ERROR,
-    254: Result.FULL,
-    253: Result.TIMEOUT,
-    252: Result.CONNECT_FAILED,
-    251: Result.RESET,
-    250: Result.CANCELLED,
-    249: Result.MOOT,
+    0: AttemptResult.OK,
+    255: AttemptResult.ERROR,
+    254: AttemptResult.OVERLOADED,
+    253: AttemptResult.TIMEOUT,
+    252: AttemptResult.CONNECT_FAILED,
+    251: AttemptResult.RESET,
+    250: AttemptResult.CANCELLED,
+    249: AttemptResult.NOT_SENT,
 }
 IGNORED = ("PEER",)
 
@@ -112,8 +114,8 @@
         return [_written(number, action) for action in node.balancer.handle(self.now, read(self, node, row))]
 
     def members(self, _node: Node, row: Row) -> Event:
-        form = ListForm(row["form"])
-        return Membership(form, () if form is ListForm.FAILED else self.catalogs[row["ref"]])
+        form = EndpointListForm(row["form"])
+        return EndpointListUpdate(form, () if form is EndpointListForm.FAILED else self.catalogs[row["ref"]])
 
 
 def _server(row: Row) -> Server:
@@ -127,10 +129,10 @@
 
 
 def _request(_bench: Bench, _node: Node, row: Row) -> Event:
-    return Request(
+    return RequestReceived(
         id=row["txn"],
         service=row["lane"],
-        give_up_at_ms=row["giveUpAtMs"],
+        deadline_at_ms=row["giveUpAtMs"],
         tenant=row.get("billing") or None,
         cost_hint_ms=row.get("expectedMs"),
         is_retry=bool(row.get("isRetry")),
@@ -138,49 +140,49 @@
 
 
 def _outcome(_bench: Bench, node: Node, row: Row) -> Event:
-    return Outcome(
+    return AttemptFinished(
         id=row["txn"],
         attempt=row["attempt"],
         server=row["server"],
         result=RESULTS[row["rc"]],
         latency_ms=row["latencyMs"],
-        done=bool(row.get("doneFlag")),
+        request_ended=bool(row.get("doneFlag")),
         report=node.report(row.get("telemetry")),
     )
 
 
 def _probed(_bench: Bench, node: Node, row: Row) -> Event:
-    result = RESULTS.get(row["rc"], Result.ERROR)
-    return Probed(row["server"], result, row["latencyMs"], node.report(row.get("telemetry")))
+    result = RESULTS.get(row["rc"], AttemptResult.ERROR)
+    return HealthCheckFinished(row["server"], result, row["latencyMs"], node.report(row.get("telemetry")))
 
 
 READERS: dict[str, Callable[[Bench, Node, Row], Event]] = {
     "MEMBERSHIP": Bench.members,
     "NEW_REQUEST": _request,
-    "FIRST": lambda _bench, _node, row: Started(row["txn"], row["attempt"]),
+    "FIRST": lambda _bench, _node, row: ResponseStarted(row["txn"], row["attempt"]),
     "RETURNED": _outcome,
-    "LAPSED": lambda _bench, _node, row: Lapsed(row["txn"]),
-    "ALARM": lambda _bench, _node, row: Alarm(row["name"]),
+    "LAPSED": lambda _bench, _node, row: ClientDisconnected(row["txn"]),
+    "ALARM": lambda _bench, _node, row: TimerFired(row["name"]),
     "HEALTH": _probed,
 }
 
 
 def _written(node: int, action: Action) -> Row:
     match action:
-        case Send():
+        case ForwardRequest():
             row: Row = {"kind": "ISSUE", "txn": action.id, "server": action.server}
             row["timeoutMs"] = action.timeout_ms
-        case Refuse():
+        case RejectRequest():
             row = {"kind": "DECLINE", "txn": action.id, "stayAwayMs": action.retry_after_ms}
-        case Fail():
+        case FailRequest():
             row = {"kind": "FINISH_ERROR", "txn": action.id}
-        case Cancel():
+        case CancelAttempt():
             row = {"kind": "RETRACT", "txn": action.id, "attempt": action.attempt}
-        case Wake():
+        case StartTimer():
             row = {"kind": "SLEEP", "delayMs": action.delay_ms, "name": action.name}
-        case Probe():
+        case CheckHealth():
             row = {"kind": "TOUCH", "server": action.server}
-        case Watch():
+        case WatchEndpoints():
             row = {"kind": "OBSERVE", "enable": True}
     row["node"] = node
     return row
--- a/rosewheel/ops/door.py
+++ b/rosewheel/admin/server.py
@@ -15,7 +15,7 @@
 from typing import Any, Protocol
 from urllib.parse import parse_qs
 
-from rosewheel.ops.calls import Call, Caller, Limits, Reply
+from rosewheel.admin.calls import Call, Caller, Limits, Reply
 
 log = logging.getLogger("rosewheel.door")
 
--- a/rosewheel/cli/node.py
+++ b/rosewheel/cli/node.py
@@ -9,7 +9,7 @@
 from rosewheel import logs
 from rosewheel.config import operator, platform
 from rosewheel.config.checked import ProblemsError, read, tables, text_of
-from rosewheel.relay import serve
+from rosewheel.proxy import process
 
 
 @click.command()
@@ -22,14 +22,14 @@
     """
     if path is None:
         logs.start(json)
-        sys.exit(serve.run(lambda again: platform.load(again=again)))
+        sys.exit(process.run(lambda again: platform.load(again=again)))
     try:
         told = read(path, operator.Operator)
     except ProblemsError as error:
         _print(error)
         sys.exit(2)
     logs.start(json or told.log.form == "json", told.log.level)
-    sys.exit(serve.run(lambda again: operator.load(path, again=again)))
+    sys.exit(process.run(lambda again: operator.load(path, again=again)))
 
 
 @click.command()
--- a/rosewheel/cli/simulate.py
+++ b/rosewheel/cli/simulate.py
@@ -29,7 +29,7 @@
 from rosewheel.config.checked import ProblemsError
 from rosewheel.lab import experiment as experiments
 from rosewheel.lab import plan as plans
-from rosewheel.lab.virtual.simulate import check, simulate
+from rosewheel.lab.simulation.simulate import check, simulate
 
 PROGRESS_S = 5.0  # of wall clock, between two lines of a run
 
--- a/rosewheel/config/operator.py
+++ b/rosewheel/config/operator.py
@@ -7,6 +7,7 @@
 from __future__ import annotations
 
 import os
+import re
 from collections.abc import Mapping
 from typing import Annotated, Any, Literal
 
@@ -16,8 +17,15 @@
 from rosewheel.config import platform
 from rosewheel.config.checked import KeyedError, ProblemsError, convert, read
 from rosewheel.config.platform import VARIABLES, Address, Config, ConfigError, Control, parse_address
-from rosewheel.decide.interface import Effect, Scope, ServiceClass, Settings, Tenant
-from rosewheel.node.bounds import Bounds
+from rosewheel.node.limits import Bounds
+from rosewheel.policy.settings import (
+    DedupScope,
+    Idempotency,
+    InvalidSettingError,
+    ServiceClass,
+    Settings,
+    Tenant,
+)
 
 Natural = Annotated[float, Meta(ge=0, lt=1e15)]  # TOML has an `inf`, for which no timer can be set
 Positive = Annotated[float, Meta(gt=0, lt=1e15)]
@@ -67,6 +75,34 @@
         self._addresses("address")
 
 
+# Keys of the file where a setting of the decision module has another name.
+FILE_KEYS = {
+    "classes": "class",
+    "latency_objective_ms": "aim_ms",
+    "deadline_ms": "give_up_ms",
+    "priority_weight": "worth",
+    "late_weight": "late_worth",
+    "dedup_window_ms": "memory_ms",
+    "tenants": "tenant",
+    "balancer_count": "routing.siblings",
+    "tier": "routing.tier",
+    "over_quota_weight": "routing.over_share_worth",
+    "max_retry_after_ms": "routing.max_retry_after_ms",
+    "max_attempts": "routing.max_attempts",
+    "cross_zone_cost": "routing.cross_zone_price",
+    "warm_up_initial_share": "routing.cold_from",
+    "warm_up_ms": "routing.cold_ms",
+    "overload_factor": "routing.overload_factor",
+    "overload_window_ms": "routing.tip_after_ms",
+    "connect_timeout_ms": "limits.connect_timeout_ms",
+}
+
+
+def _file_path(path: str) -> str:
+    """A setting's path by the keys of the file: `classes[0].deadline_ms` is `class[0].give_up_ms`."""
+    return re.sub(r"[a-z_]+", lambda name: FILE_KEYS.get(name[0], name[0]), path)
+
+
 class LimitsTable(Table, frozen=True, kw_only=True):
     memory_mb: Annotated[float, Meta(ge=32)] = 128.0
     sockets: Annotated[int, Meta(ge=64)] = 1024
@@ -162,7 +198,10 @@
             names = [item.name for item in items]
             if len(set(names)) != len(names):
                 raise KeyedError(key, "a name stands twice")
-        self.settings()  # what the module itself finds wrong
+        try:
+            self.settings()
+        except InvalidSettingError as error:
+            raise KeyedError(_file_path(error.key), error.reason) from error
 
     def settings(self) -> Settings:
         routing = self.routing
@@ -170,35 +209,35 @@
             classes=tuple(
                 ServiceClass(
                     name=row.name,
-                    aim_ms=row.aim_ms,
-                    give_up_ms=row.give_up_ms,
-                    worth=row.worth,
-                    late_worth=row.late_worth,
-                    effect=Effect(row.effect),
-                    scope=Scope(row.group),
-                    memory_ms=row.memory_ms,
-                    stream=row.stream,
+                    latency_objective_ms=row.aim_ms,
+                    deadline_ms=row.give_up_ms,
+                    priority_weight=row.worth,
+                    late_weight=row.late_worth,
+                    idempotency=Idempotency(row.effect),
+                    dedup_scope=DedupScope(row.group),
+                    dedup_window_ms=row.memory_ms,
+                    streaming=row.stream,
                 )
                 for row in self.classes
             ),
             tenants=tuple(Tenant(row.name, row.quota_per_s) for row in self.tenants),
             zone=routing.zone,
             tier=routing.tier,
-            siblings=routing.siblings,
-            ask_discovery=self.discovery.ask,
-            worth_by_work=routing.worth_by_work,
-            over_share_worth=routing.over_share_worth,
+            balancer_count=routing.siblings,
+            poll_discovery=self.discovery.ask,
+            weight_by_work=routing.worth_by_work,
+            over_quota_weight=routing.over_share_worth,
             report_fields=("queue", "util"),
             may_cancel=routing.cancel,
             retry_after=routing.retry_after,
             max_retry_after_ms=routing.max_retry_after_ms,
             max_attempts=routing.max_attempts,
-            cross_zone_price=routing.cross_zone_price,
-            cold_from=routing.cold_from,
-            cold_ms=routing.cold_ms,
+            cross_zone_cost=routing.cross_zone_price,
+            warm_up_initial_share=routing.cold_from,
+            warm_up_ms=routing.cold_ms,
             overload_factor=routing.overload_factor,
-            tip_after_ms=routing.tip_after_ms,
-            connect_ms=self.limits.connect_timeout_ms,
+            overload_window_ms=routing.tip_after_ms,
+            connect_timeout_ms=self.limits.connect_timeout_ms,
         )
 
     def bounds(self) -> Bounds:
--- a/rosewheel/config/platform.py
+++ b/rosewheel/config/platform.py
@@ -10,9 +10,9 @@
 
 import orjson
 
-from rosewheel.decide.interface import Settings
-from rosewheel.decide.settings import flag, settings_from, table
-from rosewheel.node.bounds import Bounds
+from rosewheel.node.limits import Bounds
+from rosewheel.policy.settings import Settings
+from rosewheel.policy.settings_codec import flag, settings_from, table
 
 Address = tuple[str, int]
 # What the environment says before the file does.
--- a/rosewheel/control/service.py
+++ b/rosewheel/control/service.py
@@ -15,6 +15,7 @@
 
 import orjson
 
+from rosewheel.admin.calls import Call, Caller, Limits, Reply
 from rosewheel.config.platform import Address
 from rosewheel.control.checks import DOCUMENT_BYTES, check_patch
 from rosewheel.control.client import CallError
@@ -39,7 +40,6 @@
     named,
     projection,
 )
-from rosewheel.ops.calls import Call, Caller, Limits, Reply
 
 log = logging.getLogger("rosewheel.control")
 
--- a/rosewheel/control/streams.py
+++ b/rosewheel/control/streams.py
@@ -8,11 +8,11 @@
 
 import orjson
 
+from rosewheel.admin.calls import Caller, chunk
 from rosewheel.control.fleet import Fleet
 from rosewheel.control.placement import Pace
 from rosewheel.control.replica import Replica, tail_row
 from rosewheel.control.versions import Document, Position, difference, projection
-from rosewheel.ops.calls import Caller, chunk
 
 log = logging.getLogger("rosewheel.control")
 
--- a/rosewheel/discovery/catalog.py
+++ b/rosewheel/discovery/catalog.py
@@ -10,8 +10,8 @@
 from typing import Any
 
 from rosewheel.config.platform import Address, parse_address
-from rosewheel.decide.interface import ListForm, Server, ServerState
 from rosewheel.discovery.watch import Watcher
+from rosewheel.policy.events import EndpointListForm, Server, ServerState
 
 log = logging.getLogger("rosewheel.discovery")
 
@@ -21,7 +21,7 @@
 OFFSET_MS = time.monotonic() * 1000.0 - time.time() * 1000.0  # taken once, so that a start time stays equal
 
 Entry = tuple[Server, Address]
-Heard = Callable[[ListForm, list[Entry]], None]
+Heard = Callable[[EndpointListForm, list[Entry]], None]
 
 
 def entries_from(rows: object) -> list[Entry]:
@@ -68,7 +68,7 @@
             for row in listed:
                 if isinstance(row, dict) and isinstance(row.get("host"), str):
                     self.rows[row["host"]] = row
-            self.heard(ListForm.FULL if whole else ListForm.DELTA, entries_from(listed))
+            self.heard(EndpointListForm.SNAPSHOT if whole else EndpointListForm.DELTA, entries_from(listed))
             return
         self.long = True
         self._waiting.append(self._sliced(whole, listed))
@@ -104,7 +104,7 @@
                     told[host] = row
                 changed.append(row)
             if changed or not at:
-                self.heard(ListForm.DELTA, entries_from(changed))
+                self.heard(EndpointListForm.DELTA, entries_from(changed))
             yield
         if whole:
             yield from self._gone(told, named)
@@ -115,7 +115,9 @@
             part = gone[at : at + SLICE]
             for host in part:
                 del told[host]
-            self.heard(ListForm.DELTA, [(Server(host, state=ServerState.REMOVED), ("", 0)) for host in part])
+            self.heard(
+                EndpointListForm.DELTA, [(Server(host, state=ServerState.REMOVED), ("", 0)) for host in part]
+            )
             yield
 
 
@@ -145,7 +147,7 @@
             path=lambda since: f"/catalog/members?follow=1&since={since}",
             read=_rows,
             take=self.lists.take,
-            failed=lambda: heard(ListForm.FAILED, []),
+            failed=lambda: heard(EndpointListForm.FAILED, []),
             log=log,
             silence_s=silence_s,
             spoke=spoke,
--- a/rosewheel/handover/link.py
+++ b/rosewheel/hot_restart/channel.py
@@ -11,9 +11,9 @@
 from collections import deque
 from collections.abc import Callable, Iterator
 
-from rosewheel.handover.wire import PACKET_BYTES, Message, Reader, WireError, packets
+from rosewheel.hot_restart.wire import PACKET_BYTES, Message, Reader, WireError, packets
 
-log = logging.getLogger("rosewheel.handover")
+log = logging.getLogger("rosewheel.hot_restart")
 
 NAME = "handover.sock"
 MOST_FDS = 4
--- a/rosewheel/handover/moves.py
+++ b/rosewheel/hot_restart/migration.py
@@ -11,15 +11,15 @@
 from dataclasses import dataclass
 from typing import TYPE_CHECKING, Any
 
-from rosewheel.handover.link import drop
-from rosewheel.http import caller as callers
+from rosewheel.hot_restart.channel import drop
 from rosewheel.http import connection as equipos
-from rosewheel.http.caller import Caller
+from rosewheel.http import downstream as callers
+from rosewheel.http.downstream import Caller
 
 if TYPE_CHECKING:
-    from rosewheel.relay.relay import Relay
+    from rosewheel.proxy.proxy import Relay
 
-log = logging.getLogger("rosewheel.handover")
+log = logging.getLogger("rosewheel.hot_restart")
 
 CALLER, EQUIPO, PASSAGE = "caller", "equipo", "passage"
 FDS = {CALLER: 1, EQUIPO: 1, PASSAGE: 2}
--- a/rosewheel/handover/taker.py
+++ b/rosewheel/hot_restart/receiver.py
@@ -5,10 +5,10 @@
 import logging
 import os
 
-from rosewheel.handover.link import Link, drop
-from rosewheel.handover.moves import Item, Moves
+from rosewheel.hot_restart.channel import Link, drop
+from rosewheel.hot_restart.migration import Item, Moves
 
-log = logging.getLogger("rosewheel.handover")
+log = logging.getLogger("rosewheel.hot_restart")
 
 
 class Taker:
--- a/rosewheel/handover/giver.py
+++ b/rosewheel/hot_restart/sender.py
@@ -7,11 +7,11 @@
 import logging
 import os
 
-from rosewheel.handover.link import Link, drop
-from rosewheel.handover.moves import Item, Moves
-from rosewheel.handover.offers import Offers
+from rosewheel.hot_restart.channel import Link, drop
+from rosewheel.hot_restart.migration import Item, Moves
+from rosewheel.hot_restart.offers import Offers
 
-log = logging.getLogger("rosewheel.handover")
+log = logging.getLogger("rosewheel.hot_restart")
 
 
 class Giver:
--- a/rosewheel/handover/service.py
+++ b/rosewheel/hot_restart/service.py
@@ -9,13 +9,13 @@
 from typing import Any
 
 from rosewheel.config.platform import Address
-from rosewheel.handover import wire
-from rosewheel.handover.giver import Giver
-from rosewheel.handover.link import Link, connect, drop, listen, own_peer
-from rosewheel.handover.moves import Item, Moves
-from rosewheel.handover.taker import Taker
+from rosewheel.hot_restart import wire
+from rosewheel.hot_restart.channel import Link, connect, drop, listen, own_peer
+from rosewheel.hot_restart.migration import Item, Moves
+from rosewheel.hot_restart.receiver import Taker
+from rosewheel.hot_restart.sender import Giver
 
-log = logging.getLogger("rosewheel.handover")
+log = logging.getLogger("rosewheel.hot_restart")
 
 BESIDE_S = 0.05  # how often each tells the other what it has in flight
 MOST_TOLD = 500  # equipos, those with the most in flight; a packet has an end
--- a/rosewheel/http/call.py
+++ b/rosewheel/http/call.py
@@ -8,7 +8,7 @@
 from rosewheel.http.body import Body
 
 if TYPE_CHECKING:
-    from rosewheel.http.caller import Caller
+    from rosewheel.http.downstream import Caller
 
 # What may stand in a request once only: two of them are two opinions on what it is.
 SINGLE_HEADERS = frozenset(
--- a/rosewheel/http/callers.py
+++ b/rosewheel/http/callers.py
@@ -9,7 +9,7 @@
 
 from rosewheel.http.body import Budget
 from rosewheel.http.call import Call
-from rosewheel.http.caller import Caller
+from rosewheel.http.downstream import Caller
 from rosewheel.listener import BACKLOG
 
 log = logging.getLogger("rosewheel.callers")
--- a/rosewheel/http/connection.py
+++ b/rosewheel/http/connection.py
@@ -15,13 +15,13 @@
 import httptools
 
 from rosewheel.config.platform import Address
-from rosewheel.decide.interface import Result
-from rosewheel.decide.settings import REPORTS
 from rosewheel.http.body import Body
 from rosewheel.http.framing import Chunks, FramingError
+from rosewheel.policy.events import AttemptResult
+from rosewheel.policy.settings_codec import REPORT_FIELDS
 
 if TYPE_CHECKING:
-    from rosewheel.http.equipos import Upstream
+    from rosewheel.http.upstream import Upstream
 
 log = logging.getLogger("rosewheel.equipos")
 
@@ -45,7 +45,7 @@
     for part in text.replace(",", " ").split():
         name, equals, value = part.partition("=")
         if equals and FIGURE.fullmatch(value):
-            report[REPORTS.get(name, name)] = float(value)
+            report[REPORT_FIELDS.get(name, name)] = float(value)
     return report or None
 
 
@@ -58,7 +58,7 @@
     """One attempt or probe on its way."""
 
     head: bytes
-    done: Callable[[Result, Report | None, bytes], None]
+    done: Callable[[AttemptResult, Report | None, bytes], None]
     began_s: float = 0.0
     wrote: Callable[[], None] = lambda: None  # its last byte went out
     begin: Callable[[int | None, Callable[[], None]], Sink | None] | None = None
@@ -200,7 +200,7 @@
             self.untaken = (left, now)
         elif now - self.untaken[1] >= WRITE_STALL_S:
             log.info("%s:%d takes nothing of a request", *self.dial)
-            self._end(Result.CONNECT_FAILED, keep=False)
+            self._end(AttemptResult.CONNECT_FAILED, keep=False)
 
     def forget(self) -> None:
         """What this connection carries is over, as far as it goes."""
@@ -343,7 +343,7 @@
         """It has run, and its answer is none."""
         self.owner.spoilt += 1
         self.owner.why = f"{self.pool.dial}: {why}"
-        self._end(Result.RESET, keep=False)
+        self._end(AttemptResult.RESET, keep=False)
 
     def _overdue(self) -> None:
         """Guards a repeatable request, and the connection, against an answer that begins and never ends."""
@@ -443,7 +443,7 @@
         if reset and self.rested_s > 0.0 and now - self.sent_s <= STALE_S:
             self.owner.stale(self.rested_s)
         # It was written to, so it may have run, whatever the break looks like from here.
-        self._end(Result.RESET, keep=False)
+        self._end(AttemptResult.RESET, keep=False)
         # Guards memory: the parser and this object hold one another, and the collector comes seldom.
         del self.parser
 
@@ -452,13 +452,13 @@
         if status in (503, 504) and self.not_started:
             if not self.idle_since:  # its first
                 self.owner.refused()
-            self._end(Result.FULL, keep)
+            self._end(AttemptResult.OVERLOADED, keep)
         elif status == 200 and self.exchange is not None and self.exchange.sent:
-            self._end(Result.OK, keep)
+            self._end(AttemptResult.OK, keep)
         else:
-            self._end(Result.ERROR, keep)
+            self._end(AttemptResult.ERROR, keep)
 
-    def _end(self, result: Result, keep: bool) -> None:
+    def _end(self, result: AttemptResult, keep: bool) -> None:
         exchange = self.exchange
         self.forget()
         if self.overdue is not None:
@@ -466,9 +466,9 @@
             self.overdue = None
         if exchange is not None and not exchange.sent:
             keep = False
-            if result is not Result.FULL:
+            if result is not AttemptResult.OVERLOADED:
                 # A server begins a request at its last byte: whatever ended this one before, it never ran.
-                result = Result.CONNECT_FAILED
+                result = AttemptResult.CONNECT_FAILED
         if not keep:
             self.close()
         if exchange is None:
@@ -476,7 +476,7 @@
         self.ease()
         if keep:  # before the outcome is told: what follows from it may use the connection at once
             self.owner.release(self)
-        whole = result is Result.OK
+        whole = result is AttemptResult.OK
         exchange.done(result, self.report, bytes(self.body) if whole else b"")
 
     def _leave_pool(self) -> None:
--- a/rosewheel/http/equipos.py
+++ b/rosewheel/http/upstream.py
@@ -10,11 +10,11 @@
 from typing import Any
 
 from rosewheel.config.platform import Address
-from rosewheel.decide.interface import Result, Server, ServerState
 from rosewheel.http.body import Body
 from rosewheel.http.connection import Connection, Exchange, Lift, Pool, Report, Sink, report_from
-from rosewheel.node.bounds import Bounds
-from rosewheel.node.rest import Rest
+from rosewheel.node.idle_timeout import Rest
+from rosewheel.node.limits import Bounds
+from rosewheel.policy.events import AttemptResult, Server, ServerState
 
 log = logging.getLogger("rosewheel.equipos")
 
@@ -26,10 +26,10 @@
 SAME_START_MS = 1000.0  # two processes reckon a server's start from the list to within this
 SILENT_S = 0.5  # a server that says nothing at all for so long, while it owes an answer, may have vanished
 
-Ended = Callable[[str, int, Result, Report | None, bytes], None]
+Ended = Callable[[str, int, AttemptResult, Report | None, bytes], None]
 # A long answer begins, of this length where it is known. Returns its sink, or None where nobody wants it.
 Began = Callable[[str, int, int | None, Callable[[], None]], Sink | None]
-Probed = Callable[[str, Result, float, Report | None], None]
+Probed = Callable[[str, AttemptResult, float, Report | None], None]
 
 
 def _since(conn: Connection) -> float:
@@ -125,7 +125,7 @@
         """Send this attempt. Where its connection has to come up first, `wanted` is asked right before the first byte:
         whether its caller is still there."""
 
-        def done(result: Result, report: Report | None, body: bytes) -> None:
+        def done(result: AttemptResult, report: Report | None, body: bytes) -> None:
             if self.live.pop((id, attempt), None) is not None:
                 self.ended(id, attempt, result, report, body)
 
@@ -170,7 +170,7 @@
         began = self.loop.time()
         settled = False
 
-        def done(result: Result, report: Report | None, body: bytes) -> None:
+        def done(result: AttemptResult, report: Report | None, body: bytes) -> None:
             nonlocal settled
             if not settled:
                 settled = True
@@ -186,7 +186,7 @@
             if exchange.conn is not None:
                 exchange.conn.forget()
                 exchange.conn.close()
-            done(Result.TIMEOUT, None, b"")
+            done(AttemptResult.TIMEOUT, None, b"")
 
         timer = self.loop.call_later(self.bounds.probe_timeout_ms / 1000.0, expired)
         self._begin(host, exchange)
@@ -211,7 +211,7 @@
     async def _open(self, host: str, exchange: Exchange, connect_s: float) -> None:
         pool = self.pools.get(host)
         if pool is None or not self._open_to(host) or not self.make_room():
-            exchange.done(Result.CONNECT_FAILED, None, b"")
+            exchange.done(AttemptResult.CONNECT_FAILED, None, b"")
             return
         dial, conn, made = pool.dial, Connection(self, pool), False
         self.coming += 1
@@ -232,7 +232,7 @@
             conn.send(exchange)
         else:
             conn.close()
-            exchange.done(Result.CONNECT_FAILED, None, b"")
+            exchange.done(AttemptResult.CONNECT_FAILED, None, b"")
 
     # ------------------------------------------------------------------ moving
 
@@ -284,7 +284,7 @@
     def adopt_passage(self, id: str, state: dict[str, Any], sink: Sink) -> Connection:
         """An answer in mid-passage goes on from here, as attempt 0 of its request; `join` follows."""
 
-        def done(result: Result, report: Report | None, body: bytes) -> None:
+        def done(result: AttemptResult, report: Report | None, body: bytes) -> None:
             self.live.pop((id, 0), None)
             self.ended(id, 0, result, report, body)
 
--- a/rosewheel/lab/run.py
+++ b/rosewheel/lab/run.py
@@ -24,7 +24,7 @@
 from rosewheel.lab.records import Writer, read
 from rosewheel.lab.streams import stream
 from rosewheel.lab.wire import Address, now_ms
-from rosewheel.relay import snapshots
+from rosewheel.proxy import snapshots
 
 READY_S = 60.0
 LEAD_MS = 500.0  # from the moment all is ready to the plan's first
--- a/rosewheel/lab/scale/hollow.py
+++ b/rosewheel/lab/scale/hollow.py
@@ -18,11 +18,11 @@
 import uvloop
 
 from rosewheel.control.follower import Follower
-from rosewheel.decide.interface import ListForm
+from rosewheel.discovery.backoff import Waits
 from rosewheel.discovery.catalog import Discovery
-from rosewheel.discovery.waits import Waits
 from rosewheel.lab.scale import children
 from rosewheel.lab.wire import Address, now_ms
+from rosewheel.policy.events import EndpointListForm
 
 NOTED = ("lists", "config", "acked")  # lists heard, versions in force, versions acknowledged
 GRACE_S = 0.4  # the time that a drain allows, by default, and with it the waits between watches
@@ -142,10 +142,10 @@
             watch.close()
             watch.lists.close()
 
-    def _told(self, watch: Discovery, form: ListForm) -> None:
+    def _told(self, watch: Discovery, form: EndpointListForm) -> None:
         if watch is not self.watch:
             return
-        if form is ListForm.FAILED:
+        if form is EndpointListForm.FAILED:
             wait = self.waits.ended(self.loop.time() - watch.opened_s, GRACE_S)
             self.loop.call_later(wait, self._again, watch, context=self._context)
             return
--- a/rosewheel/lab/virtual/clients.py
+++ b/rosewheel/lab/simulation/clients.py
@@ -7,10 +7,10 @@
 
 from rosewheel.lab.plan import Arrival, Plan
 from rosewheel.lab.retry import SLACK_MS, Verdict, wait_ms
+from rosewheel.lab.simulation.events import Queue, Row
+from rosewheel.lab.simulation.node import Call, VirtualNode
 from rosewheel.lab.streams import dealt, stream
 from rosewheel.lab.tables import ClassTable
-from rosewheel.lab.virtual.events import Queue, Row
-from rosewheel.lab.virtual.node import Call, VirtualNode
 
 Write = Callable[[dict[str, Any]], None]
 
--- a/rosewheel/lab/virtual/discovery.py
+++ b/rosewheel/lab/simulation/discovery.py
@@ -7,13 +7,13 @@
 
 import numpy as np
 
-from rosewheel.decide.interface import ListForm, Server, ServerState
-from rosewheel.discovery.waits import REWATCH_MOST_PART, REWATCH_PART
+from rosewheel.discovery.backoff import REWATCH_MOST_PART, REWATCH_PART
 from rosewheel.lab.plan import Plan, told_after_ms
-from rosewheel.lab.virtual.events import Queue
-from rosewheel.lab.virtual.network import HOP_MS
-from rosewheel.lab.virtual.node import VirtualNode
-from rosewheel.node.bounds import Bounds
+from rosewheel.lab.simulation.events import Queue
+from rosewheel.lab.simulation.network import HOP_MS
+from rosewheel.lab.simulation.node import VirtualNode
+from rosewheel.node.limits import Bounds
+from rosewheel.policy.events import EndpointListForm, Server, ServerState
 
 GRACE_MS = Bounds().drain_grace_ms
 
@@ -46,7 +46,7 @@
         news, self.news = self.news, []
         for entry in news:
             self._told(self.node.name, entry)
-        self.queue.after(HOP_MS, self.node.heard, ListForm.DELTA, tuple(news))
+        self.queue.after(HOP_MS, self.node.heard, EndpointListForm.DELTA, tuple(news))
 
     def reopen(self, wait_ms: float) -> None:
         """The watch is gone and comes back after this, going on where it was."""
@@ -81,7 +81,7 @@
         for entry in agent.entries.values():  # told anew, whatever the process before it had heard
             if entry.launched_ms is not None or self.heard_before(node.name, entry.address):
                 self._told(node.name, entry)
-        node.heard(ListForm.CACHED, tuple(agent.entries.values()))
+        node.heard(EndpointListForm.CACHED, tuple(agent.entries.values()))
 
     def drop(self, node: VirtualNode) -> None:
         self.agents.pop(node, None)
--- a/rosewheel/lab/virtual/figures.py
+++ b/rosewheel/lab/simulation/figures.py
@@ -7,10 +7,10 @@
 
 from hdrh.histogram import HdrHistogram
 
-from rosewheel.decide.interface import Result
 from rosewheel.lab.plan import Plan
-from rosewheel.lab.virtual.clients import Op
-from rosewheel.lab.virtual.world import World
+from rosewheel.lab.simulation.clients import Op
+from rosewheel.lab.simulation.world import World
+from rosewheel.policy.events import AttemptResult
 
 BIN_MS = 100.0
 WORST_MS = 10_000.0
@@ -86,8 +86,8 @@
         found[tier.name] = {
             "equipos": len(hosts),
             "attempts": attempts,
-            "wasted": round(1.0 - results[Result.OK] / attempts, 4) if attempts else 0.0,
-            "results": {result.value: results[result] for result in Result if results[result]},
+            "wasted": round(1.0 - results[AttemptResult.OK] / attempts, 4) if attempts else 0.0,
+            "results": {result.value: results[result] for result in AttemptResult if results[result]},
             "used": round(statistics.fmean(shares), 4) if shares else 0.0,
             "balance": round(max(shares) / statistics.fmean(shares), 3) if shares else None,
             "slowed": sum(host.model.choked_ms is not None for host in hosts),
--- a/rosewheel/lab/virtual/host.py
+++ b/rosewheel/lab/simulation/host.py
@@ -8,11 +8,11 @@
 
 import numpy as np
 
-from rosewheel.decide.interface import Result
 from rosewheel.lab import equipo as model
 from rosewheel.lab.host import Fault
-from rosewheel.lab.virtual.events import Queue
-from rosewheel.lab.virtual.network import Exchange, Link
+from rosewheel.lab.simulation.events import Queue
+from rosewheel.lab.simulation.network import Exchange, Link
+from rosewheel.policy.events import AttemptResult
 
 Report = dict[str, float]
 
@@ -93,7 +93,7 @@
             self.break_off(link)
             return
         if self.model.connected > self.spec.connections:
-            self._answer(link, exchange, Result.FULL, keep=False)
+            self._answer(link, exchange, AttemptResult.OVERLOADED, keep=False)
             return
         work = self.owner.take(self, link, exchange)
         link.work = self.work[work.job.id] = work
@@ -109,32 +109,32 @@
         if not work.wanted or link.dead or link.silent:
             return
         result = {
-            model.Verdict.SERVED: Result.OK,
-            model.Verdict.ERROR: Result.ERROR,
-            model.Verdict.TURNED_AWAY: Result.FULL,
+            model.Verdict.SERVED: AttemptResult.OK,
+            model.Verdict.ERROR: AttemptResult.ERROR,
+            model.Verdict.TURNED_AWAY: AttemptResult.OVERLOADED,
         }[verdict]
         how = link.fault.how if link.fault is not None else ""
         if how == "delay" and link.fault is not None:
             self.queue.after(link.fault.delay_ms, self._answer, link, work.exchange, result)
         elif how in ("half", "spoilt"):
-            self._answer(link, work.exchange, Result.RESET, keep=False)
+            self._answer(link, work.exchange, AttemptResult.RESET, keep=False)
         else:
             self._answer(link, work.exchange, result)
 
-    def _answer(self, link: Link, exchange: Exchange, result: Result, keep: bool = True) -> None:
+    def _answer(self, link: Link, exchange: Exchange, result: AttemptResult, keep: bool = True) -> None:
         if link.dead or link.silent:
             return
-        told = result is not Result.RESET and self.reports
+        told = result is not AttemptResult.RESET and self.reports
         report = {"queue": round(self.model.report(self.queue.now), 3)} if told else None
         self.queue.after(link.way_ms, link.node.returned, exchange, result, report, keep)
 
-    def probe(self) -> tuple[Result, Report | None]:
+    def probe(self) -> tuple[AttemptResult, Report | None]:
         """A health call: nothing vanished answers one, nor what does not listen."""
         self.catch_up()
         up = self.model.probe(self.queue.now)
         self.arm()
         report = {"queue": round(self.model.report(self.queue.now), 3)} if self.reports else None
-        return (Result.OK if up else Result.ERROR), report
+        return (AttemptResult.OK if up else AttemptResult.ERROR), report
 
     def break_off(self, link: Link) -> None:
         """Reset a connection."""
--- a/rosewheel/lab/virtual/network.py
+++ b/rosewheel/lab/simulation/network.py
@@ -11,8 +11,8 @@
 
 if TYPE_CHECKING:
     from rosewheel.lab.host import Fault
-    from rosewheel.lab.virtual.host import Host, Work
-    from rosewheel.lab.virtual.node import Call, VirtualNode
+    from rosewheel.lab.simulation.host import Host, Work
+    from rosewheel.lab.simulation.node import Call, VirtualNode
 
 # One way, with the work of both its ends: a request through an idle node on loopback takes under a millisecond more
 # than at the equipo alone, there and back over two links.
--- a/rosewheel/lab/virtual/node.py
+++ b/rosewheel/lab/simulation/node.py
@@ -11,16 +11,12 @@
 from dataclasses import dataclass
 from typing import Protocol
 
-from rosewheel.decide.interface import ListForm, Request, Result, Server, ServerState, Settings
-from rosewheel.decide.learned import Learned
-from rosewheel.decide.policy import FEW
-from rosewheel.http.equipos import IDLE_PART, SETTLE_S, SILENT_S, SWEEP_S
+from rosewheel.http.upstream import IDLE_PART, SETTLE_S, SILENT_S, SWEEP_S
 from rosewheel.lab.retry import Verdict
-from rosewheel.lab.virtual.areas import Areas
-from rosewheel.lab.virtual.events import Queue
-from rosewheel.lab.virtual.host import Host, Report
-from rosewheel.lab.virtual.network import HOP_MS, Exchange, Link, Pool
-from rosewheel.node.bounds import Bounds
+from rosewheel.lab.simulation.events import Queue
+from rosewheel.lab.simulation.host import Host, Report
+from rosewheel.lab.simulation.network import HOP_MS, Exchange, Link, Pool
+from rosewheel.lab.simulation.topology import Areas
 from rosewheel.node.core import (
     Abort,
     Answer,
@@ -30,8 +26,13 @@
     StartProbe,
     StartWatch,
 )
-from rosewheel.node.rest import Rest
-from rosewheel.relay.relay import MARGIN_MS, SPARE
+from rosewheel.node.idle_timeout import Rest
+from rosewheel.node.limits import Bounds
+from rosewheel.policy.balancer import FEW
+from rosewheel.policy.events import AttemptResult, EndpointListForm, RequestReceived, Server, ServerState
+from rosewheel.policy.learned_state import Learned
+from rosewheel.policy.settings import Settings
+from rosewheel.proxy.proxy import MARGIN_MS, SPARE
 
 
 @dataclass(slots=True, eq=False)
@@ -55,7 +56,7 @@
     hosts: dict[str, Host]
     areas: Areas
 
-    def answered_by(self, node: VirtualNode, exchange: Exchange, result: Result) -> None:
+    def answered_by(self, node: VirtualNode, exchange: Exchange, result: AttemptResult) -> None:
         """How an attempt ended, as its node sees it."""
 
 
@@ -73,7 +74,7 @@
         self.out: dict[tuple[str, int], Exchange] = {}
         self.coming = 0  # connections that are coming up
         self.most = max(8, bounds.sockets - SPARE)
-        self.rest = Rest(bounds.conn_idle_ms / 1000.0, settings.siblings > FEW)
+        self.rest = Rest(bounds.conn_idle_ms / 1000.0, settings.balancer_count > FEW)
         self.dead = False
         self._armed = math.inf
         self.queue.after(SWEEP_S * 1000.0, self._sweep)
@@ -92,7 +93,7 @@
             return
         give_up = self.queue.now + max(1.0, call.patience_ms - MARGIN_MS)
         self.calls[call.rid] = call
-        self.apply(self.node.request(self.queue.now, Request(call.rid, call.service, give_up)))
+        self.apply(self.node.request(self.queue.now, RequestReceived(call.rid, call.service, give_up)))
 
     def abandon(self, call: Call) -> None:
         """Whoever asked has closed the connection."""
@@ -106,10 +107,10 @@
 
     # --------------------------------------------------------------- discovery
 
-    def heard(self, form: ListForm, servers: tuple[Server, ...]) -> None:
+    def heard(self, form: EndpointListForm, servers: tuple[Server, ...]) -> None:
         if self.dead:
             return
-        if form is not ListForm.DELTA:
+        if form is not EndpointListForm.DELTA:
             named = {server.address for server in servers}
             for host in [host for host in self.pools if host not in named]:
                 self._retire(self.pools.pop(host))
@@ -166,7 +167,7 @@
     def _start(self, effect: Dispatch) -> None:
         call = self.calls.get(effect.id)
         if call is None:
-            self.queue.after(0.0, self._ended, effect.id, effect.attempt, Result.CANCELLED, None)
+            self.queue.after(0.0, self._ended, effect.id, effect.attempt, AttemptResult.CANCELLED, None)
             return
         exchange = Exchange(call, effect.attempt, effect.timeout_ms, self.queue.now)
         self.out[effect.id, effect.attempt] = exchange
@@ -214,7 +215,7 @@
     def _failed(self, exchange: Exchange) -> None:
         if not exchange.over:
             exchange.over = True
-            self._settled(exchange, Result.CONNECT_FAILED, None)
+            self._settled(exchange, AttemptResult.CONNECT_FAILED, None)
 
     def _send(self, link: Link, exchange: Exchange) -> None:
         self.node.figures.tried()
@@ -222,13 +223,13 @@
         link.used += 1
         self.queue.after(link.way_ms, link.host.asked, link, exchange)
 
-    def returned(self, exchange: Exchange, result: Result, report: Report | None, keep: bool) -> None:
+    def returned(self, exchange: Exchange, result: AttemptResult, report: Report | None, keep: bool) -> None:
         """An answer has come, or a connection has ended in its stead."""
         link = exchange.link
         if self.dead or exchange.over or link is None:
             return
         exchange.over, link.exchange = True, None
-        if result is Result.FULL and link.used == 1:
+        if result is AttemptResult.OVERLOADED and link.used == 1:
             self.rest.refused(self.queue.now / 1000.0)
         pool = self.pools.get(link.host.spec.name)
         if pool is not None:
@@ -254,14 +255,14 @@
         exchange, link.exchange = link.exchange, None
         if exchange is not None and not exchange.over:
             exchange.over = True
-            self._settled(exchange, Result.RESET, None)
+            self._settled(exchange, AttemptResult.RESET, None)
 
-    def _settled(self, exchange: Exchange, result: Result, report: Report | None) -> None:
+    def _settled(self, exchange: Exchange, result: AttemptResult, report: Report | None) -> None:
         del self.out[exchange.call.rid, exchange.number]
         self.world.answered_by(self, exchange, result)
         self._ended(exchange.call.rid, exchange.number, result, report)
 
-    def _ended(self, rid: str, attempt: int, result: Result, report: Report | None) -> None:
+    def _ended(self, rid: str, attempt: int, result: AttemptResult, report: Report | None) -> None:
         if not self.dead:
             self.apply(self.node.ended(self.queue.now, rid, attempt, result, report))
 
@@ -271,7 +272,7 @@
         if exchange is None or exchange.over:
             return
         exchange.over = True
-        self.world.answered_by(self, exchange, Result.CANCELLED)
+        self.world.answered_by(self, exchange, AttemptResult.CANCELLED)
         link = exchange.link
         if link is None:  # its connection is still coming up
             return
@@ -327,14 +328,18 @@
 
     def _probes(self, server: str, began: float) -> None:
         host = self.world.hosts.get(server)
-        result, report, wait = Result.CONNECT_FAILED, None, HOP_MS if host is None else self._way_ms(host)
+        result, report, wait = (
+            AttemptResult.CONNECT_FAILED,
+            None,
+            HOP_MS if host is None else self._way_ms(host),
+        )
         if host is not None and (host.vanished or self._apart(host)):
-            result, wait = Result.TIMEOUT, self.bounds.probe_timeout_ms
+            result, wait = AttemptResult.TIMEOUT, self.bounds.probe_timeout_ms
         elif host is not None and host.listening:
             result, report = host.probe()
         self.queue.after(wait, self._probed, server, began, result, report)
 
-    def _probed(self, server: str, began: float, result: Result, report: Report | None) -> None:
+    def _probed(self, server: str, began: float, result: AttemptResult, report: Report | None) -> None:
         if not self.dead:
             self.apply(self.node.probed(self.queue.now, server, result, self.queue.now - began, report))
 
--- a/rosewheel/lab/virtual/losses.py
+++ b/rosewheel/lab/simulation/outages.py
@@ -4,15 +4,15 @@
 
 from typing import TYPE_CHECKING
 
-from rosewheel.decide.interface import ServerState
 from rosewheel.lab.equipo import State
 from rosewheel.lab.plan import Step, zones_of
-from rosewheel.lab.virtual.clients import Front
-from rosewheel.lab.virtual.host import Host
-from rosewheel.lab.virtual.network import Link
+from rosewheel.lab.simulation.clients import Front
+from rosewheel.lab.simulation.host import Host
+from rosewheel.lab.simulation.network import Link
+from rosewheel.policy.events import ServerState
 
 if TYPE_CHECKING:
-    from rosewheel.lab.virtual.world import World
+    from rosewheel.lab.simulation.world import World
 
 
 class Losses:
--- a/rosewheel/lab/virtual/simulate.py
+++ b/rosewheel/lab/simulation/simulate.py
@@ -15,10 +15,10 @@
 from rosewheel.lab.plan import Plan
 from rosewheel.lab.records import Writer
 from rosewheel.lab.scenario import Scenario
-from rosewheel.lab.virtual.clients import Clients, Front
-from rosewheel.lab.virtual.events import Queue
-from rosewheel.lab.virtual.figures import Tally, of_tiers
-from rosewheel.lab.virtual.world import World
+from rosewheel.lab.simulation.clients import Clients, Front
+from rosewheel.lab.simulation.events import Queue
+from rosewheel.lab.simulation.figures import Tally, of_tiers
+from rosewheel.lab.simulation.world import World
 
 LEAD_MS = 500.0  # between the start of the last node and the plan's beginning
 SLICE_MS = 100.0
--- a/rosewheel/lab/virtual/areas.py
+++ b/rosewheel/lab/simulation/topology.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from rosewheel.lab.scenario import Scenario
-from rosewheel.lab.virtual.network import HOP_MS
+from rosewheel.lab.simulation.network import HOP_MS
 
 
 class Areas:
--- a/rosewheel/lab/virtual/world.py
+++ b/rosewheel/lab/simulation/world.py
@@ -7,24 +7,25 @@
 from collections.abc import Callable
 from typing import Any
 
-from rosewheel.decide.interface import Result, Server, ServerState, Settings
-from rosewheel.decide.settings import settings_from
 from rosewheel.lab import equipo as model
 from rosewheel.lab import rows
 from rosewheel.lab.host import Fault
 from rosewheel.lab.nodes import settings
 from rosewheel.lab.plan import Plan, Step, stretches, targets
 from rosewheel.lab.retry import Verdict
+from rosewheel.lab.simulation.clients import Front
+from rosewheel.lab.simulation.discovery import Registry
+from rosewheel.lab.simulation.events import Queue
+from rosewheel.lab.simulation.host import Host, Work
+from rosewheel.lab.simulation.network import Exchange, Link
+from rosewheel.lab.simulation.node import Call, VirtualNode
+from rosewheel.lab.simulation.outages import Losses
+from rosewheel.lab.simulation.topology import Areas
 from rosewheel.lab.streams import stream
-from rosewheel.lab.virtual.areas import Areas
-from rosewheel.lab.virtual.clients import Front
-from rosewheel.lab.virtual.discovery import Registry
-from rosewheel.lab.virtual.events import Queue
-from rosewheel.lab.virtual.host import Host, Work
-from rosewheel.lab.virtual.losses import Losses
-from rosewheel.lab.virtual.network import Exchange, Link
-from rosewheel.lab.virtual.node import Call, VirtualNode
-from rosewheel.node.bounds import Bounds
+from rosewheel.node.limits import Bounds
+from rosewheel.policy.events import AttemptResult, Server, ServerState
+from rosewheel.policy.settings import Settings
+from rosewheel.policy.settings_codec import settings_from
 
 SAMPLE_MS = 500.0
 START_MS = 500.0  # of a process, until it serves
@@ -45,7 +46,9 @@
         self.figures = {row.name: row for row in plan.classes}
         # by node and equipo: its state and start as last told, and when
         self.told: dict[tuple[str, str], tuple[ServerState, float, float | None]] = {}
-        self.results: list[Counter[Result]] = [Counter() for _ in scenario.tiers]  # of attempts, by tier
+        self.results: list[Counter[AttemptResult]] = [
+            Counter() for _ in scenario.tiers
+        ]  # of attempts, by tier
         self.sent = [0] * len(scenario.tiers)  # requests that came to equipos
         self.served = [0] * len(scenario.tiers)
         self.areas = Areas(scenario)
@@ -185,7 +188,7 @@
             row = {"e": "late", "t": self.t(), "node": link.node.name, "equipo": host.spec.name}
             self.write("equipos", {**row, "health": told[0].value, "over_ms": round(over, 1), "op": call.op})
 
-    def answered_by(self, node: VirtualNode, exchange: Exchange, result: Result) -> None:
+    def answered_by(self, node: VirtualNode, exchange: Exchange, result: AttemptResult) -> None:
         self.results[node.tier][result] += 1
 
     def act(self, host: Host, acts: list[model.Action]) -> None:
--- a/rosewheel/node/core.py
+++ b/rosewheel/node/core.py
@@ -12,40 +12,42 @@
 from collections import deque
 from dataclasses import dataclass
 
-from rosewheel.decide.interface import (
+from rosewheel.node.in_flight import Attempt, Open
+from rosewheel.node.limits import Bounds
+from rosewheel.node.statistics import Ended, Figures
+from rosewheel.policy.actions import (
     Action,
-    Alarm,
-    Arrived,
-    Beside,
-    Cancel,
-    Company,
-    Configured,
-    Cordon,
+    CancelAttempt,
+    CheckHealth,
+    FailRequest,
+    ForwardRequest,
+    RejectRequest,
+    StartTimer,
+    WatchEndpoints,
+)
+from rosewheel.policy.balancer import Balancer
+from rosewheel.policy.events import (
+    AttemptFinished,
+    AttemptResult,
+    ClientDisconnected,
+    CordonChanged,
+    DiscoveryAddressChanged,
+    EndpointListForm,
+    EndpointListUpdate,
     Event,
-    Fail,
-    Lapsed,
-    ListForm,
-    Membership,
-    Moved,
-    Outcome,
-    Probe,
-    Probed,
-    Refuse,
-    Request,
-    Result,
-    Send,
+    HealthCheckFinished,
+    ProcessCountChanged,
+    RequestCompleted,
+    RequestReceived,
+    ResponseStarted,
     Server,
     ServerState,
-    Settings,
-    Started,
-    Wake,
-    Watch,
+    SettingsChanged,
+    SiblingProcessLoad,
+    TimerFired,
 )
-from rosewheel.decide.learned import Learned
-from rosewheel.decide.policy import Balancer
-from rosewheel.node.bounds import Bounds
-from rosewheel.node.figures import Ended, Figures
-from rosewheel.node.open import Attempt, Open
+from rosewheel.policy.learned_state import Learned
+from rosewheel.policy.settings import Settings
 
 log = logging.getLogger("rosewheel.node")
 
@@ -139,7 +141,7 @@
         """Requests that are taken and not ended."""
         return self._unanswered
 
-    def request(self, now: float, request: Request) -> list[Effect]:
+    def request(self, now: float, request: RequestReceived) -> list[Effect]:
         if request.id in self.open:
             raise HeldAlreadyError(request.id)
         if self._unanswered >= self.bounds.max_open:
@@ -147,11 +149,11 @@
             return [Answer(request.id, REFUSED)]  # the module never sees it, so it is never sent
         most, copies = self.settings.max_attempts, self.bounds.second_copies
         self.open[request.id] = Open(
-            request.service, request.give_up_at_ms, most, copies, whole=request.whole
+            request.service, request.deadline_at_ms, most, copies, whole=request.complete
         )
         self._unanswered += 1
-        if request.whole:
-            self._timer(request.give_up_at_ms + BACKSTOP_MS, "backstop", request.id)
+        if request.complete:
+            self._timer(request.deadline_at_ms + BACKSTOP_MS, "backstop", request.id)
         return self._run(now, request)
 
     def arrived(self, now: float, id: str, give_up_at_ms: float) -> list[Effect]:
@@ -165,7 +167,7 @@
             if item.result is None:
                 item.sent_ms = now
                 self._timer(now + min(item.timeout_ms, give_up_at_ms - now), "attempt", id, number)
-        return self._run(now, Arrived(id, give_up_at_ms))
+        return self._run(now, RequestCompleted(id, give_up_at_ms))
 
     def spent(self, id: str) -> None:
         """A part of this request is no longer held, so no other attempt of it can be written."""
@@ -182,7 +184,7 @@
         if attempt >= len(entry.attempts) or entry.attempts[attempt].result is not None:
             return None
         entry.begun, entry.attempts[attempt].began_ms = attempt, now
-        return self._run(now, Started(id, attempt))
+        return self._run(now, ResponseStarted(id, attempt))
 
     def handed(self, now: float, id: str) -> list[Effect]:
         """Another process of this node goes on with the long answer of this request: for this one it is over, and
@@ -191,9 +193,9 @@
         if entry is None or entry.over or entry.begun is None:
             return []
         item = entry.attempts[entry.begun]
-        item.result = Result.OK
+        item.result = AttemptResult.OK
         latency = (now if item.began_ms is None else item.began_ms) - item.sent_ms
-        self._queue.append(Outcome(id, entry.begun, item.server, Result.OK, latency, True))
+        self._queue.append(AttemptFinished(id, entry.begun, item.server, AttemptResult.OK, latency, True))
         self._finish(id, entry)
         return self._run(now)
 
@@ -202,7 +204,7 @@
         attempts that they may have, and whether these may overlap or be taken back. Raises ValueError that names the
         key where they can't hold in a running node; nothing has changed then. The same ones again change nothing."""
         try:
-            actions = self.balancer.handle(now, Configured(settings))
+            actions = self.balancer.handle(now, SettingsChanged(settings))
         except ValueError:
             raise
         except Exception as error:
@@ -220,7 +222,7 @@
         """How long an answer can still be owed: the longest patience of the classes, or more where a request was
         taken under another one."""
         open_ms = (entry.give_up_ms - now for entry in self.open.values() if not entry.over and entry.whole)
-        return max(max(kind.give_up_ms for kind in self.settings.classes), max(open_ms, default=0.0))
+        return max(max(kind.deadline_ms for kind in self.settings.classes), max(open_ms, default=0.0))
 
     def adopt(self, now: float, id: str, service: str, server: str) -> bool:
         """The other side of it: from here on this is attempt 0 of that request, which the module never hears of.
@@ -251,16 +253,16 @@
         if entry is None or entry.over:
             return []
         self._finish(id, entry)
-        if entry.begun is not None and self._settle(now, id, entry.begun, Result.CANCELLED):
+        if entry.begun is not None and self._settle(now, id, entry.begun, AttemptResult.CANCELLED):
             self._effects.append(Abort(id, entry.begun))  # the module leaves it to the client
-        return self._run(now, Lapsed(id))
+        return self._run(now, ClientDisconnected(id))
 
     def ended(
         self,
         now: float,
         id: str,
         attempt: int,
-        result: Result,
+        result: AttemptResult,
         report: Report | None = None,
         body: bytes = b"",
     ) -> list[Effect]:
@@ -268,15 +270,15 @@
         self._settle(now, id, attempt, result, report, body)
         return self._run(now)
 
-    def members(self, now: float, form: ListForm, servers: tuple[Server, ...] = ()) -> list[Effect]:
-        if form in (ListForm.FULL, ListForm.CACHED):
+    def members(self, now: float, form: EndpointListForm, servers: tuple[Server, ...] = ()) -> list[Effect]:
+        if form in (EndpointListForm.SNAPSHOT, EndpointListForm.CACHED):
             self.servers = {}
         for server in servers:
             if server.state is ServerState.REMOVED:
                 self.servers.pop(server.address, None)
             else:
                 self.servers[server.address] = server.state
-        return self._run(now, Membership(form, servers))
+        return self._run(now, EndpointListUpdate(form, servers))
 
     def knows(self, server: str) -> bool:
         """Whether there is such a server: one that was taken out stays known, whatever the list says."""
@@ -287,7 +289,7 @@
         if out is (server in self.cordoned):
             return []
         (self.cordoned.add if out else self.cordoned.discard)(server)
-        return self._run(now, Cordon(server, out))
+        return self._run(now, CordonChanged(server, out))
 
     def learned(self, now: float) -> Learned:
         return self.balancer.learned(now)
@@ -303,20 +305,20 @@
 
     def beside(self, now: float, loads: dict[str, float]) -> list[Effect]:
         """The same of another process of this node."""
-        return self._run(now, Beside(loads))
+        return self._run(now, SiblingProcessLoad(loads))
 
     def company(self, now: float, processes: int) -> list[Effect]:
         """So many processes of this node decide just now, this one included."""
-        return self._run(now, Company(processes))
+        return self._run(now, ProcessCountChanged(processes))
 
     def moved(self, now: float) -> list[Effect]:
         """Discovery has another address from now on."""
-        return self._run(now, Moved())
+        return self._run(now, DiscoveryAddressChanged())
 
     def probed(
-        self, now: float, server: str, result: Result, latency_ms: float, report: Report | None
+        self, now: float, server: str, result: AttemptResult, latency_ms: float, report: Report | None
     ) -> list[Effect]:
-        return self._run(now, Probed(server, result, latency_ms, report))
+        return self._run(now, HealthCheckFinished(server, result, latency_ms, report))
 
     def next_due(self) -> float | None:
         return self._timers[0][0] if self._timers else None
@@ -327,12 +329,12 @@
         while self._timers and self._timers[0][0] <= now:
             _, _, kind, name, attempt = heapq.heappop(self._timers)
             if kind == "alarm":
-                effects += self._run(now, Alarm(name))
+                effects += self._run(now, TimerFired(name))
             elif kind == "attempt":
                 entry = self.open.get(name)
                 if entry is not None and entry.begun == attempt:
                     continue
-                if self._settle(now, name, attempt, Result.TIMEOUT):
+                if self._settle(now, name, attempt, AttemptResult.TIMEOUT):
                     self._effects.append(Abort(name, attempt))
                 effects += self._run(now)
             else:
@@ -358,27 +360,29 @@
 
     def _act(self, now: float, action: Action) -> None:
         match action:
-            case Send():
+            case ForwardRequest():
                 self._send(now, action)
-            case Refuse():
+            case RejectRequest():
                 self._answer(action.id, Answer(action.id, REFUSED, b"", action.retry_after_ms))
-            case Fail():
+            case FailRequest():
                 entry = self.open.get(action.id)
-                late = entry is not None and any(one.result is Result.TIMEOUT for one in entry.attempts)
+                late = entry is not None and any(
+                    one.result is AttemptResult.TIMEOUT for one in entry.attempts
+                )
                 self._answer(action.id, Answer(action.id, TIMED_OUT if late else FAILED))
-            case Cancel():
-                if self._settle(now, action.id, action.attempt, Result.CANCELLED):
+            case CancelAttempt():
+                if self._settle(now, action.id, action.attempt, AttemptResult.CANCELLED):
                     self._effects.append(Abort(action.id, action.attempt))
-            case Wake():
+            case StartTimer():
                 self._delays[action.name] = action.delay_ms
                 self._timer(now + action.delay_ms, "alarm", action.name)
-            case Watch():
+            case WatchEndpoints():
                 self._effects.append(StartWatch())
-            case Probe():
+            case CheckHealth():
                 if self.bounds.may_probe and action.server in self.servers:
                     self._effects.append(StartProbe(action.server))
 
-    def _send(self, now: float, action: Send) -> None:
+    def _send(self, now: float, action: ForwardRequest) -> None:
         entry = self.open.get(action.id)
         if entry is None:
             log.error("a send for a request that is not open: %s", action.id)
@@ -392,7 +396,7 @@
         timeout = min(left, action.timeout_ms) if action.timeout_ms else left
         entry.attempts.append(Attempt(action.server, now, timeout))
         if not may:
-            self._settle(now, action.id, number, Result.MOOT)
+            self._settle(now, action.id, number, AttemptResult.NOT_SENT)
             return
         if entry.whole:
             self._timer(now + timeout, "attempt", action.id, number)
@@ -403,7 +407,7 @@
         now: float,
         id: str,
         attempt: int,
-        result: Result,
+        result: AttemptResult,
         report: Report | None = None,
         body: bytes = b"",
     ) -> bool:
@@ -413,13 +417,13 @@
             return False
         item = entry.attempts[attempt]
         item.result = result
-        if result is Result.OK and not entry.over:
+        if result is AttemptResult.OK and not entry.over:
             self._answer(id, Answer(id, SERVED, body))
         elif entry.begun == attempt:
             self._answer(id, Answer(id, BROKEN))  # what has been passed on can't be taken back
         # What comes behind the first bytes of a long answer goes at its caller's pace, not at the server's.
         latency = (now if item.began_ms is None else item.began_ms) - item.sent_ms
-        self._queue.append(Outcome(id, attempt, item.server, result, latency, entry.over, report))
+        self._queue.append(AttemptFinished(id, attempt, item.server, result, latency, entry.over, report))
         if entry.over and not entry.out():
             self.open.pop(id, None)
         return True
@@ -448,21 +452,23 @@
             return []
         log.error("no answer from the module by the deadline: %s", id)
         self._give_up(now, id, entry)
-        return self._run(now, Lapsed(id))
+        return self._run(now, ClientDisconnected(id))
 
     def _give_up(self, now: float, id: str, entry: Open) -> None:
         """Answer without the module: a refusal only if nothing of the request can have run."""
-        ran = any(item.result is None or not item.result.never_ran for item in entry.attempts)
+        ran = any(item.result is None or not item.result.not_executed for item in entry.attempts)
         self._answer(id, Answer(id, BROKEN if ran else REFUSED))
         for number, item in enumerate(entry.attempts):
-            if item.result is None and self._settle(now, id, number, Result.CANCELLED):
+            if item.result is None and self._settle(now, id, number, AttemptResult.CANCELLED):
                 self._effects.append(Abort(id, number))
 
     def _rescue(self, now: float, event: Event) -> None:
         """A fault in the module fails the request it concerned and nothing else."""
-        if isinstance(event, Alarm):  # Guards the module's clockwork: its next alarm was lost with the fault
+        if isinstance(
+            event, TimerFired
+        ):  # Guards the module's clockwork: its next alarm was lost with the fault
             self._timer(now + self._delays.get(event.name, 1000.0), "alarm", event.name)
-        elif isinstance(event, Request | Outcome):
+        elif isinstance(event, RequestReceived | AttemptFinished):
             entry = self.open.get(event.id)
             if entry is not None and not entry.over:
                 self._give_up(now, event.id, entry)
--- a/rosewheel/node/open.py
+++ b/rosewheel/node/in_flight.py
@@ -4,7 +4,7 @@
 
 from dataclasses import dataclass, field
 
-from rosewheel.decide.interface import Result
+from rosewheel.policy.events import AttemptResult
 
 
 @dataclass(slots=True)
@@ -13,7 +13,7 @@
     sent_ms: float
     timeout_ms: float = 0.0
     began_ms: float | None = None  # when its answer began to be passed on
-    result: Result | None = None  # None: still out
+    result: AttemptResult | None = None  # None: still out
 
 
 @dataclass(slots=True)
--- a/rosewheel/decide/policy.py
+++ b/rosewheel/policy/balancer.py
@@ -1,4 +1,6 @@
-"""The decision module of rosewheel. Its types, events and actions are in rosewheel/decide/interface.py.
+"""The decision module of rosewheel.
+
+Its interface is in rosewheel/policy/settings.py, rosewheel/policy/events.py and rosewheel/policy/actions.py.
 
 Cursor-table admission: every period the pool's load moves a cursor one step over a table of queue
 thresholds; a call that meets its row's threshold is refused at once; an admitted call goes to the
@@ -12,8 +14,35 @@
 from dataclasses import dataclass, field
 from random import Random
 
-from rosewheel.decide import interface as api
-from rosewheel.decide.learned import (
+from rosewheel.policy.actions import (
+    Action,
+    CancelAttempt,
+    FailRequest,
+    ForwardRequest,
+    RejectRequest,
+    StartTimer,
+    WatchEndpoints,
+)
+from rosewheel.policy.events import (
+    AttemptFinished,
+    AttemptResult,
+    ClientDisconnected,
+    CordonChanged,
+    DiscoveryAddressChanged,
+    EndpointListForm,
+    EndpointListUpdate,
+    Event,
+    HealthCheckFinished,
+    ProcessCountChanged,
+    RequestCompleted,
+    RequestReceived,
+    ResponseStarted,
+    ServerState,
+    SettingsChanged,
+    SiblingProcessLoad,
+    TimerFired,
+)
+from rosewheel.policy.learned_state import (
     CURSOR_MS,
     POOL_MS,
     SERVER_MS,
@@ -23,8 +52,9 @@
     stretch,
     weight,
 )
-from rosewheel.decide.learned import RATE_MS as RATES_FADE_MS
-from rosewheel.decide.pool import WHOLE, Peer, Pool
+from rosewheel.policy.learned_state import RATE_MS as RATES_FADE_MS
+from rosewheel.policy.pool import WHOLE, Peer, Pool
+from rosewheel.policy.settings import DedupScope, Idempotency, ServiceClass, Settings
 
 PERIOD = 0.15  # P, as a share of the shortest aim
 FLAT = 2  # n: slots of T1 at the table's left
@@ -115,7 +145,7 @@
 class _Try:
     peer: Peer
     sent_ms: float
-    result: api.Result | None = None  # None: still out
+    result: AttemptResult | None = None  # None: still out
     counted: bool = False  # among the calls in flight there
 
 
@@ -123,9 +153,9 @@
 class _Job:
     """One request and its attempts."""
 
-    request: api.Request
-    kind: api.ServiceClass
-    cfg: api.Settings  # those under which it was taken
+    request: RequestReceived
+    kind: ServiceClass
+    cfg: Settings  # those under which it was taken
     taken_ms: float
     units: float  # its weight in the queue
     tries: list[_Try] = field(default_factory=list)
@@ -136,27 +166,27 @@
         return sum(1 for item in self.tries if item.result is None)
 
     def may_have_run(self) -> list[_Try]:
-        return [item for item in self.tries if item.result is None or not item.result.never_ran]
+        return [item for item in self.tries if item.result is None or not item.result.not_executed]
 
 
-def _group(kind: api.ServiceClass, peer: Peer) -> tuple[str, int]:
+def _group(kind: ServiceClass, peer: Peer) -> tuple[str, int]:
     """The servers among which a repeat of this keyed class is dropped."""
-    zone = "" if kind.scope is api.Scope.ALL else peer.info.zone
-    return zone, peer.info.cell if kind.scope is api.Scope.CELL else 0
+    zone = "" if kind.dedup_scope is DedupScope.ALL else peer.info.zone
+    return zone, peer.info.cell if kind.dedup_scope is DedupScope.CELL else 0
 
 
-def _bag(kind: api.ServiceClass, peer: Peer) -> tuple[str, int] | None:
+def _bag(kind: ServiceClass, peer: Peer) -> tuple[str, int] | None:
     """The same as the pool knows it; None where that is all of it."""
-    if kind.scope is api.Scope.ALL:
+    if kind.dedup_scope is DedupScope.ALL:
         return None
-    return peer.info.zone, peer.info.cell if kind.scope is api.Scope.CELL else -1
+    return peer.info.zone, peer.info.cell if kind.dedup_scope is DedupScope.CELL else -1
 
 
-def _buckets(settings: api.Settings, now: float, old: dict[str, _Bucket] | None = None) -> dict[str, _Bucket]:
+def _buckets(settings: Settings, now: float, old: dict[str, _Bucket] | None = None) -> dict[str, _Bucket]:
     """A tenant that is new begins with all of a second's share; one that had a bucket with what was in it."""
     buckets = {}
     for tenant in settings.tenants:
-        share = tenant.quota_per_s / settings.siblings
+        share = tenant.quota_per_s / settings.balancer_count
         was = (old or {}).get(tenant.name) or _Bucket(share, share, now)
         # What it earned up to now it earned at the old share.
         tokens = min(was.quota, was.tokens + was.quota * (now - was.then) / 1000.0)
@@ -173,13 +203,13 @@
 
 
 class Balancer:
-    def __init__(self, settings: api.Settings, seed: int, now_ms: float) -> None:
+    def __init__(self, settings: Settings, seed: int, now_ms: float) -> None:
         self._take(settings)
         self.rng = Random(seed)
         self.period_ms = self.next_period_ms
         self.shape = [1.0] * FLAT + [STEP**step for step in range(1, STEPS + 1)]
         self.cursor = 0
-        self.pool = Pool(settings.zone, settings.cold_ms)
+        self.pool = Pool(settings.zone, settings.warm_up_ms)
         self.jobs: dict[str, _Job] = {}
         self.large = False  # the pool is more than what is looked at as a whole
         self.stale_ms = STALE_MS
@@ -200,67 +230,67 @@
         # Of many nodes: rates are per warm server, and the pool counts as so many of those, now and of late.
         self.strength = self.lately = 1.0
         self.counted = 0  # periods since the first in which something was completed
-        self.mean_aim = sum(kind.aim_ms for kind in settings.classes) / len(settings.classes)
+        self.mean_aim = sum(kind.latency_objective_ms for kind in settings.classes) / len(settings.classes)
         self.mean_hint = 0.0
         self.class_ms: dict[str, float] = {}
         self.asked = self.asked_rate = 0.0  # what was asked for in this period; its smoothed rate per ms
         self.buckets = _buckets(settings, now_ms)
 
-    def _take(self, settings: api.Settings) -> None:
+    def _take(self, settings: Settings) -> None:
         """What follows from the settings alone."""
         self.cfg = settings
         self.kinds = {kind.name: kind for kind in settings.classes}
-        self.next_period_ms = PERIOD * min(kind.aim_ms for kind in settings.classes)
-        self.top_worth = max(kind.worth for kind in settings.classes) or 1.0
-        self.far = ZONE_WEIGHT * settings.cross_zone_price
-        self.many = settings.tier == 0 and settings.siblings > FEW
+        self.next_period_ms = PERIOD * min(kind.latency_objective_ms for kind in settings.classes)
+        self.top_worth = max(kind.priority_weight for kind in settings.classes) or 1.0
+        self.far = ZONE_WEIGHT * settings.cross_zone_cost
+        self.many = settings.tier == 0 and settings.balancer_count > FEW
 
     @property
     def peers(self) -> dict[str, Peer]:
         return self.pool.peers
 
-    def handle(self, now: float, event: api.Event) -> list[api.Action]:
-        if isinstance(event, api.Configured):
+    def handle(self, now: float, event: Event) -> list[Action]:
+        if isinstance(event, SettingsChanged):
             return self._on_configured(now, event.settings)
-        if isinstance(event, api.Request):  # before any state is touched
+        if isinstance(event, RequestReceived):  # before any state is touched
             if event.service not in self.kinds:
                 raise ValueError(f"service: {event.service!r} is not a class of the settings")
             if event.id in self.jobs:
                 raise ValueError(f"id: {event.id!r} is held already")
-        acts: list[api.Action] = []
+        acts: list[Action] = []
         if not self.started:
             self.started = True
-            acts.append(api.Wake(self.period_ms, "period"))
-            if self.cfg.ask_discovery:
+            acts.append(StartTimer(self.period_ms, "period"))
+            if self.cfg.poll_discovery:
                 self._watch(now, acts)
-        if isinstance(event, api.Request):
+        if isinstance(event, RequestReceived):
             self._on_request(now, event, acts)
-        elif isinstance(event, api.Outcome):
+        elif isinstance(event, AttemptFinished):
             self._on_outcome(now, event, acts)
-        elif isinstance(event, api.Alarm) and event.name == "period":
+        elif isinstance(event, TimerFired) and event.name == "period":
             self._on_period(now)
             if self.period_ms != self.next_period_ms:  # only now: rates of the one that ran are by its length
                 longer = self.period_ms / self.next_period_ms
                 self.periods = math.ceil(min(MOST_PERIODS, self.periods * longer))
                 self.counted = math.ceil(min(MOST_PERIODS, self.counted * longer))
                 self.period_ms = self.next_period_ms
-            acts.append(api.Wake(self.period_ms, "period"))
-        elif isinstance(event, api.Alarm) and event.name == "watch":
+            acts.append(StartTimer(self.period_ms, "period"))
+        elif isinstance(event, TimerFired) and event.name == "watch":
             if self.watch_due:  # Guard: an alarm that a move has overtaken would break off the watch there
                 self.watch_due = False
                 self._watch(now, acts)
-        elif isinstance(event, api.Moved):
+        elif isinstance(event, DiscoveryAddressChanged):
             # Guard: failures of the old address say nothing of the new one, whose list may be needed at once.
             self.watch_failures, self.watch_due = 0, False
-            if self.cfg.ask_discovery:
+            if self.cfg.poll_discovery:
                 self._watch(now, acts)
-        elif isinstance(event, api.Membership):
+        elif isinstance(event, EndpointListUpdate):
             self._on_membership(now, event, acts)
-        elif isinstance(event, api.Cordon):
+        elif isinstance(event, CordonChanged):
             self._on_cordon(now, event)
-        elif isinstance(event, api.Company):
+        elif isinstance(event, ProcessCountChanged):
             self._on_company(event)
-        elif isinstance(event, api.Beside):
+        elif isinstance(event, SiblingProcessLoad):
             for address in self.beside - event.loads.keys():
                 if address in self.peers:
                     self.peers[address].beside = 0.0
@@ -268,25 +298,25 @@
                 if address in self.peers:
                     self.peers[address].beside = load
             self.beside = set(event.loads)
-        elif isinstance(event, api.Lapsed) and event.id in self.jobs:
+        elif isinstance(event, ClientDisconnected) and event.id in self.jobs:
             self._end(self.jobs[event.id], acts)
-        elif isinstance(event, api.Arrived) and event.id in self.jobs:
+        elif isinstance(event, RequestCompleted) and event.id in self.jobs:
             self._on_arrived(now, self.jobs[event.id], event)
-        elif isinstance(event, api.Started) and event.id in self.jobs:
+        elif isinstance(event, ResponseStarted) and event.id in self.jobs:
             job = self.jobs[event.id]
             job.streaming = True
-            if not job.kind.stream:
+            if not job.kind.streaming:
                 # Guard: a long answer is passed on at its client's pace, when its work is done; counted as in
                 # flight for so long, slow clients would have others refused.
                 self._count_off(job, event.attempt)
             self._cancel_others(job, event.attempt, acts)
-        elif isinstance(event, api.Probed):
+        elif isinstance(event, HealthCheckFinished):
             self._hear(now, event.server, event.report)
         return acts
 
     # -------------------------------------------------------------- settings
 
-    def _on_configured(self, now: float, new: api.Settings) -> list[api.Action]:
+    def _on_configured(self, now: float, new: Settings) -> list[Action]:
         """All of the change or, where anything raises, nothing of it."""
         if new == self.cfg:
             return []
@@ -301,7 +331,7 @@
             self.rng.setstate(drawn)
             raise
 
-    def _configure(self, now: float, new: api.Settings) -> list[api.Action]:
+    def _configure(self, now: float, new: Settings) -> list[Action]:
         """Attributes are replaced and what they hold is left as it is, but for the peers at the end."""
         old, old_aims, many, total = self.cfg, self._aims(), self.many, self.strength
         self._take(new)
@@ -312,26 +342,26 @@
             self.strength = self.lately = self._strength(now) if self.many else 1.0
             self.rate, self.peak = (figure * total / self.strength for figure in (self.rate, self.peak))
             self._count_periods(1.0 if self.rate > 0.0 else 0.0)
-        acts: list[api.Action] = []
+        acts: list[Action] = []
         if not self.started:
             self.period_ms = self.next_period_ms
-        elif new.ask_discovery is not old.ask_discovery:
+        elif new.poll_discovery is not old.poll_discovery:
             self.watch_failures, self.watch_due = 0, False
-            if new.ask_discovery:
+            if new.poll_discovery:
                 self._watch(now, acts)
-        if new.cold_ms != old.cold_ms:
-            self.pool.recool(new.cold_ms, now, lambda: self.rng.random() / self.processes)
+        if new.warm_up_ms != old.warm_up_ms:
+            self.pool.recool(new.warm_up_ms, now, lambda: self.rng.random() / self.processes)
         if self.many is not many:
             for peer in self.peers.values():  # shunned by the rule of the one, for good by that of the other
                 peer.turned, peer.shy_ms = 0, -math.inf
         return acts
 
     def _aims(self) -> dict[str, float]:
-        return {name: kind.aim_ms for name, kind in self.kinds.items()}
+        return {name: kind.latency_objective_ms for name, kind in self.kinds.items()}
 
     def _rescale(self, longer: float | None) -> None:
         """Aims have changed: what was learned as a share of them is so many times as large."""
-        aims = [kind.aim_ms for kind in self.kinds.values()]
+        aims = [kind.latency_objective_ms for kind in self.kinds.values()]
         if longer is None:
             self.base, self.level, self.learned_from, self.ratios = None, 0.0, 0, []
             self.mean_aim = sum(aims) / len(aims)
@@ -352,7 +382,7 @@
         """Calls in flight from here, by weight, at each server that has any."""
         return {address: peer.load for address, peer in self.peers.items() if peer.load > 0.0}
 
-    def _on_company(self, event: api.Company) -> None:
+    def _on_company(self, event: ProcessCountChanged) -> None:
         """Guard: to the servers the processes of one node are one. What a cold server may be sent is shared
         out: here the credit that it has; what it earns later comes by what is asked of each."""
         if event.processes > self.processes:
@@ -431,24 +461,24 @@
 
     # ------------------------------------------------------------ membership
 
-    def _watch(self, now: float, acts: list[api.Action]) -> None:
+    def _watch(self, now: float, acts: list[Action]) -> None:
         self.watched_ms = now
-        acts.append(api.Watch())
+        acts.append(WatchEndpoints())
 
-    def _on_membership(self, now: float, event: api.Membership, acts: list[api.Action]) -> None:
-        if event.form is api.ListForm.FAILED:  # subscribe anew, backing off so as not to crowd discovery
+    def _on_membership(self, now: float, event: EndpointListUpdate, acts: list[Action]) -> None:
+        if event.form is EndpointListForm.FAILED:  # subscribe anew, backing off so as not to crowd discovery
             self.watch_failures = min(16, self.watch_failures + 1)
             self.watch_due = True
             apart = min(WATCH_MAX_MS, WATCH_MS * 2.0**self.watch_failures)
             wait = max(WATCH_LEAST_MS, apart - (now - self.watched_ms))
-            acts.append(api.Wake(wait * self.rng.uniform(0.5, 1.0), "watch"))
+            acts.append(StartTimer(wait * self.rng.uniform(0.5, 1.0), "watch"))
             return
-        if event.form is not api.ListForm.CACHED:
+        if event.form is not EndpointListForm.CACHED:
             self.watch_failures = 0
-        if event.form is not api.ListForm.DELTA:  # a server absent from a whole list is gone
+        if event.form is not EndpointListForm.DELTA:  # a server absent from a whole list is gone
             self.pool.keep({server.address for server in event.servers})
         for server in event.servers:
-            if server.state is api.ServerState.REMOVED:
+            if server.state is ServerState.REMOVED:
                 self.pool.drop(server.address)
                 continue
             known = self.peers.get(server.address)
@@ -462,8 +492,8 @@
         self.large = len(self.peers) > WHOLE
         self.stale_ms = STALE_LARGE_MS if self.large else STALE_MS
 
-    def _on_cordon(self, now: float, event: api.Cordon) -> None:
-        if event.out:
+    def _on_cordon(self, now: float, event: CordonChanged) -> None:
+        if event.cordoned:
             self.pool.cordoned.setdefault(event.server, now)
             if event.server in self.peers:
                 self.pool.settle(self.peers[event.server], now)
@@ -477,15 +507,15 @@
                 seen = known.info.launched_ms is not None and known.info.launched_ms >= since
                 # Guard: with little traffic a drawn credit left it idle for seconds after it was wanted back.
                 # It gets its first call at once, but not from many balancers together.
-                credit = 1.0 if self.rng.random() * self.cfg.siblings < AT_ONCE else self.rng.random()
+                credit = 1.0 if self.rng.random() * self.cfg.balancer_count < AT_ONCE else self.rng.random()
                 back = Peer(known.info, credit=credit, paced_ms=now)
                 back.returned_ms = -math.inf if seen else now
                 self.pool.put(back, now)
 
     # ------------------------------------------------------------- admission
 
-    def _worth(self, now: float, request: api.Request, kind: api.ServiceClass) -> float:
-        worth = kind.worth / self.top_worth
+    def _worth(self, now: float, request: RequestReceived, kind: ServiceClass) -> float:
+        worth = kind.priority_weight / self.top_worth
         if request.is_retry:
             worth *= RETRY_WORTH
         bucket = self.buckets.get(request.tenant or "")
@@ -493,7 +523,7 @@
             bucket.tokens = min(bucket.quota, bucket.tokens + bucket.quota * (now - bucket.then) / 1000.0)
             bucket.then = now
             if bucket.tokens < 1.0:
-                return worth * self.cfg.over_share_worth
+                return worth * self.cfg.over_quota_weight
             bucket.tokens -= 1.0
         return worth
 
@@ -507,11 +537,11 @@
         slack = T1_SLACK_MANY if self.many else T1_SLACK
         first = self.strength * self.peak * self.mean_aim * (base + slack * (1.0 - base))
         starts = self.periods * self.period_ms < START_MS
-        floor = (START if starts else FLOOR) / self.cfg.siblings
+        floor = (START if starts else FLOOR) / self.cfg.balancer_count
         if self.cfg.tier > 0:
             floor = max(floor, FLOOR_BELOW)  # Guard: a refusal below wastes the work done above
         # The chance of a large pool is that of all its nodes together, and each has its part in it.
-        shared = self.cfg.siblings if self.large else 1
+        shared = self.cfg.balancer_count if self.large else 1
         least = ready * floor
         if starts and self.many:  # the front deals unevenly, and a node's part of what is let in is small
             least += ROOTS * math.sqrt(least)
@@ -522,10 +552,10 @@
         first *= 1.0 - gap * below
         return first * math.pow(self.shape[self.cursor], TOP_BEND + (1.0 - TOP_BEND) * below)
 
-    def _on_request(self, now: float, request: api.Request, acts: list[api.Action]) -> None:
+    def _on_request(self, now: float, request: RequestReceived, acts: list[Action]) -> None:
         kind = self.kinds[request.service]
         units, hint = 1.0, request.cost_hint_ms
-        if self.cfg.worth_by_work and hint:  # where worth goes by work, so does the count in flight
+        if self.cfg.weight_by_work and hint:  # where worth goes by work, so does the count in flight
             self.mean_hint += (hint - self.mean_hint) * (CLASS_GAIN if self.mean_hint else 1.0)
             units = min(4.0, max(0.25, hint / self.mean_hint))
         self.asked += units
@@ -541,12 +571,14 @@
     # --------------------------------------------------------------- ranking
 
     def _pick(self, now: float, job: _Job) -> Peer | None:
-        ran, effect = job.may_have_run(), job.kind.effect
+        ran, effect = job.may_have_run(), job.kind.idempotency
         # Guard: a repeat counts where it begins to go out, and its connection may come up only before that.
-        expired = bool(ran) and now - ran[0].sent_ms + self.cfg.connect_ms >= job.kind.memory_ms
-        if ran and (effect is api.Effect.UNSAFE or (effect is api.Effect.KEYED and expired)):
+        expired = bool(ran) and now - ran[0].sent_ms + self.cfg.connect_timeout_ms >= job.kind.dedup_window_ms
+        if ran and (
+            effect is Idempotency.NON_IDEMPOTENT or (effect is Idempotency.IDEMPOTENT_WITH_KEY and expired)
+        ):
             return None
-        bound = _group(job.kind, ran[0].peer) if ran and effect is api.Effect.KEYED else None
+        bound = _group(job.kind, ran[0].peer) if ran and effect is Idempotency.IDEMPOTENT_WITH_KEY else None
         # By address: one that left the list and came back meanwhile is another peer.
         tried = [item.peer.info.address for item in job.tries]
         best, best_rank = None, math.inf
@@ -599,7 +631,7 @@
             # Guard: what is not sent soon is not saved up. Thirty nodes with a call each for a server that
             # was out, or had a queue, sent them all at one moment.
             over = credit % 1.0
-            credit = over + (over <= pace * COLD_KEEP * self.cfg.tip_after_ms)
+            credit = over + (over <= pace * COLD_KEEP * self.cfg.overload_window_ms)
         peer.credit, peer.paced_ms = credit, now
         return credit >= 1.0
 
@@ -611,9 +643,13 @@
 
     def _warmth(self, now: float, peer: Peer) -> float:
         """The least share of its capacity that a server has by now, as stated: 1 once it is warm."""
-        cold_ms = self.cfg.cold_ms
+        cold_ms = self.cfg.warm_up_ms
         left = peer.cold_until(cold_ms) - now
-        return 1.0 - (1.0 - self.cfg.cold_from) * min(1.0, left / cold_ms) if left > 0.0 < cold_ms else 1.0
+        return (
+            1.0 - (1.0 - self.cfg.warm_up_initial_share) * min(1.0, left / cold_ms)
+            if left > 0.0 < cold_ms
+            else 1.0
+        )
 
     def _strength(self, now: float) -> float:
         """The pool in warm servers: a cold one by its stated share, a failing one by what it serves."""
@@ -621,29 +657,29 @@
         if not seen:
             return self.strength
         each = sum(self._warmth(now, peer) * (1.0 - peer.errs) for peer in seen) / len(seen)
-        return max(self.cfg.cold_from, each) * len(self.pool.ready)
+        return max(self.cfg.warm_up_initial_share, each) * len(self.pool.ready)
 
     # -------------------------------------------------------------- attempts
 
-    def _send(self, now: float, job: _Job, acts: list[api.Action]) -> bool:
+    def _send(self, now: float, job: _Job, acts: list[Action]) -> bool:
         # The time of a request counts from its end; until that has come, it has all of it left.
-        then = now if job.request.whole else job.taken_ms
-        left = job.request.give_up_at_ms - then
-        if job.kind.late_worth <= 0.0 and not job.kind.stream:
+        then = now if job.request.complete else job.taken_ms
+        left = job.request.deadline_at_ms - then
+        if job.kind.late_weight <= 0.0 and not job.kind.streaming:
             # Guard: late work is worth nothing, so it is stopped at the aim and does not crowd out the rest.
-            left = min(left, job.taken_ms + job.kind.aim_ms * AIM_MARGIN - then)
+            left = min(left, job.taken_ms + job.kind.latency_objective_ms * AIM_MARGIN - then)
         if job.done or not left > 1.0 or len(job.tries) >= job.cfg.max_attempts:
             return False
         peer = self._pick(now, job)
         if peer is None:
             return False
         job.tries.append(_Try(peer, now))
-        if job.request.whole:
+        if job.request.complete:
             self._count_in(job, len(job.tries) - 1, now)
         peer.credit -= job.units
         if len(self.peers) > WHOLE:
             self.pool.unpaid(peer, now)
-        acts.append(api.Send(job.request.id, peer.info.address, left))
+        acts.append(ForwardRequest(job.request.id, peer.info.address, left))
         return True
 
     def _count_in(self, job: _Job, attempt: int, now: float) -> None:
@@ -659,14 +695,14 @@
             self.pool.charge(item.peer, -job.units)
             item.peer.out.pop((job.request.id, attempt), None)
 
-    def _on_arrived(self, now: float, job: _Job, event: api.Arrived) -> None:
+    def _on_arrived(self, now: float, job: _Job, event: RequestCompleted) -> None:
         """A server begins a request at its end: until then an attempt is no work there and shows no delay."""
-        job.request.whole, job.request.give_up_at_ms, job.taken_ms = True, event.give_up_at_ms, now
+        job.request.complete, job.request.deadline_at_ms, job.taken_ms = True, event.deadline_at_ms, now
         for attempt, item in enumerate(job.tries):
             if item.result is None:
                 self._count_in(job, attempt, now)
 
-    def _on_outcome(self, now: float, event: api.Outcome, acts: list[api.Action]) -> None:
+    def _on_outcome(self, now: float, event: AttemptFinished, acts: list[Action]) -> None:
         self._hear(now, event.server, event.report)
         job = self.jobs.get(event.id)
         if job is None or event.attempt >= len(job.tries) or job.tries[event.attempt].result is not None:
@@ -675,7 +711,7 @@
         item.result = event.result
         self._count_off(job, event.attempt)
         self._judge(now, job, item, event)
-        if event.done:
+        if event.request_ended:
             job.streaming = False
             self._end(job, acts)
         elif job.done:
@@ -683,29 +719,29 @@
         elif not job.out() and not self._send(now, job, acts):
             self._answer(job, acts)
 
-    def _answer(self, job: _Job, acts: list[api.Action]) -> None:
+    def _answer(self, job: _Job, acts: list[Action]) -> None:
         """The one final answer: a refusal where it is true that a retry is harmless, else a failure."""
         ran = job.may_have_run()
-        if not ran or job.kind.effect is api.Effect.SAFE:
+        if not ran or job.kind.idempotency is Idempotency.IDEMPOTENT:
             wait = 0.0
             if job.cfg.retry_after and job.cfg.tier == 0:
                 wait = min(job.cfg.max_retry_after_ms, self.period_ms * self.cursor)
-            acts.append(api.Refuse(job.request.id, wait))
+            acts.append(RejectRequest(job.request.id, wait))
         else:
-            acts.append(api.Fail(job.request.id))
+            acts.append(FailRequest(job.request.id))
         self._end(job, acts)
 
-    def _end(self, job: _Job, acts: list[api.Action]) -> None:
+    def _end(self, job: _Job, acts: list[Action]) -> None:
         if not job.done:
             job.done = True
             self._cancel_others(job, -1, acts)
         if not job.out():
             self.jobs.pop(job.request.id, None)
 
-    def _cancel_others(self, job: _Job, keep: int, acts: list[api.Action]) -> None:
+    def _cancel_others(self, job: _Job, keep: int, acts: list[Action]) -> None:
         if job.cfg.may_cancel and not (job.streaming and keep < 0):
             out = (at for at, item in enumerate(job.tries) if item.result is None and at != keep)
-            acts.extend(api.Cancel(job.request.id, at) for at in out)
+            acts.extend(CancelAttempt(job.request.id, at) for at in out)
 
     # ---------------------------------------------------------------- health
 
@@ -718,40 +754,42 @@
             peer.util = util if util is not None and 0.0 <= util < math.inf else None
             peer.told_ms = now
 
-    def _judge(self, now: float, job: _Job, item: _Try, event: api.Outcome) -> None:
+    def _judge(self, now: float, job: _Job, item: _Try, event: AttemptFinished) -> None:
         peer, result = item.peer, event.result
-        if result in (api.Result.CANCELLED, api.Result.MOOT):
+        if result in (AttemptResult.CANCELLED, AttemptResult.NOT_SENT):
             return
         self.ended += 1
-        if result is api.Result.ERROR and self.cfg.tier == 0:
+        if result is AttemptResult.ERROR and self.cfg.tier == 0:
             self.errors += 1  # Guard: a tier below that refuses shows at the front as errors only
-        if self.many and result.never_ran:
+        if self.many and result.not_executed:
             # Guard: one that drains, of which the list has not told yet, turns all away at once, has nothing
             # in flight and was every node's best. By its answers all of them shed, though the pool had room.
             peer.turned += 1
             peer.shy_ms = now + min(SHY_MAX_MS, SHY_MS * 2.0 ** min(8, peer.turned))
-        elif result is api.Result.OK:
+        elif result is AttemptResult.OK:
             peer.turned, peer.shy_ms = 0, -math.inf
-        if result is api.Result.FULL:
+        if result is AttemptResult.OVERLOADED:
             self.full += peer.turned <= 1
             peer.queue, peer.told_ms = max(peer.queue, peer.load), now
             return
-        peer.errs += GAIN * ((result is not api.Result.OK) - peer.errs)
-        if result in (api.Result.OK, api.Result.TIMEOUT):  # a fast error must not look fast
+        peer.errs += GAIN * ((result is not AttemptResult.OK) - peer.errs)
+        if result in (AttemptResult.OK, AttemptResult.TIMEOUT):  # a fast error must not look fast
             # By the class as it is now, also where this one was taken under another aim: what is learned has
             # to be shares of one aim.
-            self.ratios.append(event.latency_ms / self.kinds.get(job.kind.name, job.kind).aim_ms)
+            self.ratios.append(
+                event.latency_ms / self.kinds.get(job.kind.name, job.kind).latency_objective_ms
+            )
             mean = self.class_ms.get(job.kind.name)
-            if result is api.Result.OK:
+            if result is AttemptResult.OK:
                 mean = event.latency_ms if mean is None else mean + CLASS_GAIN * (event.latency_ms - mean)
                 if job.kind.name in self.kinds:
                     self.class_ms[job.kind.name] = mean
             ratio = event.latency_ms / mean if mean else 1.0
             peer.slow = ratio if peer.slow is None else peer.slow + GAIN * (ratio - peer.slow)
             peer.heard_ms = now
-        if result is api.Result.OK:
+        if result is AttemptResult.OK:
             self.completed += job.units
-            aim_ms = self.kinds.get(job.kind.name, job.kind).aim_ms
+            aim_ms = self.kinds.get(job.kind.name, job.kind).latency_objective_ms
             self.mean_aim += CLASS_GAIN * (aim_ms - self.mean_aim)
 
     # ------------------------------------------------------------- pool load
--- a/rosewheel/decide/pool.py
+++ b/rosewheel/policy/pool.py
@@ -14,7 +14,7 @@
 from dataclasses import dataclass, field
 from random import Random
 
-from rosewheel.decide import interface as api
+from rosewheel.policy.events import Server, ServerState
 
 WHOLE = 64  # a pool of no more than this is looked at as a whole
 SAMPLE = 12  # warm servers that a request sees of a larger one, half of them of its own zone,
@@ -28,7 +28,7 @@
 class Peer:
     """What this balancer knows of one server."""
 
-    info: api.Server
+    info: Server
     slow: float | None = None  # smoothed latency over its class's mean
     errs: float = 0.0  # smoothed share of failed attempts
     heard_ms: float = -math.inf
@@ -135,7 +135,7 @@
         for address in [address for address in self.peers if address not in named]:
             self.drop(address)
 
-    def update(self, peer: Peer, info: api.Server, now: float) -> None:
+    def update(self, peer: Peer, info: Server, now: float) -> None:
         """The list says something else of it, though it has not restarted."""
         if peer.info != info:
             self._out(peer)
@@ -144,7 +144,7 @@
 
     def settle(self, peer: Peer, now: float) -> None:
         """Put it where it belongs by its state."""
-        up = peer.info.state is api.ServerState.UP and peer.info.address not in self.cordoned
+        up = peer.info.state is ServerState.UP and peer.info.address not in self.cordoned
         if up is peer.ready:
             return
         self._listed = None
--- a/rosewheel/relay/cordons.py
+++ b/rosewheel/proxy/cordons.py
@@ -9,7 +9,7 @@
 import logging
 from collections.abc import Callable
 
-from rosewheel.relay.state import State, changed
+from rosewheel.proxy.state import State, changed
 
 log = logging.getLogger("rosewheel.cordons")
 
--- a/rosewheel/relay/serve.py
+++ b/rosewheel/proxy/process.py
@@ -14,10 +14,10 @@
 import uvloop
 
 from rosewheel.config.platform import Config, ConfigError
-from rosewheel.relay.relay import Relay
+from rosewheel.proxy.proxy import Relay
 
 if TYPE_CHECKING:
-    from rosewheel.relay.configured import Configured
+    from rosewheel.proxy.reconfiguration import Configured
 
 log = logging.getLogger("rosewheel")
 
@@ -29,7 +29,7 @@
     the platform's `run` has."""
     if config.control is None:
         return None
-    from rosewheel.relay.configured import Configured
+    from rosewheel.proxy.reconfiguration import Configured
 
     return Configured(relay, config, config.control)
 
--- a/rosewheel/relay/relay.py
+++ b/rosewheel/proxy/proxy.py
@@ -14,21 +14,17 @@
 from typing import TYPE_CHECKING, Any
 
 from rosewheel.config.platform import Config, ConfigError
-from rosewheel.decide.interface import ListForm, Request, Result, Settings
-from rosewheel.decide.learned import Learned
-from rosewheel.decide.policy import FEW
+from rosewheel.discovery.backoff import Waits
 from rosewheel.discovery.catalog import Discovery, Entry, entries_from
-from rosewheel.discovery.waits import Waits
-from rosewheel.handover.moves import Moves
-from rosewheel.handover.offers import WINDOW
-from rosewheel.handover.service import Handover
+from rosewheel.hot_restart.migration import Moves
+from rosewheel.hot_restart.offers import WINDOW
+from rosewheel.hot_restart.service import Handover
 from rosewheel.http.body import Budget
 from rosewheel.http.call import BadRequestError, Call
 from rosewheel.http.callers import Server
 from rosewheel.http.connection import Sink
-from rosewheel.http.equipos import Upstream
+from rosewheel.http.upstream import Upstream
 from rosewheel.listener import bind, open_listener
-from rosewheel.node.bounds import Bounds
 from rosewheel.node.core import (
     SERVED,
     Abort,
@@ -40,16 +36,21 @@
     StartProbe,
     StartWatch,
 )
-from rosewheel.node.figures import Ended
-from rosewheel.relay.cordons import Cordons
-from rosewheel.relay.headers import DECIMAL, WHOLE, figure
-from rosewheel.relay.snapshots import Snapshots
-from rosewheel.relay.state import State
+from rosewheel.node.limits import Bounds
+from rosewheel.node.statistics import Ended
+from rosewheel.policy.balancer import FEW
+from rosewheel.policy.events import AttemptResult, EndpointListForm, RequestReceived
+from rosewheel.policy.learned_state import Learned
+from rosewheel.policy.settings import Settings
+from rosewheel.proxy.cordons import Cordons
+from rosewheel.proxy.headers import DECIMAL, WHOLE, figure
+from rosewheel.proxy.snapshots import Snapshots
+from rosewheel.proxy.state import State
 
 if TYPE_CHECKING:
-    from rosewheel.ops.door import Admin
+    from rosewheel.admin.server import Admin
 
-log = logging.getLogger("rosewheel.relay")
+log = logging.getLogger("rosewheel.proxy")
 
 SPARE = 40  # descriptors kept for everything but callers and servers, or a part of them where there are few
 SPARE_PART = 8
@@ -92,7 +93,7 @@
             self._probed,
             self._began,
             self.node.figures.tried,
-            crowds=config.settings.siblings > FEW,
+            crowds=config.settings.balancer_count > FEW,
         )
         self.budget = Budget(0)
         self.server = Server(
@@ -105,7 +106,7 @@
         )
         self.admin: Admin | None = None
         if config.ops is not None:  # imported where it is asked for: each start would pay for it
-            from rosewheel.ops.door import Admin
+            from rosewheel.admin.server import Admin
 
             self.admin = Admin(self)
         self.snapshots = Snapshots(config.state, config.name, self._learned, config.on_disk)
@@ -143,9 +144,9 @@
         self.state.start()  # before anything can be sent: what is out by hand stays out
         if self.admin is not None and self.config.ops is not None:
             await self.admin.start(door or bind(self.config.ops, "LB_OPS"))
-        self._heard(ListForm.CACHED, entries_from(self.config.known.get("hosts")))
+        self._heard(EndpointListForm.CACHED, entries_from(self.config.known.get("hosts")))
         self._recall()
-        if not self.config.settings.ask_discovery:
+        if not self.config.settings.poll_discovery:
             self.discovery.watch()
         first_s = self._first_s()
         if first_s > 0.0:
@@ -159,7 +160,7 @@
         """How long callers wait for the first word of discovery."""
         if self.taking_over:
             return FIRST_LIST_S
-        return 0.0 if self.config.settings.ask_discovery else FIRST_PUSHED_S
+        return 0.0 if self.config.settings.poll_discovery else FIRST_PUSHED_S
 
     def _recall(self) -> None:
         """Begin with what an earlier process of this node had learned, as far as its age allows."""
@@ -190,7 +191,7 @@
             return
         self.discovery.move(config.discovery)
         self.apply(self.node.moved(now_ms()))
-        if not self.config.settings.ask_discovery:
+        if not self.config.settings.poll_discovery:
             self.discovery.watch()
 
     def configure(self, settings: Settings, bounds: Bounds) -> None:
@@ -201,12 +202,12 @@
             return
         effects = self.node.configure(now_ms(), settings, bounds)  # before anything else: it alone may refuse
         self.config = dataclasses.replace(was, settings=settings, bounds=bounds)
-        self.upstream.configure(bounds, crowds=settings.siblings > FEW)
+        self.upstream.configure(bounds, crowds=settings.balancer_count > FEW)
         self._share(bounds.sockets)
         self._shrink()
         self.apply(effects)
         log.info("another configuration holds from now on, %d classes", len(settings.classes))
-        pushed = was.settings.ask_discovery and not settings.ask_discovery
+        pushed = was.settings.poll_discovery and not settings.poll_discovery
         if pushed and not self.discovery.open and not self.stopped:  # the module asks no more
             self.discovery.watch()
 
@@ -342,7 +343,7 @@
         self.calls[request.id] = call
         self.apply(effects)
 
-    def _request(self, call: Call) -> Request:
+    def _request(self, call: Call) -> RequestReceived:
         if call.method not in METHODS:
             raise BadRequestError(405, "GET and POST only")
         id, service = call.header(b"request-id"), call.header(b"request-class")
@@ -359,14 +360,14 @@
             raise BadRequestError(503, "this node stops before the answer could be there")
         call.patience_ms = timeout
         hint = figure(call.header(b"work-hint"), "Work-Hint", DECIMAL)
-        return Request(
+        return RequestReceived(
             id=id,
             service=service,
-            give_up_at_ms=now_ms() + self._wait_ms(timeout),
+            deadline_at_ms=now_ms() + self._wait_ms(timeout),
             tenant=call.header(b"tenant") or None,
             cost_hint_ms=None if hint is None else hint / 1000.0,
             is_retry=call.header(b"client-retry") == "1",
-            whole=call.body.complete,
+            complete=call.body.complete,
         )
 
     def _wait_ms(self, patience_ms: float) -> float:
@@ -400,10 +401,10 @@
             for attempt in self.node.out(call.id):
                 # Guards servers, also where the settings allow no cancel: what is not written yet is none.
                 if self.upstream.withdraw(call.id, attempt):
-                    self.apply(self.node.ended(now_ms(), call.id, attempt, Result.CONNECT_FAILED))
+                    self.apply(self.node.ended(now_ms(), call.id, attempt, AttemptResult.CONNECT_FAILED))
 
     def _ended(
-        self, id: str, attempt: int, result: Result, report: dict[str, float] | None, body: bytes
+        self, id: str, attempt: int, result: AttemptResult, report: dict[str, float] | None, body: bytes
     ) -> None:
         call = self.calls.get(id)
         if call is not None and not call.body.resendable:
@@ -411,34 +412,34 @@
         self.apply(self.node.ended(now_ms(), id, attempt, result, report, body))
 
     def _probed(
-        self, server: str, result: Result, latency_ms: float, report: dict[str, float] | None
+        self, server: str, result: AttemptResult, latency_ms: float, report: dict[str, float] | None
     ) -> None:
         self.apply(self.node.probed(now_ms(), server, result, latency_ms, report))
 
-    def _heard(self, form: ListForm, entries: list[Entry]) -> None:
-        if form is ListForm.FAILED:
-            if self.config.settings.ask_discovery:
+    def _heard(self, form: EndpointListForm, entries: list[Entry]) -> None:
+        if form is EndpointListForm.FAILED:
+            if self.config.settings.poll_discovery:
                 self.apply(self.node.members(now_ms(), form))
             else:
                 lasted = self.loop.time() - self.discovery.opened_s
                 wait = self.waits.ended(lasted, self.config.bounds.drain_grace_ms / 1000.0)
                 self.loop.call_later(wait, self._rewatch)
             return
-        if form is not ListForm.CACHED:
+        if form is not EndpointListForm.CACHED:
             self._told.set()
             self.waits.heard()
-        self.upstream.update(entries, whole=form is not ListForm.DELTA)
+        self.upstream.update(entries, whole=form is not EndpointListForm.DELTA)
         servers = tuple(server for server, _ in entries)
         self.apply(self.node.members(now_ms(), form, servers))
 
     def _spoke(self) -> None:
         """A watch is open on a discovery that works, though it may have no change to tell."""
         self.waits.heard()
-        if self.config.settings.ask_discovery:
-            self.apply(self.node.members(now_ms(), ListForm.DELTA))
+        if self.config.settings.poll_discovery:
+            self.apply(self.node.members(now_ms(), EndpointListForm.DELTA))
 
     def _rewatch(self) -> None:
-        if self.config.settings.ask_discovery:  # they were pushed when this was set; now the module asks
+        if self.config.settings.poll_discovery:  # they were pushed when this was set; now the module asks
             return
         if not self.discovery.open and not self.stopped:  # a move may have been quicker
             self.discovery.watch()
@@ -463,7 +464,9 @@
                 call = self.calls.get(effect.id)
                 # Asked again at each attempt: a loop that is late reads of a caller's end after that of an attempt.
                 if call is None or call.caller.forget_if_left():
-                    self.loop.call_soon(self._ended, effect.id, effect.attempt, Result.CANCELLED, None, b"")
+                    self.loop.call_soon(
+                        self._ended, effect.id, effect.attempt, AttemptResult.CANCELLED, None, b""
+                    )
                     return
                 head, chunked = call.head(effect.timeout_ms)
                 wanted = call.caller.still_there
--- a/rosewheel/relay/configured.py
+++ b/rosewheel/proxy/reconfiguration.py
@@ -13,8 +13,8 @@
 from rosewheel.config.platform import Config, ConfigError, Control
 from rosewheel.control.follower import Follower
 from rosewheel.control.versions import Document
-from rosewheel.decide.interface import Settings
-from rosewheel.node.bounds import Bounds
+from rosewheel.node.limits import Bounds
+from rosewheel.policy.settings import Settings
 
 COPY = "control.copy"
 
--- a/rosewheel/relay/snapshots.py
+++ b/rosewheel/proxy/snapshots.py
@@ -20,7 +20,7 @@
 
 import orjson
 
-from rosewheel.decide.learned import VERSION, Learned, age, learned_from
+from rosewheel.policy.learned_state import VERSION, Learned, age, learned_from
 
 log = logging.getLogger("rosewheel.snapshots")
 
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -4,38 +4,61 @@
 
 from typing import Any
 
-from rosewheel.decide import interface as api
-from rosewheel.decide.policy import Balancer
-
-SAFE = api.ServiceClass("read", aim_ms=1000, give_up_ms=2500, worth=12, effect=api.Effect.SAFE)
-UNSAFE = api.ServiceClass("post", aim_ms=1000, give_up_ms=2500, worth=1, effect=api.Effect.UNSAFE)
-KEYED = api.ServiceClass(
+from rosewheel.policy.actions import Action, ForwardRequest
+from rosewheel.policy.balancer import Balancer
+from rosewheel.policy.events import (
+    AttemptFinished,
+    AttemptResult,
+    EndpointListForm,
+    EndpointListUpdate,
+    Event,
+    RequestReceived,
+    Server,
+    TimerFired,
+)
+from rosewheel.policy.settings import DedupScope, Idempotency, ServiceClass, Settings
+
+SAFE = ServiceClass(
+    "read",
+    latency_objective_ms=1000,
+    deadline_ms=2500,
+    priority_weight=12,
+    idempotency=Idempotency.IDEMPOTENT,
+)
+UNSAFE = ServiceClass(
+    "post",
+    latency_objective_ms=1000,
+    deadline_ms=2500,
+    priority_weight=1,
+    idempotency=Idempotency.NON_IDEMPOTENT,
+)
+KEYED = ServiceClass(
     "points",
-    aim_ms=2000,
-    give_up_ms=5000,
-    worth=1,
-    effect=api.Effect.KEYED,
-    scope=api.Scope.ZONE,
-    memory_ms=900,
+    latency_objective_ms=2000,
+    deadline_ms=5000,
+    priority_weight=1,
+    idempotency=Idempotency.IDEMPOTENT_WITH_KEY,
+    dedup_scope=DedupScope.ZONE,
+    dedup_window_ms=900,
 )
 
 
-def settings(**changes: Any) -> api.Settings:
+def settings(**changes: Any) -> Settings:
     given: dict[str, Any] = {
         "classes": (SAFE, UNSAFE, KEYED),
         "zone": "a",
-        "siblings": 2,
+        "balancer_count": 2,
         "may_cancel": True,
         "max_attempts": 3,
-        "cold_from": 0.2,
-        "cold_ms": 10000.0,
-        "tip_after_ms": 1500.0,
+        "warm_up_initial_share": 0.2,
+        "warm_up_ms": 10000.0,
+        "overload_window_ms": 1500.0,
     }
-    return api.Settings(**{**given, **changes})
+    return Settings(**{**given, **changes})
 
 
-def servers(count: int, **changes: Any) -> tuple[api.Server, ...]:
-    return tuple(api.Server(address=f"s{at}", zone="ab"[at % 2], **changes) for at in range(count))
+def servers(count: int, **changes: Any) -> tuple[Server, ...]:
+    return tuple(Server(address=f"s{at}", zone="ab"[at % 2], **changes) for at in range(count))
 
 
 class Bed:
@@ -45,45 +68,45 @@
         self.now = 1000.0
         self.balancer = Balancer(settings(**changes), seed=seed, now_ms=self.now)
         self.names = 0
-        self.give(api.Membership(api.ListForm.CACHED, servers(count)))
+        self.give(EndpointListUpdate(EndpointListForm.CACHED, servers(count)))
 
-    def give(self, event: api.Event, after: float = 0.0) -> list[api.Action]:
+    def give(self, event: Event, after: float = 0.0) -> list[Action]:
         self.now += after
         return self.balancer.handle(self.now, event)
 
-    def ask(self, service: str = "read", left: float = 2000.0, **more: Any) -> tuple[str, list[api.Action]]:
+    def ask(self, service: str = "read", left: float = 2000.0, **more: Any) -> tuple[str, list[Action]]:
         self.names += 1
         name = f"r{self.names}"
-        return name, self.give(api.Request(name, service, self.now + left, **more))
+        return name, self.give(RequestReceived(name, service, self.now + left, **more))
 
     def end(
         self,
         name: str,
         server: str,
-        result: api.Result,
+        result: AttemptResult,
         latency: float = 100.0,
         attempt: int = 0,
         **more: Any,
-    ) -> list[api.Action]:
-        done = more.pop("done", result is api.Result.OK)
-        return self.give(api.Outcome(name, attempt, server, result, latency, done, **more))
+    ) -> list[Action]:
+        done = more.pop("done", result is AttemptResult.OK)
+        return self.give(AttemptFinished(name, attempt, server, result, latency, done, **more))
 
     def serve(self, service: str = "read", latency: float = 100.0, **more: Any) -> str:
         """One request answered after `latency`; returns the server that took it."""
         name, acts = self.ask(service)
         server = sent(acts)[0].server
         self.now += latency
-        self.end(name, server, api.Result.OK, latency, **more)
+        self.end(name, server, AttemptResult.OK, latency, **more)
         return server
 
-    def period(self, after: float | None = None) -> list[api.Action]:
+    def period(self, after: float | None = None) -> list[Action]:
         """The end of a period, a whole one later unless told otherwise."""
-        return self.give(api.Alarm("period"), self.balancer.period_ms if after is None else after)
+        return self.give(TimerFired("period"), self.balancer.period_ms if after is None else after)
 
 
-def sent(acts: list[api.Action]) -> list[api.Send]:
-    return [act for act in acts if isinstance(act, api.Send)]
+def sent(acts: list[Action]) -> list[ForwardRequest]:
+    return [act for act in acts if isinstance(act, ForwardRequest)]
 
 
-def kinds(acts: list[api.Action]) -> list[type]:
+def kinds(acts: list[Action]) -> list[type]:
     return [type(act) for act in acts]
--- a/tests/sockets.py
+++ b/tests/sockets.py
@@ -14,8 +14,8 @@
 from helpers import settings
 
 from rosewheel.config.platform import Config
-from rosewheel.node.bounds import Bounds
-from rosewheel.relay.relay import Relay
+from rosewheel.node.limits import Bounds
+from rosewheel.proxy.proxy import Relay
 
 WAIT_S = 20.0  # a test that waits this long has failed; a good one never gets near it
 
@@ -161,7 +161,7 @@
         listen=("127.0.0.1", 0),
         discovery=("127.0.0.1", discovery.port if discovery else 1),
         seed=7,
-        settings=settings(ask_discovery=discovery is not None, **changes),
+        settings=settings(poll_discovery=discovery is not None, **changes),
         # A connect takes what it takes on a busy machine: no test here waits for it to be given up.
         bounds=bounds or Bounds(connect_timeout_ms=WAIT_S * 1000.0),
         known={"seq": 5, "whole": True, "hosts": servers},
@@ -180,7 +180,7 @@
     """A node that knows these servers from its start. It asks `discovery`; `pushed` tells it unasked."""
     told = config(servers, discovery or pushed, **changes)
     if pushed is not None:
-        told = dataclasses.replace(told, settings=settings(ask_discovery=False))
+        told = dataclasses.replace(told, settings=settings(poll_discovery=False))
     relay = Relay(told)
     if pushed is not None:  # it speaks when the test says so, and that may be after the start
         relay._first_s = lambda: 0.0  # type: ignore[method-assign]
--- a/tests/test_adapter.py
+++ b/tests/test_adapter.py
@@ -211,7 +211,7 @@
 
 def test_absent_settings_take_their_defaults():
     settings = settings_from({"categories": CONFIG["categories"][:1]})
-    assert settings.siblings == 1
+    assert settings.balancer_count == 1
     assert settings.tenants == ()
     assert settings.max_attempts == 1
     assert not settings.may_cancel
--- a/tests/test_admin.py
+++ b/tests/test_admin.py
@@ -11,9 +11,9 @@
 import pytest
 from sockets import Message, read_message, run, until
 
+from rosewheel.admin import server as admin
+from rosewheel.admin.server import Admin, reply_to
 from rosewheel.listener import bind
-from rosewheel.ops import door as admin
-from rosewheel.ops.door import Admin, reply_to
 
 
 class Desk:
--- a/tests/test_arrival.py
+++ b/tests/test_arrival.py
@@ -5,13 +5,23 @@
 import pytest
 from helpers import Bed, kinds, sent, settings
 
-from rosewheel.decide import interface as api
-from rosewheel.node.bounds import Bounds
 from rosewheel.node.core import SERVED, Abort, Answer, Dispatch, Node
-
-
-def begun(bed: Bed, service: str = "post") -> tuple[str, api.Send]:
-    name, acts = bed.ask(service, whole=False)
+from rosewheel.node.limits import Bounds
+from rosewheel.policy.actions import ForwardRequest, RejectRequest
+from rosewheel.policy.events import (
+    AttemptFinished,
+    AttemptResult,
+    EndpointListForm,
+    Event,
+    RequestCompleted,
+    RequestReceived,
+    ResponseStarted,
+    Server,
+)
+
+
+def begun(bed: Bed, service: str = "post") -> tuple[str, ForwardRequest]:
+    name, acts = bed.ask(service, complete=False)
     return name, sent(acts)[0]
 
 
@@ -22,9 +32,9 @@
     peer = bed.balancer.peers["s0"]
     bed.now += 60_000.0
     assert (peer.load, len(peer.out)) == (0.0, 0)
-    bed.give(api.Arrived(name, bed.now + 2000.0))
+    bed.give(RequestCompleted(name, bed.now + 2000.0))
     assert (peer.load, len(peer.out)) == (1.0, 1)
-    bed.end(name, "s0", api.Result.OK)
+    bed.end(name, "s0", AttemptResult.OK)
     assert (peer.load, len(peer.out), len(bed.balancer.jobs)) == (0.0, 0, 0)
 
 
@@ -33,9 +43,9 @@
     name, first = begun(bed, "read")
     assert first.timeout_ms == pytest.approx(980.0)
     bed.now += 60_000.0
-    bed.give(api.Arrived(name, bed.now + 2000.0))
+    bed.give(RequestCompleted(name, bed.now + 2000.0))
     bed.now += 500.0
-    again = sent(bed.end(name, first.server, api.Result.ERROR))[0]
+    again = sent(bed.end(name, first.server, AttemptResult.ERROR))[0]
     assert again.timeout_ms == pytest.approx(480.0), "what is left to the aim, from its last byte on"
 
 
@@ -43,10 +53,10 @@
     bed = Bed(2)
     name, first = begun(bed)
     bed.now += 60_000.0
-    again = sent(bed.end(name, first.server, api.Result.CONNECT_FAILED))
+    again = sent(bed.end(name, first.server, AttemptResult.CONNECT_FAILED))
     assert len(again) == 1
     assert again[0].server != first.server
-    assert kinds(bed.end(name, again[0].server, api.Result.CONNECT_FAILED, attempt=1)) == [api.Refuse]
+    assert kinds(bed.end(name, again[0].server, AttemptResult.CONNECT_FAILED, attempt=1)) == [RejectRequest]
 
 
 def test_a_long_answer_is_no_load_while_its_client_takes_it():
@@ -54,21 +64,21 @@
     name, _ = bed.ask("post")
     peer = bed.balancer.peers["s0"]
     assert peer.load == 1.0
-    bed.give(api.Started(name, 0))
+    bed.give(ResponseStarted(name, 0))
     assert (peer.load, len(peer.out)) == (0.0, 0)
-    bed.end(name, "s0", api.Result.OK, latency=50.0)
+    bed.end(name, "s0", AttemptResult.OK, latency=50.0)
     assert (peer.load, len(bed.balancer.jobs)) == (0.0, 0)
 
 
 def box(**bounds: int) -> Node:
     made = Node(settings(), Bounds(**bounds), seed=1, now=0.0)
-    made.members(0.0, api.ListForm.FULL, (api.Server("s", zone="a"), api.Server("t", zone="a")))
+    made.members(0.0, EndpointListForm.SNAPSHOT, (Server("s", zone="a"), Server("t", zone="a")))
     return made
 
 
 def test_the_node_has_no_deadline_before_the_end_has_come():
     made = box()
-    made.request(1.0, api.Request("r", "post", 1001.0, whole=False))
+    made.request(1.0, RequestReceived("r", "post", 1001.0, complete=False))
     assert made.tick(50_000.0) == []
     assert made.arrived(50_000.0, "r", 51_000.0) == []
     assert made.arrived(50_000.0, "r", 99_000.0) == [], "told once"
@@ -78,42 +88,42 @@
 
 def test_what_is_no_longer_held_is_not_sent_again():
     made = box()
-    made.request(1.0, api.Request("r", "post", 1001.0, whole=False))
+    made.request(1.0, RequestReceived("r", "post", 1001.0, complete=False))
     made.spent("r")
-    effects = made.ended(5.0, "r", 0, api.Result.CONNECT_FAILED)
+    effects = made.ended(5.0, "r", 0, AttemptResult.CONNECT_FAILED)
     assert not any(isinstance(effect, Dispatch) for effect in effects)
     assert [effect.status for effect in effects if isinstance(effect, Answer)] == [503], "it never ran"
 
 
 def test_an_answer_that_is_passed_on_has_no_deadline_and_no_second_attempt():
     made = box()
-    made.request(1.0, api.Request("r", "read", 1001.0))
+    made.request(1.0, RequestReceived("r", "read", 1001.0))
     assert made.began(5.0, "r", 0) == []
     assert made.began(5.0, "r", 0) is None, "it begins once"
     assert not any(isinstance(effect, Abort | Answer) for effect in made.tick(60_000.0))
-    effects = made.ended(60_000.0, "r", 0, api.Result.RESET)
+    effects = made.ended(60_000.0, "r", 0, AttemptResult.RESET)
     assert [effect.status for effect in effects if isinstance(effect, Answer)] == [500]
     assert not any(isinstance(effect, Dispatch) for effect in effects)
     assert made.active == 0
 
 
 def test_the_latency_of_a_long_answer_is_that_of_its_first_bytes():
-    heard: list[api.Event] = []
+    heard: list[Event] = []
     made = box()
-    made.request(1.0, api.Request("r", "read", 1001.0))
+    made.request(1.0, RequestReceived("r", "read", 1001.0))
     handle = made.balancer.handle
     made.balancer.handle = lambda now, event: heard.append(event) or handle(now, event)  # type: ignore[assignment,func-returns-value]
     made.began(101.0, "r", 0)
-    effects = made.ended(60_000.0, "r", 0, api.Result.OK)
+    effects = made.ended(60_000.0, "r", 0, AttemptResult.OK)
     assert [effect.status for effect in effects if isinstance(effect, Answer)] == [SERVED]
     outcome = heard[-1]
-    assert isinstance(outcome, api.Outcome)
-    assert (outcome.latency_ms, outcome.done) == (100.0, True)
+    assert isinstance(outcome, AttemptFinished)
+    assert (outcome.latency_ms, outcome.request_ended) == (100.0, True)
 
 
 def test_a_caller_that_leaves_a_long_answer_ends_its_attempt():
     made = box()
-    made.request(1.0, api.Request("r", "read", 1001.0))
+    made.request(1.0, RequestReceived("r", "read", 1001.0))
     made.began(5.0, "r", 0)
     assert made.client_gone(9.0, "r") == [Abort("r", 0)]
     assert (made.active, made.open, made.balancer.jobs) == (0, {}, {})
--- a/tests/test_configure.py
+++ b/tests/test_configure.py
@@ -12,37 +12,49 @@
 from hypothesis import strategies as st
 from test_orders import KINDS, STEP, World
 
-from rosewheel.decide import interface as api
-from rosewheel.decide import policy
-from rosewheel.decide.learned import Learned
-from rosewheel.decide.policy import START_MS, Balancer
-from rosewheel.decide.pool import WHOLE
-from rosewheel.node.bounds import Bounds
 from rosewheel.node.core import Abort, Answer, Dispatch, Node
-from rosewheel.node.figures import GONE, Ended, Figures
+from rosewheel.node.limits import Bounds
+from rosewheel.node.statistics import GONE, Ended, Figures
+from rosewheel.policy import balancer
+from rosewheel.policy.actions import Action, ForwardRequest, StartTimer, WatchEndpoints
+from rosewheel.policy.balancer import START_MS, Balancer
+from rosewheel.policy.events import (
+    AttemptResult,
+    EndpointListForm,
+    EndpointListUpdate,
+    RequestReceived,
+    Server,
+    SettingsChanged,
+    TimerFired,
+)
+from rosewheel.policy.learned_state import Learned
+from rosewheel.policy.pool import WHOLE
+from rosewheel.policy.settings import DedupScope, Idempotency, ServiceClass, Settings, Tenant
 
-CLASSES: list[tuple[api.ServiceClass, ...]] = [
+CLASSES: list[tuple[ServiceClass, ...]] = [
     tuple(KINDS.values()),
     (SAFE,),
-    (dataclasses.replace(UNSAFE, aim_ms=300.0, give_up_ms=400.0), KINDS["points"]),
+    (dataclasses.replace(UNSAFE, latency_objective_ms=300.0, deadline_ms=400.0), KINDS["points"]),
     # The other way round: what may be repeated from now on, and what may not, differs from what is in flight.
     (
-        dataclasses.replace(SAFE, effect=api.Effect.UNSAFE, worth=0.0),
-        dataclasses.replace(UNSAFE, effect=api.Effect.SAFE, late_worth=0.5),
-        dataclasses.replace(KEYED, scope=api.Scope.ALL, memory_ms=5000.0, aim_ms=4000.0),
+        dataclasses.replace(SAFE, idempotency=Idempotency.NON_IDEMPOTENT, priority_weight=0.0),
+        dataclasses.replace(UNSAFE, idempotency=Idempotency.IDEMPOTENT, late_weight=0.5),
+        dataclasses.replace(
+            KEYED, dedup_scope=DedupScope.ALL, dedup_window_ms=5000.0, latency_objective_ms=4000.0
+        ),
     ),
 ]
 CHANGES: dict[str, st.SearchStrategy[Any]] = {
     "classes": st.sampled_from(CLASSES),
-    "siblings": st.sampled_from([1, 2, 30]),
+    "balancer_count": st.sampled_from([1, 2, 30]),
     "max_attempts": st.sampled_from([1, 2, 6]),
     "may_cancel": st.booleans(),
-    "cold_ms": st.sampled_from([0.0, 500.0, 10000.0]),
-    "cold_from": st.sampled_from([0.05, 1.0]),
-    "cross_zone_price": st.sampled_from([0.0, 0.5]),
-    "worth_by_work": st.booleans(),
-    "ask_discovery": st.booleans(),
-    "tenants": st.sampled_from([(), (api.Tenant("t", 5.0),), (api.Tenant("t", 0.0), api.Tenant("u", 9.0))]),
+    "warm_up_ms": st.sampled_from([0.0, 500.0, 10000.0]),
+    "warm_up_initial_share": st.sampled_from([0.05, 1.0]),
+    "cross_zone_cost": st.sampled_from([0.0, 0.5]),
+    "weight_by_work": st.booleans(),
+    "poll_discovery": st.booleans(),
+    "tenants": st.sampled_from([(), (Tenant("t", 5.0),), (Tenant("t", 0.0), Tenant("u", 9.0))]),
 }
 LIMITS = {"second_copies": st.booleans(), "max_open": st.sampled_from([1, 3, 20000])}
 CONFIGURE = st.tuples(
@@ -67,7 +79,7 @@
             case _:
                 super().step(step)
 
-    def taken(self, service: str) -> tuple[api.ServiceClass, int, bool]:
+    def taken(self, service: str) -> tuple[ServiceClass, int, bool]:
         kind = next(kind for kind in self.node.settings.classes if kind.name == service)
         return kind, self.node.settings.max_attempts, self.node.bounds.second_copies
 
@@ -116,17 +128,17 @@
 
 
 STAGES: list[tuple[object, str]] = [
-    (policy, "_buckets"),
-    (policy, "stretch"),
+    (balancer, "_buckets"),
+    (balancer, "stretch"),
     (Balancer, "_aims"),
     (Balancer, "_rescale"),
     (Balancer, "_strength"),
     (Balancer, "_count_periods"),
-    (policy.Pool, "recool"),
+    (balancer.Pool, "recool"),
 ]
 # Whatever can follow from settings follows from these.
 OTHER = settings(
-    classes=(SAFE,), siblings=30, cold_ms=1.0, ask_discovery=True, tenants=(api.Tenant("t", 1.0),)
+    classes=(SAFE,), balancer_count=30, warm_up_ms=1.0, poll_discovery=True, tenants=(Tenant("t", 1.0),)
 )
 
 
@@ -145,7 +157,7 @@
         told.step(step)
         if at % every == 0:
             node = told.node
-            cfg = dataclasses.replace(OTHER, siblings=30 if not node.balancer.many else 1)
+            cfg = dataclasses.replace(OTHER, balancer_count=30 if not node.balancer.many else 1)
             if isinstance(why, str):
                 cfg = dataclasses.replace(cfg, **{why: {"zone": "b", "tier": 1}[why]})
             with pytest.MonkeyPatch.context() as patch:
@@ -179,19 +191,19 @@
         assert ours[key] == theirs[key], key
 
 
-def _same_cold(why: object, cfg: api.Settings, node: Node) -> bool:
-    return why == (policy.Pool, "recool") and cfg.cold_ms == node.settings.cold_ms
+def _same_cold(why: object, cfg: Settings, node: Node) -> bool:
+    return why == (balancer.Pool, "recool") and cfg.warm_up_ms == node.settings.warm_up_ms
 
 
 def test_what_was_drawn_for_a_change_that_failed_is_given_back():
     """Of a large pool, whose strength is that of some drawn servers."""
-    bed = Bed(0, siblings=1)
-    bed.give(api.Membership(api.ListForm.FULL, servers(2 * policy.REPORTS)))
+    bed = Bed(0, balancer_count=1)
+    bed.give(EndpointListUpdate(EndpointListForm.SNAPSHOT, servers(2 * balancer.REPORTS)))
     before = bed.balancer.rng.getstate()
     with pytest.MonkeyPatch.context() as patch:
         patch.setattr(Balancer, "_count_periods", fault)
         with pytest.raises(FaultError):
-            configure(bed, siblings=30)
+            configure(bed, balancer_count=30)
     assert bed.balancer.rng.getstate() == before
     assert not bed.balancer.many
 
@@ -200,8 +212,8 @@
 
 
 def made(bounds: Bounds | None = None, **changes: Any) -> Node:
-    node = Node(settings(cold_ms=0.0, **changes), bounds or Bounds(), seed=7, now=0.0)
-    node.members(0.0, api.ListForm.FULL, tuple(api.Server(f"s{at}", zone="a") for at in range(4)))
+    node = Node(settings(warm_up_ms=0.0, **changes), bounds or Bounds(), seed=7, now=0.0)
+    node.members(0.0, EndpointListForm.SNAPSHOT, tuple(Server(f"s{at}", zone="a") for at in range(4)))
     return node
 
 
@@ -217,62 +229,62 @@
 
 def test_a_class_that_is_removed_serves_what_it_has_taken():
     node = made()
-    only(node.request(1.0, api.Request("r", "read", 2500.0)), Dispatch)
+    only(node.request(1.0, RequestReceived("r", "read", 2500.0)), Dispatch)
     change(node, 2.0, classes=(UNSAFE,))
     assert node.classes == {"post"}
     again = only(
-        node.ended(3.0, "r", 0, api.Result.RESET), Dispatch
+        node.ended(3.0, "r", 0, AttemptResult.RESET), Dispatch
     )  # it may be repeated, as when it was taken
-    assert only(node.ended(4.0, "r", again.attempt, api.Result.OK), Answer).status == 200
+    assert only(node.ended(4.0, "r", again.attempt, AttemptResult.OK), Answer).status == 200
     assert node.figures.classes["read"].ok == 1
     with pytest.raises(ValueError, match="service: 'read'"):
-        node.balancer.handle(5.0, api.Request("q", "read", 2500.0))
+        node.balancer.handle(5.0, RequestReceived("q", "read", 2500.0))
     assert "read" not in node.balancer.class_ms
 
 
 def test_work_that_was_unsafe_when_it_was_taken_is_not_run_twice():
     node = made()
-    only(node.request(1.0, api.Request("r", "post", 2500.0)), Dispatch)
-    change(node, 2.0, classes=(dataclasses.replace(UNSAFE, effect=api.Effect.SAFE),))
-    assert only(node.ended(3.0, "r", 0, api.Result.RESET), Answer).status == 502
+    only(node.request(1.0, RequestReceived("r", "post", 2500.0)), Dispatch)
+    change(node, 2.0, classes=(dataclasses.replace(UNSAFE, idempotency=Idempotency.IDEMPOTENT),))
+    assert only(node.ended(3.0, "r", 0, AttemptResult.RESET), Answer).status == 502
 
 
 def test_a_deadline_that_is_shortened_holds_for_what_comes_later():
     node = made()
-    first = only(node.request(1.0, api.Request("r", "read", 2500.0)), Dispatch)
-    change(node, 2.0, classes=(dataclasses.replace(SAFE, aim_ms=100.0, give_up_ms=200.0),))
-    second = only(node.request(3.0, api.Request("q", "read", 203.0)), Dispatch)
+    first = only(node.request(1.0, RequestReceived("r", "read", 2500.0)), Dispatch)
+    change(node, 2.0, classes=(dataclasses.replace(SAFE, latency_objective_ms=100.0, deadline_ms=200.0),))
+    second = only(node.request(3.0, RequestReceived("q", "read", 203.0)), Dispatch)
     assert first.timeout_ms > 900.0
     assert second.timeout_ms < 100.0
     assert not [effect for effect in node.tick(101.0 + 3.0) if effect.id == "r"]  # type: ignore[union-attr]
-    assert only(node.ended(900.0, "r", 0, api.Result.OK), Answer).status == 200
+    assert only(node.ended(900.0, "r", 0, AttemptResult.OK), Answer).status == 200
 
 
 def test_a_stop_waits_for_what_was_taken_under_a_longer_patience():
     node = made()
-    node.request(0.0, api.Request("r", "read", 5000.0))
-    change(node, 1.0, classes=(dataclasses.replace(SAFE, aim_ms=100.0, give_up_ms=200.0),))
+    node.request(0.0, RequestReceived("r", "read", 5000.0))
+    change(node, 1.0, classes=(dataclasses.replace(SAFE, latency_objective_ms=100.0, deadline_ms=200.0),))
     assert node.longest_ms(1000.0) == 4000.0
-    node.ended(1000.0, "r", 0, api.Result.OK)
+    node.ended(1000.0, "r", 0, AttemptResult.OK)
     assert node.longest_ms(1000.0) == 200.0
 
 
 def test_fewer_attempts_hold_for_what_comes_later():
     """Also where an open request has used more than are allowed by now."""
     node = made()
-    node.request(1.0, api.Request("r", "read", 2500.0))
-    only(node.ended(2.0, "r", 0, api.Result.FULL), Dispatch)
+    node.request(1.0, RequestReceived("r", "read", 2500.0))
+    only(node.ended(2.0, "r", 0, AttemptResult.OVERLOADED), Dispatch)
     change(node, 3.0, max_attempts=1)
-    only(node.ended(4.0, "r", 1, api.Result.FULL), Dispatch)  # its third, and last
-    assert only(node.ended(5.0, "r", 2, api.Result.FULL), Answer).status == 503
-    node.request(6.0, api.Request("q", "read", 2500.0))
-    assert only(node.ended(7.0, "q", 0, api.Result.FULL), Answer).status == 503
+    only(node.ended(4.0, "r", 1, AttemptResult.OVERLOADED), Dispatch)  # its third, and last
+    assert only(node.ended(5.0, "r", 2, AttemptResult.OVERLOADED), Answer).status == 503
+    node.request(6.0, RequestReceived("q", "read", 2500.0))
+    assert only(node.ended(7.0, "q", 0, AttemptResult.OVERLOADED), Answer).status == 503
 
 
 @pytest.mark.parametrize("before", [True, False])
 def test_whether_an_attempt_may_be_taken_back_holds_as_when_it_was_taken(before: bool):
     node = made(may_cancel=before)
-    node.request(1.0, api.Request("r", "read", 2500.0))
+    node.request(1.0, RequestReceived("r", "read", 2500.0))
     change(node, 2.0, may_cancel=not before)
     gone = [effect for effect in node.client_gone(3.0, "r") if isinstance(effect, Abort)]
     assert bool(gone) is before
@@ -281,9 +293,9 @@
 @pytest.mark.parametrize("before", [True, False])
 def test_whether_attempts_may_overlap_holds_as_when_it_was_taken(before: bool):
     node = made(Bounds(second_copies=before))
-    node.request(1.0, api.Request("r", "read", 2500.0))
+    node.request(1.0, RequestReceived("r", "read", 2500.0))
     node.configure(2.0, node.settings, Bounds(second_copies=not before))
-    node._act(3.0, api.Send("r", "s3"))  # what a module with second copies may decide
+    node._act(3.0, ForwardRequest("r", "s3"))  # what a module with second copies may decide
     assert (
         bool([effect for effect in node.tick(3.0) + node._run(3.0) if isinstance(effect, Dispatch)]) is before
     )
@@ -292,12 +304,12 @@
 def test_more_that_are_open_than_are_allowed_by_now_go_on():
     node = made()
     for id in ("a", "b"):
-        node.request(1.0, api.Request(id, "read", 2500.0))
+        node.request(1.0, RequestReceived(id, "read", 2500.0))
     node.configure(2.0, node.settings, Bounds(max_open=1))
-    assert only(node.request(3.0, api.Request("c", "read", 2500.0)), Answer).status == 503
+    assert only(node.request(3.0, RequestReceived("c", "read", 2500.0)), Answer).status == 503
     for id in ("a", "b"):
-        assert only(node.ended(4.0, id, 0, api.Result.OK), Answer).status == 200
-    only(node.request(5.0, api.Request("d", "read", 2500.0)), Dispatch)
+        assert only(node.ended(4.0, id, 0, AttemptResult.OK), Answer).status == 200
+    only(node.request(5.0, RequestReceived("d", "read", 2500.0)), Dispatch)
 
 
 # --------------------------------------------------------------- what is learned
@@ -312,22 +324,22 @@
             name, acts = bed.ask()
             taken += [(name, send.server) for send in sent(acts)]
         for name, server in taken:
-            bed.end(name, server, api.Result.OK, latency)
+            bed.end(name, server, AttemptResult.OK, latency)
         count += len(taken)
         bed.period()
     return count
 
 
-def configure(bed: Bed, **changes: Any) -> list[api.Action]:
-    return bed.give(api.Configured(dataclasses.replace(bed.balancer.cfg, **changes)))
+def configure(bed: Bed, **changes: Any) -> list[Action]:
+    return bed.give(SettingsChanged(dataclasses.replace(bed.balancer.cfg, **changes)))
 
 
 def test_a_shorter_aim_is_no_overload():
     """Guards against a baseline that stays behind: with half the aim the same answers take twice the share of it."""
-    bed = Bed(4, classes=(SAFE,), cold_ms=0.0)
+    bed = Bed(4, classes=(SAFE,), warm_up_ms=0.0)
     quiet(bed, 30, latency=200.0)
     assert bed.balancer.base == pytest.approx(0.2, rel=0.01)
-    configure(bed, classes=(dataclasses.replace(SAFE, aim_ms=500.0),))
+    configure(bed, classes=(dataclasses.replace(SAFE, latency_objective_ms=500.0),))
     assert bed.balancer.base == pytest.approx(0.4, rel=0.01)
     for _ in range(30):
         quiet(bed, 1, latency=200.0)
@@ -335,18 +347,18 @@
 
 
 def test_what_was_taken_under_the_old_aim_teaches_by_the_new_one():
-    bed = Bed(4, classes=(SAFE,), cold_ms=0.0)
+    bed = Bed(4, classes=(SAFE,), warm_up_ms=0.0)
     quiet(bed, 30, latency=200.0)
     name, acts = bed.ask()
-    configure(bed, classes=(dataclasses.replace(SAFE, aim_ms=500.0),))
-    bed.end(name, sent(acts)[0].server, api.Result.OK, 200.0)
+    configure(bed, classes=(dataclasses.replace(SAFE, latency_objective_ms=500.0),))
+    bed.end(name, sent(acts)[0].server, AttemptResult.OK, 200.0)
     assert bed.balancer.ratios == [pytest.approx(0.4)]
 
 
 def test_no_class_in_common_begins_anew():
-    bed = Bed(4, classes=(SAFE,), cold_ms=0.0)
+    bed = Bed(4, classes=(SAFE,), warm_up_ms=0.0)
     quiet(bed, 30, latency=200.0)
-    configure(bed, classes=(dataclasses.replace(SAFE, name="other", aim_ms=300.0),))
+    configure(bed, classes=(dataclasses.replace(SAFE, name="other", latency_objective_ms=300.0),))
     one = bed.balancer
     assert (one.base, one.level, one.learned_from, one.class_ms, one.mean_aim) == (None, 0.0, 0, {}, 300.0)
     assert one.peak > 0.0  # the pool is the same
@@ -354,60 +366,60 @@
 
 def test_a_shorter_period_begins_when_the_one_that_runs_has_ended():
     """Guards the rate: what a long period completed is not what a short one does."""
-    slow = dataclasses.replace(SAFE, aim_ms=10000.0, give_up_ms=20000.0)
-    bed = Bed(4, classes=(slow,), cold_ms=0.0)
+    slow = dataclasses.replace(SAFE, latency_objective_ms=10000.0, deadline_ms=20000.0)
+    bed = Bed(4, classes=(slow,), warm_up_ms=0.0)
     quiet(bed, 10, latency=200.0)
     peak = bed.balancer.peak
     for _ in range(4):
         bed.serve(latency=0.0)
-    configure(bed, classes=(dataclasses.replace(SAFE, aim_ms=100.0, give_up_ms=200.0),))
+    configure(bed, classes=(dataclasses.replace(SAFE, latency_objective_ms=100.0, deadline_ms=200.0),))
     acts = bed.period()
     assert bed.balancer.peak <= peak * 1.05
-    assert [act.delay_ms for act in acts if isinstance(act, api.Wake)] == [15.0]
+    assert [act.delay_ms for act in acts if isinstance(act, StartTimer)] == [15.0]
     assert bed.balancer.periods * bed.balancer.period_ms >= START_MS  # it does not start anew
 
 
 def test_one_node_of_thirty_and_back_knows_what_the_pool_does():
-    bed = Bed(4, siblings=1, cold_ms=0.0)
+    bed = Bed(4, balancer_count=1, warm_up_ms=0.0)
     quiet(bed, 30, latency=200.0)
     before = (bed.balancer.rate, bed.balancer.peak, bed.balancer.base)
-    configure(bed, siblings=30)
+    configure(bed, balancer_count=30)
     here = bed.balancer
     assert here.many
     assert here.strength == pytest.approx(4.0)
     assert here.rate * here.strength == pytest.approx(before[0])
     quiet(bed, 3, latency=200.0, each=1)
-    configure(bed, siblings=1)
+    configure(bed, balancer_count=1)
     assert not here.many
     assert here.strength == 1.0
     assert here.peak == pytest.approx(before[1], rel=0.5)
-    twice = Bed(4, siblings=1, cold_ms=0.0)
+    twice = Bed(4, balancer_count=1, warm_up_ms=0.0)
     quiet(twice, 30, latency=200.0)
-    configure(twice, siblings=30)
-    configure(twice, siblings=1)
+    configure(twice, balancer_count=30)
+    configure(twice, balancer_count=1)
     now = (twice.balancer.rate, twice.balancer.peak, twice.balancer.base)
     assert now == pytest.approx(before)
 
 
 def test_a_server_that_many_nodes_shun_is_not_shunned_by_one_for_good():
-    bed = Bed(1, siblings=30, cold_ms=0.0)
+    bed = Bed(1, balancer_count=30, warm_up_ms=0.0)
     for _ in range(3):
         name, acts = bed.ask()
-        bed.end(name, sent(acts)[0].server, api.Result.FULL, done=True)
+        bed.end(name, sent(acts)[0].server, AttemptResult.OVERLOADED, done=True)
     assert bed.balancer.peers["s0"].turned == 3
-    configure(bed, siblings=1)
+    configure(bed, balancer_count=1)
     peer = bed.balancer.peers["s0"]
     assert (peer.turned, peer.shy_ms) == (0, -math.inf)
 
 
 def test_a_tenants_share_follows_and_what_is_left_of_it_stays():
-    bed = Bed(4, siblings=1, tenants=(api.Tenant("t", 4.0),), cold_ms=0.0)
+    bed = Bed(4, balancer_count=1, tenants=(Tenant("t", 4.0),), warm_up_ms=0.0)
     for _ in range(3):
         bed.ask(tenant="t")
     assert bed.balancer.buckets["t"].tokens == 1.0
-    configure(bed, tenants=(api.Tenant("t", 8.0), api.Tenant("u", 2.0)))
+    configure(bed, tenants=(Tenant("t", 8.0), Tenant("u", 2.0)))
     assert {name: one.tokens for name, one in bed.balancer.buckets.items()} == {"t": 1.0, "u": 2.0}
-    configure(bed, siblings=16)
+    configure(bed, balancer_count=16)
     assert {name: one.tokens for name, one in bed.balancer.buckets.items()} == {"t": 0.5, "u": 0.125}
     configure(bed, tenants=())
     assert bed.balancer.buckets == {}
@@ -415,20 +427,20 @@
 
 @pytest.mark.parametrize("count", [4, WHOLE + 6])
 def test_servers_that_are_cold_for_longer_owe_nothing_for_their_time_as_warm_ones(count: int):
-    bed = Bed(0, cold_ms=1000.0, siblings=1)
-    bed.give(api.Membership(api.ListForm.FULL, servers(count, launched_ms=bed.now)))
+    bed = Bed(0, warm_up_ms=1000.0, balancer_count=1)
+    bed.give(EndpointListUpdate(EndpointListForm.SNAPSHOT, servers(count, launched_ms=bed.now)))
     bed.now += 2000.0
     for _ in range(20):
         quiet(bed, 1, latency=10.0, each=3 * count)
     peers = bed.balancer.peers.values()
     assert all(peer.credit < -1.0 for peer in peers)
-    configure(bed, cold_ms=60000.0)
+    configure(bed, warm_up_ms=60000.0)
     assert all(0.0 <= peer.credit <= 1.0 for peer in peers)
     assert len(bed.balancer.pool._warm) == 0
     got = sum(len(sent(bed.ask()[1])) for _ in range(count))
     assert got < count  # paced by now
     assert quiet(bed, 20, latency=10.0, each=count) > count  # but not shut out
-    configure(bed, cold_ms=0.0)
+    configure(bed, warm_up_ms=0.0)
     assert len(bed.balancer.pool._warm) == count
     assert all(sent(bed.ask()[1]) for _ in range(count))
 
@@ -436,41 +448,41 @@
 @pytest.mark.parametrize("siblings", [1, 30])
 def test_a_start_that_the_list_puts_ahead_of_the_clock_is_no_fault_without_cold_ones(siblings: int):
     """Guards against a clock that is behind: a time of zero was divided by."""
-    bed = Bed(0, cold_ms=0.0, siblings=siblings)
-    bed.give(api.Membership(api.ListForm.FULL, servers(2, launched_ms=bed.now + 500.0)))
+    bed = Bed(0, warm_up_ms=0.0, balancer_count=siblings)
+    bed.give(EndpointListUpdate(EndpointListForm.SNAPSHOT, servers(2, launched_ms=bed.now + 500.0)))
     bed.period()
     assert sent(bed.ask()[1])
 
 
 def test_what_a_process_with_other_aims_had_learned_is_scaled():
     """Guards an upgrade that comes with other settings; a file from before aims were kept counts as it is."""
-    old = Bed(4, classes=(SAFE,), cold_ms=0.0)
+    old = Bed(4, classes=(SAFE,), warm_up_ms=0.0)
     quiet(old, 30, latency=200.0)
     learned = old.balancer.learned(old.now)
     for aim, kept, base in [(500.0, learned, 0.4), (500.0, dataclasses.replace(learned, aims={}), 0.2)]:
-        new = Bed(4, classes=(dataclasses.replace(SAFE, aim_ms=aim),), cold_ms=0.0)
+        new = Bed(4, classes=(dataclasses.replace(SAFE, latency_objective_ms=aim),), warm_up_ms=0.0)
         new.balancer.recall(new.now, kept, 0.0)
         assert new.balancer.base == pytest.approx(base, rel=0.01)
-    strange = Bed(4, classes=(dataclasses.replace(SAFE, name="other"),), cold_ms=0.0)
+    strange = Bed(4, classes=(dataclasses.replace(SAFE, name="other"),), warm_up_ms=0.0)
     strange.balancer.recall(strange.now, learned, 0.0)
     assert strange.balancer.base is None
     assert Learned().aims == {}
 
 
 def test_whether_discovery_is_asked_may_change():
-    bed = Bed(2, ask_discovery=False)
-    assert kinds(configure(bed, ask_discovery=True)) == [api.Watch]
-    bed.give(api.Membership(api.ListForm.FAILED))
-    assert configure(bed, ask_discovery=False) == []
-    assert bed.give(api.Alarm("watch")) == [], "an alarm from before asks where nobody is to be asked"
+    bed = Bed(2, poll_discovery=False)
+    assert kinds(configure(bed, poll_discovery=True)) == [WatchEndpoints]
+    bed.give(EndpointListUpdate(EndpointListForm.FAILED))
+    assert configure(bed, poll_discovery=False) == []
+    assert bed.give(TimerFired("watch")) == [], "an alarm from before asks where nobody is to be asked"
 
 
 def test_settings_before_the_first_event_are_those_it_starts_with():
     one = Balancer(settings(), seed=1, now_ms=0.0)
-    assert one.handle(0.0, api.Configured(settings(classes=(SAFE,), ask_discovery=True))) == []
-    acts = one.handle(1.0, api.Membership(api.ListForm.FULL, servers(1)))
-    assert kinds(acts) == [api.Wake, api.Watch]
-    assert acts[0] == api.Wake(150.0, "period")
+    assert one.handle(0.0, SettingsChanged(settings(classes=(SAFE,), poll_discovery=True))) == []
+    acts = one.handle(1.0, EndpointListUpdate(EndpointListForm.SNAPSHOT, servers(1)))
+    assert kinds(acts) == [StartTimer, WatchEndpoints]
+    assert acts[0] == StartTimer(150.0, "period")
 
 
 # -------------------------------------------------------------------- figures
--- a/tests/test_configure_relay.py
+++ b/tests/test_configure_relay.py
@@ -20,14 +20,14 @@
 from test_sockets import held_back
 from test_start import connect, free_port, good, start
 
+from rosewheel.admin.server import reply_to
 from rosewheel.config.platform import ConfigError
-from rosewheel.decide.interface import Settings
 from rosewheel.discovery.watch import SILENCE_S
-from rosewheel.node.bounds import Bounds
-from rosewheel.ops.door import reply_to
-from rosewheel.relay.cordons import Cordons
-from rosewheel.relay.relay import Relay
-from rosewheel.relay.state import State
+from rosewheel.node.limits import Bounds
+from rosewheel.policy.settings import Settings
+from rosewheel.proxy.cordons import Cordons
+from rosewheel.proxy.proxy import Relay
+from rosewheel.proxy.state import State
 
 
 def other(relay: Relay, **changes: Any) -> Settings:
@@ -149,7 +149,7 @@
         async with node([]) as relay:
             relay.upstream.rest.kept_s = 3.0
             bounds = Bounds(conn_idle_ms=500.0, connect_timeout_ms=7.0, sockets=200, memory_mb=40.0)
-            relay.configure(other(relay, siblings=100), bounds)
+            relay.configure(other(relay, balancer_count=100), bounds)
             assert (relay.upstream.bounds, relay.node.bounds) == (bounds, bounds)
             assert relay.upstream.rest.reusable_s == pytest.approx(0.4)
             assert relay.upstream.rest.crowds
@@ -157,7 +157,7 @@
             assert relay.budget.most == 6 << 20
             assert relay.most < 200
             assert relay.server.most < relay.most
-            relay.configure(other(relay, siblings=1), bounds)
+            relay.configure(other(relay, balancer_count=1), bounds)
             assert not relay.upstream.rest.crowds
             assert relay.upstream.rest.kept_s == math.inf
 
@@ -192,14 +192,14 @@
     async def main() -> None:
         async with FakeDiscovery().up() as discovery, node([], discovery) as relay:
             await until(lambda: len(discovery.writers) == 1)
-            relay.configure(other(relay, ask_discovery=False), relay.config.bounds)
+            relay.configure(other(relay, poll_discovery=False), relay.config.bounds)
             assert relay.discovery.silence_s == SILENCE_S  # one time for both ways
             assert relay.discovery.open
             discovery.writers[-1].transport.abort()  # the module would wait for long; the agent costs nothing
             await until(lambda: len(discovery.writers) == 2)
             discovery.writers[-1].transport.abort()
             await until(lambda: not relay.discovery.open)  # the next look is set for a moment from now
-            relay.configure(other(relay, ask_discovery=True), relay.config.bounds)
+            relay.configure(other(relay, poll_discovery=True), relay.config.bounds)
             assert relay.discovery.silence_s == SILENCE_S
             await until(lambda: len(discovery.writers) == 3)
             watch = relay.discovery._watch
@@ -226,7 +226,7 @@
                 waits.append(delay)
                 return timeout(delay)
 
-            monkeypatch.setattr("rosewheel.http.equipos.asyncio.timeout", noted)
+            monkeypatch.setattr("rosewheel.http.upstream.asyncio.timeout", noted)
             relay.configure(relay.config.settings, Bounds(connect_timeout_ms=100.0))
             relay.upstream.start("r", 0, "s", b"")
             relay.configure(relay.config.settings, Bounds(connect_timeout_ms=5000.0))
--- a/tests/test_control_node.py
+++ b/tests/test_control_node.py
@@ -286,7 +286,7 @@
         imported = {
             line.split("|")[-1].strip() for line in errors.splitlines() if line.startswith("import time")
         }
-        assert "rosewheel.relay.relay" in imported
+        assert "rosewheel.proxy.proxy" in imported
         assert not [
             name for name in imported if name.startswith(("rosewheel.control", "rosewheel.cli", "msgspec"))
         ]
--- a/tests/test_cordon.py
+++ b/tests/test_cordon.py
@@ -11,9 +11,18 @@
 from helpers import Bed, kinds, sent, servers, settings
 from sockets import Client, FakeServer, entry, node, run, status, until
 
-from rosewheel.decide import interface as api
-from rosewheel.node.bounds import Bounds
 from rosewheel.node.core import Dispatch, Node
+from rosewheel.node.limits import Bounds
+from rosewheel.policy.actions import RejectRequest
+from rosewheel.policy.events import (
+    AttemptResult,
+    CordonChanged,
+    EndpointListForm,
+    EndpointListUpdate,
+    RequestReceived,
+    Server,
+    ServerState,
+)
 
 
 def picks(bed: Bed, count: int = 30) -> set[str]:
@@ -23,30 +32,30 @@
 def test_a_cordon_holds_whatever_the_list_says():
     bed = Bed(3)
     for _ in range(2):
-        bed.give(api.Cordon("s1", out=True))
+        bed.give(CordonChanged("s1", cordoned=True))
     assert picks(bed) == {"s0", "s2"}
-    bed.give(api.Membership(api.ListForm.DELTA, servers(3)))
-    bed.give(api.Membership(api.ListForm.DELTA, (api.Server("s1", state=api.ServerState.REMOVED),)))
-    bed.give(api.Membership(api.ListForm.FULL, servers(3, launched_ms=bed.now)))
+    bed.give(EndpointListUpdate(EndpointListForm.DELTA, servers(3)))
+    bed.give(EndpointListUpdate(EndpointListForm.DELTA, (Server("s1", state=ServerState.REMOVED),)))
+    bed.give(EndpointListUpdate(EndpointListForm.SNAPSHOT, servers(3, launched_ms=bed.now)))
     bed.now += 20000.0  # warm, so that only the cordon keeps calls away
     assert picks(bed) == {"s0", "s2"}
-    bed.give(api.Cordon("s1", out=False))
-    bed.give(api.Cordon("s1", out=False))
+    bed.give(CordonChanged("s1", cordoned=False))
+    bed.give(CordonChanged("s1", cordoned=False))
     assert picks(bed) == {"s0", "s1", "s2"}
 
 
 def test_with_all_taken_out_a_call_is_refused_at_once():
     bed = Bed(1)
-    bed.give(api.Cordon("s0", out=True))
-    assert kinds(bed.ask()[1]) == [api.Refuse]
+    bed.give(CordonChanged("s0", cordoned=True))
+    assert kinds(bed.ask()[1]) == [RejectRequest]
 
 
 def test_an_attempt_that_is_out_there_goes_on():
     bed = Bed(1)
     name, acts = bed.ask()
     server = sent(acts)[0].server
-    assert bed.give(api.Cordon(server, out=True)) == []
-    assert bed.end(name, server, api.Result.OK) == []
+    assert bed.give(CordonChanged(server, cordoned=True)) == []
+    assert bed.end(name, server, AttemptResult.OK) == []
 
 
 def share_of(bed: Bed, server: str) -> float:
@@ -61,9 +70,9 @@
     """Guards a server that was restarted while out: the list tells so late, and by then it has tipped."""
     bed = Bed(2)
     share_of(bed, "s1")
-    bed.give(api.Cordon("s1", out=True))
+    bed.give(CordonChanged("s1", cordoned=True))
     bed.now += 3000.0
-    bed.give(api.Cordon("s1", out=False))
+    bed.give(CordonChanged("s1", cordoned=False))
     assert 0.0 < share_of(bed, "s1") < 0.3
     bed.now += 10000.0  # as long as a cold one takes to be warm
     assert share_of(bed, "s1") > 0.3
@@ -71,15 +80,15 @@
 
 def test_nothing_is_sent_to_one_that_is_out_even_if_the_module_errs():
     box = Node(settings(), Bounds(), seed=1, now=0.0)
-    box.members(0.0, api.ListForm.FULL, (api.Server("s", zone="a"),))
+    box.members(0.0, EndpointListForm.SNAPSHOT, (Server("s", zone="a"),))
     assert not box.knows("nobody")
     box.cordon(0.0, "s", out=True)
     box.balancer.pool.cordoned.clear()  # a module that forgets
     box.balancer.pool.settle(box.balancer.peers["s"], 0.0)
-    effects = box.request(1.0, api.Request("r", "read", 2000.0))
+    effects = box.request(1.0, RequestReceived("r", "read", 2000.0))
     assert not any(isinstance(effect, Dispatch) for effect in effects)
     assert (box.can_serve, box.avoided) == (False, 1)
-    box.members(2.0, api.ListForm.DELTA, (api.Server("s", state=api.ServerState.REMOVED),))
+    box.members(2.0, EndpointListForm.DELTA, (Server("s", state=ServerState.REMOVED),))
     assert box.knows("s"), "it can be called back also while the list does not name it"
 
 
@@ -124,7 +133,7 @@
 
 
 def test_a_cordon_holds_over_an_upgrade(tmp_path: Path, monkeypatch: pytest.MonkeyPatch):
-    monkeypatch.setattr("rosewheel.relay.relay.FIRST_LIST_S", 0.0)  # no discovery is there to wait for
+    monkeypatch.setattr("rosewheel.proxy.proxy.FIRST_LIST_S", 0.0)  # no discovery is there to wait for
 
     async def main() -> None:
         with socket.create_server(("127.0.0.1", 0)) as held:
--- a/tests/test_graph.py
+++ b/tests/test_graph.py
@@ -18,10 +18,10 @@
 from rosewheel.lab import experiment, graph, plan, records, scenario
 from rosewheel.lab.graph import CircleError
 from rosewheel.lab.scenario import Scenario
-from rosewheel.lab.virtual.areas import Areas
-from rosewheel.lab.virtual.host import Host
-from rosewheel.lab.virtual.network import HOP_MS
-from rosewheel.lab.virtual.simulate import Simulation, simulate
+from rosewheel.lab.simulation.host import Host
+from rosewheel.lab.simulation.network import HOP_MS
+from rosewheel.lab.simulation.simulate import Simulation, simulate
+from rosewheel.lab.simulation.topology import Areas
 
 SHORT = settings(max_examples=25, deadline=None, derandomize=True)
 
--- a/tests/test_guards.py
+++ b/tests/test_guards.py
@@ -7,10 +7,21 @@
 import pytest
 from helpers import Bed, kinds, sent, servers
 
-from rosewheel.decide import interface as api
-
-NEVER_RAN = [api.Result.FULL, api.Result.CONNECT_FAILED, api.Result.MOOT]
-MAY_HAVE_RUN = [api.Result.ERROR, api.Result.TIMEOUT, api.Result.RESET, api.Result.CANCELLED]
+from rosewheel.policy.actions import CancelAttempt, FailRequest, RejectRequest, StartTimer, WatchEndpoints
+from rosewheel.policy.events import (
+    AttemptResult,
+    ClientDisconnected,
+    EndpointListForm,
+    EndpointListUpdate,
+    ResponseStarted,
+    Server,
+    ServerState,
+    TimerFired,
+)
+from rosewheel.policy.settings import DedupScope, Idempotency, ServiceClass
+
+NEVER_RAN = [AttemptResult.OVERLOADED, AttemptResult.CONNECT_FAILED, AttemptResult.NOT_SENT]
+MAY_HAVE_RUN = [AttemptResult.ERROR, AttemptResult.TIMEOUT, AttemptResult.RESET, AttemptResult.CANCELLED]
 
 
 # ------------------------------------------------------- no effect happens twice
@@ -27,14 +38,14 @@
         used.append(sent(acts)[0].server)
         acts = bed.end(name, used[-1], result, 5.0, attempt)
     assert len(set(used)) == 3
-    assert kinds(acts) == [api.Refuse]
+    assert kinds(acts) == [RejectRequest]
 
 
 @pytest.mark.parametrize("result", MAY_HAVE_RUN)
 def test_an_unsafe_request_that_may_have_run_fails(result):
     bed = Bed()
     name, acts = bed.ask("post")
-    assert kinds(bed.end(name, sent(acts)[0].server, result)) == [api.Fail]
+    assert kinds(bed.end(name, sent(acts)[0].server, result)) == [FailRequest]
 
 
 @pytest.mark.parametrize("result", MAY_HAVE_RUN)
@@ -46,26 +57,31 @@
         used.append(sent(acts)[0].server)
         acts = bed.end(name, used[-1], result, 5.0, attempt)
     assert len(set(used)) == 3
-    assert kinds(acts) == [api.Refuse]
+    assert kinds(acts) == [RejectRequest]
 
 
-@pytest.mark.parametrize("scope", list(api.Scope))
+@pytest.mark.parametrize("scope", list(DedupScope))
 @pytest.mark.parametrize("result", MAY_HAVE_RUN)
 def test_a_keyed_request_stays_in_its_group(result, scope):
-    kind = api.ServiceClass(
-        "k", aim_ms=2000, give_up_ms=5000, effect=api.Effect.KEYED, scope=scope, memory_ms=900
+    kind = ServiceClass(
+        "k",
+        latency_objective_ms=2000,
+        deadline_ms=5000,
+        idempotency=Idempotency.IDEMPOTENT_WITH_KEY,
+        dedup_scope=scope,
+        dedup_window_ms=900,
     )
-    rows = tuple(api.Server(f"s{at}", zone="ab"[at % 2], cell=at % 4) for at in range(8))
+    rows = tuple(Server(f"s{at}", zone="ab"[at % 2], cell=at % 4) for at in range(8))
     where = {row.address: row for row in rows}
     for _ in range(8):
         bed = Bed(count=0, classes=(kind,))
-        bed.give(api.Membership(api.ListForm.FULL, rows))
+        bed.give(EndpointListUpdate(EndpointListForm.SNAPSHOT, rows))
         name, acts = bed.ask("k")
         first = where[sent(acts)[0].server]
         second = where[sent(bed.end(name, first.address, result))[0].server]
-        if scope is not api.Scope.ALL:
+        if scope is not DedupScope.ALL:
             assert second.zone == first.zone
-        if scope is api.Scope.CELL:
+        if scope is DedupScope.CELL:
             assert second.cell == first.cell
 
 
@@ -73,14 +89,14 @@
     bed = Bed()
     name, acts = bed.ask("points")
     bed.now += 900
-    assert kinds(bed.end(name, sent(acts)[0].server, api.Result.ERROR)) == [api.Fail]
+    assert kinds(bed.end(name, sent(acts)[0].server, AttemptResult.ERROR)) == [FailRequest]
 
 
 def test_attempts_are_bounded():
     bed = Bed(count=8, max_attempts=2)
     name, acts = bed.ask("post")
-    acts = bed.end(name, sent(acts)[0].server, api.Result.FULL)
-    assert kinds(bed.end(name, sent(acts)[0].server, api.Result.FULL, attempt=1)) == [api.Refuse]
+    acts = bed.end(name, sent(acts)[0].server, AttemptResult.OVERLOADED)
+    assert kinds(bed.end(name, sent(acts)[0].server, AttemptResult.OVERLOADED, attempt=1)) == [RejectRequest]
 
 
 # ------------------------------------------------------------ one final answer
@@ -90,10 +106,10 @@
     bed = Bed()
     name, acts = bed.ask("read")
     server = sent(acts)[0].server
-    acts = bed.give(api.Lapsed(name))
-    assert kinds(acts) == [api.Cancel]
-    assert bed.end(name, server, api.Result.CANCELLED, done=True) == []
-    assert bed.give(api.Lapsed(name)) == []
+    acts = bed.give(ClientDisconnected(name))
+    assert kinds(acts) == [CancelAttempt]
+    assert bed.end(name, server, AttemptResult.CANCELLED, done=True) == []
+    assert bed.give(ClientDisconnected(name)) == []
     assert bed.balancer.jobs == {}
 
 
@@ -101,10 +117,10 @@
     bed = Bed()
     name, acts = bed.ask("post", left=300.0)
     bed.now += 300.0
-    assert kinds(bed.end(name, sent(acts)[0].server, api.Result.TIMEOUT, 300.0)) == [api.Fail]
+    assert kinds(bed.end(name, sent(acts)[0].server, AttemptResult.TIMEOUT, 300.0)) == [FailRequest]
     name, acts = bed.ask("read", left=300.0)
     bed.now += 300.0
-    assert kinds(bed.end(name, sent(acts)[0].server, api.Result.TIMEOUT, 300.0)) == [api.Refuse]
+    assert kinds(bed.end(name, sent(acts)[0].server, AttemptResult.TIMEOUT, 300.0)) == [RejectRequest]
 
 
 def test_late_work_worth_nothing_is_stopped_at_the_aim():
@@ -115,18 +131,26 @@
 
 
 def test_work_worth_something_late_runs_on():
-    kind = api.ServiceClass("slow", aim_ms=500, give_up_ms=5000, late_worth=0.3, effect=api.Effect.SAFE)
+    kind = ServiceClass(
+        "slow",
+        latency_objective_ms=500,
+        deadline_ms=5000,
+        late_weight=0.3,
+        idempotency=Idempotency.IDEMPOTENT,
+    )
     bed = Bed(classes=(kind,))
     assert sent(bed.ask("slow", left=2000.0)[1])[0].timeout_ms == 2000.0
 
 
 def test_a_stream_keeps_its_attempt():
-    kind = api.ServiceClass("s", aim_ms=500, give_up_ms=5000, stream=True, effect=api.Effect.SAFE)
+    kind = ServiceClass(
+        "s", latency_objective_ms=500, deadline_ms=5000, streaming=True, idempotency=Idempotency.IDEMPOTENT
+    )
     bed = Bed(classes=(kind,))
     name, acts = bed.ask("s")
-    assert bed.give(api.Started(name, 0)) == []
+    assert bed.give(ResponseStarted(name, 0)) == []
     assert sent(bed.period(2000.0)) == []
-    assert bed.end(name, sent(acts)[0].server, api.Result.RESET, done=True) == []
+    assert bed.end(name, sent(acts)[0].server, AttemptResult.RESET, done=True) == []
 
 
 # --------------------------------------------------------------------- health
@@ -158,7 +182,7 @@
     name, acts = bed.ask("read")
     hung = sent(acts)[0].server
     bed.now += 900.0
-    bed.end(name, hung, api.Result.OK, 900.0)
+    bed.end(name, hung, AttemptResult.OK, 900.0)
     bed.now += 60000.0
     assert hung in {act.server for _ in range(4) for act in sent(bed.ask()[1])}
 
@@ -172,7 +196,7 @@
         broken = server == "s0"
         took += broken
         bed.now += 5.0 if broken else 100.0
-        bed.end(name, server, api.Result.ERROR if broken else api.Result.OK, 5.0 if broken else 100.0)
+        bed.end(name, server, AttemptResult.ERROR if broken else AttemptResult.OK, 5.0 if broken else 100.0)
         bed.period()
     assert took <= 4
 
@@ -184,7 +208,7 @@
         server = sent(acts)[0].server
         latency = 900.0 if server == "s1" else 100.0
         bed.now += latency
-        bed.end(name, server, api.Result.OK, latency)
+        bed.end(name, server, AttemptResult.OK, latency)
 
     def first_use(bed: Bed) -> int:
         """How many calls the other server holds when the slow one gets its first."""
@@ -213,7 +237,7 @@
         bed = Bed(tier=tier)
         for _ in range(4):
             name, acts = bed.ask("post")
-            bed.end(name, sent(acts)[0].server, api.Result.ERROR, 5.0)
+            bed.end(name, sent(acts)[0].server, AttemptResult.ERROR, 5.0)
         bed.period()
         cursors.append(bed.balancer.cursor)
     assert cursors == [1, 0]
@@ -235,35 +259,37 @@
 # ----------------------------------------------------------------- membership
 
 
-@pytest.mark.parametrize("state", [api.ServerState.DRAINING, api.ServerState.REMOVED])
+@pytest.mark.parametrize("state", [ServerState.DRAINING, ServerState.REMOVED])
 def test_nothing_new_to_a_server_that_drains_or_is_gone(state):
     bed = Bed(count=3)
-    bed.give(api.Membership(api.ListForm.DELTA, (api.Server("s1", "b", state=state),)))
+    bed.give(EndpointListUpdate(EndpointListForm.DELTA, (Server("s1", "b", state=state),)))
     assert "s1" not in {bed.serve() for _ in range(12)}
 
 
 def test_a_server_absent_from_a_whole_list_is_gone():
     bed = Bed(count=3)
-    bed.give(api.Membership(api.ListForm.FULL, servers(2)))
+    bed.give(EndpointListUpdate(EndpointListForm.SNAPSHOT, servers(2)))
     assert "s2" not in {bed.serve() for _ in range(12)}
 
 
 def test_discovery_is_watched_at_once_and_again_after_failures_with_growing_waits():
-    bed = Bed(count=0, ask_discovery=True)
-    first = type(bed.balancer)(bed.balancer.cfg, 1, 0.0).handle(0.0, api.Membership(api.ListForm.CACHED))
-    assert api.Watch in kinds(first)
+    bed = Bed(count=0, poll_discovery=True)
+    first = type(bed.balancer)(bed.balancer.cfg, 1, 0.0).handle(
+        0.0, EndpointListUpdate(EndpointListForm.CACHED)
+    )
+    assert WatchEndpoints in kinds(first)
     waits = []
     for _ in range(6):
-        acts = bed.give(api.Membership(api.ListForm.FAILED))
-        assert kinds(acts) == [api.Wake]
+        acts = bed.give(EndpointListUpdate(EndpointListForm.FAILED))
+        assert kinds(acts) == [StartTimer]
         waits.append(acts[0].delay_ms)
-        assert kinds(bed.give(api.Alarm("watch"))) == [api.Watch]
+        assert kinds(bed.give(TimerFired("watch"))) == [WatchEndpoints]
     assert waits[0] < waits[-1] <= 4000.0
 
 
 def test_a_failed_list_keeps_the_old_one():
-    bed = Bed(count=2, ask_discovery=True)
-    bed.give(api.Membership(api.ListForm.FAILED))
+    bed = Bed(count=2, poll_discovery=True)
+    bed.give(EndpointListUpdate(EndpointListForm.FAILED))
     assert sent(bed.ask()[1])
 
 
@@ -271,7 +297,7 @@
     bed = Bed(count=2)
     for _ in range(6):
         bed.serve()
-    bed.give(api.Membership(api.ListForm.DELTA, (api.Server("s0", "a", launched_ms=bed.now),)))
+    bed.give(EndpointListUpdate(EndpointListForm.DELTA, (Server("s0", "a", launched_ms=bed.now),)))
     assert bed.balancer.peers["s0"].slow is None
     assert bed.balancer.peers["s1"].slow is not None
 
@@ -281,7 +307,7 @@
 
 def test_a_cold_server_gets_its_present_share_of_what_warm_ones_get():
     bed = Bed(count=4)
-    bed.give(api.Membership(api.ListForm.DELTA, (api.Server("cold", "a", launched_ms=bed.now),)))
+    bed.give(EndpointListUpdate(EndpointListForm.DELTA, (Server("cold", "a", launched_ms=bed.now),)))
     counts: dict[str, int] = {}
     for at in range(150):
         server = bed.serve(latency=10.0)
@@ -294,13 +320,13 @@
 
 def test_a_cold_pool_with_nothing_to_compare_is_taken_into_use_step_by_step():
     bed = Bed(count=0)
-    bed.give(api.Membership(api.ListForm.FULL, servers(2, launched_ms=bed.now)))
+    bed.give(EndpointListUpdate(EndpointListForm.SNAPSHOT, servers(2, launched_ms=bed.now)))
     used = [0, 0]
     for at in range(400):
         name, acts = bed.ask()
         for act in sent(acts):
             used[at // 200] += 1
-            bed.end(name, act.server, api.Result.OK, 10.0)
+            bed.end(name, act.server, AttemptResult.OK, 10.0)
         bed.now += 10.0
         if at % 15 == 0:
             bed.period(0.0)
@@ -311,13 +337,13 @@
     """Guard: one call from each node in a window was far more than a cold server can do."""
     first = 0
     for seed in range(200):
-        bed = Bed(count=9, siblings=200, seed=seed)
+        bed = Bed(count=9, balancer_count=200, seed=seed)
         for _ in range(20):  # two calls a second
             bed.serve(latency=50.0)
             for _ in range(3):
                 bed.period()
-        cold = api.Server("cold", "a", launched_ms=bed.now)
-        bed.give(api.Membership(api.ListForm.DELTA, (cold,)))
+        cold = Server("cold", "a", launched_ms=bed.now)
+        bed.give(EndpointListUpdate(EndpointListForm.DELTA, (cold,)))
         first += sum(bed.serve(latency=50.0) == "cold" for _ in range(2))
     # a tenth of the 400 would be an even share of what these nodes send; a fifth of that is what it can do
     assert first <= 25
@@ -325,17 +351,17 @@
 
 def test_one_heavy_call_does_not_shut_a_quiet_node():
     """Guard: with T1 at three calls, one call that weighs four refused the next on a quiet day."""
-    bed = Bed(count=4, siblings=100, worth_by_work=True)
+    bed = Bed(count=4, balancer_count=100, weight_by_work=True)
     for _ in range(5):
         name, acts = bed.ask(cost_hint_ms=10.0)
-        bed.end(name, sent(acts)[0].server, api.Result.OK)
+        bed.end(name, sent(acts)[0].server, AttemptResult.OK)
     bed.ask(cost_hint_ms=500.0)
     assert all(sent(bed.ask("post", cost_hint_ms=10.0)[1]) for _ in range(3))
 
 
 def test_a_thin_tier_below_the_front_hardly_refuses():
     """Guard: a refusal below the front wasted what had been done above it."""
-    below, front = (Bed(siblings=100, tier=tier).balancer for tier in (1, 0))
+    below, front = (Bed(balancer_count=100, tier=tier).balancer for tier in (1, 0))
     assert below.threshold(1.0, 40) >= 40.0 > front.threshold(1.0, 40)
 
 
@@ -344,8 +370,8 @@
     connect_ms: float, again: bool
 ):
     """Found by reading: a repeat that was picked within the window went out up to a connection's time behind it."""
-    bed = Bed(connect_ms=connect_ms)
+    bed = Bed(connect_timeout_ms=connect_ms)
     name, acts = bed.ask("points", left=5000.0)
     bed.now += 800.0  # of 900 for which the group remembers
-    acts = bed.end(name, sent(acts)[0].server, api.Result.ERROR, 800.0)
+    acts = bed.end(name, sent(acts)[0].server, AttemptResult.ERROR, 800.0)
     assert bool(sent(acts)) is again
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -14,10 +14,10 @@
 import pytest
 from sockets import WAIT_S, Client, FakeServer, Message, answer, config, entry, run, status, until
 
-from rosewheel.handover import link as links
-from rosewheel.handover.wire import PACKET_BYTES, VERSIONS, Reader, agreed, packets
-from rosewheel.http.equipos import SETTLE_S
-from rosewheel.relay.relay import Relay
+from rosewheel.hot_restart import channel as links
+from rosewheel.hot_restart.wire import PACKET_BYTES, VERSIONS, Reader, agreed, packets
+from rosewheel.http.upstream import SETTLE_S
+from rosewheel.proxy.proxy import Relay
 
 LONG = bytes(range(256)) * 4096 * 12  # 12 MB: more than the system holds for one connection
 
--- a/tests/test_large.py
+++ b/tests/test_large.py
@@ -11,9 +11,9 @@
 from sockets import Client, FakeServer, answer, entry, node, read_message, run, status, until
 
 from rosewheel.http import body as body_module
-from rosewheel.http import caller as server_module
 from rosewheel.http import connection as connection_module
-from rosewheel.http import equipos as upstream_module
+from rosewheel.http import downstream as server_module
+from rosewheel.http import upstream as upstream_module
 
 Connected = Callable[[asyncio.StreamReader, asyncio.StreamWriter], Awaitable[None]]
 
@@ -131,13 +131,13 @@
                 got = await client.answer()  # at once: the rest of the request is still to come
                 assert status(got) == 503
                 client.writer.write(pattern(900_000))
-                relay._heard(api.ListForm.FULL, discovery.entries_from([entry("s2", two.port)]))
+                relay._heard(EndpointListForm.SNAPSHOT, discovery.entries_from([entry("s2", two.port)]))
                 assert status(await client.ask("post")) == 200  # the rest was read past
                 assert relay.node.figures.classes["post"].shed == 1
                 assert relay.budget.used == 0
 
-    from rosewheel.decide import interface as api
     from rosewheel.discovery import catalog as discovery
+    from rosewheel.policy.events import EndpointListForm
 
     run(main())
 
--- a/tests/test_learned.py
+++ b/tests/test_learned.py
@@ -21,11 +21,19 @@
 from hypothesis import strategies as st
 from sockets import FakeServer, entry, node, run
 
-from rosewheel.decide import interface as api
-from rosewheel.decide.learned import OLDEST_MS, Learned, age, learned_from, same_start, weight
-from rosewheel.decide.policy import LEARN, Balancer
-from rosewheel.relay import snapshots
-from rosewheel.relay.snapshots import Snapshots, clocks, decoded, encoded
+from rosewheel.policy.balancer import LEARN, Balancer
+from rosewheel.policy.events import (
+    AttemptResult,
+    ClientDisconnected,
+    EndpointListForm,
+    EndpointListUpdate,
+    ProcessCountChanged,
+    Server,
+    SiblingProcessLoad,
+)
+from rosewheel.policy.learned_state import OLDEST_MS, Learned, age, learned_from, same_start, weight
+from rosewheel.proxy import snapshots
+from rosewheel.proxy.snapshots import Snapshots, clocks, decoded, encoded
 
 ROOT = Path(__file__).parent.parent
 
@@ -38,18 +46,18 @@
         server = sent(acts)[0].server
         latency = 400.0 if server == slow else 50.0
         bed.now += 20.0
-        bed.end(name, server, api.Result.OK, latency)
+        bed.end(name, server, AttemptResult.OK, latency)
         if len(bed.balancer.ratios) >= 10:
             bed.period()
     bed.period()
     return bed
 
 
-def heir(learned: Learned, age_ms: float, servers: tuple[api.Server, ...] | None = None) -> Bed:
+def heir(learned: Learned, age_ms: float, servers: tuple[Server, ...] | None = None) -> Bed:
     """A new module that is given this, on a clock of its own."""
     bed = Bed(count=4)
     if servers is not None:
-        bed.give(api.Membership(api.ListForm.FULL, servers))
+        bed.give(EndpointListUpdate(EndpointListForm.SNAPSHOT, servers))
     bed.balancer.recall(bed.now, learned, age_ms)
     return bed
 
@@ -60,8 +68,8 @@
     for _ in range(asks):
         name, acts = bed.ask()
         picked += sent(acts)[0].server == server
-        bed.give(api.Lapsed(name))
-        bed.end(name, sent(acts)[0].server, api.Result.CANCELLED, 1.0, done=True)
+        bed.give(ClientDisconnected(name))
+        bed.end(name, sent(acts)[0].server, AttemptResult.CANCELLED, 1.0, done=True)
     return picked / asks
 
 
@@ -99,8 +107,8 @@
 def test_a_server_that_restarted_meanwhile_is_fresh_and_one_that_did_not_is_as_cold_as_it_was():
     bed = Bed(count=0)
     bed.give(
-        api.Membership(
-            api.ListForm.FULL, (api.Server("a", launched_ms=0.0), api.Server("b", launched_ms=0.0))
+        EndpointListUpdate(
+            EndpointListForm.SNAPSHOT, (Server("a", launched_ms=0.0), Server("b", launched_ms=0.0))
         )
     )
     for name in ("a", "b"):
@@ -109,8 +117,8 @@
     new = Bed(count=0)
     new.now = 50_000.0  # another clock
     started = new.now - 3_000.0  # 1000 ms, and 2000 ms since then
-    servers = (api.Server("a", launched_ms=started + 100.0), api.Server("b", launched_ms=started + 1_900.0))
-    new.give(api.Membership(api.ListForm.FULL, servers))
+    servers = (Server("a", launched_ms=started + 100.0), Server("b", launched_ms=started + 1_900.0))
+    new.give(EndpointListUpdate(EndpointListForm.SNAPSHOT, servers))
     assert new.balancer.recall(new.now, learned, 2_000.0) == 1
     assert new.balancer.peers["a"].slow == 5.0
     assert new.balancer.peers["b"].slow is None
@@ -118,7 +126,7 @@
 
 def test_a_fleet_that_has_been_replaced_takes_nothing_of_the_old_servers():
     bed = taught()
-    replaced = tuple(api.Server(f"new{at}") for at in range(4))
+    replaced = tuple(Server(f"new{at}") for at in range(4))
     new = heir(bed.balancer.learned(bed.now), 599_000.0, replaced).balancer
     assert all(peer.slow is None and peer.errs == 0.0 and not peer.queue for peer in new.peers.values())
     assert new.cursor == 0
@@ -243,8 +251,8 @@
 
 WRITER = """
 import sys
-from rosewheel.decide.learned import Learned, LearnedServer
-from rosewheel.relay.snapshots import Snapshots
+from rosewheel.policy.learned_state import Learned, LearnedServer
+from rosewheel.proxy.snapshots import Snapshots
 learned = Learned({f"equipo-{at}": LearnedServer(None, slow=1.0) for at in range(2000)})
 kept = Snapshots(sys.argv[1], "n0", lambda: (learned, 1.0))
 while True:
@@ -295,17 +303,17 @@
     bed = Bed(4)
     for peer in bed.balancer.peers.values():
         peer.credit = 1.6
-    bed.give(api.Company(2))
+    bed.give(ProcessCountChanged(2))
     assert [peer.credit for peer in bed.balancer.peers.values()] == [0.8] * 4
-    bed.give(api.Company(2))
-    bed.give(api.Company(1))
+    bed.give(ProcessCountChanged(2))
+    bed.give(ProcessCountChanged(1))
     assert [peer.credit for peer in bed.balancer.peers.values()] == [0.8] * 4, "none comes from nothing"
 
 
 def test_what_the_other_process_has_in_flight_counts_once():
     """It ranks a server down as one's own calls do, and no more where the server's own report has it in it."""
     bed = Bed(2)
-    bed.give(api.Beside({"s0": 6.0}))
+    bed.give(SiblingProcessLoad({"s0": 6.0}))
     assert {bed.serve() for _ in range(4)} == {"s1"}
     first, second = bed.balancer.peers["s0"], bed.balancer.peers["s1"]
     first.slow = second.slow = None
@@ -314,7 +322,7 @@
     first.queue, first.told_ms = 6.0, bed.now
     ratio = bed.balancer._rank(bed.now, first) / bed.balancer._rank(bed.now, second)
     assert 0.8 < ratio < 1.25
-    bed.give(api.Beside({}))
+    bed.give(SiblingProcessLoad({}))
     assert first.beside == 0.0
 
 
--- a/tests/test_leavers.py
+++ b/tests/test_leavers.py
@@ -14,12 +14,12 @@
 from helpers import KEYED, SAFE, UNSAFE
 from sockets import Client, FakeServer, Message, answer, entry, node, run, status, until
 
-from rosewheel.decide.interface import Send
 from rosewheel.http.body import SHARES
-from rosewheel.http.caller import Caller
 from rosewheel.http.callers import UNREAD_S
+from rosewheel.http.downstream import Caller
 from rosewheel.http.reader import WAITING
-from rosewheel.relay.relay import Relay, now_ms
+from rosewheel.policy.actions import ForwardRequest
+from rosewheel.proxy.proxy import Relay, now_ms
 
 
 def held_back() -> tuple[asyncio.Event, object]:
@@ -104,7 +104,7 @@
     async def main() -> None:
         free, slow = held_back()
         patient = dataclasses.replace(
-            UNSAFE, aim_ms=60000, give_up_ms=60000
+            UNSAFE, latency_objective_ms=60000, deadline_ms=60000
         )  # no deadline ends the first one
         async with (
             FakeServer(slow).up() as server,  # type: ignore[arg-type]
@@ -133,7 +133,7 @@
 
 def test_one_that_has_left_is_not_asked_though_the_loop_has_not_read_so(monkeypatch: pytest.MonkeyPatch):
     """A request and the end of its connection may lie side by side before a loop that is late."""
-    monkeypatch.setattr("rosewheel.http.equipos.SETTLE_S", -1.0)
+    monkeypatch.setattr("rosewheel.http.upstream.SETTLE_S", -1.0)
 
     async def main() -> None:
         async with FakeServer().up() as server, node([entry("s", server.port)]) as relay:
@@ -206,7 +206,9 @@
 
 # Patient enough that no deadline ends anything here; a key is remembered for longer than any test takes.
 PATIENT = tuple(
-    dataclasses.replace(kind, aim_ms=60000, give_up_ms=60000, memory_ms=100_000 if kind is KEYED else 0.0)
+    dataclasses.replace(
+        kind, latency_objective_ms=60000, deadline_ms=60000, dedup_window_ms=100_000 if kind is KEYED else 0.0
+    )
     for kind in (SAFE, UNSAFE, KEYED)
 )
 
@@ -265,7 +267,7 @@
     cancel: bool, monkeypatch: pytest.MonkeyPatch
 ):
     """The end of the caller and that of the attempt lie side by side, the attempt's before."""
-    monkeypatch.setattr("rosewheel.http.equipos.SETTLE_S", -1.0)
+    monkeypatch.setattr("rosewheel.http.upstream.SETTLE_S", -1.0)
 
     async def main() -> None:
         sock = socket.socket()
@@ -311,7 +313,7 @@
                 await unread(relay, client)
                 leave(client, how)
                 await asyncio.sleep(0)
-                relay.node._act(now_ms(), Send("first", "two" if one.got else "one", 50000.0))
+                relay.node._act(now_ms(), ForwardRequest("first", "two" if one.got else "one", 50000.0))
                 relay.apply(relay.node._run(now_ms()))
                 await until(lambda: not relay.node.open and not relay.upstream.live)
                 assert relay.upstream.coming == 0
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -16,9 +16,10 @@
     assert max(len(line) for line in lines) <= 110
 
 
-def test_the_module_names_its_interface_file_at_the_top():
+def test_the_module_names_its_interface_files_at_the_top():
     text = (ROOT / DEPLOY["policy"][0]).read_text()
-    assert "rosewheel/decide/interface.py" in text.split('"""')[1]
+    for name in ("settings", "events", "actions"):
+        assert f"rosewheel/policy/{name}.py" in text.split('"""')[1]
 
 
 def test_every_named_constant_is_used_and_explained_or_plainly_named():
