--- a/tests/test_list_crossings.py
+++ b/tests/test_list_crossings.py
@@ -14,13 +14,13 @@
 from hypothesis import strategies as st
 from sockets import FakeServer, answer, config, entry, read_message, run, until
 
-from rosewheel.decide.interface import ListForm
-from rosewheel.discovery import waits as rewatch
+from rosewheel.discovery import backoff as rewatch
 from rosewheel.discovery import watch
 from rosewheel.discovery.catalog import Discovery, Entry
-from rosewheel.node.bounds import Bounds
-from rosewheel.relay import relay as relay_module
-from rosewheel.relay.relay import Relay
+from rosewheel.node.limits import Bounds
+from rosewheel.policy.events import EndpointListForm
+from rosewheel.proxy import proxy as relay_module
+from rosewheel.proxy.proxy import Relay
 
 HEAD = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 EMPTY = b'{"seq":5,"whole":false,"hosts":[]}\n'
@@ -80,7 +80,7 @@
 async def pushed(agent: Agent, known: list[dict[str, object]]) -> AsyncIterator[Relay]:
     """A node whose lists are pushed; its start is left to the test."""
     told = dataclasses.replace(config(known), discovery=("127.0.0.1", agent.port))
-    relay = Relay(dataclasses.replace(told, settings=settings(ask_discovery=False)))
+    relay = Relay(dataclasses.replace(told, settings=settings(poll_discovery=False)))
     try:
         yield relay
     finally:
@@ -174,11 +174,11 @@
                 waits.clear()
                 for _ in range(12):
                     relay.discovery.opened_s = relay.loop.time()
-                    relay._heard(ListForm.FAILED, [])
+                    relay._heard(EndpointListForm.FAILED, [])
                 assert 0.0 < waits[0] <= max(rewatch.REWATCH_LEAST_S, grace_ms / 1000.0 / 8)
                 assert max(waits) <= max(rewatch.REWATCH_LEAST_S, grace_ms / 1000.0 / 3)
                 relay.discovery.opened_s = relay.loop.time() - 3.0
-                relay._heard(ListForm.FAILED, [])
+                relay._heard(EndpointListForm.FAILED, [])
                 assert waits[-1] == 0.0
 
     run(main())
@@ -207,9 +207,11 @@
 # ------------------------------------------------------------------- what comes
 
 
-def heard_of(pieces: list[bytes], since: int = 5) -> tuple[list[tuple[ListForm, list[Entry]]], list[str]]:
+def heard_of(
+    pieces: list[bytes], since: int = 5
+) -> tuple[list[tuple[EndpointListForm, list[Entry]]], list[str]]:
     """What a watch makes of these pieces, and of the requests that it took: the second one is left silent."""
-    heard: list[tuple[ListForm, list[Entry]]] = []
+    heard: list[tuple[EndpointListForm, list[Entry]]] = []
     asked: list[str] = []
 
     async def main() -> None:
@@ -217,15 +219,15 @@
         async with Agent(scripts={1: script}).up() as agent:
             done = asyncio.Event()
 
-            def took(form: ListForm, entries: list[Entry]) -> None:
+            def took(form: EndpointListForm, entries: list[Entry]) -> None:
                 heard.append((form, entries))
-                if form is ListForm.FAILED or entries:
+                if form is EndpointListForm.FAILED or entries:
                     done.set()
 
             discovery = Discovery(("127.0.0.1", agent.port), since, took)
             discovery.watch()
             await done.wait()
-            if heard[-1][0] is ListForm.FAILED:
+            if heard[-1][0] is EndpointListForm.FAILED:
                 discovery.watch()
                 await until(lambda: len(agent.asked) == 2)
             discovery.close()
@@ -240,7 +242,7 @@
 def test_a_list_is_read_however_it_is_indented_and_cut_into_pieces(text: bytes, at: int):
     """Guards every drain: a list over several lines was taken for a bad one, and asked for anew for ever."""
     heard, _ = heard_of([b"\n", text[:at] or b"\n", text[at:] + b"\n"])
-    assert [form for form, _ in heard] == [ListForm.FULL]
+    assert [form for form, _ in heard] == [EndpointListForm.SNAPSHOT]
     assert [server.address[0] for server, _ in heard[0][1]] == ["s"]
 
 
@@ -258,7 +260,7 @@
 )
 def test_a_line_that_is_none_ends_the_watch_and_the_next_begins_where_this_made_sense(pieces: list[bytes]):
     heard, asked = heard_of(pieces)
-    assert [form for form, _ in heard] == [ListForm.FAILED]
+    assert [form for form, _ in heard] == [EndpointListForm.FAILED]
     since = 0 if b'"seq":3' in pieces[0] else 5
     assert asked[1].startswith(f"GET /catalog/members?follow=1&since={since} ")
 
@@ -272,12 +274,12 @@
 
         def close(self) -> None: ...
 
-    ends: list[ListForm] = []
+    ends: list[EndpointListForm] = []
     discovery = Discovery(("127.0.0.1", 1), 5, lambda form, _: ends.append(form))
     discovery._watch = watch = Watch()  # type: ignore[assignment]
     for text in (first, second, b"{" + first, b'{"seq":7,"hosts":[' + second):
         discovery.line(watch, text)  # type: ignore[arg-type]
-    assert ends.count(ListForm.FAILED) <= 1
+    assert ends.count(EndpointListForm.FAILED) <= 1
 
 
 def test_answers_of_another_status_end_the_watch():
--- a/tests/test_listener.py
+++ b/tests/test_listener.py
@@ -11,7 +11,7 @@
 
 from rosewheel.config.platform import ConfigError
 from rosewheel.listener import open_listener
-from rosewheel.relay.relay import Relay
+from rosewheel.proxy.proxy import Relay
 
 
 def test_an_address_is_bound():
--- a/tests/test_lists.py
+++ b/tests/test_lists.py
@@ -11,10 +11,10 @@
 from hypothesis import strategies as st
 from sockets import config, entry, run
 
-from rosewheel.decide.interface import ListForm, ServerState
 from rosewheel.discovery import catalog
 from rosewheel.discovery.catalog import Entry, Lists, entries_from
-from rosewheel.relay.relay import Relay
+from rosewheel.policy.events import EndpointListForm, ServerState
+from rosewheel.proxy.proxy import Relay
 
 ROWS = st.lists(
     st.builds(
@@ -29,9 +29,9 @@
 TOLD = st.lists(st.tuples(st.booleans(), ROWS), max_size=6)
 
 
-def _applied(into: dict[str, Any], form: ListForm, entries: list[Entry]) -> None:
+def _applied(into: dict[str, Any], form: EndpointListForm, entries: list[Entry]) -> None:
     """What whoever hears of lists makes of one."""
-    if form is ListForm.FULL:
+    if form is EndpointListForm.SNAPSHOT:
         into.clear()
     for server, dial in entries:
         if server.state is ServerState.REMOVED:
@@ -50,9 +50,9 @@
     sliced: dict[str, Any] = {}
     most = [0]
     for into in (whole, sliced):
-        _applied(into, ListForm.FULL, entries_from(known))
+        _applied(into, EndpointListForm.SNAPSHOT, entries_from(known))
 
-    def heard(form: ListForm, entries: list[Entry]) -> None:
+    def heard(form: EndpointListForm, entries: list[Entry]) -> None:
         most[0] = max(most[0], len(entries))
         _applied(sliced, form, entries)
 
@@ -60,7 +60,9 @@
         lists = Lists(heard, [row["host"] for row in known if row["health"] != "left"])
         for is_whole, rows in told:
             lists.take(is_whole, rows)
-            _applied(whole, ListForm.FULL if is_whole else ListForm.DELTA, entries_from(rows))
+            _applied(
+                whole, EndpointListForm.SNAPSHOT if is_whole else EndpointListForm.DELTA, entries_from(rows)
+            )
         while lists._turn is not None:
             await asyncio.sleep(0)
 
@@ -94,7 +96,7 @@
     async def main() -> None:
         relay = Relay(config([entry("old", 9000)]))
         relay.discovery.watch = lambda: None  # type: ignore[method-assign]
-        relay._heard(ListForm.CACHED, entries_from(relay.config.known["hosts"]))
+        relay._heard(EndpointListForm.CACHED, entries_from(relay.config.known["hosts"]))
         assert "old" in relay.node.servers
         rows = [entry(f"s{at}", 9000) for at in range(count)]
         for part in (rows, rows[1:], rows[1:2]):
--- a/tests/test_many.py
+++ b/tests/test_many.py
@@ -5,15 +5,15 @@
 import pytest
 from helpers import Bed, sent, servers
 
-from rosewheel.decide import interface as api
-from rosewheel.decide import policy
+from rosewheel.policy import balancer
+from rosewheel.policy.events import AttemptResult, EndpointListForm, EndpointListUpdate, Server
 
 FACTOR = 4.0  # of the rule on cold servers
 
 
 def learned(siblings: int, tier: int = 0, seed: int = 7, calls: int = 3) -> Bed:
     """A node that has seen an ordinary load on ten warm servers for a while."""
-    bed = Bed(count=10, siblings=siblings, tier=tier, seed=seed)
+    bed = Bed(count=10, balancer_count=siblings, tier=tier, seed=seed)
     for _ in range(60):
         for _ in range(calls):
             bed.serve(latency=bed.balancer.period_ms / calls)
@@ -22,8 +22,8 @@
 
 
 def replace(bed: Bed, count: int) -> None:
-    fresh = tuple(api.Server(f"new{at}", "a", launched_ms=bed.now) for at in range(count))
-    bed.give(api.Membership(api.ListForm.FULL, servers(10)[count:] + fresh))
+    fresh = tuple(Server(f"new{at}", "a", launched_ms=bed.now) for at in range(count))
+    bed.give(EndpointListUpdate(EndpointListForm.SNAPSHOT, servers(10)[count:] + fresh))
     bed.period()
 
 
@@ -46,7 +46,7 @@
     replace(bed, 6)
     for name, acts in names:
         for act in sent(acts):
-            bed.end(name, act.server, api.Result.OK, 100.0)
+            bed.end(name, act.server, AttemptResult.OK, 100.0)
     bed.period()
     assert bed.balancer.peak < 1.5 * before
 
@@ -57,7 +57,7 @@
     for _ in range(40):
         name, acts = bed.ask("post")
         for act in sent(acts):
-            result = api.Result.ERROR if act.server == "s3" else api.Result.OK
+            result = AttemptResult.ERROR if act.server == "s3" else AttemptResult.OK
             bed.end(name, act.server, result, 100.0)
     bed.period()
     assert bed.balancer.strength < strength - 0.15
@@ -65,7 +65,7 @@
 
 def test_a_node_of_many_knows_its_rate_when_its_first_seconds_are_over():
     """Guard: smoothed for long, and from nothing, it was too low by half when the table began to rest on it."""
-    bed = Bed(count=10, siblings=10)
+    bed = Bed(count=10, balancer_count=10)
     for _ in range(20):  # the 3 s after which the table has no other floor
         for _ in range(3):
             bed.serve(latency=bed.balancer.period_ms / 3)
@@ -84,14 +84,14 @@
 def sent_to_cold(siblings: int, seed: int) -> int:
     """Calls that one node sends to a fresh server in 2 s, while all others tell of a queue."""
     bed, count = learned(siblings, seed=seed), 0
-    bed.give(api.Membership(api.ListForm.DELTA, (api.Server("cold", "a", launched_ms=bed.now),)))
+    bed.give(EndpointListUpdate(EndpointListForm.DELTA, (Server("cold", "a", launched_ms=bed.now),)))
     for _ in range(int(2000.0 / bed.balancer.period_ms)):
         for _ in range(3):
             bed.now += bed.balancer.period_ms / 3
             name, acts = bed.ask()
             server = sent(acts)[0].server
             queue = 0.0 if server == "cold" else 9.0
-            bed.end(name, server, api.Result.OK, bed.balancer.period_ms / 3, report={"queue": queue})
+            bed.end(name, server, AttemptResult.OK, bed.balancer.period_ms / 3, report={"queue": queue})
             count += server == "cold"
         bed.period(0.0)
     return count
@@ -106,7 +106,9 @@
 def test_of_many_nodes_a_cold_server_gets_more_than_the_least_that_it_can_do(siblings: int):
     """The same, by what the settings state."""
     cfg = Bed().balancer.cfg
-    share = cfg.cold_from + (1.0 - cfg.cold_from) * 1000.0 / cfg.cold_ms  # as stated, over the 2 s on average
+    share = (
+        cfg.warm_up_initial_share + (1.0 - cfg.warm_up_initial_share) * 1000.0 / cfg.warm_up_ms
+    )  # as stated, over the 2 s on average
     least = 2000.0 * share * 3.0 / Bed().balancer.period_ms / 10.0
     assert sum(sent_to_cold(siblings, seed) for seed in range(20)) >= 20 * 1.2 * least
 
@@ -127,7 +129,7 @@
             bed.now = born + 3 * step + turn * step + at
             for row in [row for row in out if row[0] is bed]:
                 out.remove(row)
-                bed.end(row[1], row[2], api.Result.OK, step)
+                bed.end(row[1], row[2], AttemptResult.OK, step)
             if turn % 3 == 0:
                 bed.period(0.0)
             name, acts = bed.ask()
@@ -142,8 +144,8 @@
             assert sum(start <= time < start + window for time in times) <= FACTOR * able * window
 
 
-@pytest.mark.parametrize("result", [api.Result.FULL, api.Result.CONNECT_FAILED])
-def test_one_server_that_lets_nothing_in_neither_draws_all_nor_has_them_shed(result: api.Result):
+@pytest.mark.parametrize("result", [AttemptResult.OVERLOADED, AttemptResult.CONNECT_FAILED])
+def test_one_server_that_lets_nothing_in_neither_draws_all_nor_has_them_shed(result: AttemptResult):
     """Guard: one that drains, of which the list has not told, answers at once and has nothing in flight: it was
     every node's best, and by what it turned away all of them came to refuse."""
     bed = learned(10)
@@ -155,7 +157,7 @@
         while acts := sent(acts):
             gone = acts[0].server == "s3"
             tries += gone
-            given = result if gone else api.Result.OK
+            given = result if gone else AttemptResult.OK
             acts = bed.end(name, acts[0].server, given, 1.0 if gone else 100.0, attempt, done=not gone)
             attempt += 1
         if at % 3 == 2:
@@ -171,7 +173,13 @@
     for _ in range(30):
         name, acts = bed.ask("post")
         server = sent(acts)[0].server
-        bed.end(name, server, api.Result.FULL if server == "s3" else api.Result.OK, 1.0, done=server != "s3")
+        bed.end(
+            name,
+            server,
+            AttemptResult.OVERLOADED if server == "s3" else AttemptResult.OK,
+            1.0,
+            done=server != "s3",
+        )
     assert peer.turned == 1
     assert peer.errs == 0.0
 
@@ -185,21 +193,21 @@
     bed.now += 3000.0
     name, acts = bed.ask()
     assert sent(acts)[0].server == "s3"  # the only one with nothing in flight
-    bed.end(name, "s3", api.Result.OK)
+    bed.end(name, "s3", AttemptResult.OK)
     assert peer.turned == 0
 
 
 def test_a_node_of_many_takes_a_pool_into_use_that_is_all_cold():
     """Guard: paced by what is completed alone, a node that starts before cold servers never sent a call."""
-    bed = Bed(count=0, siblings=10)
-    bed.give(api.Membership(api.ListForm.FULL, servers(10, launched_ms=bed.now)))
+    bed = Bed(count=0, balancer_count=10)
+    bed.give(EndpointListUpdate(EndpointListForm.SNAPSHOT, servers(10, launched_ms=bed.now)))
     served = 0
     for at in range(200):
         bed.now += 50.0
         name, acts = bed.ask()
         for act in sent(acts):
             served += 1
-            bed.end(name, act.server, api.Result.OK, 10.0)
+            bed.end(name, act.server, AttemptResult.OK, 10.0)
         if at % 3 == 2:
             bed.period(0.0)
     assert served > 20
@@ -213,7 +221,7 @@
         for at in range(6):
             name, acts = bed.ask("post")
             for act in sent(acts):
-                result = api.Result.ERROR if at < 2 else api.Result.OK
+                result = AttemptResult.ERROR if at < 2 else AttemptResult.OK
                 bed.end(name, act.server, result, bed.balancer.period_ms / 6)
         bed.period(0.0)
         cursors.append(bed.balancer.cursor)
@@ -224,7 +232,7 @@
 def test_a_rate_taken_back_is_not_forgotten_with_the_first_period():
     """Guard: one period in which little was completed stood for the rate of an hour."""
     old = learned(10, calls=6)
-    new = Bed(count=10, siblings=10)
+    new = Bed(count=10, balancer_count=10)
     new.now = old.now
     new.balancer.recall(new.now, old.balancer.learned(old.now), 50.0)
     before = new.balancer.rate
@@ -239,13 +247,13 @@
     bed = learned(siblings, calls=6)
     base = bed.balancer.base
     assert base is not None
-    target = base + policy.SLACK * (1.0 - base)
+    target = base + balancer.SLACK * (1.0 - base)
     aim = bed.balancer.mean_aim
     for _ in range(60):
         for _ in range(6):
             name, acts = bed.ask("post")
             for act in sent(acts):
-                bed.end(name, act.server, api.Result.OK, 1.5 * target * aim)
+                bed.end(name, act.server, AttemptResult.OK, 1.5 * target * aim)
         bed.period()
-    assert bed.balancer.cursor > policy.FLAT
+    assert bed.balancer.cursor > balancer.FLAT
     assert (bed.balancer.cursor == len(bed.balancer.shape) - 1) is locked
--- a/tests/test_mechanism.py
+++ b/tests/test_mechanism.py
@@ -7,15 +7,26 @@
 import pytest
 from helpers import SAFE, Bed, kinds, sent
 
-from rosewheel.decide import interface as api
-from rosewheel.decide.policy import Balancer
+from rosewheel.policy.actions import Action, RejectRequest, StartTimer
+from rosewheel.policy.balancer import Balancer
+from rosewheel.policy.events import (
+    AttemptFinished,
+    AttemptResult,
+    EndpointListForm,
+    EndpointListUpdate,
+    RequestReceived,
+    Server,
+    ServerState,
+    TimerFired,
+)
+from rosewheel.policy.settings import ServiceClass, Settings, Tenant
 
 
 def load_period(bed: Bed, latency: float, count: int = 30) -> None:
     for _ in range(count):
         name, acts = bed.ask()
         if sent(acts):
-            bed.end(name, sent(acts)[0].server, api.Result.OK, latency)
+            bed.end(name, sent(acts)[0].server, AttemptResult.OK, latency)
     bed.period()
 
 
@@ -47,7 +58,7 @@
 
 def test_an_entry_between_two_counts_is_met_in_proportion():
     """Guard: with a call or two in flight, whole entries refused all or nothing."""
-    bed = Bed(siblings=100)
+    bed = Bed(balancer_count=100)
     bed.balancer.cursor = len(bed.balancer.shape) - 1
     entry = bed.balancer.threshold(1 / 12, 4)
     assert 0.1 < entry < 0.9
@@ -56,7 +67,7 @@
         name, acts = bed.ask("post")
         for act in sent(acts):
             admitted += 1
-            bed.end(name, act.server, api.Result.OK)
+            bed.end(name, act.server, AttemptResult.OK)
     assert abs(admitted / 1000 - entry) < 0.05
 
 
@@ -77,24 +88,26 @@
             if not sent(acts):
                 break
         outcome[service] = sum(peer.load for peer in bed.balancer.peers.values())
-        assert kinds(acts) == [api.Refuse]
+        assert kinds(acts) == [RejectRequest]
     assert outcome["post"] < outcome["read"]
 
 
 def test_marked_retries_and_over_quota_tenants_fall_to_lower_rows():
-    bed = Bed(tenants=(api.Tenant("t", 4.0),), over_share_worth=0.2)
-    fresh = api.Request("a", "read", 9e9)
+    bed = Bed(tenants=(Tenant("t", 4.0),), over_quota_weight=0.2)
+    fresh = RequestReceived("a", "read", 9e9)
     worth = bed.balancer._worth(bed.now, fresh, SAFE)
-    assert bed.balancer._worth(bed.now, api.Request("b", "read", 9e9, is_retry=True), SAFE) < worth
-    tenant = [bed.balancer._worth(bed.now, api.Request("c", "read", 9e9, tenant="t"), SAFE) for _ in range(4)]
+    assert bed.balancer._worth(bed.now, RequestReceived("b", "read", 9e9, is_retry=True), SAFE) < worth
+    tenant = [
+        bed.balancer._worth(bed.now, RequestReceived("c", "read", 9e9, tenant="t"), SAFE) for _ in range(4)
+    ]
     assert tenant[:2] == [worth, worth]  # 4 a second over 2 siblings
     assert tenant[2] == tenant[3] == pytest.approx(0.2 * worth)
-    assert bed.balancer._worth(bed.now + 1000, api.Request("d", "read", 9e9, tenant="t"), SAFE) == worth
+    assert bed.balancer._worth(bed.now + 1000, RequestReceived("d", "read", 9e9, tenant="t"), SAFE) == worth
 
 
 def test_over_quota_counts_at_the_front_only():
-    bed = Bed(tenants=(api.Tenant("t", 0.0),), over_share_worth=0.2, tier=1)
-    assert bed.balancer._worth(bed.now, api.Request("c", "read", 9e9, tenant="t"), SAFE) == 1.0
+    bed = Bed(tenants=(Tenant("t", 0.0),), over_quota_weight=0.2, tier=1)
+    assert bed.balancer._worth(bed.now, RequestReceived("c", "read", 9e9, tenant="t"), SAFE) == 1.0
 
 
 def test_threshold_grows_with_the_completion_rate():
@@ -118,22 +131,22 @@
 
 
 def judged(bed: Bed, server: str, latency: float):
-    from rosewheel.decide.policy import _Job, _Try
+    from rosewheel.policy.balancer import _Job, _Try
 
-    request = api.Request("x", "read", 9e9)
+    request = RequestReceived("x", "read", 9e9)
     attempt = _Try(bed.balancer.peers[server], bed.now - latency)
     job = _Job(request, SAFE, bed.balancer.cfg, bed.now, 1.0, [attempt])
-    return job, attempt, api.Outcome("x", 0, server, api.Result.OK, latency, True)
+    return job, attempt, AttemptFinished("x", 0, server, AttemptResult.OK, latency, True)
 
 
 def test_a_crossing_costs_rank_where_it_has_a_price():
-    free, priced = Bed(count=2), Bed(count=2, cross_zone_price=0.1)
+    free, priced = Bed(count=2), Bed(count=2, cross_zone_cost=0.1)
     assert {free.serve() for _ in range(12)} == {"s0", "s1"}
     assert {priced.serve() for _ in range(12)} == {"s0"}
 
 
 def test_a_crowded_zone_spills_over():
-    bed = Bed(count=2, cross_zone_price=0.03)
+    bed = Bed(count=2, cross_zone_cost=0.03)
     took = []
     for _ in range(6):
         _, acts = bed.ask()
@@ -146,7 +159,7 @@
     bed = Bed(count=2)
     name, acts = bed.ask()
     server = sent(acts)[0].server
-    bed.end(name, server, api.Result.OK, 100.0, report={"queue": 8.0})
+    bed.end(name, server, AttemptResult.OK, 100.0, report={"queue": 8.0})
     other = ({"s0", "s1"} - {server}).pop()
     assert [bed.serve() for _ in range(5)] == [other] * 5
     bed.now += 5000
@@ -164,7 +177,7 @@
 def test_answers_refused_as_full_move_the_cursor():
     bed = Bed()
     name, acts = bed.ask()
-    bed.end(name, sent(acts)[0].server, api.Result.FULL, 1.0)
+    bed.end(name, sent(acts)[0].server, AttemptResult.OVERLOADED, 1.0)
     bed.period()
     assert bed.balancer.cursor == 1
 
@@ -198,7 +211,7 @@
 
 
 def test_work_counts_where_worth_goes_by_work():
-    bed = Bed(worth_by_work=True)
+    bed = Bed(weight_by_work=True)
     bed.ask(cost_hint_ms=10.0)
     bed.ask(cost_hint_ms=100.0)
     loads = sorted(peer.load for peer in bed.balancer.peers.values())
@@ -207,7 +220,7 @@
 
 def test_no_server_no_send():
     bed = Bed(count=0)
-    assert kinds(bed.ask("post")[1]) == [api.Refuse]
+    assert kinds(bed.ask("post")[1]) == [RejectRequest]
 
 
 def test_refusals_carry_a_wait_at_the_front_only():
@@ -215,30 +228,30 @@
         bed = Bed(count=0, tier=tier, retry_after=True, max_retry_after_ms=1000.0)
         bed.balancer.cursor = 3
         refusal = bed.ask()[1][-1]
-        assert isinstance(refusal, api.Refuse)
+        assert isinstance(refusal, RejectRequest)
         assert (refusal.retry_after_ms > 0) is expected
 
 
 def test_settings_name_the_bad_key():
-    with pytest.raises(ValueError, match="siblings"):
-        api.Settings(classes=(SAFE,), siblings=0)
+    with pytest.raises(ValueError, match="balancer_count"):
+        Settings(classes=(SAFE,), balancer_count=0)
     with pytest.raises(ValueError, match="classes"):
-        api.Settings(classes=())
-    with pytest.raises(ValueError, match=r"classes\[0\].aim_ms"):
-        api.Settings(classes=(api.ServiceClass("x", aim_ms=-1, give_up_ms=1),))
-    with pytest.raises(ValueError, match="cold_ms"):
-        api.Settings(classes=(SAFE,), cold_ms=float("nan"))
+        Settings(classes=())
+    with pytest.raises(ValueError, match=r"classes\[0\].latency_objective_ms"):
+        Settings(classes=(ServiceClass("x", latency_objective_ms=-1, deadline_ms=1),))
+    with pytest.raises(ValueError, match="warm_up_ms"):
+        Settings(classes=(SAFE,), warm_up_ms=float("nan"))
 
 
 def test_same_events_same_actions():
-    def run() -> list[list[api.Action]]:
+    def run() -> list[list[Action]]:
         bed = Bed(count=6)
         acts = []
         for at in range(60):
             name, one = bed.ask(("read", "post", "points")[at % 3])
             acts.append(one)
             if sent(one):
-                acts.append(bed.end(name, sent(one)[0].server, list(api.Result)[at % 8], 50.0 + at))
+                acts.append(bed.end(name, sent(one)[0].server, list(AttemptResult)[at % 8], 50.0 + at))
             acts.append(bed.period(20.0))
         return acts
 
@@ -267,9 +280,9 @@
 def test_a_bad_request_is_named_and_changes_nothing(service, name, field):
     bed, twin = Bed(), Bed()
     for one in (bed, twin):
-        one.give(api.Request("held", "read", one.now + 1000.0))
+        one.give(RequestReceived("held", "read", one.now + 1000.0))
     with pytest.raises(ValueError, match=field):
-        bed.give(api.Request(name, service, bed.now + 1000.0))
+        bed.give(RequestReceived(name, service, bed.now + 1000.0))
     assert list(bed.balancer.jobs) == ["held"]
     assert bed.ask("read") == twin.ask("read")
 
@@ -277,8 +290,8 @@
 def test_a_first_event_that_is_refused_does_not_lose_the_first_timer():
     fresh = Balancer(Bed().balancer.cfg, 1, 0.0)
     with pytest.raises(ValueError, match="service"):
-        fresh.handle(0.0, api.Request("x", "unheard of", 1000.0))
-    assert api.Wake in kinds(fresh.handle(0.0, api.Alarm("other")))
+        fresh.handle(0.0, RequestReceived("x", "unheard of", 1000.0))
+    assert StartTimer in kinds(fresh.handle(0.0, TimerFired("other")))
 
 
 @pytest.mark.parametrize("value", [float("nan"), float("inf"), -5.0, 1e300])
@@ -295,11 +308,11 @@
 
 def test_recovery_as_soon_as_a_server_is_listed():
     bed = Bed(count=0)
-    assert kinds(bed.ask("post")[1]) == [api.Refuse]
-    bed.give(api.Membership(api.ListForm.DELTA, (api.Server("s0", "a"),)))
+    assert kinds(bed.ask("post")[1]) == [RejectRequest]
+    bed.give(EndpointListUpdate(EndpointListForm.DELTA, (Server("s0", "a"),)))
     assert sent(bed.ask("post")[1])
-    bed.give(api.Membership(api.ListForm.DELTA, (api.Server("s0", "a", state=api.ServerState.DRAINING),)))
-    assert kinds(bed.ask("post")[1]) == [api.Refuse]
+    bed.give(EndpointListUpdate(EndpointListForm.DELTA, (Server("s0", "a", state=ServerState.DRAINING),)))
+    assert kinds(bed.ask("post")[1]) == [RejectRequest]
 
 
 def test_the_quiet_baseline_is_not_what_the_first_period_happens_to_bring():
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -6,38 +6,47 @@
 
 from helpers import servers, settings
 
-from rosewheel.decide import interface as api
-from rosewheel.node.bounds import Bounds
 from rosewheel.node.core import Abort, Answer, Dispatch, Effect, Node
+from rosewheel.node.limits import Bounds
+from rosewheel.policy.actions import Action, ForwardRequest
+from rosewheel.policy.events import (
+    AttemptFinished,
+    AttemptResult,
+    EndpointListForm,
+    Event,
+    RequestReceived,
+    Server,
+    ServerState,
+)
 
-Script = Callable[[float, api.Event], list[api.Action]]
+Script = Callable[[float, Event], list[Action]]
 
 
 def made(script: Script | None = None, bounds: Bounds | None = None, count: int = 4) -> Node:
     """A node with a list; where a script is given, it stands in for the module's decisions."""
     node = Node(settings(), bounds or Bounds(), seed=7, now=0.0)
-    node.members(0.0, api.ListForm.CACHED, servers(count))
+    node.members(0.0, EndpointListForm.CACHED, servers(count))
     if script is not None:
         node.balancer.handle = script  # type: ignore[method-assign]
     return node
 
 
-def request(id: str = "r", service: str = "post", give_up: float = 1000.0) -> api.Request:
-    return api.Request(id, service, give_up)
+def request(id: str = "r", service: str = "post", give_up: float = 1000.0) -> RequestReceived:
+    return RequestReceived(id, service, give_up)
 
 
 def of(effects: list[Effect], kind: type) -> list[Effect]:
     return [effect for effect in effects if isinstance(effect, kind)]
 
 
-def sends(count: int, heard: list[api.Event]) -> Script:
+def sends(count: int, heard: list[Event]) -> Script:
     """Sends each request to the first servers, so many times at once, and notes what it is told."""
 
-    def script(_now: float, event: api.Event) -> list[api.Action]:
+    def script(_now: float, event: Event) -> list[Action]:
         heard.append(event)
-        if not isinstance(event, api.Request):
+        if not isinstance(event, RequestReceived):
             return []
-        return [api.Send(event.id, f"s{at % 4}") for at in range(count)]
+        return [ForwardRequest(event.id, f"s{at % 4}") for at in range(count)]
 
     return script
 
@@ -62,13 +71,13 @@
 
 def test_attempts_past_the_limit_are_moot():
     """Guards the limit on attempts: what is past it is told as never sent, and never sent."""
-    heard: list[api.Event] = []
+    heard: list[Event] = []
     node = made(sends(5, heard))
     assert [effect.attempt for effect in of(node.request(0.0, request()), Dispatch)] == [0, 1, 2]
-    moot = [event for event in heard if isinstance(event, api.Outcome)]
-    assert [(event.attempt, event.result, event.done) for event in moot] == [
-        (3, api.Result.MOOT, False),
-        (4, api.Result.MOOT, False),
+    moot = [event for event in heard if isinstance(event, AttemptFinished)]
+    assert [(event.attempt, event.result, event.request_ended) for event in moot] == [
+        (3, AttemptResult.NOT_SENT, False),
+        (4, AttemptResult.NOT_SENT, False),
     ]
 
 
@@ -80,32 +89,32 @@
 
 def test_a_send_to_a_server_that_is_leaving_is_moot():
     """Guards the drain, whatever the module says."""
-    heard: list[api.Event] = []
+    heard: list[Event] = []
     node = made(sends(1, heard))
-    node.members(0.0, api.ListForm.DELTA, (api.Server("s0", state=api.ServerState.DRAINING),))
+    node.members(0.0, EndpointListForm.DELTA, (Server("s0", state=ServerState.DRAINING),))
     assert of(node.request(1.0, request()), Dispatch) == []
-    assert [event.result for event in heard if isinstance(event, api.Outcome)] == [api.Result.MOOT]
+    assert [event.result for event in heard if isinstance(event, AttemptFinished)] == [AttemptResult.NOT_SENT]
 
 
 def test_requests_past_the_limit_never_reach_the_module():
     """Guards the limit on open requests; the refusal is true, since nothing was sent."""
-    heard: list[api.Event] = []
+    heard: list[Event] = []
     node = made(sends(1, heard), Bounds(max_open=1))
     node.request(0.0, request("a"))
     assert node.request(0.0, request("b")) == [Answer("b", 503)]
-    assert [event.id for event in heard if isinstance(event, api.Request)] == ["a"]
+    assert [event.id for event in heard if isinstance(event, RequestReceived)] == ["a"]
 
 
 def test_the_first_answer_ends_a_request_and_later_ones_are_told_as_done():
     """Guards against a second answer; the module hears of every attempt all the same."""
-    heard: list[api.Event] = []
+    heard: list[Event] = []
     node = made(sends(2, heard))
     node.request(0.0, request())
-    assert node.ended(5.0, "r", 1, api.Result.OK, None, b"body") == [Answer("r", 200, b"body")]
-    assert node.ended(6.0, "r", 1, api.Result.RESET) == []  # that attempt has its outcome
-    assert node.ended(7.0, "r", 0, api.Result.OK, None, b"other") == []
-    outcomes = [event for event in heard if isinstance(event, api.Outcome)]
-    assert [(event.attempt, event.latency_ms, event.done) for event in outcomes] == [
+    assert node.ended(5.0, "r", 1, AttemptResult.OK, None, b"body") == [Answer("r", 200, b"body")]
+    assert node.ended(6.0, "r", 1, AttemptResult.RESET) == []  # that attempt has its outcome
+    assert node.ended(7.0, "r", 0, AttemptResult.OK, None, b"other") == []
+    outcomes = [event for event in heard if isinstance(event, AttemptFinished)]
+    assert [(event.attempt, event.latency_ms, event.request_ended) for event in outcomes] == [
         (1, 5.0, True),
         (0, 7.0, True),
     ]
@@ -126,7 +135,7 @@
     node = made()
     handle, calls = node.balancer.handle, 0
 
-    def faulty(now: float, event: api.Event) -> list[api.Action]:
+    def faulty(now: float, event: Event) -> list[Action]:
         nonlocal calls
         calls += 1
         if calls == 1:
@@ -147,7 +156,7 @@
     node = made(sends(1, []))
     for at in range(5000):
         node.request(0.0, request(f"r{at}", give_up=3_600_000.0))
-        node.ended(1.0, f"r{at}", 0, api.Result.OK)
+        node.ended(1.0, f"r{at}", 0, AttemptResult.OK)
     node.request(2.0, request("open"))
     assert len(node._timers) < 600
     assert node.tick(1000.0) == [Abort("open", 0)]  # those that are needed are still there
--- a/tests/test_offers.py
+++ b/tests/test_offers.py
@@ -10,8 +10,8 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, precondition, rule
 
-from rosewheel.handover.offers import Offers
-from rosewheel.handover.wire import PACKET_BYTES, Reader, WireError, packets
+from rosewheel.hot_restart.offers import Offers
+from rosewheel.hot_restart.wire import PACKET_BYTES, Reader, WireError, packets
 from rosewheel.http.framing import Chunks, FramingError
 
 
--- a/tests/test_orders.py
+++ b/tests/test_orders.py
@@ -11,13 +11,23 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from rosewheel.decide import interface as api
-from rosewheel.node.bounds import Bounds
 from rosewheel.node.core import Abort, Answer, Dispatch, Effect, Node
+from rosewheel.node.limits import Bounds
+from rosewheel.policy.actions import Action, CancelAttempt, FailRequest, ForwardRequest, RejectRequest
+from rosewheel.policy.events import (
+    AttemptFinished,
+    AttemptResult,
+    EndpointListForm,
+    Event,
+    RequestReceived,
+    Server,
+    ServerState,
+)
+from rosewheel.policy.settings import DedupScope, Idempotency, ServiceClass
 
-KINDS = {kind.name: kind for kind in (SAFE, UNSAFE, dataclasses.replace(KEYED, scope=api.Scope.CELL))}
-RESULTS = [result for result in api.Result if result is not api.Result.MOOT]
-STATES = list(api.ServerState)
+KINDS = {kind.name: kind for kind in (SAFE, UNSAFE, dataclasses.replace(KEYED, dedup_scope=DedupScope.CELL))}
+RESULTS = [result for result in AttemptResult if result is not AttemptResult.NOT_SENT]
+STATES = list(ServerState)
 
 STEP = st.one_of(
     st.tuples(st.just("ask"), st.sampled_from(sorted(KINDS)), st.booleans()),
@@ -37,21 +47,23 @@
     def __init__(self, cancel: bool, copies: bool, attempts: int = 3) -> None:
         self.now = 0.0
         self.log: list[Effect] = []
-        cfg = settings(classes=tuple(KINDS.values()), may_cancel=cancel, cold_ms=0.0, max_attempts=attempts)
+        cfg = settings(
+            classes=tuple(KINDS.values()), may_cancel=cancel, warm_up_ms=0.0, max_attempts=attempts
+        )
         self.node = Node(cfg, Bounds(second_copies=copies), seed=3, now=0.0)
-        self.servers = {f"s{at}": api.Server(f"s{at}", zone="a", cell=at // 2) for at in range(4)}
+        self.servers = {f"s{at}": Server(f"s{at}", zone="a", cell=at // 2) for at in range(4)}
         self.kinds: dict[str, str] = {}
         self.rules: dict[
-            str, tuple[api.ServiceClass, int, bool]
+            str, tuple[ServiceClass, int, bool]
         ] = {}  # class, attempts, copies when it was taken
         self.answers: dict[str, list[int]] = {}
         self.left: set[str] = set()
         self.out: dict[tuple[str, int], str] = {}  # attempts whose sockets have said nothing yet
         self.ended: list[tuple[str, int]] = []
         self.sent: dict[str, list[tuple[int, str, float]]] = {}
-        self.results: dict[tuple[str, int], api.Result] = {}
+        self.results: dict[tuple[str, int], AttemptResult] = {}
         self.halves: list[str] = []
-        self.do(self.node.members(0.0, api.ListForm.FULL, tuple(self.servers.values())))
+        self.do(self.node.members(0.0, EndpointListForm.SNAPSHOT, tuple(self.servers.values())))
 
     def do(self, effects: list[Effect]) -> None:
         self.log += effects
@@ -61,7 +73,7 @@
                     self.dispatched(effect)
                 case Abort():
                     assert self.out.pop((effect.id, effect.attempt), None), "nothing to give up"
-                    self.results[effect.id, effect.attempt] = api.Result.TIMEOUT  # it may have run
+                    self.results[effect.id, effect.attempt] = AttemptResult.TIMEOUT  # it may have run
                     self.ended.append((effect.id, effect.attempt))
                 case Answer():
                     self.answers[effect.id].append(effect.status)
@@ -73,18 +85,20 @@
         assert not self.answers[id], "sent on after its answer"
         assert id not in self.left, "sent on after its caller has left"
         server = self.servers[effect.server]
-        assert server.state is api.ServerState.UP, "sent to one that leaves"
+        assert server.state is ServerState.UP, "sent to one that leaves"
         assert server.address not in self.node.cordoned, "sent to one that is out by hand"
         earlier = self.sent.setdefault(id, [])
         still_out = any((id, attempt) in self.out for attempt, _, _ in earlier)
         assert copies or not still_out, "a second copy"
-        ran = [row for row in earlier if (id, row[0]) in self.out or not self.results[id, row[0]].never_ran]
-        if ran and kind.effect is api.Effect.UNSAFE:
+        ran = [
+            row for row in earlier if (id, row[0]) in self.out or not self.results[id, row[0]].not_executed
+        ]
+        if ran and kind.idempotency is Idempotency.NON_IDEMPOTENT:
             raise AssertionError("unsafe work again, though it may have run")
-        if ran and kind.effect is api.Effect.KEYED:
-            if kind.scope is api.Scope.CELL:
+        if ran and kind.idempotency is Idempotency.IDEMPOTENT_WITH_KEY:
+            if kind.dedup_scope is DedupScope.CELL:
                 assert {self.servers[row[1]].cell for row in ran} == {server.cell}, "outside its group"
-            assert self.now - ran[0][2] < kind.memory_ms, "behind its window"
+            assert self.now - ran[0][2] < kind.dedup_window_ms, "behind its window"
         earlier.append((effect.attempt, effect.server, self.now))
         assert len(earlier) <= most
         self.out[id, effect.attempt] = effect.server
@@ -98,7 +112,7 @@
                 self.rules[id] = self.taken(service)
                 if not whole:
                     self.halves.append(id)
-                self.do(node.request(now, api.Request(id, service, now + 2500.0, whole=whole)))
+                self.do(node.request(now, RequestReceived(id, service, now + 2500.0, complete=whole)))
             case ("arrive", at) if self.halves:
                 id = self.halves.pop(at % len(self.halves))
                 # An attempt counts once its last byte has come.
@@ -109,8 +123,8 @@
             case ("end", at, result) if self.out:
                 key = sorted(self.out)[at % len(self.out)]
                 half = key[0] in self.halves
-                if half and not result.never_ran:
-                    result = api.Result.CONNECT_FAILED  # no server begins half a request
+                if half and not result.not_executed:
+                    result = AttemptResult.CONNECT_FAILED  # no server begins half a request
                 del self.out[key]
                 self.results[key] = result
                 self.ended.append(key)
@@ -129,14 +143,14 @@
                 host = f"s{at}"
                 born = now if restarted else self.servers[host].launched_ms
                 self.servers[host] = dataclasses.replace(self.servers[host], state=state, launched_ms=born)
-                self.do(node.members(now, api.ListForm.DELTA, (self.servers[host],)))
+                self.do(node.members(now, EndpointListForm.DELTA, (self.servers[host],)))
             case ("cordon", at, out):
                 self.do(node.cordon(now, f"s{at}", out))
             case ("pass", by):
                 self.now += by
                 self.do(node.tick(self.now))
 
-    def taken(self, service: str) -> tuple[api.ServiceClass, int, bool]:
+    def taken(self, service: str) -> tuple[ServiceClass, int, bool]:
         return KINDS[service], self.node.settings.max_attempts, self.node.bounds.second_copies
 
     def leave(self, id: str) -> None:
@@ -145,8 +159,8 @@
         for attempt in self.node.out(id):
             if id in self.halves:
                 self.out.pop((id, attempt), None)
-                self.results[id, attempt] = api.Result.CONNECT_FAILED
-                self.do(self.node.ended(self.now, id, attempt, api.Result.CONNECT_FAILED))
+                self.results[id, attempt] = AttemptResult.CONNECT_FAILED
+                self.do(self.node.ended(self.now, id, attempt, AttemptResult.CONNECT_FAILED))
 
     def finish(self) -> None:
         """Whatever is still half read ends with its caller, and all deadlines pass."""
@@ -160,8 +174,8 @@
         for key in list(self.out):  # those that the settings do not let the module take back
             if key in self.out:
                 del self.out[key]
-                self.results[key] = api.Result.RESET
-                self.do(self.node.ended(self.now, *key, api.Result.RESET))
+                self.results[key] = AttemptResult.RESET
+                self.do(self.node.ended(self.now, *key, AttemptResult.RESET))
 
 
 @given(st.lists(STEP, max_size=60), st.booleans(), st.booleans())
@@ -187,15 +201,26 @@
     """Guards callers against a fault in the decisions: one answer, nothing sent on after it, no second copy where
     there may be none, no more attempts than are allowed, and nothing to one that leaves."""
     world, rng = World(cancel=True, copies=copies, attempts=2), Random(seed)
-    kinds = {name: dataclasses.replace(kind, effect=api.Effect.SAFE) for name, kind in KINDS.items()}
+    kinds = {
+        name: dataclasses.replace(kind, idempotency=Idempotency.IDEMPOTENT) for name, kind in KINDS.items()
+    }
 
-    def whim(_now: float, event: api.Event) -> list[api.Action]:
-        actions: list[api.Action] = []
-        for _ in range(rng.randrange(4) if not isinstance(event, api.Outcome) else rng.randrange(2)):
+    def whim(_now: float, event: Event) -> list[Action]:
+        actions: list[Action] = []
+        for _ in range(rng.randrange(4) if not isinstance(event, AttemptFinished) else rng.randrange(2)):
             id = f"r{rng.randrange(len(world.kinds) + 1)}"
-            send = api.Send(id, f"s{rng.randrange(4)}", 0.0)
+            send = ForwardRequest(id, f"s{rng.randrange(4)}", 0.0)
             actions.append(
-                rng.choice([send, send, send, api.Refuse(id), api.Fail(id), api.Cancel(id, rng.randrange(2))])
+                rng.choice(
+                    [
+                        send,
+                        send,
+                        send,
+                        RejectRequest(id),
+                        FailRequest(id),
+                        CancelAttempt(id, rng.randrange(2)),
+                    ]
+                )
             )
         return actions
 
--- a/tests/test_pool.py
+++ b/tests/test_pool.py
@@ -10,18 +10,30 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
 
-from rosewheel.decide import interface as api
-from rosewheel.decide import policy
-from rosewheel.decide.policy import Balancer
-from rosewheel.decide.pool import COLD, LOOKS, SAMPLE, WHOLE, Pool
+from rosewheel.policy import balancer
+from rosewheel.policy.actions import ForwardRequest, RejectRequest, StartTimer
+from rosewheel.policy.balancer import Balancer
+from rosewheel.policy.events import (
+    AttemptFinished,
+    AttemptResult,
+    CordonChanged,
+    EndpointListForm,
+    EndpointListUpdate,
+    RequestReceived,
+    Server,
+    ServerState,
+    TimerFired,
+)
+from rosewheel.policy.pool import COLD, LOOKS, SAMPLE, WHOLE, Pool
+from rosewheel.policy.settings import DedupScope, Idempotency, ServiceClass
 
 MANY = 1000
 NAMES = st.sampled_from([f"s{at}" for at in range(WHOLE + 12)])
 
 
-def _server(name: str, launched: float | None, state: api.ServerState) -> api.Server:
+def _server(name: str, launched: float | None, state: ServerState) -> Server:
     at = int(name[1:])
-    return api.Server(name, zone="ab"[at % 2], cell=at % 3, state=state, launched_ms=launched)
+    return Server(name, zone="ab"[at % 2], cell=at % 3, state=state, launched_ms=launched)
 
 
 class PoolMachine(RuleBasedStateMachine):
@@ -31,52 +43,52 @@
     def __init__(self) -> None:
         super().__init__()
         self.now = 50_000.0
-        given = settings(classes=(KEYED,), cold_from=0.2, cold_ms=4000.0)
+        given = settings(classes=(KEYED,), warm_up_initial_share=0.2, warm_up_ms=4000.0)
         self.balancer = Balancer(given, seed=3, now_ms=self.now)
-        self.open: list[api.Send] = []
+        self.open: list[ForwardRequest] = []
         self.number = 0
-        everything = [_server(f"s{at}", None, api.ServerState.UP) for at in range(WHOLE + 6)]
-        self._list(api.ListForm.FULL, everything)
+        everything = [_server(f"s{at}", None, ServerState.UP) for at in range(WHOLE + 6)]
+        self._list(EndpointListForm.SNAPSHOT, everything)
 
-    def _list(self, form: api.ListForm, rows: list[api.Server]) -> None:
-        self.balancer.handle(self.now, api.Membership(form, tuple(rows)))
+    def _list(self, form: EndpointListForm, rows: list[Server]) -> None:
+        self.balancer.handle(self.now, EndpointListUpdate(form, tuple(rows)))
 
-    @rule(name=NAMES, state=st.sampled_from(list(api.ServerState)), ago=st.sampled_from([None, 0.0, 9000.0]))
-    def change(self, name: str, state: api.ServerState, ago: float | None) -> None:
-        self._list(api.ListForm.DELTA, [_server(name, None if ago is None else self.now - ago, state)])
+    @rule(name=NAMES, state=st.sampled_from(list(ServerState)), ago=st.sampled_from([None, 0.0, 9000.0]))
+    def change(self, name: str, state: ServerState, ago: float | None) -> None:
+        self._list(EndpointListForm.DELTA, [_server(name, None if ago is None else self.now - ago, state)])
 
     @rule(names=st.sets(NAMES, max_size=WHOLE + 12))
     def whole(self, names: set[str]) -> None:
-        self._list(api.ListForm.FULL, [_server(name, None, api.ServerState.UP) for name in sorted(names)])
+        self._list(EndpointListForm.SNAPSHOT, [_server(name, None, ServerState.UP) for name in sorted(names)])
 
     @rule(name=NAMES, out=st.booleans())
     def cordon(self, name: str, out: bool) -> None:
-        self.balancer.handle(self.now, api.Cordon(name, out))
+        self.balancer.handle(self.now, CordonChanged(name, out))
 
     @rule(count=st.integers(1, 12))
     def ask(self, count: int) -> None:
         may = {peer.info.address for peer in self.balancer.peers.values() if self._may(peer)}
         for _ in range(count):
             self.number += 1
-            request = api.Request(f"r{self.number}", "points", self.now + 5000.0)
+            request = RequestReceived(f"r{self.number}", "points", self.now + 5000.0)
             sends = sent(self.balancer.handle(self.now, request))
             assert all(one.server in may for one in sends), "sent to one that is out"
             self.open += sends
 
     @rule(
         at=st.integers(0, 50),
-        result=st.sampled_from([api.Result.OK, api.Result.FULL, api.Result.CONNECT_FAILED]),
+        result=st.sampled_from([AttemptResult.OK, AttemptResult.OVERLOADED, AttemptResult.CONNECT_FAILED]),
     )
-    def end(self, at: int, result: api.Result) -> None:
+    def end(self, at: int, result: AttemptResult) -> None:
         if not self.open:
             return
         one = self.open.pop(at % len(self.open))
         job = self.balancer.jobs[one.id]
         attempt = len(job.tries) - 1
         first = job.tries[0].peer
-        done = result is api.Result.OK
+        done = result is AttemptResult.OK
         again = sent(
-            self.balancer.handle(self.now, api.Outcome(one.id, attempt, one.server, result, 90.0, done))
+            self.balancer.handle(self.now, AttemptFinished(one.id, attempt, one.server, result, 90.0, done))
         )
         assert not {item.server for item in again} & {
             item.peer.info.address for item in job.tries[: attempt + 1]
@@ -87,10 +99,10 @@
     @rule(passed=st.floats(1.0, 3000.0))
     def time(self, passed: float) -> None:
         self.now += passed
-        self.balancer.handle(self.now, api.Alarm("period"))
+        self.balancer.handle(self.now, TimerFired("period"))
 
     def _may(self, peer: Any) -> bool:
-        return peer.info.state is api.ServerState.UP and peer.info.address not in self.balancer.pool.cordoned
+        return peer.info.state is ServerState.UP and peer.info.address not in self.balancer.pool.cordoned
 
     @invariant()
     def kept_as_it_is(self) -> None:
@@ -121,7 +133,7 @@
     machine.ask(1)
     machine.whole(set())
     machine.whole({"s0"})
-    machine.end(0, api.Result.FULL)
+    machine.end(0, AttemptResult.OVERLOADED)
 
 
 def _counted(monkeypatch: pytest.MonkeyPatch) -> list[int]:
@@ -132,21 +144,21 @@
         looks[0] += 1
         return rank(self, now, peer)
 
-    monkeypatch.setattr(policy.Balancer, "_rank", counting)
+    monkeypatch.setattr(balancer.Balancer, "_rank", counting)
     return looks
 
 
-def _few(why: str, now: float) -> list[api.Server]:
+def _few(why: str, now: float) -> list[Server]:
     """A thousand servers of which three may be picked: s0, s1, s2."""
     rows = []
     for at in range(MANY):
         few = at < 3
         down = why == "down" and not few
         rows.append(
-            api.Server(
+            Server(
                 f"s{at}",
                 zone="a" if few or why != "far" else "b",
-                state=api.ServerState.DRAINING if down else api.ServerState.UP,
+                state=ServerState.DRAINING if down else ServerState.UP,
                 launched_ms=now if why == "cold" and not few else None,
             )
         )
@@ -155,14 +167,14 @@
 
 @pytest.mark.parametrize("why", ["down", "cold", "cordoned"])
 def test_three_of_a_thousand_are_found_at_a_bounded_cost(why: str, monkeypatch: pytest.MonkeyPatch):
-    bed = Bed(0, cold_from=0.001, cold_ms=1e9)
-    bed.give(api.Membership(api.ListForm.FULL, tuple(_few(why, bed.now))))
+    bed = Bed(0, warm_up_initial_share=0.001, warm_up_ms=1e9)
+    bed.give(EndpointListUpdate(EndpointListForm.SNAPSHOT, tuple(_few(why, bed.now))))
     if why == "cold":
         for peer in bed.balancer.peers.values():
             peer.credit = min(peer.credit, 0.5)
     if why == "cordoned":
         for at in range(3, MANY):
-            bed.give(api.Cordon(f"s{at}", True))
+            bed.give(CordonChanged(f"s{at}", True))
     looks = _counted(monkeypatch)
     for at in range(200):
         looks[0] = 0
@@ -171,51 +183,56 @@
 
 
 def test_where_none_of_a_thousand_may_be_picked_the_answer_comes_at_once(monkeypatch: pytest.MonkeyPatch):
-    bed = Bed(0, cold_from=0.001, cold_ms=1e9)
-    bed.give(api.Membership(api.ListForm.FULL, tuple(_few("cold", bed.now)[3:])))
+    bed = Bed(0, warm_up_initial_share=0.001, warm_up_ms=1e9)
+    bed.give(EndpointListUpdate(EndpointListForm.SNAPSHOT, tuple(_few("cold", bed.now)[3:])))
     for peer in bed.balancer.peers.values():
         peer.credit = 0.0
     looks = _counted(monkeypatch)
     _, acts = bed.ask()
-    assert [type(act) for act in acts if not isinstance(act, api.Wake)] == [api.Refuse]
+    assert [type(act) for act in acts if not isinstance(act, StartTimer)] == [RejectRequest]
     assert looks[0] <= SAMPLE + COLD
 
 
 def test_a_keyed_repeat_finds_its_small_group_among_a_thousand(monkeypatch: pytest.MonkeyPatch):
     """Guards the key: only the three servers of its cell drop the repeat."""
-    kind = api.ServiceClass(
-        "points", aim_ms=2000, give_up_ms=5000, effect=api.Effect.KEYED, scope=api.Scope.CELL, memory_ms=9000
+    kind = ServiceClass(
+        "points",
+        latency_objective_ms=2000,
+        deadline_ms=5000,
+        idempotency=Idempotency.IDEMPOTENT_WITH_KEY,
+        dedup_scope=DedupScope.CELL,
+        dedup_window_ms=9000,
     )
     bed = Bed(0, classes=(kind,))
-    rows = [api.Server(f"s{at}", zone="a", cell=at // 3) for at in range(MANY)]
-    bed.give(api.Membership(api.ListForm.FULL, tuple(rows)))
+    rows = [Server(f"s{at}", zone="a", cell=at // 3) for at in range(MANY)]
+    bed.give(EndpointListUpdate(EndpointListForm.SNAPSHOT, tuple(rows)))
     looks = _counted(monkeypatch)
     for _ in range(50):
         name, acts = bed.ask("points")
         first = sent(acts)[0].server
         looks[0] = 0
-        again = sent(bed.end(name, first, api.Result.RESET))
+        again = sent(bed.end(name, first, AttemptResult.RESET))
         assert [int(one.server[1:]) // 3 for one in again] == [int(first[1:]) // 3]
         assert again[0].server != first
         assert looks[0] <= LOOKS
-        bed.end(name, again[0].server, api.Result.OK, attempt=1)
+        bed.end(name, again[0].server, AttemptResult.OK, attempt=1)
 
 
 def test_cold_servers_of_a_large_pool_get_their_share_and_no_more():
     """Each may be sent what its warmth allows of what one server is asked, and gets some of it soon."""
-    bed = Bed(0, cold_from=0.2, cold_ms=20_000.0)
-    rows = [api.Server(f"s{at}", zone="a", launched_ms=bed.now if at < 100 else None) for at in range(500)]
-    bed.give(api.Membership(api.ListForm.FULL, tuple(rows)))
+    bed = Bed(0, warm_up_initial_share=0.2, warm_up_ms=20_000.0)
+    rows = [Server(f"s{at}", zone="a", launched_ms=bed.now if at < 100 else None) for at in range(500)]
+    bed.give(EndpointListUpdate(EndpointListForm.SNAPSHOT, tuple(rows)))
     counts = dict.fromkeys((row.address for row in rows), 0)
     due = bed.now + bed.balancer.period_ms
     for _ in range(8000):  # two a millisecond, for 4 s
         name, acts = bed.ask()
         for one in sent(acts):
             counts[one.server] += 1
-            bed.end(name, one.server, api.Result.OK, 50.0)
+            bed.end(name, one.server, AttemptResult.OK, 50.0)
         bed.now += 0.5
         if bed.now >= due:
-            bed.give(api.Alarm("period"))
+            bed.give(TimerFired("period"))
             due = bed.now + bed.balancer.period_ms
     cold = [counts[f"s{at}"] for at in range(100)]
     warm = [counts[f"s{at}"] for at in range(100, 500)]
--- a/tests/test_rest.py
+++ b/tests/test_rest.py
@@ -5,7 +5,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from rosewheel.node.rest import CROWDED_LEAST_S, FORGET_S, STALE_LEAST_S, Rest
+from rosewheel.node.idle_timeout import CROWDED_LEAST_S, FORGET_S, STALE_LEAST_S, Rest
 
 SAID = st.lists(st.tuples(st.sampled_from(["stale", "refused", "forget"]), st.floats(0.0, 30.0)), max_size=60)
 
--- a/tests/test_reuse.py
+++ b/tests/test_reuse.py
@@ -7,10 +7,10 @@
 import pytest
 from sockets import Client, FakeServer, Message, answer, entry, node, run, status, until
 
-from rosewheel.decide.interface import ListForm, Server, ServerState
-from rosewheel.http import equipos
-from rosewheel.node.bounds import Bounds
-from rosewheel.node.rest import Rest
+from rosewheel.http import upstream
+from rosewheel.node.idle_timeout import Rest
+from rosewheel.node.limits import Bounds
+from rosewheel.policy.events import EndpointListForm, Server, ServerState
 
 
 def test_a_second_answer_that_comes_late_is_nobodys(monkeypatch: pytest.MonkeyPatch):
@@ -32,12 +32,12 @@
                     got = await client.ask("post", id=f"r{at}")
                     assert got.body == b"r%d" % at
 
-    monkeypatch.setattr(equipos, "SETTLE_S", 3600.0)  # the order is caused, whatever the machine's pace
+    monkeypatch.setattr(upstream, "SETTLE_S", 3600.0)  # the order is caused, whatever the machine's pace
     run(main())
 
 
 def test_a_connection_rests_for_longer_than_second_answers_are_late():
-    assert equipos.SETTLE_S >= 5 * 0.004
+    assert upstream.SETTLE_S >= 5 * 0.004
 
 
 def test_bytes_that_come_while_it_rests_end_a_connection():
@@ -75,7 +75,7 @@
 
 @pytest.fixture
 def settled(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(equipos, "SETTLE_S", -1.0)
+    monkeypatch.setattr(upstream, "SETTLE_S", -1.0)
 
 
 def test_what_may_be_used_never_outlasts_what_is_stated():
@@ -101,7 +101,9 @@
         async with FakeServer(slow).up() as server, node([entry("s", server.port)]) as relay:
 
             def told(state: ServerState) -> None:
-                relay._heard(ListForm.DELTA, [(Server("s", "a", 0, state), ("127.0.0.1", server.port))])
+                relay._heard(
+                    EndpointListForm.DELTA, [(Server("s", "a", 0, state), ("127.0.0.1", server.port))]
+                )
 
             async with Client(relay) as client:
                 client.send("post")
@@ -132,7 +134,7 @@
 
             def told(state: ServerState, launched_ms: float | None) -> None:
                 named = Server("s", "a", 0, state, launched_ms)
-                relay._heard(ListForm.DELTA, [(named, ("127.0.0.1", server.port))])
+                relay._heard(EndpointListForm.DELTA, [(named, ("127.0.0.1", server.port))])
 
             async with Client(relay) as client:
                 first_ms = relay.upstream.pools["s"].launched_ms
--- a/tests/test_rewatch.py
+++ b/tests/test_rewatch.py
@@ -17,13 +17,13 @@
 from sockets import Message, config, entry, node, read_message, run, until
 from virtual_discovery import Net, VirtualLoop
 
-from rosewheel.decide import interface as api
-from rosewheel.decide import policy
-from rosewheel.decide.interface import ListForm
-from rosewheel.discovery import waits, watch
-from rosewheel.node.bounds import Bounds
-from rosewheel.relay import relay as relay_module
-from rosewheel.relay.relay import Relay
+from rosewheel.discovery import backoff, watch
+from rosewheel.node.limits import Bounds
+from rosewheel.policy import balancer
+from rosewheel.policy.actions import StartTimer, WatchEndpoints
+from rosewheel.policy.events import EndpointListForm, EndpointListUpdate, TimerFired
+from rosewheel.proxy import proxy as relay_module
+from rosewheel.proxy.proxy import Relay
 
 HEARD_S = 5.5  # from when discovery has a change and can be reached; it counts as told 0.5 s later
 
@@ -43,9 +43,9 @@
     """A node by its discovery up to this time; what it sends and takes is none of this."""
 
     async def main() -> Relay:
-        told = dataclasses.replace(config([]), seed=seed, settings=settings(ask_discovery=asks))
+        told = dataclasses.replace(config([]), seed=seed, settings=settings(poll_discovery=asks))
         relay = Relay(dataclasses.replace(told, bounds=Bounds(drain_grace_ms=grace_ms)))
-        relay._heard(ListForm.CACHED, [])
+        relay._heard(EndpointListForm.CACHED, [])
         if not asks:
             relay.discovery.watch()
         await asyncio.sleep(until_s)
@@ -149,29 +149,29 @@
 
 def test_an_outage_of_hours_ends_in_no_fault():
     """Found: the wait was 2.0 to the power of the failures in a row, which is no number after 1024 of them."""
-    bed = Bed(count=0, ask_discovery=True)
+    bed = Bed(count=0, poll_discovery=True)
     for _ in range(3000):
-        (wake,) = bed.give(api.Membership(api.ListForm.FAILED), after=2000.0)
-        assert isinstance(wake, api.Wake)
-        assert bed.give(api.Alarm("watch"), after=wake.delay_ms) == [api.Watch()]
+        (wake,) = bed.give(EndpointListUpdate(EndpointListForm.FAILED), after=2000.0)
+        assert isinstance(wake, StartTimer)
+        assert bed.give(TimerFired("watch"), after=wake.delay_ms) == [WatchEndpoints()]
 
 
 @given(st.lists(st.floats(0.0, 60.0), min_size=1, max_size=20), st.integers(0, 1 << 30))
 def test_from_one_call_to_the_next_no_more_than_the_longest_wait_passes(lasted: list[float], seed: int):
     """By the module itself: a call that took long is followed soon, one refused at once after growing waits."""
-    bed = Bed(count=0, seed=seed, ask_discovery=True)
-    bed.give(api.Membership(api.ListForm.CACHED))
+    bed = Bed(count=0, seed=seed, poll_discovery=True)
+    bed.give(EndpointListUpdate(EndpointListForm.CACHED))
     for took_s in lasted:
-        (wake,) = bed.give(api.Membership(api.ListForm.FAILED), after=took_s * 1000.0)
-        assert isinstance(wake, api.Wake)
+        (wake,) = bed.give(EndpointListUpdate(EndpointListForm.FAILED), after=took_s * 1000.0)
+        assert isinstance(wake, StartTimer)
         assert 0.0 < wake.delay_ms <= max(4000.0 - took_s * 1000.0, 200.0)
-        bed.give(api.Alarm("watch"), after=wake.delay_ms)
+        bed.give(TimerFired("watch"), after=wake.delay_ms)
 
 
 def test_the_sum_of_the_longest_times_is_what_the_page_of_constants_says():
-    rewatch_s, apart_s = policy.WATCH_LEAST_MS / 1000.0, policy.WATCH_MAX_MS / 1000.0
-    for wait_s, longest_s in ((rewatch_s, apart_s), (0.0, waits.REWATCH_MOST_S)):
-        assert waits.REWATCH_MOST_S <= watch.FIRST_S  # so that no wait follows a try that was silent
+    rewatch_s, apart_s = balancer.WATCH_LEAST_MS / 1000.0, balancer.WATCH_MAX_MS / 1000.0
+    for wait_s, longest_s in ((rewatch_s, apart_s), (0.0, backoff.REWATCH_MOST_S)):
+        assert backoff.REWATCH_MOST_S <= watch.FIRST_S  # so that no wait follows a try that was silent
         assert max(watch.SILENCE_S + wait_s, watch.FIRST_S + wait_s, longest_s) + watch.SETTLE_S < HEARD_S
         assert watch.SILENCE_S + watch.FIRST_S + 2.0 * (wait_s + watch.SETTLE_S) < HEARD_S
     assert watch.CONNECT_S < watch.FIRST_S
@@ -236,7 +236,7 @@
     for name in ("SILENCE_S", "CONNECT_S", "FIRST_S"):
         monkeypatch.setattr(watch, name, getattr(watch, name) / 40.0)
     for name in ("WATCH_MS", "WATCH_MAX_MS", "WATCH_LEAST_MS"):
-        monkeypatch.setattr(policy, name, getattr(policy, name) / 40.0)
+        monkeypatch.setattr(balancer, name, getattr(balancer, name) / 40.0)
 
     async def main() -> None:
         async with returning() as discovery:
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -8,18 +8,53 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from rosewheel.decide import interface as api
-from rosewheel.decide.policy import Balancer
+from rosewheel.policy.actions import Action, CancelAttempt, FailRequest, ForwardRequest, RejectRequest
+from rosewheel.policy.balancer import Balancer
+from rosewheel.policy.events import (
+    AttemptFinished,
+    AttemptResult,
+    ClientDisconnected,
+    EndpointListForm,
+    EndpointListUpdate,
+    Event,
+    RequestReceived,
+    ResponseStarted,
+    Server,
+    ServerState,
+    TimerFired,
+)
+from rosewheel.policy.settings import DedupScope, Idempotency, ServiceClass, Settings
 
-NEVER = (api.Result.FULL, api.Result.CONNECT_FAILED, api.Result.MOOT)
+NEVER = (AttemptResult.OVERLOADED, AttemptResult.CONNECT_FAILED, AttemptResult.NOT_SENT)
 CLASSES = (
-    api.ServiceClass("safe", 1000, 2500, worth=5, effect=api.Effect.SAFE),
-    api.ServiceClass("late", 1000, 2500, worth=2, late_worth=0.4, effect=api.Effect.SAFE),
-    api.ServiceClass("unsafe", 800, 2000, effect=api.Effect.UNSAFE),
-    api.ServiceClass("all", 800, 2000, effect=api.Effect.KEYED, scope=api.Scope.ALL, memory_ms=400),
-    api.ServiceClass("zone", 800, 2000, effect=api.Effect.KEYED, scope=api.Scope.ZONE, memory_ms=900),
-    api.ServiceClass("cell", 800, 2000, effect=api.Effect.KEYED, scope=api.Scope.CELL, memory_ms=900),
-    api.ServiceClass("stream", 800, 2000, stream=True, effect=api.Effect.UNSAFE),
+    ServiceClass("safe", 1000, 2500, priority_weight=5, idempotency=Idempotency.IDEMPOTENT),
+    ServiceClass("late", 1000, 2500, priority_weight=2, late_weight=0.4, idempotency=Idempotency.IDEMPOTENT),
+    ServiceClass("unsafe", 800, 2000, idempotency=Idempotency.NON_IDEMPOTENT),
+    ServiceClass(
+        "all",
+        800,
+        2000,
+        idempotency=Idempotency.IDEMPOTENT_WITH_KEY,
+        dedup_scope=DedupScope.ALL,
+        dedup_window_ms=400,
+    ),
+    ServiceClass(
+        "zone",
+        800,
+        2000,
+        idempotency=Idempotency.IDEMPOTENT_WITH_KEY,
+        dedup_scope=DedupScope.ZONE,
+        dedup_window_ms=900,
+    ),
+    ServiceClass(
+        "cell",
+        800,
+        2000,
+        idempotency=Idempotency.IDEMPOTENT_WITH_KEY,
+        dedup_scope=DedupScope.CELL,
+        dedup_window_ms=900,
+    ),
+    ServiceClass("stream", 800, 2000, streaming=True, idempotency=Idempotency.NON_IDEMPOTENT),
 )
 COLD_MS, TIP_MS = 8000.0, 1500.0
 
@@ -28,75 +63,80 @@
 class Call:
     """What the referee knows of one request."""
 
-    kind: api.ServiceClass
+    kind: ServiceClass
     give_up: float
-    tries: list[tuple[api.Server, float]] = field(default_factory=list)
-    results: dict[int, api.Result] = field(default_factory=dict)
+    tries: list[tuple[Server, float]] = field(default_factory=list)
+    results: dict[int, AttemptResult] = field(default_factory=dict)
     ended: bool = False
     streaming: int | None = None
 
     def out(self) -> list[int]:
         return [at for at in range(len(self.tries)) if at not in self.results]
 
-    def may_have_run(self) -> list[tuple[api.Server, float]]:
+    def may_have_run(self) -> list[tuple[Server, float]]:
         return [item for at, item in enumerate(self.tries) if self.results.get(at) not in NEVER]
 
 
 class Referee:
     def __init__(self, seed: int, max_attempts: int, cancel: bool) -> None:
         self.now = 500.0
-        self.cfg = api.Settings(
-            classes=CLASSES, zone="a", siblings=2, ask_discovery=True, may_cancel=cancel,
-            max_attempts=max_attempts, cold_from=0.25, cold_ms=COLD_MS, tip_after_ms=TIP_MS,
+        self.cfg = Settings(
+            classes=CLASSES, zone="a", balancer_count=2, poll_discovery=True, may_cancel=cancel,
+            max_attempts=max_attempts, warm_up_initial_share=0.25, warm_up_ms=COLD_MS, overload_window_ms=TIP_MS,
         )  # fmt: skip
         self.balancer = Balancer(self.cfg, seed, self.now)
         self.calls: dict[str, Call] = {}
-        self.listed: dict[str, api.Server] = {}
+        self.listed: dict[str, Server] = {}
         self.cold: dict[str, deque[float]] = {}
         self.names = 0
 
-    def give(self, event: api.Event) -> None:
-        if isinstance(event, api.Membership) and event.form is not api.ListForm.FAILED:
-            if event.form is not api.ListForm.DELTA:
+    def give(self, event: Event) -> None:
+        if isinstance(event, EndpointListUpdate) and event.form is not EndpointListForm.FAILED:
+            if event.form is not EndpointListForm.DELTA:
                 self.listed = {}
             self.listed.update({row.address: row for row in event.servers})
-        if isinstance(event, api.Request):
+        if isinstance(event, RequestReceived):
             kind = next(kind for kind in CLASSES if kind.name == event.service)
-            self.calls[event.id] = Call(kind, event.give_up_at_ms)
+            self.calls[event.id] = Call(kind, event.deadline_at_ms)
         for act in self.balancer.handle(self.now, event):
             self.check(act)
         for name, call in self.calls.items():  # an open request with nothing out would never be answered
             assert call.ended or call.out(), name
 
-    def check(self, act: api.Action) -> None:
-        if isinstance(act, api.Send):
+    def check(self, act: Action) -> None:
+        if isinstance(act, ForwardRequest):
             self.check_send(act)
-        elif isinstance(act, api.Refuse | api.Fail):
+        elif isinstance(act, RejectRequest | FailRequest):
             call = self.calls[act.id]
             assert not call.ended, "a second final answer"
             ran = call.may_have_run()
-            if isinstance(act, api.Refuse) and ran:
-                keyed_all = call.kind.effect is api.Effect.KEYED and call.kind.scope is api.Scope.ALL
-                assert call.kind.effect is api.Effect.SAFE or keyed_all, "a refusal that is not true"
+            if isinstance(act, RejectRequest) and ran:
+                keyed_all = (
+                    call.kind.idempotency is Idempotency.IDEMPOTENT_WITH_KEY
+                    and call.kind.dedup_scope is DedupScope.ALL
+                )
+                assert call.kind.idempotency is Idempotency.IDEMPOTENT or keyed_all, (
+                    "a refusal that is not true"
+                )
             call.ended = True
-        elif isinstance(act, api.Cancel):
+        elif isinstance(act, CancelAttempt):
             assert self.cfg.may_cancel
             assert act.attempt < len(self.calls[act.id].tries)
 
-    def check_send(self, act: api.Send) -> None:
+    def check_send(self, act: ForwardRequest) -> None:
         call, server = self.calls[act.id], self.listed[act.server]
         assert not call.ended, "a send after the end"
-        assert server.state is api.ServerState.UP, "a send to a server that drains or is gone"
+        assert server.state is ServerState.UP, "a send to a server that drains or is gone"
         assert len(call.tries) < self.cfg.max_attempts
         assert act.timeout_ms >= 0
         ran = call.may_have_run()
-        if call.kind.effect is not api.Effect.SAFE and ran:
-            assert call.kind.effect is api.Effect.KEYED, "an unsafe request sent twice"
+        if call.kind.idempotency is not Idempotency.IDEMPOTENT and ran:
+            assert call.kind.idempotency is Idempotency.IDEMPOTENT_WITH_KEY, "an unsafe request sent twice"
             first, then = ran[0]
-            assert self.now - then <= call.kind.memory_ms, "sent after the key may be forgotten"
-            if call.kind.scope is not api.Scope.ALL:
+            assert self.now - then <= call.kind.dedup_window_ms, "sent after the key may be forgotten"
+            if call.kind.dedup_scope is not DedupScope.ALL:
                 assert server.zone == first.zone
-            if call.kind.scope is api.Scope.CELL:
+            if call.kind.dedup_scope is DedupScope.CELL:
                 assert server.cell == first.cell
         call.tries.append((server, self.now))
         if server.launched_ms is not None and self.now - server.launched_ms < COLD_MS:
@@ -110,9 +150,9 @@
     def request(self, kind: int, patience: float) -> None:
         self.names += 1
         name = f"q{self.names}"
-        self.give(api.Request(name, CLASSES[kind % len(CLASSES)].name, self.now + patience))
+        self.give(RequestReceived(name, CLASSES[kind % len(CLASSES)].name, self.now + patience))
 
-    def outcome(self, pick: int, result: api.Result, report: bool) -> None:
+    def outcome(self, pick: int, result: AttemptResult, report: bool) -> None:
         waiting = [(name, at) for name, call in self.calls.items() for at in call.out()]
         if not waiting:
             return
@@ -120,53 +160,51 @@
         call = self.calls[name]
         server, then = call.tries[at]
         call.results[at] = result
-        if not call.ended and (result is api.Result.OK or call.streaming == at):
+        if not call.ended and (result is AttemptResult.OK or call.streaming == at):
             call.ended = True
         told = {"queue": 2.0, "util": 0.97} if report else None
-        self.give(api.Outcome(name, at, server.address, result, self.now - then, call.ended, told))
+        self.give(AttemptFinished(name, at, server.address, result, self.now - then, call.ended, told))
 
     def lapse(self, pick: int) -> None:
         if self.calls:
             name = list(self.calls)[pick % len(self.calls)]
             self.calls[name].ended = True
-            self.give(api.Lapsed(name))
+            self.give(ClientDisconnected(name))
 
     def stream(self, pick: int) -> None:
         waiting = [
-            name for name, call in self.calls.items() if call.kind.stream and call.out() and not call.ended
+            name for name, call in self.calls.items() if call.kind.streaming and call.out() and not call.ended
         ]
         if waiting:
             call = self.calls[waiting[pick % len(waiting)]]
             call.streaming = call.out()[0]
-            self.give(api.Started(waiting[pick % len(waiting)], call.streaming))
+            self.give(ResponseStarted(waiting[pick % len(waiting)], call.streaming))
 
-    def members(self, form: api.ListForm, pick: int, state: api.ServerState, fresh: bool) -> None:
+    def members(self, form: EndpointListForm, pick: int, state: ServerState, fresh: bool) -> None:
         rows = [
-            api.Server(
-                f"s{at}", "ab"[at % 2], at % 3, launched_ms=self.now if fresh and at == pick % 6 else None
-            )
+            Server(f"s{at}", "ab"[at % 2], at % 3, launched_ms=self.now if fresh and at == pick % 6 else None)
             for at in range(6)
         ]
         rows[(pick + 1) % 6].state = state
-        if form is api.ListForm.DELTA:
+        if form is EndpointListForm.DELTA:
             rows = rows[pick % 6 :]
-        elif form is api.ListForm.FULL:
-            rows = [row for row in rows if row.state is not api.ServerState.REMOVED][: 1 + pick % 6]
-        self.give(api.Membership(form, () if form is api.ListForm.FAILED else tuple(rows)))
+        elif form is EndpointListForm.SNAPSHOT:
+            rows = [row for row in rows if row.state is not ServerState.REMOVED][: 1 + pick % 6]
+        self.give(EndpointListUpdate(form, () if form is EndpointListForm.FAILED else tuple(rows)))
 
 
 MOVES = st.one_of(
     st.tuples(st.just("request"), st.integers(0, 6), st.floats(1.0, 2500.0)),
     st.tuples(st.just("request"), st.integers(0, 6), st.floats(1.0, 2500.0)),
-    st.tuples(st.just("outcome"), st.integers(0, 40), st.sampled_from(list(api.Result)), st.booleans()),
-    st.tuples(st.just("outcome"), st.integers(0, 40), st.sampled_from(list(api.Result)), st.booleans()),
+    st.tuples(st.just("outcome"), st.integers(0, 40), st.sampled_from(list(AttemptResult)), st.booleans()),
+    st.tuples(st.just("outcome"), st.integers(0, 40), st.sampled_from(list(AttemptResult)), st.booleans()),
     st.tuples(st.just("lapse"), st.integers(0, 40)),
     st.tuples(st.just("stream"), st.integers(0, 5)),
     st.tuples(
         st.just("members"),
-        st.sampled_from([form for form in api.ListForm if form is not api.ListForm.CACHED]),
+        st.sampled_from([form for form in EndpointListForm if form is not EndpointListForm.CACHED]),
         st.integers(0, 11),
-        st.sampled_from(list(api.ServerState)),
+        st.sampled_from(list(ServerState)),
         st.booleans(),
     ),
     st.tuples(st.just("alarm"), st.sampled_from(["period", "watch", "other"])),
@@ -183,20 +221,20 @@
 )
 def test_the_rules_hold_over_any_legal_sequence(seed, attempts, cancel, moves):
     referee = Referee(seed, attempts, cancel)
-    rows = tuple(api.Server(f"s{at}", "ab"[at % 2], at % 3) for at in range(6))
-    referee.give(api.Membership(api.ListForm.CACHED, rows))
+    rows = tuple(Server(f"s{at}", "ab"[at % 2], at % 3) for at in range(6))
+    referee.give(EndpointListUpdate(EndpointListForm.CACHED, rows))
     for name, *given_ in moves:
         if name == "wait":
             referee.now += given_[0]
         elif name == "alarm":
-            referee.give(api.Alarm(given_[0]))
+            referee.give(TimerFired(given_[0]))
         else:
             getattr(referee, name)(*given_)
     for _ in range(600):  # at last every attempt ends, as the wire promises
         if not any(call.out() for call in referee.calls.values()):
             break
         referee.now += 1.0
-        referee.outcome(0, api.Result.TIMEOUT, False)
+        referee.outcome(0, AttemptResult.TIMEOUT, False)
     assert all(call.ended for call in referee.calls.values())
     assert referee.balancer.jobs == {}
 
@@ -210,8 +248,8 @@
 def test_a_cold_server_never_gets_more_than_its_share(seed, gaps, latency):
     """Whatever the traffic, a cold server stays under its present share of what warm ones get."""
     referee = Referee(seed, 2, True)
-    rows = [api.Server(f"s{at}", "a", 0) for at in range(5)]
-    referee.give(api.Membership(api.ListForm.CACHED, tuple(rows)))
+    rows = [Server(f"s{at}", "a", 0) for at in range(5)]
+    referee.give(EndpointListUpdate(EndpointListForm.CACHED, tuple(rows)))
     born = referee.now + 200.0
     sends: dict[str, deque[float]] = {row.address: deque() for row in rows} | {"cold": deque()}
     flying: deque[tuple[float, str]] = deque()
@@ -219,8 +257,8 @@
     for at, gap in enumerate(gaps):
         referee.now += gap
         if referee.now >= born and "cold" not in referee.listed:
-            row = api.Server("cold", "a", 0, launched_ms=born)
-            referee.give(api.Membership(api.ListForm.DELTA, (row,)))
+            row = Server("cold", "a", 0, launched_ms=born)
+            referee.give(EndpointListUpdate(EndpointListForm.DELTA, (row,)))
         referee.request(0, 2000.0)
         name = f"q{referee.names}"
         for server, then in referee.calls[name].tries:
@@ -229,9 +267,9 @@
         while flying and flying[0][0] <= referee.now:
             done = flying.popleft()[1]
             waiting = [(one, item) for one, call in referee.calls.items() for item in call.out()]
-            referee.outcome(waiting.index((done, 0)), api.Result.OK, False)
+            referee.outcome(waiting.index((done, 0)), AttemptResult.OK, False)
         if at % 5 == 0:
-            referee.give(api.Alarm("period"))
+            referee.give(TimerFired("period"))
         for window in sends.values():
             while window and window[0] <= referee.now - TIP_MS:
                 window.popleft()
--- a/tests/test_scale_plan.py
+++ b/tests/test_scale_plan.py
@@ -11,7 +11,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from rosewheel.discovery.waits import REWATCH_LEAST_S, Waits
+from rosewheel.discovery.backoff import REWATCH_LEAST_S, Waits
 from rosewheel.lab.scale import plan as plans
 from rosewheel.lab.scale.verdicts import Found, Made, in_force, ordered, verdicts
 
--- a/tests/test_scenario.py
+++ b/tests/test_scenario.py
@@ -16,10 +16,10 @@
 from rosewheel.config import operator
 from rosewheel.config.checked import ProblemsError, parse
 from rosewheel.config.platform import ConfigError
-from rosewheel.decide.interface import Effect, Scope
 from rosewheel.lab import plan as plans
 from rosewheel.lab import scenario as scenarios
 from rosewheel.lab.scenario import Scenario
+from rosewheel.policy.settings import DedupScope, Idempotency
 
 ROOT = Path(__file__).parent.parent
 
@@ -229,7 +229,11 @@
     assert config.listen == ("127.0.0.1", 8001)
     assert (config.seed, config.state, config.ops) == (0x8C1F, "/x", None)
     row = config.settings.classes[0]
-    assert (row.effect, row.scope, row.memory_ms) == (Effect.KEYED, Scope.CELL, 10000.0)
+    assert (row.idempotency, row.dedup_scope, row.dedup_window_ms) == (
+        Idempotency.IDEMPOTENT_WITH_KEY,
+        DedupScope.CELL,
+        10000.0,
+    )
 
 
 def test_the_commented_example_is_good():
--- a/tests/test_slow_start.py
+++ b/tests/test_slow_start.py
@@ -14,17 +14,18 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from rosewheel.decide import interface as api
 from rosewheel.lab import plan
 from rosewheel.lab.equipo import Spec
 from rosewheel.lab.ledger import Broken, Ledger
 from rosewheel.lab.scenario import RulesTable, Scenario, load
+from rosewheel.lab.simulation.discovery import Registry
+from rosewheel.lab.simulation.events import Queue
+from rosewheel.lab.simulation.node import VirtualNode
+from rosewheel.lab.simulation.simulate import Simulation, simulate
 from rosewheel.lab.slow_start import SlowStart, allowance
 from rosewheel.lab.streams import dealt, stream
-from rosewheel.lab.virtual.discovery import Registry
-from rosewheel.lab.virtual.events import Queue
-from rosewheel.lab.virtual.node import VirtualNode
-from rosewheel.lab.virtual.simulate import Simulation, simulate
+from rosewheel.policy.events import EndpointListForm, EndpointListUpdate, Server, ServerState
+from rosewheel.policy.settings import Settings
 
 RULES = RulesTable(stated_cold_from=0.2, stated_cold_s=10.0, tip_ms=1500.0, tip_multiple=3.0)
 SHORT = settings(max_examples=60, deadline=None, derandomize=True)
@@ -195,9 +196,9 @@
     """Three in ten nodes are in the zone of eight in ten equipos, most of which are replaced."""
     plain = VirtualNode.__init__
 
-    def init(self: VirtualNode, world: Any, name: str, tier: int, told: api.Settings, *rest: Any) -> None:
+    def init(self: VirtualNode, world: Any, name: str, tier: int, told: Settings, *rest: Any) -> None:
         zone = "ab"[int(name[1:]) % 10 >= 3]
-        plain(self, world, name, tier, dataclasses.replace(told, zone=zone, cross_zone_price=0.05), *rest)
+        plain(self, world, name, tier, dataclasses.replace(told, zone=zone, cross_zone_cost=0.05), *rest)
 
     monkeypatch.setattr(VirtualNode, "__init__", init)
     one = plan.make(fleet(nodes, False, [REPLACED], []), 1)
@@ -216,7 +217,7 @@
     registry = Registry(
         queue, one, lambda node, entry: told.append((node, entry.address)), lambda *_: False, stream(1, "x")
     )
-    registry.truth = {"old": api.Server("old"), "new": api.Server("new", launched_ms=5.0)}
+    registry.truth = {"old": Server("old"), "new": Server("new", launched_ms=5.0)}
     node = Mock()
     node.name = "n7"
     registry.add(node)
@@ -228,17 +229,19 @@
 
 def test_thirty_nodes_save_up_no_calls_for_a_server_that_is_away() -> None:
     """Guard: each had a call or two ready, and all sent them as it came back."""
-    beds = [Bed(10, seed=seed, siblings=30, tier=1) for seed in range(30)]
+    beds = [Bed(10, seed=seed, balancer_count=30, tier=1) for seed in range(30)]
     sends = 0
     for bed in beds:
-        for state in (api.ServerState.UP, api.ServerState.DRAINING):
-            cold = api.Server("cold", "a", state=state, launched_ms=bed.now)
-            bed.give(api.Membership(api.ListForm.DELTA, (cold,)))
+        for state in (ServerState.UP, ServerState.DRAINING):
+            cold = Server("cold", "a", state=state, launched_ms=bed.now)
+            bed.give(EndpointListUpdate(EndpointListForm.DELTA, (cold,)))
         for _ in range(60):
             bed.serve(latency=bed.balancer.period_ms / 3)
             if bed.names % 3 == 0:
                 bed.period(0.0)
-        bed.give(api.Membership(api.ListForm.DELTA, (dataclasses.replace(cold, state=api.ServerState.UP),)))
+        bed.give(
+            EndpointListUpdate(EndpointListForm.DELTA, (dataclasses.replace(cold, state=ServerState.UP),))
+        )
         for _ in range(6):
             bed.now += 10.0
             sends += sum(act.server == "cold" for act in sent(bed.ask("post")[1]))
@@ -246,13 +249,13 @@
     # the budget of the settings.
     cfg, age = beds[0].balancer.cfg, beds[0].now - cold.launched_ms
     rules = RulesTable(
-        stated_cold_from=cfg.cold_from,
-        stated_cold_s=cfg.cold_ms / 1000.0,
-        tip_ms=cfg.tip_after_ms,
+        stated_cold_from=cfg.warm_up_initial_share,
+        stated_cold_s=cfg.warm_up_ms / 1000.0,
+        tip_ms=cfg.overload_window_ms,
         tip_multiple=cfg.overload_factor,
     )
     able = len(beds) * 3.0 / beds[0].balancer.period_ms / 10.0
-    assert 0 < sends <= able * allowance(rules, age - cfg.tip_after_ms, age) / 2.0
+    assert 0 < sends <= able * allowance(rules, age - cfg.overload_window_ms, age) / 2.0
 
 
 @SHORT
@@ -260,16 +263,16 @@
 def test_what_was_earned_for_a_server_that_is_away_lapses(rate: float, away: float, seed: int) -> None:
     """However long it was away: of thirty nodes no more have a call ready than earn one in the time that it is kept,
     and no node has two."""
-    beds = [Bed(4, seed=seed + at, siblings=30) for at in range(30)]
+    beds = [Bed(4, seed=seed + at, balancer_count=30) for at in range(30)]
     ready, kept = 0, 0.0
     for bed in beds:
-        cold = api.Server("cold", "a", launched_ms=bed.now)
-        bed.give(api.Membership(api.ListForm.DELTA, (cold,)))
+        cold = Server("cold", "a", launched_ms=bed.now)
+        bed.give(EndpointListUpdate(EndpointListForm.DELTA, (cold,)))
         bed.balancer.peak = rate
         peer = bed.balancer.peers["cold"]
         peer.credit = peer.credit % 1.0
-        ready += bed.balancer._paced(bed.now + away, peer) and away < bed.balancer.cfg.cold_ms
+        ready += bed.balancer._paced(bed.now + away, peer) and away < bed.balancer.cfg.warm_up_ms
         assert peer.credit < 2.0
         pace = bed.balancer._warmth(bed.now + away, peer) * bed.balancer._pace()
-        kept += min(1.0, pace * bed.balancer.cfg.tip_after_ms / 2.0)
+        kept += min(1.0, pace * bed.balancer.cfg.overload_window_ms / 2.0)
     assert ready <= kept + 4.0 * math.sqrt(kept) + 2.0, "four deviations of what is drawn"
--- a/tests/test_sockets.py
+++ b/tests/test_sockets.py
@@ -28,11 +28,21 @@
 )
 
 from rosewheel.config.platform import Config
-from rosewheel.decide import interface as api
 from rosewheel.http.body import SHARES
 from rosewheel.http.connection import report_from
-from rosewheel.node.bounds import Bounds
-from rosewheel.relay.relay import Relay
+from rosewheel.node.limits import Bounds
+from rosewheel.policy.actions import Action, CancelAttempt
+from rosewheel.policy.events import (
+    AttemptFinished,
+    AttemptResult,
+    EndpointListForm,
+    Event,
+    RequestReceived,
+    Server,
+    ServerState,
+)
+from rosewheel.policy.settings import Idempotency, ServiceClass
+from rosewheel.proxy.proxy import Relay
 
 
 def closed_port() -> int:
@@ -59,7 +69,7 @@
 @pytest.fixture
 def no_rest(monkeypatch: pytest.MonkeyPatch) -> None:
     """Connections may be used again at once: these tests ask faster than any server answers."""
-    monkeypatch.setattr("rosewheel.http.equipos.SETTLE_S", -1.0)
+    monkeypatch.setattr("rosewheel.http.upstream.SETTLE_S", -1.0)
 
 
 @pytest.mark.usefixtures("no_rest")
@@ -211,8 +221,8 @@
     monkeypatch: pytest.MonkeyPatch, siblings: int, gives_back: bool
 ):
     """Guards the other nodes: what each of many keeps for later shuts them out of a server that has nothing to do."""
-    monkeypatch.setattr("rosewheel.node.rest.CROWDED_SHARE", 0.0)
-    monkeypatch.setattr("rosewheel.node.rest.CROWDED_LEAST_S", 0.0)
+    monkeypatch.setattr("rosewheel.node.idle_timeout.CROWDED_SHARE", 0.0)
+    monkeypatch.setattr("rosewheel.node.idle_timeout.CROWDED_LEAST_S", 0.0)
 
     async def main() -> None:
         gate = asyncio.Event()
@@ -226,7 +236,7 @@
 
         async with FakeServer(bears_two).up() as server:
             async with (
-                node([entry("s", server.port)], siblings=siblings) as relay,
+                node([entry("s", server.port)], balancer_count=siblings) as relay,
                 contextlib.AsyncExitStack() as stack,
             ):
                 clients = [await stack.enter_async_context(Client(relay)) for _ in range(3)]
@@ -309,20 +319,20 @@
         async def full(message: Message, writer: asyncio.StreamWriter) -> None:
             writer.write(answer(503, b"", Not_Started="1", Server_Load="TEXT depth=41, load_share=0.5"))
 
-        events: list[api.Event] = []
+        events: list[Event] = []
         async with FakeServer(full).up() as server, node([entry("s", server.port)]) as relay:
             handle = relay.node.balancer.handle
 
-            def listen(now: float, event: api.Event) -> list[api.Action]:
+            def listen(now: float, event: Event) -> list[Action]:
                 events.append(event)
                 return handle(now, event)
 
             relay.node.balancer.handle = listen  # type: ignore[method-assign]
             async with Client(relay) as client:
                 assert status(await client.ask("post")) == 503
-        ended = [event for event in events if isinstance(event, api.Outcome)]
-        assert [(one.result, one.done, one.report) for one in ended] == [
-            (api.Result.FULL, False, {"queue": 41.0, "util": 0.5})
+        ended = [event for event in events if isinstance(event, AttemptFinished)]
+        assert [(one.result, one.request_ended, one.report) for one in ended] == [
+            (AttemptResult.OVERLOADED, False, {"queue": 41.0, "util": 0.5})
         ]
 
     run(main())
@@ -422,14 +432,14 @@
         ):
             handle = relay.node.balancer.handle
 
-            def faulty(now: float, event: api.Event) -> list[api.Action]:
-                if isinstance(event, api.Outcome):
+            def faulty(now: float, event: Event) -> list[Action]:
+                if isinstance(event, AttemptFinished):
                     raise RuntimeError("a fault")
                 acts = handle(now, event)
                 if isinstance(
-                    event, api.Request
+                    event, RequestReceived
                 ):  # an attempt that ends at once, so that the fault comes early
-                    acts.append(api.Cancel(event.id, 0))
+                    acts.append(CancelAttempt(event.id, 0))
                 return acts
 
             relay.node.balancer.handle = faulty  # type: ignore[method-assign]
@@ -504,8 +514,8 @@
                 start(*args)  # type: ignore[arg-type]
                 relay.loop.call_soon(
                     relay._heard,
-                    api.ListForm.DELTA,
-                    [(api.Server("s", "a", 0, api.ServerState.DRAINING), ("127.0.0.1", server.port))],
+                    EndpointListForm.DELTA,
+                    [(Server("s", "a", 0, ServerState.DRAINING), ("127.0.0.1", server.port))],
                 )
 
             relay.upstream.start = leaving  # type: ignore[method-assign]
@@ -525,9 +535,9 @@
             async with node([], discovery) as relay:
                 members = relay.node.members
 
-                def count(now: float, form: api.ListForm, servers: tuple[api.Server, ...] = ()):
+                def count(now: float, form: EndpointListForm, servers: tuple[Server, ...] = ()):
                     nonlocal failures
-                    failures += form is api.ListForm.FAILED
+                    failures += form is EndpointListForm.FAILED
                     return members(now, form, servers)
 
                 relay.node.members = count  # type: ignore[method-assign]
@@ -1188,8 +1198,8 @@
 
 # Periods go by the shortest aim, and this one is asked for by nobody: thirty of them take less than a second.
 BRISK = (
-    api.ServiceClass("read", aim_ms=1000, give_up_ms=2500, effect=api.Effect.UNSAFE),
-    api.ServiceClass("brief", aim_ms=200, give_up_ms=500, effect=api.Effect.UNSAFE),
+    ServiceClass("read", latency_objective_ms=1000, deadline_ms=2500, idempotency=Idempotency.NON_IDEMPOTENT),
+    ServiceClass("brief", latency_objective_ms=200, deadline_ms=500, idempotency=Idempotency.NON_IDEMPOTENT),
 )
 
 
@@ -1252,7 +1262,11 @@
                 await asyncio.sleep(0.05)  # a quarter of the aim: nothing is wrong
             writer.write(answer())
 
-        brief = (api.ServiceClass("read", aim_ms=200, give_up_ms=2000, effect=api.Effect.UNSAFE),)
+        brief = (
+            ServiceClass(
+                "read", latency_objective_ms=200, deadline_ms=2000, idempotency=Idempotency.NON_IDEMPOTENT
+            ),
+        )
         async with (
             FakeServer(quick_then_usual).up() as server,
             node([entry("s", server.port)], classes=brief) as relay,
--- a/tests/test_start.py
+++ b/tests/test_start.py
@@ -19,11 +19,11 @@
 from test_adapter import CONFIG
 
 from rosewheel.config import platform
-from rosewheel.decide.interface import ListForm, Request
-from rosewheel.decide.policy import Balancer
-from rosewheel.decide.settings import settings_from
 from rosewheel.discovery.catalog import entries_from
 from rosewheel.node.core import Node
+from rosewheel.policy.balancer import Balancer
+from rosewheel.policy.events import EndpointListForm, RequestReceived
+from rosewheel.policy.settings_codec import settings_from
 
 ROOT = Path(__file__).parent.parent
 
@@ -92,7 +92,7 @@
 def test_without_a_count_of_nodes_a_node_decides_as_one_by_itself(row: dict[str, Any]):
     config = {key: value for key, value in CONFIG.items() if key != "siblings"} | row
     settings = settings_from(config)
-    assert settings.siblings == 1
+    assert settings.balancer_count == 1
     assert not Balancer(settings, 1, 0.0).many
 
 
@@ -266,8 +266,8 @@
             continue
         node = Node(config.settings, config.bounds, config.seed, 0.0)
         entries = entries_from(config.known.get("hosts"))
-        node.members(0.0, ListForm.CACHED, tuple(server for server, _ in entries))
-        node.request(1.0, Request("r", config.settings.classes[0].name, 900.0))
+        node.members(0.0, EndpointListForm.CACHED, tuple(server for server, _ in entries))
+        node.request(1.0, RequestReceived("r", config.settings.classes[0].name, 900.0))
         for at in range(1, 40):
             node.tick(at * 100.0)
         assert node.active == 0
--- a/tests/test_startup.py
+++ b/tests/test_startup.py
@@ -54,7 +54,7 @@
         "rosewheel.config.operator",
         "rosewheel.lab",
     ),
-    *("rosewheel.ops", "rosewheel.ops.door"),
+    *("rosewheel.admin", "rosewheel.admin.server"),
 }
 
 
@@ -127,7 +127,7 @@
         _, rest = process.communicate(timeout=WAIT_S)
     names |= imported(rest.splitlines(keepends=True))  # also what an answer and the end of it need
     assert process.returncode == 0
-    assert "rosewheel.relay.relay" in names
+    assert "rosewheel.proxy.proxy" in names
     tops = {name.partition(".")[0] for name in names}
     # `org` is a package of another interpreter, which `copy` looks for in vain.
     foreign = {top for top in tops - sys.stdlib_module_names - {"org"} if not top.startswith("_cython")}
--- a/tests/test_state.py
+++ b/tests/test_state.py
@@ -10,7 +10,7 @@
 import pytest
 from sockets import run, until
 
-from rosewheel.relay.state import State
+from rosewheel.proxy.state import State
 
 
 class Reader:
--- a/tests/test_stats.py
+++ b/tests/test_stats.py
@@ -6,10 +6,10 @@
 from sockets import Client, FakeServer, entry, node, run, status, until
 from test_sockets import held_back
 
-from rosewheel.decide import interface as api
-from rosewheel.node.bounds import Bounds
 from rosewheel.node.core import Node
-from rosewheel.node.figures import Ended, Figures
+from rosewheel.node.limits import Bounds
+from rosewheel.node.statistics import Ended, Figures
+from rosewheel.policy.events import AttemptResult, EndpointListForm, RequestReceived, Server
 
 
 def counts(figures: Figures) -> dict[str, tuple[int, int, int]]:
@@ -27,11 +27,11 @@
 
 def test_a_request_is_counted_once_however_often_its_end_is_told():
     box = Node(settings(), Bounds(), seed=1, now=0.0)
-    box.members(0.0, api.ListForm.FULL, (api.Server("s", zone="a"),))
-    box.request(1.0, api.Request("r", "post", 2000.0))
+    box.members(0.0, EndpointListForm.SNAPSHOT, (Server("s", zone="a"),))
+    box.request(1.0, RequestReceived("r", "post", 2000.0))
     assert box.active == 1
     for _ in range(2):
-        box.ended(5.0, "r", 0, api.Result.RESET)
+        box.ended(5.0, "r", 0, AttemptResult.RESET)
     box.tick(5000.0)
     assert counts(box.figures)["post"] == (0, 0, 1)
     assert box.active == 0
@@ -39,10 +39,10 @@
 
 def test_who_has_left_is_not_counted():
     box = Node(settings(), Bounds(), seed=1, now=0.0)
-    box.members(0.0, api.ListForm.FULL, (api.Server("s", zone="a"),))
-    box.request(1.0, api.Request("r", "post", 2000.0))
+    box.members(0.0, EndpointListForm.SNAPSHOT, (Server("s", zone="a"),))
+    box.request(1.0, RequestReceived("r", "post", 2000.0))
     box.client_gone(2.0, "r")
-    box.ended(5.0, "r", 0, api.Result.OK)
+    box.ended(5.0, "r", 0, AttemptResult.OK)
     assert counts(box.figures)["post"] == (0, 0, 0)
     assert box.active == 0
 
--- a/tests/test_stopping.py
+++ b/tests/test_stopping.py
@@ -11,8 +11,8 @@
 from sockets import Client, FakeServer, Message, answer, entry, node, run, status, until
 
 from rosewheel.http import callers as callers_module
-from rosewheel.http.caller import Caller
-from rosewheel.relay.relay import Relay
+from rosewheel.http.downstream import Caller
+from rosewheel.proxy.proxy import Relay
 
 KILLED_S = 0.7  # so long after the longest patience, counted as 3 s where it is longer
 
@@ -56,7 +56,9 @@
     """Clients send on every connection that stays open. Where patience is short, connections stayed open for 2 s,
     past the platform's own end of the process: what came there at the last moment was taken and never answered."""
     classes = tuple(
-        dataclasses.replace(kind, aim_ms=min(kind.aim_ms, give_up_ms), give_up_ms=give_up_ms)
+        dataclasses.replace(
+            kind, latency_objective_ms=min(kind.latency_objective_ms, give_up_ms), deadline_ms=give_up_ms
+        )
         for kind in (SAFE, UNSAFE, KEYED)
     )
 
--- a/tests/test_tuned.py
+++ b/tests/test_tuned.py
@@ -15,7 +15,7 @@
 from rosewheel.config import operator
 from rosewheel.config.checked import parse
 from rosewheel.config.operator import Operator, cordons, tuned
-from rosewheel.decide.interface import Tenant
+from rosewheel.policy.settings import Tenant
 
 OWN = OPERATOR.replace(
     "[routing]\n", '[limits]\nmax_open = 7\nsockets = 100\n[routing]\nzone = "a"\ntier = 1\n'
@@ -35,8 +35,12 @@
     settings, bounds = tuned(base, DOCUMENT)
     assert [kind.name for kind in settings.classes] == ["c"]
     assert settings.tenants == (Tenant("t", 4.0),)
-    assert (settings.siblings, settings.may_cancel) == (30, False)
-    assert (settings.zone, settings.tier, settings.cold_from) == ("a", 1, 0.2)  # the file's, and its own
+    assert (settings.balancer_count, settings.may_cancel) == (30, False)
+    assert (settings.zone, settings.tier, settings.warm_up_initial_share) == (
+        "a",
+        1,
+        0.2,
+    )  # the file's, and its own
     assert (bounds.max_open, bounds.sockets) == (9, 100)
     assert cordons(DOCUMENT) == {"equipo-1"}
 
@@ -51,7 +55,7 @@
 
 def test_a_document_is_checked_also_where_no_file_is_at_hand():
     settings, _ = tuned({}, {"class": [CLASS]})
-    assert settings.siblings == 1
+    assert settings.balancer_count == 1
 
 
 @pytest.mark.parametrize(
@@ -68,7 +72,7 @@
         ({"routing": 7}, "routing: not a table"),
         ({"routing": {"sibling": 3}}, "routing.sibling: unknown key"),
         ({"routing": {"siblings": "many"}}, "routing.siblings: Expected"),
-        ({"routing": {"siblings": 10**400}}, "siblings: "),
+        ({"routing": {"siblings": 10**400}}, "routing.siblings: "),
         ({"rooting\n": {}}, "rooting: unknown key"),
         ({3: {}}, "3: unknown key"),
         ({"class": []}, "class: no class of requests"),
--- a/tests/test_virtual.py
+++ b/tests/test_virtual.py
@@ -16,20 +16,20 @@
 
 from rosewheel.cli.main import main
 from rosewheel.config.checked import ProblemsError
-from rosewheel.decide import interface as api
-from rosewheel.decide import policy
-from rosewheel.decide.policy import Balancer
 from rosewheel.lab import ledger, plan, scenario
 from rosewheel.lab.retry import Verdict
 from rosewheel.lab.scenario import OF_AREAS, Scenario
 from rosewheel.lab.scenario import TROUBLES as TROUBLE_KINDS
-from rosewheel.lab.virtual.clients import Op
-from rosewheel.lab.virtual.discovery import Registry
-from rosewheel.lab.virtual.events import Queue
-from rosewheel.lab.virtual.node import VirtualNode
-from rosewheel.lab.virtual.simulate import Simulation, check, simulate
+from rosewheel.lab.simulation.clients import Op
+from rosewheel.lab.simulation.discovery import Registry
+from rosewheel.lab.simulation.events import Queue
+from rosewheel.lab.simulation.node import VirtualNode
+from rosewheel.lab.simulation.simulate import Simulation, check, simulate
 from rosewheel.node.core import Dispatch, Effect
-from rosewheel.node.rest import Rest
+from rosewheel.node.idle_timeout import Rest
+from rosewheel.policy import balancer
+from rosewheel.policy.balancer import Balancer
+from rosewheel.policy.events import Server
 
 SHORT = settings(max_examples=25, deadline=None, derandomize=True)
 
@@ -77,7 +77,7 @@
 # ---------------------------------------------------------------- determinism
 
 SAY = (
-    "from rosewheel.lab import plan, scenario; from rosewheel.lab.virtual.simulate import simulate;"
+    "from rosewheel.lab import plan, scenario; from rosewheel.lab.simulation.simulate import simulate;"
     "r = simulate(plan.make(scenario.load('{}')));"
     "print(r['digest'], r['events'])"
 )
@@ -264,8 +264,8 @@
     remedy in the same run, so that the figure can fail."""
     one = plan.make(scenario.load("fleet-disco", {"seconds": 13}))
     now = simulate(one)["service"]
-    monkeypatch.setattr(policy, "SHY", 1.0)
-    monkeypatch.setattr(policy, "SHY_MS", 0.0)
+    monkeypatch.setattr(balancer, "SHY", 1.0)
+    monkeypatch.setattr(balancer, "SHY_MS", 0.0)
     assert now > simulate(one)["service"] + 0.01
 
 
@@ -278,10 +278,10 @@
 
 
 def test_an_equipo_back_from_a_lost_zone_is_cold_and_told_as_new() -> None:
-    told: list[api.Server] = []
+    told: list[Server] = []
     plain = Registry.set
 
-    def spy(self: Registry, server: api.Server, change: str) -> None:
+    def spy(self: Registry, server: Server, change: str) -> None:
         told.append(server)
         plain(self, server, change)
 
