--- a/tests/test_admin.py
+++ b/tests/admin/test_admin_server.py
@@ -9,11 +9,11 @@
 
 import orjson
 import pytest
-from sockets import Message, read_message, run, until
 
 from rosewheel.admin import server as admin
 from rosewheel.admin.server import Admin, reply_to
 from rosewheel.listener import bind
+from tests.support.sockets import Message, read_message, run, until
 
 
 class Desk:
--- a/tests/test_command.py
+++ b/tests/cli/test_command.py
@@ -12,12 +12,12 @@
 from pathlib import Path
 
 import pytest
-from test_scenario import OPERATOR
-from test_start import connect, free_port
 
 from rosewheel import logs
+from tests.cli.test_run import connect, free_port
+from tests.lab.test_scenario import OPERATOR
 
-ROOT = Path(__file__).parent.parent
+ROOT = Path(__file__).parent.parent.parent
 
 
 def started(*arguments: str, **more: object) -> subprocess.Popen[str]:
--- a/tests/test_start.py
+++ b/tests/cli/test_run.py
@@ -15,8 +15,6 @@
 
 import orjson
 import pytest
-from sockets import entry
-from test_adapter import CONFIG
 
 from rosewheel.config import platform
 from rosewheel.discovery.catalog import entries_from
@@ -24,8 +22,10 @@
 from rosewheel.policy.balancer import Balancer
 from rosewheel.policy.events import EndpointListForm, RequestReceived
 from rosewheel.policy.settings_codec import settings_from
+from tests.support.sockets import entry
+from tests.test_adapter import CONFIG
 
-ROOT = Path(__file__).parent.parent
+ROOT = Path(__file__).parent.parent.parent
 
 
 def start(tmp_path: Path, row: Any, **environ: str) -> subprocess.Popen[str]:
--- a/tests/test_tuned.py
+++ b/tests/config/test_fleet_document.py
@@ -10,12 +10,12 @@
 import pytest
 from hypothesis import given
 from hypothesis import strategies as st
-from test_scenario import OPERATOR
 
 from rosewheel.config import operator
 from rosewheel.config.checked import parse
 from rosewheel.config.operator import Operator, cordons, tuned
 from rosewheel.policy.settings import Tenant
+from tests.lab.test_scenario import OPERATOR
 
 OWN = OPERATOR.replace(
     "[routing]\n", '[limits]\nmax_open = 7\nsockets = 100\n[routing]\nzone = "a"\ntier = 1\n'
--- a/tests/test_control_node.py
+++ b/tests/control/test_control_processes.py
@@ -17,17 +17,17 @@
 from typing import Any
 
 import pytest
-from control_child import FaultyLog
-from machines import machines
-from sockets import run, until
-from test_command import started
-from test_scenario import OPERATOR
-from test_start import connect, free_port, good, start
 
 from rosewheel.control.client import CallError, Client
 from rosewheel.control.log import NAME, Log
+from tests.cli.test_command import started
+from tests.cli.test_run import connect, free_port, good, start
+from tests.lab.test_scenario import OPERATOR
+from tests.support.control_child import FaultyLog
+from tests.support.control_machines import machines
+from tests.support.sockets import run, until
 
-CHILD = Path(__file__).parent / "control_child.py"
+CHILD = Path(__file__).parent.parent / "support" / "control_child.py"
 
 
 @pytest.mark.parametrize("point", ["before", "half", "written", "synced"])
--- a/tests/test_control.py
+++ b/tests/control/test_control_service.py
@@ -8,13 +8,13 @@
 from typing import Any
 
 import pytest
-from machines import Bed, machines
-from sockets import run, until
 
 from rosewheel.control import placement, replica, store
 from rosewheel.control.follower import encoded
 from rosewheel.control.log import NAME
 from rosewheel.control.versions import START, Document, Epoch, Position
+from tests.support.control_machines import Bed, machines
+from tests.support.sockets import run, until
 
 LIMITS = {"limits": {"max_open": 500}}
 
--- a/tests/test_list_crossings.py
+++ b/tests/discovery/test_endpoint_list_races.py
@@ -9,10 +9,8 @@
 from dataclasses import dataclass, field
 
 import pytest
-from helpers import settings
 from hypothesis import given
 from hypothesis import strategies as st
-from sockets import FakeServer, answer, config, entry, read_message, run, until
 
 from rosewheel.discovery import backoff as rewatch
 from rosewheel.discovery import watch
@@ -21,6 +19,8 @@
 from rosewheel.policy.events import EndpointListForm
 from rosewheel.proxy import proxy as relay_module
 from rosewheel.proxy.proxy import Relay
+from tests.support.balancers import settings
+from tests.support.sockets import FakeServer, answer, config, entry, read_message, run, until
 
 HEAD = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 EMPTY = b'{"seq":5,"whole":false,"hosts":[]}\n'
--- a/tests/test_lists.py
+++ b/tests/discovery/test_long_lists.py
@@ -9,12 +9,12 @@
 from hypothesis import HealthCheck, given
 from hypothesis import settings as hypothesis_settings
 from hypothesis import strategies as st
-from sockets import config, entry, run
 
 from rosewheel.discovery import catalog
 from rosewheel.discovery.catalog import Entry, Lists, entries_from
 from rosewheel.policy.events import EndpointListForm, ServerState
 from rosewheel.proxy.proxy import Relay
+from tests.support.sockets import config, entry, run
 
 ROWS = st.lists(
     st.builds(
--- a/tests/test_rewatch.py
+++ b/tests/discovery/test_watch_backoff.py
@@ -10,12 +10,9 @@
 
 import orjson
 import pytest
-from helpers import Bed, settings
 from hypothesis import given
 from hypothesis import settings as hypothesis_settings
 from hypothesis import strategies as st
-from sockets import Message, config, entry, node, read_message, run, until
-from virtual_discovery import Net, VirtualLoop
 
 from rosewheel.discovery import backoff, watch
 from rosewheel.node.limits import Bounds
@@ -24,6 +21,9 @@
 from rosewheel.policy.events import EndpointListForm, EndpointListUpdate, TimerFired
 from rosewheel.proxy import proxy as relay_module
 from rosewheel.proxy.proxy import Relay
+from tests.support.balancers import Bed, settings
+from tests.support.sockets import Message, config, entry, node, read_message, run, until
+from tests.support.virtual_discovery import Net, VirtualLoop
 
 HEARD_S = 5.5  # from when discovery has a change and can be reached; it counts as told 0.5 s later
 
--- a/tests/test_watch.py
+++ b/tests/discovery/test_watch_client.py
@@ -10,11 +10,11 @@
 
 import orjson
 import pytest
-from sockets import run, until
-from test_list_crossings import HEAD, Agent, chunk
 
 from rosewheel.discovery import watch
 from rosewheel.discovery.watch import Watcher
+from tests.discovery.test_endpoint_list_races import HEAD, Agent, chunk
+from tests.support.sockets import run, until
 
 LOG = logging.getLogger("rosewheel.test")
 
--- a/tests/test_handover.py
+++ b/tests/hot_restart/test_hot_restart.py
@@ -12,12 +12,23 @@
 from typing import Any
 
 import pytest
-from sockets import WAIT_S, Client, FakeServer, Message, answer, config, entry, run, status, until
 
 from rosewheel.hot_restart import channel as links
 from rosewheel.hot_restart.wire import PACKET_BYTES, VERSIONS, Reader, agreed, packets
 from rosewheel.http.upstream import SETTLE_S
 from rosewheel.proxy.proxy import Relay
+from tests.support.sockets import (
+    WAIT_S,
+    Client,
+    FakeServer,
+    Message,
+    answer,
+    config,
+    entry,
+    run,
+    status,
+    until,
+)
 
 LONG = bytes(range(256)) * 4096 * 12  # 12 MB: more than the system holds for one connection
 
--- a/tests/test_leavers.py
+++ b/tests/http/test_client_disconnects.py
@@ -11,8 +11,6 @@
 from collections.abc import Iterator
 
 import pytest
-from helpers import KEYED, SAFE, UNSAFE
-from sockets import Client, FakeServer, Message, answer, entry, node, run, status, until
 
 from rosewheel.http.body import SHARES
 from rosewheel.http.callers import UNREAD_S
@@ -20,6 +18,8 @@
 from rosewheel.http.reader import WAITING
 from rosewheel.policy.actions import ForwardRequest
 from rosewheel.proxy.proxy import Relay, now_ms
+from tests.support.balancers import KEYED, SAFE, UNSAFE
+from tests.support.sockets import Client, FakeServer, Message, answer, entry, node, run, status, until
 
 
 def held_back() -> tuple[asyncio.Event, object]:
--- a/tests/test_reuse.py
+++ b/tests/http/test_connection_reuse.py
@@ -5,12 +5,12 @@
 import asyncio
 
 import pytest
-from sockets import Client, FakeServer, Message, answer, entry, node, run, status, until
 
 from rosewheel.http import upstream
 from rosewheel.node.idle_timeout import Rest
 from rosewheel.node.limits import Bounds
 from rosewheel.policy.events import EndpointListForm, Server, ServerState
+from tests.support.sockets import Client, FakeServer, Message, answer, entry, node, run, status, until
 
 
 def test_a_second_answer_that_comes_late_is_nobodys(monkeypatch: pytest.MonkeyPatch):
--- a/tests/test_descriptors.py
+++ b/tests/http/test_descriptor_limit.py
@@ -11,10 +11,11 @@
 
 import orjson
 import pytest
-from sockets import Client, FakeServer, Message, entry, read_message, run, status, until
-from test_adapter import CONFIG
-from test_rewatch import Returning
-from test_start import ROOT, free_port, good
+
+from tests.cli.test_run import ROOT, free_port, good
+from tests.discovery.test_watch_backoff import Returning
+from tests.support.sockets import Client, FakeServer, Message, entry, read_message, run, status, until
+from tests.test_adapter import CONFIG
 
 CROWD = 200
 LIMITED = """
--- a/tests/test_large.py
+++ b/tests/http/test_large_messages.py
@@ -8,12 +8,12 @@
 from collections.abc import Awaitable, Callable
 
 import pytest
-from sockets import Client, FakeServer, answer, entry, node, read_message, run, status, until
 
 from rosewheel.http import body as body_module
 from rosewheel.http import connection as connection_module
 from rosewheel.http import downstream as server_module
 from rosewheel.http import upstream as upstream_module
+from tests.support.sockets import Client, FakeServer, answer, entry, node, read_message, run, status, until
 
 Connected = Callable[[asyncio.StreamReader, asyncio.StreamWriter], Awaitable[None]]
 
--- a/tests/test_crowd.py
+++ b/tests/http/test_slow_clients.py
@@ -5,11 +5,11 @@
 import contextlib
 
 import pytest
-from sockets import Client, FakeDiscovery, FakeServer, entry, node, run, status, until
 
 from rosewheel.discovery import backoff as rewatch
 from rosewheel.discovery import watch as watch_module
 from rosewheel.node.limits import Bounds
+from tests.support.sockets import Client, FakeDiscovery, FakeServer, entry, node, run, status, until
 
 HEAD = b"GET /x HTTP/1.1\r\nRequest-Id: a\r\nRequest-Class: read\r\nRequest-Timeout-Ms: 900\r\n\r\n"
 
--- a/tests/test_sockets.py
+++ b/tests/http/test_sockets.py
@@ -11,21 +11,6 @@
 import weakref
 
 import pytest
-from sockets import (
-    Client,
-    FakeDiscovery,
-    FakeServer,
-    Handler,
-    Message,
-    answer,
-    entry,
-    node,
-    read_message,
-    run,
-    serve_ok,
-    status,
-    until,
-)
 
 from rosewheel.config.platform import Config
 from rosewheel.http.body import SHARES
@@ -43,6 +28,21 @@
 )
 from rosewheel.policy.settings import Idempotency, ServiceClass
 from rosewheel.proxy.proxy import Relay
+from tests.support.sockets import (
+    Client,
+    FakeDiscovery,
+    FakeServer,
+    Handler,
+    Message,
+    answer,
+    entry,
+    node,
+    read_message,
+    run,
+    serve_ok,
+    status,
+    until,
+)
 
 
 def closed_port() -> int:
--- a/tests/test_emulator.py
+++ b/tests/lab/test_emulator.py
@@ -16,7 +16,6 @@
 
 import msgspec
 import pytest
-from sockets import Message, read_message, run, status, until
 
 from rosewheel.config.checked import parse
 from rosewheel.lab import plan as plans
@@ -27,8 +26,9 @@
 from rosewheel.lab.scenario import Scenario
 from rosewheel.lab.streams import stream
 from rosewheel.lab.wire import now_ms
+from tests.support.sockets import Message, read_message, run, status, until
 
-ROOT = Path(__file__).parent.parent
+ROOT = Path(__file__).parent.parent.parent
 
 TEXT = """
 name = "small"
--- a/tests/test_lab.py
+++ b/tests/lab/test_lab.py
@@ -9,7 +9,6 @@
 import msgspec
 import pytest
 from click.testing import CliRunner
-from sockets import FakeServer, Message, answer, run
 
 from rosewheel.cli.main import main
 from rosewheel.lab import experiment as experiments
@@ -20,6 +19,7 @@
 from rosewheel.lab.records import Writer, read
 from rosewheel.lab.report import spans_from
 from rosewheel.lab.wire import now_ms
+from tests.support.sockets import FakeServer, Message, answer, run
 
 QUICK: dict[str, object] = {
     "seconds": 1.0,
--- a/tests/test_scenario.py
+++ b/tests/lab/test_scenario.py
@@ -21,7 +21,7 @@
 from rosewheel.lab.scenario import Scenario
 from rosewheel.policy.settings import DedupScope, Idempotency
 
-ROOT = Path(__file__).parent.parent
+ROOT = Path(__file__).parent.parent.parent
 
 GOOD = """
 name = "small"
--- a/tests/test_orders.py
+++ b/tests/node/test_event_orders.py
@@ -7,7 +7,6 @@
 from typing import Any
 
 import pytest
-from helpers import KEYED, SAFE, UNSAFE, settings
 from hypothesis import given
 from hypothesis import strategies as st
 
@@ -24,6 +23,7 @@
     ServerState,
 )
 from rosewheel.policy.settings import DedupScope, Idempotency, ServiceClass
+from tests.support.balancers import KEYED, SAFE, UNSAFE, settings
 
 KINDS = {kind.name: kind for kind in (SAFE, UNSAFE, dataclasses.replace(KEYED, dedup_scope=DedupScope.CELL))}
 RESULTS = [result for result in AttemptResult if result is not AttemptResult.NOT_SENT]
--- a/tests/test_arrival.py
+++ b/tests/node/test_incomplete_requests.py
@@ -3,7 +3,6 @@
 from __future__ import annotations
 
 import pytest
-from helpers import Bed, kinds, sent, settings
 
 from rosewheel.node.core import SERVED, Abort, Answer, Dispatch, Node
 from rosewheel.node.limits import Bounds
@@ -18,6 +17,7 @@
     ResponseStarted,
     Server,
 )
+from tests.support.balancers import Bed, kinds, sent, settings
 
 
 def begun(bed: Bed, service: str = "post") -> tuple[str, ForwardRequest]:
--- a/tests/test_node.py
+++ b/tests/node/test_node.py
@@ -4,8 +4,6 @@
 
 from collections.abc import Callable
 
-from helpers import servers, settings
-
 from rosewheel.node.core import Abort, Answer, Dispatch, Effect, Node
 from rosewheel.node.limits import Bounds
 from rosewheel.policy.actions import Action, ForwardRequest
@@ -18,6 +16,7 @@
     Server,
     ServerState,
 )
+from tests.support.balancers import servers, settings
 
 Script = Callable[[float, Event], list[Action]]
 
--- a/tests/test_stats.py
+++ b/tests/node/test_statistics.py
@@ -2,14 +2,13 @@
 
 from __future__ import annotations
 
-from helpers import settings
-from sockets import Client, FakeServer, entry, node, run, status, until
-from test_sockets import held_back
-
 from rosewheel.node.core import Node
 from rosewheel.node.limits import Bounds
 from rosewheel.node.statistics import Ended, Figures
 from rosewheel.policy.events import AttemptResult, EndpointListForm, RequestReceived, Server
+from tests.http.test_sockets import held_back
+from tests.support.balancers import settings
+from tests.support.sockets import Client, FakeServer, entry, node, run, status, until
 
 
 def counts(figures: Figures) -> dict[str, tuple[int, int, int]]:
--- a/tests/test_guards.py
+++ b/tests/policy/test_guards.py
@@ -5,7 +5,6 @@
 import copy
 
 import pytest
-from helpers import Bed, kinds, sent, servers
 
 from rosewheel.policy.actions import CancelAttempt, FailRequest, RejectRequest, StartTimer, WatchEndpoints
 from rosewheel.policy.events import (
@@ -19,6 +18,7 @@
     TimerFired,
 )
 from rosewheel.policy.settings import DedupScope, Idempotency, ServiceClass
+from tests.support.balancers import Bed, kinds, sent, servers
 
 NEVER_RAN = [AttemptResult.OVERLOADED, AttemptResult.CONNECT_FAILED, AttemptResult.NOT_SENT]
 MAY_HAVE_RUN = [AttemptResult.ERROR, AttemptResult.TIMEOUT, AttemptResult.RESET, AttemptResult.CANCELLED]
--- a/tests/test_learned.py
+++ b/tests/policy/test_learned_state.py
@@ -15,11 +15,9 @@
 
 import orjson
 import pytest
-from helpers import Bed, sent, settings
 from hypothesis import given
 from hypothesis import settings as hypothesis_settings
 from hypothesis import strategies as st
-from sockets import FakeServer, entry, node, run
 
 from rosewheel.policy.balancer import LEARN, Balancer
 from rosewheel.policy.events import (
@@ -34,8 +32,10 @@
 from rosewheel.policy.learned_state import OLDEST_MS, Learned, age, learned_from, same_start, weight
 from rosewheel.proxy import snapshots
 from rosewheel.proxy.snapshots import Snapshots, clocks, decoded, encoded
+from tests.support.balancers import Bed, sent, settings
+from tests.support.sockets import FakeServer, entry, node, run
 
-ROOT = Path(__file__).parent.parent
+ROOT = Path(__file__).parent.parent.parent
 
 
 def taught(slow: str = "s0") -> Bed:
--- a/tests/test_many.py
+++ b/tests/policy/test_many_balancers.py
@@ -3,10 +3,10 @@
 from __future__ import annotations
 
 import pytest
-from helpers import Bed, sent, servers
 
 from rosewheel.policy import balancer
 from rosewheel.policy.events import AttemptResult, EndpointListForm, EndpointListUpdate, Server
+from tests.support.balancers import Bed, sent, servers
 
 FACTOR = 4.0  # of the rule on cold servers
 
--- a/tests/test_mechanism.py
+++ b/tests/policy/test_mechanism.py
@@ -5,7 +5,6 @@
 from itertools import pairwise
 
 import pytest
-from helpers import SAFE, Bed, kinds, sent
 
 from rosewheel.policy.actions import Action, RejectRequest, StartTimer
 from rosewheel.policy.balancer import Balancer
@@ -20,6 +19,7 @@
     TimerFired,
 )
 from rosewheel.policy.settings import ServiceClass, Settings, Tenant
+from tests.support.balancers import SAFE, Bed, kinds, sent
 
 
 def load_period(bed: Bed, latency: float, count: int = 30) -> None:
--- a/tests/test_limits.py
+++ b/tests/policy/test_policy_limits.py
@@ -6,7 +6,7 @@
 import tomllib
 from pathlib import Path
 
-ROOT = Path(__file__).parent.parent
+ROOT = Path(__file__).parent.parent.parent
 DEPLOY = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())
 
 
--- a/tests/test_pool.py
+++ b/tests/policy/test_pool.py
@@ -5,7 +5,6 @@
 from typing import Any
 
 import pytest
-from helpers import KEYED, Bed, sent, settings
 from hypothesis import settings as hypothesis_settings
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
@@ -26,6 +25,7 @@
 )
 from rosewheel.policy.pool import COLD, LOOKS, SAMPLE, WHOLE, Pool
 from rosewheel.policy.settings import DedupScope, Idempotency, ServiceClass
+from tests.support.balancers import KEYED, Bed, sent, settings
 
 MANY = 1000
 NAMES = st.sampled_from([f"s{at}" for at in range(WHOLE + 12)])
--- a/tests/test_configure.py
+++ b/tests/policy/test_settings_change.py
@@ -7,10 +7,8 @@
 from typing import Any
 
 import pytest
-from helpers import KEYED, SAFE, UNSAFE, Bed, kinds, sent, servers, settings
 from hypothesis import given
 from hypothesis import strategies as st
-from test_orders import KINDS, STEP, World
 
 from rosewheel.node.core import Abort, Answer, Dispatch, Node
 from rosewheel.node.limits import Bounds
@@ -30,6 +28,8 @@
 from rosewheel.policy.learned_state import Learned
 from rosewheel.policy.pool import WHOLE
 from rosewheel.policy.settings import DedupScope, Idempotency, ServiceClass, Settings, Tenant
+from tests.node.test_event_orders import KINDS, STEP, World
+from tests.support.balancers import KEYED, SAFE, UNSAFE, Bed, kinds, sent, servers, settings
 
 CLASSES: list[tuple[ServiceClass, ...]] = [
     tuple(KINDS.values()),
--- a/tests/test_slow_start.py
+++ b/tests/policy/test_slow_start.py
@@ -10,7 +10,6 @@
 import msgspec
 import numpy as np
 import pytest
-from helpers import Bed, sent
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
@@ -26,6 +25,7 @@
 from rosewheel.lab.streams import dealt, stream
 from rosewheel.policy.events import EndpointListForm, EndpointListUpdate, Server, ServerState
 from rosewheel.policy.settings import Settings
+from tests.support.balancers import Bed, sent
 
 RULES = RulesTable(stated_cold_from=0.2, stated_cold_s=10.0, tip_ms=1500.0, tip_multiple=3.0)
 SHORT = settings(max_examples=60, deadline=None, derandomize=True)
--- a/tests/test_cordon.py
+++ b/tests/proxy/test_cordon.py
@@ -8,8 +8,6 @@
 from pathlib import Path
 
 import pytest
-from helpers import Bed, kinds, sent, servers, settings
-from sockets import Client, FakeServer, entry, node, run, status, until
 
 from rosewheel.node.core import Dispatch, Node
 from rosewheel.node.limits import Bounds
@@ -23,6 +21,8 @@
     Server,
     ServerState,
 )
+from tests.support.balancers import Bed, kinds, sent, servers, settings
+from tests.support.sockets import Client, FakeServer, entry, node, run, status, until
 
 
 def picks(bed: Bed, count: int = 30) -> set[str]:
--- a/tests/test_listener.py
+++ b/tests/proxy/test_listener.py
@@ -7,11 +7,11 @@
 import socket
 
 import pytest
-from sockets import Client, FakeServer, config, entry, run, status, until
 
 from rosewheel.config.platform import ConfigError
 from rosewheel.listener import open_listener
 from rosewheel.proxy.proxy import Relay
+from tests.support.sockets import Client, FakeServer, config, entry, run, status, until
 
 
 def test_an_address_is_bound():
--- a/tests/test_state.py
+++ b/tests/proxy/test_process_state.py
@@ -8,9 +8,9 @@
 
 import orjson
 import pytest
-from sockets import run, until
 
 from rosewheel.proxy.state import State
+from tests.support.sockets import run, until
 
 
 class Reader:
--- a/tests/test_configure_relay.py
+++ b/tests/proxy/test_reconfiguration.py
@@ -13,12 +13,6 @@
 
 import orjson
 import pytest
-from helpers import SAFE, UNSAFE
-from sockets import WAIT_S, Client, FakeDiscovery, FakeServer, entry, node, run, status, until
-from test_adapter import CONFIG
-from test_handover import LONG, bench, read_long, send_long, slow_client
-from test_sockets import held_back
-from test_start import connect, free_port, good, start
 
 from rosewheel.admin.server import reply_to
 from rosewheel.config.platform import ConfigError
@@ -28,6 +22,12 @@
 from rosewheel.proxy.cordons import Cordons
 from rosewheel.proxy.proxy import Relay
 from rosewheel.proxy.state import State
+from tests.cli.test_run import connect, free_port, good, start
+from tests.hot_restart.test_hot_restart import LONG, bench, read_long, send_long, slow_client
+from tests.http.test_sockets import held_back
+from tests.support.balancers import SAFE, UNSAFE
+from tests.support.sockets import WAIT_S, Client, FakeDiscovery, FakeServer, entry, node, run, status, until
+from tests.test_adapter import CONFIG
 
 
 def other(relay: Relay, **changes: Any) -> Settings:
--- a/tests/test_stopping.py
+++ b/tests/proxy/test_shutdown.py
@@ -7,12 +7,12 @@
 import socket
 
 import pytest
-from helpers import KEYED, SAFE, UNSAFE
-from sockets import Client, FakeServer, Message, answer, entry, node, run, status, until
 
 from rosewheel.http import callers as callers_module
 from rosewheel.http.downstream import Caller
 from rosewheel.proxy.proxy import Relay
+from tests.support.balancers import KEYED, SAFE, UNSAFE
+from tests.support.sockets import Client, FakeServer, Message, answer, entry, node, run, status, until
 
 KILLED_S = 0.7  # so long after the longest patience, counted as 3 s where it is longer
 
--- a/tests/test_startup.py
+++ b/tests/proxy/test_startup.py
@@ -12,8 +12,9 @@
 from pathlib import Path
 
 import orjson
-from sockets import entry
-from test_start import CONFIG, ROOT, good
+
+from tests.cli.test_run import CONFIG, ROOT, good
+from tests.support.sockets import entry
 
 WAIT_S = 120.0  # a good run never gets near it, also on a machine that is busy
 MANY = 30
--- a/tests/sockets.py
+++ b/tests/support/sockets.py
@@ -11,11 +11,11 @@
 
 import orjson
 import uvloop
-from helpers import settings
 
 from rosewheel.config.platform import Config
 from rosewheel.node.limits import Bounds
 from rosewheel.proxy.proxy import Relay
+from tests.support.balancers import settings
 
 WAIT_S = 20.0  # a test that waits this long has failed; a good one never gets near it
 
