--- a/tests/lab/test_simulation.py
+++ b/tests/lab/test_simulation.py
@@ -11,7 +11,7 @@
 import msgspec
 import pytest
 from click.testing import CliRunner
-from hypothesis import given, settings
+from hypothesis import example, given, settings
 from hypothesis import strategies as st
 
 from rosewheel.cli.main import main
@@ -176,6 +176,7 @@
     st.sampled_from([20.0, 120.0, 400.0]),
     st.integers(0, 1 << 30),
 )
+@example([{"kind": "loss", "at_s": 1.0, "for_s": 1.02, "zone": "sala"}], 400.0, 1)
 def test_the_rules_hold_under_any_troubles(troubles: list[dict[str, Any]], rate: float, seed: int) -> None:
     run = Simulation(plan.make(made(troubles, rate), seed))
     summary = run.run()
