--- a/rosewheel/cli/control.py
+++ b/rosewheel/cli/control.py
@@ -21,8 +21,8 @@
 from rosewheel.config.checked import KeyedError, ProblemsError, read
 from rosewheel.config.operator import LogTable, Table, Text
 from rosewheel.config.platform import Address, parse_address
-from rosewheel.control.log import DamagedError, Log
-from rosewheel.control.service import Service, Setup
+from rosewheel.control.durable_log import DurableLog, LogDamagedError
+from rosewheel.control.machine import ControlMachine, MachineSettings
 
 ANSWER_S = 10.0  # a promotion asks each peer twice
 
@@ -98,11 +98,11 @@
     others.pop(name, None)  # the same list may be given to all
     if writer and writer != name and writer not in others:
         _bad(f"--writer: no machine {writer!r}")
-    setup = Setup(name, _address(listen, "--listen"), Path(folder), others, writer)
+    setup = MachineSettings(name, _address(listen, "--listen"), Path(folder), others, writer)
     logs.start(form == "json", level)
     try:
-        disk = Log(setup.folder)
-    except DamagedError as error:
+        disk = DurableLog(setup.data_dir)
+    except LogDamagedError as error:
         _bad(str(error))
     except OSError as error:
         _bad(f"--dir: {error}")
@@ -112,11 +112,11 @@
         _bad(str(error))
 
 
-async def _serve(setup: Setup, disk: Log) -> None:
+async def _serve(setup: MachineSettings, disk: DurableLog) -> None:
     stop = asyncio.Event()
     for name in (signal.SIGTERM, signal.SIGINT):
         asyncio.get_running_loop().add_signal_handler(name, stop.set)
-    service = Service(setup, disk)
+    service = ControlMachine(setup, disk)
     try:
         await service.start()
         click.echo(f"{setup.name} listens at {setup.listen[0]}:{service.port}")
--- a/rosewheel/control/log.py
+++ b/rosewheel/control/durable_log.py
@@ -18,36 +18,36 @@
 
 import orjson
 
-NAME, PART, LOCK = "control.log", "control.part", "control.lock"
-HEAD = struct.Struct("<III")  # length of the body, crc32 of that length, crc32 of the body
+LOG_FILE_NAME, PART, LOCK = "control.log", "control.part", "control.lock"
+RECORD_HEADER = struct.Struct("<III")  # length of the body, crc32 of that length, crc32 of the body
 LENGTH = struct.Struct("<I")
 BODY_BYTES = 64 << 20  # Guards memory: a longer record was not written here
 
-Record = dict[str, Any]
+LogRecord = dict[str, Any]
 
 
-class DamagedError(Exception):
+class LogDamagedError(Exception):
     """The log can't be used as it is; the text is one plain line."""
 
 
-class Log:
+class DurableLog:
     """One process at a time. Raises DamagedError where the log is damaged or another process has it, OSError where
     the folder can't be used."""
 
     def __init__(self, folder: str | Path) -> None:
-        self.folder = Path(folder)
-        self.path = self.folder / NAME
-        if not self.folder.is_dir():
-            self.folder.mkdir(parents=True)
-            _sync_folder(self.folder.parent)
-        self._lock = os.open(self.folder / LOCK, os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, 0o600)
+        self.directory = Path(folder)
+        self.path = self.directory / LOG_FILE_NAME
+        if not self.directory.is_dir():
+            self.directory.mkdir(parents=True)
+            _sync_folder(self.directory.parent)
+        self._lock = os.open(self.directory / LOCK, os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, 0o600)
         try:
             fcntl.flock(self._lock, fcntl.LOCK_EX | fcntl.LOCK_NB)
         except OSError as error:
             os.close(self._lock)
-            raise DamagedError(f"{self.folder}: another process has it") from error
-        self.broken = ""  # why nothing more can be written
-        self.cut = 0  # bytes that were cut off at the start
+            raise LogDamagedError(f"{self.directory}: another process has it") from error
+        self.failure = ""  # why nothing more can be written
+        self.truncated_bytes = 0  # bytes that were cut off at the start
         self._file = -1
         try:
             self.records = self._open()  # as found; whoever reads them may drop them
@@ -55,24 +55,24 @@
             self.close()
             raise
 
-    def _open(self) -> list[Record]:
+    def _open(self) -> list[LogRecord]:
         fresh = not self.path.exists()
         self._file = os.open(self.path, os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, 0o600)
         data = self.path.read_bytes()
         records, good = _read(data, str(self.path))
-        self.size, self.count = good, len(records)
+        self.size, self.record_count = good, len(records)
         if good < len(data):
-            self.cut = len(data) - good
+            self.truncated_bytes = len(data) - good
             os.ftruncate(self._file, good)
-        if fresh or self.cut:
+        if fresh or self.truncated_bytes:
             os.fsync(self._file)
-            _sync_folder(self.folder)
+            _sync_folder(self.directory)
         return records
 
-    def append(self, records: Iterable[Record]) -> None:
+    def append(self, records: Iterable[LogRecord]) -> None:
         """Write and sync. OSError: nothing of it counts; where that can't be made sure, nothing more is taken."""
-        if self.broken:
-            raise OSError(self.broken)
+        if self.failure:
+            raise OSError(self.failure)
         packed = [_packed(record) for record in records]
         data = b"".join(packed)
         try:
@@ -80,12 +80,12 @@
             self._sync()
         except OSError as error:
             # After a failed sync the system may have dropped what it had, so what is on the disk is not known.
-            self.broken = f"{self.path}: {error.strerror or error}: start again"
+            self.failure = f"{self.path}: {error.strerror or error}: start again"
             with contextlib.suppress(OSError):
                 os.ftruncate(self._file, self.size)
-            raise OSError(self.broken) from error
+            raise OSError(self.failure) from error
         self.size += len(data)
-        self.count += len(packed)
+        self.record_count += len(packed)
 
     def _write(self, data: bytes) -> None:
         at = self.size
@@ -98,12 +98,12 @@
     def _sync(self) -> None:
         os.fsync(self._file)
 
-    def rewrite(self, records: Iterable[Record]) -> None:
+    def rewrite(self, records: Iterable[LogRecord]) -> None:
         """These in place of all there was; after a crash it is all of the one or all of the other."""
-        if self.broken:
-            raise OSError(self.broken)
+        if self.failure:
+            raise OSError(self.failure)
         packed = [_packed(record) for record in records]
-        part = self.folder / PART
+        part = self.directory / PART
         file = os.open(part, os.O_RDWR | os.O_CREAT | os.O_TRUNC | os.O_CLOEXEC, 0o600)
         try:
             data = memoryview(b"".join(packed))
@@ -116,12 +116,12 @@
             os.close(file)
             raise
         os.close(self._file)
-        self._file, self.size, self.count = file, size, len(packed)
+        self._file, self.size, self.record_count = file, size, len(packed)
         try:
-            _sync_folder(self.folder)
+            _sync_folder(self.directory)
         except OSError as error:
-            self.broken = f"{self.folder}: {error.strerror or error}: start again"
-            raise OSError(self.broken) from error
+            self.failure = f"{self.directory}: {error.strerror or error}: start again"
+            raise OSError(self.failure) from error
 
     def close(self) -> None:
         for file in (self._file, self._lock):
@@ -130,33 +130,33 @@
         self._file = self._lock = -1
 
 
-def _packed(record: Record) -> bytes:
+def _packed(record: LogRecord) -> bytes:
     body = orjson.dumps(record, default=tuple) + b"\n"
     length = LENGTH.pack(len(body))
-    return HEAD.pack(len(body), zlib.crc32(length), zlib.crc32(body)) + body
+    return RECORD_HEADER.pack(len(body), zlib.crc32(length), zlib.crc32(body)) + body
 
 
-def _read(data: bytes, name: str) -> tuple[list[Record], int]:
+def _read(data: bytes, name: str) -> tuple[list[LogRecord], int]:
     """The records, and where the good ones end."""
-    records: list[Record] = []
+    records: list[LogRecord] = []
     at, end = 0, len(data)
     while at < end:
-        if at + HEAD.size > end:
+        if at + RECORD_HEADER.size > end:
             break
-        length, head_sum, body_sum = HEAD.unpack_from(data, at)
-        body = data[at + HEAD.size : at + HEAD.size + length]
+        length, head_sum, body_sum = RECORD_HEADER.unpack_from(data, at)
+        body = data[at + RECORD_HEADER.size : at + RECORD_HEADER.size + length]
         if zlib.crc32(LENGTH.pack(length)) != head_sum or length > BODY_BYTES:
-            if _unwritten(data, at, HEAD.size):
+            if _unwritten(data, at, RECORD_HEADER.size):
                 break
-            raise DamagedError(f"{name}: damaged at byte {at}, after {len(records)} good records")
+            raise LogDamagedError(f"{name}: damaged at byte {at}, after {len(records)} good records")
         if len(body) < length:
             break
         if zlib.crc32(body) != body_sum:
-            if _unwritten(data, at, HEAD.size + length):
+            if _unwritten(data, at, RECORD_HEADER.size + length):
                 break
-            raise DamagedError(f"{name}: damaged at byte {at}, after {len(records)} good records")
+            raise LogDamagedError(f"{name}: damaged at byte {at}, after {len(records)} good records")
         records.append(orjson.loads(body))
-        at += HEAD.size + length
+        at += RECORD_HEADER.size + length
     return records, at
 
 
--- a/rosewheel/control/client.py
+++ b/rosewheel/control/http_client.py
@@ -14,11 +14,11 @@
 ANSWER_BYTES = 64 << 20  # Guards memory
 
 
-class CallError(Exception):
+class HttpCallError(Exception):
     """No answer, or none that makes sense; the text is one plain line."""
 
 
-class Client:
+class JsonHttpClient:
     def __init__(self, address: Address) -> None:
         self.address = address
         self._connection: _Connection | None = None
@@ -43,10 +43,10 @@
                     return await self._exchange(head.encode() + body)
         except TimeoutError as error:
             self.close()  # what comes late must not be taken for the answer to the next one
-            raise CallError(f"{host}:{port}: no answer in {timeout_s:g} s") from error
+            raise HttpCallError(f"{host}:{port}: no answer in {timeout_s:g} s") from error
         except (OSError, _UnansweredError, orjson.JSONDecodeError, httptools.HttpParserError) as error:
             self.close()
-            raise CallError(f"{host}:{port}: {error or type(error).__name__}") from error
+            raise HttpCallError(f"{host}:{port}: {error or type(error).__name__}") from error
         except asyncio.CancelledError:
             self.close()
             raise
--- a/rosewheel/control/placement.py
+++ b/rosewheel/control/machine_selection.py
@@ -13,19 +13,19 @@
 # From the end of a cut to what was missed being in force 6 s are allowed. At worst the watch has just begun to be
 # silent: 2.8 s until that is noticed, 0.4 s wait, 1.2 s to the first line, of which 0.7 s to connect: 4.4 s, and 1.1 s
 # more where the next machine of the node's order is lost and does not even refuse.
-SILENCE_S = 2.8  # an empty line comes every 2 s
-WAIT_S = 0.4
-CONNECT_S = 0.7
-FIRST_S = 1.2
+WATCH_IDLE_TIMEOUT_S = 2.8  # an empty line comes every 2 s
+RECONNECT_BACKOFF_S = 0.4
+CONNECT_TIMEOUT_S = 0.7
+FIRST_LINE_TIMEOUT_S = 1.2
 LEAST = 0.25  # of a wait is the least that is drawn
 
-RETURN_S = (60.0, 240.0)  # when a node that had to move looks for its preferred machine again
+RETURN_INTERVAL_S = (60.0, 240.0)  # when a node that had to move looks for its preferred machine again
 
-PACE_PER_S = 250.0  # nodes that a machine takes on in a second; 540 on the last of four are done in 2 s
-BURST = 40
+WATCHES_PER_S = 250.0  # nodes that a machine takes on in a second; 540 on the last of four are done in 2 s
+WATCH_BURST = 40
 
 
-def order(node: str, machines: Iterable[str]) -> list[str]:
+def rendezvous_order(node: str, machines: Iterable[str]) -> list[str]:
     """The machines, the one that this node prefers first."""
     return sorted(machines, key=lambda machine: (_weight(node, machine), machine), reverse=True)
 
@@ -34,12 +34,12 @@
     return blake2b(f"{len(node)}:{node}{machine}".encode(), digest_size=8).digest()
 
 
-class Route:
+class MachineSelection:
     """Where one node tries next. `lost` counts: a machine that just failed is tried after all the others."""
 
     def __init__(self, node: str, machines: Iterable[str], seed: int) -> None:
         self.random = Random(seed)
-        self.order = order(node, machines)
+        self.order = rendezvous_order(node, machines)
         if not self.order:
             raise ValueError("no control machine")
         self.at = 0
@@ -49,30 +49,30 @@
         return self.order[self.at]
 
     @property
-    def preferred(self) -> bool:
+    def is_preferred(self) -> bool:
         return self.at == 0
 
-    def lost(self) -> float:
+    def fail_over(self) -> float:
         """The current one is no use: the next one is current, to be tried after so many seconds."""
         self.at = (self.at + 1) % len(self.order)
-        return WAIT_S * self.random.uniform(LEAST, 1.0)
+        return RECONNECT_BACKOFF_S * self.random.uniform(LEAST, 1.0)
 
-    def home(self) -> None:
+    def return_to_preferred(self) -> None:
         self.at = 0
 
-    def return_s(self) -> float:
+    def draw_return_wait_s(self) -> float:
         """When to look whether the preferred machine is back."""
-        return self.random.uniform(*RETURN_S)
+        return self.random.uniform(*RETURN_INTERVAL_S)
 
 
-class Pace:
+class ConnectionPacer:
     """A bucket of tokens: how long the next one of a crowd waits for its turn."""
 
-    def __init__(self, per_s: float = PACE_PER_S, burst: int = BURST) -> None:
+    def __init__(self, per_s: float = WATCHES_PER_S, burst: int = WATCH_BURST) -> None:
         self.per_s, self.burst = per_s, burst
         self._due_s = 0.0  # when the bucket was, or will be, full
 
-    def turn(self, now_s: float) -> float:
+    def reserve(self, now_s: float) -> float:
         """Seconds from now until the turn of one that comes now."""
         self._due_s = max(self._due_s, now_s) + 1.0 / self.per_s
         return max(0.0, self._due_s - now_s - self.burst / self.per_s)
--- a/rosewheel/control/replica.py
+++ b/rosewheel/control/replica.py
@@ -16,17 +16,17 @@
 from dataclasses import dataclass
 from typing import Any
 
-from rosewheel.control.log import Record
-from rosewheel.control.versions import (
-    KEPT,
-    START,
-    Base,
+from rosewheel.control.durable_log import LogRecord
+from rosewheel.control.revisions import (
+    INITIAL_REVISION,
+    RETAINED_REVISIONS,
     Change,
     Document,
     Epoch,
-    Position,
-    Versions,
-    named,
+    Revision,
+    RevisionHistory,
+    Snapshot,
+    describe,
 )
 
 NOBODY = Epoch(0, "")
@@ -34,11 +34,11 @@
 COPIES = 2  # machines that have a change on disk before it is acknowledged, where there are as many
 
 
-class NotWriterError(Exception):
+class NotLeaderError(Exception):
     """Another machine writes, or none that this one knows of."""
 
 
-class PendingError(Exception):
+class UncommittedChangeError(Exception):
     """An earlier change is not held by another machine yet."""
 
 
@@ -46,244 +46,255 @@
     """What was told is of a lower epoch than one that was seen, or from before what is held."""
 
 
-class BehindError(Exception):
+class NotPromotableError(Exception):
     """This machine may not be promoted: others have, or may have, what it lacks."""
 
 
 @dataclass(slots=True, frozen=True)
-class Tail:
+class LogSuffix:
     """What one machine tells another: changes after its position, or all that is kept, from a base on."""
 
     changes: tuple[Change, ...]
-    base: Base | None = None
+    snapshot: Snapshot | None = None
 
     @property
-    def top(self) -> Position:
+    def last(self) -> Revision:
         if self.changes:
-            return self.changes[-1].position
-        return self.base.position if self.base is not None else START
+            return self.changes[-1].revision
+        return self.snapshot.revision if self.snapshot is not None else INITIAL_REVISION
 
 
 class Replica:
     """One machine's part. `peers` are the names of the others, `first` writes until somebody is promoted."""
 
     def __init__(
-        self, name: str, peers: Iterable[str], first: str = "", records: Iterable[Record] = ()
+        self, name: str, peers: Iterable[str], first: str = "", records: Iterable[LogRecord] = ()
     ) -> None:
         self.name, self.peers = name, tuple(peers)
-        self.versions = Versions()
-        self.seen = NOBODY
-        self.fresh = True  # nothing was on disk
+        self.history = RevisionHistory()
+        self.highest_epoch_seen = NOBODY
+        self.started_empty = True  # nothing was on disk
         for record in records:
-            self.fresh = False
+            self.started_empty = False
             self._replay(record)
-        if self.fresh and first:  # only then: what is on disk is newer than what a command line says
-            self.seen = Epoch(FIRST, first)
-        self.holds: dict[str, Position] = {}  # what peers have on disk, as last told
-        self.pending = (
+        if self.started_empty and first:  # only then: what is on disk is newer than what a command line says
+            self.highest_epoch_seen = Epoch(FIRST, first)
+        self.peer_revisions: dict[str, Revision] = {}  # what peers have on disk, as last told
+        self.uncommitted_count = (
             self._doubtful() if self.peers else 0
         )  # the newest versions that may be held by no other
 
     def _doubtful(self) -> int:
         """How many of the last may have been written just before the end, by one who then told nobody. A writer waits
         for one to be held before it writes the next; only a promotion does not wait."""
-        count, changes = 0, self.versions.changes
+        count, changes = 0, self.history.changes
         for at in range(len(changes) - 1, -1, -1):
-            if changes[at].position.writer != self.name or changes[at].alone:
+            if changes[at].revision.leader != self.name or changes[at].unreplicated:
                 break
             count += 1
-            if at and changes[at - 1].position.epoch == changes[at].position.epoch:
+            if at and changes[at - 1].revision.epoch == changes[at].revision.epoch:
                 break
         return count
 
-    def _replay(self, record: Record) -> None:
+    def _replay(self, record: LogRecord) -> None:
         match record["kind"]:
             case "base":
-                self.versions = Versions(base_from(record))
+                self.history = RevisionHistory(decode_snapshot(record))
             case "change":
-                self.versions.add(change_from(record))
+                self.history.append(decode_change(record))
             case "seen":
-                self.seen = max(self.seen, Epoch(*record["epoch"]))
-        self.seen = max(self.seen, self.top.epoch)
+                self.highest_epoch_seen = max(self.highest_epoch_seen, Epoch(*record["epoch"]))
+        self.highest_epoch_seen = max(self.highest_epoch_seen, self.last.epoch)
 
     # -------------------------------------------------------------------- what is
 
     @property
-    def top(self) -> Position:
-        return self.versions.top
+    def last(self) -> Revision:
+        return self.history.last
 
     @property
-    def writes(self) -> bool:
+    def is_leader(self) -> bool:
         """Whether this is its epoch, and its promotion came to an end: the first version of an epoch, which is written
         once enough machines take nothing older, is there."""
-        if self.seen.writer != self.name:
+        if self.highest_epoch_seen.leader != self.name:
             return False
-        return self.top.epoch == self.seen or (self.seen.number == FIRST and not self.unheard)
+        return self.last.epoch == self.highest_epoch_seen or (
+            self.highest_epoch_seen.number == FIRST and not self.uncontacted_peers
+        )
 
     @property
-    def unheard(self) -> list[str]:
+    def uncontacted_peers(self) -> list[str]:
         """Those that the writer of the first epoch has to hear of before it writes the first version. Otherwise one
         that has lost its disk would begin anew, beside what others hold of it."""
-        return [peer for peer in self.peers if self.holds.get(peer) != START]
+        return [peer for peer in self.peers if self.peer_revisions.get(peer) != INITIAL_REVISION]
 
     @property
-    def shown(self) -> Position:
+    def committed(self) -> Revision:
         """The newest version that nodes are told of."""
-        if not self.pending:
-            return self.top
-        return self.versions.position(self.top.version - self.pending)
+        if not self.uncommitted_count:
+            return self.last
+        return self.history.revision_numbered(self.last.number - self.uncommitted_count)
 
     @property
-    def document(self) -> Document:
-        document = self.versions.at(self.shown)
+    def committed_document(self) -> Document:
+        document = self.history.document_at(self.committed)
         assert document is not None
         return document
 
     @property
-    def records(self) -> list[Record]:
+    def log_records(self) -> list[LogRecord]:
         """All that a new log has to begin with."""
-        changes = [change_record(change) for change in self.versions.changes]
-        return [base_record(self.versions.base), *changes, self.seen_record]
+        changes = [encode_change(change) for change in self.history.changes]
+        return [encode_snapshot(self.history.snapshot), *changes, self.epoch_record]
 
     @property
-    def seen_record(self) -> Record:
-        return {"kind": "seen", "epoch": self.seen}
+    def epoch_record(self) -> LogRecord:
+        return {"kind": "seen", "epoch": self.highest_epoch_seen}
 
     # -------------------------------------------------------------------- writing
 
     def draft(self, patch: Document, expected: int, **said: Any) -> Change:
         """A change to write; NotWriterError, PendingError, ConflictError."""
-        if not self.writes:
-            if self.seen == Epoch(FIRST, self.name) and self.top == START:
-                raise PendingError(self._first())
-            writer = self.seen.writer if self.seen.writer != self.name else ""
-            raise NotWriterError(f"{writer or 'no machine'} writes, not {self.name}")
-        change = self.versions.drafted(self.seen, patch, expected, **said)
-        if self.pending and not change.alone:
-            raise PendingError(f"version {self.top.version} is held by no other machine yet")
+        if not self.is_leader:
+            if self.highest_epoch_seen == Epoch(FIRST, self.name) and self.last == INITIAL_REVISION:
+                raise UncommittedChangeError(self._first())
+            writer = self.highest_epoch_seen.leader if self.highest_epoch_seen.leader != self.name else ""
+            raise NotLeaderError(f"{writer or 'no machine'} writes, not {self.name}")
+        change = self.history.draft(self.highest_epoch_seen, patch, expected, **said)
+        if self.uncommitted_count and not change.unreplicated:
+            raise UncommittedChangeError(f"version {self.last.number} is held by no other machine yet")
         return change
 
     def _first(self) -> str:
-        more = [peer for peer in self.unheard if peer in self.holds]
+        more = [peer for peer in self.uncontacted_peers if peer in self.peer_revisions]
         if more:
             return f"{', '.join(more)} hold versions, and {self.name} none: promote one of those that do"
-        return f"before the first version all have to be heard of, and {', '.join(self.unheard)} is not yet"
+        return f"before the first version all have to be heard of, and {', '.join(self.uncontacted_peers)} is not yet"
 
-    def wrote(self, change: Change) -> None:
+    def appended(self, change: Change) -> None:
         """It is on disk here."""
-        self.versions.add(change)
-        self.pending = 0 if change.alone or not self.peers else self.pending + 1
+        self.history.append(change)
+        self.uncommitted_count = 0 if change.unreplicated or not self.peers else self.uncommitted_count + 1
         self._count()
 
-    def held(self, peer: str, position: Position) -> bool:
+    def replica_ack(self, peer: str, position: Revision) -> bool:
         """A peer has this on disk; whether nodes may be told of more by that."""
         if peer not in self.peers:
             return False
-        self.holds[peer] = position
+        self.peer_revisions[peer] = position
         return self._count()
 
     def _count(self) -> bool:
-        before = self.pending
-        for position in self.holds.values():
-            if self.pending and self.versions.at(position) is not None:
-                self.pending = min(self.pending, self.top.version - position.version)
-        return self.pending != before
+        before = self.uncommitted_count
+        for position in self.peer_revisions.values():
+            if self.uncommitted_count and self.history.document_at(position) is not None:
+                self.uncommitted_count = min(self.uncommitted_count, self.last.number - position.number)
+        return self.uncommitted_count != before
 
     # ------------------------------------------------------------------ following
 
-    def tail(self, position: Position) -> Tail | None:
+    def log_suffix(self, position: Revision) -> LogSuffix | None:
         """What another machine lacks that holds this; None where it lacks nothing that this one could tell."""
         # A writer that was replaced has nothing to tell of what only it has.
-        shown = self.top if self.writes else self.shown
+        shown = self.last if self.is_leader else self.committed
         if position >= shown:
             return None
-        surplus = self.top.version - shown.version
-        changes = self.versions.since(position)
+        surplus = self.last.number - shown.number
+        changes = self.history.changes_after(position)
         base = None
         if changes is None:
-            changes, base = list(self.versions.changes), self.versions.base
-        return Tail(tuple(changes[: len(changes) - surplus]), base)
+            changes, base = list(self.history.changes), self.history.snapshot
+        return LogSuffix(tuple(changes[: len(changes) - surplus]), base)
 
-    def check(self, tail: Tail) -> None:
+    def validate_suffix(self, tail: LogSuffix) -> None:
         """FencedError or ValueError where it must not be taken."""
-        if tail.top.epoch < self.seen:
-            raise FencedError(
-                f"{named(tail.top)} is from before epoch {self.seen.number} ({self.seen.writer})"
-            )
-        if tail.top <= self.top:
-            raise FencedError(f"{named(tail.top)} is not after {named(self.top)}")
-        grown = Versions(tail.base) if tail.base is not None else None
-        last = grown.top if grown is not None else self.top
+        if tail.last.epoch < self.highest_epoch_seen:
+            seen = self.highest_epoch_seen
+            raise FencedError(f"{describe(tail.last)} is from before epoch {seen.number} ({seen.leader})")
+        if tail.last <= self.last:
+            raise FencedError(f"{describe(tail.last)} is not after {describe(self.last)}")
+        grown = RevisionHistory(tail.snapshot) if tail.snapshot is not None else None
+        last = grown.last if grown is not None else self.last
         for change in tail.changes:
-            position = change.position
-            if position.version != last.version + 1 or position.epoch < last.epoch:
-                raise ValueError(f"{named(position)} does not follow {named(last)}")
+            position = change.revision
+            if position.number != last.number + 1 or position.epoch < last.epoch:
+                raise ValueError(f"{describe(position)} does not follow {describe(last)}")
             last = position
 
-    def took(self, tail: Tail) -> None:
+    def suffix_appended(self, tail: LogSuffix) -> None:
         """It was checked, and is on disk here."""
-        if tail.base is not None:
-            self.versions = Versions(tail.base)
+        if tail.snapshot is not None:
+            self.history = RevisionHistory(tail.snapshot)
         for change in tail.changes:
-            self.versions.add(change)
-        self.seen = max(self.seen, self.top.epoch)
-        self.pending = 0  # whoever told it has it too
+            self.history.append(change)
+        self.highest_epoch_seen = max(self.highest_epoch_seen, self.last.epoch)
+        self.uncommitted_count = 0  # whoever told it has it too
 
-    def trim(self, kept: int = KEPT) -> None:
-        self.versions.trim(kept)
+    def trim(self, kept: int = RETAINED_REVISIONS) -> None:
+        self.history.trim(kept)
 
     # ------------------------------------------------------------------ promotion
 
     @property
-    def needed(self) -> int:
+    def promotion_quorum(self) -> int:
         """How many machines, this one included, have to answer so that one of them has every change that is held."""
         return max(1, len(self.peers) + 1 - COPIES + 1)
 
     def next_epoch(self, seen: Iterable[Epoch]) -> Epoch:
-        return Epoch(max(epoch.number for epoch in (self.seen, *seen)) + 1, self.name)
+        return Epoch(max(epoch.number for epoch in (self.highest_epoch_seen, *seen)) + 1, self.name)
 
-    def may_lead(self, holds: Mapping[str, Position]) -> None:
+    def check_promotable(self, holds: Mapping[str, Revision]) -> None:
         """BehindError where one of those that answered has more, or where too few did."""
-        more = {peer: position for peer, position in holds.items() if position > self.top}
+        more = {peer: position for peer, position in holds.items() if position > self.last}
         if more:
-            who = ", ".join(f"{peer} holds {named(position)}" for peer, position in sorted(more.items()))
-            raise BehindError(f"{self.name} holds {named(self.top)}, but {who}")
+            who = ", ".join(f"{peer} holds {describe(position)}" for peer, position in sorted(more.items()))
+            raise NotPromotableError(f"{self.name} holds {describe(self.last)}, but {who}")
         # One that holds nothing may be new in the place of one that was lost: its word is worth nothing.
-        known = [at for at in (self.top, *holds.values()) if at != START]
-        if len(known) < self.needed:
+        known = [at for at in (self.last, *holds.values()) if at != INITIAL_REVISION]
+        if len(known) < self.promotion_quorum:
             silent = (
-                ", ".join(sorted(peer for peer in self.peers if holds.get(peer, START) == START)) or "all"
+                ", ".join(
+                    sorted(
+                        peer for peer in self.peers if holds.get(peer, INITIAL_REVISION) == INITIAL_REVISION
+                    )
+                )
+                or "all"
             )
-            raise BehindError(
-                f"what {silent} held is not known: {len(known)} of {self.needed} machines could say"
+            raise NotPromotableError(
+                f"what {silent} held is not known: {len(known)} of {self.promotion_quorum} machines could say"
             )
 
-    def learned(self, epoch: Epoch) -> None:
+    def epoch_observed(self, epoch: Epoch) -> None:
         """This epoch was seen, and that is on disk."""
-        self.seen = max(self.seen, epoch)
+        self.highest_epoch_seen = max(self.highest_epoch_seen, epoch)
 
-    def promotion(self, epoch: Epoch, at_s: float, by: str, alone: bool) -> Change:
+    def draft_promotion(self, epoch: Epoch, at_s: float, by: str, alone: bool) -> Change:
         """The first version of this machine's own epoch: the same content, so that others can follow."""
-        if self.seen != epoch:
-            raise NotWriterError(f"{self.seen.writer} was promoted meanwhile")
-        position = Position(*epoch, self.top.version + 1)
+        if self.highest_epoch_seen != epoch:
+            raise NotLeaderError(f"{self.highest_epoch_seen.leader} was promoted meanwhile")
+        position = Revision(*epoch, self.last.number + 1)
         return Change(position, {}, by, f"{self.name} writes from here on", at_s, alone)
 
 
 # ---------------------------------------------------------------------- records
 
 
-def change_record(change: Change) -> Record:
-    row: Record = {"kind": "change", "at": change.position, "patch": change.patch, "at_s": change.at_s}
-    for key in ("by", "note", "alone"):
-        if value := getattr(change, key):
+def encode_change(change: Change) -> LogRecord:
+    row: LogRecord = {
+        "kind": "change",
+        "at": change.revision,
+        "patch": change.patch,
+        "at_s": change.created_at_s,
+    }
+    for key, value in (("by", change.author), ("note", change.note), ("alone", change.unreplicated)):
+        if value:
             row[key] = value
     return row
 
 
-def change_from(record: Record) -> Change:
+def decode_change(record: LogRecord) -> Change:
     return Change(
-        position_from(record["at"]),
+        decode_revision(record["at"]),
         _object(record["patch"]),
         str(record.get("by", "")),
         str(record.get("note", "")),
@@ -292,37 +303,37 @@
     )
 
 
-def base_record(base: Base) -> Record:
-    return {"kind": "base", "at": base.position, "document": base.document or {}, "at_s": base.at_s}
+def encode_snapshot(base: Snapshot) -> LogRecord:
+    return {"kind": "base", "at": base.revision, "document": base.document or {}, "at_s": base.created_at_s}
 
 
-def base_from(record: Record) -> Base:
-    return Base(position_from(record["at"]), _object(record["document"]), float(record["at_s"]))
+def decode_snapshot(record: LogRecord) -> Snapshot:
+    return Snapshot(decode_revision(record["at"]), _object(record["document"]), float(record["at_s"]))
 
 
-def tail_from(row: Record) -> Tail:
+def decode_log_suffix(row: LogRecord) -> LogSuffix:
     """ValueError, KeyError or TypeError where it is none."""
     base = row.get("base")
-    changes = tuple(change_from(change) for change in row["changes"])
-    return Tail(changes, None if base is None else base_from(base))
+    changes = tuple(decode_change(change) for change in row["changes"])
+    return LogSuffix(changes, None if base is None else decode_snapshot(base))
 
 
-def tail_row(tail: Tail) -> Record:
-    row: Record = {"seq": tail.top.version, "whole": tail.base is not None}
-    row["changes"] = [change_record(change) for change in tail.changes]
-    if tail.base is not None:
-        row["base"] = base_record(tail.base)
+def encode_log_suffix(tail: LogSuffix) -> LogRecord:
+    row: LogRecord = {"seq": tail.last.number, "whole": tail.snapshot is not None}
+    row["changes"] = [encode_change(change) for change in tail.changes]
+    if tail.snapshot is not None:
+        row["base"] = encode_snapshot(tail.snapshot)
     return row
 
 
-def position_from(value: Any) -> Position:
+def decode_revision(value: Any) -> Revision:
     number, writer, version = value
     if not isinstance(number, int) or not isinstance(version, int) or not isinstance(writer, str):
         raise ValueError(f"{value!r} is no position")
-    return Position(number, writer, version)
+    return Revision(number, writer, version)
 
 
-def epoch_from(value: Any) -> Epoch:
+def decode_epoch(value: Any) -> Epoch:
     number, writer = value
     if not isinstance(number, int) or not isinstance(writer, str):
         raise ValueError(f"{value!r} is no epoch")
--- a/rosewheel/control/store.py
+++ b/rosewheel/control/store.py
@@ -7,41 +7,56 @@
 import time
 from collections.abc import Callable, Mapping
 
-from rosewheel.control import checks
-from rosewheel.control.log import Log, Record
+from rosewheel.control import validation
+from rosewheel.control.durable_log import DurableLog, LogRecord
 from rosewheel.control.replica import (
+    LogSuffix,
     Replica,
-    Tail,
-    base_record,
-    change_record,
+    encode_change,
+    encode_snapshot,
+)
+from rosewheel.control.revisions import (
+    RETAINED_REVISIONS,
+    Change,
+    Document,
+    Epoch,
+    Revision,
+    apply_patch,
+    describe,
+    make_patch,
 )
-from rosewheel.control.versions import KEPT, Change, Document, Epoch, Position, difference, merged, named
 
 log = logging.getLogger("rosewheel.control")
 
 
-class NotHeldError(Exception):
+class ReplicationTimeoutError(Exception):
     """It is written here, but whether it holds is not known: no other machine is known to have it."""
 
 
 class Store:
     """`changed` is called after each step."""
 
-    def __init__(self, disk: Log, replica: Replica, changed: Callable[[], None]) -> None:
-        self.disk, self.replica, self._changed = disk, replica, changed
+    def __init__(self, disk: DurableLog, replica: Replica, changed: Callable[[], None]) -> None:
+        self.log, self.replica, self._changed = disk, replica, changed
         self._turn = asyncio.Lock()
-        self._waiting: list[tuple[Position, asyncio.Future[None]]] = []
+        self._waiting: list[tuple[Revision, asyncio.Future[None]]] = []
 
     @classmethod
-    def opened(cls, disk: Log, name: str, peers: list[str], first: str, changed: Callable[[], None]) -> Store:
+    def recover(
+        cls, disk: DurableLog, name: str, peers: list[str], first: str, changed: Callable[[], None]
+    ) -> Store:
         """OSError where the folder can't be written."""
         records, disk.records = disk.records, []
         replica = Replica(name, peers, first, records)
-        if disk.cut:
-            log.warning("%s: the last %d bytes were never whole, and are cut off", disk.path, disk.cut)
-        if replica.fresh:
-            disk.append([replica.seen_record])
-        log.info("%s holds %s, has seen epoch %d (%s)", name, named(replica.top), *replica.seen)
+        if disk.truncated_bytes:
+            log.warning(
+                "%s: the last %d bytes were never whole, and are cut off", disk.path, disk.truncated_bytes
+            )
+        if replica.started_empty:
+            disk.append([replica.epoch_record])
+        log.info(
+            "%s holds %s, has seen epoch %d (%s)", name, describe(replica.last), *replica.highest_epoch_seen
+        )
         return cls(disk, replica, changed)
 
     # -------------------------------------------------------------------- writing
@@ -55,13 +70,15 @@
             return await self._put(patch, expected, by, note, alone)
 
     async def _put(self, patch: Document, expected: int, by: str, note: str, alone: bool) -> Change | None:
-        change = self.replica.draft(patch, expected, by=by, note=note, alone=alone, at_s=time.time())
-        document = merged(self.replica.versions.document, patch)
-        checks.check(document)
-        if not difference(self.replica.versions.document, document):
+        change = self.replica.draft(
+            patch, expected, author=by, note=note, unreplicated=alone, created_at_s=time.time()
+        )
+        document = apply_patch(self.replica.history.document, patch)
+        validation.validate_document(document)
+        if not make_patch(self.replica.history.document, document):
             return None
-        await self._append([change_record(change)])
-        self.replica.wrote(change)
+        await self._append([encode_change(change)])
+        self.replica.appended(change)
         await self._compact()
         self._step()
         return change
@@ -69,10 +86,10 @@
     async def rollback(self, version: int, expected: int, by: str, alone: bool = False) -> Change | None:
         """As `put`; UnknownVersionError where that version is not kept."""
         async with self._turn:
-            patch = self.replica.versions.back_to(version)
+            patch = self.replica.history.rollback_patch(version)
             return await self._put(patch, expected, by, f"back to version {version}", alone)
 
-    async def held(self, position: Position, within_s: float) -> None:
+    async def wait_committed(self, position: Revision, within_s: float) -> None:
         """Until another machine has it too; NotHeldError."""
         if self._stands(position):
             return
@@ -83,62 +100,62 @@
             async with asyncio.timeout(within_s):
                 await future
         except TimeoutError as error:
-            text = f"{named(position)} is written here, but no other machine has it yet: it is in force nowhere, "
-            raise NotHeldError(text + "and will be once one has") from error
+            text = f"{describe(position)} is written here, but no other machine has it yet: it is in force nowhere, "
+            raise ReplicationTimeoutError(text + "and will be once one has") from error
         finally:
             self._waiting.remove(entry)
 
-    def _stands(self, position: Position) -> bool:
-        return self.replica.shown >= position and self.replica.versions.at(position) is not None
+    def _stands(self, position: Revision) -> bool:
+        return self.replica.committed >= position and self.replica.history.document_at(position) is not None
 
     # ------------------------------------------------------------ what others tell
 
-    async def take(self, tail: Tail) -> None:
+    async def append_suffix(self, tail: LogSuffix) -> None:
         """FencedError or ValueError where it must not be taken, OSError where it can't be kept."""
         async with self._turn:
             replica = self.replica
-            replica.check(tail)
-            changes = [change_record(change) for change in tail.changes]
-            if tail.base is None:
+            replica.validate_suffix(tail)
+            changes = [encode_change(change) for change in tail.changes]
+            if tail.snapshot is None:
                 await self._append(changes)
             else:  # in one piece: half of it would be less than what others count on
-                records = [base_record(tail.base), *changes, replica.seen_record]
-                await asyncio.to_thread(self.disk.rewrite, records)
-            replica.took(tail)
+                records = [encode_snapshot(tail.snapshot), *changes, replica.epoch_record]
+                await asyncio.to_thread(self.log.rewrite, records)
+            replica.suffix_appended(tail)
             await self._compact()
             self._step()
 
-    async def learn(self, epoch: Epoch) -> bool:
+    async def observe_epoch(self, epoch: Epoch) -> bool:
         """A higher epoch is on disk before anything is done by it; whether it was one."""
-        if epoch <= self.replica.seen:
+        if epoch <= self.replica.highest_epoch_seen:
             return False
         async with self._turn:
-            if epoch <= self.replica.seen:
+            if epoch <= self.replica.highest_epoch_seen:
                 return False
-            wrote = self.replica.writes
+            wrote = self.replica.is_leader
             await self._append([{"kind": "seen", "epoch": epoch}])
-            self.replica.learned(epoch)
+            self.replica.epoch_observed(epoch)
             if wrote:
-                log.warning("%s was promoted: this machine writes no more", epoch.writer)
+                log.warning("%s was promoted: this machine writes no more", epoch.leader)
             self._step()
             return True
 
-    def heard(self, peer: str, position: Position) -> None:
+    def replica_ack(self, peer: str, position: Revision) -> None:
         """A peer has this on disk."""
-        if self.replica.held(peer, position):
+        if self.replica.replica_ack(peer, position):
             self._step()
 
-    async def lead(self, epoch: Epoch, holds: Mapping[str, Position], force: bool, by: str) -> Change:
+    async def begin_epoch(self, epoch: Epoch, holds: Mapping[str, Revision], force: bool, by: str) -> Change:
         """The last step of a promotion, once enough machines take nothing older: the first version of the epoch.
         BehindError, NotWriterError."""
         async with self._turn:
             if not force:
-                self.replica.may_lead(holds)
+                self.replica.check_promotable(holds)
             alone = force and not holds
-            change = self.replica.promotion(epoch, time.time(), by, alone)
-            await self._append([change_record(change)])
-            self.replica.wrote(change)
-            log.warning("this machine writes from %s on", named(change.position))
+            change = self.replica.draft_promotion(epoch, time.time(), by, alone)
+            await self._append([encode_change(change)])
+            self.replica.appended(change)
+            log.warning("this machine writes from %s on", describe(change.revision))
             self._step()
             return change
 
@@ -147,15 +164,15 @@
     async def close(self) -> None:
         """After what is being written."""
         async with self._turn:
-            self.disk.close()
+            self.log.close()
 
-    async def _append(self, records: list[Record]) -> None:
-        await asyncio.to_thread(self.disk.append, records)
+    async def _append(self, records: list[LogRecord]) -> None:
+        await asyncio.to_thread(self.log.append, records)
 
     async def _compact(self) -> None:
-        if self.disk.count > 2 * KEPT + 2:
+        if self.log.record_count > 2 * RETAINED_REVISIONS + 2:
             self.replica.trim()
-            await asyncio.to_thread(self.disk.rewrite, self.replica.records)
+            await asyncio.to_thread(self.log.rewrite, self.replica.log_records)
 
     def _step(self) -> None:
         for position, future in self._waiting:
@@ -163,7 +180,8 @@
                 continue
             if self._stands(position):
                 future.set_result(None)
-            elif not self.replica.writes:
-                text = f"{self.replica.seen.writer} was promoted before another machine had {named(position)}"
-                future.set_exception(NotHeldError(f"{text}: whether it holds is not known"))
+            elif not self.replica.is_leader:
+                leader = self.replica.highest_epoch_seen.leader
+                text = f"{leader} was promoted before another machine had {describe(position)}"
+                future.set_exception(ReplicationTimeoutError(f"{text}: whether it holds is not known"))
         self._changed()
--- a/rosewheel/control/follower.py
+++ b/rosewheel/control/subscriber.py
@@ -20,9 +20,14 @@
 import orjson
 
 from rosewheel.config.platform import Address
-from rosewheel.control.client import CallError, Client
-from rosewheel.control.placement import CONNECT_S, FIRST_S, SILENCE_S, Route
-from rosewheel.control.versions import START, Document, Position, merged, named
+from rosewheel.control.http_client import HttpCallError, JsonHttpClient
+from rosewheel.control.machine_selection import (
+    CONNECT_TIMEOUT_S,
+    FIRST_LINE_TIMEOUT_S,
+    WATCH_IDLE_TIMEOUT_S,
+    MachineSelection,
+)
+from rosewheel.control.revisions import INITIAL_REVISION, Document, Revision, apply_patch, describe
 from rosewheel.discovery.watch import Watcher
 
 log = logging.getLogger("rosewheel.control")
@@ -38,10 +43,10 @@
     16.0  # to so many times the first wait grows the time between two looks for the preferred machine
 )
 
-Apply = Callable[[Document], None]
+ApplyDocument = Callable[[Document], None]
 
 
-class Follower:
+class ConfigurationSubscriber:
     """`apply` is given what concerns this node, whole, and puts it in force; ValueError where it can't be: what was in
     force stays, and the machines are told why. `copy` is the file for the last good one; without it none is kept. The
     waits are drawn by `seed`."""
@@ -53,23 +58,23 @@
         machines: Mapping[str, Address],
         seed: int,
         copy: Path | None,
-        apply: Apply,
+        apply: ApplyDocument,
     ) -> None:
         self.name, self.service, self.machines = name, service, dict(machines)
         self.copy, self.apply = copy, apply
-        self.route = Route(name, self.machines, seed)
-        self.position = START  # in force
-        self.refused: Position | None = None  # a newer one, that could not be put in force
-        self.why = ""
-        self._told = START  # as last heard, in force or not
+        self.selection = MachineSelection(name, self.machines, seed)
+        self.applied = INITIAL_REVISION  # in force
+        self.rejected: Revision | None = None  # a newer one, that could not be put in force
+        self.reason = ""
+        self._received = INITIAL_REVISION  # as last heard, in force or not
         self._document: Document = {}
         self._stamp = 0
-        self._acked = False  # whether the machine knows what is in force here
+        self._acknowledged = False  # whether the machine knows what is in force here
         self._good: Document = {}  # what is in force
-        self._kept: Position | None = None  # in the copy
+        self._kept: Revision | None = None  # in the copy
         self._looks = 0  # for the preferred machine, since it was lost
         self._stopped = False
-        self._client: Client | None = None
+        self._client: JsonHttpClient | None = None
         self._ack_task: asyncio.Task[None] | None = None
         self._save_task: asyncio.Task[None] | None = None
         self._timers: dict[str, asyncio.TimerHandle] = {}
@@ -94,18 +99,18 @@
 
     @property
     def machine(self) -> str:
-        return self.route.current
+        return self.selection.current
 
     # ------------------------------------------------------------------ the machine
 
     def _open(self) -> None:
         if self._stopped:
             return
-        address = self.machines[self.route.current]
+        address = self.machines[self.selection.current]
         if self._client is None or self._client.address != address:
             if self._client is not None:
                 self._client.close()
-            self._client = Client(address)
+            self._client = JsonHttpClient(address)
         if self._watcher is None:
             self._watcher = Watcher(
                 address,
@@ -115,35 +120,39 @@
                 take=self._take,
                 failed=self._failed,
                 log=log,
-                silence_s=SILENCE_S,
-                connect_s=CONNECT_S,
-                first_s=FIRST_S,
+                silence_s=WATCH_IDLE_TIMEOUT_S,
+                connect_s=CONNECT_TIMEOUT_S,
+                first_s=FIRST_LINE_TIMEOUT_S,
             )
         self._watcher.move(address)
         self._watcher.since = 0  # what follows what is for this class to say: a count is one of an epoch
         self._watcher.watch()
-        if self.refused is not None or self._told != self.position:
+        if self.rejected is not None or self._received != self.applied:
             self._acknowledge()
-        if not self.route.preferred and "return" not in self._timers:
-            self._after("return", self.route.return_s() * min(RETURN_MOST, 2.0**self._looks), self._return)
+        if not self.selection.is_preferred and "return" not in self._timers:
+            self._after(
+                "return",
+                self.selection.draw_return_wait_s() * min(RETURN_MOST, 2.0**self._looks),
+                self._return,
+            )
 
     def _path(self) -> str:
-        told = self._told
-        at = f"since={told.version}&epoch={told.number}&writer={quote(told.writer)}"
-        held = "&held=1" if self.position == told and self.refused is None else ""
+        told = self._received
+        at = f"since={told.number}&epoch={told.epoch_number}&writer={quote(told.leader)}"
+        held = "&held=1" if self.applied == told and self.rejected is None else ""
         who = f"node={quote(self.name, safe='')}&service={quote(self.service, safe='')}&stamp={self._next_stamp()}"
         return f"/control/config?follow=1&{at}&{who}{held}"
 
     def _failed(self) -> None:
         """The watch ended: the next machine in this node's order, a moment later."""
         if not self._stopped:
-            self._after("open", self.route.lost(), self._open)
+            self._after("open", self.selection.fail_over(), self._open)
 
     def _return(self) -> None:
         """Look whether the preferred machine is back. If it is not, the watch fails and goes on to the next."""
         self._looks += 1
-        if not self.route.preferred:
-            self.route.home()
+        if not self.selection.is_preferred:
+            self.selection.return_to_preferred()
             self._open()
 
     def _after(self, name: str, wait_s: float, call: Callable[[], None]) -> None:
@@ -160,22 +169,22 @@
 
     def _read(self, row: dict[str, Any]) -> _Line:
         config = row["config"]
-        position = Position(row["epoch"], row["writer"], row["seq"])
+        position = Revision(row["epoch"], row["writer"], row["seq"])
         if not isinstance(config, dict) or not all(map(isinstance, position, (int, str, int))):
             raise TypeError("not a configuration")
-        if position < self._told:  # of a lower epoch, or of an earlier version of this one
-            raise ValueError(f"{named(position)} is from before {named(self._told)}")
+        if position < self._received:  # of a lower epoch, or of an earlier version of this one
+            raise ValueError(f"{describe(position)} is from before {describe(self._received)}")
         return _Line(position, config)
 
     def _take(self, whole: bool, line: _Line) -> None:
-        self._document = line.config if whole else merged(self._document, line.config)
-        before, self._told = self._told, line.position
-        if self.route.preferred:
+        self._document = line.config if whole else apply_patch(self._document, line.config)
+        before, self._received = self._received, line.position
+        if self.selection.is_preferred:
             self._looks = 0
-        if whole or line.config or self.position == START:
+        if whole or line.config or self.applied == INITIAL_REVISION:
             self._put_in_force()
-        elif self.refused is None:
-            self.position = line.position  # it concerns others: only the version is another
+        elif self.rejected is None:
+            self.applied = line.position  # it concerns others: only the version is another
             if before.epoch != line.position.epoch:
                 self._save()  # so that nothing older is taken after a restart either
         self._acknowledge()
@@ -184,13 +193,16 @@
         try:
             self.apply(self._document)
         except ValueError as error:
-            self.refused, self.why = self._told, " ".join(str(error).split())
+            self.rejected, self.reason = self._received, " ".join(str(error).split())
             log.error(
-                "%s is not in force here, %s stays: %s", named(self._told), named(self.position), self.why
+                "%s is not in force here, %s stays: %s",
+                describe(self._received),
+                describe(self.applied),
+                self.reason,
             )
             return
-        self.position, self._good, self.refused, self.why = self._told, self._document, None, ""
-        log.info("%s is in force", named(self.position))
+        self.applied, self._good, self.rejected, self.reason = self._received, self._document, None, ""
+        log.info("%s is in force", describe(self.applied))
         self._save()
 
     # -------------------------------------------------------------- acknowledgement
@@ -201,27 +213,27 @@
         return self._stamp
 
     def _acknowledge(self) -> None:
-        self._acked = False
+        self._acknowledged = False
         if "ack" not in self._timers and (self._ack_task is None or self._ack_task.done()):
-            self._after("ack", self.route.random.uniform(0.0, ACK_S), self._ack)
+            self._after("ack", self.selection.random.uniform(0.0, ACK_S), self._ack)
 
     def _ack(self) -> None:
         if not self._stopped:
-            self._ack_task = asyncio.get_running_loop().create_task(self._tell())
+            self._ack_task = asyncio.get_running_loop().create_task(self._send_acknowledgement())
 
-    async def _tell(self) -> None:
-        while not self._acked and self._client is not None:
-            self._acked = True
-            row = [self.name, self.service, self._next_stamp(), self.position, self.refused, self.why]
+    async def _send_acknowledgement(self) -> None:
+        while not self._acknowledged and self._client is not None:
+            self._acknowledged = True
+            row = [self.name, self.service, self._next_stamp(), self.applied, self.rejected, self.reason]
             client = self._client
             try:
                 status, _ = await client.call("POST", "/control/ack", {"nodes": [row]})
-            except CallError:
+            except HttpCallError:
                 status = 0
             client.close()  # a descriptor here, and on the machine one for each node, are not worth a connect saved
             if status != 200:
-                self._acked = False
-                self._after("ack", self.route.random.uniform(*ACK_AGAIN_S), self._ack)
+                self._acknowledged = False
+                self._after("ack", self.selection.random.uniform(*ACK_AGAIN_S), self._ack)
                 return
 
     # --------------------------------------------------------------------- the copy
@@ -231,16 +243,16 @@
             return
         try:
             with self.copy.open("rb") as file:
-                position, document = decoded(file.read(COPY_BYTES + 1), self.service)
+                position, document = decode_cached_document(file.read(COPY_BYTES + 1), self.service)
             self.apply(document)
         except FileNotFoundError:
             return
         except (OSError, ValueError, KeyError, TypeError) as error:
             log.warning("the copy of the configuration is not used: %s", " ".join(str(error).split()))
             return
-        self.position = self._told = self._kept = position
+        self.applied = self._received = self._kept = position
         self._document = self._good = document
-        log.info("%s is in force, by the copy", named(position))
+        log.info("%s is in force, by the copy", describe(position))
 
     def _save(self) -> None:
         if self.copy is not None and (self._save_task is None or self._save_task.done()):
@@ -249,10 +261,12 @@
     async def _saved(self) -> None:
         """In a thread: a disk takes its time, and requests must not wait for it."""
         assert self.copy is not None
-        while self.position != self._kept:
-            position, document = self.position, self._good
+        while self.applied != self._kept:
+            position, document = self.applied, self._good
             try:
-                await asyncio.to_thread(write, self.copy, encoded(self.service, position, document))
+                await asyncio.to_thread(
+                    write, self.copy, encode_cached_document(self.service, position, document)
+                )
             except OSError as error:
                 log.error("the configuration is not kept: %s", error)
                 return
@@ -260,16 +274,16 @@
 
 
 class _Line(NamedTuple):
-    position: Position
+    position: Revision
     config: Document
 
 
-def encoded(service: str, position: Position, document: Document) -> bytes:
+def encode_cached_document(service: str, position: Revision, document: Document) -> bytes:
     body = orjson.dumps({"service": service, "at": position, "document": document}, default=tuple)
     return b"%b %d %08x %d\n" % (MAGIC, FORMAT, zlib.crc32(body), len(body)) + body
 
 
-def decoded(data: bytes, service: str) -> tuple[Position, Document]:
+def decode_cached_document(data: bytes, service: str) -> tuple[Revision, Document]:
     """ValueError, KeyError or TypeError with the reason where it is of no use."""
     head, newline, body = data.partition(b"\n")
     parts = head.split(b" ")
@@ -283,7 +297,7 @@
     if row["service"] != service:
         raise ValueError(f"of another service, {row['service']!r}")
     number, writer, version = row["at"]
-    return Position(number, writer, version), row["document"]
+    return Revision(number, writer, version), row["document"]
 
 
 def write(path: Path, data: bytes) -> None:
--- a/rosewheel/control/checks.py
+++ b/rosewheel/control/validation.py
@@ -5,15 +5,15 @@
 from typing import Any
 
 from rosewheel.config.operator import tuned
-from rosewheel.control.versions import Document, projection, too_deep
+from rosewheel.control.revisions import Document, document_for_service, nesting_exceeds
 
-DOCUMENT_BYTES = 1 << 20
+MAX_DOCUMENT_BYTES = 1 << 20
 
 # What a node's own file has at least, and a document need not have.
 ANY_CLASSES = {"class": [{"name": "any", "aim_ms": 1.0, "give_up_ms": 1.0}]}
 
 
-def check(document: Document) -> None:
+def validate_document(document: Document) -> None:
     """ValueError with one plain line that names the key."""
     tuned(ANY_CLASSES, {key: value for key, value in document.items() if key != "services"})
     services = document.get("services", {})
@@ -24,13 +24,13 @@
             raise ValueError(f"services.{name}: not a table")
         try:
             tuned(ANY_CLASSES, own)
-            tuned(ANY_CLASSES, projection(document, name))  # together with the common part
+            tuned(ANY_CLASSES, document_for_service(document, name))  # together with the common part
         except ValueError as error:
             raise ValueError(f"services.{name}.{error}") from error
 
 
-def check_patch(patch: Any) -> None:
+def validate_patch(patch: Any) -> None:
     if not isinstance(patch, dict):
         raise ValueError("a patch is an object")
-    if too_deep(patch):
+    if nesting_exceeds(patch):
         raise ValueError("a patch that is nested too deep")
--- a/rosewheel/lab/scale/control.py
+++ b/rosewheel/lab/scale/control.py
@@ -10,7 +10,7 @@
 from pathlib import Path
 from typing import Any
 
-from rosewheel.control.client import CallError, Client
+from rosewheel.control.http_client import HttpCallError, JsonHttpClient
 from rosewheel.lab.nodes import reserve
 from rosewheel.lab.scale.children import ChildError, die_with_parent
 from rosewheel.lab.scale.plan import ControlMachine
@@ -99,7 +99,7 @@
 
     def __init__(self, writer: ControlProcess) -> None:
         self.writer = writer
-        self.client = Client(writer.address)
+        self.client = JsonHttpClient(writer.address)
         self.version = 0
 
     async def up(self) -> None:
@@ -114,7 +114,7 @@
         """What the writer knows of the fleet; empty where it does not answer."""
         try:
             status, told = await self.client.call("GET", "/control/status")
-        except CallError:
+        except HttpCallError:
             return {}
         return told if status == 200 and isinstance(told, dict) else {}
 
@@ -128,7 +128,7 @@
             row = {"patch": patch, "version": self.version, "by": "scale", "note": ""}
             try:
                 status, told = await self.client.call("POST", "/control/put", row, timeout_s=PUT_S)
-            except CallError as error:
+            except HttpCallError as error:
                 why = str(error)
             else:
                 if status == 200:
--- a/rosewheel/lab/scale/hollow.py
+++ b/rosewheel/lab/scale/hollow.py
@@ -17,7 +17,7 @@
 import numpy as np
 import uvloop
 
-from rosewheel.control.follower import Follower
+from rosewheel.control.subscriber import ConfigurationSubscriber
 from rosewheel.discovery.backoff import Waits
 from rosewheel.discovery.catalog import Discovery
 from rosewheel.lab.scale import children
@@ -59,7 +59,7 @@
         )
 
 
-class Noted(Follower):
+class Noted(ConfigurationSubscriber):
     """The product's follower, which notes when a version came into force and when that was acknowledged."""
 
     def __init__(self, number: int, config: Heard, acked: Heard, *arguments: Any) -> None:
@@ -68,12 +68,12 @@
 
     def _take(self, whole: bool, line: Any) -> None:
         super()._take(whole, line)
-        self.config.add(self.number, self.position.version)
+        self.config.add(self.number, self.applied.number)
 
-    async def _tell(self) -> None:
-        await super()._tell()
-        if self._acked:  # what was told last is what is in force
-            self.acked.add(self.number, self.position.version)
+    async def _send_acknowledgement(self) -> None:
+        await super()._send_acknowledgement()
+        if self._acknowledged:  # what was told last is what is in force
+            self.acked.add(self.number, self.applied.number)
 
 
 class HollowNode:
@@ -107,7 +107,7 @@
 
     @property
     def config_version(self) -> int:
-        return 0 if self.follower is None else self.follower.position.version
+        return 0 if self.follower is None else self.follower.applied.number
 
     @property
     def entries(self) -> int:
--- a/rosewheel/lab/scale/real.py
+++ b/rosewheel/lab/scale/real.py
@@ -10,7 +10,7 @@
 from pathlib import Path
 from typing import Any
 
-from rosewheel.control.client import CallError, Client
+from rosewheel.control.http_client import HttpCallError, JsonHttpClient
 from rosewheel.lab.nodes import health, reserve
 from rosewheel.lab.scale.children import die_with_parent
 from rosewheel.lab.scale.plan import Machine
@@ -145,10 +145,10 @@
 
     async def stats(self) -> dict[str, Any]:
         """What its operators' door tells; empty where it does not."""
-        client = Client(self.ops)
+        client = JsonHttpClient(self.ops)
         try:
             status, told = await client.call("GET", "/admin/stats")
-        except CallError:
+        except HttpCallError:
             return {}
         finally:
             client.close()
--- a/rosewheel/proxy/reconfiguration.py
+++ b/rosewheel/proxy/reconfiguration.py
@@ -11,8 +11,8 @@
 
 from rosewheel.config.operator import cordons, tuned
 from rosewheel.config.platform import Config, ConfigError, Control
-from rosewheel.control.follower import Follower
-from rosewheel.control.versions import Document
+from rosewheel.control.revisions import Document
+from rosewheel.control.subscriber import ConfigurationSubscriber
 from rosewheel.node.limits import Bounds
 from rosewheel.policy.settings import Settings
 
@@ -33,7 +33,7 @@
         self.node, self.control = node, control
         self.document: Document = {}  # in force
         copy = Path(config.state) / COPY if config.state else None
-        self.follower = Follower(
+        self.follower = ConfigurationSubscriber(
             config.name, control.service, control.machines, config.seed, copy, self._apply
         )
 
--- a/tests/control/test_control_processes.py
+++ b/tests/control/test_control_processes.py
@@ -18,8 +18,8 @@
 
 import pytest
 
-from rosewheel.control.client import CallError, Client
-from rosewheel.control.log import NAME, Log
+from rosewheel.control.durable_log import LOG_FILE_NAME, DurableLog
+from rosewheel.control.http_client import HttpCallError, JsonHttpClient
 from tests.cli.test_command import started
 from tests.cli.test_run import connect, free_port, good, start
 from tests.lab.test_scenario import OPERATOR
@@ -42,7 +42,7 @@
         process = await asyncio.create_subprocess_exec(
             *(sys.executable, str(CHILD), "c1", address, str(tmp_path / "c1"), peer, point, str(nth)),
             stdout=asyncio.subprocess.PIPE,
-            env={**os.environ, "PYTHONPATH": str(CHILD.parent.parent)},
+            env={**os.environ, "PYTHONPATH": str(CHILD.parents[2])},
         )
         assert process.stdout is not None
         assert await process.stdout.readline() == b"ready\n"
@@ -51,11 +51,11 @@
     async def main() -> None:
         async with machines(tmp_path, 2) as bed:
             await bed.stop("c1")
-            (tmp_path / "c1" / NAME).unlink()
+            (tmp_path / "c1" / LOG_FILE_NAME).unlink()
             process = await child(bed, point, 5)  # the first record is the epoch, the others are changes
             acknowledged = []
-            client = Client(bed.addresses["c1"])
-            with contextlib.suppress(CallError):
+            client = JsonHttpClient(bed.addresses["c1"])
+            with contextlib.suppress(HttpCallError):
                 for at in range(1, 10):
                     patch = {"limits": {"max_open": at}}
                     code, row = 503, {}
@@ -77,7 +77,7 @@
                 row = {"patch": patch, "version": version}
                 code, row = await client.call("POST", "/control/put", row, timeout_s=20.0)
             assert code == 200, row
-            await until(lambda: bed.services["c2"].store.replica.top.version == version + 1)
+            await until(lambda: bed.services["c2"].store.replica.last.number == version + 1)
             _, row = await bed.call("c2", "GET", "/control/history?most=100")
             assert [change["patch"] for change in reversed(row["versions"])] == [*kept, patch]
             process.kill()
@@ -91,7 +91,7 @@
     disk = FaultyLog(tmp_path, "never", 0)
     disk.append([{"a": 1}])
     disk.close()
-    assert Log(tmp_path).records == [{"a": 1}]
+    assert DurableLog(tmp_path).records == [{"a": 1}]
 
 
 def quiet_port() -> int:
@@ -255,11 +255,11 @@
     ],
 )
 def test_a_machine_that_cannot_start_says_why_in_one_line(tmp_path: Path, arguments: list[str], says: str):
-    disk = Log(tmp_path / "DAMAGED")
+    disk = DurableLog(tmp_path / "DAMAGED")
     for at in range(3):
         disk.append([{"kind": "seen", "epoch": [at, "c1"]}])
     disk.close()
-    damaged = tmp_path / "DAMAGED" / NAME
+    damaged = tmp_path / "DAMAGED" / LOG_FILE_NAME
     damaged.write_bytes(damaged.read_bytes().replace(b"seen", b"sean", 1))
     (tmp_path / "BAD").write_text('name = "c1"\nlisten = "x"\ndir = "y"\n')
     given = [str(tmp_path / word) if word in ("DIR", "BAD", "DAMAGED") else word for word in arguments]
--- a/tests/control/test_control_service.py
+++ b/tests/control/test_control_service.py
@@ -9,10 +9,10 @@
 
 import pytest
 
-from rosewheel.control import placement, replica, store
-from rosewheel.control.follower import encoded
-from rosewheel.control.log import NAME
-from rosewheel.control.versions import START, Document, Epoch, Position
+from rosewheel.control import machine_selection, replica, store
+from rosewheel.control.durable_log import LOG_FILE_NAME
+from rosewheel.control.revisions import INITIAL_REVISION, Document, Epoch, Revision
+from rosewheel.control.subscriber import encode_cached_document
 from tests.support.control_machines import Bed, machines
 from tests.support.sockets import run, until
 
@@ -20,7 +20,7 @@
 
 
 def all_hold(bed: Bed, version: int) -> bool:
-    return all(service.store.replica.shown.version >= version for service in bed.services.values())
+    return all(service.store.replica.committed.number >= version for service in bed.services.values())
 
 
 def test_a_change_is_in_force_everywhere_and_status_at_any_machine_says_so(tmp_path: Path):
@@ -29,13 +29,13 @@
             for at in range(8):
                 await bed.node(f"n{at}", "fotos" if at % 2 else "puntos")
             await until(
-                lambda: all(link.alive for one in bed.services.values() for link in one.links.values())
+                lambda: all(link.alive for one in bed.services.values() for link in one.heartbeats.values())
             )
             patch = LIMITS | {"services": {"fotos": {"cordons": ["entrada-3"]}}}
             code, row = await bed.put("c1", patch, by="ana")
             assert (code, row["version"]) == (200, 1)
-            await until(lambda: all(node.position.version == 1 for node in bed.followers.values()))
-            for caller in (caller for one in bed.services.values() for caller in one.streams.streams):
+            await until(lambda: all(node.applied.number == 1 for node in bed.followers.values()))
+            for caller in (caller for one in bed.services.values() for caller in one.watches.watches):
                 assert caller.transport is not None
                 sock = caller.transport.get_extra_info("socket")
                 wait_ms = sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT)
@@ -54,7 +54,7 @@
                 200,
                 {"version": 2, "epoch": 1, "writer": "c1", "changed": True},
             )
-            await until(lambda: all(node.position.version == 2 for node in bed.followers.values()))
+            await until(lambda: all(node.applied.number == 2 for node in bed.followers.values()))
             assert all(len(told) == 1 for told in bed.applied.values()), "a change for others costs no apply"
 
     run(main())
@@ -63,7 +63,11 @@
 async def ready(bed: Bed) -> None:
     """All have heard of one another, and whoever does not write follows."""
     await until(
-        lambda: all(link.at is not None for one in bed.services.values() for link in one.links.values())
+        lambda: all(
+            link.last_revision is not None
+            for one in bed.services.values()
+            for link in one.heartbeats.values()
+        )
     )
 
 
@@ -71,11 +75,11 @@
     await ready(bed)
     for at in range(nodes):
         await bed.node(f"n{at}")
-    await until(lambda: sum(len(one.streams.nodes) for one in bed.services.values()) == nodes)
+    await until(lambda: sum(len(one.watches.watch_by_node) for one in bed.services.values()) == nodes)
 
 
 def versions(bed: Bed) -> set[int]:
-    return {node.position.version for node in bed.followers.values()}
+    return {node.applied.number for node in bed.followers.values()}
 
 
 @pytest.mark.parametrize(
@@ -105,12 +109,12 @@
         async with machines(tmp_path, 2) as bed:
             await ready(bed)
             assert (await bed.put("c1", LIMITS))[0] == 200
-            before = bed.services["c1"].store.disk.size
+            before = bed.services["c1"].store.log.size
             code, row = await bed.put("c1", patch)
             assert code == 400
             assert row["error"].startswith(says)
             assert "\n" not in row["error"]
-            assert bed.services["c1"].store.disk.size == before
+            assert bed.services["c1"].store.log.size == before
             assert (await bed.status("c1"))["written"] == 1
 
     run(main())
@@ -164,7 +168,7 @@
             assert (await bed.put("c1", LIMITS))[0] == 200
             await until(lambda: versions(bed) == {1})
             assert (await bed.put("c1", {"limits": {"max_open": 2000}}))[0] == 200
-            await until(lambda: bed.followers["large"].position.version == 2)
+            await until(lambda: bed.followers["large"].applied.number == 2)
             row = await bed.status("c2")
             while not row["refused"]:
                 row = await bed.status("c2")
@@ -196,21 +200,21 @@
             node.close()
             bed.cut({"n1"}, {"c1", "c2"})
             again = await bed.node("n1", copy=copy)
-            assert again.position.version == 1, "it is in force when start returns"
+            assert again.applied.number == 1, "it is in force when start returns"
             assert bed.documents["n1"] == LIMITS
             again.close()
             for torn in (copy.read_bytes()[:-3], b"", b"\0" * 40, copy.read_bytes().replace(b"500", b"501")):
                 copy.write_bytes(torn)
                 caplog.clear()
                 fresh = await bed.node("n1", copy=copy)
-                assert fresh.position == START
+                assert fresh.applied == INITIAL_REVISION
                 lines = [record.message for record in caplog.records if "copy" in record.message]
                 assert len(lines) == 1
                 assert lines[0].startswith("the copy of the configuration is not used: ")
                 fresh.close()
             bed.cut({"n1"}, {"c1", "c2"}, off=False)
             fresh = await bed.node("n1", copy=copy)
-            await until(lambda: fresh.position.version == 1)
+            await until(lambda: fresh.applied.number == 1)
 
     run(main())
 
@@ -226,12 +230,12 @@
             assert there
             bed.cut(near | here, far | there)
             assert (await bed.put("c1", LIMITS))[0] == 200, "c2 holds it too"
-            await until(lambda: {bed.followers[name].position.version for name in here} == {1})
+            await until(lambda: {bed.followers[name].applied.number for name in here} == {1})
             assert (await bed.put("c1", {"cordons": ["entrada-1"]}))[0] == 200
             code, row = await bed.call("c3", "POST", "/control/promote", {})
             assert code == 409, "what the writer has acknowledged meanwhile is not known there"
             assert "held is not known" in row["error"]
-            assert {bed.followers[name].position.version for name in there} == {0}
+            assert {bed.followers[name].applied.number for name in there} == {0}
             bed.cut(near | here, far | there, off=False)
             await until(lambda: versions(bed) == {2} and all_hold(bed, 2))
             assert all(document == LIMITS | {"cordons": ["entrada-1"]} for document in bed.documents.values())
@@ -246,13 +250,13 @@
 def test_nodes_of_a_lost_machine_move_to_the_next_in_their_own_order_and_return(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ):
-    monkeypatch.setattr(placement, "RETURN_S", (0.2, 0.4))
+    monkeypatch.setattr(machine_selection, "RETURN_INTERVAL_S", (0.2, 0.4))
 
     async def main() -> None:
         async with machines(tmp_path) as bed:
             await four(tmp_path, bed, 24)
             before = {name: node.machine for name, node in bed.followers.items()}
-            assert before == {name: placement.order(name, bed.names)[0] for name in before}
+            assert before == {name: machine_selection.rendezvous_order(name, bed.names)[0] for name in before}
             await bed.stop("c3")
             moved = {name for name, machine in before.items() if machine == "c3"}
             assert moved
@@ -260,7 +264,8 @@
 
             def spread() -> bool:
                 return all(
-                    name in bed.services[placement.order(name, left)[0]].streams.nodes
+                    name
+                    in bed.services[machine_selection.rendezvous_order(name, left)[0]].watches.watch_by_node
                     for name in bed.followers
                 )
 
@@ -268,7 +273,7 @@
             assert (await bed.put("c1", LIMITS))[0] == 200
             await until(lambda: versions(bed) == {1})
             await bed.start("c3")
-            await until(lambda: moved == set(bed.services["c3"].streams.nodes))
+            await until(lambda: moved == set(bed.services["c3"].watches.watch_by_node))
             assert {name: node.machine for name, node in bed.followers.items()} == before
 
     run(main())
@@ -292,7 +297,7 @@
             for name in bed.names[1:]:
                 bed.cut({"c1"}, {name}, off=False)
             await until(lambda: all_hold(bed, 3) and versions(bed) == {3})
-            assert {one.store.replica.seen for one in bed.services.values()} == {Epoch(2, "c2")}
+            assert {one.store.replica.highest_epoch_seen for one in bed.services.values()} == {Epoch(2, "c2")}
             assert all(document == {"limits": {"max_open": 600}} for document in bed.documents.values())
             told = [
                 document["limits"]["max_open"] for applied in bed.applied.values() for document in applied
@@ -303,8 +308,8 @@
             # What it knows is on its disk.
             await bed.stop("c1")
             await bed.start("c1")
-            assert bed.services["c1"].store.replica.seen == Epoch(2, "c2")
-            assert bed.services["c1"].store.replica.document == {"limits": {"max_open": 600}}
+            assert bed.services["c1"].store.replica.highest_epoch_seen == Epoch(2, "c2")
+            assert bed.services["c1"].store.replica.committed_document == {"limits": {"max_open": 600}}
 
     run(main())
 
@@ -320,7 +325,7 @@
             assert (await bed.put("c1", {"limits": {"max_open": 600}}))[0] == 200
             await bed.stop("c1")
             bed.cut({"c2"}, {"c3"}, off=False)
-            bed.services["c3"].following.close()  # it has no time to catch up
+            bed.services["c3"].replication.close()  # it has no time to catch up
             code, row = await bed.call("c3", "POST", "/control/promote", {})
             assert code == 409
             assert (
@@ -329,7 +334,7 @@
             code, row = await bed.call("c3", "POST", "/control/promote", {"force": True})
             assert (code, row["version"], row["epoch"]) == (200, 2, 2)
             assert row["lost"] == ["c2 held version 2 of epoch 1 (c1)"]
-            await until(lambda: {node.position for node in bed.followers.values()} == {Position(2, "c3", 2)})
+            await until(lambda: {node.applied for node in bed.followers.values()} == {Revision(2, "c3", 2)})
             assert all(document == LIMITS for document in bed.documents.values())
 
     run(main())
@@ -342,18 +347,18 @@
         async with machines(tmp_path / "one", 1) as bed:
             node = await bed.node("n1")
             assert (await bed.put("c1", LIMITS))[0] == 200
-            await until(lambda: node.position.version == 1)
-            later = Position(3, "c2", 1)
-            node.position = node._told = later
-            bed.services["c1"].streams.close()
+            await until(lambda: node.applied.number == 1)
+            later = Revision(3, "c2", 1)
+            node.applied = node._received = later
+            bed.services["c1"].watches.close()
             service = bed.services["c1"]
-            await until(lambda: service.store.replica.seen == Epoch(3, "c2"))
+            await until(lambda: service.store.replica.highest_epoch_seen == Epoch(3, "c2"))
             code, row = await bed.put("c1", {"cordons": ["x"]})
             assert (code, row["error"]) == (409, "c2 writes, not c1")
             line = {"seq": 9, "epoch": 2, "writer": "c9", "whole": True, "config": {}}
             with pytest.raises(ValueError, match="is from before version 1 of epoch 3"):
                 node._read(line)
-            assert node.position == later
+            assert node.applied == later
 
     run(main())
 
@@ -361,10 +366,10 @@
 def test_the_log_is_compacted_and_a_machine_that_was_away_for_longer_gets_the_whole(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ):
-    monkeypatch.setattr(store, "KEPT", 5)
-    monkeypatch.setattr(replica.Replica, "trim", lambda self: self.versions.trim(5))
+    monkeypatch.setattr(store, "RETAINED_REVISIONS", 5)
+    monkeypatch.setattr(replica.Replica, "trim", lambda self: self.history.trim(5))
     # What is synced is test_control_log's matter. Here some hundred syncs on a busy disk took 40 s, which is the bound.
-    monkeypatch.setattr("rosewheel.control.log.os.fsync", lambda file: None)
+    monkeypatch.setattr("rosewheel.control.durable_log.os.fsync", lambda file: None)
 
     async def main() -> None:
         async with machines(tmp_path, 3) as bed:
@@ -376,10 +381,10 @@
             away.close()
             for at in range(30):
                 assert (await bed.put("c1", {"limits": {"max_open": 100 + at}}))[0] == 200
-            assert bed.services["c1"].store.disk.count <= 12
+            assert bed.services["c1"].store.log.record_count <= 12
             await bed.start("c3")
             await until(lambda: all_hold(bed, 31))
-            assert bed.services["c3"].store.replica.document == {"limits": {"max_open": 129}}
+            assert bed.services["c3"].store.replica.committed_document == {"limits": {"max_open": 129}}
             bed.services["c1"].store.replica.trim()
             away._stopped = False
             away._open()
@@ -387,7 +392,7 @@
             assert bed.documents["n0"] == {"limits": {"max_open": 129}}
             await bed.stop("c1")
             await bed.start("c1")
-            assert bed.services["c1"].store.replica.versions.document == {"limits": {"max_open": 129}}
+            assert bed.services["c1"].store.replica.history.document == {"limits": {"max_open": 129}}
 
     run(main())
 
@@ -399,10 +404,10 @@
             for turn in range(2):  # they follow one another meanwhile
                 await bed.stop("c1")
                 await until(
-                    lambda: {bed.services[name].following.peer for name in ("c2", "c3")} == {"c2", "c3"}
+                    lambda: {bed.services[name].replication.source for name in ("c2", "c3")} == {"c2", "c3"}
                 )
                 await bed.start("c1")
-                holds = bed.services["c1"].store.replica.holds
+                holds = bed.services["c1"].store.replica.peer_revisions
                 await until(lambda holds=holds: set(holds) == {"c2", "c3"})
                 code, row = await bed.put("c1", {"limits": {"max_open": 5 + turn}})
                 assert code == 200, row
@@ -421,18 +426,18 @@
             await until(lambda: all_hold(bed, 2))
             for name in ("c3", "c1"):
                 await bed.stop(name)
-                (tmp_path / name / NAME).unlink()
+                (tmp_path / name / LOG_FILE_NAME).unlink()
                 await bed.start(name)
                 if name == "c3":
                     await until(lambda: all_hold(bed, 2))
-                    await until(lambda: bed.services["c1"].store.replica.holds["c3"].version == 2)
-            await until(lambda: set(bed.services["c1"].store.replica.holds) == {"c2", "c3"})
+                    await until(lambda: bed.services["c1"].store.replica.peer_revisions["c3"].number == 2)
+            await until(lambda: set(bed.services["c1"].store.replica.peer_revisions) == {"c2", "c3"})
             code, row = await bed.put("c1", LIMITS, 0)
             assert code == 503
             assert row["error"] == "c2, c3 hold versions, and c1 none: promote one of those that do"
             assert (await bed.call("c2", "POST", "/control/promote", {}))[0] == 200
             await until(lambda: all_hold(bed, 3))
-            assert bed.services["c1"].store.replica.document == {"limits": {"max_open": 6}}
+            assert bed.services["c1"].store.replica.committed_document == {"limits": {"max_open": 6}}
 
     run(main())
 
@@ -444,17 +449,19 @@
         async with machines(tmp_path, 2) as bed:
             await ready(bed)
             copy = tmp_path / "copy"
-            copy.write_bytes(encoded("fotos", Position(3, "c2", 900), LIMITS))
+            copy.write_bytes(encode_cached_document("fotos", Revision(3, "c2", 900), LIMITS))
             node = await bed.node("n1", copy=copy)
-            assert node.position == Position(3, "c2", 900)
-            await until(lambda: all(one.store.replica.seen.number == 3 for one in bed.services.values()))
+            assert node.applied == Revision(3, "c2", 900)
+            await until(
+                lambda: all(one.store.replica.highest_epoch_seen.number == 3 for one in bed.services.values())
+            )
             assert (await bed.put("c1", {"cordons": ["x"]}))[0] == 409
             assert (await bed.put("c2", {"cordons": ["x"]}))[0] == 409
             assert (await bed.call("c1", "POST", "/control/promote", {}))[0] == 409
             code, row = await bed.call("c1", "POST", "/control/promote", {"force": True})
             assert (code, row["epoch"], row["version"]) == (200, 4, 1)
             assert (await bed.put("c1", {"cordons": ["x"]}))[0] == 200
-            await until(lambda: node.position == Position(4, "c1", 2))
+            await until(lambda: node.applied == Revision(4, "c1", 2))
             assert bed.documents["n1"] == {"cordons": ["x"]}
 
     run(main())
--- a/tests/control/test_fleet.py
+++ b/tests/control/test_fleet.py
@@ -8,16 +8,16 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from rosewheel.control.fleet import FORGET_S, Fleet, Told, told_from
-from rosewheel.control.versions import START, Position
+from rosewheel.control.node_registry import NODE_EXPIRY_S, NodeRegistry, NodeStatus, decode_node_status
+from rosewheel.control.revisions import INITIAL_REVISION, Revision
 
 
-def at(version: int, epoch: int = 1) -> Position:
-    return Position(epoch, "c1", version)
+def at(version: int, epoch: int = 1) -> Revision:
+    return Revision(epoch, "c1", version)
 
 
-def told(node: str = "n1", machine: str = "c2", stamp: int = 1, held: int = 1, **more) -> Told:
-    return Told(node, "fotos", machine, stamp, at(held), **more)
+def told(node: str = "n1", machine: str = "c2", stamp: int = 1, held: int = 1, **more) -> NodeStatus:
+    return NodeStatus(node, "fotos", machine, stamp, at(held), **more)
 
 
 def ages(version: int) -> float:
@@ -38,54 +38,54 @@
 
 
 @given(WORDS, st.randoms())
-def test_the_last_word_of_a_node_counts_in_whichever_order_it_comes(words: list[Told], random):
-    fleet, other = Fleet(), Fleet()
+def test_the_last_word_of_a_node_counts_in_whichever_order_it_comes(words: list[NodeStatus], random):
+    fleet, other = NodeRegistry(), NodeRegistry()
     for word in words:
-        fleet.hear(word, 0.0)
+        fleet.record(word, 0.0)
     random.shuffle(words)
     for word in words:
-        other.hear(word, 0.0)
+        other.record(word, 0.0)
     last = {word.node: word for word in sorted(words, key=lambda word: word.stamp)}
     for one in (fleet, other):
-        assert {node: entry.told for node, entry in one.entries.items()} == last
+        assert {node: entry.status for node, entry in one.entries.items()} == last
 
 
 @given(WORDS)
-def test_the_writer_knows_by_batches_what_the_machines_know(words: list[Told]):
-    machine, writer = Fleet(), Fleet()
+def test_the_writer_knows_by_batches_what_the_machines_know(words: list[NodeStatus]):
+    machine, writer = NodeRegistry(), NodeRegistry()
     for index, word in enumerate(words):
-        machine.hear(word, 0.0)
+        machine.record(word, 0.0)
         if index % 3 == 0:
-            for row in machine.changed():
-                writer.hear(told_from(row), 0.0)
-    for row in machine.changed():
-        writer.hear(told_from(row), 0.0)
-    assert machine.changed() == []
-    assert {node: entry.told for node, entry in writer.entries.items()} == {
-        node: entry.told for node, entry in machine.entries.items()
+            for row in machine.take_changes():
+                writer.record(decode_node_status(row), 0.0)
+    for row in machine.take_changes():
+        writer.record(decode_node_status(row), 0.0)
+    assert machine.take_changes() == []
+    assert {node: entry.status for node, entry in writer.entries.items()} == {
+        node: entry.status for node, entry in machine.entries.items()
     }
 
 
 def test_a_node_that_moved_is_not_gone_when_the_machine_it_left_says_so_late():
-    fleet = Fleet()
-    fleet.hear(told(machine="c1", stamp=5), 0.0)
-    fleet.hear(told(machine="c2", stamp=6), 1.0)
-    fleet.gone("n1", "c1", 2.0)
-    assert not fleet.hear(replace(told(machine="c1", stamp=5), connected=False), 2.0)
-    assert fleet.entries["n1"].told.connected
-    fleet.gone("n1", "c2", 3.0)
-    assert not fleet.entries["n1"].told.connected
+    fleet = NodeRegistry()
+    fleet.record(told(machine="c1", stamp=5), 0.0)
+    fleet.record(told(machine="c2", stamp=6), 1.0)
+    fleet.disconnected("n1", "c1", 2.0)
+    assert not fleet.record(replace(told(machine="c1", stamp=5), connected=False), 2.0)
+    assert fleet.entries["n1"].status.connected
+    fleet.disconnected("n1", "c2", 3.0)
+    assert not fleet.entries["n1"].status.connected
 
 
 def test_status_tells_who_is_behind_for_how_long_who_refused_why_and_who_is_away():
-    fleet = Fleet()
-    fleet.hear(told("good", held=9), 0.0)
-    fleet.hear(told("late", held=7), 0.0)
+    fleet = NodeRegistry()
+    fleet.record(told("good", held=9), 0.0)
+    fleet.record(told("late", held=7), 0.0)
     why = "class[0].aim_ms: too long"
-    fleet.hear(told("cannot", held=8, refused=at(9), why=why), 0.0)
-    fleet.hear(told("away", held=3), 0.0)
-    fleet.gone("away", "c2", 5.0)
-    fleet.hear(Told("new", "fotos", "c1", 1, START), 40.0)
+    fleet.record(told("cannot", held=8, rejected=at(9), reason=why), 0.0)
+    fleet.record(told("away", held=3), 0.0)
+    fleet.disconnected("away", "c2", 5.0)
+    fleet.record(NodeStatus("new", "fotos", "c1", 1, INITIAL_REVISION), 40.0)
     row = fleet.report(at(9), 50.0, ages, whole=True)
     assert (row["nodes"], row["in_force"], row["behind"], row["refused"], row["away"]) == (5, 1, 3, 1, 1)
     behind = {node["node"]: node["behind_s"] for node in row["behind_nodes"]}
@@ -100,13 +100,13 @@
 
 
 def test_a_node_that_is_gone_for_long_is_forgotten_and_one_that_is_there_is_not():
-    fleet = Fleet()
+    fleet = NodeRegistry()
     for node in ("here", "gone", "lost"):
-        fleet.hear(told(node, machine="c3" if node == "lost" else "c2"), 0.0)
-    fleet.gone("gone", "c2", 10.0)
-    fleet.lost("c3", 20.0)
-    assert fleet.forget(FORGET_S + 15.0) == 1
-    assert fleet.forget(FORGET_S + 25.0) == 1
+        fleet.record(told(node, machine="c3" if node == "lost" else "c2"), 0.0)
+    fleet.disconnected("gone", "c2", 10.0)
+    fleet.machine_lost("c3", 20.0)
+    assert fleet.expire(NODE_EXPIRY_S + 15.0) == 1
+    assert fleet.expire(NODE_EXPIRY_S + 25.0) == 1
     assert set(fleet.entries) == {"here"}
 
 
@@ -123,16 +123,16 @@
 )
 def test_a_malformed_word_is_none(row: object):
     with pytest.raises((TypeError, ValueError)):
-        told_from(row)
+        decode_node_status(row)
 
 
 def test_what_540_nodes_say_costs_each_word_once():
     """Linear: as many rows are passed on as nodes have something new, whatever the size of the fleet."""
-    fleet = Fleet()
+    fleet = NodeRegistry()
     for number in range(540):
-        fleet.hear(told(f"n{number}", held=1), 0.0)
-    assert len(fleet.changed()) == 540
+        fleet.record(told(f"n{number}", held=1), 0.0)
+    assert len(fleet.take_changes()) == 540
     for number in range(135):
-        fleet.hear(told(f"n{number}", stamp=2, held=2), 1.0)
-        fleet.hear(told(f"n{number}", stamp=3, held=3), 1.0)
-    assert len(fleet.changed()) == 135
+        fleet.record(told(f"n{number}", stamp=2, held=2), 1.0)
+        fleet.record(told(f"n{number}", stamp=3, held=3), 1.0)
+    assert len(fleet.take_changes()) == 135
--- a/tests/control/test_replica.py
+++ b/tests/control/test_replica.py
@@ -12,17 +12,17 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, precondition, rule
 
-from rosewheel.control.log import Record
+from rosewheel.control.durable_log import LogRecord
 from rosewheel.control.replica import (
-    BehindError,
     FencedError,
-    NotWriterError,
-    PendingError,
+    NotLeaderError,
+    NotPromotableError,
     Replica,
-    base_record,
-    change_record,
+    UncommittedChangeError,
+    encode_change,
+    encode_snapshot,
 )
-from rosewheel.control.versions import START, ConflictError, Document, Epoch, Position
+from rosewheel.control.revisions import INITIAL_REVISION, Document, Epoch, Revision, RevisionConflictError
 
 NAMES = ("c1", "c2", "c3", "c4")
 MACHINES = st.sampled_from(NAMES)
@@ -34,7 +34,7 @@
 
     name: str
     names: tuple[str, ...] = NAMES
-    disk: list[Record] = field(default_factory=list)
+    disk: list[LogRecord] = field(default_factory=list)
 
     def __post_init__(self) -> None:
         self.start()
@@ -42,48 +42,48 @@
     def start(self) -> None:
         peers = [name for name in self.names if name != self.name]
         self.replica = Replica(self.name, peers, "c1", self.disk)
-        if self.replica.fresh:
-            self.disk.append(self.replica.seen_record)
-        self.promoting: tuple[Epoch, dict[str, Position]] | None = None
+        if self.replica.started_empty:
+            self.disk.append(self.replica.epoch_record)
+        self.promoting: tuple[Epoch, dict[str, Revision]] | None = None
 
-    def put(self, patch: Document, alone: bool = False) -> Position:
-        change = self.replica.draft(patch, self.replica.top.version, alone=alone)
-        self.disk.append(change_record(change))
-        self.replica.wrote(change)
-        return change.position
+    def put(self, patch: Document, alone: bool = False) -> Revision:
+        change = self.replica.draft(patch, self.replica.last.number, unreplicated=alone)
+        self.disk.append(encode_change(change))
+        self.replica.appended(change)
+        return change.revision
 
     def learn(self, epoch: Epoch) -> None:
-        if epoch > self.replica.seen:
+        if epoch > self.replica.highest_epoch_seen:
             self.disk.append({"kind": "seen", "epoch": epoch})
-            self.replica.learned(epoch)
+            self.replica.epoch_observed(epoch)
 
     def follow(self, other: Machine) -> bool:
         """What the other has to tell; whether there was something."""
-        tail = other.replica.tail(self.replica.top)
+        tail = other.replica.log_suffix(self.replica.last)
         if tail is None:
             return False
         try:
-            self.replica.check(tail)
+            self.replica.validate_suffix(tail)
         except FencedError:
             return False
-        changes = [change_record(change) for change in tail.changes]
-        if tail.base is not None:
-            self.disk[:] = [base_record(tail.base), *changes, self.replica.seen_record]
+        changes = [encode_change(change) for change in tail.changes]
+        if tail.snapshot is not None:
+            self.disk[:] = [encode_snapshot(tail.snapshot), *changes, self.replica.epoch_record]
         else:
             self.disk += changes
-        self.replica.took(tail)
+        self.replica.suffix_appended(tail)
         return True
 
     def beat(self, other: Machine) -> None:
         for one, two in ((self, other), (other, self)):
-            one.learn(max(two.replica.seen, two.replica.top.epoch))
+            one.learn(max(two.replica.highest_epoch_seen, two.replica.last.epoch))
         for one, two in ((self, other), (other, self)):
-            one.replica.held(two.name, two.replica.top)
+            one.replica.replica_ack(two.name, two.replica.last)
 
     def begin(self, reached: list[Machine], force: bool = False) -> None:
         if not force:
-            self.replica.may_lead({other.name: other.replica.top for other in reached})
-        epoch = self.replica.next_epoch(other.replica.seen for other in reached)
+            self.replica.check_promotable({other.name: other.replica.last for other in reached})
+        epoch = self.replica.next_epoch(other.replica.highest_epoch_seen for other in reached)
         self.learn(epoch)
         self.promoting = (epoch, {})
 
@@ -91,21 +91,21 @@
         assert self.promoting is not None
         epoch, holds = self.promoting
         other.learn(epoch)
-        if other.replica.seen == epoch:
-            holds[other.name] = other.replica.top
+        if other.replica.highest_epoch_seen == epoch:
+            holds[other.name] = other.replica.last
 
-    def lead(self, force: bool = False) -> Position:
+    def lead(self, force: bool = False) -> Revision:
         assert self.promoting is not None
         epoch, holds = self.promoting
         self.promoting = None
         if not force:
-            self.replica.may_lead(holds)
-        change = self.replica.promotion(epoch, 0.0, "", force and not holds)
-        self.disk.append(change_record(change))
-        self.replica.wrote(change)
-        return change.position
+            self.replica.check_promotable(holds)
+        change = self.replica.draft_promotion(epoch, 0.0, "", force and not holds)
+        self.disk.append(encode_change(change))
+        self.replica.appended(change)
+        return change.revision
 
-    def promote(self, reached: list[Machine], force: bool = False) -> Position:
+    def promote(self, reached: list[Machine], force: bool = False) -> Revision:
         self.begin(reached, force)
         for other in reached:
             self.fence(other)
@@ -143,10 +143,10 @@
         self.side = dict.fromkeys(NAMES, 0)  # of a cut
         self.lost = ""
         self.count = 0
-        self.documents: dict[Position, Document] = {}
-        self.shown: set[Position] = set()
+        self.documents: dict[Revision, Document] = {}
+        self.shown: set[Revision] = set()
         self.seen: dict[str, Epoch] = {}
-        self.nodes: list[Position] = [START] * 3
+        self.nodes: list[Revision] = [INITIAL_REVISION] * 3
         meet(list(self.machines.values()))
         self.machines["c1"].put({"a": 0})
         meet(list(self.machines.values()))
@@ -161,9 +161,9 @@
     def put(self, name: str, follow: set[str], beat: set[str]) -> None:
         """Whoever thinks that it writes does; of those it reaches some take it, and some say so."""
         for machine in self.machines.values():
-            if machine.name != self.lost and (machine.replica.writes or machine.name == name):
+            if machine.name != self.lost and (machine.replica.is_leader or machine.name == name):
                 self.count += 1
-                with contextlib.suppress(NotWriterError, PendingError, ConflictError):
+                with contextlib.suppress(NotLeaderError, UncommittedChangeError, RevisionConflictError):
                     machine.put({"a": self.count})
                 self._hear(machine, follow, beat)
 
@@ -208,14 +208,14 @@
     @rule(name=MACHINES)
     def promote(self, name: str) -> None:
         if name != self.lost:
-            with contextlib.suppress(BehindError, NotWriterError):
+            with contextlib.suppress(NotPromotableError, NotLeaderError):
                 self.machines[name].promote(self.reached(name))
 
     @rule(name=MACHINES, fence=SOME)
     def begin(self, name: str, fence: set[str]) -> None:
         """A promotion between whose steps others come."""
         if name != self.lost:
-            with contextlib.suppress(BehindError):
+            with contextlib.suppress(NotPromotableError):
                 machine = self.machines[name]
                 machine.begin(self.reached(name))
                 for other in self.reached(name):
@@ -228,31 +228,31 @@
         if name != self.lost and machine.promoting is not None:
             for other in self.reached(name):
                 machine.fence(other)
-            with contextlib.suppress(BehindError, NotWriterError):
+            with contextlib.suppress(NotPromotableError, NotLeaderError):
                 machine.lead()
 
     @rule(node=st.integers(0, 2), name=MACHINES)
     def node(self, node: int, name: str) -> None:
-        shown = self.machines[name].replica.shown
+        shown = self.machines[name].replica.committed
         if name != self.lost and shown > self.nodes[node]:
             self.nodes[node] = shown
 
     @invariant()
     def a_position_is_one_document(self) -> None:
         for machine in self.machines.values():
-            versions = machine.replica.versions
-            for version in range(versions.base.position.version, versions.top.version + 1):
-                position = versions.position(version)
-                document = versions.at(position)
+            versions = machine.replica.history
+            for version in range(versions.snapshot.revision.number, versions.last.number + 1):
+                position = versions.revision_numbered(version)
+                document = versions.document_at(position)
                 assert document is not None
                 assert self.documents.setdefault(position, document) == document
 
     @invariant()
     def seen_epochs_only_grow(self) -> None:
         for name, machine in self.machines.items():
-            seen = machine.replica.seen
+            seen = machine.replica.highest_epoch_seen
             assert seen >= self.seen.get(name, seen)
-            assert seen >= machine.replica.top.epoch
+            assert seen >= machine.replica.last.epoch
             self.seen[name] = seen
 
     @invariant()
@@ -260,13 +260,13 @@
         """Acknowledged is what its writer shows, and nodes have in force what was shown: none of it is lost."""
         for name, machine in self.machines.items():
             if name != self.lost:
-                self.shown.add(machine.replica.shown)
+                self.shown.add(machine.replica.committed)
         for machine in self.machines.values():
             replica = machine.replica
-            if replica.writes:
+            if replica.is_leader:
                 for position in self.shown:
-                    if position.epoch < replica.top.epoch:
-                        assert replica.versions.at(position) is not None, (position, machine.name)
+                    if position.epoch < replica.last.epoch:
+                        assert replica.history.document_at(position) is not None, (position, machine.name)
 
     def teardown(self) -> None:
         """All who can reach one another come to the same."""
@@ -274,21 +274,21 @@
         there = [machine for name, machine in self.machines.items() if name != self.lost]
         meet(there)
         self.what_was_shown_is_in_every_later_epoch()
-        assert len({machine.replica.seen for machine in there}) == 1
-        writers = [machine for machine in there if machine.replica.writes]
+        assert len({machine.replica.highest_epoch_seen for machine in there}) == 1
+        writers = [machine for machine in there if machine.replica.is_leader]
         assert len(writers) <= 1
         if writers:
-            assert {machine.replica.top for machine in there} == {writers[0].replica.top}
-            assert {machine.replica.shown for machine in there} == {writers[0].replica.top}
-            assert all(node <= writers[0].replica.top for node in self.nodes)
+            assert {machine.replica.last for machine in there} == {writers[0].replica.last}
+            assert {machine.replica.committed for machine in there} == {writers[0].replica.last}
+            assert all(node <= writers[0].replica.last for node in self.nodes)
         else:  # a promotion stopped half way: whoever holds the most can be promoted, and nothing is lost
-            best = max(there, key=lambda machine: machine.replica.top)
+            best = max(there, key=lambda machine: machine.replica.last)
             others = [machine for machine in there if machine is not best]
-            if all(machine.replica.top != START for machine in there):
+            if all(machine.replica.last != INITIAL_REVISION for machine in there):
                 best.promote(others)
                 meet(there)
                 self.what_was_shown_is_in_every_later_epoch()
-                assert len({machine.replica.shown for machine in there}) == 1
+                assert len({machine.replica.committed for machine in there}) == 1
 
 
 TestFleet = Fleet.TestCase
@@ -300,16 +300,16 @@
 def test_a_change_is_shown_once_a_second_machine_has_it():
     c1, c2, c3 = machines("c1", "c2", "c3")
     at = c1.put({"a": 1})
-    assert c1.replica.shown == START
-    with pytest.raises(PendingError, match="version 1 is held by no other machine"):
+    assert c1.replica.committed == INITIAL_REVISION
+    with pytest.raises(UncommittedChangeError, match="version 1 is held by no other machine"):
         c1.put({"a": 2})
     assert c2.follow(c1)
-    assert c2.replica.shown == at
-    assert c1.replica.shown == START
+    assert c2.replica.committed == at
+    assert c1.replica.committed == INITIAL_REVISION
     c1.beat(c2)
-    assert c1.replica.shown == at
-    assert c1.replica.document == {"a": 1}
-    assert c3.replica.shown == START
+    assert c1.replica.committed == at
+    assert c1.replica.committed_document == {"a": 1}
+    assert c3.replica.committed == INITIAL_REVISION
 
 
 def test_after_a_restart_the_last_change_is_in_doubt_until_another_machine_is_heard():
@@ -318,19 +318,19 @@
     meet([c1, c2])
     second = c1.put({"a": 2})
     c1.start()
-    assert c1.replica.top == second
-    assert c1.replica.shown == first
+    assert c1.replica.last == second
+    assert c1.replica.committed == first
     meet([c1, c2])
-    assert c1.replica.shown == c2.replica.shown == second
+    assert c1.replica.committed == c2.replica.committed == second
 
 
 def test_alone_is_acknowledged_at_once_and_stays_so_after_a_restart():
     c1, _ = machines("c1", "c2")
     c1.put({"a": 1})
     at = c1.put({"a": 2}, alone=True)
-    assert c1.replica.shown == at
+    assert c1.replica.committed == at
     c1.start()
-    assert c1.replica.shown == at
+    assert c1.replica.committed == at
 
 
 def test_one_that_is_behind_is_not_promoted_unless_forced_and_says_who_holds_what():
@@ -341,16 +341,18 @@
     c2.follow(c1)
     c1.beat(c2)
     with pytest.raises(
-        BehindError, match=r"c3 holds version 1 of epoch 1 \(c1\), but c2 holds version 2 of epoch 1"
+        NotPromotableError, match=r"c3 holds version 1 of epoch 1 \(c1\), but c2 holds version 2 of epoch 1"
     ):
         c3.promote([c2, c4])
-    assert c3.replica.seen == c2.replica.seen == Epoch(1, "c1"), "nothing was changed by asking"
-    with pytest.raises(BehindError, match="what c1, c2 held is not known: 2 of 3 machines could say"):
+    assert c3.replica.highest_epoch_seen == c2.replica.highest_epoch_seen == Epoch(1, "c1"), (
+        "nothing was changed by asking"
+    )
+    with pytest.raises(NotPromotableError, match="what c1, c2 held is not known: 2 of 3 machines could say"):
         c3.promote([c4])
     c3.promote([c2, c4], force=True)
     meet([c2, c3, c4])
-    assert {machine.replica.top for machine in (c2, c3, c4)} == {Position(2, "c3", 2)}
-    assert c2.replica.document == {"a": 1}
+    assert {machine.replica.last for machine in (c2, c3, c4)} == {Revision(2, "c3", 2)}
+    assert c2.replica.committed_document == {"a": 1}
 
 
 def test_an_old_writer_writes_no_more_and_what_only_it_had_is_dropped():
@@ -361,12 +363,12 @@
     at = c2.promote([c3, c4])
     assert not c3.follow(c1), "what comes from a lower epoch is refused"
     c1.beat(c4)
-    with pytest.raises(NotWriterError, match="c2 writes, not c1"):
+    with pytest.raises(NotLeaderError, match="c2 writes, not c1"):
         c1.put({"a": 3})
     meet(every)
-    assert {machine.replica.shown for machine in every} == {at}
-    assert c1.replica.document == {"a": 1}
-    assert c2.put({"a": 3}).version == 3
+    assert {machine.replica.committed for machine in every} == {at}
+    assert c1.replica.committed_document == {"a": 1}
+    assert c2.put({"a": 3}).number == 3
 
 
 def test_a_writer_that_lost_its_disk_does_not_begin_anew():
@@ -374,17 +376,17 @@
     c1.put({"a": 1})
     meet(every)
     again = Machine("c1", ("c1", "c2", "c3"))
-    with pytest.raises(PendingError, match="c2, c3 is not yet"):
+    with pytest.raises(UncommittedChangeError, match="c2, c3 is not yet"):
         again.put({"a": 9})
     again.beat(c2)
     again.beat(c3)
-    with pytest.raises(PendingError, match="c2, c3 hold versions, and c1 none"):
+    with pytest.raises(UncommittedChangeError, match="c2, c3 hold versions, and c1 none"):
         again.put({"a": 9})
-    with pytest.raises(BehindError, match="what c1, c3 held is not known: 1 of 2"):
+    with pytest.raises(NotPromotableError, match="what c1, c3 held is not known: 1 of 2"):
         c2.promote([again])  # the word of one that holds nothing does not count
     c2.promote([again, c3])
     meet([again, c2, c3])
-    assert again.replica.document == {"a": 1}
+    assert again.replica.committed_document == {"a": 1}
 
 
 def test_what_is_kept_is_read_back_as_it_was():
@@ -393,13 +395,13 @@
         c1.put({"a": at})
         meet([c1, c2])
     c1.replica.trim(2)
-    records: list[Record] = c1.replica.records
+    records: list[LogRecord] = c1.replica.log_records
     back: Any = Replica("c1", ["c2"], "", records)
-    assert (back.top, back.seen) == (c1.replica.top, c1.replica.seen)
-    assert back.versions.document == {"a": 4}
+    assert (back.last, back.highest_epoch_seen) == (c1.replica.last, c1.replica.highest_epoch_seen)
+    assert back.history.document == {"a": 4}
     late = Machine("c2", ("c1", "c2"))
-    late.replica.check(tail := c1.replica.tail(START))  # type: ignore[arg-type]
+    late.replica.validate_suffix(tail := c1.replica.log_suffix(INITIAL_REVISION))  # type: ignore[arg-type]
     assert tail is not None
-    assert tail.base is not None
-    late.replica.took(tail)
-    assert late.replica.document == {"a": 4}
+    assert tail.snapshot is not None
+    late.replica.suffix_appended(tail)
+    assert late.replica.committed_document == {"a": 4}
--- a/tests/support/control_child.py
+++ b/tests/support/control_child.py
@@ -14,11 +14,11 @@
 from pathlib import Path
 
 from rosewheel.config.platform import parse_address
-from rosewheel.control.log import Log
-from rosewheel.control.service import Service, Setup
+from rosewheel.control.durable_log import DurableLog
+from rosewheel.control.machine import ControlMachine, MachineSettings
 
 
-class FaultyLog(Log):
+class FaultyLog(DurableLog):
     def __init__(self, folder: Path, point: str, nth: int) -> None:
         self.point, self.left = point, nth
         super().__init__(folder)
@@ -43,8 +43,8 @@
 
 async def main(name: str, listen: str, folder: str, peer: str, point: str, nth: str) -> None:
     other, _, address = peer.partition("=")
-    setup = Setup(name, parse_address(listen), Path(folder), {other: parse_address(address)}, "c1")
-    service = Service(setup, FaultyLog(setup.folder, point, int(nth)))
+    setup = MachineSettings(name, parse_address(listen), Path(folder), {other: parse_address(address)}, "c1")
+    service = ControlMachine(setup, FaultyLog(setup.data_dir, point, int(nth)))
     await service.start()
     print("ready", flush=True)
     await asyncio.Event().wait()
--- a/tests/support/control_machines.py
+++ b/tests/support/control_machines.py
@@ -11,11 +11,11 @@
 from typing import Any
 
 from rosewheel.config.platform import Address
-from rosewheel.control.client import Client
-from rosewheel.control.follower import Follower
-from rosewheel.control.log import Log
-from rosewheel.control.service import Service, Setup
-from rosewheel.control.versions import Document
+from rosewheel.control.durable_log import DurableLog
+from rosewheel.control.http_client import JsonHttpClient
+from rosewheel.control.machine import ControlMachine, MachineSettings
+from rosewheel.control.revisions import Document
+from rosewheel.control.subscriber import ConfigurationSubscriber
 
 # A host of this process: a machine that is stopped starts again on its port, which a connection from 127.0.0.1 must not
 # have taken meanwhile.
@@ -70,9 +70,9 @@
         self.addresses: dict[str, Address] = {
             name: sock.getsockname()[:2] for name, sock in self.sockets.items()
         }
-        self.services: dict[str, Service] = {}
+        self.services: dict[str, ControlMachine] = {}
         self.ways: dict[tuple[str, str], Way] = {}
-        self.followers: dict[str, Follower] = {}
+        self.followers: dict[str, ConfigurationSubscriber] = {}
         self.documents: dict[str, Document] = {}
         self.applied: dict[str, list[Document]] = {}
 
@@ -81,10 +81,10 @@
             self.ways[one, other] = await Way(self.addresses[other]).start()
         return self.ways[one, other]
 
-    async def start(self, name: str) -> Service:
+    async def start(self, name: str) -> ControlMachine:
         peers = {peer: (await self.way(name, peer)).address for peer in self.names if peer != name}
-        setup = Setup(name, self.addresses[name], self.folder / name, peers, self.writer)
-        service = Service(setup, Log(setup.folder))
+        setup = MachineSettings(name, self.addresses[name], self.folder / name, peers, self.writer)
+        service = ControlMachine(setup, DurableLog(setup.data_dir))
         sock = self.sockets.pop(name, None) or socket.create_server(self.addresses[name])
         await service.start(sock)
         self.services[name] = service
@@ -108,7 +108,7 @@
         service: str = "fotos",
         copy: Path | None = None,
         refuse: Callable[[Document], str] = lambda document: "",
-    ) -> Follower:
+    ) -> ConfigurationSubscriber:
         machines = {machine: (await self.way(name, machine)).address for machine in self.names}
 
         def apply(document: Document) -> None:
@@ -117,13 +117,13 @@
             self.documents[name] = document
             self.applied.setdefault(name, []).append(document)
 
-        follower = Follower(name, service, machines, hash_of(name), copy, apply)
+        follower = ConfigurationSubscriber(name, service, machines, hash_of(name), copy, apply)
         self.followers[name] = follower
         follower.start()
         return follower
 
     async def call(self, name: str, method: str, target: str, row: Any = None) -> tuple[int, Any]:
-        client = Client(self.addresses[name])
+        client = JsonHttpClient(self.addresses[name])
         try:
             return await client.call(method, target, row, timeout_s=20.0)
         finally:
@@ -131,7 +131,7 @@
 
     async def put(self, name: str, patch: Any, version: int | None = None, **more: Any) -> tuple[int, Any]:
         if version is None:
-            version = self.services[name].store.replica.top.version
+            version = self.services[name].store.replica.last.number
         return await self.call(name, "POST", "/control/put", {"patch": patch, "version": version} | more)
 
     async def status(self, name: str) -> Any:
