--- a/benchmarks/added_time.py
+++ b/benchmarks/added_time.py
@@ -101,9 +101,9 @@
 
 def be_a_node(path: str, name: str) -> None:
     """`python -m rosewheel` with its collections and its writes of what it learned noted in this file."""
-    from rosewheel.proxy.snapshots import Snapshots
+    from rosewheel.proxy.snapshots import SnapshotWriter
 
-    began, plain = [0.0], Snapshots._put
+    began, plain = [0.0], SnapshotWriter._put
     with Path(path).open("w", buffering=1) as file:
 
         def note(phase: str, info: dict[str, int]) -> None:
@@ -112,19 +112,19 @@
             else:
                 file.write(f"generation-{info['generation']} {began[0]:.3f} {now_ms() - began[0]:.3f}\n")
 
-        def put(self: Snapshots, path: Path, data: bytes) -> OSError | None:
+        def put(self: SnapshotWriter, path: Path, data: bytes) -> OSError | None:
             start = now_ms()
             error = plain(self, path, data)
             file.write(f"snapshot {start:.3f} {now_ms() - start:.3f}\n")
             return error
 
-        def due(self: Snapshots) -> None:
+        def due(self: SnapshotWriter) -> None:
             self.write()
             self._later()
 
-        Snapshots._put = put
+        SnapshotWriter._put = put
         if name == "on-loop":
-            Snapshots._due = due
+            SnapshotWriter._due = due
         gc.callbacks.append(note)
         if name == "gc-off":
             gc.disable()
--- a/benchmarks/lists.py
+++ b/benchmarks/lists.py
@@ -25,16 +25,16 @@
 from rosewheel.node.limits import Bounds
 from rosewheel.policy.events import EndpointListForm
 from rosewheel.policy.settings import Idempotency, ServiceClass, Settings
-from rosewheel.proxy.proxy import Relay
+from rosewheel.proxy.proxy import Proxy
 
 
-def relay() -> Relay:
+def relay() -> Proxy:
     classes = (
         ServiceClass(
             "post", latency_objective_ms=2500, deadline_ms=6000, idempotency=Idempotency.NON_IDEMPOTENT
         ),
     )
-    made = Relay(
+    made = Proxy(
         Config(
             name="n0",
             listen=("127.0.0.1", 0),
@@ -81,7 +81,7 @@
             await asyncio.sleep(0)
         each.append(time.perf_counter() - began)
         began = time.perf_counter()
-        whole._heard(EndpointListForm.SNAPSHOT, entries_from(orjson.loads(text)["hosts"]))
+        whole._endpoint_list_updated(EndpointListForm.SNAPSHOT, entries_from(orjson.loads(text)["hosts"]))
         at_once.append(time.perf_counter() - began)
         await asyncio.sleep(0)
     assert set(node.node.servers) == set(whole.node.servers)
--- a/benchmarks/snapshot.py
+++ b/benchmarks/snapshot.py
@@ -25,7 +25,7 @@
     Server,
 )
 from rosewheel.policy.settings import Idempotency, ServiceClass, Settings
-from rosewheel.proxy.snapshots import COST_SHARE, PERIOD_S, Snapshots
+from rosewheel.proxy.snapshots import MAX_TIME_SHARE, PERIOD_S, SnapshotWriter
 
 
 def measure(servers: int, repeat: int) -> dict[str, float]:
@@ -50,11 +50,11 @@
         )
         decisions.append(time.perf_counter() - began)
     with tempfile.TemporaryDirectory() as folder:
-        snapshots = Snapshots(folder, "n0", lambda: (balancer.learned(now), 1.0))
+        snapshots = SnapshotWriter(folder, "n0", lambda: (balancer.learned(now), 1.0))
         costs = []
         for _ in range(repeat):
             snapshots.write()
-            costs.append(snapshots.cost_s)
+            costs.append(snapshots.last_cost_s)
         size = (Path(folder) / "learned.snap").stat().st_size
     cost = statistics.median(costs)
     return {
@@ -62,7 +62,7 @@
         "snapshot_us": round(cost * 1e6, 1),
         "decision_us": round(statistics.median(decisions) * 1e6, 1),
         "ratio": round(cost / statistics.median(decisions), 1),
-        "share_of_time": round(cost / max(PERIOD_S, cost / COST_SHARE), 6),
+        "share_of_time": round(cost / max(PERIOD_S, cost / MAX_TIME_SHARE), 6),
         "bytes": size,
     }
 
--- a/rosewheel/hot_restart/channel.py
+++ b/rosewheel/hot_restart/channel.py
@@ -11,19 +11,19 @@
 from collections import deque
 from collections.abc import Callable, Iterator
 
-from rosewheel.hot_restart.wire import PACKET_BYTES, Message, Reader, WireError, packets
+from rosewheel.hot_restart.wire import PACKET_BYTES, Message, MessageReader, ProtocolError, encode_packets
 
 log = logging.getLogger("rosewheel.hot_restart")
 
-NAME = "handover.sock"
+SOCKET_NAME = "handover.sock"
 MOST_FDS = 4
 PACKETS = 64  # read at a time, so that the callers' turn comes between
 
-Heard = Callable[["Link", Message, bytes, list[int]], None]
-Lost = Callable[["Link"], None]
+Heard = Callable[["Channel", Message, bytes, list[int]], None]
+Lost = Callable[["Channel"], None]
 
 
-def drop(fds: list[int]) -> None:
+def close_descriptors(fds: list[int]) -> None:
     """Let go of descriptors; what others hold of the same sockets goes on."""
     for fd in fds:
         with contextlib.suppress(OSError):
@@ -40,7 +40,7 @@
         os.close(fd)
 
 
-def own_peer(sock: socket.socket) -> bool:
+def is_same_user(sock: socket.socket) -> bool:
     """Whether the other end runs under this process's own user."""
     _, uid, _ = struct.unpack("3i", sock.getsockopt(socket.SOL_SOCKET, socket.SO_PEERCRED, 12))
     return bool(uid == os.geteuid())
@@ -58,7 +58,7 @@
             sock.bind(f"{near}/{name}")
             os.chmod(part, 0o600)
             sock.listen(4)
-            os.replace(part, os.path.join(folder, NAME))
+            os.replace(part, os.path.join(folder, SOCKET_NAME))
         sock.setblocking(False)
     except BaseException:
         sock.close()
@@ -74,8 +74,8 @@
     sock.setblocking(False)
     try:
         with _reachable(folder) as near:
-            sock.connect(f"{near}/{NAME}")
-        if own_peer(sock):
+            sock.connect(f"{near}/{SOCKET_NAME}")
+        if is_same_user(sock):
             return sock
         log.warning("the socket of another user's process is left alone")
     except OSError as error:  # also where its queue is full: then that process hangs
@@ -85,7 +85,7 @@
     return None
 
 
-class Link:
+class Channel:
     """One connection. `heard` gets each message with its bytes and descriptors, which are its own from then on;
     `lost` is called once, when all that the other side had sent has been heard."""
 
@@ -93,7 +93,7 @@
         self.sock, self.heard, self.lost = sock, heard, lost
         self.open = True
         self.loop = asyncio.get_running_loop()
-        self._reader = Reader()
+        self._reader = MessageReader()
         self._out: deque[tuple[bytes, tuple[int, ...]]] = deque()
         self._writing = self._mute = False
         sock.setblocking(False)
@@ -103,7 +103,7 @@
 
     def send(self, message: Message, blob: bytes = b"", fds: tuple[int, ...] = ()) -> None:
         """Behind what waits already. The descriptors must stay open until the other side has told of them."""
-        whole = packets(message, blob)
+        whole = encode_packets(message, blob)
         self._out += [(packet, ()) for packet in whole[:-1]]
         self._out.append((whole[-1], fds))
         if not self._writing:
@@ -115,7 +115,7 @@
         if self._out or self._mute or not self.open:
             return False
         try:
-            self.sock.send(packets(message)[-1])
+            self.sock.send(encode_packets(message)[-1])
         except BlockingIOError:
             return False
         return True
@@ -159,24 +159,26 @@
                 log.warning("the link can't be read: %s", error)
                 packet, fds, flags = b"", [], 0
             if not packet:
-                drop(fds)
+                close_descriptors(fds)
                 self.close()
                 return
             if flags & (socket.MSG_CTRUNC | socket.MSG_TRUNC):
-                drop(fds)  # no room for all of them here: what came without any is refused by who gets it
+                close_descriptors(
+                    fds
+                )  # no room for all of them here: what came without any is refused by who gets it
                 fds = []
             self._give(packet, fds)
 
     def _give(self, packet: bytes, fds: list[int]) -> None:
         try:
             whole = self._reader.feed(packet)
-        except WireError as error:
+        except ProtocolError as error:
             log.warning("the link ends: %s", error)
-            drop(fds)
+            close_descriptors(fds)
             self.close()
             return
         if whole is None:
-            drop(fds)
+            close_descriptors(fds)
             return
         try:
             self.heard(self, *whole, fds)
--- a/rosewheel/hot_restart/migration.py
+++ b/rosewheel/hot_restart/migration.py
@@ -11,13 +11,13 @@
 from dataclasses import dataclass
 from typing import TYPE_CHECKING, Any
 
-from rosewheel.hot_restart.channel import drop
+from rosewheel.hot_restart.channel import close_descriptors
 from rosewheel.http import connection as equipos
 from rosewheel.http import downstream as callers
 from rosewheel.http.downstream import Caller
 
 if TYPE_CHECKING:
-    from rosewheel.proxy.proxy import Relay
+    from rosewheel.proxy.proxy import Proxy
 
 log = logging.getLogger("rosewheel.hot_restart")
 
@@ -26,7 +26,7 @@
 
 
 @dataclass(slots=True, eq=False)
-class Item:
+class MigratedConnection:
     """One thing that moves: of no loop, its descriptors held by whoever holds this."""
 
     kind: str
@@ -38,19 +38,21 @@
         return {"t": "give", "n": number, "kind": self.kind, "state": self.state}
 
 
-Lifted = Callable[[Item | None], None]  # None: it ended while it was being taken off the loop
+OnDetached = Callable[
+    [MigratedConnection | None], None
+]  # None: it ended while it was being taken off the loop
 
 
-class Moves:
+class Migration:
     """Of one process."""
 
-    def __init__(self, relay: Relay) -> None:
+    def __init__(self, relay: Proxy) -> None:
         self.relay = relay
         self.loop = asyncio.get_running_loop()
         self._tasks: set[asyncio.Task[None]] = set()
 
     @property
-    def under_way(self) -> int:
+    def arriving(self) -> int:
         """Those that have not arrived on this loop yet."""
         return len(self._tasks)
 
@@ -60,33 +62,33 @@
 
     # ---------------------------------------------------------------- lifting
 
-    def lift_next(self, done: Lifted) -> bool:
+    def detach_next(self, done: OnDetached) -> bool:
         """Begin with what would be lost first: long answers, then callers, and connections to equipos among them,
         since what those callers ask next needs them. False where nothing is left that can be moved by now."""
         relay = self.relay
         for caller in relay.server.callers:
-            if caller.current is not None and caller.movable and self._lift_passage(caller, done):
+            if caller.current is not None and caller.movable and self._detach_response(caller, done):
                 return True
-        if relay.random.random() < 0.5 and self._lift_idle(done):
+        if relay.random.random() < 0.5 and self._detach_idle(done):
             return True
         for caller in relay.server.callers:
             if caller.current is None and caller.movable:
                 caller.lift(functools.partial(self._one, CALLER, done))
                 return True
-        return self._lift_idle(done)
+        return self._detach_idle(done)
 
-    def _lift_idle(self, done: Lifted) -> bool:
+    def _detach_idle(self, done: OnDetached) -> bool:
         return self.relay.upstream.lift_idle(functools.partial(self._one, EQUIPO, done))
 
-    def _one(self, kind: str, done: Lifted, lifted: callers.Lifted | equipos.Lifted | None) -> None:
+    def _one(self, kind: str, done: OnDetached, lifted: callers.Lifted | equipos.Lifted | None) -> None:
         if lifted is None:
             done(None)
         elif isinstance(lifted, callers.Lifted):
-            done(Item(kind, lifted.state, [lifted.fd], lifted.held))
+            done(MigratedConnection(kind, lifted.state, [lifted.fd], lifted.held))
         else:
-            done(Item(kind, lifted.state, [lifted.fd]))
+            done(MigratedConnection(kind, lifted.state, [lifted.fd]))
 
-    def _lift_passage(self, caller: Caller, done: Lifted) -> bool:
+    def _detach_response(self, caller: Caller, done: OnDetached) -> bool:
         """Both ends at once: neither is read or written from here on."""
         relay, call = self.relay, caller.current
         passing = relay.node.passing(call.id) if call is not None else None
@@ -111,7 +113,7 @@
         service: str,
         server: str,
         ends: dict[str, callers.Lifted | equipos.Lifted | None],
-        done: Lifted,
+        done: OnDetached,
     ) -> None:
         relay, out, back = self.relay, ends["caller"], ends["equipo"]
         if isinstance(out, callers.Lifted) and isinstance(back, equipos.Lifted):
@@ -124,11 +126,11 @@
                 "caller": out.state,
                 "equipo": back.state,
             }
-            done(Item(PASSAGE, state, [out.fd, back.fd], out.held))
+            done(MigratedConnection(PASSAGE, state, [out.fd, back.fd], out.held))
             return
         # One end went while the other was lifted: the answer is cut off. Where the caller is still there, the end of
         # its connection says so.
-        drop([end.fd for end in (out, back) if end is not None])
+        close_descriptors([end.fd for end in (out, back) if end is not None])
         call = relay.calls.pop(id, None)
         if call is not None:
             relay.apply(relay.node.client_gone(time.monotonic() * 1000.0, id))
@@ -136,7 +138,7 @@
 
     # --------------------------------------------------------------- going on
 
-    def unwanted(self, item: Item) -> str:
+    def rejection_reason(self, item: MigratedConnection) -> str:
         """Why this process can't go on with it; empty where it can."""
         relay = self.relay
         if len(item.fds) != FDS.get(item.kind, 0):
@@ -151,13 +153,13 @@
             return "its request can't be open here"
         return ""
 
-    def go_on(self, item: Item, kept: bool = False) -> None:
+    def resume(self, item: MigratedConnection, kept: bool = False) -> None:
         """The item is this process's from here on. `kept`: it was before, and nobody else wants it."""
         task = self.loop.create_task(self._go_on(item, kept))
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
-    async def _go_on(self, item: Item, kept: bool) -> None:
+    async def _go_on(self, item: MigratedConnection, kept: bool) -> None:
         socks = [socket.socket(fileno=fd) for fd in item.fds]
         try:
             for sock in socks:
@@ -181,7 +183,7 @@
             caller.kept = caller.last = True
         return caller
 
-    async def _go_on_passing(self, item: Item, socks: list[socket.socket], kept: bool) -> None:
+    async def _go_on_passing(self, item: MigratedConnection, socks: list[socket.socket], kept: bool) -> None:
         relay, state = self.relay, item.state
         id = str(state["id"])
         caller = self._caller(state["caller"], item.held, kept)
--- a/rosewheel/hot_restart/receiver.py
+++ b/rosewheel/hot_restart/receiver.py
@@ -5,40 +5,40 @@
 import logging
 import os
 
-from rosewheel.hot_restart.channel import Link, drop
-from rosewheel.hot_restart.migration import Item, Moves
+from rosewheel.hot_restart.channel import Channel, close_descriptors
+from rosewheel.hot_restart.migration import MigratedConnection, Migration
 
 log = logging.getLogger("rosewheel.hot_restart")
 
 
-class Taker:
+class Receiver:
     """Over one link. `flag` is the reading end of the giver's pipe."""
 
-    def __init__(self, link: Link, moves: Moves, flag: int) -> None:
+    def __init__(self, link: Channel, moves: Migration, flag: int) -> None:
         self.link, self.moves, self.flag = link, moves, flag
-        self.taken: dict[str, int] = {}
+        self.received: dict[str, int] = {}
 
-    def given(self, number: int, item: Item) -> None:
+    def given(self, number: int, item: MigratedConnection) -> None:
         """The rule: until the receipt is in the giver's hands the item is the giver's."""
-        why = self.moves.unwanted(item)
+        why = self.moves.rejection_reason(item)
         if why:
-            drop(item.fds)
+            close_descriptors(item.fds)
             self.link.send({"t": "no", "n": number, "why": why})
             return
         try:
             if not self.link.send_now({"t": "took", "n": number}):
                 # A receipt that waits in a queue would be out at a moment that nobody here knows.
                 log.warning("the old process hears nothing: what it offers stays with it")
-                drop(item.fds)
+                close_descriptors(item.fds)
                 self.link.close()
                 return
         except OSError:
             if self._revoked():
-                drop(item.fds)
+                close_descriptors(item.fds)
                 return
             # The old process has been killed. What it had offered is nobody's but this one's.
-        self.taken[item.kind] = self.taken.get(item.kind, 0) + 1
-        self.moves.go_on(item)
+        self.received[item.kind] = self.received.get(item.kind, 0) + 1
+        self.moves.resume(item)
 
     def _revoked(self) -> bool:
         """Whether the giver has said that it keeps what had no receipt. It says so before it stops to hear
@@ -49,4 +49,4 @@
             return False
 
     def close(self) -> None:
-        drop([self.flag])
+        close_descriptors([self.flag])
--- a/rosewheel/hot_restart/offers.py
+++ b/rosewheel/hot_restart/transfers.py
@@ -10,25 +10,25 @@
 from typing import Generic, TypeVar
 
 T = TypeVar("T")
-WINDOW = 16  # items under way at a time: each holds descriptors twice for the while
-PATIENCE_S = 0.6  # a taker that says nothing for so long about an item hangs
+TRANSFER_WINDOW = 16  # items under way at a time: each holds descriptors twice for the while
+RECEIPT_TIMEOUT_S = 0.6  # a taker that says nothing for so long about an item hangs
 
 
-class Offers(Generic[T]):
+class TransferLedger(Generic[T]):
     """Of one giver. Times are seconds of one clock."""
 
-    def __init__(self, window: int = WINDOW, patience_s: float = PATIENCE_S) -> None:
+    def __init__(self, window: int = TRANSFER_WINDOW, patience_s: float = RECEIPT_TIMEOUT_S) -> None:
         self.window, self.patience_s = window, patience_s
-        self.given = self.kept = 0  # items that were taken, and that came back
+        self.accepted_count = self.returned_count = 0  # items that were taken, and that came back
         self._under_way: dict[int, tuple[T, float]] = {}
         self._number = 0
 
     @property
-    def room(self) -> bool:
+    def has_room(self) -> bool:
         return len(self._under_way) < self.window
 
     @property
-    def under_way(self) -> int:
+    def pending_count(self) -> int:
         return len(self._under_way)
 
     def offer(self, item: T, now: float) -> int:
@@ -37,20 +37,20 @@
         self._under_way[self._number] = item, now
         return self._number
 
-    def taken(self, number: int) -> T | None:
+    def accept(self, number: int) -> T | None:
         """The receipt. None for what is not under way: settled before, or never offered."""
         row = self._under_way.pop(number, None)
         if row is None:
             return None
-        self.given += 1
+        self.accepted_count += 1
         return row[0]
 
-    def refused(self, number: int) -> T | None:
+    def reject(self, number: int) -> T | None:
         """The taker does not want it: it is the giver's again."""
         row = self._under_way.pop(number, None)
         if row is None:
             return None
-        self.kept += 1
+        self.returned_count += 1
         return row[0]
 
     def overdue(self, now: float) -> bool:
@@ -58,9 +58,9 @@
         first = next(iter(self._under_way.values()), None)
         return first is not None and now - first[1] >= self.patience_s
 
-    def lost(self) -> list[T]:
+    def take_back(self) -> list[T]:
         """The link has ended, and every receipt that was sent has been seen: the rest is the giver's again."""
         items = [item for item, _ in self._under_way.values()]
-        self.kept += len(items)
+        self.returned_count += len(items)
         self._under_way.clear()
         return items
--- a/rosewheel/hot_restart/wire.py
+++ b/rosewheel/hot_restart/wire.py
@@ -25,20 +25,20 @@
 Message = dict[str, Any]
 
 
-class WireError(ValueError):
+class ProtocolError(ValueError):
     """What the other side sent is no packet of this protocol."""
 
 
-def packets(message: Message, blob: bytes = b"") -> list[bytes]:
+def encode_packets(message: Message, blob: bytes = b"") -> list[bytes]:
     """In the order in which they go out."""
     parts = [b"P" + blob[at : at + PART_BYTES] for at in range(0, len(blob), PART_BYTES)]
     text = orjson.dumps(message)
     if len(text) >= PACKET_BYTES:
-        raise WireError(f"a message of {len(text)} bytes")
+        raise ProtocolError(f"a message of {len(text)} bytes")
     return [*parts, b"M" + text]
 
 
-class Reader:
+class MessageReader:
     """Puts messages and their bytes together again."""
 
     def __init__(self) -> None:
@@ -50,22 +50,22 @@
         if kind == b"P":
             self._blob += content
             if len(self._blob) > BLOB_BYTES:
-                raise WireError("too many bytes before a message")
+                raise ProtocolError("too many bytes before a message")
             return None
         if kind != b"M":
-            raise WireError(f"a packet that begins with {kind!r}")
+            raise ProtocolError(f"a packet that begins with {kind!r}")
         try:
             message = orjson.loads(content)
         except orjson.JSONDecodeError as error:
-            raise WireError("a message that is not JSON") from error
+            raise ProtocolError("a message that is not JSON") from error
         if not isinstance(message, dict) or not isinstance(message.get("t"), str):
-            raise WireError("a message without a kind")
+            raise ProtocolError("a message without a kind")
         blob = bytes(self._blob)
         self._blob.clear()
         return message, blob
 
 
-def agreed(theirs: object, ours: tuple[int, ...] = VERSIONS) -> int | None:
+def newest_common_version(theirs: object, ours: tuple[int, ...] = VERSIONS) -> int | None:
     """The newest version that both know."""
     if not isinstance(theirs, list):
         return None
--- a/rosewheel/lab/run.py
+++ b/rosewheel/lab/run.py
@@ -217,7 +217,7 @@
     def _forget(self, node: NodeProcess) -> None:
         """Where a scenario wants it, a new process finds nothing of what the one before it had learned."""
         if not self.plan.scenario.nodes.keeps:
-            (node.folder / "tmp" / snapshots.NAME).unlink(missing_ok=True)
+            (node.folder / "tmp" / snapshots.SNAPSHOT_NAME).unlink(missing_ok=True)
 
     def _back(self, name: str, t0: float) -> None:
         self.records.write({"e": "back", "t": round(now_ms() - t0, 1), "node": name})
--- a/rosewheel/lab/simulation/node.py
+++ b/rosewheel/lab/simulation/node.py
@@ -32,7 +32,7 @@
 from rosewheel.policy.events import AttemptResult, EndpointListForm, RequestReceived, Server, ServerState
 from rosewheel.policy.learned_state import Learned
 from rosewheel.policy.settings import Settings
-from rosewheel.proxy.proxy import MARGIN_MS, SPARE
+from rosewheel.proxy.proxy import DEADLINE_MARGIN_MS, RESERVED_DESCRIPTORS
 
 
 @dataclass(slots=True, eq=False)
@@ -73,7 +73,7 @@
         self.links: dict[Link, None] = {}
         self.out: dict[tuple[str, int], Exchange] = {}
         self.coming = 0  # connections that are coming up
-        self.most = max(8, bounds.sockets - SPARE)
+        self.most = max(8, bounds.sockets - RESERVED_DESCRIPTORS)
         self.rest = Rest(bounds.conn_idle_ms / 1000.0, settings.balancer_count > FEW)
         self.dead = False
         self._armed = math.inf
@@ -91,7 +91,7 @@
             return
         if call.abandoned:
             return
-        give_up = self.queue.now + max(1.0, call.patience_ms - MARGIN_MS)
+        give_up = self.queue.now + max(1.0, call.patience_ms - DEADLINE_MARGIN_MS)
         self.calls[call.rid] = call
         self.apply(self.node.request(self.queue.now, RequestReceived(call.rid, call.service, give_up)))
 
--- a/rosewheel/proxy/cordons.py
+++ b/rosewheel/proxy/cordons.py
@@ -9,7 +9,7 @@
 import logging
 from collections.abc import Callable
 
-from rosewheel.proxy.state import State, changed
+from rosewheel.proxy.state import SharedState, changed
 
 log = logging.getLogger("rosewheel.cordons")
 
@@ -31,7 +31,7 @@
         before, self.by_hand = self.by_hand, members
         self._changed(before, members, "by hand")
 
-    async def put(self, member: str, out: bool, state: State) -> None:
+    async def put(self, member: str, out: bool, state: SharedState) -> None:
         """One is taken out by hand, or no longer. OSError where that can't be kept; it holds in this process then."""
         self.hand(changed(self.by_hand, member, out))  # at once, whatever comes of the file
         await state.put(member, out)
--- a/rosewheel/proxy/process.py
+++ b/rosewheel/proxy/process.py
@@ -14,27 +14,27 @@
 import uvloop
 
 from rosewheel.config.platform import Config, ConfigError
-from rosewheel.proxy.proxy import Relay
+from rosewheel.proxy.proxy import Proxy
 
 if TYPE_CHECKING:
-    from rosewheel.proxy.reconfiguration import Configured
+    from rosewheel.proxy.reconfiguration import FleetConfiguration
 
 log = logging.getLogger("rosewheel")
 
 Load = Callable[[bool], Config]  # True: it is read again, while the node runs
 
 
-def _joined(relay: Relay, config: Config) -> Configured | None:
+def _joined(relay: Proxy, config: Config) -> FleetConfiguration | None:
     """What joins the node to the fleet's configuration, where its file says so. Imported only then: it needs more than
     the platform's `run` has."""
     if config.control is None:
         return None
-    from rosewheel.proxy.reconfiguration import Configured
+    from rosewheel.proxy.reconfiguration import FleetConfiguration
 
-    return Configured(relay, config, config.control)
+    return FleetConfiguration(relay, config, config.control)
 
 
-def _reload(relay: Relay, load: Load, joined: Configured | None) -> None:
+def _reload(relay: Proxy, load: Load, joined: FleetConfiguration | None) -> None:
     """Read the configuration again; with a bad one the node goes on as it is."""
     try:
         config = load(True)
@@ -50,7 +50,7 @@
     loop = asyncio.get_running_loop()
     for name in (signal.SIGTERM, signal.SIGINT):
         loop.add_signal_handler(name, stop.set)
-    relay = Relay(config)
+    relay = Proxy(config)
     joined = _joined(relay, config)
     loop.add_signal_handler(signal.SIGHUP, _reload, relay, load, joined)
     if joined is not None:
--- a/rosewheel/proxy/proxy.py
+++ b/rosewheel/proxy/proxy.py
@@ -16,9 +16,9 @@
 from rosewheel.config.platform import Config, ConfigError
 from rosewheel.discovery.backoff import Waits
 from rosewheel.discovery.catalog import Discovery, Entry, entries_from
-from rosewheel.hot_restart.migration import Moves
-from rosewheel.hot_restart.offers import WINDOW
-from rosewheel.hot_restart.service import Handover
+from rosewheel.hot_restart.migration import Migration
+from rosewheel.hot_restart.service import HotRestart
+from rosewheel.hot_restart.transfers import TRANSFER_WINDOW
 from rosewheel.http.body import Budget
 from rosewheel.http.call import BadRequestError, Call
 from rosewheel.http.callers import Server
@@ -44,15 +44,17 @@
 from rosewheel.policy.settings import Settings
 from rosewheel.proxy.cordons import Cordons
 from rosewheel.proxy.headers import DECIMAL, WHOLE, figure
-from rosewheel.proxy.snapshots import Snapshots
-from rosewheel.proxy.state import State
+from rosewheel.proxy.snapshots import SnapshotWriter
+from rosewheel.proxy.state import SharedState
 
 if TYPE_CHECKING:
     from rosewheel.admin.server import Admin
 
 log = logging.getLogger("rosewheel.proxy")
 
-SPARE = 40  # descriptors kept for everything but callers and servers, or a part of them where there are few
+RESERVED_DESCRIPTORS = (
+    40  # descriptors kept for everything but callers and servers, or a part of them where there are few
+)
 SPARE_PART = 8
 SURPLUS, SURPLUS_PART = 16, 32  # callers past the descriptors that are told so; the others are just closed
 BODIES_PART = 0.15  # of the memory, what the bodies of requests may hold together
@@ -62,11 +64,13 @@
 LONGEST_MS, STOP_MS, LEAST_MS = 3000.0, 500.0, 1000.0
 # What a deadline loses on the ways there and back. Measured: up to 1 ms each way, and at the 99th percentile
 # 1.7 ms from a request's arrival to its first attempt and 1.4 ms from an answer to the caller.
-MARGIN_MS = 5.0
-FIRST_LIST_S = 1.5  # how long a process that takes over waits for discovery; then the known list has to do
+DEADLINE_MARGIN_MS = 5.0
+TAKEOVER_LIST_WAIT_S = (
+    1.5  # how long a process that takes over waits for discovery; then the known list has to do
+)
 # What the agent has counts as told to a new process from its first moment, so that it begins with what the agent
 # says, where lists are pushed. A silent one is waited for in vain, and may be so for many seconds.
-FIRST_PUSHED_S = 0.5
+PUSHED_LIST_WAIT_S = 0.5
 METHODS = (b"GET", b"POST")
 FIXED = ("name", "listen", "ops", "state")  # what was bound and named at the start
 
@@ -75,16 +79,20 @@
     return time.monotonic() * 1000.0
 
 
-class Relay:
+class Proxy:
     def __init__(self, config: Config) -> None:
         self.config = config
         self.loop = asyncio.get_running_loop()
-        self.most = 0
-        self.processes = 1  # of this node, while one takes over from another
-        self.theirs: int | None = None  # descriptors that an old process still holds, which gives them up
-        self.taking_over = config.inherited is not None  # callers come by a socket that another has too
+        self.max_descriptors = 0
+        self.process_count = 1  # of this node, while one takes over from another
+        self.predecessor_descriptors: int | None = (
+            None  # descriptors that an old process still holds, which gives them up
+        )
+        self.shares_listener = config.inherited is not None  # callers come by a socket that another has too
         self.cordons = Cordons(self._cordon)
-        self.state = State(config.state, self.cordons.hand, self._company, config.inherited is not None)
+        self.shared_state = SharedState(
+            config.state, self.cordons.hand, self._process_count_changed, config.inherited is not None
+        )
         self.node = Node(config.settings, config.bounds, config.seed, now_ms())
         self.upstream = Upstream(
             config.bounds,
@@ -109,18 +117,18 @@
             from rosewheel.admin.server import Admin
 
             self.admin = Admin(self)
-        self.snapshots = Snapshots(config.state, config.name, self._learned, config.on_disk)
+        self.snapshots = SnapshotWriter(config.state, config.name, self._learned, config.on_disk)
         self.random = random.Random(config.seed)
-        self.waits = Waits(self.random)
-        self.moves = Moves(self)
-        self.handover = Handover(config.state if config.handover else None, config.name, self.moves)
-        self._told = asyncio.Event()  # discovery has said something
+        self.watch_backoff = Waits(self.random)
+        self.migration = Migration(self)
+        self.hot_restart = HotRestart(config.state if config.handover else None, config.name, self.migration)
+        self._list_received = asyncio.Event()  # discovery has said something
         since = config.known.get("seq")
         known = [server.address for server, _ in entries_from(config.known.get("hosts"))]
         self.discovery = Discovery(
             config.discovery,
             since if isinstance(since, int) else 0,
-            self._heard,
+            self._endpoint_list_updated,
             known,
             spoke=self._spoke,
         )
@@ -136,31 +144,31 @@
         Where another process serves meanwhile, callers are taken once discovery has answered."""
         # First, so that a bad address ends the node before it has asked anything.
         inherited, door = self.config.inherited, None
-        if self.handover.greet() and inherited is None:
-            lent, door = await self.handover.borrow(self.config.listen, self.config.ops)
-            self.taking_over = lent is not None
+        if self.hot_restart.connect_to_predecessor() and inherited is None:
+            lent, door = await self.hot_restart.borrow_listeners(self.config.listen, self.config.ops)
+            self.shares_listener = lent is not None
             inherited = None if lent is None else lent.detach()
         sock = open_listener(self.config.listen, inherited)
-        self.state.start()  # before anything can be sent: what is out by hand stays out
+        self.shared_state.start()  # before anything can be sent: what is out by hand stays out
         if self.admin is not None and self.config.ops is not None:
             await self.admin.start(door or bind(self.config.ops, "LB_OPS"))
-        self._heard(EndpointListForm.CACHED, entries_from(self.config.known.get("hosts")))
+        self._endpoint_list_updated(EndpointListForm.CACHED, entries_from(self.config.known.get("hosts")))
         self._recall()
         if not self.config.settings.poll_discovery:
             self.discovery.watch()
-        first_s = self._first_s()
+        first_s = self._list_wait_s()
         if first_s > 0.0:
             with contextlib.suppress(TimeoutError):
                 async with asyncio.timeout(first_s):
-                    await self._told.wait()
+                    await self._list_received.wait()
         await self.server.start(sock)
-        self.handover.serve()
+        self.hot_restart.serve()
 
-    def _first_s(self) -> float:
+    def _list_wait_s(self) -> float:
         """How long callers wait for the first word of discovery."""
-        if self.taking_over:
-            return FIRST_LIST_S
-        return 0.0 if self.config.settings.poll_discovery else FIRST_PUSHED_S
+        if self.shares_listener:
+            return TAKEOVER_LIST_WAIT_S
+        return 0.0 if self.config.settings.poll_discovery else PUSHED_LIST_WAIT_S
 
     def _recall(self) -> None:
         """Begin with what an earlier process of this node had learned, as far as its age allows."""
@@ -213,14 +221,16 @@
 
     async def drain(self) -> None:
         self.snapshots.close()  # a process that follows writes its own from now on
-        given = self.handover.leave()
+        given = self.hot_restart.begin_shutdown()
         longest_ms = min(LONGEST_MS, self.node.longest_ms(now_ms()))
-        await self.server.drain(longest_ms / 1000.0, self.taking_over or given, self._give if given else None)
+        await self.server.drain(
+            longest_ms / 1000.0, self.shares_listener or given, self._give if given else None
+        )
         self.stopped = True
-        self.handover.close()
+        self.hot_restart.close()
         if self.admin is not None:
             self.admin.close()
-        self.state.close()
+        self.shared_state.close()
         self.discovery.close()
         self.discovery.lists.close()
         self.upstream.close()
@@ -229,8 +239,10 @@
 
     def _give(self) -> bool:
         """Hand over what can be by now; whether that goes on."""
-        going = self.handover.give()
-        return self.moves.busy or (going and (bool(self.server.callers) or not self.handover.done))
+        going = self.hot_restart.migrate_next()
+        return self.migration.busy or (
+            going and (bool(self.server.callers) or not self.hot_restart.migration_finished)
+        )
 
     # -------------------------------------------------- another process of the node
 
@@ -243,43 +255,43 @@
         """Whether this process may hold so many more; an idle connection to a server makes no other one give way."""
         if len(self.server.callers) >= self.server.most and not idle:
             return False
-        return self.descriptors + self.moves.under_way + count <= self.most or (
+        return self.descriptors + self.migration.arriving + count <= self.max_descriptors or (
             not idle and self._make_room()
         )
 
-    def beside_holds(self, held: object) -> None:
+    def predecessor_holds(self, held: object) -> None:
         """An old process gives up what it has: what it no longer holds is this one's to use."""
         if isinstance(held, int) and held >= 0:
-            self.theirs = held
+            self.predecessor_descriptors = held
             self._share(self.config.bounds.sockets)
 
-    def beside_leaves(self, held: object) -> None:
+    def predecessor_leaves(self, held: object) -> None:
         """It takes nothing new from now on, so this one paces servers by itself."""
-        self.beside_holds(held)
+        self.predecessor_holds(held)
         self.apply(self.node.company(now_ms(), 1))
 
-    def beside(self, loads: object) -> None:
+    def sibling_loads(self, loads: object) -> None:
         """What the other process has in flight, by server."""
         if isinstance(loads, dict):
             good = {name: float(load) for name, load in loads.items() if isinstance(load, int | float)}
             self.apply(self.node.beside(now_ms(), good))
 
     def _share(self, sockets: int) -> None:
-        half = sockets // self.processes
-        if self.processes > 1 and self.theirs is not None:
-            half = max(half, sockets - self.theirs - 2 * WINDOW)
+        half = sockets // self.process_count
+        if self.process_count > 1 and self.predecessor_descriptors is not None:
+            half = max(half, sockets - self.predecessor_descriptors - 2 * TRANSFER_WINDOW)
         sockets = half
-        self.budget.most = int(self.config.bounds.memory_mb / self.processes * BODIES_PART) << 20
-        spare = min(SPARE, max(24, sockets // SPARE_PART))
+        self.budget.most = int(self.config.bounds.memory_mb / self.process_count * BODIES_PART) << 20
+        spare = min(RESERVED_DESCRIPTORS, max(24, sockets // SPARE_PART))
         if self.admin is not None:
             spare += self.admin.most  # so that no crowd can keep operators out
-        self.most = max(8, sockets - spare)
+        self.max_descriptors = max(8, sockets - spare)
         self.server.most_surplus = max(2, min(SURPLUS, sockets // SURPLUS_PART))
-        self.server.most = max(6, int(self.most * CALLERS))
+        self.server.most = max(6, int(self.max_descriptors * CALLERS))
 
     def _make_room(self) -> bool:
         """Room for the descriptor that has come or is about to, if need be that of an idle connection."""
-        if self.descriptors < self.most:
+        if self.descriptors < self.max_descriptors:
             return True
         # Callers first: they connect again at no cost, while a new connection costs a server work.
         return self.server.close_idle() or self.upstream.close_idle()
@@ -292,7 +304,7 @@
     def figures(self) -> dict[str, Any]:
         return self.node.figures.report(self.node.active, len(self.node.servers), self.node.avoided)
 
-    def fleet_cordons(self, members: frozenset[str]) -> None:
+    def set_fleet_cordons(self, members: frozenset[str]) -> None:
         """The fleet has taken these out, and no others. What is out by hand stays so, whatever the fleet says."""
         self.cordons.fleet(members)
 
@@ -308,26 +320,26 @@
     async def _by_hand(self, member: str, out: bool) -> bool:
         if not self.node.knows(member):
             return False
-        await self.cordons.put(member, out, self.state)
+        await self.cordons.put(member, out, self.shared_state)
         return True
 
     def _cordon(self, member: str, out: bool) -> None:
         self.upstream.cordon(member, out)
         self.apply(self.node.cordon(now_ms(), member, out))
 
-    def _company(self, processes: int) -> None:
+    def _process_count_changed(self, processes: int) -> None:
         """While an old and a new process of one node overlap, they share its descriptors."""
-        self.processes = processes
+        self.process_count = processes
         if processes == 1:
-            self.theirs = None
+            self.predecessor_descriptors = None
         # One that leaves is still here, but sends nothing new.
-        self.apply(self.node.company(now_ms(), processes if self.theirs is None else 1))
+        self.apply(self.node.company(now_ms(), processes if self.predecessor_descriptors is None else 1))
         self._share(self.config.bounds.sockets)
         self._shrink()
 
     def _shrink(self) -> None:
         """Give up what is idle past what this process may hold; what is in use stays until it is not."""
-        while self.descriptors > self.most:
+        while self.descriptors > self.max_descriptors:
             if not (self.server.close_idle() or self.upstream.close_idle()):
                 break
 
@@ -374,7 +386,7 @@
         """How long a caller of this patience waits from its request's last byte on, as seen from here."""
         if self.server.draining:
             patience_ms = min(patience_ms, self._left_ms())
-        return max(1.0, patience_ms - MARGIN_MS)
+        return max(1.0, patience_ms - DEADLINE_MARGIN_MS)
 
     def _left_ms(self) -> float:
         """How long this process still has for answers, once it has been told to stop."""
@@ -416,29 +428,29 @@
     ) -> None:
         self.apply(self.node.probed(now_ms(), server, result, latency_ms, report))
 
-    def _heard(self, form: EndpointListForm, entries: list[Entry]) -> None:
+    def _endpoint_list_updated(self, form: EndpointListForm, entries: list[Entry]) -> None:
         if form is EndpointListForm.FAILED:
             if self.config.settings.poll_discovery:
                 self.apply(self.node.members(now_ms(), form))
             else:
                 lasted = self.loop.time() - self.discovery.opened_s
-                wait = self.waits.ended(lasted, self.config.bounds.drain_grace_ms / 1000.0)
-                self.loop.call_later(wait, self._rewatch)
+                wait = self.watch_backoff.ended(lasted, self.config.bounds.drain_grace_ms / 1000.0)
+                self.loop.call_later(wait, self._reopen_watch)
             return
         if form is not EndpointListForm.CACHED:
-            self._told.set()
-            self.waits.heard()
+            self._list_received.set()
+            self.watch_backoff.heard()
         self.upstream.update(entries, whole=form is not EndpointListForm.DELTA)
         servers = tuple(server for server, _ in entries)
         self.apply(self.node.members(now_ms(), form, servers))
 
     def _spoke(self) -> None:
         """A watch is open on a discovery that works, though it may have no change to tell."""
-        self.waits.heard()
+        self.watch_backoff.heard()
         if self.config.settings.poll_discovery:
             self.apply(self.node.members(now_ms(), EndpointListForm.DELTA))
 
-    def _rewatch(self) -> None:
+    def _reopen_watch(self) -> None:
         if self.config.settings.poll_discovery:  # they were pushed when this was set; now the module asks
             return
         if not self.discovery.open and not self.stopped:  # a move may have been quicker
--- a/rosewheel/proxy/reconfiguration.py
+++ b/rosewheel/proxy/reconfiguration.py
@@ -25,10 +25,10 @@
     def configure(self, settings: Settings, bounds: Bounds) -> None:
         """ValueError: all stays as it was."""
 
-    def fleet_cordons(self, members: frozenset[str]) -> None: ...
+    def set_fleet_cordons(self, members: frozenset[str]) -> None: ...
 
 
-class Configured:
+class FleetConfiguration:
     def __init__(self, node: Node, config: Config, control: Control) -> None:
         self.node, self.control = node, control
         self.document: Document = {}  # in force
@@ -47,7 +47,7 @@
     def _apply(self, document: Document) -> None:
         out = cordons(document)
         self.node.configure(*tuned(self.control.own, document))
-        self.node.fleet_cordons(out)
+        self.node.set_fleet_cordons(out)
         self.document = document
 
     def over(self, config: Config) -> Config:
--- a/rosewheel/proxy/snapshots.py
+++ b/rosewheel/proxy/snapshots.py
@@ -24,15 +24,15 @@
 
 log = logging.getLogger("rosewheel.snapshots")
 
-NAME, ASIDE = "learned.snap", "learned.aside"
+SNAPSHOT_NAME, REJECTED_NAME = "learned.snap", "learned.aside"
 MAGIC = b"rosewheel-learned"
 PERIOD_S = 1.0  # how often one is written,
-COST_SHARE = 0.005  # or so seldom that taking and writing it stays under this share of the time
+MAX_TIME_SHARE = 0.005  # or so seldom that taking and writing it stays under this share of the time
 FILE_BYTES = 16 << 20  # Guards memory: a longer file was not written here
 
 
 @dataclass(slots=True, frozen=True)
-class Kept:
+class Snapshot:
     """What a file holds: the module's part, and how long connections to equipos may rest."""
 
     learned: Learned
@@ -43,12 +43,12 @@
 Taken = Callable[[], tuple[Learned, float]]
 
 
-def clocks() -> tuple[float, float]:
+def read_clocks() -> tuple[float, float]:
     """Milliseconds of the monotonic clock, and of the time of day."""
     return time.monotonic() * 1000.0, time.time() * 1000.0
 
 
-def encoded(node: str, learned: Learned, rest_s: float, now: tuple[float, float]) -> bytes:
+def encode_snapshot(node: str, learned: Learned, rest_s: float, now: tuple[float, float]) -> bytes:
     row = {
         "node": node,
         "monotonic_ms": now[0],
@@ -60,7 +60,7 @@
     return b"%b %d %08x %d\n" % (MAGIC, VERSION, zlib.crc32(body), len(body)) + body
 
 
-def decoded(data: bytes, node: str, now: tuple[float, float]) -> Kept:
+def decode_snapshot(data: bytes, node: str, now: tuple[float, float]) -> Snapshot:
     """What such a file holds for this node; ValueError with the reason where it is of no use."""
     head, newline, body = data.partition(b"\n")
     parts = head.split(b" ")
@@ -82,23 +82,23 @@
     rest = row.get("rest_s")
     if rest is not None and not (isinstance(rest, float | int) and 0.0 < rest < 1e6):
         raise ValueError("rest_s is no figure")
-    return Kept(learned_from(row["learned"]), old, math.inf if rest is None else float(rest))
+    return Snapshot(learned_from(row["learned"]), old, math.inf if rest is None else float(rest))
 
 
-class Snapshots:
+class SnapshotWriter:
     """Writes one now and then from `start` on, until `close`. Without a folder it does nothing. `on_disk`: a write may
     take tens of milliseconds on a busy disk, so a thread does it; elsewhere the folder is memory and costs no wait."""
 
     def __init__(self, folder: str | None, node: str, take: Taken, on_disk: bool = False) -> None:
-        self.path = os.path.join(folder, NAME) if folder else None
+        self.path = os.path.join(folder, SNAPSHOT_NAME) if folder else None
         self.node, self.take = node, take
-        self.cost_s = 0.0  # of the last one
+        self.last_cost_s = 0.0  # of the last one
         self.failing = False
         self.on_disk = on_disk
         self._timer: asyncio.TimerHandle | None = None
         self._closed = False
 
-    def read(self) -> Kept | None:
+    def read(self) -> Snapshot | None:
         """What an earlier process left, if it is of use."""
         if self.path is None:
             return None
@@ -107,7 +107,7 @@
                 data = file.read(FILE_BYTES + 1)
             if len(data) > FILE_BYTES:
                 raise ValueError("too long")
-            return decoded(data, self.node, clocks())
+            return decode_snapshot(data, self.node, read_clocks())
         except FileNotFoundError:
             return None
         except (OSError, ValueError, KeyError, TypeError, AttributeError) as error:
@@ -118,7 +118,7 @@
     def _set_aside(self) -> None:
         assert self.path is not None
         try:
-            os.replace(self.path, os.path.join(os.path.dirname(self.path), ASIDE))
+            os.replace(self.path, os.path.join(os.path.dirname(self.path), REJECTED_NAME))
         except OSError as error:
             log.warning("it could not be set aside: %s", error)
 
@@ -137,7 +137,9 @@
         """One now. A folder that is full or gone costs a line in the log, the first time, and nothing else."""
         if self.path is not None:
             began = time.perf_counter()
-            self._written(began, self._put(self.path, encoded(self.node, *self.take(), clocks())))
+            self._written(
+                began, self._put(self.path, encode_snapshot(self.node, *self.take(), read_clocks()))
+            )
 
     def _put(self, path: str, data: bytes) -> OSError | None:
         """Replace the file, or say why not."""
@@ -160,10 +162,10 @@
         if error is not None and not self.failing:
             log.error("what is learned is not kept: %s", error)
         self.failing = error is not None
-        self.cost_s = time.perf_counter() - began
+        self.last_cost_s = time.perf_counter() - began
 
     def _later(self) -> None:
-        wait = max(PERIOD_S, self.cost_s / COST_SHARE)
+        wait = max(PERIOD_S, self.last_cost_s / MAX_TIME_SHARE)
         self._timer = asyncio.get_running_loop().call_later(wait, self._due)
 
     def _due(self) -> None:
@@ -173,7 +175,7 @@
             return
         assert self.path is not None
         began, loop = time.perf_counter(), asyncio.get_running_loop()
-        data = encoded(self.node, *self.take(), clocks())
+        data = encode_snapshot(self.node, *self.take(), read_clocks())
 
         def ended(done: asyncio.Future[OSError | None]) -> None:
             if not done.cancelled():
--- a/rosewheel/proxy/state.py
+++ b/rosewheel/proxy/state.py
@@ -33,7 +33,7 @@
 Stamp = tuple[int, int, int]
 
 
-class State:
+class SharedState:
     """Tells `shared` of the set whenever it is another, and `company` of how many processes there are.
     Without a folder it holds nothing beyond this process."""
 
--- a/tests/discovery/test_endpoint_list_races.py
+++ b/tests/discovery/test_endpoint_list_races.py
@@ -18,7 +18,7 @@
 from rosewheel.node.limits import Bounds
 from rosewheel.policy.events import EndpointListForm
 from rosewheel.proxy import proxy as relay_module
-from rosewheel.proxy.proxy import Relay
+from rosewheel.proxy.proxy import Proxy
 from tests.support.balancers import settings
 from tests.support.sockets import FakeServer, answer, config, entry, read_message, run, until
 
@@ -77,10 +77,10 @@
 
 
 @contextlib.asynccontextmanager
-async def pushed(agent: Agent, known: list[dict[str, object]]) -> AsyncIterator[Relay]:
+async def pushed(agent: Agent, known: list[dict[str, object]]) -> AsyncIterator[Proxy]:
     """A node whose lists are pushed; its start is left to the test."""
     told = dataclasses.replace(config(known), discovery=("127.0.0.1", agent.port))
-    relay = Relay(dataclasses.replace(told, settings=settings(poll_discovery=False)))
+    relay = Proxy(dataclasses.replace(told, settings=settings(poll_discovery=False)))
     try:
         yield relay
     finally:
@@ -92,7 +92,7 @@
 
 def test_a_new_process_takes_callers_only_once_the_agent_has_spoken(monkeypatch: pytest.MonkeyPatch):
     """What the agent has counts as told from the first moment: by an old list it would send to who drains."""
-    monkeypatch.setattr(relay_module, "FIRST_PUSHED_S", 60.0)
+    monkeypatch.setattr(relay_module, "PUSHED_LIST_WAIT_S", 60.0)
 
     async def main() -> None:
         async with Agent().up() as agent, FakeServer().up() as server:
@@ -110,7 +110,7 @@
 
 
 def test_a_silent_agent_does_not_keep_a_new_process_from_serving(monkeypatch: pytest.MonkeyPatch):
-    monkeypatch.setattr(relay_module, "FIRST_PUSHED_S", 0.0)
+    monkeypatch.setattr(relay_module, "PUSHED_LIST_WAIT_S", 0.0)
 
     async def main() -> None:
         async with Agent().up() as agent, FakeServer().up() as server:
@@ -146,11 +146,11 @@
                 later = relay.loop.call_later
 
                 def noted(wait: float, call: object, *args: object) -> object:
-                    if call == relay._rewatch:
+                    if call == relay._reopen_watch:
                         waits.append(wait)
                     return later(wait, call, *args)  # type: ignore[arg-type]
 
-                monkeypatch.setattr(relay_module, "FIRST_PUSHED_S", 0.0)
+                monkeypatch.setattr(relay_module, "PUSHED_LIST_WAIT_S", 0.0)
                 relay.loop = _Loop(relay.loop, noted)  # type: ignore[assignment]
                 relay.config = _grace(relay.config, 1.0)  # by which one of 50 ms has lasted long
                 await relay.start()
@@ -170,15 +170,15 @@
             relay.loop = _Loop(relay.loop, lambda wait, *_: waits.append(wait))  # type: ignore[assignment]
             for grace_ms in (50.0, 400.0, 3000.0):
                 relay.config = _grace(relay.config, grace_ms)
-                relay.waits.unheard = 0
+                relay.watch_backoff.unheard = 0
                 waits.clear()
                 for _ in range(12):
                     relay.discovery.opened_s = relay.loop.time()
-                    relay._heard(EndpointListForm.FAILED, [])
+                    relay._endpoint_list_updated(EndpointListForm.FAILED, [])
                 assert 0.0 < waits[0] <= max(rewatch.REWATCH_LEAST_S, grace_ms / 1000.0 / 8)
                 assert max(waits) <= max(rewatch.REWATCH_LEAST_S, grace_ms / 1000.0 / 3)
                 relay.discovery.opened_s = relay.loop.time() - 3.0
-                relay._heard(EndpointListForm.FAILED, [])
+                relay._endpoint_list_updated(EndpointListForm.FAILED, [])
                 assert waits[-1] == 0.0
 
     run(main())
--- a/tests/discovery/test_long_lists.py
+++ b/tests/discovery/test_long_lists.py
@@ -13,7 +13,7 @@
 from rosewheel.discovery import catalog
 from rosewheel.discovery.catalog import Entry, Lists, entries_from
 from rosewheel.policy.events import EndpointListForm, ServerState
-from rosewheel.proxy.proxy import Relay
+from rosewheel.proxy.proxy import Proxy
 from tests.support.sockets import config, entry, run
 
 ROWS = st.lists(
@@ -94,9 +94,9 @@
 @pytest.mark.parametrize("count", [3, 2000])
 def test_a_node_follows_lists_of_any_length(count: int):
     async def main() -> None:
-        relay = Relay(config([entry("old", 9000)]))
+        relay = Proxy(config([entry("old", 9000)]))
         relay.discovery.watch = lambda: None  # type: ignore[method-assign]
-        relay._heard(EndpointListForm.CACHED, entries_from(relay.config.known["hosts"]))
+        relay._endpoint_list_updated(EndpointListForm.CACHED, entries_from(relay.config.known["hosts"]))
         assert "old" in relay.node.servers
         rows = [entry(f"s{at}", 9000) for at in range(count)]
         for part in (rows, rows[1:], rows[1:2]):
--- a/tests/discovery/test_watch_backoff.py
+++ b/tests/discovery/test_watch_backoff.py
@@ -20,7 +20,7 @@
 from rosewheel.policy.actions import StartTimer, WatchEndpoints
 from rosewheel.policy.events import EndpointListForm, EndpointListUpdate, TimerFired
 from rosewheel.proxy import proxy as relay_module
-from rosewheel.proxy.proxy import Relay
+from rosewheel.proxy.proxy import Proxy
 from tests.support.balancers import Bed, settings
 from tests.support.sockets import Message, config, entry, node, read_message, run, until
 from tests.support.virtual_discovery import Net, VirtualLoop
@@ -39,13 +39,13 @@
 
 def play(
     asks: bool, seed: int, until_s: float, grace_ms: float = 400.0, **script: object
-) -> tuple[Net, Relay]:
+) -> tuple[Net, Proxy]:
     """A node by its discovery up to this time; what it sends and takes is none of this."""
 
-    async def main() -> Relay:
+    async def main() -> Proxy:
         told = dataclasses.replace(config([]), seed=seed, settings=settings(poll_discovery=asks))
-        relay = Relay(dataclasses.replace(told, bounds=Bounds(drain_grace_ms=grace_ms)))
-        relay._heard(EndpointListForm.CACHED, [])
+        relay = Proxy(dataclasses.replace(told, bounds=Bounds(drain_grace_ms=grace_ms)))
+        relay._endpoint_list_updated(EndpointListForm.CACHED, [])
         if not asks:
             relay.discovery.watch()
         await asyncio.sleep(until_s)
--- a/tests/hot_restart/test_hot_restart.py
+++ b/tests/hot_restart/test_hot_restart.py
@@ -14,9 +14,15 @@
 import pytest
 
 from rosewheel.hot_restart import channel as links
-from rosewheel.hot_restart.wire import PACKET_BYTES, VERSIONS, Reader, agreed, packets
+from rosewheel.hot_restart.wire import (
+    PACKET_BYTES,
+    VERSIONS,
+    MessageReader,
+    encode_packets,
+    newest_common_version,
+)
 from rosewheel.http.upstream import SETTLE_S
-from rosewheel.proxy.proxy import Relay
+from rosewheel.proxy.proxy import Proxy
 from tests.support.sockets import (
     WAIT_S,
     Client,
@@ -40,16 +46,16 @@
         self.known, self.folder, self.changes = known, folder, changes
         self.held = socket.create_server(("127.0.0.1", 0), backlog=256)
         self.port = self.held.getsockname()[1]
-        self.made: list[Relay] = []
+        self.made: list[Proxy] = []
 
-    async def next(self) -> Relay:
+    async def next(self) -> Proxy:
         """A process that has said yes; the one before it knows."""
         relay = process(self.known, self.folder, os.dup(self.held.fileno()), **self.changes)
         before = self.made[-1] if self.made else None
         self.made.append(relay)
         await relay.start()
         if before is not None:
-            await until(lambda: before.handover.ready)
+            await until(lambda: before.hot_restart.successor_ready)
         return relay
 
     def client(self) -> Client:
@@ -67,17 +73,17 @@
             end(relay)
 
 
-def process(known: list[dict[str, Any]], folder: Path, inherited: int | None, **changes: Any) -> Relay:
-    relay = Relay(config(known, inherited=inherited, state=str(folder), **changes))
-    relay.discovery.watch = relay._told.set  # type: ignore[method-assign]
+def process(known: list[dict[str, Any]], folder: Path, inherited: int | None, **changes: Any) -> Proxy:
+    relay = Proxy(config(known, inherited=inherited, state=str(folder), **changes))
+    relay.discovery.watch = relay._list_received.set  # type: ignore[method-assign]
     return relay
 
 
-def end(relay: Relay) -> None:
-    relay.handover.close()
+def end(relay: Proxy) -> None:
+    relay.hot_restart.close()
     relay.server.close()
     relay.upstream.close()
-    relay.state.close()
+    relay.shared_state.close()
     relay.snapshots.close()
 
 
@@ -163,7 +169,7 @@
     run(main())
 
 
-async def slow_client(old: Relay, port: int, number: int = 0) -> Client:
+async def slow_client(old: Proxy, port: int, number: int = 0) -> Client:
     """One whose long answer is on its way through this process, and who reads nothing of it yet."""
     client = Client(port=port)
     sock = socket.socket()
@@ -188,7 +194,7 @@
             await gate.wait()  # all are in flight at once, so that each needs a connection of its own
             writer.write(answer())
 
-        async def ask_at_once(node: Relay, asking: list[Client], known: FakeServer) -> None:
+        async def ask_at_once(node: Proxy, asking: list[Client], known: FakeServer) -> None:
             # One that has just answered is not used until it has rested a little: without the wait the number of
             # connections would depend on how fast the answers come.
             loop = node.upstream.loop
@@ -218,8 +224,8 @@
                 assert server.connections == together
                 new = await node.next()
                 await old.drain()
-                assert old.handover.giver is not None
-                assert old.handover.giver.moved == {"caller": 40, "equipo": together}
+                assert old.hot_restart.sender is not None
+                assert old.hot_restart.sender.migrated == {"caller": 40, "equipo": together}
                 await until(lambda: len(new.server.callers) == 40)
                 await until(lambda: len(new.upstream.resting) == together)
                 for at in range(0, 40, together):
@@ -267,11 +273,11 @@
     def __init__(self, folder: Path) -> None:
         sock = links.connect(folder)
         assert sock is not None
-        self.sock, self.reader = sock, Reader()
+        self.sock, self.reader = sock, MessageReader()
         self.fds: dict[int, list[int]] = {}
 
     def say(self, **message: Any) -> None:
-        self.sock.send(packets(message)[-1])
+        self.sock.send(encode_packets(message)[-1])
 
     async def hear(self, kind: str) -> dict[str, Any]:
         """The next message of this kind; what others say is passed over."""
@@ -287,7 +293,7 @@
                 if whole is not None and whole[0]["t"] == kind:
                     self.fds[int(whole[0].get("n", 0))] = fds
                     return whole[0]
-                links.drop(fds)
+                links.close_descriptors(fds)
 
     async def greet(self, ready: bool = True, versions: tuple[int, ...] = VERSIONS) -> None:
         self.say(t="hello", versions=list(versions), node="t", pid=1)
@@ -299,7 +305,7 @@
         """As kill -9 does: the system closes all that it held."""
         self.sock.close()
         for fds in self.fds.values():
-            links.drop(fds)
+            links.close_descriptors(fds)
         self.fds.clear()
 
 
@@ -326,10 +332,10 @@
                 if step != "connected":
                     await new.greet(ready=step != "greeted")
                     if step != "greeted":
-                        await until(lambda: old.handover.ready)
+                        await until(lambda: old.hot_restart.successor_ready)
                 if step in STEPS[:3]:
                     new.die()
-                    await until(lambda: old.handover.after is None)
+                    await until(lambda: old.hot_restart.successor is None)
                 stop = asyncio.ensure_future(old.drain())
                 taken = 0
                 if step in STEPS[3:]:
@@ -338,8 +344,8 @@
                     if "half" in step:
                         new.say(t="took", n=first["n"])
                         taken = 1
-                        assert old.handover.giver is not None
-                        await until(lambda: old.handover.giver.offers.given == 1)
+                        assert old.hot_restart.sender is not None
+                        await until(lambda: old.hot_restart.sender.transfers.accepted_count == 1)
                     if "hung" not in step:
                         new.die()
                 gate.set()
@@ -372,15 +378,15 @@
                     assert status(await client.ask()) == 200
                     new = Successor(tmp_path)
                     await new.greet()
-                    await until(lambda: old.handover.ready)
+                    await until(lambda: old.hot_restart.successor_ready)
                     stop = asyncio.ensure_future(old.drain())
                     while (offer := await new.hear("give"))["kind"] != "caller":
                         new.say(t="no", n=offer["n"], why="of no use")
                     new.say(t="took", n=offer["n"])
                     new.die()
                     await stop
-                    assert old.handover.giver is not None
-                    assert old.handover.giver.moved == {"caller": 1}
+                    assert old.hot_restart.sender is not None
+                    assert old.hot_restart.sender.migrated == {"caller": 1}
                     assert await client.answer() is None, "whoever took it is dead, and it with it"
 
     run(main())
@@ -398,7 +404,9 @@
                     assert status(await client.ask(id="a")) == 200
                     new = Successor(tmp_path)
                     new.say(t="hello", versions=list(versions), node=name, pid=1)
-                    await until(lambda: old.handover.after is None and old.handover.giver is not None)
+                    await until(
+                        lambda: old.hot_restart.successor is None and old.hot_restart.sender is not None
+                    )
                     stop = asyncio.ensure_future(old.drain())
                     await until(lambda: old.server.draining)
                     got = await client.ask(id="b")
@@ -410,9 +418,9 @@
 
 
 def test_versions_are_the_newest_that_both_know():
-    assert agreed([1, 2, 3], ours=(2, 3, 4)) == 3
-    assert agreed([1], ours=(2,)) is None
-    assert agreed("1", ours=(1,)) is None
+    assert newest_common_version([1, 2, 3], ours=(2, 3, 4)) == 3
+    assert newest_common_version([1], ours=(2,)) is None
+    assert newest_common_version("1", ours=(1,)) is None
 
 
 HALVES = {
@@ -471,8 +479,8 @@
                     await until(lambda: caller.incoming.body.size in (150_000, 7))
                 await node.next()
                 await old.drain()
-                assert old.handover.giver is not None
-                assert old.handover.giver.moved == {"caller": 1}
+                assert old.hot_restart.sender is not None
+                assert old.hot_restart.sender.migrated == {"caller": 1}
                 client.writer.write(second)
                 await client.writer.drain()
                 client.writer.write(third)
@@ -489,13 +497,13 @@
 
     def __init__(self, folder: Path) -> None:
         self.listener = links.listen(folder)
-        self.reader = Reader()
+        self.reader = MessageReader()
 
     async def meet(self) -> None:
         await until(self._accepted)
         there, self.flag = os.pipe()
         hello = {"t": "hello", "versions": list(VERSIONS), "node": "t", "pid": 1}
-        socket.send_fds(self.sock, [packets(hello)[-1]], [there])
+        socket.send_fds(self.sock, [encode_packets(hello)[-1]], [there])
         os.close(there)
 
     def _accepted(self) -> bool:
@@ -508,7 +516,7 @@
     def give(self, number: int, sock: socket.socket | None, **changes: Any) -> None:
         state = {"old": False, "last": False, "chunked": False, "asked": True, "closing": False, "unsent": 0}
         message = {"t": "give", "n": number, "kind": "caller", "state": state, "held": 1} | changes
-        socket.send_fds(self.sock, [packets(message)[-1]], [] if sock is None else [sock.fileno()])
+        socket.send_fds(self.sock, [encode_packets(message)[-1]], [] if sock is None else [sock.fileno()])
 
     async def hear(self, *kinds: str) -> dict[str, Any]:
         async with asyncio.timeout(WAIT_S):
@@ -537,7 +545,7 @@
 @contextlib.asynccontextmanager
 async def newcomer(
     folder: Path, **changes: Any
-) -> AsyncIterator[tuple[Predecessor, Relay, socket.socket, Client]]:
+) -> AsyncIterator[tuple[Predecessor, Proxy, socket.socket, Client]]:
     """A new process that has met its predecessor, and a client's connection that the latter holds."""
     old = Predecessor(folder)
     async with FakeServer().up() as server:
@@ -578,7 +586,7 @@
             old.revoke()
             old.give(1, held)
             old.sock.close()
-            await until(lambda: new.handover.before is None)
+            await until(lambda: new.hot_restart.predecessor is None)
             client.send()
             held.setblocking(False)
             asked = await asyncio.get_running_loop().sock_recv(held, 65536)
@@ -597,7 +605,7 @@
         async with newcomer(tmp_path) as (old, new, held, client):
             changes: dict[str, Any] = {}
             if case == "no room":
-                new.beside_holds = lambda held: None  # type: ignore[method-assign]
+                new.predecessor_holds = lambda held: None  # type: ignore[method-assign]
                 new.server.most = 0
             if case == "it stops too":
                 new.server.draining = True
@@ -626,9 +634,14 @@
                     assert status(await client.ask(id="a")) == 200
                     new = await node.next()
                     new.server.most = 0
-                    new.beside_holds = lambda held: None  # type: ignore[method-assign]
+                    new.predecessor_holds = lambda held: None  # type: ignore[method-assign]
                     stop = asyncio.ensure_future(old.drain())
-                    await until(lambda: old.handover.giver is not None and old.handover.giver.offers.kept > 0)
+                    await until(
+                        lambda: (
+                            old.hot_restart.sender is not None
+                            and old.hot_restart.sender.transfers.returned_count > 0
+                        )
+                    )
                     got = await client.ask(id="b")
                     assert (status(got), got.headers.get("connection")) == (200, "close")
                     await stop
@@ -640,7 +653,7 @@
     """As a full one does: the node serves, and an upgrade goes without a handover."""
 
     async def main() -> None:
-        (tmp_path / links.NAME / "in the way").mkdir(parents=True)
+        (tmp_path / links.SOCKET_NAME / "in the way").mkdir(parents=True)
         async with FakeServer().up() as server:
             async with bench([entry("s", server.port)], tmp_path) as node:
                 old = await node.next()
@@ -666,13 +679,13 @@
             old = process(known, tmp_path, None)
             await old.start()
             address = ("127.0.0.1", old.server.port)
-            new = Relay(dataclasses.replace(config(known, state=str(tmp_path)), listen=address))
-            new.discovery.watch = new._told.set  # type: ignore[method-assign]
+            new = Proxy(dataclasses.replace(config(known, state=str(tmp_path)), listen=address))
+            new.discovery.watch = new._list_received.set  # type: ignore[method-assign]
             async with Client(port=address[1]) as client:
                 assert status(await client.ask(id="a")) == 200
                 await new.start()
                 assert new.server.port == address[1]
-                await until(lambda: old.handover.ready)
+                await until(lambda: old.hot_restart.successor_ready)
                 await old.drain()
                 got = await client.ask(id="b")
                 assert (status(got), got.headers.get("connection")) == (200, None)
@@ -689,19 +702,19 @@
     async def main() -> None:
         async with bench([entry("s", 1)], tmp_path) as node:
             relay = await node.next()
-            relay._company(2)
+            relay._process_count_changed(2)
             assert relay.node.balancer.processes == 2
-            half = relay.most
-            relay.beside_leaves(5)
+            half = relay.max_descriptors
+            relay.predecessor_leaves(5)
             assert relay.node.balancer.processes == 1
-            assert relay.most > half, "what the old one gives up is this one's"
-            relay._company(2)
+            assert relay.max_descriptors > half, "what the old one gives up is this one's"
+            relay._process_count_changed(2)
             assert relay.node.balancer.processes == 1
             await node.next()
-            assert relay.theirs is None
-            relay._company(2)
+            assert relay.predecessor_descriptors is None
+            relay._process_count_changed(2)
             assert relay.node.balancer.processes == 2
-            assert relay.most == half
+            assert relay.max_descriptors == half
 
     run(main())
 
--- a/tests/hot_restart/test_offers.py
+++ b/tests/hot_restart/test_transfers.py
@@ -10,8 +10,8 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, precondition, rule
 
-from rosewheel.hot_restart.offers import Offers
-from rosewheel.hot_restart.wire import PACKET_BYTES, Reader, WireError, packets
+from rosewheel.hot_restart.transfers import TransferLedger
+from rosewheel.hot_restart.wire import PACKET_BYTES, MessageReader, ProtocolError, encode_packets
 from rosewheel.http.framing import Chunks, FramingError
 
 
@@ -21,7 +21,7 @@
 
     def __init__(self) -> None:
         super().__init__()
-        self.offers: Offers[int] = Offers(window=3, patience_s=1.0)
+        self.transfers: TransferLedger[int] = TransferLedger(window=3, patience_s=1.0)
         self.now = 0.0
         self.items = 0
         self.sent: list[tuple[int, int]] = []  # offers that the taker has not read: number, item
@@ -31,11 +31,11 @@
         self.at_giver: set[int] = set()  # items that the giver serves again
         self.at_taker: set[int] = set()
 
-    @precondition(lambda self: self.giver and self.link and self.offers.room)
+    @precondition(lambda self: self.giver and self.link and self.transfers.has_room)
     @rule()
     def offer(self) -> None:
         self.items += 1
-        self.sent.append((self.offers.offer(self.items, self.now), self.items))
+        self.sent.append((self.transfers.offer(self.items, self.now), self.items))
 
     @precondition(lambda self: self.taker and self.sent)
     @rule(wanted=st.booleans())
@@ -57,10 +57,10 @@
     def read_receipt(self) -> None:
         word, number = self.receipts.pop(0)
         if word == "took":
-            assert self.offers.taken(number) is not None
-            assert self.offers.taken(number) is None, "a receipt counts once"
+            assert self.transfers.accept(number) is not None
+            assert self.transfers.accept(number) is None, "a receipt counts once"
         else:
-            item = self.offers.refused(number)
+            item = self.transfers.reject(number)
             assert item is not None
             self.at_giver.add(item)
 
@@ -71,7 +71,7 @@
         self.link = False
         while self.receipts:
             self.read_receipt()
-        self.at_giver.update(self.offers.lost())
+        self.at_giver.update(self.transfers.take_back())
 
     @precondition(lambda self: self.taker)
     @rule()
@@ -83,7 +83,7 @@
             self.link = False
             while self.receipts:
                 self.read_receipt()
-            self.at_giver.update(self.offers.lost())
+            self.at_giver.update(self.transfers.take_back())
 
     @precondition(lambda self: self.giver)
     @rule()
@@ -95,12 +95,12 @@
     @rule(passed=st.floats(0.0, 2.0))
     def time(self, passed: float) -> None:
         self.now += passed
-        assert self.offers.overdue(self.now) is False or self.offers.under_way > 0
+        assert self.transfers.overdue(self.now) is False or self.transfers.pending_count > 0
 
     @invariant()
     def one_owner(self) -> None:
         assert not self.at_giver & self.at_taker
-        assert self.offers.under_way <= 3
+        assert self.transfers.pending_count <= 3
 
     def teardown(self) -> None:
         """At the end nothing is lost while both live: each item is with one of them."""
@@ -111,7 +111,7 @@
                 self.at_taker.add(item)
             while self.receipts:
                 self.read_receipt()
-            assert self.offers.under_way == 0
+            assert self.transfers.pending_count == 0
             assert self.at_giver | self.at_taker == set(range(1, self.items + 1))
 
 
@@ -200,8 +200,8 @@
 
 @given(st.binary(max_size=100_000), st.dictionaries(st.text(max_size=5), st.integers(0, 9), max_size=4))
 def test_a_message_and_its_bytes_come_back(blob, content):
-    reader = Reader()
-    sent = packets({**content, "t": "give"}, blob)
+    reader = MessageReader()
+    sent = encode_packets({**content, "t": "give"}, blob)
     assert all(len(packet) <= PACKET_BYTES for packet in sent)
     heard = [whole for packet in sent if (whole := reader.feed(packet)) is not None]
     assert heard == [({**content, "t": "give"}, blob)]
@@ -210,7 +210,7 @@
 @given(st.binary(max_size=200))
 def test_what_is_no_packet_is_told_so(data):
     try:
-        whole = Reader().feed(data)
-    except WireError:
+        whole = MessageReader().feed(data)
+    except ProtocolError:
         return
     assert whole is None or isinstance(whole[0]["t"], str)
--- a/tests/http/test_client_disconnects.py
+++ b/tests/http/test_client_disconnects.py
@@ -17,7 +17,7 @@
 from rosewheel.http.downstream import Caller
 from rosewheel.http.reader import WAITING
 from rosewheel.policy.actions import ForwardRequest
-from rosewheel.proxy.proxy import Relay, now_ms
+from rosewheel.proxy.proxy import Proxy, now_ms
 from tests.support.balancers import KEYED, SAFE, UNSAFE
 from tests.support.sockets import Client, FakeServer, Message, answer, entry, node, run, status, until
 
@@ -219,7 +219,7 @@
     monkeypatch.setattr("rosewheel.http.callers.UNREAD_S", 3600.0)
 
 
-async def unread(relay: Relay, client: Client) -> Caller:
+async def unread(relay: Proxy, client: Client) -> Caller:
     """Requests ahead of the answer that is due, until their connection is not read any more."""
     (caller,) = relay.server.callers
     for at in range(WAITING):
@@ -335,7 +335,7 @@
         yield listener, filler
 
 
-async def comes_up(listener: socket.socket, relay: Relay) -> bytes:
+async def comes_up(listener: socket.socket, relay: Proxy) -> bytes:
     """Take who fills the queue, and then what the node opens: all that it writes there."""
     listener.accept()[0].close()
     loop = asyncio.get_running_loop()
--- a/tests/http/test_slow_clients.py
+++ b/tests/http/test_slow_clients.py
@@ -62,10 +62,10 @@
     async def main() -> None:
         async with node([], bounds=Bounds(sockets=sockets)) as relay:
             for processes in (1, 2):
-                relay.processes = processes
+                relay.process_count = processes
                 relay._share(sockets)
-                assert relay.server.most < relay.most
-                assert processes * (relay.most + relay.server.most_surplus + 12) <= sockets
+                assert relay.server.most < relay.max_descriptors
+                assert processes * (relay.max_descriptors + relay.server.most_surplus + 12) <= sockets
 
     run(main())
 
@@ -81,7 +81,7 @@
                 later = relay.loop.call_later
 
                 def noted(wait: float, call: object, *args: object) -> object:
-                    if call == relay._rewatch:
+                    if call == relay._reopen_watch:
                         waits.append(wait)
                         wait = 0.0
                     return later(wait, call, *args)  # type: ignore[arg-type]
@@ -90,7 +90,7 @@
                 await until(lambda: len(discovery.asked) == 7)
                 assert status(await client.ask()) == 200  # by the list as it was held
                 discovery.tell(9, entry("s", server.port), whole=True)
-                await until(lambda: relay.waits.unheard == 0)
+                await until(lambda: relay.watch_backoff.unheard == 0)
 
     run(main())
     grace_s = Bounds().drain_grace_ms / 1000.0
--- a/tests/http/test_sockets.py
+++ b/tests/http/test_sockets.py
@@ -27,7 +27,7 @@
     ServerState,
 )
 from rosewheel.policy.settings import Idempotency, ServiceClass
-from rosewheel.proxy.proxy import Relay
+from rosewheel.proxy.proxy import Proxy
 from tests.support.sockets import (
     Client,
     FakeDiscovery,
@@ -513,7 +513,7 @@
             def leaving(*args: object) -> None:
                 start(*args)  # type: ignore[arg-type]
                 relay.loop.call_soon(
-                    relay._heard,
+                    relay._endpoint_list_updated,
                     EndpointListForm.DELTA,
                     [(Server("s", "a", 0, ServerState.DRAINING), ("127.0.0.1", server.port))],
                 )
@@ -686,7 +686,7 @@
                 node([entry(f"s{at}", server.port) for at in range(100)]) as relay,
                 Client(relay) as client,
             ):
-                relay.most = 9
+                relay.max_descriptors = 9
                 upstream = relay.upstream
 
                 def agrees() -> bool:
@@ -697,7 +697,7 @@
                 for _ in range(60):
                     assert status(await client.ask()) == 200
                     assert agrees()
-                    assert relay.descriptors <= relay.most
+                    assert relay.descriptors <= relay.max_descriptors
                 assert len(upstream.resting) > 1
                 out = next(iter(upstream.resting)).pool.host
                 upstream.cordon(out, True)
@@ -719,7 +719,7 @@
     async def main() -> None:
         free, slow = held_back()
         async with FakeServer(slow).up() as server, node([entry("s", server.port)]) as relay:
-            relay.most = 4
+            relay.max_descriptors = 4
             async with Client(relay) as one, Client(relay) as two, Client(relay):
                 one.send("post")
                 await until(lambda: len(server.got) == 1)
@@ -743,7 +743,7 @@
     run(main())
 
 
-def moved_to(relay: Relay, discovery: FakeDiscovery) -> Config:
+def moved_to(relay: Proxy, discovery: FakeDiscovery) -> Config:
     """The configuration as it is read again once its file names another discovery."""
     return dataclasses.replace(relay.config, discovery=("127.0.0.1", discovery.port))
 
@@ -1186,7 +1186,7 @@
     run(main())
 
 
-async def cursors(relay: Relay, client: Client, periods: int) -> list[int]:
+async def cursors(relay: Proxy, client: Client, periods: int) -> list[int]:
     """Ask one after another for so many of the module's periods; where the cursor stood at each answer."""
     balancer, seen = relay.node.balancer, []
     until_period = balancer.periods + periods
--- a/tests/policy/test_learned_state.py
+++ b/tests/policy/test_learned_state.py
@@ -31,7 +31,7 @@
 )
 from rosewheel.policy.learned_state import OLDEST_MS, Learned, age, learned_from, same_start, weight
 from rosewheel.proxy import snapshots
-from rosewheel.proxy.snapshots import Snapshots, clocks, decoded, encoded
+from rosewheel.proxy.snapshots import SnapshotWriter, decode_snapshot, encode_snapshot, read_clocks
 from tests.support.balancers import Bed, sent, settings
 from tests.support.sockets import FakeServer, entry, node, run
 
@@ -165,14 +165,14 @@
 
 def written() -> bytes:
     bed = taught()
-    return encoded("n0", bed.balancer.learned(bed.now), 0.25, clocks())
+    return encode_snapshot("n0", bed.balancer.learned(bed.now), 0.25, read_clocks())
 
 
 def test_what_is_written_is_read_back_the_same():
     bed = taught()
     learned = bed.balancer.learned(bed.now)
-    kept = decoded(encoded("n0", learned, math.inf, (5.0, 7.0)), "n0", (6.0, 8.0))
-    assert kept == snapshots.Kept(learned, 1.0, math.inf)
+    kept = decode_snapshot(encode_snapshot("n0", learned, math.inf, (5.0, 7.0)), "n0", (6.0, 8.0))
+    assert kept == snapshots.Snapshot(learned, 1.0, math.inf)
 
 
 @given(st.data())
@@ -185,7 +185,7 @@
     else:
         broken = whole[:at] + bytes([whole[at] ^ data.draw(st.integers(1, 255))]) + whole[at + 1 :]
     with pytest.raises(ValueError, match=r"."):
-        decoded(broken, "n0", clocks())
+        decode_snapshot(broken, "n0", read_clocks())
 
 
 GOOD = written()
@@ -207,22 +207,22 @@
         (b"something else\n{}", "not a snapshot"),
         (GOOD.replace(b"learned 1 ", b"learned 2 ", 1), "of version 2, not 1"),
         (GOOD[:-20], "not whole"),
-        (encoded("n7", Learned(), 1.0, clocks()), "of another node, 'n7'"),
-        (encoded("n0", Learned(), 1.0, (1e15, 1e15)), "from the future"),
+        (encode_snapshot("n7", Learned(), 1.0, read_clocks()), "of another node, 'n7'"),
+        (encode_snapshot("n0", Learned(), 1.0, (1e15, 1e15)), "from the future"),
     ],
 )
 def test_what_is_of_no_use_is_logged_and_set_aside(
     tmp_path: Path, caplog: pytest.LogCaptureFixture, data: bytes, why: str
 ):
-    (tmp_path / snapshots.NAME).write_bytes(data)
-    assert Snapshots(str(tmp_path), "n0", lambda: (Learned(), 1.0)).read() is None
+    (tmp_path / snapshots.SNAPSHOT_NAME).write_bytes(data)
+    assert SnapshotWriter(str(tmp_path), "n0", lambda: (Learned(), 1.0)).read() is None
     assert why in caplog.text
-    assert (tmp_path / snapshots.ASIDE).read_bytes() == data
-    assert not (tmp_path / snapshots.NAME).exists()
+    assert (tmp_path / snapshots.REJECTED_NAME).read_bytes() == data
+    assert not (tmp_path / snapshots.SNAPSHOT_NAME).exists()
 
 
 def test_a_folder_that_is_gone_costs_one_line_and_no_more(tmp_path: Path, caplog: pytest.LogCaptureFixture):
-    kept = Snapshots(str(tmp_path / "gone"), "n0", lambda: (Learned(), 1.0))
+    kept = SnapshotWriter(str(tmp_path / "gone"), "n0", lambda: (Learned(), 1.0))
     assert kept.read() is None
     kept.write()
     kept.write()
@@ -252,9 +252,9 @@
 WRITER = """
 import sys
 from rosewheel.policy.learned_state import Learned, LearnedServer
-from rosewheel.proxy.snapshots import Snapshots
+from rosewheel.proxy.snapshots import SnapshotWriter
 learned = Learned({f"equipo-{at}": LearnedServer(None, slow=1.0) for at in range(2000)})
-kept = Snapshots(sys.argv[1], "n0", lambda: (learned, 1.0))
+kept = SnapshotWriter(sys.argv[1], "n0", lambda: (learned, 1.0))
 while True:
     kept.write()
     print(flush=True)
@@ -270,15 +270,15 @@
         for _ in range(writes):
             process.stdout.readline()
         process.kill()
-    kept = Snapshots(str(tmp_path), "n0", lambda: (Learned(), 1.0)).read()
+    kept = SnapshotWriter(str(tmp_path), "n0", lambda: (Learned(), 1.0)).read()
     assert kept is not None
     assert len(kept.learned.servers) == 2000
 
 
 def test_one_is_written_seldom_where_it_costs_much(tmp_path: Path):
     async def main() -> None:
-        kept = Snapshots(str(tmp_path), "n0", lambda: (Learned(), 1.0))
-        kept.cost_s = 0.1
+        kept = SnapshotWriter(str(tmp_path), "n0", lambda: (Learned(), 1.0))
+        kept.last_cost_s = 0.1
         kept.start()
         assert kept._timer is not None
         assert kept._timer.when() - asyncio_time() > 10.0
@@ -354,19 +354,19 @@
     disk = HeldDisk(monkeypatch)
 
     async def main() -> None:
-        kept = Snapshots(str(tmp_path), "n0", lambda: (Learned(), 1.0), on_disk=True)
+        kept = SnapshotWriter(str(tmp_path), "n0", lambda: (Learned(), 1.0), on_disk=True)
         kept.start()
         await until(disk.began.is_set)
         assert not disk.go.is_set()
         disk.go.set()  # only a loop that goes on gets here while the file is held
-        await until(lambda: (tmp_path / snapshots.NAME).exists())
+        await until(lambda: (tmp_path / snapshots.SNAPSHOT_NAME).exists())
         # What it cost is known, and the next one is due after it.
-        await until(lambda: kept._timer is not None and kept.cost_s > 0.0)
+        await until(lambda: kept._timer is not None and kept.last_cost_s > 0.0)
         kept.close()
 
     asyncio.run(main())
     assert all(disk.let_go)
-    assert Snapshots(str(tmp_path), "n0", lambda: (Learned(), 1.0)).read() is not None
+    assert SnapshotWriter(str(tmp_path), "n0", lambda: (Learned(), 1.0)).read() is not None
 
 
 def test_one_that_a_disk_holds_up_past_the_end_replaces_nothing(
@@ -382,17 +382,17 @@
         return open(path, mode)
 
     async def main() -> None:
-        kept = Snapshots(str(tmp_path), "n0", lambda: (Learned(), 1.0), on_disk=True)
+        kept = SnapshotWriter(str(tmp_path), "n0", lambda: (Learned(), 1.0), on_disk=True)
         kept.start()
         await until(began.is_set)
         kept.close()
-        (tmp_path / snapshots.NAME).write_bytes(b"of the next one")
+        (tmp_path / snapshots.SNAPSHOT_NAME).write_bytes(b"of the next one")
         go.set()
 
     monkeypatch.setattr(snapshots, "open", held, raising=False)
     asyncio.run(main())  # waits for what it still has in threads
-    assert [path.name for path in tmp_path.iterdir()] == [snapshots.NAME]
-    assert (tmp_path / snapshots.NAME).read_bytes() == b"of the next one"
+    assert [path.name for path in tmp_path.iterdir()] == [snapshots.SNAPSHOT_NAME]
+    assert (tmp_path / snapshots.SNAPSHOT_NAME).read_bytes() == b"of the next one"
 
 
 @pytest.mark.parametrize("on_disk", [False, True])
@@ -400,7 +400,7 @@
     on_disk: bool, tmp_path: Path, monkeypatch: pytest.MonkeyPatch, caplog: pytest.LogCaptureFixture
 ) -> None:
     monkeypatch.setattr(snapshots, "PERIOD_S", 0.001)
-    monkeypatch.setattr(snapshots, "COST_SHARE", 1.0)
+    monkeypatch.setattr(snapshots, "MAX_TIME_SHARE", 1.0)
     folder = tmp_path / "state"
     tries = 0
 
@@ -410,12 +410,12 @@
         return Learned(), 1.0
 
     async def main() -> None:
-        kept = Snapshots(str(folder), "n0", take, on_disk)
+        kept = SnapshotWriter(str(folder), "n0", take, on_disk)
         kept.start()
         await until(lambda: tries > 3)
         assert kept.failing
         folder.mkdir()
-        await until((folder / snapshots.NAME).exists)
+        await until((folder / snapshots.SNAPSHOT_NAME).exists)
         await until(lambda: not kept.failing)
         kept.close()
 
--- a/tests/proxy/test_listener.py
+++ b/tests/proxy/test_listener.py
@@ -10,7 +10,7 @@
 
 from rosewheel.config.platform import ConfigError
 from rosewheel.listener import open_listener
-from rosewheel.proxy.proxy import Relay
+from rosewheel.proxy.proxy import Proxy
 from tests.support.sockets import Client, FakeServer, config, entry, run, status, until
 
 
@@ -50,10 +50,10 @@
             port = held.getsockname()[1]
             async with FakeServer().up() as server:
                 known = [entry("s", server.port)]
-                old = Relay(config(known, inherited=os.dup(held.fileno())))
-                new = Relay(config(known, inherited=os.dup(held.fileno())))
+                old = Proxy(config(known, inherited=os.dup(held.fileno())))
+                new = Proxy(config(known, inherited=os.dup(held.fileno())))
                 for relay in (old, new):
-                    relay.discovery.watch = relay._told.set  # type: ignore[method-assign]
+                    relay.discovery.watch = relay._list_received.set  # type: ignore[method-assign]
                 await old.start()
                 async with Client(port=port) as early, Client(port=port) as quiet:
                     assert status(await early.ask()) == 200
--- a/tests/proxy/test_process_state.py
+++ b/tests/proxy/test_process_state.py
@@ -9,7 +9,7 @@
 import orjson
 import pytest
 
-from rosewheel.proxy.state import State
+from rosewheel.proxy.state import SharedState
 from tests.support.sockets import run, until
 
 
@@ -17,7 +17,7 @@
     def __init__(self, folder: Path | None) -> None:
         self.sets: list[frozenset[str]] = []
         self.company: list[int] = []
-        self.state = State(str(folder) if folder else None, self.sets.append, self.company.append)
+        self.state = SharedState(str(folder) if folder else None, self.sets.append, self.company.append)
 
 
 def test_the_next_process_is_told(tmp_path: Path):
--- a/tests/proxy/test_reconfiguration.py
+++ b/tests/proxy/test_reconfiguration.py
@@ -20,8 +20,8 @@
 from rosewheel.node.limits import Bounds
 from rosewheel.policy.settings import Settings
 from rosewheel.proxy.cordons import Cordons
-from rosewheel.proxy.proxy import Relay
-from rosewheel.proxy.state import State
+from rosewheel.proxy.proxy import Proxy
+from rosewheel.proxy.state import SharedState
 from tests.cli.test_run import connect, free_port, good, start
 from tests.hot_restart.test_hot_restart import LONG, bench, read_long, send_long, slow_client
 from tests.http.test_sockets import held_back
@@ -30,7 +30,7 @@
 from tests.test_adapter import CONFIG
 
 
-def other(relay: Relay, **changes: Any) -> Settings:
+def other(relay: Proxy, **changes: Any) -> Settings:
     return dataclasses.replace(relay.config.settings, **changes)
 
 
@@ -155,8 +155,8 @@
             assert relay.upstream.rest.crowds
             assert relay.upstream.rest.kept_s == 3.0
             assert relay.budget.most == 6 << 20
-            assert relay.most < 200
-            assert relay.server.most < relay.most
+            assert relay.max_descriptors < 200
+            assert relay.server.most < relay.max_descriptors
             relay.configure(other(relay, balancer_count=1), bounds)
             assert not relay.upstream.rest.crowds
             assert relay.upstream.rest.kept_s == math.inf
@@ -176,10 +176,10 @@
                 for caller in relay.server.callers:
                     caller.since -= 10.0  # none of them is new, so each may be closed
                 relay.configure(relay.config.settings, dataclasses.replace(relay.config.bounds, sockets=64))
-                assert relay.most < 46
-                assert relay.descriptors <= relay.most
+                assert relay.max_descriptors < 46
+                assert relay.descriptors <= relay.max_descriptors
                 relay.configure(relay.config.settings, dataclasses.replace(relay.config.bounds, sockets=32))
-                assert relay.most < 12  # 6 callers and 6 equipos' connections are in use
+                assert relay.max_descriptors < 12  # 6 callers and 6 equipos' connections are in use
                 await until(lambda: len(relay.server.callers) == 6)
                 free.set()
                 for client in clients[:6]:
@@ -203,10 +203,10 @@
             assert relay.discovery.silence_s == SILENCE_S
             await until(lambda: len(discovery.writers) == 3)
             watch = relay.discovery._watch
-            relay._rewatch()  # the look that was set: it must not break off what the module has asked for
+            relay._reopen_watch()  # the look that was set: it must not break off what the module has asked for
             assert relay.discovery._watch is watch
             relay.discovery.close()
-            relay._rewatch()
+            relay._reopen_watch()
             assert not relay.discovery.open, "where lists are asked for the module says when"
 
     run(main())
@@ -265,7 +265,7 @@
 def test_a_cordon_that_can_not_be_kept_holds_here_all_the_same(tmp_path: Path):
     async def main() -> None:
         box = Outs()
-        state = State(str(tmp_path / "gone"), box.cordons.hand, lambda _: None)
+        state = SharedState(str(tmp_path / "gone"), box.cordons.hand, lambda _: None)
         with pytest.raises(OSError, match="gone"):
             await box.cordons.put("a", True, state)
         assert box.now == {"a"}
@@ -279,7 +279,7 @@
             known = [entry("one", one.port), entry("two", two.port)]
             async with node(known, told, state=str(tmp_path)) as relay, Client(relay) as client:
                 await until(lambda: bool(told.writers))
-                relay.fleet_cordons(frozenset({"one", "later"}))
+                relay.set_fleet_cordons(frozenset({"one", "later"}))
                 assert await relay.cordon("one")
                 for _ in range(5):
                     assert status(await client.ask()) == 200
@@ -294,13 +294,13 @@
                 told.tell(9, entry("later", two.port))
                 await until(lambda: "later" in relay.node.servers)
                 assert status(await client.ask()) == 503
-                relay.fleet_cordons(frozenset())
+                relay.set_fleet_cordons(frozenset())
                 assert relay.node.cordoned == {"two"}
                 assert status(await client.ask()) == 200
                 got = await reply_to(relay, "POST", "/admin/uncordon?member=two")
                 assert got.body == {"member": "two", "cordoned": False}
                 # What outlives the process is what was said by hand.
-                relay.fleet_cordons(frozenset({"one"}))
+                relay.set_fleet_cordons(frozenset({"one"}))
                 assert await relay.cordon("two")
                 assert orjson.loads((tmp_path / "state.json").read_bytes())["cordoned"] == ["two"]
                 relay.cordons.hand(frozenset())  # as another process of this node was told
--- a/tests/proxy/test_shutdown.py
+++ b/tests/proxy/test_shutdown.py
@@ -10,7 +10,7 @@
 
 from rosewheel.http import callers as callers_module
 from rosewheel.http.downstream import Caller
-from rosewheel.proxy.proxy import Relay
+from rosewheel.proxy.proxy import Proxy
 from tests.support.balancers import KEYED, SAFE, UNSAFE
 from tests.support.sockets import Client, FakeServer, Message, answer, entry, node, run, status, until
 
@@ -43,7 +43,7 @@
         return getattr(self._loop, name)
 
 
-def clocked(relay: Relay, monkeypatch: pytest.MonkeyPatch) -> Clock:
+def clocked(relay: Proxy, monkeypatch: pytest.MonkeyPatch) -> Clock:
     clock = Clock(relay.loop)
     relay.server.loop = relay.loop = clock  # type: ignore[assignment]
     fake = type("asyncio", (), {"sleep": staticmethod(clock.sleep)})
--- a/tests/support/sockets.py
+++ b/tests/support/sockets.py
@@ -14,7 +14,7 @@
 
 from rosewheel.config.platform import Config
 from rosewheel.node.limits import Bounds
-from rosewheel.proxy.proxy import Relay
+from rosewheel.proxy.proxy import Proxy
 from tests.support.balancers import settings
 
 WAIT_S = 20.0  # a test that waits this long has failed; a good one never gets near it
@@ -176,14 +176,14 @@
     discovery: FakeDiscovery | None = None,
     pushed: FakeDiscovery | None = None,
     **changes: Any,
-) -> AsyncIterator[Relay]:
+) -> AsyncIterator[Proxy]:
     """A node that knows these servers from its start. It asks `discovery`; `pushed` tells it unasked."""
     told = config(servers, discovery or pushed, **changes)
     if pushed is not None:
         told = dataclasses.replace(told, settings=settings(poll_discovery=False))
-    relay = Relay(told)
+    relay = Proxy(told)
     if pushed is not None:  # it speaks when the test says so, and that may be after the start
-        relay._first_s = lambda: 0.0  # type: ignore[method-assign]
+        relay._list_wait_s = lambda: 0.0  # type: ignore[method-assign]
     if discovery is None and pushed is None:  # nothing listens there, and nothing is to be asked
         relay.discovery.watch = lambda: None  # type: ignore[method-assign]
     await relay.start()
@@ -193,14 +193,14 @@
         relay.discovery.close()
         relay.upstream.close()
         relay.server.close()
-        relay.state.close()
+        relay.shared_state.close()
         relay.snapshots.close()
 
 
 class Client:
     """One connection of a client."""
 
-    def __init__(self, relay: Relay | None = None, port: int = 0) -> None:
+    def __init__(self, relay: Proxy | None = None, port: int = 0) -> None:
         self.port = relay.server.port if relay is not None else port
         self.sent = 0
 
