--- /dev/null
+++ b/rosewheel/lab/scale/change_propagation.py
@@ -0,0 +1,101 @@
+"""Propagation of a run's changes by phase, from its measurements and the records of its simulated nodes."""
+
+from __future__ import annotations
+
+from collections.abc import Mapping, Sequence
+from dataclasses import dataclass
+from pathlib import Path
+
+import numpy as np
+
+from rosewheel.lab.scale.measurements import Measurements
+from rosewheel.lab.scale.plan import Plan
+from rosewheel.lab.scale.propagation import (
+    NodeHistory,
+    Outage,
+    Propagation,
+    PublishedChange,
+    measure_propagation,
+    node_histories,
+)
+from rosewheel.lab.scale.version_log import RecordKind, record_file_name
+
+ALL_PHASES = "all"
+SIMULATED_WORKER_PREFIX = "hollow-"  # of workers' names, and so of their records' file names
+
+
+@dataclass(slots=True, frozen=True)
+class ChangePropagation:
+    """By phase of the change, and for `ALL_PHASES`: endpoint lists received by the service's nodes, configurations
+    applied by all nodes, and configurations acknowledged by all nodes."""
+
+    lists: dict[str, Propagation]
+    config: dict[str, Propagation]
+    acked: dict[str, Propagation]
+
+
+def change_propagation(measurements: Measurements, folder: Path) -> ChangePropagation:
+    """Propagation of all changes, from the records in this folder."""
+    configs = _published_configs(measurements)
+    outages = {node: measurements.outages.get(node, []) for node in measurements.plan.simulated_nodes}
+    config_outages = {
+        node: [*ended, *measurements.leader_outages.get(node, ())] for node, ended in outages.items()
+    }
+    return ChangePropagation(
+        lists=_by_phase(measurements, folder, RecordKind.LISTS, _published_lists(measurements), outages),
+        config=_by_phase(measurements, folder, RecordKind.CONFIG, configs, config_outages),
+        acked=_by_phase(measurements, folder, RecordKind.ACKED, configs, config_outages),
+    )
+
+
+def _published_lists(measurements: Measurements) -> list[PublishedChange]:
+    members = _simulated_nodes_by_service(measurements.plan)
+    # Versions are those of a service: each change is measured only at the nodes of its service.
+    return [
+        PublishedChange(row.version, row.at_ms, members[row.service])
+        for row in measurements.lists
+        if row.service in members
+    ]
+
+
+def _published_configs(measurements: Measurements) -> list[PublishedChange]:
+    nodes = frozenset(measurements.plan.simulated_nodes)
+    return [PublishedChange(row.version, row.at_ms, nodes) for row in measurements.configs if nodes]
+
+
+def _simulated_nodes_by_service(plan: Plan) -> dict[int, frozenset[int]]:
+    members: dict[int, set[int]] = {}
+    for machine in plan.machines:
+        if not machine.real:
+            members.setdefault(machine.service, set()).add(machine.number)
+    return {service: frozenset(nodes) for service, nodes in members.items()}
+
+
+def _by_phase(
+    measurements: Measurements,
+    folder: Path,
+    kind: RecordKind,
+    published: Sequence[PublishedChange],
+    outages: Mapping[int, Sequence[Outage]],
+) -> dict[str, Propagation]:
+    histories = _load_histories(folder, kind)
+    if histories is None:
+        return {}
+    phases: dict[str, list[PublishedChange]] = {}
+    for change in published:
+        phases.setdefault(measurements.phase_at(change.at_ms), []).append(change)
+    result = {name: measure_propagation(changes, histories, outages) for name, changes in phases.items()}
+    in_phase_order = [change for changes in phases.values() for change in changes]
+    return {**result, ALL_PHASES: measure_propagation(in_phase_order, histories, outages)}
+
+
+def _load_histories(folder: Path, kind: RecordKind) -> dict[int, NodeHistory] | None:
+    """Histories of all simulated nodes; None without records."""
+    paths = sorted(folder.glob(record_file_name(f"{SIMULATED_WORKER_PREFIX}*", kind)))
+    if not paths:
+        return None
+    archives = [np.load(path) for path in paths]
+    nodes, versions, times_ms = (
+        np.concatenate([archive[key] for archive in archives]) for key in ("nodes", "versions", "at")
+    )
+    return node_histories(nodes, versions, times_ms)
--- /dev/null
+++ b/rosewheel/lab/scale/control_operator.py
@@ -0,0 +1,125 @@
+"""The operator of a scale run: publishes configurations at the leader, and asks it for the state of the fleet."""
+
+from __future__ import annotations
+
+import asyncio
+from dataclasses import dataclass
+from typing import Any
+
+import msgspec
+
+from rosewheel.control.http_client import HttpCallError, JsonHttpClient
+from rosewheel.control.revisions import Document
+from rosewheel.lab.scale.control_machine import ControlMachineProcess
+from rosewheel.lab.scale.errors import ProcessError
+from rosewheel.lab.wire import now_ms
+
+START_TIMEOUT_S = 20.0  # far more than a control machine needs
+PUBLISH_ATTEMPT_TIMEOUT_S = 3.0  # a lost machine does not answer
+PUBLISH_TIMEOUT_S = 300.0  # longer than any outage of the leader
+RETRY_S = 0.05
+HTTP_OK, HTTP_CONFLICT = 200, 409
+
+
+class ControlStatus(msgspec.Struct, frozen=True, rename={"nodes_current": "in_force"}):
+    """Part of the leader's status: the number of nodes that have acknowledged the current version."""
+
+    nodes_current: int = 0
+
+
+@dataclass(slots=True, frozen=True)
+class PublishedConfig:
+    """A configuration that the leader acknowledged.
+
+    Attributes:
+        version: Its version.
+        at_ms: When the successful attempt began (monotonic).
+        acknowledged_after_ms: From the first attempt to the leader's acknowledgement.
+    """
+
+    version: int
+    at_ms: float
+    acknowledged_after_ms: float
+
+
+def service_name(number: int) -> str:
+    """Name of the service with this number."""
+    return f"s{number}"
+
+
+def initial_document(services: int) -> Document:
+    """The first configuration: a part common to all nodes, and a part for each service."""
+    read = {"name": "read", "aim_ms": 1000.0, "give_up_ms": 3000.0, "effect": "safe"}
+    own: Document = {}
+    for number in range(services):
+        write = {**read, "name": "write", "worth": 3.0 + number, "effect": "unsafe"}
+        own[service_name(number)] = {"class": [read, write], "routing": {"max_attempts": 2 + number % 4}}
+    return {"limits": {"connect_timeout_ms": 200.0}, "class": [read], "services": own}
+
+
+def change_patch(number: int, service: int) -> Document:
+    """The patch of one change to a service; each number sets another value."""
+    return {"services": {service_name(service): {"limits": {"max_open": 1000 + number}}}}
+
+
+class Operator:
+    """Talks to the leader from the leader's own machine, past the network."""
+
+    def __init__(self, leader: ControlMachineProcess) -> None:
+        self.leader = leader
+        self.client = JsonHttpClient(leader.address)
+        self.version = 0
+
+    async def wait_until_up(self) -> None:
+        """Wait until the leader answers.
+
+        Raises:
+            ProcessError: It ended, or did not answer in `START_TIMEOUT_S`.
+        """
+        deadline_s = asyncio.get_running_loop().time() + START_TIMEOUT_S
+        while await self.status() is None:
+            if not self.leader.alive or asyncio.get_running_loop().time() > deadline_s:
+                raise ProcessError(f"the control machine did not start: {self.leader.last_log_line()}")
+            await asyncio.sleep(RETRY_S)
+
+    async def status(self) -> ControlStatus | None:
+        """The leader's view of the fleet; None if it does not answer."""
+        try:
+            status, body = await self.client.call("GET", "/control/status")
+        except HttpCallError:
+            return None
+        if status != HTTP_OK or not isinstance(body, dict) or not body:
+            return None
+        return msgspec.convert(body, ControlStatus)
+
+    async def publish(self, patch: Document) -> PublishedConfig:
+        """Publish a change, with as many attempts as it takes.
+
+        Raises:
+            ProcessError: It was not acknowledged in `PUBLISH_TIMEOUT_S`.
+        """
+        first_attempt_ms = now_ms()
+        reason = ""
+        while now_ms() < first_attempt_ms + PUBLISH_TIMEOUT_S * 1000.0:
+            attempt_ms = now_ms()
+            try:
+                status, body = await self._put(patch)
+            except HttpCallError as error:
+                reason = str(error)
+            else:
+                if status == HTTP_OK:
+                    self.version = body["version"]
+                    return PublishedConfig(self.version, attempt_ms, now_ms() - first_attempt_ms)
+                reason = str(body)
+                if status == HTTP_CONFLICT and "version" in body:
+                    self.version = body["version"]
+            await asyncio.sleep(RETRY_S)
+        raise ProcessError(f"a change could not be made: {reason}")
+
+    async def _put(self, patch: Document) -> tuple[int, Any]:
+        row = {"patch": patch, "version": self.version, "by": "scale", "note": ""}
+        return await self.client.call("POST", "/control/put", row, timeout_s=PUBLISH_ATTEMPT_TIMEOUT_S)
+
+    def close(self) -> None:
+        """Close the connection to the leader."""
+        self.client.close()
--- /dev/null
+++ b/rosewheel/lab/scale/daemon.py
@@ -0,0 +1,58 @@
+"""Processes of the `rosewheel` command in a scale run: real nodes and control machines."""
+
+from __future__ import annotations
+
+import ctypes
+import signal
+import subprocess
+import sys
+from collections.abc import Mapping
+from pathlib import Path
+
+_PR_SET_PDEATHSIG = 1  # prctl(2)
+
+
+def kill_with_parent() -> None:
+    """In a new child, before it executes its program: end it when its parent ends (Linux)."""
+    ctypes.CDLL(None).prctl(_PR_SET_PDEATHSIG, signal.SIGKILL)
+
+
+class Daemon:
+    """A process of `rosewheel` that can be started again; it logs to a file in its folder."""
+
+    def __init__(self, folder: Path) -> None:
+        self.folder = folder
+        self.process: subprocess.Popen[bytes] | None = None
+
+    def launch(self, arguments: list[str], environment: Mapping[str, str]) -> None:
+        """Start `rosewheel ARGUMENTS`."""
+        with (self.folder / "log").open("ab") as log:
+            self.process = subprocess.Popen(
+                [sys.executable, "-m", "rosewheel.cli", *arguments],
+                env=environment,
+                stdin=subprocess.DEVNULL,
+                stdout=log,
+                stderr=log,
+                preexec_fn=kill_with_parent,
+            )
+
+    @property
+    def alive(self) -> bool:
+        """Whether the process runs."""
+        return self.process is not None and self.process.poll() is None
+
+    @property
+    def pid(self) -> int:
+        """Process id; 0 while the process does not run."""
+        return self.process.pid if self.process is not None and self.alive else 0
+
+    def kill(self) -> None:
+        """End the process at once and wait for it."""
+        if self.process is not None:
+            if self.alive:
+                self.process.kill()
+            self.process.wait()
+
+    def last_log_line(self) -> str:
+        """The last line of the log, which says why a process ended."""
+        return (self.folder / "log").read_text(errors="replace").strip().rpartition("\n")[2]
--- /dev/null
+++ b/rosewheel/lab/scale/discovery_server.py
@@ -0,0 +1,145 @@
+"""Discovery of the whole fleet: each node receives the endpoint list of its own service, and the changes to it.
+
+A node is identified by its source address. Changes are published at once: the delay of the platform's own registry is
+not part of the measurements.
+"""
+
+from __future__ import annotations
+
+import asyncio
+
+import msgspec
+
+from rosewheel.lab.catalog import BEAT_S, Entry
+from rosewheel.lab.scale.plan import EndpointHealth
+from rosewheel.lab.wire import Address, Asked, Serving
+
+LISTEN_BACKLOG = 2048
+
+
+class ServiceList:
+    """The endpoint list of one service; each change makes a new version, the first list is version 1."""
+
+    def __init__(self, endpoints: list[Entry]) -> None:
+        self.endpoints = {endpoint.host: endpoint for endpoint in endpoints}
+        self.changes: list[Entry] = []  # the change at index `i` made version `i + 2`
+        self.watch_versions: dict[Serving, int] = {}  # the version that each watch was sent last
+        self._encoded_updates: dict[int, bytes] = {}  # by the version that the watch has
+
+    @property
+    def version(self) -> int:
+        """The current version."""
+        return len(self.changes) + 1
+
+    @property
+    def active_endpoints(self) -> int:
+        """Number of endpoints that are active."""
+        return sum(endpoint.health == EndpointHealth.ACTIVE for endpoint in self.endpoints.values())
+
+    def apply(self, endpoint: Entry) -> None:
+        """Add, update or remove an endpoint."""
+        if endpoint.health == EndpointHealth.LEFT:
+            self.endpoints.pop(endpoint.host, None)
+        else:
+            self.endpoints[endpoint.host] = endpoint
+        self.changes.append(endpoint)
+        self._encoded_updates.clear()
+
+    def update_since(self, version: int) -> bytes:
+        """The message for a watch that has this version: the changes since, or a snapshot. Encoded once for all."""
+        line = self._encoded_updates.get(version)
+        if line is None:
+            is_snapshot = not 0 < version <= self.version
+            endpoints = list(self.endpoints.values()) if is_snapshot else self.changes[version - 1 :]
+            hosts = [endpoint.row() for endpoint in endpoints]
+            line = msgspec.json.encode({"seq": self.version, "whole": is_snapshot, "hosts": hosts})
+            self._encoded_updates[version] = line
+        return line
+
+
+class DiscoveryServer:
+    """Serves the watches of all nodes.
+
+    Args:
+        services: The list of each service, by number.
+        service_of_address: Number of the service of each machine's address.
+    """
+
+    def __init__(self, services: list[ServiceList], service_of_address: dict[str, int]) -> None:
+        self.services, self.service_of_address = services, service_of_address
+        self.loop = asyncio.get_running_loop()
+        self.watches_opened = 0
+        self.updates_sent = 0
+        self.connections: set[Serving] = set()
+        self._server: asyncio.Server | None = None
+        self._heartbeat: asyncio.TimerHandle | None = None
+
+    async def start(self) -> Address:
+        """Listen on loopback; the address."""
+        self._server = await self.loop.create_server(
+            lambda: Serving(self._handle_request, self.connections.add, self._connection_closed),
+            "127.0.0.1",
+            0,
+            backlog=LISTEN_BACKLOG,
+        )
+        self._heartbeat = self.loop.call_later(BEAT_S, self._send_heartbeats)
+        address: Address = self._server.sockets[0].getsockname()[:2]
+        return address
+
+    def publish(self, service: int, endpoint: Entry) -> int:
+        """Change a service's list and notify its watches; the new version."""
+        service_list = self.services[service]
+        service_list.apply(endpoint)
+        for watch, version in service_list.watch_versions.items():
+            self._send_update(service_list, watch, version)
+        return service_list.version
+
+    def close(self) -> None:
+        """Stop listening and close all watches."""
+        if self._heartbeat is not None:
+            self._heartbeat.cancel()
+        if self._server is not None:
+            self._server.close()
+        for connection in list(self.connections):
+            connection.close()
+
+    def _handle_request(self, request: Asked) -> None:
+        path, _, query = request.target.decode("latin-1").partition("?")
+        parameters = dict(pair.partition("=")[::2] for pair in query.split("&") if pair)
+        service = self._service_of(request.connection)
+        if path != "/catalog/members" or "follow" not in parameters or service is None:
+            request.connection.answer(404)
+            return
+        since = int(parameters["since"]) if parameters.get("since", "").isdigit() else 0
+        service_list = self.services[service]
+        self.watches_opened += 1
+        request.connection.current = service_list
+        request.connection.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
+        self._send_update(service_list, request.connection, since)
+
+    def _service_of(self, connection: Serving) -> int | None:
+        if connection.transport is None:
+            return None
+        return self.service_of_address.get(connection.transport.get_extra_info("peername")[0])
+
+    def _connection_closed(self, connection: Serving) -> None:
+        self.connections.discard(connection)
+        if connection.current is not None:
+            connection.current.watch_versions.pop(connection, None)
+
+    def _send_update(self, service_list: ServiceList, watch: Serving, since: int) -> None:
+        if since != service_list.version:
+            self.updates_sent += 1
+            _write_line(watch, service_list.update_since(since))
+        service_list.watch_versions[watch] = service_list.version
+
+    def _send_heartbeats(self) -> None:
+        for service_list in self.services:
+            for watch in service_list.watch_versions:
+                _write_line(watch, b"")
+        self._heartbeat = self.loop.call_later(BEAT_S, self._send_heartbeats)
+
+
+def _write_line(watch: Serving, line: bytes) -> None:
+    """Write a line as one chunk of a chunked body."""
+    watch.write(b"%x\r\n%b\n\r\n" % (len(line) + 1, line))
--- /dev/null
+++ b/rosewheel/lab/scale/simulated_node.py
@@ -0,0 +1,143 @@
+"""Simulated nodes: a node's connections to discovery and control, by the product's own code, and no data plane.
+
+Many share a process. Each connects from its own machine's address, by which the network and discovery identify it.
+"""
+
+from __future__ import annotations
+
+import asyncio
+import contextvars
+import random
+from typing import Any
+
+import uvloop
+
+from rosewheel.control.revisions import Document
+from rosewheel.control.subscriber import ConfigurationSubscriber
+from rosewheel.discovery.backoff import Waits
+from rosewheel.discovery.catalog import Discovery
+from rosewheel.lab.scale.messages import SimulatedNodeSetup
+from rosewheel.lab.scale.plan import node_name
+from rosewheel.lab.scale.version_log import NodeRecords
+from rosewheel.policy.events import EndpointListForm
+
+GRACE_S = 0.4  # a node's default drain time, by which the waits between watches are bounded
+SOURCE_ADDRESS: contextvars.ContextVar[str | None] = contextvars.ContextVar("SOURCE_ADDRESS", default=None)
+
+
+class SourceAddressLoop(uvloop.Loop):
+    """An event loop whose connections are opened from the `SOURCE_ADDRESS` of the current context."""
+
+    async def create_connection(self, *arguments: Any, **keywords: Any) -> Any:
+        """As the base class, from the context's source address."""
+        address = SOURCE_ADDRESS.get()
+        if address is not None:
+            keywords["local_addr"] = (address, 0)
+        return await super().create_connection(*arguments, **keywords)
+
+
+class RecordingSubscriber(ConfigurationSubscriber):
+    """The product's subscriber, which records when a configuration was applied and when it was acknowledged."""
+
+    def __init__(self, setup: SimulatedNodeSetup, seed: int, records: NodeRecords) -> None:
+        name = node_name(setup.number)
+        super().__init__(name, setup.service, setup.control_machines, seed, None, self._count_applied)
+        self.number, self.records = setup.number, records
+        self.applied_count = 0
+
+    def _count_applied(self, document: Document) -> None:
+        self.applied_count += 1
+
+    def _take(self, whole: bool, line: Any) -> None:
+        super()._take(whole, line)
+        self.records.config.add(self.number, self.applied.number)
+
+    async def _send_acknowledgement(self) -> None:
+        await super()._send_acknowledgement()
+        if self._acknowledged:  # the control machine knows the version that is applied here
+            self.records.acked.add(self.number, self.applied.number)
+
+
+class SimulatedNode:
+    """One node without a data plane. A restarted one remembers nothing, as on a new machine."""
+
+    def __init__(self, setup: SimulatedNodeSetup, seed: int, records: NodeRecords) -> None:
+        self.setup, self.seed, self.records = setup, seed, records
+        self.number = setup.number
+        self.loop = asyncio.get_running_loop()
+        self.watch: Discovery | None = None
+        self.subscriber: RecordingSubscriber | None = None
+        self._starts = 0
+        self._applied_before = 0  # by subscribers of earlier starts
+        self._context = contextvars.copy_context()
+        self._context.run(SOURCE_ADDRESS.set, setup.address)
+
+    @property
+    def running(self) -> bool:
+        """Whether the node is started."""
+        return self.watch is not None
+
+    @property
+    def list_version(self) -> int:
+        """Version of the endpoint list; 0 without one."""
+        return 0 if self.watch is None else self.watch.since
+
+    @property
+    def config_version(self) -> int:
+        """Version of the applied configuration; 0 without one."""
+        return 0 if self.subscriber is None else self.subscriber.applied.number
+
+    @property
+    def endpoints(self) -> int:
+        """Number of endpoints in the list."""
+        return 0 if self.watch is None else len(self.watch.lists.rows)
+
+    @property
+    def configs_applied(self) -> int:
+        """Number of configurations applied since the node was made."""
+        return self._applied_before + (0 if self.subscriber is None else self.subscriber.applied_count)
+
+    def start(self) -> None:
+        """Open the watches; nothing if the node runs."""
+        if self.watch is None:
+            self._context.run(self._start)
+
+    def _start(self) -> None:
+        self._starts += 1
+        rng = random.Random(f"{self.seed}/{self.number}/{self._starts}")
+        self.backoff = Waits(rng)
+        self.watch = watch = Discovery(
+            self.setup.discovery,
+            0,
+            lambda form, endpoints: self._list_received(watch, form),
+            spoke=self.backoff.heard,
+        )
+        watch.watch()
+        if self.setup.control_machines:
+            self.subscriber = RecordingSubscriber(self.setup, rng.getrandbits(62), self.records)
+            self.subscriber.start()
+
+    def stop(self) -> None:
+        """Close the watches."""
+        subscriber, self.subscriber = self.subscriber, None
+        if subscriber is not None:
+            self._applied_before += subscriber.applied_count
+            subscriber.close()
+        watch, self.watch = self.watch, None
+        if watch is not None:
+            watch.close()
+            watch.lists.close()
+
+    def _list_received(self, watch: Discovery, form: EndpointListForm) -> None:
+        if watch is not self.watch:
+            return
+        if form is EndpointListForm.FAILED:
+            wait_s = self.backoff.ended(self.loop.time() - watch.opened_s, GRACE_S)
+            self.loop.call_later(wait_s, self._reopen, watch, context=self._context)
+            return
+        self.backoff.heard()
+        self.records.lists.add(self.number, watch.since)
+
+    def _reopen(self, watch: Discovery) -> None:
+        if watch is self.watch and not watch.open:
+            watch.watch()
--- /dev/null
+++ b/rosewheel/lab/scale/worker.py
@@ -0,0 +1,136 @@
+"""Worker processes of a scale run: they read JSON commands on standard input, and end when it is closed."""
+
+from __future__ import annotations
+
+import asyncio
+import signal
+import sys
+from collections.abc import Awaitable, Callable
+from pathlib import Path
+from typing import TypeVar
+
+import msgspec
+import uvloop
+
+from rosewheel.lab.scale.daemon import kill_with_parent
+from rosewheel.lab.scale.errors import ProcessError
+
+REPLY_TIMEOUT_S = 30.0  # far more than a reply needs on a busy machine
+STOP_TIMEOUT_S = 3.0  # until a worker whose standard input was closed is killed
+MAX_LINE_BYTES = 32 << 20
+
+Reply = TypeVar("Reply")
+Setup = TypeVar("Setup")
+CommandUnion = TypeVar("CommandUnion")
+
+
+class WorkerProcess:
+    """The run's end of one worker: `send` a command, or `request` and get its reply."""
+
+    def __init__(self, name: str, process: asyncio.subprocess.Process, log: Path) -> None:
+        assert process.stdin is not None  # both are pipes, see `start`
+        assert process.stdout is not None
+        self.name, self.process, self.log = name, process, log
+        self._stdin, self._stdout = process.stdin, process.stdout
+        self._lock = asyncio.Lock()
+
+    @classmethod
+    async def start(cls, name: str, folder: Path, module: str, *arguments: str) -> WorkerProcess:
+        """Start `python -m MODULE ARGUMENTS`; its standard error goes to a file in the folder."""
+        log = folder / f"{name}.log"
+        with log.open("ab") as errors:
+            process = await asyncio.create_subprocess_exec(
+                sys.executable,
+                "-m",
+                module,
+                *arguments,
+                stdin=asyncio.subprocess.PIPE,
+                stdout=asyncio.subprocess.PIPE,
+                stderr=errors,
+                limit=MAX_LINE_BYTES,
+                preexec_fn=kill_with_parent,
+            )
+        return cls(name, process, log)
+
+    @property
+    def pid(self) -> int:
+        """Process id."""
+        return self.process.pid
+
+    def send(self, command: msgspec.Struct) -> None:
+        """Send a command that has no reply."""
+        if not self._stdin.is_closing():
+            self._stdin.write(msgspec.json.encode(command) + b"\n")
+
+    async def receive(self, reply_type: type[Reply]) -> Reply:
+        """The worker's next line.
+
+        Raises:
+            ProcessError: The worker ended, timed out or wrote something else.
+        """
+        try:
+            async with asyncio.timeout(REPLY_TIMEOUT_S):
+                line = await self._stdout.readline()
+            return msgspec.json.decode(line, type=reply_type)
+        except (TimeoutError, ValueError) as error:
+            last_line = self.log.read_text(errors="replace").strip().rpartition("\n")[2]
+            raise ProcessError(f"{self.name} did not answer: {last_line or type(error).__name__}") from error
+
+    async def request(self, command: msgspec.Struct, reply_type: type[Reply]) -> Reply:
+        """Send a command and wait for its reply; ProcessError as in `receive`."""
+        async with self._lock:
+            self.send(command)
+            return await self.receive(reply_type)
+
+    async def stop(self) -> None:
+        """Close standard input; kill the process if it is still running after `STOP_TIMEOUT_S`."""
+        self._stdin.close()
+        try:
+            async with asyncio.timeout(STOP_TIMEOUT_S):
+                await self.process.wait()
+        except TimeoutError:
+            self.process.kill()
+            await self.process.wait()
+
+
+# ---------------------------------------------------------------- in the worker
+
+
+async def serve_commands(
+    decoder: msgspec.json.Decoder[CommandUnion],
+    handle: Callable[[CommandUnion], msgspec.Struct | None],
+    start: Callable[[], Awaitable[msgspec.Struct]],
+) -> None:
+    """Write what `start` returns, then handle each command until standard input ends."""
+    loop = asyncio.get_running_loop()
+    reader = asyncio.StreamReader(limit=MAX_LINE_BYTES)
+    await loop.connect_read_pipe(lambda: asyncio.StreamReaderProtocol(reader), sys.stdin)
+    _write_line(await start())
+    while line := await reader.readline():
+        reply = handle(decoder.decode(line))
+        if reply is not None:
+            _write_line(reply)
+
+
+def _write_line(message: msgspec.Struct) -> None:
+    sys.stdout.buffer.write(msgspec.json.encode(message) + b"\n")
+    sys.stdout.buffer.flush()
+
+
+def run_worker(
+    main: Callable[[Setup], Awaitable[None]],
+    setup_type: type[Setup],
+    loop_factory: Callable[[], asyncio.AbstractEventLoop] = uvloop.new_event_loop,
+) -> None:
+    """Entry point of a worker; its only argument is the path of its setup, a JSON file."""
+    signal.signal(
+        signal.SIGINT, signal.SIG_IGN
+    )  # reaches the process group; the parent stops the run in order
+    setup = msgspec.json.decode(Path(sys.argv[1]).read_bytes(), type=setup_type)
+
+    async def run() -> None:
+        """Call `main`, which may return any awaitable."""
+        await main(setup)
+
+    with asyncio.Runner(loop_factory=loop_factory) as runner:
+        runner.run(run())
--- a/tests/lab/test_scale_network.py
+++ b/tests/lab/test_scale_network.py
@@ -1,4 +1,4 @@
-"""The network of the scale run: silence and return, machines, regions; and hollow nodes behind it."""
+"""The network of the scale run: lost machines, partitioned regions, and simulated nodes behind it."""
 
 from __future__ import annotations
 
@@ -8,30 +8,34 @@
 import pytest
 
 from rosewheel.lab.catalog import Entry
-from rosewheel.lab.scale.hollow import Heard, HollowNode, Loop
-from rosewheel.lab.scale.membership import Membership, Service
-from rosewheel.lab.scale.network import Cuts, Door, Network, Place
+from rosewheel.lab.scale.discovery_server import DiscoveryServer, ServiceList
+from rosewheel.lab.scale.messages import SimulatedNodeSetup, TrafficCounters
+from rosewheel.lab.scale.network import Network
+from rosewheel.lab.scale.reachability import Reachability
+from rosewheel.lab.scale.relay import Listener, TrafficKind
+from rosewheel.lab.scale.simulated_node import SimulatedNode, SourceAddressLoop
+from rosewheel.lab.scale.version_log import NodeRecords
 from rosewheel.lab.wire import Address
 
-PLACES = {name: Place(name, region) for name, region in (("n0", 0), ("n1", 1), ("c1", 0), ("c2", 1))}
+REGIONS = {"n0": 0, "n1": 1, "c1": 0, "c2": 1}
 MACHINES = {"127.10.1.1": "n0", "127.14.1.1": "n1"}
-LONG_S = 30.0  # far more than anything here takes: past it, it hangs
+TEST_TIMEOUT_S = 30.0  # far more than any test here needs
 
 
-def played(main: Callable[[], Awaitable[None]]) -> None:
+def run_async(main: Callable[[], Awaitable[None]]) -> None:
     async def bounded() -> None:
-        async with asyncio.timeout(LONG_S):
+        async with asyncio.timeout(TEST_TIMEOUT_S):
             await main()
 
-    with asyncio.Runner(loop_factory=Loop) as runner:
+    with asyncio.Runner(loop_factory=SourceAddressLoop) as runner:
         runner.run(bounded())
 
 
 class Echo:
-    """A control machine that says back what it is told, and knows who told it."""
+    """A control machine that echoes what it receives, and records its callers' addresses."""
 
     def __init__(self) -> None:
-        self.heard = b""
+        self.received = b""
         self.callers: list[str] = []
         self.server: asyncio.Server | None = None
 
@@ -44,7 +48,7 @@
         self.callers.append(writer.get_extra_info("peername")[0])
         try:
             while data := await reader.read(1 << 16):
-                self.heard += data
+                self.received += data
                 writer.write(data)
         except ConnectionResetError:
             pass
@@ -58,85 +62,87 @@
         self.reader, self.writer = reader, writer
 
     @classmethod
-    async def open(cls, door: Address, machine: str) -> Caller:
+    async def open(cls, listener: Address, machine: str) -> Caller:
         address = next(address for address, name in MACHINES.items() if name == machine)
-        return cls(*await asyncio.open_connection(*door, local_addr=(address, 0)))
+        return cls(*await asyncio.open_connection(*listener, local_addr=(address, 0)))
 
-    async def echoed(self, text: bytes) -> bytes:
+    async def echo(self, text: bytes) -> bytes:
         self.writer.write(text)
         return await self.reader.readexactly(len(text))
 
 
-async def standing() -> tuple[Network, Echo, Echo, Address]:
+async def start_network() -> tuple[Network, Echo, Echo, Address]:
     near, far = Echo(), Echo()
-    network = Network(PLACES, MACHINES, far_s=0.001)
+    network = Network(REGIONS, MACHINES, far_s=0.001)
     targets = {"c1": await near.start(), "c2": await far.start()}
-    return network, near, far, await network.listen(Door("control", targets))
+    return network, near, far, await network.listen(Listener(TrafficKind.CONTROL, targets))
 
 
-def test_a_caller_is_known_by_its_address_and_its_traffic_is_counted() -> None:
+def test_caller_is_identified_by_its_address_and_its_traffic_is_counted() -> None:
     async def main() -> None:
-        network, near, far, door = await standing()
-        caller = await Caller.open(door, "n1")
-        assert await caller.echoed(b"hello") == b"hello"
+        network, near, far, listener = await start_network()
+        caller = await Caller.open(listener, "n1")
+        assert await caller.echo(b"hello") == b"hello"
         assert near.callers + far.callers == ["127.14.1.1"]
-        assert network.callers["control"]["n1"] == [1, 5, 5, 1, 1]
-        assert sum(one[1] for one in network.targets["control"].values()) == 5
+        assert network.statistics().callers["control"]["n1"] == TrafficCounters(1, 5, 5, 1, 1)
+        assert (
+            sum(counters.upstream_bytes for counters in network.statistics().targets["control"].values()) == 5
+        )
         network.close()
 
-    played(main)
+    run_async(main)
 
 
-def test_nothing_passes_a_lost_machine_and_its_return_resets_what_was_open() -> None:
+def test_lost_machine_is_silent_and_its_connections_are_reset_on_return() -> None:
     async def main() -> None:
-        network, near, far, door = await standing()
-        caller = await Caller.open(door, "n0")
-        other = await Caller.open(door, "n1")
-        await caller.echoed(b"before")
-        told = near.heard + far.heard
-        network.lose(["n0"])
+        network, near, far, listener = await start_network()
+        caller = await Caller.open(listener, "n0")
+        other = await Caller.open(listener, "n1")
+        await caller.echo(b"before")
+        received = near.received + far.received
+        network.lose_machines(["n0"])
         caller.writer.write(b"lost")
-        late = await Caller.open(door, "n0")  # comes up, and says nothing
+        late = await Caller.open(listener, "n0")  # accepted, then silent
         late.writer.write(b"late")
-        assert await other.echoed(b"well") == b"well"  # nobody else is touched
-        assert sorted(near.heard + far.heard) == sorted(told + b"well")
-        network.back(["n0"])
-        for one in (caller, late):
+        assert await other.echo(b"well") == b"well"  # other machines are not affected
+        assert sorted(near.received + far.received) == sorted(received + b"well")
+        network.restore_machines(["n0"])
+        for lost in (caller, late):
             with pytest.raises(ConnectionResetError):
-                assert await one.reader.read(1) == b"never"
-        fresh = await Caller.open(door, "n0")
-        assert await fresh.echoed(b"again") == b"again"
+                assert await lost.reader.read(1) == b"never"
+        fresh = await Caller.open(listener, "n0")
+        assert await fresh.echo(b"again") == b"again"
         network.close()
 
-    played(main)
+    run_async(main)
 
 
-def test_regions_that_lose_each_other_go_on_where_they_were() -> None:
+def test_partitioned_regions_resume_their_connections() -> None:
     async def main() -> None:
         far = Echo()
-        network = Network(PLACES, MACHINES, far_s=0.001)
-        door = await network.listen(Door("control", {"c2": await far.start()}))
-        caller = await Caller.open(door, "n0")
-        assert await caller.echoed(b"before") == b"before"
-        network.split(True)
+        network = Network(REGIONS, MACHINES, far_s=0.001)
+        listener = await network.listen(Listener(TrafficKind.CONTROL, {"c2": await far.start()}))
+        caller = await Caller.open(listener, "n0")
+        assert await caller.echo(b"before") == b"before"
+        network.set_partition(True)
         caller.writer.write(b" during")
-        given_up = await Caller.open(door, "n0")
+        given_up = await Caller.open(listener, "n0")
         given_up.writer.write(b"forgotten")
         given_up.writer.close()
-        own = await Caller.open(door, "n1")  # within its region
-        assert await own.echoed(b"#") == b"#"
-        assert far.heard == b"before#"
-        network.split(False)
+        own = await Caller.open(listener, "n1")  # within its region
+        assert await own.echo(b"#") == b"#"
+        assert far.received == b"before#"
+        network.set_partition(False)
         assert await caller.reader.readexactly(7) == b" during"
-        assert await caller.echoed(b" after") == b" after"
-        while network.links != {link for link in network.links if not link.near.gone}:
+        assert await caller.echo(b" after") == b" after"
+        while network.connections != {one for one in network.connections if not one.downstream.closed}:
             await asyncio.sleep(0)
         network.close()
 
-    played(main)
+    run_async(main)
 
 
-def test_an_end_that_closes_is_heard_of_behind_what_it_said() -> None:
+def test_close_is_delivered_after_the_data_before_it() -> None:
     async def main() -> None:
         async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             await reader.readexactly(1)
@@ -144,84 +150,89 @@
             writer.close()
 
         server = await asyncio.start_server(serve, "127.0.0.1", 0)
-        network = Network(PLACES, MACHINES, far_s=0.001)
-        door = await network.listen(Door("control", {"c2": server.sockets[0].getsockname()[:2]}))
-        caller = await Caller.open(door, "n0")
+        network = Network(REGIONS, MACHINES, far_s=0.001)
+        listener = await network.listen(
+            Listener(TrafficKind.CONTROL, {"c2": server.sockets[0].getsockname()[:2]})
+        )
+        caller = await Caller.open(listener, "n0")
         caller.writer.write(b"?")
         assert await caller.reader.read() == b"x" * 300_000
         network.close()
 
-    played(main)
+    run_async(main)
 
 
-def test_whoever_is_no_machine_of_the_run_is_turned_away() -> None:
+def test_caller_from_an_unknown_address_is_rejected() -> None:
     async def main() -> None:
-        network, near, far, door = await standing()
-        reader, _ = await asyncio.open_connection(*door)
+        network, near, far, listener = await start_network()
+        reader, _ = await asyncio.open_connection(*listener)
         assert await reader.read() == b""
         assert not near.callers + far.callers
         network.close()
 
-    played(main)
+    run_async(main)
 
 
-def test_who_cannot_reach_its_machine_is_led_to_another() -> None:
-    cuts = Cuts(PLACES)
+def test_caller_is_connected_to_a_target_that_it_can_reach() -> None:
+    reachability = Reachability(REGIONS)
     targets = {"c1": ("127.0.0.1", 1), "c2": ("127.0.0.1", 2)}
-    first = cuts.choose("n0", targets)
-    cuts.away.add(first)
-    assert cuts.choose("n0", targets) == next(name for name in targets if name != first)
-    cuts.away.clear()
-    cuts.split = True
-    assert (cuts.choose("n0", targets), cuts.choose("n1", targets)) == ("c1", "c2")
+    first = reachability.choose_target("n0", targets)
+    reachability.lost.add(first)
+    assert reachability.choose_target("n0", targets) == next(name for name in targets if name != first)
+    reachability.lost.clear()
+    reachability.partitioned = True
+    assert (reachability.choose_target("n0", targets), reachability.choose_target("n1", targets)) == (
+        "c1",
+        "c2",
+    )
 
 
-# ---------------------------------------------------------------- hollow nodes
+# ------------------------------------------------------------- simulated nodes
 
 
-async def until(what: Callable[[], bool]) -> None:
-    """Wait for this; the play's own limit ends what never comes."""
-    while not what():
+async def wait_until(condition: Callable[[], bool]) -> None:
+    """Wait for this condition; the timeout of `run_async` ends a wait for one that never holds."""
+    while not condition():
         await asyncio.sleep(0.005)
 
 
-def test_a_hollow_node_hears_its_own_list_and_comes_back_after_its_machine() -> None:
+def test_simulated_node_receives_its_own_list_and_returns_with_its_machine() -> None:
     async def main() -> None:
-        services = [Service([Entry(f"s{at}", "127.0.0.1:9", "z0", 0)]) for at in range(2)]
-        membership = Membership(services, {address: int(name[1]) for address, name in MACHINES.items()})
-        network = Network(PLACES, MACHINES, far_s=0.001)
-        address = await membership.start()
-        door = await network.listen(Door("discovery", {"c1": address, "c2": address}))
-        heard = (Heard(), Heard(), Heard())
+        services = [ServiceList([Entry(f"s{number}", "127.0.0.1:9", "z0", 0)]) for number in range(2)]
+        discovery = DiscoveryServer(services, {address: int(name[1]) for address, name in MACHINES.items()})
+        network = Network(REGIONS, MACHINES, far_s=0.001)
+        address = await discovery.start()
+        listener = await network.listen(Listener(TrafficKind.DISCOVERY, {"c1": address, "c2": address}))
+        records = NodeRecords()
         nodes = [
-            HollowNode(number, "s", address, door, {}, 1, heard)
+            SimulatedNode(SimulatedNodeSetup(number, "s", address, listener, {}), 1, records)
             for number, address in enumerate(("127.10.1.1", "127.14.1.1"))
         ]
         for node in nodes:
             node.start()
-        await until(lambda: all(node.version == 1 for node in nodes))
+        await wait_until(lambda: all(node.list_version == 1 for node in nodes))
         assert [list(node.watch.lists.rows) for node in nodes if node.watch] == [["s0"], ["s1"]]
-        membership.change(0, Entry("more", "127.0.0.1:9", "z0", 0))
-        await until(lambda: nodes[0].version == 2)
-        assert [node.entries for node in nodes] == [2, 1]
-        # Its machine is lost, and comes back with a process that knows nothing of before.
-        network.lose(["n0"])
+        discovery.publish(0, Entry("more", "127.0.0.1:9", "z0", 0))
+        await wait_until(lambda: nodes[0].list_version == 2)
+        assert [node.endpoints for node in nodes] == [2, 1]
+        # Its machine is lost and returns with a new process, which has no state.
+        network.lose_machines(["n0"])
         nodes[0].stop()
-        membership.change(0, Entry("s0", "127.0.0.1:9", "z0", 0, "left"))
-        network.back(["n0"])
+        discovery.publish(0, Entry("s0", "127.0.0.1:9", "z0", 0, "left"))
+        network.restore_machines(["n0"])
         nodes[0].start()
-        await until(lambda: nodes[0].version == 3)
+        await wait_until(lambda: nodes[0].list_version == 3)
         assert nodes[0].watch is not None
         assert list(nodes[0].watch.lists.rows) == ["more"]
-        assert list(heard[0].versions) == [1, 1, 2, 3]
-        # A watch that ended is followed by another, from where it was.
-        for one in list(membership.open):
-            one.reset()
-        membership.change(1, Entry("third", "127.0.0.1:9", "z0", 0))
-        await until(lambda: nodes[1].version == 2)
+        assert list(records.lists.versions) == [1, 1, 2, 3]
+        # A watch that ended is opened again from the version that the node has.
+        for connection in list(discovery.connections):
+            connection.reset()
+        discovery.publish(1, Entry("third", "127.0.0.1:9", "z0", 0))
+        await wait_until(lambda: nodes[1].list_version == 2)
         for node in nodes:
             node.stop()
-        membership.close()
+        discovery.close()
         network.close()
 
-    played(main)
+    run_async(main)
