--- a/benchmarks/scale.py
+++ b/benchmarks/scale.py
@@ -1,11 +1,11 @@
-"""What control costs and how long a change takes, by the size of the fleet: a table, lines and a plot.
+"""What control costs and how long a change takes, by the size of the fleet: a table, fitted lines and a plot.
 
     python benchmarks/scale.py [--sizes 60,135,270,540,1080] [--repeat 2] [--out benchmarks/results] [--plot FILE]
 
-Plays `rosewheel scale` of each size under each seed, one run at a time, without troubles and with the same number of
-changes. Raw rows go to `scale-rows.csv` (one for each run, phase and role) and `scale-runs.csv` (one for each run). Of
-each measure a line by least squares is told: slope and intercept with their standard errors, and R squared, which says
-whether a line is the form at all. The last line is JSON; it ends with 1 where a run failed or left a node stale.
+Runs `rosewheel scale` for each size and seed, one run at a time, without faults and with the same number of changes.
+Raw rows go to `scale-rows.csv` (one for each run, phase and role) and `scale-runs.csv` (one for each run). A line is
+fitted to each measure by least squares: slope and intercept with their standard errors, and R squared, which says
+whether a line is the right form. The last line is JSON; the exit code is 1 if a run failed or left a node stale.
 """
 
 from __future__ import annotations
@@ -17,34 +17,62 @@
 import sys
 import tempfile
 from collections.abc import Callable
+from dataclasses import asdict, dataclass
 from pathlib import Path
 from typing import Any
 
 from scipy import stats
 
-Row = dict[str, Any]
-
-# What is fitted: its name, its unit, and where it stands.
-ROWS: tuple[tuple[str, str, str, str, str, float], ...] = (
-    ("a node's CPU", "core", "hollow", "changes", "cpu_each", 1.0),
-    ("a node's traffic", "KB/s", "hollow", "changes", "worst_bytes_s", 1e-3),
-    ("writer: CPU", "core", "control-writer", "changes", "cpu_each", 1.0),
-    ("writer: bytes out", "KB/s", "control-writer", "changes", "out_bytes_s", 1e-3),
-    ("writer: bytes in", "KB/s", "control-writer", "changes", "in_bytes_s", 1e-3),
-    ("writer: memory", "MB", "control-writer", "changes", "rss_mb_each", 1.0),
-    ("follower: CPU", "core", "control-follower", "changes", "cpu_each", 1.0),
-    ("follower: bytes out", "KB/s", "control-follower", "changes", "out_bytes_s", 1e-3),
-    ("writer: CPU at rest", "core", "control-writer", "rest", "cpu_each", 1.0),
-    ("discovery: CPU", "core", "discovery", "changes", "cpu_each", 1.0),
+Row = dict[str, Any]  # a row of a CSV file, or the JSON result of a run
+
+MAX_SERVICES = 25
+CALLS_PER_S = 5  # through each real node
+NODES_PER_SLOPE_UNIT = 100
+PLOT_DPI = 90
+PLOT_ROWS, PLOT_COLUMNS = 2, 3
+
+
+@dataclass(frozen=True)
+class RowMeasure:
+    """A measure of one role in one phase: a column of `rows.csv` times a factor that gives the unit."""
+
+    name: str
+    unit: str
+    role: str
+    phase: str
+    column: str
+    factor: float = 1.0
+
+
+@dataclass(frozen=True)
+class RunMeasure:
+    """A measure of a run: a column of `scale-runs.csv`."""
+
+    name: str
+    unit: str
+    column: str
+
+
+ROW_MEASURES = (
+    RowMeasure("a node's CPU", "core", "hollow", "changes", "cpu_each"),
+    RowMeasure("a node's traffic", "KB/s", "hollow", "changes", "worst_bytes_s", 1e-3),
+    RowMeasure("writer: CPU", "core", "control-writer", "changes", "cpu_each"),
+    RowMeasure("writer: bytes out", "KB/s", "control-writer", "changes", "out_bytes_s", 1e-3),
+    RowMeasure("writer: bytes in", "KB/s", "control-writer", "changes", "in_bytes_s", 1e-3),
+    RowMeasure("writer: memory", "MB", "control-writer", "changes", "rss_mb_each"),
+    RowMeasure("follower: CPU", "core", "control-follower", "changes", "cpu_each"),
+    RowMeasure("follower: bytes out", "KB/s", "control-follower", "changes", "out_bytes_s", 1e-3),
+    RowMeasure("writer: CPU at rest", "core", "control-writer", "rest", "cpu_each"),
+    RowMeasure("discovery: CPU", "core", "discovery", "changes", "cpu_each"),
 )
-RUNS = (
-    ("in force everywhere, median", "s", "config_p50_s"),
-    ("acknowledged by all, median", "s", "acked_p50_s"),
-    ("acknowledged by all, most", "s", "acked_most_s"),
-    ("list heard everywhere, median", "s", "lists_p50_s"),
-    ("a change taken by the writer, median", "s", "put_p50_s"),
+RUN_MEASURES = (
+    RunMeasure("in force everywhere, median", "s", "config_p50_s"),
+    RunMeasure("acknowledged by all, median", "s", "acked_p50_s"),
+    RunMeasure("acknowledged by all, most", "s", "acked_most_s"),
+    RunMeasure("list heard everywhere, median", "s", "lists_p50_s"),
+    RunMeasure("a change taken by the writer, median", "s", "put_p50_s"),
 )
-SHOWN = (
+PLOTTED = (
     "writer: CPU",
     "writer: bytes out",
     "writer: memory",
@@ -54,17 +82,46 @@
 )
 
 
-def play(nodes: int, seed: int, given: argparse.Namespace) -> tuple[Row, list[Row]]:
-    """One run: its summary and its rows; RuntimeError where it failed."""
+@dataclass(frozen=True)
+class Point:
+    """A measured value at a size of the fleet."""
+
+    nodes: float
+    value: float
+
+
+@dataclass(frozen=True)
+class Fit:
+    """A line by least squares; `_se` are standard errors."""
+
+    slope: float
+    slope_se: float
+    intercept: float
+    intercept_se: float
+    r2: float
+    points: int
+
+
+@dataclass(frozen=True)
+class Series:
+    """The values of one measure, and the line through them."""
+
+    unit: str
+    points: list[Point]
+    fit: Fit
+
+
+def run_scale(nodes: int, seed: int, arguments: argparse.Namespace) -> tuple[Row, list[Row]]:
+    """One run: its result and its rows; RuntimeError if it failed."""
     with tempfile.TemporaryDirectory(prefix="rosewheel-scale-") as folder:
         options = {
             "--nodes": nodes,
-            "--real": given.real,
-            "--services": min(25, nodes),
-            "--seconds": given.seconds,
+            "--real": arguments.real,
+            "--services": min(MAX_SERVICES, nodes),
+            "--seconds": arguments.seconds,
             "--seed": seed,
-            "--changes": given.changes,
-            "--calls": 5,
+            "--changes": arguments.changes,
+            "--calls": CALLS_PER_S,
             "--troubles": "none",
             "--out": folder,
         }
@@ -80,74 +137,117 @@
         return json.loads(lines[-1]), rows
 
 
-def run_row(told: Row) -> Row:
-    row: Row = {key: told[key] for key in ("nodes", "real", "services", "seconds", "seed", "load_1min", "ok")}
-    row["stale"] = next(one["measured"] for one in told["targets"] if one["target"].startswith("stale"))
+def run_row(result: Row) -> Row:
+    """The row of `scale-runs.csv` for this result."""
+    keys = ("nodes", "real", "services", "seconds", "seed", "load_1min", "ok")
+    row: Row = {key: result[key] for key in keys}
+    row["stale"] = next(
+        check["measured"] for check in result["targets"] if check["target"].startswith("stale")
+    )
     for kind in ("lists", "config", "acked"):
-        for key, value in told[kind]["all"].items():
+        for key, value in result[kind]["all"].items():
             row[f"{kind}_{key}"] = value
-    for key, value in told["puts"].items():
+    for key, value in result["puts"].items():
         row[f"put_{key}"] = value
     return row
 
 
-def line(points: list[tuple[float, float]]) -> Row:
-    """The line through these by least squares; spreads are standard errors."""
-    fit = stats.linregress([at for at, _ in points], [value for _, value in points])
-    return {
-        "slope": float(fit.slope),
-        "slope_se": float(fit.stderr),
-        "intercept": float(fit.intercept),
-        "intercept_se": float(fit.intercept_stderr),
-        "r2": float(fit.rvalue) ** 2,
-        "points": len(points),
-    }
+def run_all(arguments: argparse.Namespace) -> tuple[list[Row], list[Row]]:
+    """Rows of all runs, and of their phases and roles; both are written after each run."""
+    runs: list[Row] = []
+    rows: list[Row] = []
+    # Sizes alternate, so that a time in which the machine is busy does not affect one size alone.
+    for seed in range(1, arguments.repeat + 1):
+        for nodes in arguments.sizes:
+            result, result_rows = run_scale(nodes, seed, arguments)
+            last = run_row(result)
+            runs.append(last)
+            rows += result_rows
+            print(
+                f"{nodes:5} nodes, seed {seed}: acknowledged by all in {last['acked_p50_s']} s (median), "
+                f"{last['acked_most_s']} s (most), stale {last['stale']}, load {last['load_1min']}",
+                flush=True,
+            )
+            write_csv(arguments.out / "scale-runs.csv", runs)
+            write_csv(arguments.out / "scale-rows.csv", rows)
+    return runs, rows
+
+
+def fit_line(points: list[Point]) -> Fit:
+    """The line through these points."""
+    fit = stats.linregress([point.nodes for point in points], [point.value for point in points])
+    return Fit(
+        slope=float(fit.slope),
+        slope_se=float(fit.stderr),
+        intercept=float(fit.intercept),
+        intercept_se=float(fit.intercept_stderr),
+        r2=float(fit.rvalue) ** 2,
+        points=len(points),
+    )
 
 
-def measures(runs: list[Row], rows: list[Row]) -> dict[str, tuple[str, list[tuple[float, float]]]]:
-    """By name: the unit, and (nodes, value) of each run."""
-    told: dict[str, tuple[str, list[tuple[float, float]]]] = {}
-    for name, unit, role, phase, key, factor in ROWS:
-        mine = [row for row in rows if (row["role"], row["phase"]) == (role, phase)]
-        told[name] = (unit, [(float(row["nodes"]), float(row[key]) * factor) for row in mine])
-    for name, unit, key in RUNS:
-        told[name] = (unit, [(float(row["nodes"]), float(row[key])) for row in runs if row[key] is not None])
-    return told
+def fit_measures(runs: list[Row], rows: list[Row]) -> dict[str, Series]:
+    """By name, the values of each measure and their line."""
+    series: dict[str, Series] = {}
+    for measure in ROW_MEASURES:
+        points = [
+            Point(float(row["nodes"]), float(row[measure.column]) * measure.factor)
+            for row in rows
+            if (row["role"], row["phase"]) == (measure.role, measure.phase)
+        ]
+        series[measure.name] = Series(measure.unit, points, fit_line(points))
+    for run_measure in RUN_MEASURES:
+        column = run_measure.column
+        points = [Point(float(run["nodes"]), float(run[column])) for run in runs if run[column] is not None]
+        series[run_measure.name] = Series(run_measure.unit, points, fit_line(points))
+    return series
 
 
-def plot(found: dict[str, tuple[str, list[tuple[float, float]]]], fits: dict[str, Row], path: Path) -> None:
+def print_table(series: dict[str, Series]) -> None:
+    """Print slope, intercept and R squared of each measure."""
+    print(f"\n{'measure':38} {'unit':6} {'per 100 nodes':>24} {'at none':>24} {'R2':>6}")
+    for name, measured in series.items():
+        fit = measured.fit
+        slope = f"{fit.slope * NODES_PER_SLOPE_UNIT:.4g} +- {fit.slope_se * NODES_PER_SLOPE_UNIT:.2g}"
+        intercept = f"{fit.intercept:.4g} +- {fit.intercept_se:.2g}"
+        print(f"{name:38} {measured.unit:6} {slope:>24} {intercept:>24} {fit.r2:6.2f}")
+
+
+def plot(series: dict[str, Series], path: Path) -> None:
+    """Write a picture of the measures in `PLOTTED`."""
     import matplotlib as mpl
 
     mpl.use("Agg")
     import matplotlib.pyplot as plt
 
-    figure, axes = plt.subplots(2, 3, figsize=(10.5, 5.6))
-    for axis, name in zip(axes.flat, SHOWN, strict=True):
-        unit, points = found[name]
-        sizes = [at for at, _ in points]
-        axis.plot(sizes, [value for _, value in points], "o", ms=4, color="#3d6fb6")
-        fit = fits[name]
+    figure, axes = plt.subplots(PLOT_ROWS, PLOT_COLUMNS, figsize=(10.5, 5.6))
+    for axis, name in zip(axes.flat, PLOTTED, strict=True):
+        points, fit = series[name].points, series[name].fit
+        sizes = [point.nodes for point in points]
+        axis.plot(sizes, [point.value for point in points], "o", ms=4, color="#3d6fb6")
         ends = [min(sizes), max(sizes)]
-        axis.plot(ends, [fit["intercept"] + fit["slope"] * at for at in ends], "-", lw=1, color="#c2553a")
-        axis.set_title(f"{name} (R² {fit['r2']:.2f})", fontsize=9)
+        axis.plot(ends, [fit.intercept + fit.slope * nodes for nodes in ends], "-", lw=1, color="#c2553a")
+        axis.set_title(f"{name} (R² {fit.r2:.2f})", fontsize=9)
         axis.set_xlabel("nodes", fontsize=8)
-        axis.set_ylabel(unit, fontsize=8)
+        axis.set_ylabel(series[name].unit, fontsize=8)
         axis.set_ylim(bottom=0)
         axis.tick_params(labelsize=8)
     figure.tight_layout()
-    figure.savefig(path, dpi=90)
+    figure.savefig(path, dpi=PLOT_DPI)
 
 
-def write(path: Path, rows: list[Row]) -> None:
+def write_csv(path: Path, rows: list[Row]) -> None:
+    """Write these rows; the columns are the keys of the first one."""
     with path.open("w", newline="") as file:
         writer = csv.DictWriter(file, list(rows[0]), lineterminator="\n")
         writer.writeheader()
         writer.writerows(rows)
 
 
-def main() -> None:
+def parse_arguments() -> argparse.Namespace:
+    """The command line."""
     parser = argparse.ArgumentParser(description=__doc__.split("\n", 1)[0])
-    numbers: Callable[[str], list[int]] = lambda text: [int(one) for one in text.split(",")]  # noqa: E731
+    numbers: Callable[[str], list[int]] = lambda text: [int(part) for part in text.split(",")]  # noqa: E731
     parser.add_argument("--sizes", type=numbers, default=[60, 135, 270, 540, 1080])
     parser.add_argument("--repeat", type=int, default=2, help="seeds of each size")
     parser.add_argument("--seconds", type=float, default=20.0)
@@ -155,36 +255,21 @@
     parser.add_argument("--changes", type=int, default=60)
     parser.add_argument("--out", type=Path, default=Path(__file__).parent / "results")
     parser.add_argument("--plot", type=Path)
-    given = parser.parse_args()
-    given.out.mkdir(parents=True, exist_ok=True)
-    runs: list[Row] = []
-    rows: list[Row] = []
-    # Sizes take turns, so that an hour in which the machine is busy does not fall on one of them alone.
-    for seed in range(1, given.repeat + 1):
-        for nodes in given.sizes:
-            told, more = play(nodes, seed, given)
-            runs.append(run_row(told))
-            rows += more
-            last = runs[-1]
-            print(
-                f"{nodes:5} nodes, seed {seed}: acknowledged by all in {last['acked_p50_s']} s (median), "
-                f"{last['acked_most_s']} s (most), stale {last['stale']}, load {last['load_1min']}",
-                flush=True,
-            )
-            write(given.out / "scale-runs.csv", runs)
-            write(given.out / "scale-rows.csv", rows)
-    found = measures(runs, rows)
-    fits = {name: line(points) for name, (_, points) in found.items()}
-    print(f"\n{'measure':38} {'unit':6} {'per 100 nodes':>24} {'at none':>24} {'R2':>6}")
-    for name, fit in fits.items():
-        slope = f"{fit['slope'] * 100:.4g} +- {fit['slope_se'] * 100:.2g}"
-        begin = f"{fit['intercept']:.4g} +- {fit['intercept_se']:.2g}"
-        print(f"{name:38} {found[name][0]:6} {slope:>24} {begin:>24} {fit['r2']:6.2f}")
-    if given.plot is not None:
-        plot(found, fits, given.plot)
-    good = all(row["stale"] == 0 for row in runs)
-    print(json.dumps({"ok": good, "fits": fits}))
-    sys.exit(0 if good else 1)
+    return parser.parse_args()
+
+
+def main() -> None:
+    """Run all sizes and seeds, then fit, print and plot."""
+    arguments = parse_arguments()
+    arguments.out.mkdir(parents=True, exist_ok=True)
+    runs, rows = run_all(arguments)
+    series = fit_measures(runs, rows)
+    print_table(series)
+    if arguments.plot is not None:
+        plot(series, arguments.plot)
+    ok = all(run["stale"] == 0 for run in runs)
+    print(json.dumps({"ok": ok, "fits": {name: asdict(measured.fit) for name, measured in series.items()}}))
+    sys.exit(0 if ok else 1)
 
 
 if __name__ == "__main__":
