--- a/rosewheel/lab/scale/network.py
+++ b/rosewheel/lab/scale/network.py
@@ -8,9 +8,9 @@
 import asyncio
 from collections.abc import Iterable, Mapping
 
-from rosewheel.lab.scale.messages import NetworkStatistics
+from rosewheel.lab.scale.messages import ListenerSetup, NetworkStatistics
 from rosewheel.lab.scale.reachability import Reachability
-from rosewheel.lab.scale.relay import Listener, RelayedConnection, RelayState
+from rosewheel.lab.scale.relay import RelayedConnection, RelayState
 from rosewheel.lab.wire import Address
 
 REGION_DELAY_S = 0.015  # one way between regions
@@ -37,7 +37,7 @@
         """The open connections."""
         return self.state.connections
 
-    async def listen(self, listener: Listener) -> Address:
+    async def listen(self, listener: ListenerSetup) -> Address:
         """Open this port on loopback; its address."""
         server = await asyncio.get_running_loop().create_server(
             lambda: RelayedConnection(self.state, listener).downstream, "127.0.0.1", 0, backlog=LISTEN_BACKLOG
--- a/rosewheel/lab/scale/network_worker.py
+++ b/rosewheel/lab/scale/network_worker.py
@@ -18,7 +18,6 @@
     SetPartition,
 )
 from rosewheel.lab.scale.network import Network
-from rosewheel.lab.scale.relay import Listener
 from rosewheel.lab.scale.worker import run_worker, serve_commands
 
 
@@ -28,10 +27,7 @@
 
     async def start() -> NetworkReady:
         """Open the listeners."""
-        addresses = []
-        for row in setup.listeners:
-            addresses.append(await network.listen(Listener(row.kind, row.targets, row.caller)))
-        return NetworkReady(addresses)
+        return NetworkReady([await network.listen(listener) for listener in setup.listeners])
 
     def handle(command: NetworkCommand) -> NetworkStatistics | None:
         """Carry out a command of the run."""
--- a/rosewheel/lab/scale/relay.py
+++ b/rosewheel/lab/scale/relay.py
@@ -14,9 +14,9 @@
 from enum import StrEnum
 from typing import cast
 
-from rosewheel.lab.scale.messages import TrafficCounters, TrafficTable
+from rosewheel.lab.scale.messages import ListenerSetup, TrafficCounters, TrafficTable
 from rosewheel.lab.scale.reachability import Reachability
-from rosewheel.lab.wire import Address, reset
+from rosewheel.lab.wire import reset
 
 
 class TrafficKind(StrEnum):
@@ -27,21 +27,6 @@
     PEER = "peer"  # between control machines
 
 
-@dataclass(slots=True, frozen=True)
-class Listener:
-    """A listening port.
-
-    Attributes:
-        kind: Kind of traffic, by which it is counted.
-        targets: Addresses of the control machines that it may connect to, by name.
-        caller: Name of the only machine that uses it; empty where callers are known by their source address.
-    """
-
-    kind: str
-    targets: Mapping[str, Address]
-    caller: str = ""
-
-
 @dataclass(slots=True)
 class RelayState:
     """What all connections of a network share.
@@ -124,7 +109,7 @@
         blocked: Whether caller and target cannot reach each other.
     """
 
-    def __init__(self, state: RelayState, listener: Listener) -> None:
+    def __init__(self, state: RelayState, listener: ListenerSetup) -> None:
         self.state, self.listener = state, listener
         self.downstream, self.upstream = _RelayEnd(self), _RelayEnd(self)
         self.caller, self.target = listener.caller, ""
--- a/tests/lab/test_scale_network.py
+++ b/tests/lab/test_scale_network.py
@@ -9,10 +9,10 @@
 
 from rosewheel.lab.catalog import Entry
 from rosewheel.lab.scale.discovery_server import DiscoveryServer, ServiceList
-from rosewheel.lab.scale.messages import SimulatedNodeSetup, TrafficCounters
+from rosewheel.lab.scale.messages import ListenerSetup, SimulatedNodeSetup, TrafficCounters
 from rosewheel.lab.scale.network import Network
 from rosewheel.lab.scale.reachability import Reachability
-from rosewheel.lab.scale.relay import Listener, TrafficKind
+from rosewheel.lab.scale.relay import TrafficKind
 from rosewheel.lab.scale.simulated_node import SimulatedNode, SourceAddressLoop
 from rosewheel.lab.scale.version_log import NodeRecords
 from rosewheel.lab.wire import Address
@@ -75,7 +75,7 @@
     near, far = Echo(), Echo()
     network = Network(REGIONS, MACHINES, far_s=0.001)
     targets = {"c1": await near.start(), "c2": await far.start()}
-    return network, near, far, await network.listen(Listener(TrafficKind.CONTROL, targets))
+    return network, near, far, await network.listen(ListenerSetup(TrafficKind.CONTROL, targets))
 
 
 def test_caller_is_identified_by_its_address_and_its_traffic_is_counted() -> None:
@@ -121,7 +121,7 @@
     async def main() -> None:
         far = Echo()
         network = Network(REGIONS, MACHINES, far_s=0.001)
-        listener = await network.listen(Listener(TrafficKind.CONTROL, {"c2": await far.start()}))
+        listener = await network.listen(ListenerSetup(TrafficKind.CONTROL, {"c2": await far.start()}))
         caller = await Caller.open(listener, "n0")
         assert await caller.echo(b"before") == b"before"
         network.set_partition(True)
@@ -152,7 +152,7 @@
         server = await asyncio.start_server(serve, "127.0.0.1", 0)
         network = Network(REGIONS, MACHINES, far_s=0.001)
         listener = await network.listen(
-            Listener(TrafficKind.CONTROL, {"c2": server.sockets[0].getsockname()[:2]})
+            ListenerSetup(TrafficKind.CONTROL, {"c2": server.sockets[0].getsockname()[:2]})
         )
         caller = await Caller.open(listener, "n0")
         caller.writer.write(b"?")
@@ -202,7 +202,7 @@
         discovery = DiscoveryServer(services, {address: int(name[1]) for address, name in MACHINES.items()})
         network = Network(REGIONS, MACHINES, far_s=0.001)
         address = await discovery.start()
-        listener = await network.listen(Listener(TrafficKind.DISCOVERY, {"c1": address, "c2": address}))
+        listener = await network.listen(ListenerSetup(TrafficKind.DISCOVERY, {"c1": address, "c2": address}))
         records = NodeRecords()
         nodes = [
             SimulatedNode(SimulatedNodeSetup(number, "s", address, listener, {}), 1, records)
