--- /dev/null
+++ b/rosewheel/cli/control_serve.py
@@ -0,0 +1,164 @@
+"""`rosewheel control serve`: runs one control machine."""
+
+from __future__ import annotations
+
+import asyncio
+import signal
+import sys
+from dataclasses import dataclass
+from pathlib import Path
+
+import click
+import msgspec
+import uvloop
+
+from rosewheel import logs
+from rosewheel.cli.control_calls import EXIT_BAD_INPUT, exit_bad_input, parse_machine_address
+from rosewheel.config.checked import KeyedError, ProblemsError, read
+from rosewheel.config.operator import LogTable, Table, Text
+from rosewheel.config.platform import Address, parse_address
+from rosewheel.control.durable_log import DurableLog
+from rosewheel.control.errors import LogUnusableError
+from rosewheel.control.machine import ControlMachine
+from rosewheel.control.machine_settings import MachineSettings
+
+
+class ControlTable(Table, frozen=True, kw_only=True):
+    """The file of one control machine, in place of the options.
+
+    Attributes:
+        name: The machine's name.
+        listen: ADDRESS:PORT for nodes, machines and operators.
+        dir: Directory of the log.
+        writer: The leader of an empty fleet.
+        peers: ADDRESS:PORT of the other machines by name.
+        log: Form and level of the log.
+    """
+
+    name: Text
+    listen: Text
+    dir: Text
+    writer: str = ""
+    peers: dict[str, str] = msgspec.field(default_factory=dict)
+    log: LogTable = LogTable()
+
+    def __post_init__(self) -> None:
+        """Check the addresses."""
+        self._addresses("listen")
+        for peer, address in self.peers.items():
+            try:
+                parse_address(address)
+            except ValueError as error:
+                raise KeyedError(f"peers.{peer}", str(error)) from error
+
+
+@dataclass(slots=True, frozen=True)
+class _ServeOptions:
+    """The options of the command, with those of the file for which the command line has none."""
+
+    name: str | None
+    listen: str | None
+    peers: tuple[str, ...]
+    leader: str
+    data_dir: str | None
+    json_lines: bool
+    log_level: str = "info"
+
+    def with_file(self, path: str) -> _ServeOptions:
+        """Return the options over those of a file; ends the command where the file is bad."""
+        try:
+            table = read(path, ControlTable)
+        except ProblemsError as error:
+            for line in error.lines():
+                click.echo(f"rosewheel: {line}", err=True)
+            sys.exit(EXIT_BAD_INPUT)
+        return _ServeOptions(
+            name=self.name or table.name,
+            listen=self.listen or table.listen,
+            peers=self.peers or tuple(f"{peer}={address}" for peer, address in table.peers.items()),
+            leader=self.leader or table.writer,
+            data_dir=self.data_dir or table.dir,
+            json_lines=self.json_lines or table.log.form == "json",
+            log_level=table.log.level,
+        )
+
+    def machine_settings(self) -> MachineSettings:
+        """Return the machine's settings; ends the command where an option is missing or bad."""
+        name = _required(self.name, "--name")
+        listen = _required(self.listen, "--listen")
+        data_dir = _required(self.data_dir, "--dir")
+        peers = dict(_parse_peer(peer) for peer in self.peers)
+        peers.pop(name, None)  # the same list may be given to all machines
+        if self.leader and self.leader != name and self.leader not in peers:
+            exit_bad_input(f"--writer: no machine {self.leader!r}")
+        address = parse_machine_address(listen, "--listen")
+        return MachineSettings(name, address, Path(data_dir), peers, self.leader)
+
+
+@click.command()
+@click.option("--config", "path", type=click.Path(), help="A TOML file with what the flags say otherwise.")
+@click.option("--name", help="This machine's name.")
+@click.option("--listen", help="ADDRESS:PORT for nodes, machines and operators.")
+@click.option(
+    "--peer", "peers", multiple=True, metavar="NAME=ADDRESS:PORT", help="Another machine; once each."
+)
+@click.option(
+    "--writer", "leader", default="", help="Who writes at first; counts only where the folder is empty."
+)
+@click.option("--dir", "data_dir", type=click.Path(), help="The folder of the log.")
+@click.option("--json", "json_lines", is_flag=True, help="Log JSON lines.")
+def serve(
+    path: str | None,
+    name: str | None,
+    listen: str | None,
+    peers: tuple[str, ...],
+    leader: str,
+    data_dir: str | None,
+    json_lines: bool,
+) -> None:
+    """Run one control machine until SIGTERM."""
+    options = _ServeOptions(name, listen, peers, leader, data_dir, json_lines)
+    if path is not None:
+        options = options.with_file(path)
+    settings = options.machine_settings()
+    logs.start(options.json_lines, options.log_level)
+    durable_log = _open_log(settings.data_dir)
+    try:
+        uvloop.run(_run_machine(settings, durable_log))
+    except OSError as error:
+        exit_bad_input(str(error))
+
+
+def _open_log(directory: Path) -> DurableLog:
+    try:
+        return DurableLog(directory)
+    except LogUnusableError as error:
+        exit_bad_input(str(error))
+    except OSError as error:
+        exit_bad_input(f"--dir: {error}")
+
+
+async def _run_machine(settings: MachineSettings, durable_log: DurableLog) -> None:
+    stop = asyncio.Event()
+    for signal_number in (signal.SIGTERM, signal.SIGINT):
+        asyncio.get_running_loop().add_signal_handler(signal_number, stop.set)
+    machine = ControlMachine(settings, durable_log)
+    try:
+        await machine.start()
+        click.echo(f"{settings.name} listens at {settings.listen[0]}:{machine.port}")
+        await stop.wait()
+    finally:
+        await machine.close()
+
+
+def _required(value: str | None, option: str) -> str:
+    if not value:
+        exit_bad_input(f"{option} is missing")
+    return value
+
+
+def _parse_peer(text: str) -> tuple[str, Address]:
+    name, equals, address = text.partition("=")
+    if not equals or not name:
+        exit_bad_input(f"--peer: {text!r} is not NAME=ADDRESS:PORT")
+    return name, parse_machine_address(address, "--peer")
--- /dev/null
+++ b/rosewheel/control/acknowledgement.py
@@ -0,0 +1,88 @@
+"""A node's acknowledgements to the control machine that it watches."""
+
+from __future__ import annotations
+
+import asyncio
+from collections.abc import Callable
+from random import Random
+
+from rosewheel.config.platform import Address
+from rosewheel.control.codec.paths import ACKNOWLEDGE_PATH
+from rosewheel.control.codec.watch import encode_acknowledgements
+from rosewheel.control.errors import HttpCallError
+from rosewheel.control.http_client import JsonHttpClient
+from rosewheel.control.messages import NodeAcknowledgement
+from rosewheel.control.timer import Timer
+
+# Nodes acknowledge at random moments within this time, in seconds, so that those of one machine do not do it at once.
+# Changes that follow one another quickly are acknowledged together.
+SPREAD_S = 0.4
+RETRY_RANGE_S = (1.0, 2.0)  # wait after an acknowledgement that failed
+
+
+class AcknowledgementSender:
+    """Sends the node's state after each change until the machine has it."""
+
+    def __init__(
+        self,
+        make_acknowledgement: Callable[[], NodeAcknowledgement],
+        random: Random,
+        on_acknowledged: Callable[[], None],
+    ) -> None:
+        """Start with nothing to send.
+
+        Args:
+            make_acknowledgement: Returns the node's present state.
+            random: Source of the waits.
+            on_acknowledged: Called once the machine has the node's present state.
+        """
+        self._make, self._random, self._on_acknowledged = make_acknowledgement, random, on_acknowledged
+        self._client: JsonHttpClient | None = None
+        self._timer = Timer()
+        self._task: asyncio.Task[None] | None = None
+        self._is_current = False  # whether the machine has the node's present state
+
+    def use_machine(self, address: Address) -> None:
+        """Send to this machine from now on."""
+        if self._client is not None:
+            if self._client.address == address:
+                return
+            self._client.close()
+        self._client = JsonHttpClient(address)
+
+    def schedule(self) -> None:
+        """The node's state has changed: send it within `SPREAD_S`."""
+        self._is_current = False
+        if not self._timer.is_running and (self._task is None or self._task.done()):
+            self._timer.start(self._random.uniform(0.0, SPREAD_S), self._start)
+
+    def close(self) -> None:
+        """Send nothing more."""
+        self._timer.cancel()
+        if self._client is not None:
+            self._client.close()
+        if self._task is not None:
+            self._task.cancel()
+
+    def _start(self) -> None:
+        self._task = asyncio.get_running_loop().create_task(self._send())
+
+    async def _send(self) -> None:
+        while not self._is_current and self._client is not None:
+            self._is_current = True  # unless the state changes during the call
+            if not await self._call(self._client):
+                self._is_current = False
+                self._timer.start(self._random.uniform(*RETRY_RANGE_S), self._start)
+                return
+        if self._is_current:
+            self._on_acknowledged()
+
+    async def _call(self, client: JsonHttpClient) -> bool:
+        body = encode_acknowledgements([self._make()])
+        try:
+            status, _ = await client.call("POST", ACKNOWLEDGE_PATH, body)
+        except HttpCallError:
+            status = 0
+        # A kept connection would take a descriptor here, and one for each node on the machine, to save a connect.
+        client.close()
+        return status == 200
--- /dev/null
+++ b/rosewheel/control/codec/calls.py
@@ -0,0 +1,289 @@
+"""JSON of the calls between machines and of operators, and of their answers."""
+
+from __future__ import annotations
+
+from collections.abc import Mapping
+from typing import Any
+
+from rosewheel.control.codec.paths import HISTORY_PATH
+from rosewheel.control.codec.values import (
+    JsonObject,
+    decode_answer_revision,
+    decode_epoch,
+    decode_revision,
+    encode_answer_revision,
+    encode_epoch,
+    encode_revision,
+    malformed_on_error,
+)
+from rosewheel.control.codec.watch import decode_node_status, encode_node_status
+from rosewheel.control.documents import Document
+from rosewheel.control.errors import MalformedMessageError
+from rosewheel.control.messages import (
+    ChangeAnswer,
+    ErrorAnswer,
+    Heartbeat,
+    HistoryAnswer,
+    MachineState,
+    PromoteRequest,
+    PutRequest,
+    RollbackRequest,
+)
+from rosewheel.control.revisions import Change, Epoch, Revision
+
+DEFAULT_HISTORY_LENGTH = 20
+
+# -------------------------------------------------------------------------------- machines
+
+
+def encode_heartbeat(heartbeat: Heartbeat) -> JsonObject:
+    """Return the body of a heartbeat."""
+    row: JsonObject = {
+        "machine": heartbeat.machine,
+        "seen": encode_epoch(heartbeat.highest_epoch_seen),
+        "at": encode_revision(heartbeat.last),
+    }
+    if heartbeat.node_statuses is not None:
+        row["whole"] = heartbeat.includes_all_nodes
+        row["nodes"] = [encode_node_status(status) for status in heartbeat.node_statuses]
+    return row
+
+
+def decode_heartbeat(row: JsonObject) -> Heartbeat:
+    """Read the body of a heartbeat.
+
+    Raises:
+        MalformedMessageError: It is none.
+    """
+    with malformed_on_error():
+        return Heartbeat(
+            machine=str(row["machine"]),
+            highest_epoch_seen=decode_epoch(row["seen"]),
+            last=decode_revision(row["at"]),
+            node_statuses=tuple(decode_node_status(value) for value in row.get("nodes", ())),
+            includes_all_nodes=bool(row.get("whole")),
+        )
+
+
+def encode_machine_state(state: MachineState) -> JsonObject:
+    """Return the answer to a heartbeat."""
+    return {
+        "machine": state.machine,
+        "boot": state.process_id,
+        "seen": encode_epoch(state.highest_epoch_seen),
+        "at": encode_revision(state.last),
+    }
+
+
+def encode_fence_answer(state: MachineState) -> JsonObject:
+    """Return the answer to a fence."""
+    return encode_machine_state(state) | {"fenced": state.is_fenced}
+
+
+def decode_machine_state(row: JsonObject) -> MachineState:
+    """Read the answer to a heartbeat or fence.
+
+    Raises:
+        MalformedMessageError: It is none.
+    """
+    with malformed_on_error():
+        return MachineState(
+            machine=str(row["machine"]),
+            process_id=str(row["boot"]),
+            highest_epoch_seen=decode_epoch(row["seen"]),
+            last=decode_revision(row["at"]),
+            is_fenced=bool(row.get("fenced")),
+        )
+
+
+def encode_fence(epoch: Epoch) -> JsonObject:
+    """Return the body of a fence: the receiver is to take nothing below this epoch."""
+    return {"epoch": encode_epoch(epoch)}
+
+
+def decode_fence(row: JsonObject) -> Epoch:
+    """Read the body of a fence.
+
+    Raises:
+        MalformedMessageError: It is none.
+    """
+    with malformed_on_error():
+        return decode_epoch(row["epoch"])
+
+
+# ------------------------------------------------------------------------ operators' requests
+
+
+def encode_put(request: PutRequest) -> JsonObject:
+    """Return the body of a put."""
+    return {
+        "patch": request.patch,
+        "version": request.expected,
+        "by": request.author,
+        "note": request.note,
+        "alone": request.unreplicated,
+    }
+
+
+def decode_put(row: JsonObject) -> PutRequest:
+    """Read the body of a put.
+
+    Raises:
+        MalformedMessageError: It is none.
+    """
+    with malformed_on_error():
+        patch = row["patch"]
+        if not isinstance(patch, dict):
+            raise MalformedMessageError("a patch is an object")
+        return PutRequest(
+            patch,
+            _revision_number(row, "version"),
+            author=str(row.get("by", "")),
+            note=str(row.get("note", "")),
+            unreplicated=row.get("alone") is True,
+        )
+
+
+def encode_rollback(request: RollbackRequest) -> JsonObject:
+    """Return the body of a rollback."""
+    return {
+        "to": request.target,
+        "version": request.expected,
+        "by": request.author,
+        "alone": request.unreplicated,
+    }
+
+
+def decode_rollback(row: JsonObject) -> RollbackRequest:
+    """Read the body of a rollback.
+
+    Raises:
+        MalformedMessageError: It is none.
+    """
+    with malformed_on_error():
+        return RollbackRequest(
+            _revision_number(row, "to"),
+            _revision_number(row, "version"),
+            author=str(row.get("by", "")),
+            unreplicated=row.get("alone") is True,
+        )
+
+
+def encode_promote(request: PromoteRequest) -> JsonObject:
+    """Return the body of a promotion."""
+    return {"force": request.force, "by": request.author}
+
+
+def decode_promote(row: JsonObject) -> PromoteRequest:
+    """Read the body of a promotion."""
+    return PromoteRequest(force=row.get("force") is True, author=str(row.get("by", "")))
+
+
+def decode_config_service(query: Mapping[str, Any]) -> str:
+    """Read the service whose part of the document is asked for; empty for the complete document."""
+    return str(query.get("service", ""))
+
+
+def history_target(limit: int) -> str:
+    """Return path and query of a history call."""
+    return f"{HISTORY_PATH}?most={limit}"
+
+
+def decode_history_limit(query: Mapping[str, Any]) -> int:
+    """Read how many changes a history call asks for.
+
+    Raises:
+        MalformedMessageError: It is no number.
+    """
+    with malformed_on_error():
+        return max(1, int(query.get("most", DEFAULT_HISTORY_LENGTH)))
+
+
+def _revision_number(row: JsonObject, key: str) -> int:
+    value = row[key]
+    if isinstance(value, bool) or not isinstance(value, int):
+        raise MalformedMessageError(f"{key}: {value!r} is not a version")
+    return value
+
+
+# ------------------------------------------------------------------------- answers to operators
+
+
+def encode_configuration(revision: Revision, document: Document) -> JsonObject:
+    """Return the answer to a call for the document."""
+    return encode_answer_revision(revision) | {"config": document}
+
+
+def encode_change_answer(answer: ChangeAnswer) -> JsonObject:
+    """Return the answer to a put, rollback or promotion."""
+    row = encode_answer_revision(answer.revision) | {"changed": answer.changed}
+    if answer.lost is not None:
+        row["lost"] = list(answer.lost)
+    return row
+
+
+def decode_change_answer(row: JsonObject) -> ChangeAnswer:
+    """Read the answer to a put, rollback or promotion.
+
+    Raises:
+        MalformedMessageError: It is none.
+    """
+    with malformed_on_error():
+        lost = row.get("lost")
+        return ChangeAnswer(
+            decode_answer_revision(row), bool(row["changed"]), None if lost is None else tuple(lost)
+        )
+
+
+def encode_history(answer: HistoryAnswer) -> JsonObject:
+    """Return the answer to a history call."""
+    return {
+        "machine": answer.machine,
+        "oldest": answer.oldest,
+        "versions": [_encode_history_change(change) for change in answer.changes],
+    }
+
+
+def decode_history(row: JsonObject) -> HistoryAnswer:
+    """Read the answer to a history call.
+
+    Raises:
+        MalformedMessageError: It is none.
+    """
+    with malformed_on_error():
+        changes = tuple(_decode_history_change(value) for value in row["versions"])
+        return HistoryAnswer(str(row["machine"]), int(row["oldest"]), changes)
+
+
+def _encode_history_change(change: Change) -> JsonObject:
+    return encode_answer_revision(change.revision) | {
+        "at_s": change.created_at_s,
+        "by": change.author,
+        "note": change.note,
+        "patch": change.patch,
+    }
+
+
+def _decode_history_change(row: Any) -> Change:
+    return Change(decode_answer_revision(row), row["patch"], row["by"], row["note"], row["at_s"])
+
+
+def encode_error(answer: ErrorAnswer) -> JsonObject:
+    """Return the answer to a call that failed."""
+    row: JsonObject = {"error": answer.text}
+    if answer.leader is not None:
+        row["writer"] = answer.leader
+    if answer.leader_address:
+        row["address"] = answer.leader_address
+    if answer.current is not None:
+        row["version"] = answer.current
+    return row
+
+
+def decode_error(row: Any) -> ErrorAnswer:
+    """Read the answer to a call that failed; one of another form gives an empty text."""
+    if not isinstance(row, dict):
+        return ErrorAnswer("")
+    return ErrorAnswer(
+        str(row.get("error", "")), row.get("writer"), row.get("address") or "", row.get("version")
+    )
--- /dev/null
+++ b/rosewheel/control/codec/paths.py
@@ -0,0 +1,11 @@
+"""Paths of a control machine's HTTP API."""
+
+CONFIG_PATH = "/control/config"
+ACKNOWLEDGE_PATH = "/control/ack"
+HEARTBEAT_PATH = "/control/beat"
+FENCE_PATH = "/control/fence"
+PUT_PATH = "/control/put"
+HISTORY_PATH = "/control/history"
+ROLLBACK_PATH = "/control/rollback"
+STATUS_PATH = "/control/status"
+PROMOTE_PATH = "/control/promote"
--- /dev/null
+++ b/rosewheel/control/codec/watch.py
@@ -0,0 +1,196 @@
+"""Targets of watches, lines of a node's watch, and what nodes acknowledge."""
+
+from __future__ import annotations
+
+from collections.abc import Iterable, Mapping
+from typing import Any
+from urllib.parse import quote
+
+import orjson
+
+from rosewheel.control.codec.paths import CONFIG_PATH
+from rosewheel.control.codec.values import (
+    JsonArray,
+    JsonObject,
+    decode_document,
+    decode_revision,
+    encode_revision,
+    malformed_on_error,
+)
+from rosewheel.control.errors import MalformedMessageError
+from rosewheel.control.messages import ConfigurationUpdate, NodeAcknowledgement, NodeStatus, WatchRequest
+from rosewheel.control.revisions import Revision
+
+MAX_NAME_LENGTH = 200  # characters of a node's or service's name
+MAX_REASON_LENGTH = 300  # characters; a longer one is cut
+
+
+# -------------------------------------------------------------------------- opening a watch
+
+
+def encode_watch_target(request: WatchRequest) -> str:
+    """Return path and query that open a watch."""
+    received = request.received
+    since = f"since={received.number}&epoch={received.epoch_number}&writer={quote(received.leader)}"
+    if request.peer:
+        return f"{CONFIG_PATH}?follow=1&peer={request.peer}&{since}"
+    node = (
+        f"node={quote(request.node, safe='')}&service={quote(request.service, safe='')}&stamp={request.stamp}"
+    )
+    applied = "&held=1" if request.received_is_applied else ""
+    return f"{CONFIG_PATH}?follow=1&{since}&{node}{applied}"
+
+
+def is_watch_query(query: Mapping[str, str]) -> bool:
+    """Return whether a query of `CONFIG_PATH` opens a watch."""
+    return query.get("follow") == "1"
+
+
+def decode_watch_request(query: Mapping[str, str]) -> WatchRequest:
+    """Read the query of a watch.
+
+    Raises:
+        MalformedMessageError: A number is none, or a name is too long.
+    """
+    with malformed_on_error():
+        received = Revision(int(query.get("epoch", 0)), query.get("writer", ""), int(query.get("since", 0)))
+        node, service = query.get("node", ""), query.get("service", "")
+        if node:
+            _check_names(node, service)
+        return WatchRequest(
+            received,
+            peer=query.get("peer", ""),
+            node=node,
+            service=service,
+            stamp=int(query.get("stamp", 0)),
+            received_is_applied=query.get("held") == "1",
+        )
+
+
+# -------------------------------------------------------------------- lines of a node's watch
+
+
+def encode_update(update: ConfigurationUpdate) -> bytes:
+    """Return the line of a node's watch, without its newline."""
+    revision = update.revision
+    return orjson.dumps(
+        {
+            "seq": revision.number,
+            "epoch": revision.epoch_number,
+            "writer": revision.leader,
+            "whole": update.is_snapshot,
+            "config": update.content,
+        }
+    )
+
+
+def decode_update(row: JsonObject) -> ConfigurationUpdate:
+    """Read the object of a line of a node's watch.
+
+    Raises:
+        MalformedMessageError: It is no update.
+    """
+    with malformed_on_error():
+        revision = decode_revision([row["epoch"], row["writer"], row["seq"]])
+        return ConfigurationUpdate(revision, bool(row.get("whole")), decode_document(row["config"]))
+
+
+# -------------------------------------------------------------------- acknowledgements, statuses
+
+
+def encode_acknowledgements(acknowledgements: Iterable[NodeAcknowledgement]) -> JsonObject:
+    """Return the body of an acknowledgement call."""
+    return {"nodes": [_encode_acknowledgement(acknowledgement) for acknowledgement in acknowledgements]}
+
+
+def decode_acknowledgements(row: JsonObject) -> list[NodeAcknowledgement]:
+    """Read the body of an acknowledgement call.
+
+    Raises:
+        MalformedMessageError: It is none.
+    """
+    with malformed_on_error():
+        return [_decode_acknowledgement(value) for value in row["nodes"]]
+
+
+def _encode_acknowledgement(acknowledgement: NodeAcknowledgement) -> JsonArray:
+    return [
+        acknowledgement.node,
+        acknowledgement.service,
+        acknowledgement.stamp,
+        encode_revision(acknowledgement.applied),
+        _encode_optional_revision(acknowledgement.rejected),
+        acknowledgement.reason,
+    ]
+
+
+def _decode_acknowledgement(value: Any) -> NodeAcknowledgement:
+    node, service, stamp, applied, rejected, reason = value
+    _check_names(node, service)
+    _check_stamp(stamp)
+    return NodeAcknowledgement(
+        node,
+        service,
+        stamp,
+        decode_revision(applied),
+        _decode_optional_revision(rejected),
+        str(reason)[:MAX_REASON_LENGTH],
+    )
+
+
+def encode_node_status(status: NodeStatus) -> JsonArray:
+    """Return a node's status as machines pass it on."""
+    return [
+        status.node,
+        status.service,
+        status.machine,
+        status.stamp,
+        encode_revision(status.applied),
+        _encode_optional_revision(status.rejected),
+        status.reason,
+        status.connected,
+    ]
+
+
+def decode_node_status(value: Any) -> NodeStatus:
+    """Read a node's status.
+
+    Raises:
+        MalformedMessageError: It is none.
+    """
+    with malformed_on_error():
+        node, service, machine, stamp, applied, rejected, reason, connected = value
+        _check_names(node, service)
+        _check_stamp(stamp)
+        if not isinstance(machine, str):
+            raise MalformedMessageError("names are text")
+        return NodeStatus(
+            node,
+            service,
+            machine,
+            stamp,
+            decode_revision(applied),
+            _decode_optional_revision(rejected),
+            str(reason)[:MAX_REASON_LENGTH],
+            bool(connected),
+        )
+
+
+def _encode_optional_revision(revision: Revision | None) -> JsonArray | None:
+    return None if revision is None else encode_revision(revision)
+
+
+def _decode_optional_revision(value: Any) -> Revision | None:
+    return None if value is None else decode_revision(value)
+
+
+def _check_names(node: Any, service: Any) -> None:
+    if not (isinstance(node, str) and isinstance(service, str)):
+        raise MalformedMessageError("names are text")
+    if not node or len(node) > MAX_NAME_LENGTH or len(service) > MAX_NAME_LENGTH:
+        raise MalformedMessageError("a name is empty or too long")
+
+
+def _check_stamp(stamp: Any) -> None:
+    if not isinstance(stamp, int):
+        raise MalformedMessageError("a stamp is a whole number")
--- a/rosewheel/control/durable_log.py
+++ b/rosewheel/control/durable_log.py
@@ -1,8 +1,9 @@
-"""An append-only log on disk: what `append` has returned from is there after any loss of power.
+"""An append-only log on disk: records that `append` has returned from survive any loss of power.
 
-A record is its length, a checksum of that, a checksum of the body, and the body: one JSON object. What a crash can
-leave is a last record that is cut short, or whose end was never written and reads as zeros. That was acknowledged to
-nobody and is cut off. Whatever else does not add up is damage, and is left for people to look at.
+A record on disk is a header (length of the body, checksum of that length, checksum of the body) and the body, which
+ends with a newline. A crash can leave a last record that is cut short, or whose end was never written and reads as
+zeros. That record was acknowledged to nobody and is truncated. Any other mismatch is damage, and is left for people to
+look at.
 """
 
 from __future__ import annotations
@@ -14,160 +15,196 @@
 import zlib
 from collections.abc import Iterable
 from pathlib import Path
-from typing import Any
 
-import orjson
-
-LOG_FILE_NAME, PART, LOCK = "control.log", "control.part", "control.lock"
-RECORD_HEADER = struct.Struct("<III")  # length of the body, crc32 of that length, crc32 of the body
-LENGTH = struct.Struct("<I")
-BODY_BYTES = 64 << 20  # Guards memory: a longer record was not written here
-
-LogRecord = dict[str, Any]
+from rosewheel.control.errors import LogDamagedError, LogLockedError, LogWriteError
 
+LOG_FILE_NAME = "control.log"
+REWRITE_FILE_NAME = "control.part"  # becomes the log by a rename
+LOCK_FILE_NAME = "control.lock"
 
-class LogDamagedError(Exception):
-    """The log can't be used as it is; the text is one plain line."""
+RECORD_HEADER = struct.Struct("<III")  # length of the body, crc32 of that length, crc32 of the body
+BODY_LENGTH = struct.Struct("<I")
+BODY_END = b"\n"  # no body ends in a zero, so that unwritten space is told from a record
+MAX_BODY_BYTES = 64 << 20  # guards memory: a longer record was not written here
 
 
 class DurableLog:
-    """One process at a time. Raises DamagedError where the log is damaged or another process has it, OSError where
-    the folder can't be used."""
-
-    def __init__(self, folder: str | Path) -> None:
-        self.directory = Path(folder)
+    """The log of one directory, open in one process at a time.
+
+    Attributes:
+        directory: Created if it is missing.
+        path: The log file.
+        size: Bytes of all records.
+        record_count: How many records there are.
+        truncated_bytes: Bytes of an incomplete last record that were cut off when the log was opened.
+        failure: Why no more records are accepted; None while they are.
+    """
+
+    def __init__(self, directory: str | Path) -> None:
+        """Open the log and read its records.
+
+        Raises:
+            LogDamagedError: A record does not match its checksum.
+            LogLockedError: Another process has the log open.
+            OSError: The directory can't be used.
+        """
+        self.directory = Path(directory)
         self.path = self.directory / LOG_FILE_NAME
         if not self.directory.is_dir():
             self.directory.mkdir(parents=True)
-            _sync_folder(self.directory.parent)
-        self._lock = os.open(self.directory / LOCK, os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, 0o600)
-        try:
-            fcntl.flock(self._lock, fcntl.LOCK_EX | fcntl.LOCK_NB)
-        except OSError as error:
-            os.close(self._lock)
-            raise LogDamagedError(f"{self.directory}: another process has it") from error
-        self.failure = ""  # why nothing more can be written
-        self.truncated_bytes = 0  # bytes that were cut off at the start
+            _sync_directory(self.directory.parent)
+        self._lock = self._acquire_lock()
+        self.failure: LogWriteError | None = None
+        self.truncated_bytes = 0
         self._file = -1
         try:
-            self.records = self._open()  # as found; whoever reads them may drop them
+            self._records = self._open()
         except BaseException:
             self.close()
             raise
 
-    def _open(self) -> list[LogRecord]:
-        fresh = not self.path.exists()
+    def _acquire_lock(self) -> int:
+        lock = os.open(self.directory / LOCK_FILE_NAME, os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, 0o600)
+        try:
+            fcntl.flock(lock, fcntl.LOCK_EX | fcntl.LOCK_NB)
+        except OSError as error:
+            os.close(lock)
+            raise LogLockedError(self.directory) from error
+        return lock
+
+    def _open(self) -> list[bytes]:
+        created = not self.path.exists()
         self._file = os.open(self.path, os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, 0o600)
         data = self.path.read_bytes()
-        records, good = _read(data, str(self.path))
-        self.size, self.record_count = good, len(records)
-        if good < len(data):
-            self.truncated_bytes = len(data) - good
-            os.ftruncate(self._file, good)
-        if fresh or self.truncated_bytes:
+        records, end = _read_records(data, self.path)
+        self.size, self.record_count = end, len(records)
+        if end < len(data):
+            self.truncated_bytes = len(data) - end
+            os.ftruncate(self._file, end)
+        if created or self.truncated_bytes:
             os.fsync(self._file)
-            _sync_folder(self.directory)
+            _sync_directory(self.directory)
+        return records
+
+    def take_records(self) -> list[bytes]:
+        """Return the records that were found on disk, oldest first, and release the log's own reference to them."""
+        records, self._records = self._records, []
         return records
 
-    def append(self, records: Iterable[LogRecord]) -> None:
-        """Write and sync. OSError: nothing of it counts; where that can't be made sure, nothing more is taken."""
-        if self.failure:
-            raise OSError(self.failure)
-        packed = [_packed(record) for record in records]
-        data = b"".join(packed)
+    def append(self, records: Iterable[bytes]) -> None:
+        """Write and sync records.
+
+        Raises:
+            LogWriteError: None of them counts. No more are accepted, since the content of the disk is not known.
+        """
+        self._check_usable()
+        framed = [_frame(record) for record in records]
+        data = b"".join(framed)
         try:
             self._write(data)
             self._sync()
         except OSError as error:
-            # After a failed sync the system may have dropped what it had, so what is on the disk is not known.
-            self.failure = f"{self.path}: {error.strerror or error}: start again"
+            # After a failed sync the system may have dropped the pages, so what is on the disk is not known.
+            self.failure = LogWriteError(self.path, error.strerror or str(error))
             with contextlib.suppress(OSError):
                 os.ftruncate(self._file, self.size)
-            raise OSError(self.failure) from error
+            raise self.failure from error
         self.size += len(data)
-        self.record_count += len(packed)
+        self.record_count += len(framed)
 
     def _write(self, data: bytes) -> None:
-        at = self.size
+        offset = self.size
         view = memoryview(data)
         while view:
-            written = os.pwrite(self._file, view, at)
-            at += written
+            written = os.pwrite(self._file, view, offset)
+            offset += written
             view = view[written:]
 
     def _sync(self) -> None:
         os.fsync(self._file)
 
-    def rewrite(self, records: Iterable[LogRecord]) -> None:
-        """These in place of all there was; after a crash it is all of the one or all of the other."""
-        if self.failure:
-            raise OSError(self.failure)
-        packed = [_packed(record) for record in records]
-        part = self.directory / PART
-        file = os.open(part, os.O_RDWR | os.O_CREAT | os.O_TRUNC | os.O_CLOEXEC, 0o600)
+    def rewrite(self, records: Iterable[bytes]) -> None:
+        """Replace all records by others; a crash leaves either all of the old or all of the new ones.
+
+        Raises:
+            OSError: The old records stay, and more can be appended.
+            LogWriteError: Which ones a crash would leave is not known; no more are accepted.
+        """
+        self._check_usable()
+        framed = [_frame(record) for record in records]
+        data = b"".join(framed)
+        file = self._write_replacement(data)
+        os.close(self._file)
+        self._file, self.size, self.record_count = file, len(data), len(framed)
+        try:
+            _sync_directory(self.directory)
+        except OSError as error:
+            self.failure = LogWriteError(self.directory, error.strerror or str(error))
+            raise self.failure from error
+
+    def _write_replacement(self, data: bytes) -> int:
+        """Write a new log file, sync it and rename it to the log's name; return its descriptor."""
+        replacement = self.directory / REWRITE_FILE_NAME
+        file = os.open(replacement, os.O_RDWR | os.O_CREAT | os.O_TRUNC | os.O_CLOEXEC, 0o600)
         try:
-            data = memoryview(b"".join(packed))
-            size = len(data)
-            while data:
-                data = data[os.write(file, data) :]
+            view = memoryview(data)
+            while view:
+                view = view[os.write(file, view) :]
             os.fsync(file)
-            os.rename(part, self.path)
+            os.rename(replacement, self.path)
         except OSError:
             os.close(file)
             raise
-        os.close(self._file)
-        self._file, self.size, self.record_count = file, size, len(packed)
-        try:
-            _sync_folder(self.directory)
-        except OSError as error:
-            self.failure = f"{self.directory}: {error.strerror or error}: start again"
-            raise OSError(self.failure) from error
+        return file
+
+    def _check_usable(self) -> None:
+        if self.failure is not None:
+            raise LogWriteError(self.failure.path, self.failure.reason) from self.failure
 
     def close(self) -> None:
+        """Close the files and release the lock."""
         for file in (self._file, self._lock):
             if file >= 0:
                 os.close(file)
         self._file = self._lock = -1
 
 
-def _packed(record: LogRecord) -> bytes:
-    body = orjson.dumps(record, default=tuple) + b"\n"
-    length = LENGTH.pack(len(body))
+def _frame(record: bytes) -> bytes:
+    body = record + BODY_END
+    length = BODY_LENGTH.pack(len(body))
     return RECORD_HEADER.pack(len(body), zlib.crc32(length), zlib.crc32(body)) + body
 
 
-def _read(data: bytes, name: str) -> tuple[list[LogRecord], int]:
-    """The records, and where the good ones end."""
-    records: list[LogRecord] = []
-    at, end = 0, len(data)
-    while at < end:
-        if at + RECORD_HEADER.size > end:
-            break
-        length, head_sum, body_sum = RECORD_HEADER.unpack_from(data, at)
-        body = data[at + RECORD_HEADER.size : at + RECORD_HEADER.size + length]
-        if zlib.crc32(LENGTH.pack(length)) != head_sum or length > BODY_BYTES:
-            if _unwritten(data, at, RECORD_HEADER.size):
+def _read_records(data: bytes, path: Path) -> tuple[list[bytes], int]:
+    """Return the records, and the offset at which the last complete one ends."""
+    records: list[bytes] = []
+    offset, end = 0, len(data)
+    while offset + RECORD_HEADER.size <= end:
+        length, length_checksum, body_checksum = RECORD_HEADER.unpack_from(data, offset)
+        body_offset = offset + RECORD_HEADER.size
+        body = data[body_offset : body_offset + length]
+        if zlib.crc32(BODY_LENGTH.pack(length)) != length_checksum or length > MAX_BODY_BYTES:
+            if _is_unwritten(data, offset, RECORD_HEADER.size):
                 break
-            raise LogDamagedError(f"{name}: damaged at byte {at}, after {len(records)} good records")
+            raise LogDamagedError(path, offset, len(records))
         if len(body) < length:
             break
-        if zlib.crc32(body) != body_sum:
-            if _unwritten(data, at, RECORD_HEADER.size + length):
+        if zlib.crc32(body) != body_checksum:
+            if _is_unwritten(data, offset, RECORD_HEADER.size + length):
                 break
-            raise LogDamagedError(f"{name}: damaged at byte {at}, after {len(records)} good records")
-        records.append(orjson.loads(body))
-        at += RECORD_HEADER.size + length
-    return records, at
+            raise LogDamagedError(path, offset, len(records))
+        records.append(body.removesuffix(BODY_END))
+        offset = body_offset + length
+    return records, offset
 
 
-def _unwritten(data: bytes, at: int, size: int) -> bool:
-    """Whether these bytes end in zeros, and nothing but zeros follows, as space does that was taken and not written.
-    No record ends so."""
-    return len(data[at:].rstrip(b"\0")) < size
+def _is_unwritten(data: bytes, offset: int, size: int) -> bool:
+    """Return whether a record of this size ends in zeros and only zeros follow: allocated space, never written."""
+    return len(data[offset:].rstrip(b"\0")) < size
 
 
-def _sync_folder(folder: Path) -> None:
-    file = os.open(folder, os.O_RDONLY | os.O_DIRECTORY)
+def _sync_directory(directory: Path) -> None:
+    file = os.open(directory, os.O_RDONLY | os.O_DIRECTORY)
     try:
         os.fsync(file)
     finally:
--- /dev/null
+++ b/rosewheel/control/history.py
@@ -0,0 +1,145 @@
+"""The chain of revisions that one machine has: append, document of a revision, changes since, rollback.
+
+No I/O and no clock.
+"""
+
+from __future__ import annotations
+
+from rosewheel.control.documents import Document, apply_patch, make_patch
+from rosewheel.control.errors import OutOfSequenceError, RevisionConflictError, UnknownRevisionError
+from rosewheel.control.revisions import Change, Epoch, Revision, Snapshot
+
+RETAINED_REVISIONS = 2000  # more than two days' changes at 920 a day
+
+
+class RevisionHistory:
+    """A snapshot and the changes after it, each of which makes the revision that follows the one before.
+
+    Attributes:
+        snapshot: The oldest retained revision.
+        changes: The changes after it, oldest first.
+    """
+
+    def __init__(self, snapshot: Snapshot | None = None) -> None:
+        self.snapshot = snapshot or Snapshot()
+        self.changes: list[Change] = []
+        # One document a revision, the snapshot's first. They share the parts that did not change.
+        self._documents: list[Document] = [self.snapshot.document or {}]
+
+    @property
+    def last(self) -> Revision:
+        """The newest revision."""
+        return self.changes[-1].revision if self.changes else self.snapshot.revision
+
+    @property
+    def last_document(self) -> Document:
+        """The document of the newest revision."""
+        return self._documents[-1]
+
+    def append(self, change: Change) -> None:
+        """Append a change.
+
+        Raises:
+            OutOfSequenceError: It does not follow the last revision.
+        """
+        check_sequence(change.revision, self.last)
+        self.changes.append(change)
+        self._documents.append(apply_patch(self._documents[-1], change.patch))
+
+    def draft(
+        self,
+        epoch: Epoch,
+        patch: Document,
+        expected: int,
+        *,
+        author: str = "",
+        note: str = "",
+        created_at_s: float = 0.0,
+        unreplicated: bool = False,
+    ) -> Change:
+        """Return the change that a patch would make, without appending it.
+
+        Args:
+            epoch: The leader's epoch.
+            patch: Merge patch against the last document.
+            expected: Number of the revision that the patch was made for.
+            author: Who makes the change.
+            note: Why.
+            created_at_s: The leader's time of day, in seconds since 1970.
+            unreplicated: Acknowledge the change without a copy on another machine.
+
+        Raises:
+            RevisionConflictError: `expected` is not the last revision.
+        """
+        if expected != self.last.number:
+            raise RevisionConflictError(self.last.number, expected)
+        revision = Revision(*epoch, self.last.number + 1)
+        return Change(revision, patch, author, note, created_at_s, unreplicated)
+
+    def document_at(self, revision: Revision) -> Document | None:
+        """Return the document of a revision; None where it is on another branch or not retained."""
+        index = revision.number - self.snapshot.revision.number
+        if not 0 <= index <= len(self.changes):
+            return None
+        return self._documents[index] if self._revision_at(index) == revision else None
+
+    def contains(self, revision: Revision) -> bool:
+        """Return whether a revision is retained and on this branch."""
+        return self.document_at(revision) is not None
+
+    def revision_numbered(self, number: int) -> Revision:
+        """Return the revision of a number on this branch.
+
+        Raises:
+            UnknownRevisionError: It is not retained.
+        """
+        return self._revision_at(self._index_of(number))
+
+    def rollback_patch(self, number: int) -> Document:
+        """Return the patch that leads from the last document back to that of a revision.
+
+        Raises:
+            UnknownRevisionError: The revision is not retained.
+        """
+        return make_patch(self.last_document, self._documents[self._index_of(number)])
+
+    def changes_after(self, revision: Revision) -> list[Change] | None:
+        """Return the changes after a revision; None where only a snapshot can help."""
+        if not self.contains(revision):
+            return None
+        return self.changes[revision.number - self.snapshot.revision.number :]
+
+    def created_at_s(self, number: int) -> float:
+        """Return when a revision was written, or the oldest retained one where that is newer."""
+        index = number - self.snapshot.revision.number
+        if index <= 0 or not self.changes:
+            return self.snapshot.created_at_s
+        return self.changes[min(index, len(self.changes)) - 1].created_at_s
+
+    def trim(self, retained: int = RETAINED_REVISIONS) -> None:
+        """Replace all but the newest changes by a snapshot."""
+        surplus = len(self.changes) - retained
+        if surplus > 0:
+            last = self.changes[surplus - 1]
+            self.snapshot = Snapshot(last.revision, self._documents[surplus], last.created_at_s)
+            del self.changes[:surplus], self._documents[:surplus]
+
+    def _index_of(self, number: int) -> int:
+        """Return the index of a revision's document."""
+        oldest = self.snapshot.revision.number
+        if not 0 <= number - oldest <= len(self.changes):
+            raise UnknownRevisionError(number, oldest, self.last.number)
+        return number - oldest
+
+    def _revision_at(self, index: int) -> Revision:
+        return self.changes[index - 1].revision if index else self.snapshot.revision
+
+
+def check_sequence(revision: Revision, last: Revision) -> None:
+    """Check that a revision may follow another.
+
+    Raises:
+        OutOfSequenceError: Its number is not the next one, or its epoch is lower.
+    """
+    if revision.number != last.number + 1 or revision.epoch < last.epoch:
+        raise OutOfSequenceError(revision, last)
--- a/rosewheel/control/http_client.py
+++ b/rosewheel/control/http_client.py
@@ -1,117 +1,171 @@
-"""Calls to one control machine, one after another on a connection that is kept while there is use for it."""
+"""Calls of JSON over HTTP/1.1 to one address, one after another on a connection that is kept while it is usable."""
 
 from __future__ import annotations
 
 import asyncio
-from typing import Any, cast
+from typing import Any, NamedTuple, cast
 
 import httptools
 import orjson
 
 from rosewheel.config.platform import Address
+from rosewheel.control.errors import HttpCallError
 
-CONNECT_S = 0.7
-ANSWER_BYTES = 64 << 20  # Guards memory
+CONNECT_TIMEOUT_S = 0.7
+DEFAULT_TIMEOUT_S = 2.0
+MAX_ANSWER_BYTES = 64 << 20  # guards memory
 
 
-class HttpCallError(Exception):
-    """No answer, or none that makes sense; the text is one plain line."""
+class JsonResponse(NamedTuple):
+    """Answer to a call.
+
+    Attributes:
+        status: HTTP status.
+        body: Decoded JSON.
+    """
+
+    status: int
+    body: Any
 
 
 class JsonHttpClient:
+    """A client of one server.
+
+    Attributes:
+        address: The server's address.
+    """
+
     def __init__(self, address: Address) -> None:
         self.address = address
         self._connection: _Connection | None = None
-        self._turn = asyncio.Lock()
+        self._lock = asyncio.Lock()
 
     async def call(
-        self, method: str, target: str, row: Any = None, timeout_s: float = 2.0
-    ) -> tuple[int, Any]:
-        """Status and body. CallError within the time."""
-        body = b"" if row is None else orjson.dumps(row, default=tuple)
-        host, port = self.address
-        head = f"{method} {target} HTTP/1.1\r\nHost: {host}:{port}\r\nContent-Length: {len(body)}\r\n\r\n"
+        self, method: str, target: str, body: Any = None, timeout_s: float = DEFAULT_TIMEOUT_S
+    ) -> JsonResponse:
+        """Make one call.
+
+        Args:
+            method: HTTP method.
+            target: Path and query.
+            body: Value to send as JSON; None for no body.
+            timeout_s: Limit of the whole call, waiting for earlier ones included.
+
+        Raises:
+            HttpCallError: There was no answer in time, or none that is HTTP with JSON.
+        """
+        request = self._encode_request(method, target, body)
         try:
-            async with asyncio.timeout(timeout_s), self._turn:
-                kept = self._connection is not None and self._connection.usable
-                try:
-                    return await self._exchange(head.encode() + body)
-                except _UnansweredError:
-                    if not kept:
-                        raise
-                    # The other side ended it for rest just as this was written: it was not read.
-                    return await self._exchange(head.encode() + body)
+            async with asyncio.timeout(timeout_s), self._lock:
+                return await self._exchange_with_retry(request)
         except TimeoutError as error:
-            self.close()  # what comes late must not be taken for the answer to the next one
-            raise HttpCallError(f"{host}:{port}: no answer in {timeout_s:g} s") from error
-        except (OSError, _UnansweredError, orjson.JSONDecodeError, httptools.HttpParserError) as error:
+            self.close()  # a late answer must not be taken for that of the next call
+            raise HttpCallError(self.address, f"no answer in {timeout_s:g} s") from error
+        except (OSError, _ConnectionEndedError, orjson.JSONDecodeError, httptools.HttpParserError) as error:
             self.close()
-            raise HttpCallError(f"{host}:{port}: {error or type(error).__name__}") from error
+            raise HttpCallError(self.address, str(error) or type(error).__name__) from error
         except asyncio.CancelledError:
             self.close()
             raise
 
-    async def _exchange(self, data: bytes) -> tuple[int, Any]:
+    def _encode_request(self, method: str, target: str, body: Any) -> bytes:
+        content = b"" if body is None else orjson.dumps(body)
+        host, port = self.address
+        head = f"{method} {target} HTTP/1.1\r\nHost: {host}:{port}\r\nContent-Length: {len(content)}\r\n\r\n"
+        return head.encode() + content
+
+    async def _exchange_with_retry(self, request: bytes) -> JsonResponse:
+        reused = self._connection is not None and self._connection.usable
+        try:
+            return await self._exchange(request)
+        except _ConnectionEndedError:
+            if not reused:
+                raise
+            # The server closed the idle connection just as the request was written, so it was not read.
+            return await self._exchange(request)
+
+    async def _exchange(self, request: bytes) -> JsonResponse:
         loop = asyncio.get_running_loop()
         if self._connection is None or not self._connection.usable:
-            async with asyncio.timeout(CONNECT_S):
+            async with asyncio.timeout(CONNECT_TIMEOUT_S):
                 _, self._connection = await loop.create_connection(_Connection, *self.address)
-        status, body = await self._connection.exchange(data)
-        return status, orjson.loads(body)
+        status, content = await self._connection.exchange(request)
+        return JsonResponse(status, orjson.loads(content))
 
     def close(self) -> None:
+        """Close the connection; a later call opens another one."""
         connection, self._connection = self._connection, None
         if connection is not None:
             connection.abort()
 
 
-class _UnansweredError(Exception):
-    """The connection ended before a byte of the answer had come."""
+class _ConnectionEndedError(Exception):
+    """The connection ended before the answer did."""
 
 
 class _Connection(asyncio.Protocol):
+    """One connection, with at most one call at a time.
+
+    Attributes:
+        usable: Whether a call may be made.
+    """
+
     def __init__(self) -> None:
-        self.transport: asyncio.Transport | None = None
-        self.parser = httptools.HttpResponseParser(self)
-        self.answer: asyncio.Future[tuple[int, bytes]] | None = None
-        self.body = b""
         self.usable = False
+        self._transport: asyncio.Transport | None = None
+        self._parser = httptools.HttpResponseParser(self)
+        self._answer: asyncio.Future[tuple[int, bytes]] | None = None
+        self._content = b""
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        self.transport, self.usable = cast(asyncio.Transport, transport), True
+        """Take the transport; a cast, since those of uvloop are none of asyncio's classes."""
+        self._transport, self.usable = cast(asyncio.Transport, transport), True
 
     def connection_lost(self, exc: Exception | None) -> None:
-        self.transport, self.usable = None, False
-        if self.answer is not None and not self.answer.done():
-            self.answer.set_exception(_UnansweredError(str(exc or "closed")))
-        del self.parser
-
-    async def exchange(self, data: bytes) -> tuple[int, bytes]:
-        assert self.transport is not None
-        self.answer = asyncio.get_running_loop().create_future()
-        self.body = b""
-        self.transport.write(data)
-        return await self.answer
+        """Fail the call in progress."""
+        self._transport, self.usable = None, False
+        self._fail(_ConnectionEndedError(str(exc or "closed")))
+        del self._parser  # it refers to this object, and the collector runs seldom
+
+    async def exchange(self, request: bytes) -> tuple[int, bytes]:
+        """Write a request and return status and content of the answer.
+
+        Raises:
+            _ConnectionEndedError: The connection ended first.
+        """
+        if self._transport is None:
+            raise _ConnectionEndedError("closed")
+        self._answer = asyncio.get_running_loop().create_future()
+        self._content = b""
+        self._transport.write(request)
+        return await self._answer
 
     def data_received(self, data: bytes) -> None:
+        """Parse what was received."""
         try:
-            self.parser.feed_data(data)
+            self._parser.feed_data(data)
         except httptools.HttpParserError as error:
-            if self.answer is not None and not self.answer.done():
-                self.answer.set_exception(error)
+            self._fail(error)
             self.abort()
 
     def on_body(self, data: bytes) -> None:
-        self.body += data
-        if len(self.body) > ANSWER_BYTES:
+        """Collect a part of the answer's content."""
+        self._content += data
+        if len(self._content) > MAX_ANSWER_BYTES:
             self.abort()
 
     def on_message_complete(self) -> None:
-        self.usable = self.parser.should_keep_alive()
-        if self.answer is not None and not self.answer.done():
-            self.answer.set_result((self.parser.get_status_code(), self.body))
+        """Complete the call."""
+        self.usable = self._parser.should_keep_alive()
+        if self._answer is not None and not self._answer.done():
+            self._answer.set_result((self._parser.get_status_code(), self._content))
+
+    def _fail(self, error: Exception) -> None:
+        if self._answer is not None and not self._answer.done():
+            self._answer.set_exception(error)
 
     def abort(self) -> None:
+        """Close the connection at once."""
         self.usable = False
-        if self.transport is not None:
-            self.transport.abort()
+        if self._transport is not None:
+            self._transport.abort()
--- /dev/null
+++ b/rosewheel/control/machine_api.py
@@ -0,0 +1,268 @@
+"""HTTP API of a control machine: watches of nodes and machines, heartbeats, and the calls of operators."""
+
+from __future__ import annotations
+
+import logging
+from collections.abc import Awaitable, Callable, Mapping
+from typing import NamedTuple
+from urllib.parse import parse_qs
+
+import orjson
+
+from rosewheel.admin.calls import Call, Caller, Limits, Reply
+from rosewheel.control.codec import calls as codec
+from rosewheel.control.codec import paths
+from rosewheel.control.codec.status import decode_all_nodes, decode_local_only
+from rosewheel.control.codec.values import JsonObject
+from rosewheel.control.codec.watch import decode_acknowledgements, decode_watch_request, is_watch_query
+from rosewheel.control.documents import document_for_service
+from rosewheel.control.errors import (
+    MalformedMessageError,
+    NotLeaderError,
+    NotPromotableError,
+    NotReplicatedError,
+    RevisionConflictError,
+    UnknownRevisionError,
+    WriteUnavailableError,
+)
+from rosewheel.control.heartbeats import PeerHeartbeat
+from rosewheel.control.machine_settings import MachineSettings
+from rosewheel.control.machine_status import MonotonicClock, StatusReporter
+from rosewheel.control.messages import (
+    ChangeAnswer,
+    ErrorAnswer,
+    HistoryAnswer,
+    MachineState,
+    NodeStatus,
+    WatchRequest,
+)
+from rosewheel.control.node_registry import NodeRegistry
+from rosewheel.control.promotion import COMMIT_TIMEOUT_S, Promotion
+from rosewheel.control.revisions import Change
+from rosewheel.control.store import Store
+from rosewheel.control.validation import MAX_DOCUMENT_BYTES, validate_patch
+from rosewheel.control.watches import Watch, WatchPublisher
+
+log = logging.getLogger("rosewheel.control")
+
+# A call carries a change, or a batch of statuses: those of all 540 nodes are 120 kB.
+CALL_LIMITS = Limits(call_bytes=4 * MAX_DOCUMENT_BYTES, call_s=5.0, take_s=5.0, idle_s=30.0)
+
+
+class _Route(NamedTuple):
+    method: str
+    handler: Callable[[JsonObject], Awaitable[Reply]]
+
+
+class MachineApi:
+    """Answers calls; the owner of the connections in the sense of `admin.calls`."""
+
+    def __init__(
+        self,
+        settings: MachineSettings,
+        process_id: str,
+        store: Store,
+        nodes: NodeRegistry,
+        watches: WatchPublisher,
+        peers: Mapping[str, PeerHeartbeat],
+        clock: MonotonicClock,
+    ) -> None:
+        """Set the parts that calls work on.
+
+        Args:
+            settings: Of this machine.
+            process_id: Random identity of this process.
+            store: This machine's store.
+            nodes: The nodes that it knows of.
+            watches: The open watches.
+            peers: The other machines.
+            clock: The clock of `nodes` and `peers`.
+        """
+        self._settings, self._process_id = settings, process_id
+        self._store, self._nodes, self._watches, self._peers = store, nodes, watches, peers
+        self._clock = clock
+        self._callers: dict[Caller, None] = {}
+        self._status_reporter = StatusReporter(settings.name, store, nodes, peers, clock)
+        self._promotion = Promotion(settings.name, store, peers)
+        self._routes = {
+            paths.CONFIG_PATH: _Route("GET", self._config),
+            paths.ACKNOWLEDGE_PATH: _Route("POST", self._acknowledge),
+            paths.HEARTBEAT_PATH: _Route("POST", self._heartbeat),
+            paths.FENCE_PATH: _Route("POST", self._fence),
+            paths.PUT_PATH: _Route("POST", self._put),
+            paths.HISTORY_PATH: _Route("GET", self._history),
+            paths.ROLLBACK_PATH: _Route("POST", self._rollback),
+            paths.STATUS_PATH: _Route("GET", self._status),
+            paths.PROMOTE_PATH: _Route("POST", self._promote),
+        }
+
+    def close(self) -> None:
+        """Close all connections."""
+        for caller in list(self._callers):
+            caller.abort()
+
+    # -------------------------------------------------------------------- connections
+
+    def joined(self, caller: Caller) -> None:
+        """A connection was opened."""
+        self._callers[caller] = None
+
+    def left(self, caller: Caller) -> None:
+        """A connection has ended."""
+        self._callers.pop(caller, None)
+        node = self._watches.closed(caller)
+        if node:
+            self._nodes.disconnected(node, self._settings.name, self._clock.time())
+
+    async def answer(self, call: Call, caller: Caller) -> Reply | None:
+        """Return the answer to a call; None where the connection has become a watch."""
+        path, _, query_text = call.target.partition("?")
+        route = self._routes.get(path)
+        if route is None:
+            return _error_reply(404, "no such call; there are " + ", ".join(self._routes))
+        if call.method != route.method:
+            error = ErrorAnswer(f"{path} takes {route.method}")
+            return Reply(405, codec.encode_error(error), allow=route.method)
+        query = {key: values[-1] for key, values in parse_qs(query_text, keep_blank_values=True).items()}
+        try:
+            if path == paths.CONFIG_PATH and is_watch_query(query):
+                return await self._open_watch(decode_watch_request(query), caller)
+            return await route.handler(query if call.method == "GET" else _json_object(call.body))
+        except UnknownRevisionError as error:
+            return _error_reply(404, str(error))
+        except NotLeaderError as error:
+            return self._not_leader_reply(error)
+        except (RevisionConflictError, NotPromotableError) as error:
+            return _error_reply(409, str(error), self._store.replica.last.number)
+        except (WriteUnavailableError, NotReplicatedError) as error:
+            return _error_reply(503, str(error), self._store.replica.last.number)
+        except ValueError as error:  # the request's own fault: malformed, or an invalid document
+            return _error_reply(400, str(error))
+        except OSError as error:
+            log.error("call failed: %s, path=%s", error, path)
+            return _error_reply(500, f"{self._settings.name} can't keep it: {error}")
+
+    def _not_leader_reply(self, error: NotLeaderError) -> Reply:
+        leader = self._store.replica.highest_epoch_seen.leader
+        address = ""
+        if leader in self._settings.peers:
+            address = "{}:{}".format(*self._settings.peers[leader])
+        return Reply(409, codec.encode_error(ErrorAnswer(str(error), leader, address)))
+
+    # ------------------------------------------------------------------- nodes, machines
+
+    async def _open_watch(self, request: WatchRequest, caller: Caller) -> Reply | None:
+        if request.peer not in self._settings.peers and not request.node:
+            return _error_reply(400, "who follows? node=NAME")
+        # A caller that has seen a later epoch makes it known here.
+        await self._store.observe_epoch(request.received.epoch)
+        if caller.transport is None:
+            return None  # it has disconnected meanwhile
+        if not request.peer:
+            self._note_connected(request)
+        node = "" if request.peer else request.node
+        self._watches.open(Watch(caller, request.received, request.service, node, request.peer))
+        return None
+
+    def _note_connected(self, request: WatchRequest) -> None:
+        machine, now_s = self._settings.name, self._clock.time()
+        if request.received_is_applied:
+            status = NodeStatus(request.node, request.service, machine, request.stamp, request.received)
+            self._nodes.record(status, now_s)
+        else:
+            self._nodes.connected(request.node, request.service, machine, request.stamp, now_s)
+
+    async def _acknowledge(self, row: JsonObject) -> Reply:
+        now_s = self._clock.time()
+        for acknowledgement in decode_acknowledgements(row):
+            status = NodeStatus(
+                acknowledgement.node,
+                acknowledgement.service,
+                self._settings.name,
+                acknowledgement.stamp,
+                acknowledgement.applied,
+                acknowledgement.rejected,
+                acknowledgement.reason,
+                connected=acknowledgement.node in self._watches.connection_by_node,
+            )
+            self._nodes.record(status, now_s)
+        return Reply(200, {})
+
+    async def _heartbeat(self, row: JsonObject) -> Reply:
+        heartbeat = codec.decode_heartbeat(row)
+        peer = self._peers.get(heartbeat.machine)
+        if peer is None:
+            name = self._settings.name
+            raise MalformedMessageError(f"machine: {heartbeat.machine!r} is no peer of {name}")
+        await peer.peer_reported(heartbeat.highest_epoch_seen, heartbeat.last)
+        now_s = self._clock.time()
+        for status in heartbeat.node_statuses or ():
+            self._nodes.record(status, now_s)
+        return Reply(200, codec.encode_machine_state(self._state()))
+
+    async def _fence(self, row: JsonObject) -> Reply:
+        epoch = codec.decode_fence(row)
+        await self._store.observe_epoch(epoch)
+        is_fenced = self._store.replica.highest_epoch_seen == epoch
+        return Reply(200, codec.encode_fence_answer(self._state(is_fenced)))
+
+    def _state(self, is_fenced: bool = False) -> MachineState:
+        replica = self._store.replica
+        return MachineState(
+            self._settings.name, self._process_id, replica.highest_epoch_seen, replica.last, is_fenced
+        )
+
+    # ------------------------------------------------------------------------- operators
+
+    async def _config(self, query: JsonObject) -> Reply:
+        replica = self._store.replica
+        document = replica.committed_document
+        if service := codec.decode_config_service(query):
+            document = document_for_service(document, service)
+        return Reply(200, codec.encode_configuration(replica.committed, document))
+
+    async def _put(self, row: JsonObject) -> Reply:
+        request = codec.decode_put(row)
+        validate_patch(request.patch)
+        return await self._change_reply(await self._store.put(request))
+
+    async def _rollback(self, row: JsonObject) -> Reply:
+        return await self._change_reply(await self._store.rollback(codec.decode_rollback(row)))
+
+    async def _change_reply(self, change: Change | None) -> Reply:
+        if change is None:
+            answer = ChangeAnswer(self._store.replica.last, changed=False)
+        else:
+            await self._store.wait_committed(change.revision, COMMIT_TIMEOUT_S)
+            answer = ChangeAnswer(change.revision, changed=True)
+        return Reply(200, codec.encode_change_answer(answer))
+
+    async def _history(self, query: JsonObject) -> Reply:
+        limit = codec.decode_history_limit(query)
+        history = self._store.replica.history
+        answer = HistoryAnswer(
+            self._settings.name,
+            oldest=history.snapshot.revision.number,
+            changes=tuple(reversed(history.changes[-limit:])),
+        )
+        return Reply(200, codec.encode_history(answer))
+
+    async def _status(self, query: JsonObject) -> Reply:
+        return Reply(
+            200, await self._status_reporter.answer(decode_local_only(query), decode_all_nodes(query))
+        )
+
+    async def _promote(self, row: JsonObject) -> Reply:
+        answer = await self._promotion.run(codec.decode_promote(row))
+        return Reply(200, codec.encode_change_answer(answer))
+
+
+def _json_object(body: bytes) -> JsonObject:
+    row = orjson.loads(body or b"{}")
+    if not isinstance(row, dict):
+        raise MalformedMessageError("not an object")
+    return row
+
+
+def _error_reply(status: int, text: str, current: int | None = None) -> Reply:
+    return Reply(status, codec.encode_error(ErrorAnswer(text, current=current)))
--- a/rosewheel/control/machine_selection.py
+++ b/rosewheel/control/machine_selection.py
@@ -1,7 +1,7 @@
-"""Which control machine a node goes to, and when: no I/O, no clock.
+"""Which control machine a node watches. No I/O and no clock.
 
-Rendezvous hashing: a node's order of the machines is by a hash of both names, so where one is lost its nodes spread
-over the others alike, and no other node moves. The waits are drawn from the node's own seed.
+Rendezvous hashing: a node's order of the machines follows a hash of both names. The nodes of a lost machine spread over
+the others alike, and no other node moves. Waits are drawn from the node's own seed.
 """
 
 from __future__ import annotations
@@ -10,23 +10,15 @@
 from hashlib import blake2b
 from random import Random
 
-# From the end of a cut to what was missed being in force 6 s are allowed. At worst the watch has just begun to be
-# silent: 2.8 s until that is noticed, 0.4 s wait, 1.2 s to the first line, of which 0.7 s to connect: 4.4 s, and 1.1 s
-# more where the next machine of the node's order is lost and does not even refuse.
-WATCH_IDLE_TIMEOUT_S = 2.8  # an empty line comes every 2 s
-RECONNECT_BACKOFF_S = 0.4
-CONNECT_TIMEOUT_S = 0.7
-FIRST_LINE_TIMEOUT_S = 1.2
-LEAST = 0.25  # of a wait is the least that is drawn
+from rosewheel.control.timing import RECONNECT_BACKOFF_S
 
-RETURN_INTERVAL_S = (60.0, 240.0)  # when a node that had to move looks for its preferred machine again
-
-WATCHES_PER_S = 250.0  # nodes that a machine takes on in a second; 540 on the last of four are done in 2 s
-WATCH_BURST = 40
+MIN_BACKOFF_SHARE = 0.25  # of the upper bound of a backoff
+# Range of the wait, in seconds, until a node that had to move tries its preferred machine again.
+RETURN_INTERVAL_S = (60.0, 240.0)
 
 
 def rendezvous_order(node: str, machines: Iterable[str]) -> list[str]:
-    """The machines, the one that this node prefers first."""
+    """Return the machines in the node's order of preference."""
     return sorted(machines, key=lambda machine: (_weight(node, machine), machine), reverse=True)
 
 
@@ -35,44 +27,49 @@
 
 
 class MachineSelection:
-    """Where one node tries next. `lost` counts: a machine that just failed is tried after all the others."""
+    """The machine that one node watches, or tries next.
+
+    Attributes:
+        order: All machines, the preferred one first.
+        index: Position of the current machine in `order`.
+        random: Source of the node's waits.
+    """
 
     def __init__(self, node: str, machines: Iterable[str], seed: int) -> None:
+        """Start with the preferred machine.
+
+        Raises:
+            ValueError: There are no machines.
+        """
         self.random = Random(seed)
         self.order = rendezvous_order(node, machines)
         if not self.order:
             raise ValueError("no control machine")
-        self.at = 0
+        self.index = 0
 
     @property
     def current(self) -> str:
-        return self.order[self.at]
+        """The machine to watch."""
+        return self.order[self.index]
 
     @property
     def is_preferred(self) -> bool:
-        return self.at == 0
+        """Whether the current machine is the first of the node's order."""
+        return self.index == 0
 
     def fail_over(self) -> float:
-        """The current one is no use: the next one is current, to be tried after so many seconds."""
-        self.at = (self.at + 1) % len(self.order)
-        return RECONNECT_BACKOFF_S * self.random.uniform(LEAST, 1.0)
+        """Make the next machine of the order current.
+
+        Returns:
+            Backoff in seconds before it is tried.
+        """
+        self.index = (self.index + 1) % len(self.order)
+        return RECONNECT_BACKOFF_S * self.random.uniform(MIN_BACKOFF_SHARE, 1.0)
 
     def return_to_preferred(self) -> None:
-        self.at = 0
+        """Make the preferred machine current."""
+        self.index = 0
 
     def draw_return_wait_s(self) -> float:
-        """When to look whether the preferred machine is back."""
+        """Return how long to wait before the preferred machine is tried again, in seconds."""
         return self.random.uniform(*RETURN_INTERVAL_S)
-
-
-class ConnectionPacer:
-    """A bucket of tokens: how long the next one of a crowd waits for its turn."""
-
-    def __init__(self, per_s: float = WATCHES_PER_S, burst: int = WATCH_BURST) -> None:
-        self.per_s, self.burst = per_s, burst
-        self._due_s = 0.0  # when the bucket was, or will be, full
-
-    def reserve(self, now_s: float) -> float:
-        """Seconds from now until the turn of one that comes now."""
-        self._due_s = max(self._due_s, now_s) + 1.0 / self.per_s
-        return max(0.0, self._due_s - now_s - self.burst / self.per_s)
--- /dev/null
+++ b/rosewheel/control/machine_status.py
@@ -0,0 +1,115 @@
+"""A control machine's status report: the machines, and the nodes that it knows of."""
+
+from __future__ import annotations
+
+import time
+from collections.abc import Mapping
+from typing import Protocol
+
+from rosewheel.control.codec.status import encode_status, relay_status, status_target
+from rosewheel.control.codec.values import JsonObject
+from rosewheel.control.errors import HttpCallError
+from rosewheel.control.fleet_report import FleetReporter
+from rosewheel.control.heartbeats import PeerHeartbeat
+from rosewheel.control.messages import FleetReport, MachineReport, StatusReport
+from rosewheel.control.node_registry import NodeRegistry
+from rosewheel.control.store import Store
+
+LEADER_CALL_TIMEOUT_S = 1.5
+
+
+class MonotonicClock(Protocol):
+    """The loop's clock."""
+
+    def time(self) -> float:
+        """Return seconds from an arbitrary start."""
+
+
+class StatusReporter:
+    """Makes status reports. The leader knows all nodes, so other machines ask it."""
+
+    def __init__(
+        self,
+        name: str,
+        store: Store,
+        nodes: NodeRegistry,
+        peers: Mapping[str, PeerHeartbeat],
+        clock: MonotonicClock,
+    ) -> None:
+        """Set the parts that are reported on.
+
+        Args:
+            name: This machine.
+            store: Its store.
+            nodes: The nodes that it knows of.
+            peers: The other machines.
+            clock: The clock of `nodes` and `peers`.
+        """
+        self._name, self._store, self._nodes = name, store, nodes
+        self._peers, self._clock = peers, clock
+
+    async def answer(self, local_only: bool, all_nodes: bool) -> JsonObject:
+        """Return the leader's report, or this machine's own where the leader can't be asked.
+
+        Args:
+            local_only: Do not ask the leader.
+            all_nodes: List each node.
+        """
+        replica = self._store.replica
+        leader = self._peers.get(replica.highest_epoch_seen.leader)
+        problem = ""
+        if leader is not None and not local_only:
+            try:
+                status, body = await leader.client.call(
+                    "GET",
+                    status_target(local_only=True, all_nodes=all_nodes),
+                    timeout_s=LEADER_CALL_TIMEOUT_S,
+                )
+                if status == 200:
+                    return relay_status(body, self._name)
+            except HttpCallError as error:
+                problem = (
+                    f"the writer {leader.peer} does not answer, so this is what {self._name} knows: {error}"
+                )
+        elif leader is None and not replica.is_leader:
+            problem = f"no machine writes: this is what {self._name} knows"
+        return encode_status(self.report(all_nodes, problem))
+
+    def report(self, all_nodes: bool, problem: str = "") -> StatusReport:
+        """Return this machine's own report.
+
+        Args:
+            all_nodes: List each node.
+            problem: Why this is not the leader's report; empty for none.
+        """
+        replica, failure = self._store.replica, self._store.log.failure
+        return StatusReport(
+            asked=self._name,
+            machine=self._name,
+            problem=problem or ("" if failure is None else str(failure)),
+            committed=replica.committed,
+            last_number=replica.last.number,
+            highest_epoch_seen=replica.highest_epoch_seen,
+            machines=(self._own_report(), *(self._peer_report(peer) for peer in self._peers.values())),
+            fleet=self._fleet_report(all_nodes),
+        )
+
+    def _own_report(self) -> MachineReport:
+        replica = self._store.replica
+        return MachineReport(self._name, replica.last, last_contact_s=0.0, is_leader=replica.is_leader)
+
+    def _peer_report(self, peer: PeerHeartbeat) -> MachineReport:
+        last_contact_s = None
+        if peer.last_revision is not None:
+            last_contact_s = self._clock.time() - peer.last_contact_s
+        is_leader = peer.peer == self._store.replica.highest_epoch_seen.leader
+        return MachineReport(peer.peer, peer.last_revision, last_contact_s, is_leader)
+
+    def _fleet_report(self, all_nodes: bool) -> FleetReport:
+        replica, time_of_day_s = self._store.replica, time.time()
+
+        def age_s(number: int) -> float:
+            return max(0.0, time_of_day_s - replica.history.created_at_s(number))
+
+        reporter = FleetReporter(replica.committed, self._clock.time(), age_s)
+        return reporter.report(self._nodes, include_all=all_nodes)
--- /dev/null
+++ b/rosewheel/control/promotion.py
@@ -0,0 +1,94 @@
+"""Promotion of this machine to leader."""
+
+from __future__ import annotations
+
+import asyncio
+from collections.abc import Mapping
+
+from rosewheel.control.codec.calls import decode_machine_state, encode_fence, encode_heartbeat
+from rosewheel.control.codec.paths import FENCE_PATH, HEARTBEAT_PATH
+from rosewheel.control.codec.values import JsonObject
+from rosewheel.control.errors import HigherEpochSeenError, HttpCallError
+from rosewheel.control.heartbeats import PeerHeartbeat
+from rosewheel.control.messages import ChangeAnswer, Heartbeat, MachineState, PromoteRequest
+from rosewheel.control.revisions import Revision
+from rosewheel.control.store import Store
+
+# How long a change may take to reach another machine. One that turns to a new leader needs 2 s.
+COMMIT_TIMEOUT_S = 4.0
+PEER_CALL_TIMEOUT_S = 1.5
+
+
+class Promotion:
+    """Promotes this machine."""
+
+    def __init__(self, name: str, store: Store, peers: Mapping[str, PeerHeartbeat]) -> None:
+        """Set the parts that a promotion works on.
+
+        Args:
+            name: This machine.
+            store: Its store.
+            peers: The other machines.
+        """
+        self._name, self._store, self._peers = name, store, peers
+
+    async def run(self, request: PromoteRequest) -> ChangeAnswer:
+        """Begin an epoch of this machine above all that were seen.
+
+        Raises:
+            NotPromotableError: Others have more, or may have. Nothing has changed unless peers were fenced already.
+            PromotionSupersededError: Another machine was promoted meanwhile.
+            NotReplicatedError: No other machine has the first revision of the epoch yet.
+            OSError: The log can't be written.
+        """
+        replica = self._store.replica
+        if replica.is_leader:
+            return ChangeAnswer(replica.last, changed=False)
+        # Peers are asked before they are fenced, so that nothing changes where this machine may not be promoted.
+        heartbeat = Heartbeat(self._name, replica.highest_epoch_seen, replica.last)
+        states = await self._call_peers(HEARTBEAT_PATH, encode_heartbeat(heartbeat))
+        if not request.force:
+            replica.check_promotable(_last_revisions(states))
+        epoch = replica.next_epoch(state.highest_epoch_seen for state in states.values())
+        await self._store.observe_epoch(epoch)
+        fenced = await self._call_peers(FENCE_PATH, encode_fence(epoch))
+        await self._check_fenced(fenced)
+        # Fenced peers take nothing older, so what they have now is all that can have been committed.
+        peer_revisions = _last_revisions(fenced)
+        change = await self._store.begin_epoch(epoch, peer_revisions, request.force, request.author)
+        lost = self._lost_revisions(peer_revisions)
+        if peer_revisions:
+            await self._store.wait_committed(change.revision, COMMIT_TIMEOUT_S)
+        return ChangeAnswer(change.revision, changed=True, lost=lost)
+
+    async def _check_fenced(self, states: Mapping[str, MachineState]) -> None:
+        for peer, state in states.items():
+            if not state.is_fenced:
+                await self._store.observe_epoch(state.highest_epoch_seen)
+                raise HigherEpochSeenError(peer, state.highest_epoch_seen)
+
+    def _lost_revisions(self, peer_revisions: Mapping[str, Revision]) -> tuple[str, ...]:
+        history = self._store.replica.history
+        return tuple(
+            f"{peer} held {revision}"
+            for peer, revision in sorted(peer_revisions.items())
+            if not history.contains(revision)
+        )
+
+    async def _call_peers(self, path: str, body: JsonObject) -> dict[str, MachineState]:
+        """Return the states of the peers that answered."""
+        peers = list(self._peers.values())
+        states = await asyncio.gather(*(_call_peer(peer, path, body) for peer in peers))
+        return {peer.peer: state for peer, state in zip(peers, states, strict=True) if state is not None}
+
+
+async def _call_peer(peer: PeerHeartbeat, path: str, body: JsonObject) -> MachineState | None:
+    try:
+        status, answer = await peer.client.call("POST", path, body, PEER_CALL_TIMEOUT_S)
+    except HttpCallError:
+        return None
+    return decode_machine_state(answer) if status == 200 else None
+
+
+def _last_revisions(states: Mapping[str, MachineState]) -> dict[str, Revision]:
+    return {peer: state.last for peer, state in states.items()}
--- /dev/null
+++ b/rosewheel/control/promotion_rules.py
@@ -0,0 +1,41 @@
+"""Which machine may be promoted to leader. No I/O and no clock."""
+
+from __future__ import annotations
+
+from collections.abc import Mapping, Sequence
+
+from rosewheel.control.errors import PeersAheadError, PromotionQuorumError
+from rosewheel.control.revisions import INITIAL_REVISION, Revision
+
+COMMIT_COPIES = 2  # machines that have a change on disk before it is acknowledged, where there are as many
+
+
+def promotion_quorum(machines: int) -> int:
+    """Return how many machines must answer so that one of them has every committed change."""
+    return max(1, machines - COMMIT_COPIES + 1)
+
+
+def check_promotable(
+    machine: str, last: Revision, peers: Sequence[str], peer_revisions: Mapping[str, Revision]
+) -> None:
+    """Check that a machine has every change that may have been committed.
+
+    Args:
+        machine: The machine to be promoted.
+        last: Its last revision.
+        peers: All its peers.
+        peer_revisions: The last revisions of the peers that answered.
+
+    Raises:
+        PeersAheadError: A peer has a later revision.
+        PromotionQuorumError: Too few machines answered.
+    """
+    ahead = {peer: revision for peer, revision in peer_revisions.items() if revision > last}
+    if ahead:
+        raise PeersAheadError(machine, last, ahead)
+    # A machine without revisions may replace one that was lost, so its answer proves nothing.
+    known = [revision for revision in (last, *peer_revisions.values()) if revision != INITIAL_REVISION]
+    required = promotion_quorum(len(peers) + 1)
+    if len(known) < required:
+        silent = [peer for peer in peers if peer_revisions.get(peer, INITIAL_REVISION) == INITIAL_REVISION]
+        raise PromotionQuorumError(sorted(silent), len(known), required)
--- /dev/null
+++ b/rosewheel/control/replication_watch.py
@@ -0,0 +1,142 @@
+"""The watch by which a follower receives the leader's log."""
+
+from __future__ import annotations
+
+import asyncio
+import logging
+import random
+from collections import deque
+from collections.abc import Mapping
+
+from rosewheel.config.platform import Address
+from rosewheel.control.codec.log_records import decode_log_suffix
+from rosewheel.control.codec.watch import encode_watch_target
+from rosewheel.control.errors import OutOfSequenceError, SuffixRejectedError
+from rosewheel.control.heartbeats import PeerHeartbeat
+from rosewheel.control.messages import WatchRequest
+from rosewheel.control.replication_source import ReplicationSource, SourceAction
+from rosewheel.control.revisions import LogSuffix
+from rosewheel.control.store import Store
+from rosewheel.control.timing import (
+    CONNECT_TIMEOUT_S,
+    FIRST_LINE_TIMEOUT_S,
+    RECONNECT_BACKOFF_S,
+    WATCH_IDLE_TIMEOUT_S,
+)
+from rosewheel.discovery.watch import Watcher
+
+log = logging.getLogger("rosewheel.control")
+
+MIN_BACKOFF_SHARE = 0.25  # of the upper bound of a backoff
+
+
+class ReplicationWatch:
+    """Watches the leader, or another follower while the leader can't be reached, and appends what it receives."""
+
+    def __init__(self, name: str, store: Store, peers: Mapping[str, PeerHeartbeat]) -> None:
+        """Start without a watch.
+
+        Args:
+            name: This machine.
+            store: Receives the log suffixes.
+            peers: The other machines.
+        """
+        self._name, self._store, self._peers = name, store, peers
+        self._loop = asyncio.get_running_loop()
+        self._random = random.Random()
+        self._source = ReplicationSource(name, list(peers), self._random)
+        self._received: deque[LogSuffix] = deque()
+        self._append_task: asyncio.Task[None] | None = None
+        self._retry_timer: asyncio.TimerHandle | None = None
+        self._watcher: Watcher[LogSuffix] | None = None
+        self._closed = False
+
+    @property
+    def source(self) -> str:
+        """The machine that is watched; empty for none."""
+        return self._source.current
+
+    def reconcile(self) -> None:
+        """Watch the machine that is to be watched now. Called after each change of the store, and periodically."""
+        if self._closed:
+            return
+        leader = self._leader
+        leader_alive = leader in self._peers and self._peers[leader].alive
+        match self._source.reconcile(leader, leader_alive, self._loop.time()):
+            case SourceAction.STOP:
+                self._stop()
+            case SourceAction.OPEN:
+                self._open(self._source.current)
+            case SourceAction.KEEP:
+                pass
+
+    @property
+    def _leader(self) -> str:
+        return self._store.replica.highest_epoch_seen.leader
+
+    def close(self) -> None:
+        """Close the watch for good."""
+        self._closed = True
+        self._stop()
+
+    def _stop(self) -> None:
+        self._source.stop()
+        self._received.clear()
+        self._cancel_retry()
+        if self._watcher is not None:
+            self._watcher.close()
+            self._watcher = None
+
+    def _cancel_retry(self) -> None:
+        if self._retry_timer is not None:
+            self._retry_timer.cancel()
+            self._retry_timer = None
+
+    def _open(self, peer: str) -> None:
+        self._stop()
+        self._source.select(peer, self._loop.time())
+        self._watcher = self._make_watcher(self._peers[peer].address)
+        self._watcher.watch()
+
+    def _make_watcher(self, address: Address) -> Watcher[LogSuffix]:
+        return Watcher(
+            address,
+            0,
+            path=lambda _: self._target(),
+            read=decode_log_suffix,
+            take=lambda _, suffix: self._receive(suffix),
+            failed=self._watch_failed,
+            log=log,
+            silence_s=WATCH_IDLE_TIMEOUT_S,
+            connect_s=CONNECT_TIMEOUT_S,
+            first_s=FIRST_LINE_TIMEOUT_S,
+        )
+
+    def _target(self) -> str:
+        return encode_watch_target(WatchRequest(self._store.replica.last, peer=self._name))
+
+    def _watch_failed(self) -> None:
+        alive = [name for name, peer in self._peers.items() if peer.alive]
+        self._open_later(self._source.after_failure(self._leader, alive))
+
+    def _open_later(self, peer: str) -> None:
+        self._received.clear()
+        self._cancel_retry()
+        backoff_s = RECONNECT_BACKOFF_S * self._random.uniform(MIN_BACKOFF_SHARE, 1.0)
+        self._retry_timer = self._loop.call_later(backoff_s, self._open, peer)
+
+    def _receive(self, suffix: LogSuffix) -> None:
+        self._received.append(suffix)
+        if self._append_task is None or self._append_task.done():
+            self._append_task = self._loop.create_task(self._append_received())
+
+    async def _append_received(self) -> None:
+        while self._received:
+            suffix = self._received.popleft()
+            try:
+                await self._store.append_suffix(suffix)
+            except (SuffixRejectedError, OutOfSequenceError, OSError) as error:
+                log.warning("log suffix rejected: %s, peer=%s", error, self.source)
+                if self._watcher is not None:
+                    self._watcher.close()
+                    self._open_later(self.source)
--- a/rosewheel/control/store.py
+++ b/rosewheel/control/store.py
@@ -1,187 +1,269 @@
-"""A replica with its log: what it says of itself is on disk. One thing is done after the other."""
+"""A replica with its log: what the replica is told is on disk first. One operation runs after the other."""
 
 from __future__ import annotations
 
 import asyncio
 import logging
 import time
-from collections.abc import Callable, Mapping
-
-from rosewheel.control import validation
-from rosewheel.control.durable_log import DurableLog, LogRecord
-from rosewheel.control.replica import (
-    LogSuffix,
-    Replica,
-    encode_change,
-    encode_snapshot,
-)
-from rosewheel.control.revisions import (
-    RETAINED_REVISIONS,
-    Change,
-    Document,
-    Epoch,
-    Revision,
-    apply_patch,
-    describe,
-    make_patch,
-)
+from collections.abc import Callable, Iterable, Mapping, Sequence
+from dataclasses import dataclass
+
+from rosewheel.control.codec.log_records import decode_log_record, encode_log_record
+from rosewheel.control.documents import Document, apply_patch, make_patch
+from rosewheel.control.durable_log import DurableLog
+from rosewheel.control.errors import ReplicationSupersededError, ReplicationTimeoutError
+from rosewheel.control.history import RETAINED_REVISIONS
+from rosewheel.control.messages import PutRequest, RollbackRequest
+from rosewheel.control.replica import Replica
+from rosewheel.control.revisions import Change, Epoch, EpochObserved, LogRecord, LogSuffix, Revision
+from rosewheel.control.validation import validate_document
 
 log = logging.getLogger("rosewheel.control")
 
 
-class ReplicationTimeoutError(Exception):
-    """It is written here, but whether it holds is not known: no other machine is known to have it."""
+@dataclass(slots=True, frozen=True)
+class _CommitWaiter:
+    revision: Revision
+    future: asyncio.Future[None]
 
 
 class Store:
-    """`changed` is called after each step."""
+    """One machine's replica and log.
+
+    Attributes:
+        log: The log on disk.
+        replica: The state that the log stands for.
+    """
+
+    def __init__(self, durable_log: DurableLog, replica: Replica, on_change: Callable[[], None]) -> None:
+        """Join a replica to its log.
 
-    def __init__(self, disk: DurableLog, replica: Replica, changed: Callable[[], None]) -> None:
-        self.log, self.replica, self._changed = disk, replica, changed
-        self._turn = asyncio.Lock()
-        self._waiting: list[tuple[Revision, asyncio.Future[None]]] = []
+        Args:
+            durable_log: The log that `replica` was rebuilt from.
+            replica: The replica.
+            on_change: Called after each operation that changed the replica.
+        """
+        self.log, self.replica = durable_log, replica
+        self._on_change = on_change
+        self._lock = asyncio.Lock()
+        self._waiters: list[_CommitWaiter] = []
 
     @classmethod
     def recover(
-        cls, disk: DurableLog, name: str, peers: list[str], first: str, changed: Callable[[], None]
+        cls,
+        durable_log: DurableLog,
+        name: str,
+        peers: Sequence[str],
+        initial_leader: str,
+        on_change: Callable[[], None],
     ) -> Store:
-        """OSError where the folder can't be written."""
-        records, disk.records = disk.records, []
-        replica = Replica(name, peers, first, records)
-        if disk.truncated_bytes:
+        """Rebuild a machine's replica from its log.
+
+        Args:
+            durable_log: The log.
+            name: The machine.
+            peers: The other machines.
+            initial_leader: Leads where the log is empty.
+            on_change: Called after each operation that changed the replica.
+
+        Raises:
+            OSError: The log can't be written.
+            MalformedMessageError: A record is not one of this format.
+        """
+        records = [decode_log_record(body) for body in durable_log.take_records()]
+        replica = Replica(name, peers, initial_leader, records)
+        if durable_log.truncated_bytes:
             log.warning(
-                "%s: the last %d bytes were never whole, and are cut off", disk.path, disk.truncated_bytes
+                "log truncated: incomplete last record, path=%s bytes=%d",
+                durable_log.path,
+                durable_log.truncated_bytes,
             )
         if replica.started_empty:
-            disk.append([replica.epoch_record])
+            durable_log.append([encode_log_record(replica.epoch_record)])
+        epoch = replica.highest_epoch_seen
         log.info(
-            "%s holds %s, has seen epoch %d (%s)", name, describe(replica.last), *replica.highest_epoch_seen
+            "log opened: machine=%s revision=%d epoch=%d leader=%s",
+            *(name, replica.last.number, epoch.number, epoch.leader),
         )
-        return cls(disk, replica, changed)
+        return cls(durable_log, replica, on_change)
+
+    # ----------------------------------------------------------------------- changes
 
-    # -------------------------------------------------------------------- writing
+    async def put(self, request: PutRequest) -> Change | None:
+        """Write a change to this machine's log.
 
-    async def put(
-        self, patch: Document, expected: int, by: str, note: str, alone: bool = False
-    ) -> Change | None:
-        """The new version, on disk here; None where nothing would change. ValueError for a bad one, NotWriterError,
-        PendingError, ConflictError, OSError: nothing is written then."""
-        async with self._turn:
-            return await self._put(patch, expected, by, note, alone)
+        Returns:
+            The change; None where the document would stay the same.
 
-    async def _put(self, patch: Document, expected: int, by: str, note: str, alone: bool) -> Change | None:
+        Raises:
+            InvalidDocumentError: Nodes could not apply the new document.
+            NotLeaderError: This machine does not lead.
+            WriteUnavailableError: It can't accept a change yet.
+            RevisionConflictError: The patch was made for another revision.
+            OSError: The log can't be written.
+        """
+        async with self._lock:
+            return await self._put(request)
+
+    async def rollback(self, request: RollbackRequest) -> Change | None:
+        """Write a change that leads back to an earlier revision; otherwise as `put`.
+
+        Raises:
+            UnknownRevisionError: The revision is not retained.
+        """
+        async with self._lock:
+            patch = self.replica.history.rollback_patch(request.target)
+            note = f"back to version {request.target}"
+            return await self._put(
+                PutRequest(patch, request.expected, request.author, note, request.unreplicated)
+            )
+
+    async def _put(self, request: PutRequest) -> Change | None:
         change = self.replica.draft(
-            patch, expected, author=by, note=note, unreplicated=alone, created_at_s=time.time()
+            request.patch,
+            request.expected,
+            author=request.author,
+            note=request.note,
+            created_at_s=time.time(),
+            unreplicated=request.unreplicated,
         )
-        document = apply_patch(self.replica.history.document, patch)
-        validation.validate_document(document)
-        if not make_patch(self.replica.history.document, document):
+        if not self._changes_document(change.patch):
             return None
-        await self._append([encode_change(change)])
+        await self._append([change])
         self.replica.appended(change)
         await self._compact()
-        self._step()
+        self._notify()
         return change
 
-    async def rollback(self, version: int, expected: int, by: str, alone: bool = False) -> Change | None:
-        """As `put`; UnknownVersionError where that version is not kept."""
-        async with self._turn:
-            patch = self.replica.history.rollback_patch(version)
-            return await self._put(patch, expected, by, f"back to version {version}", alone)
+    def _changes_document(self, patch: Document) -> bool:
+        """Return whether a patch changes the document; InvalidDocumentError where nodes could not apply the new one."""
+        before = self.replica.history.last_document
+        document = apply_patch(before, patch)
+        validate_document(document)
+        return bool(make_patch(before, document))
+
+    async def wait_committed(self, revision: Revision, timeout_s: float) -> None:
+        """Wait until another machine has a revision on disk too.
 
-    async def wait_committed(self, position: Revision, within_s: float) -> None:
-        """Until another machine has it too; NotHeldError."""
-        if self._stands(position):
+        Raises:
+            ReplicationTimeoutError: None had it in time.
+            ReplicationSupersededError: Another machine was promoted first.
+        """
+        if self._is_committed(revision):
             return
-        future: asyncio.Future[None] = asyncio.get_running_loop().create_future()
-        entry = (position, future)
-        self._waiting.append(entry)
+        waiter = _CommitWaiter(revision, asyncio.get_running_loop().create_future())
+        self._waiters.append(waiter)
         try:
-            async with asyncio.timeout(within_s):
-                await future
+            async with asyncio.timeout(timeout_s):
+                await waiter.future
         except TimeoutError as error:
-            text = f"{describe(position)} is written here, but no other machine has it yet: it is in force nowhere, "
-            raise ReplicationTimeoutError(text + "and will be once one has") from error
+            raise ReplicationTimeoutError(revision) from error
         finally:
-            self._waiting.remove(entry)
-
-    def _stands(self, position: Revision) -> bool:
-        return self.replica.committed >= position and self.replica.history.document_at(position) is not None
-
-    # ------------------------------------------------------------ what others tell
-
-    async def append_suffix(self, tail: LogSuffix) -> None:
-        """FencedError or ValueError where it must not be taken, OSError where it can't be kept."""
-        async with self._turn:
-            replica = self.replica
-            replica.validate_suffix(tail)
-            changes = [encode_change(change) for change in tail.changes]
-            if tail.snapshot is None:
-                await self._append(changes)
-            else:  # in one piece: half of it would be less than what others count on
-                records = [encode_snapshot(tail.snapshot), *changes, replica.epoch_record]
-                await asyncio.to_thread(self.log.rewrite, records)
-            replica.suffix_appended(tail)
+            self._waiters.remove(waiter)
+
+    def _is_committed(self, revision: Revision) -> bool:
+        return self.replica.committed >= revision and self.replica.history.contains(revision)
+
+    # --------------------------------------------------------------- from other machines
+
+    async def append_suffix(self, suffix: LogSuffix) -> None:
+        """Append what another machine sent.
+
+        Raises:
+            SuffixRejectedError: It must not be appended.
+            OutOfSequenceError: Its changes do not follow one another.
+            OSError: The log can't be written.
+        """
+        async with self._lock:
+            self.replica.validate_suffix(suffix)
+            if suffix.snapshot is None:
+                await self._append(suffix.changes)
+            else:
+                # In one step: a part of the suffix would be less than others rely on.
+                await self._rewrite([suffix.snapshot, *suffix.changes, self.replica.epoch_record])
+            self.replica.suffix_appended(suffix)
             await self._compact()
-            self._step()
+            self._notify()
 
-    async def observe_epoch(self, epoch: Epoch) -> bool:
-        """A higher epoch is on disk before anything is done by it; whether it was one."""
+    async def observe_epoch(self, epoch: Epoch) -> None:
+        """Note an epoch that another machine or a node has seen, on disk before anything is done by it.
+
+        Raises:
+            OSError: The log can't be written.
+        """
         if epoch <= self.replica.highest_epoch_seen:
-            return False
-        async with self._turn:
+            return
+        async with self._lock:
             if epoch <= self.replica.highest_epoch_seen:
-                return False
-            wrote = self.replica.is_leader
-            await self._append([{"kind": "seen", "epoch": epoch}])
+                return
+            was_leader = self.replica.is_leader
+            await self._append([EpochObserved(epoch)])
             self.replica.epoch_observed(epoch)
-            if wrote:
-                log.warning("%s was promoted: this machine writes no more", epoch.leader)
-            self._step()
-            return True
-
-    def replica_ack(self, peer: str, position: Revision) -> None:
-        """A peer has this on disk."""
-        if self.replica.replica_ack(peer, position):
-            self._step()
-
-    async def begin_epoch(self, epoch: Epoch, holds: Mapping[str, Revision], force: bool, by: str) -> Change:
-        """The last step of a promotion, once enough machines take nothing older: the first version of the epoch.
-        BehindError, NotWriterError."""
-        async with self._turn:
+            if was_leader:
+                log.warning("leadership lost: another machine promoted, leader=%s", epoch.leader)
+            self._notify()
+
+    def replica_ack(self, peer: str, revision: Revision) -> None:
+        """A peer has a revision on disk."""
+        if self.replica.replica_ack(peer, revision):
+            self._notify()
+
+    async def begin_epoch(
+        self, epoch: Epoch, peer_revisions: Mapping[str, Revision], force: bool, author: str
+    ) -> Change:
+        """Write the first revision of this machine's epoch, the last step of its promotion.
+
+        Args:
+            epoch: The epoch, which enough machines have seen.
+            peer_revisions: The last revisions of those machines.
+            force: Lead even where they have more, or are too few.
+            author: Who promotes.
+
+        Raises:
+            NotPromotableError: A peer has more, or too few answered.
+            PromotionSupersededError: A higher epoch was seen.
+            OSError: The log can't be written.
+        """
+        async with self._lock:
             if not force:
-                self.replica.check_promotable(holds)
-            alone = force and not holds
-            change = self.replica.draft_promotion(epoch, time.time(), by, alone)
-            await self._append([encode_change(change)])
+                self.replica.check_promotable(peer_revisions)
+            unreplicated = force and not peer_revisions
+            change = self.replica.draft_promotion(epoch, time.time(), author, unreplicated)
+            await self._append([change])
             self.replica.appended(change)
-            log.warning("this machine writes from %s on", describe(change.revision))
-            self._step()
+            log.warning(
+                "leadership taken: revision=%d epoch=%d leader=%s",
+                *(change.revision.number, epoch.number, epoch.leader),
+            )
+            self._notify()
             return change
 
-    # ----------------------------------------------------------------------- disk
+    # -------------------------------------------------------------------------- disk
 
     async def close(self) -> None:
-        """After what is being written."""
-        async with self._turn:
+        """Close the log once the operation in progress has ended."""
+        async with self._lock:
             self.log.close()
 
-    async def _append(self, records: list[LogRecord]) -> None:
-        await asyncio.to_thread(self.log.append, records)
+    async def _append(self, records: Iterable[LogRecord]) -> None:
+        await asyncio.to_thread(self.log.append, [encode_log_record(record) for record in records])
+
+    async def _rewrite(self, records: Iterable[LogRecord]) -> None:
+        await asyncio.to_thread(self.log.rewrite, [encode_log_record(record) for record in records])
 
     async def _compact(self) -> None:
         if self.log.record_count > 2 * RETAINED_REVISIONS + 2:
             self.replica.trim()
-            await asyncio.to_thread(self.log.rewrite, self.replica.log_records)
+            await self._rewrite(self.replica.log_records)
 
-    def _step(self) -> None:
-        for position, future in self._waiting:
-            if future.done():
+    def _notify(self) -> None:
+        """Complete the waiters that can be, and tell the owner."""
+        for waiter in self._waiters:
+            if waiter.future.done():
                 continue
-            if self._stands(position):
-                future.set_result(None)
+            if self._is_committed(waiter.revision):
+                waiter.future.set_result(None)
             elif not self.replica.is_leader:
                 leader = self.replica.highest_epoch_seen.leader
-                text = f"{leader} was promoted before another machine had {describe(position)}"
-                future.set_exception(ReplicationTimeoutError(f"{text}: whether it holds is not known"))
-        self._changed()
+                waiter.future.set_exception(ReplicationSupersededError(waiter.revision, leader))
+        self._on_change()
--- a/rosewheel/control/subscriber.py
+++ b/rosewheel/control/subscriber.py
@@ -1,55 +1,52 @@
-"""The node's side: the configuration that concerns it, followed at one control machine and kept on disk.
+"""The node's side: receives the configuration of the node's service from one control machine and applies it.
 
-It costs a node one open connection, a timer, and a short call for each change. No request ever waits for it: what is in
-force stays so until the next version is, also while no control machine can be reached, and a node that starts begins
-with the copy of the last good one.
+It costs a node one open connection, a timer, and a short call for each change. Requests never wait for it: what is
+applied stays applied until the next revision, also while no control machine can be reached, and a node that starts
+begins with the document that it has saved.
 """
 
 from __future__ import annotations
 
-import asyncio
 import logging
-import os
 import time
-import zlib
 from collections.abc import Callable, Mapping
 from pathlib import Path
-from typing import Any, NamedTuple
-from urllib.parse import quote
-
-import orjson
+from typing import Any
 
 from rosewheel.config.platform import Address
-from rosewheel.control.http_client import HttpCallError, JsonHttpClient
-from rosewheel.control.machine_selection import (
-    CONNECT_TIMEOUT_S,
-    FIRST_LINE_TIMEOUT_S,
-    WATCH_IDLE_TIMEOUT_S,
-    MachineSelection,
-)
-from rosewheel.control.revisions import INITIAL_REVISION, Document, Revision, apply_patch, describe
+from rosewheel.control.acknowledgement import AcknowledgementSender
+from rosewheel.control.cached_document import CachedDocumentFile
+from rosewheel.control.codec.watch import decode_update, encode_watch_target
+from rosewheel.control.documents import Document
+from rosewheel.control.machine_selection import MachineSelection
+from rosewheel.control.messages import ConfigurationUpdate, NodeAcknowledgement, WatchRequest
+from rosewheel.control.revisions import Revision
+from rosewheel.control.subscription import Subscription, UpdateEffect
+from rosewheel.control.timer import Timer
+from rosewheel.control.timing import CONNECT_TIMEOUT_S, FIRST_LINE_TIMEOUT_S, WATCH_IDLE_TIMEOUT_S
 from rosewheel.discovery.watch import Watcher
 
 log = logging.getLogger("rosewheel.control")
 
-MAGIC = b"rosewheel-control"
-FORMAT = 1
-COPY_BYTES = 16 << 20  # Guards memory: a longer file was not written here
-# Nodes acknowledge at a moment of their own in this time, so that those of one machine do not do it at once, and what
-# follows quickly on another change is acknowledged together with it.
-ACK_S = 0.4
-ACK_AGAIN_S = (1.0, 2.0)
-RETURN_MOST = (
-    16.0  # to so many times the first wait grows the time between two looks for the preferred machine
-)
+MAX_RETURN_BACKOFF = 16.0  # bound of the factor by which waits for the preferred machine grow
 
 ApplyDocument = Callable[[Document], None]
 
 
+def _ignore_revision(_: Revision) -> None:
+    pass
+
+
 class ConfigurationSubscriber:
-    """`apply` is given what concerns this node, whole, and puts it in force; ValueError where it can't be: what was in
-    force stays, and the machines are told why. `copy` is the file for the last good one; without it none is kept. The
-    waits are drawn by `seed`."""
+    """Subscribes a node to its configuration.
+
+    Attributes:
+        name: The node's name.
+        service: The service that it balances.
+        machines: Addresses of the control machines by name.
+        state: What was received and applied.
+        selection: Which machine is watched.
+    """
 
     def __init__(
         self,
@@ -57,258 +54,200 @@
         service: str,
         machines: Mapping[str, Address],
         seed: int,
-        copy: Path | None,
+        cache_path: Path | None,
         apply: ApplyDocument,
+        on_update: Callable[[Revision], None] = _ignore_revision,
+        on_acknowledged: Callable[[Revision], None] = _ignore_revision,
     ) -> None:
+        """Set up without I/O.
+
+        Args:
+            name: The node's name, which no other node has.
+            service: The service that it balances.
+            machines: Addresses of the control machines by name.
+            seed: Of the waits.
+            cache_path: File for the last applied document; None to save none.
+            apply: Applies the complete document that concerns the node. Raises ValueError, with everything as before,
+                where it can't; the control machines are told the reason.
+            on_update: Called with the applied revision after each update.
+            on_acknowledged: Called with the applied revision once a control machine has it.
+        """
         self.name, self.service, self.machines = name, service, dict(machines)
-        self.copy, self.apply = copy, apply
+        self.state = Subscription()
         self.selection = MachineSelection(name, self.machines, seed)
-        self.applied = INITIAL_REVISION  # in force
-        self.rejected: Revision | None = None  # a newer one, that could not be put in force
-        self.reason = ""
-        self._received = INITIAL_REVISION  # as last heard, in force or not
-        self._document: Document = {}
+        self._apply, self._on_update = apply, on_update
+        self._cache = None if cache_path is None else CachedDocumentFile(cache_path, service, self.state)
+        self._acknowledgements = AcknowledgementSender(
+            self._acknowledgement, self.selection.random, lambda: on_acknowledged(self.state.applied)
+        )
         self._stamp = 0
-        self._acknowledged = False  # whether the machine knows what is in force here
-        self._good: Document = {}  # what is in force
-        self._kept: Revision | None = None  # in the copy
-        self._looks = 0  # for the preferred machine, since it was lost
-        self._stopped = False
-        self._client: JsonHttpClient | None = None
-        self._ack_task: asyncio.Task[None] | None = None
-        self._save_task: asyncio.Task[None] | None = None
-        self._timers: dict[str, asyncio.TimerHandle] = {}
-        self._watcher: Watcher[_Line] | None = None
+        self._return_attempts = 0  # to the preferred machine, since it was lost
+        self._closed = False
+        self._reopen_timer, self._return_timer = Timer(), Timer()
+        self._watcher: Watcher[ConfigurationUpdate] | None = None
 
     def start(self) -> None:
-        """The copy is in force when this returns, if it is good; the rest comes as it comes."""
-        self._recall()
+        """Apply the saved document, if it is good, and open a watch."""
+        self._load_cache()
         self._open()
 
     def close(self) -> None:
-        self._stopped = True
-        for timer in self._timers.values():
-            timer.cancel()
-        self._timers.clear()
+        """Close the watch and send nothing more."""
+        self._closed = True
+        self._reopen_timer.cancel()
+        self._return_timer.cancel()
         if self._watcher is not None:
             self._watcher.close()
-        if self._client is not None:
-            self._client.close()
-        if self._ack_task is not None:
-            self._ack_task.cancel()
+        self._acknowledgements.close()
 
     @property
     def machine(self) -> str:
+        """The control machine that is watched."""
         return self.selection.current
 
-    # ------------------------------------------------------------------ the machine
+    @property
+    def applied(self) -> Revision:
+        """The revision that the node has applied."""
+        return self.state.applied
+
+    @property
+    def rejected(self) -> Revision | None:
+        """A later revision that the node could not apply."""
+        return self.state.rejected
+
+    # -------------------------------------------------------------------------- watch
 
     def _open(self) -> None:
-        if self._stopped:
+        if self._closed:
             return
         address = self.machines[self.selection.current]
-        if self._client is None or self._client.address != address:
-            if self._client is not None:
-                self._client.close()
-            self._client = JsonHttpClient(address)
+        self._acknowledgements.use_machine(address)
         if self._watcher is None:
-            self._watcher = Watcher(
-                address,
-                0,
-                path=lambda _: self._path(),
-                read=self._read,
-                take=self._take,
-                failed=self._failed,
-                log=log,
-                silence_s=WATCH_IDLE_TIMEOUT_S,
-                connect_s=CONNECT_TIMEOUT_S,
-                first_s=FIRST_LINE_TIMEOUT_S,
-            )
+            self._watcher = self._make_watcher(address)
         self._watcher.move(address)
-        self._watcher.since = 0  # what follows what is for this class to say: a count is one of an epoch
+        self._watcher.since = (
+            0  # the order of revisions is checked here: their numbers do not grow over epochs
+        )
         self._watcher.watch()
-        if self.rejected is not None or self._received != self.applied:
-            self._acknowledge()
-        if not self.selection.is_preferred and "return" not in self._timers:
-            self._after(
-                "return",
-                self.selection.draw_return_wait_s() * min(RETURN_MOST, 2.0**self._looks),
-                self._return,
-            )
-
-    def _path(self) -> str:
-        told = self._received
-        at = f"since={told.number}&epoch={told.epoch_number}&writer={quote(told.leader)}"
-        held = "&held=1" if self.applied == told and self.rejected is None else ""
-        who = f"node={quote(self.name, safe='')}&service={quote(self.service, safe='')}&stamp={self._next_stamp()}"
-        return f"/control/config?follow=1&{at}&{who}{held}"
-
-    def _failed(self) -> None:
-        """The watch ended: the next machine in this node's order, a moment later."""
-        if not self._stopped:
-            self._after("open", self.selection.fail_over(), self._open)
-
-    def _return(self) -> None:
-        """Look whether the preferred machine is back. If it is not, the watch fails and goes on to the next."""
-        self._looks += 1
+        if not self.state.received_is_applied:
+            self._acknowledgements.schedule()
+        if not self.selection.is_preferred and not self._return_timer.is_running:
+            backoff = min(MAX_RETURN_BACKOFF, 2.0**self._return_attempts)
+            self._return_timer.start(self.selection.draw_return_wait_s() * backoff, self._try_preferred)
+
+    def _make_watcher(self, address: Address) -> Watcher[ConfigurationUpdate]:
+        return Watcher(
+            address,
+            0,
+            path=lambda _: self._target(),
+            read=self._decode,
+            take=lambda _, update: self._receive(update),
+            failed=self._watch_failed,
+            log=log,
+            silence_s=WATCH_IDLE_TIMEOUT_S,
+            connect_s=CONNECT_TIMEOUT_S,
+            first_s=FIRST_LINE_TIMEOUT_S,
+        )
+
+    def _target(self) -> str:
+        request = WatchRequest(
+            self.state.received,
+            node=self.name,
+            service=self.service,
+            stamp=self._next_stamp(),
+            received_is_applied=self.state.received_is_applied,
+        )
+        return encode_watch_target(request)
+
+    def _watch_failed(self) -> None:
+        """Watch the next machine of this node's order after a backoff."""
+        if not self._closed:
+            self._reopen_timer.start(self.selection.fail_over(), self._open)
+
+    def _try_preferred(self) -> None:
+        """Watch the preferred machine; if it is still lost, the watch fails over to the next one."""
+        self._return_attempts += 1
         if not self.selection.is_preferred:
             self.selection.return_to_preferred()
             self._open()
 
-    def _after(self, name: str, wait_s: float, call: Callable[[], None]) -> None:
-        if name in self._timers:
-            self._timers[name].cancel()
-
-        def due() -> None:
-            self._timers.pop(name, None)
-            call()
-
-        self._timers[name] = asyncio.get_running_loop().call_later(wait_s, due)
-
-    # ---------------------------------------------------------------- what it says
+    # ------------------------------------------------------------------------- updates
 
-    def _read(self, row: dict[str, Any]) -> _Line:
-        config = row["config"]
-        position = Revision(row["epoch"], row["writer"], row["seq"])
-        if not isinstance(config, dict) or not all(map(isinstance, position, (int, str, int))):
-            raise TypeError("not a configuration")
-        if position < self._received:  # of a lower epoch, or of an earlier version of this one
-            raise ValueError(f"{describe(position)} is from before {describe(self._received)}")
-        return _Line(position, config)
+    def _decode(self, row: dict[str, Any]) -> ConfigurationUpdate:
+        update = decode_update(row)
+        self.state.check(update)
+        return update
 
-    def _take(self, whole: bool, line: _Line) -> None:
-        self._document = line.config if whole else apply_patch(self._document, line.config)
-        before, self._received = self._received, line.position
+    def _receive(self, update: ConfigurationUpdate) -> None:
+        effect = self.state.receive(update)
         if self.selection.is_preferred:
-            self._looks = 0
-        if whole or line.config or self.applied == INITIAL_REVISION:
-            self._put_in_force()
-        elif self.rejected is None:
-            self.applied = line.position  # it concerns others: only the version is another
-            if before.epoch != line.position.epoch:
-                self._save()  # so that nothing older is taken after a restart either
-        self._acknowledge()
-
-    def _put_in_force(self) -> None:
+            self._return_attempts = 0
+        match effect:
+            case UpdateEffect.APPLY:
+                self._apply_received()
+            case UpdateEffect.SAVE:
+                self._save()
+            case UpdateEffect.NONE:
+                pass
+        self._acknowledgements.schedule()
+        self._on_update(self.state.applied)
+
+    def _apply_received(self) -> None:
+        received = self.state.received
         try:
-            self.apply(self._document)
+            self._apply(self.state.received_document)
         except ValueError as error:
-            self.rejected, self.reason = self._received, " ".join(str(error).split())
+            self.state.mark_rejected(_one_line(error))
             log.error(
-                "%s is not in force here, %s stays: %s",
-                describe(self._received),
-                describe(self.applied),
-                self.reason,
+                "configuration rejected: %s, revision=%d epoch=%d leader=%s applied=%d",
+                *(self.state.reason, received.number, received.epoch_number, received.leader),
+                self.state.applied.number,
             )
             return
-        self.applied, self._good, self.rejected, self.reason = self._received, self._document, None, ""
-        log.info("%s is in force", describe(self.applied))
+        self.state.mark_applied()
+        log.info(
+            "configuration applied: revision=%d epoch=%d leader=%s",
+            *(received.number, received.epoch_number, received.leader),
+        )
         self._save()
 
-    # -------------------------------------------------------------- acknowledgement
+    # ----------------------------------------------------------------- acknowledgements
+
+    def _acknowledgement(self) -> NodeAcknowledgement:
+        state = self.state
+        return NodeAcknowledgement(
+            self.name, self.service, self._next_stamp(), state.applied, state.rejected, state.reason
+        )
 
     def _next_stamp(self) -> int:
-        """Grows with each word of this node, also over its restarts, as far as its clock is not set back."""
+        """Return a stamp above all earlier ones, over restarts too as long as the clock is not set back."""
         self._stamp = max(self._stamp + 1, int(time.time() * 1000.0))
         return self._stamp
 
-    def _acknowledge(self) -> None:
-        self._acknowledged = False
-        if "ack" not in self._timers and (self._ack_task is None or self._ack_task.done()):
-            self._after("ack", self.selection.random.uniform(0.0, ACK_S), self._ack)
-
-    def _ack(self) -> None:
-        if not self._stopped:
-            self._ack_task = asyncio.get_running_loop().create_task(self._send_acknowledgement())
-
-    async def _send_acknowledgement(self) -> None:
-        while not self._acknowledged and self._client is not None:
-            self._acknowledged = True
-            row = [self.name, self.service, self._next_stamp(), self.applied, self.rejected, self.reason]
-            client = self._client
-            try:
-                status, _ = await client.call("POST", "/control/ack", {"nodes": [row]})
-            except HttpCallError:
-                status = 0
-            client.close()  # a descriptor here, and on the machine one for each node, are not worth a connect saved
-            if status != 200:
-                self._acknowledged = False
-                self._after("ack", self.selection.random.uniform(*ACK_AGAIN_S), self._ack)
-                return
-
-    # --------------------------------------------------------------------- the copy
-
-    def _recall(self) -> None:
-        if self.copy is None:
+    # --------------------------------------------------------------------------- cache
+
+    def _load_cache(self) -> None:
+        if self._cache is None:
             return
         try:
-            with self.copy.open("rb") as file:
-                position, document = decode_cached_document(file.read(COPY_BYTES + 1), self.service)
-            self.apply(document)
+            revision, document = self._cache.load()
+            self._apply(document)
         except FileNotFoundError:
             return
-        except (OSError, ValueError, KeyError, TypeError) as error:
-            log.warning("the copy of the configuration is not used: %s", " ".join(str(error).split()))
+        except (OSError, ValueError) as error:
+            log.warning("cached configuration ignored: %s", _one_line(error))
             return
-        self.applied = self._received = self._kept = position
-        self._document = self._good = document
-        log.info("%s is in force, by the copy", describe(position))
+        self.state.restore(revision, document)
+        self._cache.mark_saved(revision)
+        log.info(
+            "configuration applied: revision=%d epoch=%d leader=%s source=cache",
+            *(revision.number, revision.epoch_number, revision.leader),
+        )
 
     def _save(self) -> None:
-        if self.copy is not None and (self._save_task is None or self._save_task.done()):
-            self._save_task = asyncio.get_running_loop().create_task(self._saved())
-
-    async def _saved(self) -> None:
-        """In a thread: a disk takes its time, and requests must not wait for it."""
-        assert self.copy is not None
-        while self.applied != self._kept:
-            position, document = self.applied, self._good
-            try:
-                await asyncio.to_thread(
-                    write, self.copy, encode_cached_document(self.service, position, document)
-                )
-            except OSError as error:
-                log.error("the configuration is not kept: %s", error)
-                return
-            self._kept = position
-
-
-class _Line(NamedTuple):
-    position: Revision
-    config: Document
-
-
-def encode_cached_document(service: str, position: Revision, document: Document) -> bytes:
-    body = orjson.dumps({"service": service, "at": position, "document": document}, default=tuple)
-    return b"%b %d %08x %d\n" % (MAGIC, FORMAT, zlib.crc32(body), len(body)) + body
-
-
-def decode_cached_document(data: bytes, service: str) -> tuple[Revision, Document]:
-    """ValueError, KeyError or TypeError with the reason where it is of no use."""
-    head, newline, body = data.partition(b"\n")
-    parts = head.split(b" ")
-    if not newline or len(parts) != 4 or parts[0] != MAGIC or parts[1] != b"%d" % FORMAT:
-        raise ValueError("not a copy of this format")
-    if parts[3] != b"%d" % len(body):
-        raise ValueError("not whole")
-    if parts[2] != b"%08x" % zlib.crc32(body):
-        raise ValueError("damaged")
-    row: Any = orjson.loads(body)
-    if row["service"] != service:
-        raise ValueError(f"of another service, {row['service']!r}")
-    number, writer, version = row["at"]
-    return Revision(number, writer, version), row["document"]
-
-
-def write(path: Path, data: bytes) -> None:
-    """The old one or the new one, whatever happens meanwhile."""
-    part = path.with_name(f"{path.name}.{os.getpid()}.part")
-    try:
-        with part.open("wb") as file:
-            file.write(data)
-            file.flush()
-            os.fsync(file.fileno())
-        part.replace(path)
-    except OSError:
-        part.unlink(missing_ok=True)
-        raise
+        if self._cache is not None:
+            self._cache.save()
+
+
+def _one_line(error: Exception) -> str:
+    return " ".join(str(error).split())
--- a/rosewheel/control/validation.py
+++ b/rosewheel/control/validation.py
@@ -1,36 +1,51 @@
-"""A configuration as every node's is checked, before a version is made of it."""
+"""Validation of changes by the types and bounds by which nodes apply them."""
 
 from __future__ import annotations
 
 from typing import Any
 
 from rosewheel.config.operator import tuned
-from rosewheel.control.revisions import Document, document_for_service, nesting_exceeds
+from rosewheel.control.documents import Document, document_for_service, nesting_exceeds
+from rosewheel.control.errors import InvalidDocumentError
 
 MAX_DOCUMENT_BYTES = 1 << 20
 
-# What a node's own file has at least, and a document need not have.
-ANY_CLASSES = {"class": [{"name": "any", "aim_ms": 1.0, "give_up_ms": 1.0}]}
+# What each node's own file has, and a document need not have.
+PLACEHOLDER_NODE_FILE: dict[str, Any] = {"class": [{"name": "any", "aim_ms": 1.0, "give_up_ms": 1.0}]}
 
 
 def validate_document(document: Document) -> None:
-    """ValueError with one plain line that names the key."""
-    tuned(ANY_CLASSES, {key: value for key, value in document.items() if key != "services"})
+    """Check that nodes of every service could apply a document.
+
+    Raises:
+        InvalidDocumentError: One plain line that begins with the key.
+    """
+    _validate_tables({key: value for key, value in document.items() if key != "services"})
     services = document.get("services", {})
     if not isinstance(services, dict):
-        raise ValueError("services: not a table")
-    for name, own in services.items():
+        raise InvalidDocumentError("services: not a table")
+    for service, own in services.items():
         if not isinstance(own, dict):
-            raise ValueError(f"services.{name}: not a table")
+            raise InvalidDocumentError(f"services.{service}: not a table")
         try:
-            tuned(ANY_CLASSES, own)
-            tuned(ANY_CLASSES, document_for_service(document, name))  # together with the common part
-        except ValueError as error:
-            raise ValueError(f"services.{name}.{error}") from error
+            _validate_tables(own)
+            _validate_tables(document_for_service(document, service))
+        except InvalidDocumentError as error:
+            raise InvalidDocumentError(f"services.{service}.{error}") from error
+
 
+def validate_patch(patch: Document) -> None:
+    """Check the depth of a patch.
 
-def validate_patch(patch: Any) -> None:
-    if not isinstance(patch, dict):
-        raise ValueError("a patch is an object")
+    Raises:
+        InvalidDocumentError: It is nested too deep.
+    """
     if nesting_exceeds(patch):
-        raise ValueError("a patch that is nested too deep")
+        raise InvalidDocumentError("a patch that is nested too deep")
+
+
+def _validate_tables(tables: Document) -> None:
+    try:
+        tuned(PLACEHOLDER_NODE_FILE, tables)
+    except (TypeError, ValueError, OverflowError) as error:
+        raise InvalidDocumentError(str(error)) from error
--- a/rosewheel/control/watches.py
+++ b/rosewheel/control/watches.py
@@ -1,132 +1,157 @@
-"""The watches on a control machine: of nodes, told of what concerns their service, and of the other machines."""
+"""The watches that are open at a control machine: of nodes, by their service, and of machines that follow."""
 
 from __future__ import annotations
 
 import asyncio
-import logging
-from typing import Any
-
-import orjson
+from dataclasses import dataclass
 
 from rosewheel.admin.calls import Caller, chunk
-from rosewheel.control.machine_selection import ConnectionPacer
-from rosewheel.control.node_registry import NodeRegistry
-from rosewheel.control.replica import Replica, encode_log_suffix
-from rosewheel.control.revisions import Document, Revision, document_for_service, make_patch
-
-log = logging.getLogger("rosewheel.control")
+from rosewheel.control.codec.log_records import encode_log_suffix
+from rosewheel.control.codec.watch import encode_update
+from rosewheel.control.connection_pacer import ConnectionPacer
+from rosewheel.control.documents import Document, document_for_service, make_patch
+from rosewheel.control.messages import ConfigurationUpdate
+from rosewheel.control.replica import Replica
+from rosewheel.control.revisions import Revision
+from rosewheel.control.timing import KEEPALIVE_INTERVAL_S
 
-KEEPALIVE_INTERVAL_S = 2.0  # how often those that follow hear an empty line
-EMPTY = chunk(b"\n")
-GONE_S = 10.0  # without an answer of the system at the other end: its machine is gone, though nothing says so
-UNSENT_BYTES = 4 << 20  # of one that does not take what it is told
+KEEPALIVE = chunk(b"\n")
+TCP_USER_TIMEOUT_S = 10.0  # unacknowledged data for so long: the other end's machine is gone without a word
+MAX_UNSENT_BYTES = 4 << 20  # a watch that reads more slowly is closed
 
 
+@dataclass(slots=True, eq=False)
 class Watch:
-    """One watch."""
+    """One open watch.
+
+    Attributes:
+        caller: Its connection.
+        sent: The last revision that it has been sent.
+        service: The node's service.
+        node: The node; empty for a machine.
+        peer: The machine that follows; empty for a node.
+        is_queued: It waits for its start.
+    """
+
+    caller: Caller
+    sent: Revision
+    service: str = ""
+    node: str = ""
+    peer: str = ""
+    is_queued: bool = True
+
+
+class UpdateEncoder:
+    """Lines of nodes' watches. What is the same for many nodes is made once."""
+
+    def __init__(self, replica: Replica) -> None:
+        self._replica = replica
+        self._committed: Revision | None = None  # the revision that the caches are for
+        self._lines: dict[tuple[str, Revision], bytes] = {}
+        self._documents: dict[str, Document] = {}
 
-    def __init__(
-        self, caller: Caller, position: Revision, service: str, node: str = "", peer: str = ""
-    ) -> None:
-        self.caller, self.position = (
-            caller,
-            position,
-        )  # the position that it has been told, this stream included
-        self.service, self.node, self.peer = service, node, peer
-        self.waits = True  # for its turn
+    def line(self, service: str, sent: Revision) -> bytes:
+        """Return the line, as a chunk, that brings a node of a service from a revision to the committed one."""
+        committed = self._replica.committed
+        if committed != self._committed:
+            self._committed = committed
+            self._lines.clear()
+            self._documents.clear()
+        key = service, sent
+        if key not in self._lines:
+            update = self._update(service, sent, committed)
+            self._lines[key] = chunk(encode_update(update) + b"\n")
+        return self._lines[key]
+
+    def _update(self, service: str, sent: Revision, committed: Revision) -> ConfigurationUpdate:
+        new = self._documents.get(service)
+        if new is None:
+            new = self._documents[service] = document_for_service(self._replica.committed_document, service)
+        old = self._replica.history.document_at(sent)
+        if old is None:
+            return ConfigurationUpdate(committed, is_snapshot=True, content=new)
+        patch = make_patch(document_for_service(old, service), new)
+        return ConfigurationUpdate(committed, is_snapshot=False, content=patch)
 
 
 class WatchPublisher:
-    """Tells each watch what it lacks; what is the same for many is made once."""
+    """Sends each watch what it lacks.
 
-    def __init__(self, replica: Replica, fleet: NodeRegistry, loop: asyncio.AbstractEventLoop) -> None:
-        self.replica, self.fleet, self.loop = replica, fleet, loop
+    Attributes:
+        watches: All open watches by their connection.
+        connection_by_node: The connection of each node's newest watch.
+    """
+
+    def __init__(self, replica: Replica, loop: asyncio.AbstractEventLoop) -> None:
         self.watches: dict[Caller, Watch] = {}
-        self.watch_by_node: dict[str, Caller] = {}  # the newest watch of each
-        self.pace = ConnectionPacer()
-        self._lines: dict[tuple[str, Revision], bytes] = {}
-        self._shown: Revision | None = None
-        self._projections: dict[str, Document] = {}
-        self._timer = loop.call_later(KEEPALIVE_INTERVAL_S, self._empty)
-
-    def open(self, stream: Watch) -> None:
-        """The answer begins at once, what it says when its turn has come: a crowd is taken on at a pace."""
-        caller = stream.caller
-        self.watches[caller] = stream
-        if stream.node:
-            self.watch_by_node[stream.node] = caller
+        self.connection_by_node: dict[str, Caller] = {}
+        self._replica, self._loop = replica, loop
+        self._pacer = ConnectionPacer()
+        self._encoder = UpdateEncoder(replica)
+        self._timer = loop.call_later(KEEPALIVE_INTERVAL_S, self._send_keepalives)
+
+    def open(self, watch: Watch) -> None:
+        """Begin the answer at once, and its content when the pacer allows: many nodes may connect at once."""
+        caller = watch.caller
+        self.watches[caller] = watch
+        if watch.node:
+            self.connection_by_node[watch.node] = caller
         caller.stream()
-        caller.unheard_after(GONE_S)
-        caller.write(EMPTY)
-        wait = 0.0 if stream.peer else self.pace.reserve(self.loop.time())
-        if wait > 0.0:
-            self.loop.call_later(wait, self._turn, stream)
+        caller.unheard_after(TCP_USER_TIMEOUT_S)
+        caller.write(KEEPALIVE)
+        wait_s = 0.0 if watch.peer else self._pacer.reserve(self._loop.time())
+        if wait_s > 0.0:
+            self._loop.call_later(wait_s, self._start, watch)
         else:
-            self._turn(stream)
+            self._start(watch)
 
-    def _turn(self, stream: Watch) -> None:
-        stream.waits = False
-        self._tell(stream)
+    def _start(self, watch: Watch) -> None:
+        watch.is_queued = False
+        self._send(watch)
 
-    def left(self, caller: Caller) -> Watch | None:
-        stream = self.watches.pop(caller, None)
-        if stream is not None and self.watch_by_node.get(stream.node) is caller:
-            del self.watch_by_node[stream.node]
-            return stream
-        return None
+    def closed(self, caller: Caller) -> str:
+        """A connection has ended.
+
+        Returns:
+            The node whose newest watch it was; empty for any other connection.
+        """
+        watch = self.watches.pop(caller, None)
+        if watch is None or self.connection_by_node.get(watch.node) is not caller:
+            return ""
+        del self.connection_by_node[watch.node]
+        return watch.node
 
     def close(self) -> None:
+        """Close all watches."""
         self._timer.cancel()
         for caller in list(self.watches):
             caller.abort()
 
     def publish(self) -> None:
-        for stream in list(self.watches.values()):
-            if not stream.waits:
-                self._tell(stream)
-
-    def _tell(self, stream: Watch) -> None:
-        if stream.peer:
-            tail = self.replica.log_suffix(stream.position)
-            if tail is not None:
-                stream.caller.write(chunk(orjson.dumps(encode_log_suffix(tail), default=tuple) + b"\n"))
-                stream.position = tail.last
+        """Send what is new to all watches that have started."""
+        for watch in list(self.watches.values()):
+            if not watch.is_queued:
+                self._send(watch)
+
+    def _send(self, watch: Watch) -> None:
+        if watch.peer:
+            self._send_suffix(watch)
             return
-        shown = self.replica.committed
-        if stream.position < shown:
-            stream.caller.write(self._line(stream.service, stream.position))
-            stream.position = shown
-
-    def _line(self, service: str, position: Revision) -> bytes:
-        shown = self.replica.committed
-        if shown != self._shown:
-            self._shown = shown
-            self._lines.clear()
-            self._projections.clear()
-        line = self._lines.get((service, position))
-        if line is None:
-            line = chunk(orjson.dumps(self.row(service, position)) + b"\n")
-            self._lines[service, position] = line
-        return line
-
-    def row(self, service: str, position: Revision) -> dict[str, Any]:
-        """What a node of this service lacks that holds this."""
-        shown = self.replica.committed
-        new = self._projections.get(service)
-        if new is None or shown != self._shown:
-            new = document_for_service(self.replica.committed_document, service)
-            if shown == self._shown:
-                self._projections[service] = new
-        old = self.replica.history.document_at(position)
-        row: dict[str, Any] = {"seq": shown.number, "epoch": shown.epoch_number, "writer": shown.leader}
-        row["whole"] = old is None
-        row["config"] = new if old is None else make_patch(document_for_service(old, service), new)
-        return row
-
-    def _empty(self) -> None:
-        self._timer = self.loop.call_later(KEEPALIVE_INTERVAL_S, self._empty)
+        committed = self._replica.committed
+        if watch.sent < committed:
+            watch.caller.write(self._encoder.line(watch.service, watch.sent))
+            watch.sent = committed
+
+    def _send_suffix(self, watch: Watch) -> None:
+        suffix = self._replica.log_suffix(watch.sent)
+        if suffix is not None:
+            watch.caller.write(chunk(encode_log_suffix(suffix) + b"\n"))
+            watch.sent = suffix.last
+
+    def _send_keepalives(self) -> None:
+        self._timer = self._loop.call_later(KEEPALIVE_INTERVAL_S, self._send_keepalives)
         for caller in list(self.watches):
-            if caller.unsent > UNSENT_BYTES:
+            if caller.unsent > MAX_UNSENT_BYTES:
                 caller.abort()
             else:
-                caller.write(EMPTY)
+                caller.write(KEEPALIVE)
--- a/rosewheel/lab/scale/control_operator.py
+++ b/rosewheel/lab/scale/control_operator.py
@@ -8,8 +8,9 @@
 
 import msgspec
 
-from rosewheel.control.http_client import HttpCallError, JsonHttpClient
-from rosewheel.control.revisions import Document
+from rosewheel.control.documents import Document
+from rosewheel.control.errors import HttpCallError
+from rosewheel.control.http_client import JsonHttpClient
 from rosewheel.lab.scale.control_machine import ControlMachineProcess
 from rosewheel.lab.scale.errors import ProcessError
 from rosewheel.lab.wire import now_ms
--- a/rosewheel/lab/scale/real_node.py
+++ b/rosewheel/lab/scale/real_node.py
@@ -8,7 +8,8 @@
 from dataclasses import dataclass
 from pathlib import Path
 
-from rosewheel.control.http_client import HttpCallError, JsonHttpClient
+from rosewheel.control.errors import HttpCallError
+from rosewheel.control.http_client import JsonHttpClient
 from rosewheel.lab.nodes import health, reserve
 from rosewheel.lab.scale.daemon import Daemon
 from rosewheel.lab.scale.plan import Machine, zone_name
--- a/rosewheel/lab/scale/simulated_node.py
+++ b/rosewheel/lab/scale/simulated_node.py
@@ -12,7 +12,7 @@
 
 import uvloop
 
-from rosewheel.control.revisions import Document
+from rosewheel.control.documents import Document
 from rosewheel.control.subscriber import ConfigurationSubscriber
 from rosewheel.discovery.backoff import Waits
 from rosewheel.discovery.catalog import Discovery
@@ -41,22 +41,21 @@
 
     def __init__(self, setup: SimulatedNodeSetup, seed: int, records: NodeRecords) -> None:
         name = node_name(setup.number)
-        super().__init__(name, setup.service, setup.control_machines, seed, None, self._count_applied)
-        self.number, self.records = setup.number, records
+        super().__init__(
+            name,
+            setup.service,
+            setup.control_machines,
+            seed,
+            None,
+            self._count_applied,
+            on_update=lambda applied: records.config.add(setup.number, applied.number),
+            on_acknowledged=lambda applied: records.acked.add(setup.number, applied.number),
+        )
         self.applied_count = 0
 
     def _count_applied(self, document: Document) -> None:
         self.applied_count += 1
 
-    def _take(self, whole: bool, line: Any) -> None:
-        super()._take(whole, line)
-        self.records.config.add(self.number, self.applied.number)
-
-    async def _send_acknowledgement(self) -> None:
-        await super()._send_acknowledgement()
-        if self._acknowledged:  # the control machine knows the version that is applied here
-            self.records.acked.add(self.number, self.applied.number)
-
 
 class SimulatedNode:
     """One node without a data plane. A restarted one remembers nothing, as on a new machine."""
--- a/rosewheel/proxy/reconfiguration.py
+++ b/rosewheel/proxy/reconfiguration.py
@@ -11,7 +11,7 @@
 
 from rosewheel.config.operator import cordons, tuned
 from rosewheel.config.platform import Config, ConfigError, Control
-from rosewheel.control.revisions import Document
+from rosewheel.control.documents import Document
 from rosewheel.control.subscriber import ConfigurationSubscriber
 from rosewheel.node.limits import Bounds
 from rosewheel.policy.settings import Settings
--- a/tests/control/test_control_processes.py
+++ b/tests/control/test_control_processes.py
@@ -1,4 +1,4 @@
-"""Control machines and nodes as the processes that they are: killed, started by hand, joined to a node."""
+"""Control machines and nodes as processes: killed, started by the command, joined to a node."""
 
 from __future__ import annotations
 
@@ -18,27 +18,39 @@
 
 import pytest
 
+from rosewheel.control.codec.log_records import encode_log_record
 from rosewheel.control.durable_log import LOG_FILE_NAME, DurableLog
-from rosewheel.control.http_client import HttpCallError, JsonHttpClient
+from rosewheel.control.errors import HttpCallError
+from rosewheel.control.http_client import JsonHttpClient
+from rosewheel.control.revisions import Epoch, EpochObserved
 from tests.cli.test_command import started
 from tests.cli.test_run import connect, free_port, good, start
 from tests.lab.test_scenario import OPERATOR
-from tests.support.control_child import FaultyLog
-from tests.support.control_machines import machines
+from tests.support.control_child import SelfKillingLog
+from tests.support.control_machines import ControlCluster, control_cluster
 from tests.support.sockets import run, until
 
 CHILD = Path(__file__).parent.parent / "support" / "control_child.py"
 
 
+async def put_until_accepted(client: JsonHttpClient, patch: dict[str, Any], version: int) -> None:
+    """Put a change. Before the first revision all machines must have been contacted; the test's time is the bound."""
+    code, body = 503, None
+    while code == 503:
+        request = {"patch": patch, "version": version}
+        code, body = await client.call("POST", "/control/put", request, timeout_s=20.0)
+    assert code == 200, body
+
+
 @pytest.mark.parametrize("point", ["before", "half", "written", "synced"])
-def test_no_acknowledged_change_is_lost_when_the_writer_is_killed_at_any_point_of_a_put(
+def test_no_acknowledged_change_is_lost_when_the_leader_is_killed_at_any_point_of_a_put(
     tmp_path: Path, point: str
 ):
-    """A real process, killed by itself at that point; c2 lives here and follows it."""
+    """The leader c1 is a process that kills itself at that point; c2 runs here and follows it."""
 
-    async def child(bed: Any, point: str, nth: int) -> asyncio.subprocess.Process:
-        address = "{}:{}".format(*bed.addresses["c1"])
-        peer = "c2={}:{}".format(*bed.addresses["c2"])
+    async def start_leader(cluster: ControlCluster, point: str, nth: int) -> asyncio.subprocess.Process:
+        address = "{}:{}".format(*cluster.addresses["c1"])
+        peer = "c2={}:{}".format(*cluster.addresses["c2"])
         process = await asyncio.create_subprocess_exec(
             *(sys.executable, str(CHILD), "c1", address, str(tmp_path / "c1"), peer, point, str(nth)),
             stdout=asyncio.subprocess.PIPE,
@@ -49,37 +61,29 @@
         return process
 
     async def main() -> None:
-        async with machines(tmp_path, 2) as bed:
-            await bed.stop("c1")
+        async with control_cluster(tmp_path, 2) as cluster:
+            await cluster.stop("c1")
             (tmp_path / "c1" / LOG_FILE_NAME).unlink()
-            process = await child(bed, point, 5)  # the first record is the epoch, the others are changes
+            process = await start_leader(cluster, point, 5)  # the first record is the epoch, then the changes
             acknowledged = []
-            client = JsonHttpClient(bed.addresses["c1"])
+            client = JsonHttpClient(cluster.addresses["c1"])
             with contextlib.suppress(HttpCallError):
-                for at in range(1, 10):
-                    patch = {"limits": {"max_open": at}}
-                    code, row = 503, {}
-                    while code == 503:  # before the first version all have to be heard of; the run is bounded
-                        row = {"patch": patch, "version": at - 1}
-                        code, row = await client.call("POST", "/control/put", row, timeout_s=20.0)
-                    assert code == 200, row
+                for number in range(1, 10):
+                    patch = {"limits": {"max_open": number}}
+                    await put_until_accepted(client, patch, number - 1)
                     acknowledged.append(patch)
             assert await process.wait() == -signal.SIGKILL
             assert len(acknowledged) == 3
-            process = await child(bed, "never", 0)
-            code, row = await client.call("GET", "/control/history?most=100")
-            kept = [change["patch"] for change in reversed(row["versions"])]
+            process = await start_leader(cluster, "never", 0)
+            _, history = await client.call("GET", "/control/history?most=100")
+            kept = [change["patch"] for change in reversed(history["versions"])]
             assert kept[:3] == acknowledged
-            # What was on disk and not acknowledged may stay, and is then the same on both.
-            patch = {"cordons": ["entrada-1"]}
-            code, version = 503, len(kept)
-            while code == 503:
-                row = {"patch": patch, "version": version}
-                code, row = await client.call("POST", "/control/put", row, timeout_s=20.0)
-            assert code == 200, row
-            await until(lambda: bed.services["c2"].store.replica.last.number == version + 1)
-            _, row = await bed.call("c2", "GET", "/control/history?most=100")
-            assert [change["patch"] for change in reversed(row["versions"])] == [*kept, patch]
+            # A change that was on disk and not acknowledged may stay; it is then the same on both machines.
+            last = {"cordons": ["entrada-1"]}
+            await put_until_accepted(client, last, len(kept))
+            await until(lambda: cluster.machines["c2"].store.replica.last.number == len(kept) + 1)
+            _, history = await cluster.call("c2", "GET", "/control/history?most=100")
+            assert [change["patch"] for change in reversed(history["versions"])] == [*kept, last]
             process.kill()
             await process.wait()
             client.close()
@@ -87,16 +91,15 @@
     run(main())
 
 
-def test_the_faulty_log_of_these_tests_is_a_log_where_it_has_no_fault(tmp_path: Path):
-    disk = FaultyLog(tmp_path, "never", 0)
-    disk.append([{"a": 1}])
-    disk.close()
-    assert DurableLog(tmp_path).records == [{"a": 1}]
+def test_the_self_killing_log_is_a_log_where_it_does_not_kill(tmp_path: Path):
+    log = SelfKillingLog(tmp_path, "never", 0)
+    log.append([b'{"a":1}'])
+    log.close()
+    assert DurableLog(tmp_path).take_records() == [b'{"a":1}']
 
 
-def quiet_port() -> int:
-    """One that is free and that the system gives to no connection of its own accord: between the look and the use of it
-    a machine starts, which takes a while."""
+def free_low_port() -> int:
+    """Return a free port outside the range from which the system picks: a machine takes a while to start on it."""
     while True:
         with socket.socket() as sock, contextlib.suppress(OSError):
             sock.bind(("127.0.0.1", random.randrange(12000, 32000)))
@@ -104,17 +107,18 @@
 
 
 @contextlib.contextmanager
-def fleet(tmp_path: Path, count: int = 2) -> Iterator[tuple[list[str], list[subprocess.Popen[str]]]]:
-    """Control machines by the command, and where they listen."""
-    ports = [quiet_port() for _ in range(count)]
-    addresses = [f"127.0.0.1:{port}" for port in ports]
-    peers = [f"--peer=c{at + 1}={address}" for at, address in enumerate(addresses)]
+def serving_machines(
+    tmp_path: Path, count: int = 2
+) -> Iterator[tuple[list[str], list[subprocess.Popen[str]]]]:
+    """Run control machines by the command; yield their addresses and processes."""
+    addresses = [f"127.0.0.1:{free_low_port()}" for _ in range(count)]
+    peers = [f"--peer=c{index + 1}={address}" for index, address in enumerate(addresses)]
     processes = [
         started(
-            *("control", "serve", "--name", f"c{at + 1}", "--listen", address, "--writer", "c1"),
-            *("--dir", str(tmp_path / f"c{at + 1}"), *peers),
+            *("control", "serve", "--name", f"c{index + 1}", "--listen", address, "--writer", "c1"),
+            *("--dir", str(tmp_path / f"c{index + 1}"), *peers),
         )
-        for at, address in enumerate(addresses)
+        for index, address in enumerate(addresses)
     ]
     try:
         for process in processes:
@@ -128,34 +132,44 @@
             process.communicate()
 
 
-def asked(*arguments: str) -> tuple[int, str, str]:
+def run_command(*arguments: str) -> tuple[int, str, str]:
+    """Run `rosewheel control`; return its exit code, output and errors."""
     process = started("control", *arguments)
     out, errors = process.communicate(timeout=60)
     return process.returncode, out.strip(), errors.strip()
 
 
-TRIES = 40  # of a command, each of which takes a good part of a second: what comes late comes by then
+MAX_ATTEMPTS = 40  # of a command, each of which takes a good part of a second
+
 
+def put(path: Path, machine: str) -> tuple[int, str, str]:
+    """Put a change. Before the first revision all machines must have been contacted, which takes a moment."""
+    for _ in range(MAX_ATTEMPTS):
+        result = run_command("put", str(path), "--at", machine, "--by", "ana")
+        if "heard of" not in result[2]:
+            return result
+    raise AssertionError(result)
 
-def put(path: Path, at: str) -> tuple[int, str, str]:
-    """Before the first version all machines have to be heard of; that takes a moment."""
-    for _ in range(TRIES):
-        told = asked("put", str(path), "--at", at, "--by", "ana")
-        if "heard of" not in told[2]:
-            return told
-    raise AssertionError(told)
 
+def status_until_applied(machine: str) -> str:
+    """Ask for the status until one node has applied the committed revision and all is well; return the output."""
+    for _ in range(MAX_ATTEMPTS):
+        result = run_command("status", "--all", "--at", machine)
+        if result[0] == 0 and "in force at 1," in result[1]:
+            return result[1]
+    raise AssertionError(result)
 
-def test_a_node_by_the_operators_file_has_in_force_what_the_command_puts(tmp_path: Path):
-    with fleet(tmp_path) as (addresses, processes):
-        port, ops = quiet_port(), quiet_port()
+
+def test_a_node_applies_what_the_command_puts_and_starts_with_its_cached_document(tmp_path: Path):
+    with serving_machines(tmp_path) as (addresses, processes):
+        port, admin_port = free_low_port(), free_low_port()
         path, change = tmp_path / "node.toml", tmp_path / "change.toml"
         state = tmp_path / "state"
         state.mkdir()
-        machines = json.dumps([f"c{at + 1}={address}" for at, address in enumerate(addresses)])
+        machines = json.dumps([f"c{index + 1}={address}" for index, address in enumerate(addresses)])
         control = f'[control]\nmachines = {machines}\nservice = "fotos"\n'
         own = OPERATOR.replace("7999", str(port)).replace(
-            "[node]", f'[node]\nname = "n7"\nops = "127.0.0.1:{ops}"\nstate_dir = "{state}"'
+            "[node]", f'[node]\nname = "n7"\nops = "127.0.0.1:{admin_port}"\nstate_dir = "{state}"'
         )
         path.write_text(own + control)
         node = started("node", "--config", str(path))
@@ -166,19 +180,14 @@
             '[services.fotos]\ncordons = ["entrada-9"]\n[services.fotos.limits]\nmax_open = 77\n'
         )
         assert put(change, addresses[1]) == (0, "version 1", "")
-        assert any("version 1 of epoch 1 (c1) is in force" in line for line in lines)
-        for _ in range(TRIES):
-            told = asked("status", "--all", "--at", addresses[1])
-            if told[0] == 0 and "in force at 1," in told[1]:
-                break
-        else:
-            raise AssertionError(told)
-        assert "n7 (fotos, at c" in told[1]
+        applied = "configuration applied: revision=1 epoch=1 leader=c1"
+        assert any(applied in line for line in lines)
+        assert "n7 (fotos, at c" in status_until_applied(addresses[1])
         change.write_text('[[services.fotos.class]]\nname = "comentario"\naim_ms = 9\ngive_up_ms = 5\n')
-        code, out, errors = asked("put", str(change), "--at", addresses[0])
+        code, out, errors = run_command("put", str(change), "--at", addresses[0])
         assert (code, out) == (2, "")
         assert errors.startswith("rosewheel: services.fotos.class[0].aim_ms: ")
-        # SIGHUP: the node's own file under what control says.
+        # SIGHUP: the node's own file is read again under the configuration.
         path.write_text(own.replace("cold_from = 0.2", "cold_from = 0.3") + control)
         node.send_signal(signal.SIGHUP)
         assert any("was read again" in line for line in lines)
@@ -186,7 +195,7 @@
         node.send_signal(signal.SIGHUP)
         assert any("control: changes only with a restart" in line for line in lines)
         path.write_text(own + control)
-        # A node that starts while no machine is there begins with its copy.
+        # A node that starts while no machine runs begins with its cached document.
         node.send_signal(signal.SIGTERM)
         node.communicate(timeout=60)
         assert node.returncode == 0
@@ -196,49 +205,49 @@
         node = started("node", "--config", str(path))
         assert node.stderr is not None
         lines = iter(node.stderr.readline, "")
-        assert any("version 1 of epoch 1 (c1) is in force, by the copy" in line for line in lines)
+        assert any(f"{applied} source=cache" in line for line in lines)
         connect(node, port).close()
-        with urllib.request.urlopen(f"http://127.0.0.1:{ops}/admin/stats", timeout=60) as answer:
+        with urllib.request.urlopen(f"http://127.0.0.1:{admin_port}/admin/stats", timeout=60) as answer:
             assert answer.status == 200
         node.send_signal(signal.SIGTERM)
         node.communicate(timeout=60)
         assert node.returncode == 0
 
 
-def test_the_verbs_answer_with_one_line_and_their_code(tmp_path: Path):
-    with fleet(tmp_path, 3) as (addresses, processes):
+def test_the_verbs_answer_with_one_line_and_an_exit_code(tmp_path: Path):
+    with serving_machines(tmp_path, 3) as (addresses, processes):
         change = tmp_path / "change.json"
         change.write_text('{"limits": {"max_open": 500}}')
         assert put(change, addresses[1]) == (0, "version 1", "")
         assert put(change, addresses[2]) == (0, "nothing changes: version 1 stays", "")
-        code, _, errors = asked("put", str(change), "--at", addresses[0], "--version", "7")
+        code, _, errors = run_command("put", str(change), "--at", addresses[0], "--version", "7")
         assert (code, errors) == (1, "rosewheel: version is 1, not 7")
         change.write_text('{"limits": null}')
         assert put(change, addresses[0])[1] == "version 2"
-        assert asked("rollback", "1", "--at", addresses[0])[1] == "version 3"
-        assert asked("rollback", "9", "--at", addresses[0])[0] == 2
-        code, out, _ = asked("history", "--at", addresses[1], "--json")
-        assert [row["version"] for row in json.loads(out)["versions"]] == [3, 2, 1]
+        assert run_command("rollback", "1", "--at", addresses[0])[1] == "version 3"
+        assert run_command("rollback", "9", "--at", addresses[0])[0] == 2
+        code, out, _ = run_command("history", "--at", addresses[1], "--json")
+        assert [change["version"] for change in json.loads(out)["versions"]] == [3, 2, 1]
         processes[0].kill()
         processes[0].wait()
-        code, out, _ = asked("status", "--at", addresses[1])
+        code, out, _ = run_command("status", "--at", addresses[1])
         assert code == 1
         assert "! the writer c1 does not answer" in out
-        code, out, _ = asked("promote", "--at", addresses[1])
+        code, out, _ = run_command("promote", "--at", addresses[1])
         assert (code, out) == (0, "c2 writes from version 4 of epoch 2")
         change.write_text('{"cordons": ["entrada-1"]}')
         assert put(change, addresses[2]) == (0, "version 5", "")
-        assert asked("status", "--at", addresses[2])[0] == 0
-        code, _, errors = asked("status", "--at", "127.0.0.1:1")
+        assert run_command("status", "--at", addresses[2])[0] == 0
+        code, _, errors = run_command("status", "--at", "127.0.0.1:1")
         assert code == 1
         assert errors.startswith("rosewheel: 127.0.0.1:1: ")
-        code, _, errors = asked("put", str(tmp_path / "none.toml"), "--at", addresses[1])
+        code, _, errors = run_command("put", str(tmp_path / "none.toml"), "--at", addresses[1])
         assert code == 2
         assert len(errors.splitlines()) == 1
 
 
 @pytest.mark.parametrize(
-    ("arguments", "says"),
+    ("arguments", "text"),
     [
         (["--listen", "127.0.0.1:1", "--dir", "DIR"], "--name is missing"),
         (["--name", "c1", "--listen", "here", "--dir", "DIR"], "--listen: 'here' is not address:port"),
@@ -254,23 +263,25 @@
         (["--name", "c1", "--listen", "127.0.0.1:1", "--dir", "DAMAGED"], "damaged at byte "),
     ],
 )
-def test_a_machine_that_cannot_start_says_why_in_one_line(tmp_path: Path, arguments: list[str], says: str):
-    disk = DurableLog(tmp_path / "DAMAGED")
-    for at in range(3):
-        disk.append([{"kind": "seen", "epoch": [at, "c1"]}])
-    disk.close()
+def test_a_machine_that_cannot_start_prints_the_reason_in_one_line(
+    tmp_path: Path, arguments: list[str], text: str
+):
+    log = DurableLog(tmp_path / "DAMAGED")
+    for number in range(3):
+        log.append([encode_log_record(EpochObserved(Epoch(number, "c1")))])
+    log.close()
     damaged = tmp_path / "DAMAGED" / LOG_FILE_NAME
     damaged.write_bytes(damaged.read_bytes().replace(b"seen", b"sean", 1))
     (tmp_path / "BAD").write_text('name = "c1"\nlisten = "x"\ndir = "y"\n')
     given = [str(tmp_path / word) if word in ("DIR", "BAD", "DAMAGED") else word for word in arguments]
-    code, out, errors = asked("serve", *given)
+    code, out, errors = run_command("serve", *given)
     assert (code, out) == (2, "")
     assert len(errors.splitlines()) == 1
-    assert says in errors
+    assert text in errors
     assert errors.startswith("rosewheel: ")
 
 
-def test_run_on_the_platform_asks_nothing_of_control_and_imports_none_of_it(tmp_path: Path):
+def test_run_on_the_platform_neither_calls_nor_imports_control(tmp_path: Path):
     with socket.create_server(("127.0.0.1", 0)) as listener:
         address = "{}:{}".format(*listener.getsockname())
         port = free_port()
@@ -293,5 +304,5 @@
         listener.setblocking(False)
         with pytest.raises(BlockingIOError):
             listener.accept()
-        # The callers' socket, and none for a watch: nothing listens where its discovery is said to be.
+        # The listening socket, and none for a watch: nothing listens at the address of its discovery.
         assert len([name for name in descriptors if name.startswith("socket:")]) <= 3
--- a/tests/support/control_child.py
+++ b/tests/support/control_child.py
@@ -1,8 +1,8 @@
-"""A control machine as a process of its own that ends itself, as by `kill -9`, at one point of its nth record:
+"""A control machine as a process that kills itself, as by `kill -9`, at one point of its nth record:
 
-    python control_child.py NAME LISTEN FOLDER PEER=ADDRESS POINT NTH
+    python control_child.py NAME LISTEN DIRECTORY PEER=ADDRESS POINT NTH
 
-POINT is `before` the write, `half` way through it, `written` but not synced, `synced` but not told, or `never`.
+POINT is `before` the write, `half` way through it, `written` and not synced, `synced` and not acknowledged, or `never`.
 """
 
 from __future__ import annotations
@@ -15,37 +15,41 @@
 
 from rosewheel.config.platform import parse_address
 from rosewheel.control.durable_log import DurableLog
-from rosewheel.control.machine import ControlMachine, MachineSettings
+from rosewheel.control.machine import ControlMachine
+from rosewheel.control.machine_settings import MachineSettings
 
 
-class FaultyLog(DurableLog):
-    def __init__(self, folder: Path, point: str, nth: int) -> None:
-        self.point, self.left = point, nth
-        super().__init__(folder)
+class SelfKillingLog(DurableLog):
+    """A log that kills its process at one point of the nth record."""
 
-    def _end(self, point: str) -> None:
-        if self.left <= 0 and point == self.point:
+    def __init__(self, directory: Path, point: str, nth: int) -> None:
+        self.point, self.records_left = point, nth
+        super().__init__(directory)
+
+    def _kill_at(self, point: str) -> None:
+        if self.records_left <= 0 and point == self.point:
             os.kill(os.getpid(), signal.SIGKILL)
 
     def _write(self, data: bytes) -> None:
-        self.left -= 1
-        self._end("before")
-        if self.left <= 0 and self.point == "half":
+        self.records_left -= 1
+        self._kill_at("before")
+        if self.records_left <= 0 and self.point == "half":
             super()._write(data[: len(data) // 2])
-            self._end("half")
+            self._kill_at("half")
         super()._write(data)
-        self._end("written")
+        self._kill_at("written")
 
     def _sync(self) -> None:
         super()._sync()
-        self._end("synced")
+        self._kill_at("synced")
 
 
-async def main(name: str, listen: str, folder: str, peer: str, point: str, nth: str) -> None:
-    other, _, address = peer.partition("=")
-    setup = MachineSettings(name, parse_address(listen), Path(folder), {other: parse_address(address)}, "c1")
-    service = ControlMachine(setup, FaultyLog(setup.data_dir, point, int(nth)))
-    await service.start()
+async def main(name: str, listen: str, directory: str, peer: str, point: str, nth: str) -> None:
+    peer_name, _, address = peer.partition("=")
+    peers = {peer_name: parse_address(address)}
+    settings = MachineSettings(name, parse_address(listen), Path(directory), peers, "c1")
+    machine = ControlMachine(settings, SelfKillingLog(settings.data_dir, point, int(nth)))
+    await machine.start()
     print("ready", flush=True)
     await asyncio.Event().wait()
 
--- a/tests/support/control_machines.py
+++ b/tests/support/control_machines.py
@@ -1,4 +1,4 @@
-"""Control machines and followers on loopback, with ways between them that a test can cut."""
+"""Control machines and subscribers on loopback, with connections between them that a test can interrupt."""
 
 from __future__ import annotations
 
@@ -11,10 +11,11 @@
 from typing import Any
 
 from rosewheel.config.platform import Address
+from rosewheel.control.documents import Document
 from rosewheel.control.durable_log import DurableLog
 from rosewheel.control.http_client import JsonHttpClient
-from rosewheel.control.machine import ControlMachine, MachineSettings
-from rosewheel.control.revisions import Document
+from rosewheel.control.machine import ControlMachine
+from rosewheel.control.machine_settings import MachineSettings
 from rosewheel.control.subscriber import ConfigurationSubscriber
 
 # A host of this process: a machine that is stopped starts again on its port, which a connection from 127.0.0.1 must not
@@ -22,36 +23,36 @@
 HOST = f"127.{64 + os.getpid() // 250 % 128}.{os.getpid() % 250 + 1}.1"
 
 
-class Way:
-    """From one place to another. While it is cut nothing comes through and nothing says so; what was written
-    meanwhile comes late, as it does where the system sends it again."""
+class InterruptibleRoute:
+    """Forwards connections to one address. While it is interrupted nothing passes and no end notices; what was written
+    meanwhile arrives afterwards, as with TCP retransmission."""
 
-    def __init__(self, to: Address) -> None:
-        self.to = to
-        self.whole = asyncio.Event()
-        self.whole.set()
+    def __init__(self, target: Address) -> None:
+        self.target = target
+        self.passable = asyncio.Event()
+        self.passable.set()
         self.writers: list[asyncio.StreamWriter] = []
 
-    async def start(self) -> Way:
-        self.server = await asyncio.start_server(self._take, "127.0.0.1", 0)
+    async def start(self) -> InterruptibleRoute:
+        self.server = await asyncio.start_server(self._forward, "127.0.0.1", 0)
         self.address: Address = self.server.sockets[0].getsockname()[:2]
         return self
 
-    async def _take(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def _forward(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.writers.append(writer)
-        with contextlib.suppress(asyncio.CancelledError, OSError):  # the end of the test, of the machine
-            await self.whole.wait()
-            inner_reader, inner = await asyncio.open_connection(*self.to)
-            self.writers.append(inner)
-            await asyncio.gather(self._pump(reader, inner), self._pump(inner_reader, writer))
+        with contextlib.suppress(asyncio.CancelledError, OSError):  # the end of the test, or of the machine
+            await self.passable.wait()
+            target_reader, target_writer = await asyncio.open_connection(*self.target)
+            self.writers.append(target_writer)
+            await asyncio.gather(self._pump(reader, target_writer), self._pump(target_reader, writer))
         writer.close()
 
     async def _pump(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         with contextlib.suppress(ConnectionError):
             while data := await reader.read(65536):
-                await self.whole.wait()
+                await self.passable.wait()
                 writer.write(data)
-        await self.whole.wait()
+        await self.passable.wait()
         writer.close()
 
     def close(self) -> None:
@@ -60,101 +61,114 @@
             writer.close()
 
 
-class Bed:
-    """Machines c1, c2, ... that reach one another and are reached by nodes over ways."""
+class ControlCluster:
+    """Machines c1, c2, ... that reach one another, and are reached by nodes, over interruptible routes."""
 
-    def __init__(self, folder: Path, count: int = 4, writer: str = "c1") -> None:
-        self.folder, self.writer = folder, writer
-        self.names = [f"c{at + 1}" for at in range(count)]
+    def __init__(self, directory: Path, count: int = 4, initial_leader: str = "c1") -> None:
+        self.directory, self.initial_leader = directory, initial_leader
+        self.names = [f"c{index + 1}" for index in range(count)]
         self.sockets = {name: socket.create_server((HOST, 0)) for name in self.names}
         self.addresses: dict[str, Address] = {
             name: sock.getsockname()[:2] for name, sock in self.sockets.items()
         }
-        self.services: dict[str, ControlMachine] = {}
-        self.ways: dict[tuple[str, str], Way] = {}
-        self.followers: dict[str, ConfigurationSubscriber] = {}
-        self.documents: dict[str, Document] = {}
-        self.applied: dict[str, list[Document]] = {}
+        self.machines: dict[str, ControlMachine] = {}
+        self.routes: dict[tuple[str, str], InterruptibleRoute] = {}
+        self.nodes: dict[str, ConfigurationSubscriber] = {}
+        self.documents: dict[str, Document] = {}  # last applied, by node
+        self.applied: dict[str, list[Document]] = {}  # all applied, by node
 
-    async def way(self, one: str, other: str) -> Way:
-        if (one, other) not in self.ways:
-            self.ways[one, other] = await Way(self.addresses[other]).start()
-        return self.ways[one, other]
+    async def route(self, start: str, end: str) -> InterruptibleRoute:
+        if (start, end) not in self.routes:
+            self.routes[start, end] = await InterruptibleRoute(self.addresses[end]).start()
+        return self.routes[start, end]
 
     async def start(self, name: str) -> ControlMachine:
-        peers = {peer: (await self.way(name, peer)).address for peer in self.names if peer != name}
-        setup = MachineSettings(name, self.addresses[name], self.folder / name, peers, self.writer)
-        service = ControlMachine(setup, DurableLog(setup.data_dir))
+        peers = {peer: (await self.route(name, peer)).address for peer in self.names if peer != name}
+        settings = MachineSettings(
+            name, self.addresses[name], self.directory / name, peers, self.initial_leader
+        )
+        machine = ControlMachine(settings, DurableLog(settings.data_dir))
         sock = self.sockets.pop(name, None) or socket.create_server(self.addresses[name])
-        await service.start(sock)
-        self.services[name] = service
-        return service
+        await machine.start(sock)
+        self.machines[name] = machine
+        return machine
 
     async def stop(self, name: str) -> None:
-        await self.services.pop(name).close()
-
-    def cut(self, one: set[str], other: set[str], off: bool = True) -> None:
-        """Between two sets of machines and nodes, both ways."""
-        for (start, end), way in self.ways.items():
-            if (start in one and end in other) or (start in other and end in one):
-                if off:
-                    way.whole.clear()
-                else:
-                    way.whole.set()
-
-    async def node(
+        await self.machines.pop(name).close()
+
+    def partition(self, one: set[str], other: set[str]) -> None:
+        """Interrupt all routes between two sets of machines and nodes."""
+        for route in self._routes_between(one, other):
+            route.passable.clear()
+
+    def heal(self, one: set[str], other: set[str]) -> None:
+        """End the partition of two sets of machines and nodes."""
+        for route in self._routes_between(one, other):
+            route.passable.set()
+
+    def _routes_between(self, one: set[str], other: set[str]) -> list[InterruptibleRoute]:
+        return [
+            route
+            for (start, end), route in self.routes.items()
+            if (start in one and end in other) or (start in other and end in one)
+        ]
+
+    async def start_node(
         self,
         name: str,
         service: str = "fotos",
-        copy: Path | None = None,
-        refuse: Callable[[Document], str] = lambda document: "",
+        cache_path: Path | None = None,
+        reject: Callable[[Document], str] = lambda document: "",
     ) -> ConfigurationSubscriber:
-        machines = {machine: (await self.way(name, machine)).address for machine in self.names}
+        """Start a node. `reject` returns the reason for which it can't apply a document, empty where it can."""
+        machines = {machine: (await self.route(name, machine)).address for machine in self.names}
 
         def apply(document: Document) -> None:
-            if why := refuse(document):
-                raise ValueError(why)
+            if reason := reject(document):
+                raise ValueError(reason)
             self.documents[name] = document
             self.applied.setdefault(name, []).append(document)
 
-        follower = ConfigurationSubscriber(name, service, machines, hash_of(name), copy, apply)
-        self.followers[name] = follower
-        follower.start()
-        return follower
+        node = ConfigurationSubscriber(name, service, machines, seed_of(name), cache_path, apply)
+        self.nodes[name] = node
+        node.start()
+        return node
 
-    async def call(self, name: str, method: str, target: str, row: Any = None) -> tuple[int, Any]:
+    async def call(self, name: str, method: str, target: str, body: Any = None) -> tuple[int, Any]:
         client = JsonHttpClient(self.addresses[name])
         try:
-            return await client.call(method, target, row, timeout_s=20.0)
+            return await client.call(method, target, body, timeout_s=20.0)
         finally:
             client.close()
 
-    async def put(self, name: str, patch: Any, version: int | None = None, **more: Any) -> tuple[int, Any]:
+    async def put(self, name: str, patch: Any, version: int | None = None, **fields: Any) -> tuple[int, Any]:
         if version is None:
-            version = self.services[name].store.replica.last.number
-        return await self.call(name, "POST", "/control/put", {"patch": patch, "version": version} | more)
+            version = self.machines[name].store.replica.last.number
+        return await self.call(name, "POST", "/control/put", {"patch": patch, "version": version} | fields)
 
     async def status(self, name: str) -> Any:
-        code, row = await self.call(name, "GET", "/control/status?all=1")
+        code, body = await self.call(name, "GET", "/control/status?all=1")
         assert code == 200
-        return row
+        return body
 
 
-def hash_of(name: str) -> int:
-    return sum(ord(letter) * 31**at for at, letter in enumerate(name)) % 2**32
+def seed_of(name: str) -> int:
+    return int(sum(ord(letter) * 31**index for index, letter in enumerate(name)) % 2**32)
 
 
 @contextlib.asynccontextmanager
-async def machines(folder: Path, count: int = 4, writer: str = "c1") -> AsyncIterator[Bed]:
-    bed = Bed(folder, count, writer)
-    for name in bed.names:
-        await bed.start(name)
+async def control_cluster(
+    directory: Path, count: int = 4, initial_leader: str = "c1"
+) -> AsyncIterator[ControlCluster]:
+    cluster = ControlCluster(directory, count, initial_leader)
+    for name in cluster.names:
+        await cluster.start(name)
     try:
-        yield bed
+        yield cluster
     finally:
-        for follower in bed.followers.values():
-            follower.close()
-        for service in list(bed.services.values()):
-            await service.close()
-        for way in bed.ways.values():
-            way.close()
+        for node in cluster.nodes.values():
+            node.close()
+        for machine in list(cluster.machines.values()):
+            await machine.close()
+        for route in cluster.routes.values():
+            route.close()
