--- a/rosewheel/lab/scale/call_scenario.py
+++ b/rosewheel/lab/scale/call_scenario.py
@@ -6,6 +6,7 @@
 from rosewheel.lab.scale.options import Options
 from rosewheel.lab.scenario import Scenario
 
+DIRECT_PREFIX = "direct"  # of the names of targets that are servers
 REAL_NODES_PER_DIRECT_TARGET = 4
 MAX_SERVERS = 24
 MIN_RATE_PER_S = 0.1
--- a/rosewheel/lab/scale/call_statistics.py
+++ b/rosewheel/lab/scale/call_statistics.py
@@ -14,8 +14,8 @@
 import numpy as np
 
 from rosewheel.lab.records import read
+from rosewheel.lab.scale.call_scenario import DIRECT_PREFIX
 
-DIRECT_PREFIX = "direct"  # of the names of targets that are servers
 HTTP_OK = 200
 
 
--- a/rosewheel/lab/scale/change_propagation.py
+++ b/rosewheel/lab/scale/change_propagation.py
@@ -18,10 +18,9 @@
     measure_propagation,
     node_histories,
 )
-from rosewheel.lab.scale.version_log import RecordKind, record_file_name
+from rosewheel.lab.scale.version_log import SIMULATED_WORKER_PREFIX, RecordKind, record_file_name
 
 ALL_PHASES = "all"
-SIMULATED_WORKER_PREFIX = "hollow-"  # of workers' names, and so of their records' file names
 
 
 @dataclass(slots=True, frozen=True)
--- a/rosewheel/lab/scale/control_operator.py
+++ b/rosewheel/lab/scale/control_operator.py
@@ -3,7 +3,6 @@
 from __future__ import annotations
 
 import asyncio
-from dataclasses import dataclass
 from typing import Any
 
 import msgspec
@@ -13,6 +12,7 @@
 from rosewheel.control.http_client import JsonHttpClient
 from rosewheel.lab.scale.control_machine import ControlMachineProcess
 from rosewheel.lab.scale.errors import ProcessError
+from rosewheel.lab.scale.measurements import PublishedConfig
 from rosewheel.lab.wire import now_ms
 
 START_TIMEOUT_S = 20.0  # far more than a control machine needs
@@ -28,21 +28,6 @@
     nodes_current: int = 0
 
 
-@dataclass(slots=True, frozen=True)
-class PublishedConfig:
-    """A configuration that the leader acknowledged.
-
-    Attributes:
-        version: Its version.
-        at_ms: When the successful attempt began (monotonic).
-        acknowledged_after_ms: From the first attempt to the leader's acknowledgement.
-    """
-
-    version: int
-    at_ms: float
-    acknowledged_after_ms: float
-
-
 def service_name(number: int) -> str:
     """Name of the service with this number."""
     return f"s{number}"
--- a/rosewheel/lab/scale/fleet.py
+++ b/rosewheel/lab/scale/fleet.py
@@ -9,9 +9,7 @@
 
 import msgspec
 
-from rosewheel.lab.scale.call_scenario import call_scenario, direct_targets
-from rosewheel.lab.scale.call_statistics import DIRECT_PREFIX
-from rosewheel.lab.scale.change_propagation import SIMULATED_WORKER_PREFIX
+from rosewheel.lab.scale.call_scenario import DIRECT_PREFIX, call_scenario, direct_targets
 from rosewheel.lab.scale.control_machine import ControlMachineProcess
 from rosewheel.lab.scale.control_operator import Operator, initial_document, service_name
 from rosewheel.lab.scale.errors import ProcessError
@@ -30,6 +28,7 @@
 from rosewheel.lab.scale.network_layout import DISCOVERY, NetworkLayout
 from rosewheel.lab.scale.plan import Machine, Plan, zone_name
 from rosewheel.lab.scale.real_node import RealNode, RealNodeSetup
+from rosewheel.lab.scale.version_log import SIMULATED_WORKER_PREFIX
 from rosewheel.lab.scale.worker import WorkerProcess
 from rosewheel.lab.streams import stream
 from rosewheel.lab.wire import Address
--- a/rosewheel/lab/scale/measurements.py
+++ b/rosewheel/lab/scale/measurements.py
@@ -6,7 +6,6 @@
 from dataclasses import dataclass, field
 from enum import StrEnum
 
-from rosewheel.lab.scale.control_operator import PublishedConfig
 from rosewheel.lab.scale.messages import (
     DiscoveryStatistics,
     NetworkStatistics,
@@ -34,6 +33,21 @@
     RUN = "run"
 
 
+@dataclass(slots=True, frozen=True)
+class PublishedConfig:
+    """A configuration that the leader acknowledged.
+
+    Attributes:
+        version: Its version.
+        at_ms: When the successful attempt began (monotonic).
+        acknowledged_after_ms: From the first attempt to the leader's acknowledgement.
+    """
+
+    version: int
+    at_ms: float
+    acknowledged_after_ms: float
+
+
 @dataclass(slots=True, frozen=True)
 class Sample:
     """State of all processes at the end of a phase.
--- a/rosewheel/lab/scale/messages.py
+++ b/rosewheel/lab/scale/messages.py
@@ -6,6 +6,7 @@
 
 from __future__ import annotations
 
+from enum import StrEnum
 from typing import Any
 
 import msgspec
@@ -24,6 +25,14 @@
 # ---------------------------------------------------------------------- network
 
 
+class TrafficKind(StrEnum):
+    """Kinds of traffic, which are counted separately."""
+
+    DISCOVERY = "discovery"
+    CONTROL = "control"
+    PEER = "peer"  # between control machines
+
+
 class ListenerSetup(msgspec.Struct, frozen=True):
     """A listening port of the network.
 
@@ -33,7 +42,7 @@
         caller: Name of the only machine that uses it; empty where callers are known by their source address.
     """
 
-    kind: str
+    kind: TrafficKind
     targets: dict[str, Address]
     caller: str = ""
 
@@ -92,7 +101,7 @@
     downstream_reads: int = 0
 
 
-TrafficTable = dict[str, dict[str, TrafficCounters]]  # by kind of traffic and by machine
+TrafficTable = dict[TrafficKind, dict[str, TrafficCounters]]  # by kind of traffic and by machine
 
 
 class NetworkStatistics(msgspec.Struct, frozen=True):
--- a/rosewheel/lab/scale/network_layout.py
+++ b/rosewheel/lab/scale/network_layout.py
@@ -5,10 +5,9 @@
 from collections.abc import Mapping
 from dataclasses import dataclass
 
-from rosewheel.lab.scale.messages import ListenerSetup, NetworkSetup
+from rosewheel.lab.scale.messages import ListenerSetup, NetworkSetup, TrafficKind
 from rosewheel.lab.scale.network import REGION_DELAY_S
 from rosewheel.lab.scale.plan import Plan, zone_name
-from rosewheel.lab.scale.relay import TrafficKind
 from rosewheel.lab.wire import Address
 
 DISCOVERY = "discovery"  # destination; the others are names of control machines
--- a/rosewheel/lab/scale/relay.py
+++ b/rosewheel/lab/scale/relay.py
@@ -11,7 +11,6 @@
 from collections import deque
 from collections.abc import Mapping
 from dataclasses import dataclass, field
-from enum import StrEnum
 from typing import cast
 
 from rosewheel.lab.scale.messages import ListenerSetup, TrafficCounters, TrafficTable
@@ -19,14 +18,6 @@
 from rosewheel.lab.wire import reset
 
 
-class TrafficKind(StrEnum):
-    """Kinds of traffic, which are counted separately."""
-
-    DISCOVERY = "discovery"
-    CONTROL = "control"
-    PEER = "peer"  # between control machines
-
-
 @dataclass(slots=True)
 class RelayState:
     """What all connections of a network share.
--- a/rosewheel/lab/scale/role_statistics.py
+++ b/rosewheel/lab/scale/role_statistics.py
@@ -11,9 +11,8 @@
 import numpy as np
 
 from rosewheel.lab.scale.measurements import Role, Sample
-from rosewheel.lab.scale.messages import TrafficCounters, TrafficTable
+from rosewheel.lab.scale.messages import TrafficCounters, TrafficKind, TrafficTable
 from rosewheel.lab.scale.plan import Plan, node_name
-from rosewheel.lab.scale.relay import TrafficKind
 from rosewheel.lab.scale.resource_usage import ResourceUsage
 
 NODE_TRAFFIC = (TrafficKind.DISCOVERY, TrafficKind.CONTROL)
--- a/rosewheel/lab/scale/version_log.py
+++ b/rosewheel/lab/scale/version_log.py
@@ -11,6 +11,7 @@
 
 from rosewheel.lab.wire import now_ms
 
+SIMULATED_WORKER_PREFIX = "hollow-"  # of workers' names, and so of their records' file names
 NO_VERSIONS = (np.zeros(0, np.int32), np.zeros(0, np.int32), np.zeros(0))
 
 
--- a/tests/lab/test_scale_network.py
+++ b/tests/lab/test_scale_network.py
@@ -9,10 +9,9 @@
 
 from rosewheel.lab.catalog import Entry
 from rosewheel.lab.scale.discovery_server import DiscoveryServer, ServiceList
-from rosewheel.lab.scale.messages import ListenerSetup, SimulatedNodeSetup, TrafficCounters
+from rosewheel.lab.scale.messages import ListenerSetup, SimulatedNodeSetup, TrafficCounters, TrafficKind
 from rosewheel.lab.scale.network import Network
 from rosewheel.lab.scale.reachability import Reachability
-from rosewheel.lab.scale.relay import TrafficKind
 from rosewheel.lab.scale.simulated_node import SimulatedNode, SourceAddressLoop
 from rosewheel.lab.scale.version_log import NodeRecords
 from rosewheel.lab.wire import Address
@@ -84,9 +83,13 @@
         caller = await Caller.open(listener, "n1")
         assert await caller.echo(b"hello") == b"hello"
         assert near.callers + far.callers == ["127.14.1.1"]
-        assert network.statistics().callers["control"]["n1"] == TrafficCounters(1, 5, 5, 1, 1)
+        assert network.statistics().callers[TrafficKind.CONTROL]["n1"] == TrafficCounters(1, 5, 5, 1, 1)
         assert (
-            sum(counters.upstream_bytes for counters in network.statistics().targets["control"].values()) == 5
+            sum(
+                counters.upstream_bytes
+                for counters in network.statistics().targets[TrafficKind.CONTROL].values()
+            )
+            == 5
         )
         network.close()
 
--- a/tests/lab/test_scale_report.py
+++ b/tests/lab/test_scale_report.py
@@ -25,6 +25,7 @@
     SimulatedNodeSetup,
     SimulatedNodesSetup,
     StartLoad,
+    TrafficKind,
 )
 from rosewheel.lab.scale.options import Options
 from rosewheel.lab.scale.planning import build_plan
@@ -179,7 +180,9 @@
     ("setup", "row"),
     [
         (
-            NetworkSetup({"n0": 1}, {"127.10.1.1": "n0"}, [ListenerSetup("control", {"c1": ("h", 1)})], 0.1),
+            NetworkSetup(
+                {"n0": 1}, {"127.10.1.1": "n0"}, [ListenerSetup(TrafficKind.CONTROL, {"c1": ("h", 1)})], 0.1
+            ),
             {
                 "places": {"n0": 1},
                 "machines": {"127.10.1.1": "n0"},
