--- a/benchmarks/graph.py
+++ b/benchmarks/graph.py
@@ -28,7 +28,7 @@
 
 import msgspec
 
-from rosewheel.lab import graph, plan, records
+from rosewheel.lab import plan, records, service_graph
 from rosewheel.lab.scenario import Scenario
 from rosewheel.lab.simulation.simulate import Simulation
 
@@ -72,7 +72,7 @@
     calls = calls_of(shape, depth)
     names = list(calls)
     edges = tuple(tuple((names.index(to), times) for to, times in calls[name]) for name in names)
-    visits = graph.visits(edges)
+    visits = service_graph.mean_visits(edges)
     aim = 2500.0
     rows = {
         "name": f"{shape}-{depth}-{trouble}",
@@ -113,22 +113,22 @@
         played = Simulation(one, Path(folder))
         summary = played.run()
         came = [0] * len(one.edges)
-        for row in records.read(Path(folder) / "equipos.jsonl"):
+        for row in records.read_records(Path(folder) / "equipos.jsonl"):
             if row["e"] == "job" and begin <= row["came"] < end:
                 came[row["tier"]] += 1
         wishes = [
             row
-            for row in records.read(Path(folder) / "load.jsonl")
+            for row in records.read_records(Path(folder) / "load.jsonl")
             if row["e"] == "op" and begin <= row["at"] < end
         ]
-    asked = [len(wishes) * visits for visits in graph.visits(one.edges)]
+    asked = [len(wishes) * visits for visits in service_graph.mean_visits(one.edges)]
     found = [got / wanted for got, wanted in zip(came, asked, strict=True)]
     return {
         "shape": shape,
         "depth": depth,
         "trouble": trouble,
         "seed": seed,
-        "ways": graph.visits(one.edges)[-1],
+        "ways": service_graph.mean_visits(one.edges)[-1],
         "bottom": found[-1],
         "widest": max(found),
         "levels": [round(value, 3) for value in found],
--- a/rosewheel/cli/lab.py
+++ b/rosewheel/cli/lab.py
@@ -21,10 +21,10 @@
 from rosewheel.lab import plan as plans
 from rosewheel.lab import scenario as scenarios
 from rosewheel.lab.emulator import Emulator
-from rosewheel.lab.load import Load
-from rosewheel.lab.nodes import NodeProcess, settings
+from rosewheel.lab.load import LoadGenerator
+from rosewheel.lab.node_process import NodeProcess, platform_settings
 from rosewheel.lab.plan import Plan
-from rosewheel.lab.records import Writer
+from rosewheel.lab.records import RecordWriter
 from rosewheel.lab.run import RunError, interrupt_to_cancel
 from rosewheel.lab.wire import now_ms
 
@@ -37,7 +37,7 @@
     try:
         told = scenarios.load(name, changes)
         if emulated:
-            experiments.check(told)
+            experiments.check_emulated(told)
         return plans.make(told, seed)
     except ProblemsError as error:
         bad_input(error)
@@ -90,7 +90,7 @@
 @click.command("scenarios")
 def scenarios_command() -> None:
     """List the scenarios that come with the program."""
-    for name in scenarios.shipped():
+    for name in scenarios.bundled_names():
         told = scenarios.load(name)
         click.echo(f"{name:24} {told.seconds:5.0f} s  {told.about}")
 
@@ -111,17 +111,17 @@
 
 
 async def _demo(plan: Plan, folder: Path) -> None:
-    records, asked = Writer(folder / "equipos.jsonl"), Writer(folder / "load.jsonl")
+    records, asked = RecordWriter(folder / "equipos.jsonl"), RecordWriter(folder / "load.jsonl")
     emulator = Emulator(plan, folder, records)
     node: NodeProcess | None = None
-    load: Load | None = None
+    load: LoadGenerator | None = None
     live: asyncio.Task[None] | None = None
     try:
         await emulator.start()
         agent = emulator.agent("n0")
         discovery = await agent.start()
         limits = {"memory_mb": plan.scenario.nodes.memory_mb, "sockets": plan.scenario.nodes.sockets}
-        config = {"limits": limits, "known": agent.known(), "settings": settings(plan, 0, 1)}
+        config = {"limits": limits, "known": agent.known(), "settings": platform_settings(plan, 0, 1)}
         node = NodeProcess("n0", folder, discovery, config, ops=True)
         if not await node.healthy():
             raise RunError(f"the node did not start: {node.last_words()}")
@@ -134,7 +134,7 @@
             f'try       curl -si -X POST http://{host}:{port}/api/{service} -H "Request-Id: try-$RANDOM" '
             f'-H "Request-Class: {service}" -H "Request-Timeout-Ms: 3000" -d photo\n'
         )
-        load = Load(plan, {"n0": node.listen}, asked)
+        load = LoadGenerator(plan, {"n0": node.listen}, asked)
         emulator.begin(now_ms())
         live = asyncio.get_running_loop().create_task(_live(emulator, load))
         await load.run(now_ms())
@@ -153,7 +153,7 @@
         asked.close()
 
 
-async def _live(emulator: Emulator, load: Load) -> None:
+async def _live(emulator: Emulator, load: LoadGenerator) -> None:
     began = time.monotonic()
     while True:
         await asyncio.sleep(1.0)
@@ -187,7 +187,7 @@
 
 async def _emulate(plan: Plan, folder: Path) -> None:
     folder.mkdir(parents=True, exist_ok=True)
-    records = Writer(folder / "equipos.jsonl")
+    records = RecordWriter(folder / "equipos.jsonl")
     emulator = Emulator(plan, folder, records)
     try:
         await emulator.start()
@@ -195,7 +195,7 @@
         for number in range(plan.scenario.nodes.count):
             host, port = await emulator.agent(f"n{number}").start()
             agents[f"n{number}"] = f"{host}:{port}"
-        json_line({"discovery": agents, "settings": settings(plan, 0, plan.scenario.nodes.count)})
+        json_line({"discovery": agents, "settings": platform_settings(plan, 0, plan.scenario.nodes.count)})
         sys.stdout.flush()
         emulator.begin(now_ms())
         await asyncio.sleep(plan.scenario.seconds)
@@ -235,8 +235,8 @@
 
 async def _load(plan: Plan, nodes: dict[str, tuple[str, int]], folder: Path) -> None:
     folder.mkdir(parents=True, exist_ok=True)
-    records = Writer(folder / "load.jsonl")
-    clients = Load(plan, nodes, records)
+    records = RecordWriter(folder / "load.jsonl")
+    clients = LoadGenerator(plan, nodes, records)
     try:
         await clients.run(now_ms())
     finally:
@@ -274,7 +274,7 @@
     try:
         found = experiments.variants(names, changes_from(vary, seconds))
         for variant in found:
-            experiments.check(variant.scenario)
+            experiments.check_emulated(variant.scenario)
     except ProblemsError as error:
         bad_input(error)
     if only_plan:
@@ -284,9 +284,9 @@
     folder = out or Path(tempfile.mkdtemp(prefix="rosewheel-"))
     folder.mkdir(parents=True, exist_ok=True)
     summaries: list[dict[str, Any]] = []
-    for item in experiments.planned(found, seed, repeat, folder):
+    for item in experiments.plan_runs(found, seed, repeat, folder):
         click.echo(f"playing {item.variant.name}, seed {item.seed} ...", err=True)
-        summary = _run(experiments.play(item))
+        summary = _run(experiments.play_run(item))
         if summary is None:
             click.echo(f"rosewheel: interrupted; records so far are in {folder}", err=True)
             sys.exit(INTERRUPTED)
@@ -299,9 +299,9 @@
 def _conclude(folder: Path, summaries: list[dict[str, Any]]) -> None:
     from rosewheel.lab import report
 
-    rows = experiments.table(summaries)
-    click.echo(report.as_text(rows))
-    page = report.write(folder, summaries, rows)
+    rows = experiments.summarize(summaries)
+    click.echo(report.text_table(rows))
+    page = report.write_report(folder, summaries, rows)
     good = all(one["ok"] for one in summaries)
     # One run's whole summary, or the table of several.
     last = summaries[0] if len(summaries) == 1 else {"runs": len(summaries)}
@@ -321,7 +321,7 @@
     if not equals or not key or not values:
         click.echo(f"rosewheel: --vary: {text!r} is not KEY=A,B", err=True)
         sys.exit(2)
-    return key, [experiments.value(item) for item in values.split(",")]
+    return key, [experiments.parse_value(item) for item in values.split(",")]
 
 
 def rules_text(summary: dict[str, Any]) -> str:
--- a/rosewheel/cli/node.py
+++ b/rosewheel/cli/node.py
@@ -50,7 +50,7 @@
 def _check(path: str) -> None:
     from rosewheel.lab import scenario
 
-    shipped = "/" not in path and path in scenario.shipped()
+    shipped = "/" not in path and path in scenario.bundled_names()
     if not shipped and "node" in tables(text_of(path), path):
         read(path, operator.Operator)
     else:
--- a/rosewheel/cli/simulate.py
+++ b/rosewheel/cli/simulate.py
@@ -29,12 +29,12 @@
 from rosewheel.config.checked import ProblemsError
 from rosewheel.lab import experiment as experiments
 from rosewheel.lab import plan as plans
-from rosewheel.lab.simulation.simulate import check, simulate
+from rosewheel.lab.simulation.simulate import check_simulated, simulate
 
 PROGRESS_S = 5.0  # of wall clock, between two lines of a run
 
 
-def play(item: experiments.Planned, records: bool) -> dict[str, Any]:
+def play(item: experiments.PlannedRun, records: bool) -> dict[str, Any]:
     """One run, in whatever process this is called in."""
     plan = plans.make(item.variant.scenario, item.seed)
     length, told = plan.scenario.seconds, time.monotonic()
@@ -79,9 +79,9 @@
     """
     try:
         found = experiments.variants(names, changes_from(vary, seconds))
-        items = list(experiments.planned(found, seed, repeat, out or Path()))
+        items = list(experiments.plan_runs(found, seed, repeat, out or Path()))
         for variant in found:
-            check(variant.scenario)
+            check_simulated(variant.scenario)
     except ProblemsError as error:
         bad_input(error)
     if only_plan:
@@ -89,19 +89,19 @@
             print_plan(plans.make(item.variant.scenario, item.seed))
         return
     summaries = _play_all(items, jobs, out is not None)
-    rows = experiments.table(summaries)
+    rows = experiments.summarize(summaries)
     click.echo(_table(summaries))
     last = summaries[0] if len(summaries) == 1 else {"runs": len(summaries)}
     if out is not None:
         from rosewheel.lab import report
 
-        last = {**last, "report": str(report.write(out, summaries, rows))}
+        last = {**last, "report": str(report.write_report(out, summaries, rows))}
     good = all(one["ok"] for one in summaries)
     json_line({**last, "ok": good, "services": {row.variant: round(row.service, 4) for row in rows}})
     sys.exit(0 if good else 1)
 
 
-def _play_all(items: Sequence[experiments.Planned], jobs: int, records: bool) -> list[dict[str, Any]]:
+def _play_all(items: Sequence[experiments.PlannedRun], jobs: int, records: bool) -> list[dict[str, Any]]:
     summaries = []
     try:
         if jobs == 1 or len(items) == 1:
--- a/rosewheel/lab/catalog.py
+++ b/rosewheel/lab/discovery.py
@@ -13,13 +13,13 @@
 
 import msgspec
 
-from rosewheel.lab.wire import Address, Asked, Serving, now_ms
+from rosewheel.lab.wire import Address, HttpRequest, ServerConnection, now_ms
 
-BEAT_S = 2.0  # an empty line comes this often while nothing changes
+HEARTBEAT_S = 2.0  # an empty line comes this often while nothing changes
 
 
 @dataclass(slots=True)
-class Entry:
+class DiscoveryEntry:
     """One equipo as discovery names it."""
 
     host: str
@@ -42,27 +42,27 @@
         }
 
 
-class Agent:
+class DiscoveryAgent:
     """What stands on a node's own machine and answers at the address that the node asks."""
 
-    def __init__(self, node: str, told: Callable[[str, Entry], None]) -> None:
+    def __init__(self, node: str, told: Callable[[str, DiscoveryEntry], None]) -> None:
         self.node = node
         self.loop = asyncio.get_running_loop()
-        self.entries: dict[str, Entry] = {}
-        self.changes: list[tuple[int, Entry]] = []  # by version
+        self.entries: dict[str, DiscoveryEntry] = {}
+        self.changes: list[tuple[int, DiscoveryEntry]] = []  # by version
         self.version = 1
         self.stalled = False
         self._told = told
-        self._watches: dict[Serving, int] = {}  # the version each has been told up to
+        self._watches: dict[ServerConnection, int] = {}  # the version each has been told up to
         self._server: asyncio.Server | None = None
         self._beat: asyncio.TimerHandle | None = None
-        self._open: set[Serving] = set()
+        self._open: set[ServerConnection] = set()
 
     async def start(self, port: int = 0) -> Address:
         self._server = await self.loop.create_server(
-            lambda: Serving(self._asked, self._open.add, self._gone), "127.0.0.1", port
+            lambda: ServerConnection(self._asked, self._open.add, self._gone), "127.0.0.1", port
         )
-        self._beat = self.loop.call_later(BEAT_S, self._beats)
+        self._beat = self.loop.call_later(HEARTBEAT_S, self._beats)
         address: Address = self._server.sockets[0].getsockname()[:2]
         return address
 
@@ -71,7 +71,7 @@
         hosts = [entry.row() for entry in self.entries.values()]
         return {"seq": self.version, "whole": True, "hosts": hosts}
 
-    def learn(self, entry: Entry) -> None:
+    def learn(self, entry: DiscoveryEntry) -> None:
         """A change has reached this agent."""
         self.version += 1
         if entry.health == "left":
@@ -100,7 +100,7 @@
 
     # ----------------------------------------------------------------- wire
 
-    def _asked(self, asked: Asked) -> None:
+    def _asked(self, asked: HttpRequest) -> None:
         path, _, query = asked.target.decode("latin-1").partition("?")
         if path != "/catalog/members":
             asked.connection.answer(404)
@@ -120,7 +120,7 @@
         self._watches[asked.connection] = since
         self._tell()
 
-    def _gone(self, watch: Serving) -> None:
+    def _gone(self, watch: ServerConnection) -> None:
         self._open.discard(watch)
         self._watches.pop(watch, None)
 
@@ -137,7 +137,7 @@
             for entry in news:
                 self._told(self.node, entry)
 
-    def _line(self, watch: Serving, row: dict[str, Any] | None) -> None:
+    def _line(self, watch: ServerConnection, row: dict[str, Any] | None) -> None:
         data = (b"" if row is None else msgspec.json.encode(row)) + b"\n"
         watch.write(b"%x\r\n%b\r\n" % (len(data), data))
 
@@ -145,26 +145,26 @@
         if not self.stalled:
             for watch in self._watches:
                 self._line(watch, None)
-        self._beat = self.loop.call_later(BEAT_S, self._beats)
+        self._beat = self.loop.call_later(HEARTBEAT_S, self._beats)
 
 
-class Registry:
+class DiscoveryRegistry:
     """All agents of one tier's nodes, and the delays with which they learn."""
 
     def __init__(
-        self, delay: Callable[[str, str], float], told: Callable[[str, str, Entry, float], None]
+        self, delay: Callable[[str, str], float], told: Callable[[str, str, DiscoveryEntry, float], None]
     ) -> None:
         self.loop = asyncio.get_running_loop()
-        self.agents: dict[str, Agent] = {}
-        self.truth: dict[str, Entry] = {}
+        self.agents: dict[str, DiscoveryAgent] = {}
+        self.truth: dict[str, DiscoveryEntry] = {}
         self.behind_ms = 0.0  # how much further behind it is, by a trouble
         self._delay = delay  # (kind of change, node) -> ms
         self._on_told = told  # (node, equipo, entry, when)
         self._free: dict[str, float] = {}  # by agent: changes come in order
         self._timers: set[asyncio.TimerHandle] = set()
 
-    def agent(self, node: str) -> Agent:
-        agent = Agent(node, self._told)
+    def agent(self, node: str) -> DiscoveryAgent:
+        agent = DiscoveryAgent(node, self._told)
         agent.entries = dict(self.truth)
         self.agents[node] = agent
         return agent
@@ -174,7 +174,7 @@
         if agent is not None:
             agent.close()
 
-    def set(self, entry: Entry, change: str, at_once: bool = False) -> None:
+    def set(self, entry: DiscoveryEntry, change: str, at_once: bool = False) -> None:
         """The truth has changed; `change` is `add`, `drain`, `stop` or `silent` and tells the delay."""
         if entry.health == "left":
             self.truth.pop(entry.host, None)
@@ -189,7 +189,7 @@
             self._free[name] = due
             self._later(due, agent, entry)
 
-    def _later(self, due: float, agent: Agent, entry: Entry) -> None:
+    def _later(self, due: float, agent: DiscoveryAgent, entry: DiscoveryEntry) -> None:
         def learn() -> None:
             self._timers.discard(handle)
             agent.learn(entry)
@@ -203,5 +203,5 @@
         for agent in self.agents.values():
             agent.close()
 
-    def _told(self, node: str, entry: Entry) -> None:
+    def _told(self, node: str, entry: DiscoveryEntry) -> None:
         self._on_told(node, entry.host, entry, now_ms())
--- a/rosewheel/lab/emulator.py
+++ b/rosewheel/lab/emulator.py
@@ -11,21 +11,21 @@
 
 import numpy as np
 
-from rosewheel.lab import equipo as model
-from rosewheel.lab import rows
-from rosewheel.lab.catalog import Agent, Entry, Registry
-from rosewheel.lab.host import Fault, Host, Work
-from rosewheel.lab.nodes import NodeProcess, settings
-from rosewheel.lab.plan import Plan, Step, stretches, targets, told_after_ms
-from rosewheel.lab.records import Writer
-from rosewheel.lab.streams import stream
-from rosewheel.lab.wire import Answered, Asked, Asking, Peer, now_ms
-
-SAMPLE_S = 0.5
+from rosewheel.lab import record_codec
+from rosewheel.lab import server_model as model
+from rosewheel.lab.discovery import DiscoveryAgent, DiscoveryEntry, DiscoveryRegistry
+from rosewheel.lab.node_process import NodeProcess, platform_settings
+from rosewheel.lab.plan import FaultStep, Plan, call_targets, discovery_delay_ms, work_segments
+from rosewheel.lab.random_streams import random_stream
+from rosewheel.lab.records import RecordWriter
+from rosewheel.lab.server_host import ConnectionFault, EmulatedServerHost, ServerWork
+from rosewheel.lab.wire import HttpClient, HttpRequest, HttpResponse, PendingRequest, now_ms
+
+SAMPLE_PERIOD_S = 0.5
 METHODS = {"safe": b"GET", "keyed": b"POST", "unsafe": b"POST"}
 
 
-def request(
+def encode_request(
     service: str,
     effect: str,
     rid: str,
@@ -57,32 +57,32 @@
 class Emulator:
     """Everything behind the front's nodes. `start`, then `run_steps` from the moment the clock of the plan begins."""
 
-    def __init__(self, plan: Plan, folder: Path, records: Writer) -> None:
+    def __init__(self, plan: Plan, folder: Path, records: RecordWriter) -> None:
         self.plan, self.folder, self.records = plan, folder, records
         self.loop = asyncio.get_running_loop()
         self.t0 = now_ms()
         # Discovery tells starts in the time of day. Taken once: a step of that clock midway moves nothing.
         self._epoch_ms = time.time() * 1000.0 - now_ms()
-        self.hosts: dict[str, Host] = {}
-        self.memories: dict[tuple[int, int], model.Memory] = {}
+        self.hosts: dict[str, EmulatedServerHost] = {}
+        self.memories: dict[tuple[int, int], model.DedupTable] = {}
         self.registries = [self._registry(tier) for tier in range(len(plan.scenario.tiers))]
         self.tables = {row.name: row for row in plan.scenario.classes}
         self.figures = {row.name: row for row in plan.classes}
-        self.work: dict[int, Work] = {}
+        self.work: dict[int, ServerWork] = {}
         self.companions: dict[str, NodeProcess] = {}  # by equipo: its own node for the calls it makes
-        self.peers: dict[str, Peer] = {}
+        self.peers: dict[str, HttpClient] = {}
         self.lags = array("f")
         # (node, equipo): last heard health, when, and the start it was told of (0: none)
         self.told: dict[tuple[str, str], tuple[str, float, int]] = {}
         self.unready: list[str] = []
         self.served = [0] * len(plan.scenario.tiers)
-        self._noise = stream(plan.seed, "run", "noise")
-        self._calls = stream(plan.seed, "run", "calls")
+        self._noise = random_stream(plan.seed, "run", "noise")
+        self._calls = random_stream(plan.seed, "run", "calls")
         self._tasks: set[asyncio.Task[None]] = set()
         self._timers: list[asyncio.TimerHandle] = []
         self._sampler: asyncio.TimerHandle | None = None
         self._next = 0
-        self._asking: dict[tuple[int, int], tuple[Asking, asyncio.TimerHandle]] = {}
+        self._asking: dict[tuple[int, int], tuple[PendingRequest, asyncio.TimerHandle]] = {}
         self._cpu = 0.0
         self.stopped = False
 
@@ -99,7 +99,7 @@
         if self.unready:
             raise RuntimeError(f"the node of {self.unready[0]} did not start: {self.unready[-1]}")
 
-    def agent(self, node: str, tier: int = 0) -> Agent:
+    def agent(self, node: str, tier: int = 0) -> DiscoveryAgent:
         return self.registries[tier].agent(node)
 
     def begin(self, t0: float) -> None:
@@ -150,27 +150,32 @@
 
     # ------------------------------------------------------------------ fleet
 
-    def _host(self, spec: model.Spec, cold: bool) -> Host:
-        memory = self.memories.setdefault((spec.tier, spec.cell), model.Memory())
-        rng = stream(self.plan.seed, "run", "equipo", spec.name)
+    def _host(self, spec: model.ServerSpec, cold: bool) -> EmulatedServerHost:
+        memory = self.memories.setdefault((spec.tier, spec.cell), model.DedupTable())
+        rng = random_stream(self.plan.seed, "run", "equipo", spec.name)
         reports = self.plan.scenario.tiers[spec.tier].report.on
-        self.hosts[spec.name] = host = Host(self, spec, memory, rng, cold, reports)
+        self.hosts[spec.name] = host = EmulatedServerHost(self, spec, memory, rng, cold, reports)
         return host
 
     def _list(
-        self, host: Host, change: str, health: str = "active", at_once: bool = False, born: bool = True
+        self,
+        host: EmulatedServerHost,
+        change: str,
+        health: str = "active",
+        at_once: bool = False,
+        born: bool = True,
     ) -> None:
         spec, (address, port) = host.spec, host.address
-        entry = Entry(spec.name, f"{address}:{port}", spec.zone, spec.cell, health)
+        entry = DiscoveryEntry(spec.name, f"{address}:{port}", spec.zone, spec.cell, health)
         if born:
             entry.born_ms = self._born(host)
         self.registries[spec.tier].set(entry, change, at_once)
 
-    def _born(self, host: Host) -> int:
+    def _born(self, host: EmulatedServerHost) -> int:
         """Its start as the list tells it, in ms of the epoch; 0 of those that ran from the first."""
         return int(host.model.started_ms + self._epoch_ms) if host.model.started_ms > 0.0 else 0
 
-    def _companion(self, host: Host) -> asyncio.Task[None] | None:
+    def _companion(self, host: EmulatedServerHost) -> asyncio.Task[None] | None:
         """The node through which this equipo calls the next tier."""
         tier = host.spec.tier + 1
         if tier >= len(self.plan.scenario.tiers):
@@ -180,7 +185,7 @@
         async def start() -> None:
             agent = self.agent(name, tier)
             discovery = await agent.start()
-            seed = int(stream(self.plan.seed, "node", name).integers(1 << 62))
+            seed = int(random_stream(self.plan.seed, "node", name).integers(1 << 62))
             siblings = sum(1 for spec in self.plan.equipos if spec.tier == tier - 1)
             scenario = self.plan.scenario
             node = NodeProcess(
@@ -191,13 +196,13 @@
                     "seed": f"{seed:x}",
                     "limits": {"memory_mb": scenario.nodes.memory_mb, "sockets": scenario.nodes.sockets},
                     "known": agent.known(),
-                    "settings": settings(self.plan, tier, siblings),
+                    "settings": platform_settings(self.plan, tier, siblings),
                 },
             )
             self.companions[host.spec.name] = node
             if not await node.healthy():
                 self.unready += [host.spec.name, node.last_words()]
-            self.peers[host.spec.name] = Peer(node.listen)
+            self.peers[host.spec.name] = HttpClient(node.listen)
 
         return self._task(start())
 
@@ -207,15 +212,15 @@
         task.add_done_callback(self._tasks.discard)
         return task
 
-    def _registry(self, tier: int) -> Registry:
-        rng = stream(self.plan.seed, "run", "discovery", tier)
+    def _registry(self, tier: int) -> DiscoveryRegistry:
+        rng = random_stream(self.plan.seed, "run", "discovery", tier)
 
         def delay(change: str, _node: str) -> float:
-            return told_after_ms(self.plan.scenario, rng, change)
+            return discovery_delay_ms(self.plan.scenario, rng, change)
 
-        return Registry(delay, self._told)
+        return DiscoveryRegistry(delay, self._told)
 
-    def _told(self, node: str, host: str, entry: Entry, at: float) -> None:
+    def _told(self, node: str, host: str, entry: DiscoveryEntry, at: float) -> None:
         self.told[(node, host)] = (entry.health, at, entry.born_ms)
         self.records.write(
             {"e": "told", "t": self._t(at), "node": node, "equipo": host, "health": entry.health}
@@ -223,7 +228,7 @@
 
     # --------------------------------------------------------------- requests
 
-    def take(self, host: Host, asked: Asked) -> Work | None:
+    def take(self, host: EmulatedServerHost, asked: HttpRequest) -> ServerWork | None:
         """A request at an equipo: what it is, and how much work it will be there."""
         rid, service = asked.header(b"request-id"), asked.header(b"request-class")
         service = service or asked.target.partition(b"?")[0].rpartition(b"/")[2].decode("latin-1")
@@ -241,8 +246,8 @@
         except ValueError:
             asked.connection.answer(400)
             return None
-        calls = len(targets(self.plan, spec.tier, self._calls))
-        work_ms = stretches(self.plan, spec, figures, total, self._noise, calls)
+        calls = len(call_targets(self.plan, spec.tier, self._calls))
+        work_ms = work_segments(self.plan, spec, figures, total, self._noise, calls)
         if asked.first_on_connection:
             work_ms = (work_ms[0] + spec.handshake_ms, *work_ms[1:])
         self._next += 1
@@ -253,13 +258,13 @@
         job = model.Job(self._next, work_ms, f"{service}/{key}" if key else None, table.memory_ms)
         job.told = not node or born == self._born(host) > 0
         op = asked.header(b"lab-op") or rid
-        work = Work(host, asked, job, service, node, op, asked.came_ms + patience, total)
+        work = ServerWork(host, asked, job, service, node, op, asked.came_ms + patience, total)
         self.work[job.id] = work
         if health != "active":
             self._late(work)
         return work
 
-    def _late(self, work: Work) -> None:
+    def _late(self, work: ServerWork) -> None:
         """Something new has come to an equipo of which its node had been told that it drains or is gone."""
         rules = self.plan.scenario.rules
         health, at, _ = self.told[(work.node, work.host.spec.name)]
@@ -268,66 +273,68 @@
             row = {"e": "late", "t": self._t(), "node": work.node, "equipo": work.host.spec.name}
             self.records.write({**row, "health": health, "over_ms": round(over, 1), "op": work.op})
 
-    def act(self, host: Host, acts: list[model.Action]) -> None:
+    def act(self, host: EmulatedServerHost, acts: list[model.Action]) -> None:
         for act in acts:
             match act:
                 case model.Reply(id, verdict):
                     self._reply(id, verdict)
-                case model.CallNext(id, number):
+                case model.CallNextTier(id, number):
                     self._call(self.work[id], number)
-                case model.Began():
+                case model.JobStarted():
                     pass
-                case model.Fell(share):
+                case model.ServerCollapsed(share):
                     row = {"e": "fell", "t": self._t(), "equipo": host.spec.name, "told_share": share}
                     self.records.write(row)
                     self._crash(host)
 
-    def _reply(self, id: int, verdict: model.Verdict) -> None:
+    def _reply(self, id: int, verdict: model.JobResult) -> None:
         work = self.work.pop(id, None)
         if work is None:
             return
-        joined = work.job.stage is model.Stage.JOINED
+        joined = work.job.stage is model.JobStage.JOINED
         if joined:  # it may have joined at another equipo of the grupo
             work.host.model.joined_ended(id)
         now = now_ms()
-        if verdict is model.Verdict.SERVED:
+        if verdict is model.JobResult.SERVED:
             self.served[work.host.spec.tier] += 1
         self._record(work, verdict.value, now)
-        size = self.tables[work.service].answer_bytes if verdict is model.Verdict.SERVED else 0
+        size = self.tables[work.service].answer_bytes if verdict is model.JobResult.SERVED else 0
         rid = work.asked.header(b"request-id").encode("latin-1")
         work.host.reply(work, verdict, (rid + b"\n").ljust(size, b".") if size else b"")
 
-    def _record(self, work: Work, verdict: str, now: float) -> None:
+    def _record(self, work: ServerWork, verdict: str, now: float) -> None:
         """How a request ended at an equipo, and whether its work had begun there."""
         asked = (work.node, work.service, work.op, work.asked.header(b"request-id"))
         came, over = self._t(work.asked.came_ms), now > work.deadline_ms
-        row = rows.job(work.host.spec, work.job, self._t(now), came, asked, verdict, work.wanted, over)
+        row = record_codec.job_record(
+            work.host.spec, work.job, self._t(now), came, asked, verdict, work.wanted, over
+        )
         self.records.write(row)
 
-    def _call(self, work: Work, number: int) -> None:
+    def _call(self, work: ServerWork, number: int) -> None:
         """One call to the next tier, through the equipo's own node."""
         table, peer = self.tables[work.service], self.peers.get(work.host.spec.name)
         left = work.deadline_ms - now_ms() if self.plan.scenario.passes_deadline else table.give_up_ms
         if peer is None or left < 1.0:
-            self.loop.call_soon(self._called, work, number, Answered(0, why="no time left"))
+            self.loop.call_soon(self._called, work, number, HttpResponse(0, why="no time left"))
             return
         key = f"{work.job.key or work.asked.header(b'request-id')}.{number}"
         rid = f"{work.asked.header(b'request-id')}.{work.job.id}.{number}"
         op = f"{work.op}/{work.job.id}.{number}" if table.effect != "keyed" else key
-        data = request(
+        data = encode_request(
             work.service, table.effect, rid, left, f"n-{work.host.spec.name}", op, work.total_ms, key, 0
         )
         asking = peer.ask(data, lambda answered: self._called(work, number, answered))
         timer = self.loop.call_later(left / 1000.0, self._give_up, work, number)
         self._asking[(work.job.id, number)] = (asking, timer)
 
-    def _give_up(self, work: Work, number: int) -> None:
+    def _give_up(self, work: ServerWork, number: int) -> None:
         entry = self._asking.get((work.job.id, number))
         if entry is not None:
             entry[0].abandon()
-            self._called(work, number, Answered(0, why="timed out"))
+            self._called(work, number, HttpResponse(0, why="timed out"))
 
-    def _called(self, work: Work, number: int, answered: Answered) -> None:
+    def _called(self, work: ServerWork, number: int, answered: HttpResponse) -> None:
         entry = self._asking.pop((work.job.id, number), None)
         if entry is not None:
             entry[1].cancel()
@@ -339,7 +346,7 @@
 
     # --------------------------------------------------------------- troubles
 
-    def _step(self, step: Step) -> None:
+    def _step(self, step: FaultStep) -> None:
         trouble = self.plan.scenario.troubles[step.trouble]
         row = {"e": "step", "t": self._t(), "kind": trouble.kind, "what": step.what, "equipos": step.equipos}
         self.records.write(row)
@@ -350,7 +357,7 @@
         match trouble.kind:
             case "slow" | "neighbour" | "errors":
                 for host in on:
-                    rows.burden(host.model, trouble.kind, step.size, begins, now)
+                    record_codec.apply_server_fault(host.model, trouble.kind, step.size, begins, now)
             case "deploy":
                 self._deploy_step(step, on)
             case "discovery-lag":
@@ -383,7 +390,7 @@
         for host in on:
             host.arm()
 
-    def _deploy_step(self, step: Step, on: list[Host]) -> None:
+    def _deploy_step(self, step: FaultStep, on: list[EmulatedServerHost]) -> None:
         if step.what == "drain":
             for host in on:
                 host.model.drain(now_ms())
@@ -396,11 +403,11 @@
             for name in step.equipos:
                 self._task(self._launch(self.plan.spec(name)))
 
-    def _restart(self, host: Host) -> None:
+    def _restart(self, host: EmulatedServerHost) -> None:
         host.restart()
-        self.records.write(rows.started(self.plan, host.spec, self._t(host.model.started_ms)))
+        self.records.write(record_codec.start_record(self.plan, host.spec, self._t(host.model.started_ms)))
 
-    async def _launch(self, spec: model.Spec) -> None:
+    async def _launch(self, spec: model.ServerSpec) -> None:
         """A new equipo: its node first, then it takes work and the list is told."""
         host = self._host(spec, cold=True)
         wait = self._companion(host)
@@ -410,7 +417,7 @@
         await host.listen()
         self._list(host, "add")
 
-    def _fault_step(self, step: Step, begins: bool) -> None:
+    def _fault_step(self, step: FaultStep, begins: bool) -> None:
         trouble = self.plan.scenario.troubles[step.trouble]
         tier = trouble.where or self.plan.scenario.tiers[0].name
         for name, host in self.hosts.items():
@@ -423,23 +430,25 @@
                     else:
                         self._task(host.accept_again())
             elif begins:
-                rng = stream(self.plan.seed, "run", "fault", step.trouble, name)
-                host.begin_fault(step.trouble, Fault(trouble.how, trouble.part, trouble.delay_ms, rng))
+                rng = random_stream(self.plan.seed, "run", "fault", step.trouble, name)
+                host.begin_fault(
+                    step.trouble, ConnectionFault(trouble.how, trouble.part, trouble.delay_ms, rng)
+                )
             else:
                 host.end_fault(step.trouble)
 
-    def _crash(self, host: Host) -> None:
+    def _crash(self, host: EmulatedServerHost) -> None:
         self._retire(host)
         self._list(host, "silent", "left")
 
-    def _retire(self, host: Host) -> None:
+    def _retire(self, host: EmulatedServerHost) -> None:
         """The process ends, and its node with it."""
         for id in [id for id, work in self.work.items() if work.host is host]:
             self._record(self.work.pop(id), "lost", now_ms())
         host.die()
         self._drop_companion(host)
 
-    def _drop_companion(self, host: Host) -> None:
+    def _drop_companion(self, host: EmulatedServerHost) -> None:
         node = self.companions.pop(host.spec.name, None)
         if node is not None:
             node.kill()
@@ -448,7 +457,7 @@
         if peer is not None:
             peer.close()
 
-    async def _revive(self, host: Host) -> None:
+    async def _revive(self, host: EmulatedServerHost) -> None:
         wait = self._companion(host)
         if wait is not None:
             await wait
@@ -456,7 +465,7 @@
         await host.accept_again()
         self._list(host, "add")
 
-    async def _vanish(self, host: Host, begins: bool, cold: bool) -> None:
+    async def _vanish(self, host: EmulatedServerHost, begins: bool, cold: bool) -> None:
         if begins:
             host.vanish()
             self._list(host, "silent", "left")
@@ -483,6 +492,6 @@
             one = host.model
             host.catch_up(now)
             one.report(now)  # as of now, not of the last event
-            self.records.write(rows.sample(name, one, self._t(now)))
+            self.records.write(record_codec.sample_record(name, one, self._t(now)))
         self.records.flush()
-        self._sampler = self.loop.call_later(SAMPLE_S, self._sample)
+        self._sampler = self.loop.call_later(SAMPLE_PERIOD_S, self._sample)
--- a/rosewheel/lab/child.py
+++ b/rosewheel/lab/emulator_process.py
@@ -1,4 +1,4 @@
-"""The emulator as a process of its own: `python -m rosewheel.lab.child SCENARIO.json SEED FOLDER`.
+"""The emulator as a process of its own: `python -m rosewheel.lab.emulator_process SCENARIO.json SEED FOLDER`.
 
 It says once, in one line, where its nodes find discovery; then it waits for the moment at which the plan begins. It
 ends when its standard input ends, so that it never outlives the run that started it.
@@ -16,8 +16,8 @@
 
 from rosewheel.lab import plan as plans
 from rosewheel.lab.emulator import Emulator
-from rosewheel.lab.records import Writer
-from rosewheel.lab.run import lean
+from rosewheel.lab.records import RecordWriter
+from rosewheel.lab.run import tune_garbage_collector
 from rosewheel.lab.scenario import Scenario
 
 
@@ -26,7 +26,7 @@
     told = asyncio.StreamReader()
     await loop.connect_read_pipe(lambda: asyncio.StreamReaderProtocol(told), sys.stdin)
     plan = plans.make(scenario, seed)
-    records = Writer(folder / "equipos.jsonl")
+    records = RecordWriter(folder / "equipos.jsonl")
     emulator = Emulator(plan, folder, records)
     try:
         await emulator.start()
@@ -37,7 +37,7 @@
             known = agent.known()
         sys.stdout.buffer.write(msgspec.json.encode({"agents": agents, "known": known}) + b"\n")
         sys.stdout.buffer.flush()
-        lean()
+        tune_garbage_collector()
         line = await told.readline()
         if line:
             emulator.begin(msgspec.json.decode(line)["t0"])
--- a/rosewheel/lab/experiment.py
+++ b/rosewheel/lab/experiment.py
@@ -13,8 +13,8 @@
 from rosewheel.config.checked import Problem, ProblemsError
 from rosewheel.lab import plan as plans
 from rosewheel.lab import scenario as scenarios
-from rosewheel.lab.run import Run
-from rosewheel.lab.scenario import OF_AREAS, Scenario
+from rosewheel.lab.run import ExperimentRun
+from rosewheel.lab.scenario import ZONE_FAULT_KINDS, Scenario
 from rosewheel.lab.tables import NetworkTable
 
 
@@ -38,7 +38,7 @@
     return found
 
 
-def check(scenario: Scenario) -> None:
+def check_emulated(scenario: Scenario) -> None:
     """ProblemsError where a scenario wants what is not emulated on sockets."""
     wanted = {
         "service": bool(scenario.services),
@@ -46,14 +46,14 @@
         "network": scenario.network != NetworkTable(),
     }
     for at, trouble in enumerate(scenario.troubles):
-        wanted[f"trouble[{at}].kind"] = trouble.kind in OF_AREAS
+        wanted[f"trouble[{at}].kind"] = trouble.kind in ZONE_FAULT_KINDS
     for key, there in wanted.items():
         if there:
             why = "services, regions and ways between them are not emulated on sockets: `simulate` plays them"
             raise ProblemsError(scenario.name, [Problem(key, None, why)])
 
 
-def value(text: str) -> object:
+def parse_value(text: str) -> object:
     """A value on the command line: a number, true or false, or else text."""
     try:
         parsed: object = msgspec.json.decode(text)
@@ -63,30 +63,30 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Planned:
+class PlannedRun:
     variant: Variant
     seed: int
     folder: Path
 
 
-def planned(found: Sequence[Variant], seed: int | None, repeat: int, out: Path) -> Iterator[Planned]:
+def plan_runs(found: Sequence[Variant], seed: int | None, repeat: int, out: Path) -> Iterator[PlannedRun]:
     """Every run there is to make. Repeats take the seeds that follow, the same for each variant: they are paired."""
     for number in range(repeat):
         for at, variant in enumerate(found):
             first = variant.scenario.seed if seed is None else seed
-            yield Planned(variant, first + number, out / f"v{at}-s{first + number}")
+            yield PlannedRun(variant, first + number, out / f"v{at}-s{first + number}")
 
 
-async def play(item: Planned) -> dict[str, Any]:
+async def play_run(item: PlannedRun) -> dict[str, Any]:
     """One run; its records are in `item.folder`, its summary is returned."""
     item.folder.mkdir(parents=True, exist_ok=True)
     plan = plans.make(item.variant.scenario, item.seed)
-    summary = await Run(plan, item.folder).execute()
+    summary = await ExperimentRun(plan, item.folder).execute()
     return {"variant": item.variant.name, "folder": item.folder.name, **summary}
 
 
 @dataclass(slots=True, frozen=True)
-class Row:
+class VariantRow:
     """A variant's service over its runs: mean and the half-width of its 95% confidence interval."""
 
     variant: str
@@ -100,9 +100,9 @@
     after_half: float | None = None
 
 
-def table(summaries: Sequence[dict[str, Any]]) -> list[Row]:
+def summarize(summaries: Sequence[dict[str, Any]]) -> list[VariantRow]:
     """One row a variant; runs that are void are counted and left out."""
-    rows: list[Row] = []
+    rows: list[VariantRow] = []
     for name in dict.fromkeys(one["variant"] for one in summaries):
         mine = [one for one in summaries if one["variant"] == name]
         good = [one for one in mine if not one["void"]]
@@ -111,7 +111,7 @@
         classes = good[0]["classes"] if good else {}
         after = [one["after_restarts"] for one in good if one.get("after_restarts") is not None]
         rows.append(
-            Row(
+            VariantRow(
                 variant=name,
                 runs=len(mine),
                 void=len(mine) - len(good),
--- a/rosewheel/lab/ledger.py
+++ b/rosewheel/lab/invariant_checker.py
@@ -13,17 +13,19 @@
 from pathlib import Path
 from typing import Any
 
-from rosewheel.lab.records import read
-from rosewheel.lab.retry import REFUSALS, SLACK_MS
+from rosewheel.lab.records import read_records
+from rosewheel.lab.retry import REJECTION_STATUSES, RESPONSE_SLACK_MS
 from rosewheel.lab.scenario import Scenario
-from rosewheel.lab.slow_start import Overload, SlowStart
+from rosewheel.lab.slow_start import Overload, ServerStart
 
-TOLD_SHARE = 2.0 / 3.0  # of the load that tipped a cold equipo, from those who knew: then the nodes did it
-SHOWN = 20  # of each kind
+INFORMED_SHARE_LIMIT = (
+    2.0 / 3.0
+)  # of the load that tipped a cold equipo, from those who knew: then the nodes did it
+MAX_LISTED = 20  # of each kind
 
 
 @dataclass(slots=True)
-class Broken:
+class Violations:
     """Every breach by kind; an empty one means that all rules held."""
 
     unanswered: list[str] = field(default_factory=list)  # a request that a living node left without an answer
@@ -42,19 +44,19 @@
 
     def row(self) -> dict[str, Any]:
         return {
-            "unanswered": self.unanswered[:SHOWN],
+            "unanswered": self.unanswered[:MAX_LISTED],
             "double": self.double,
-            "foreign": self.foreign[:SHOWN],
-            "twice": self.twice[:SHOWN],
-            "strayed": self.strayed[:SHOWN],
-            "late": self.late[:SHOWN],
-            "tipped": self.tipped[:SHOWN],
-            "overloaded": self.overloaded[:SHOWN],
+            "foreign": self.foreign[:MAX_LISTED],
+            "twice": self.twice[:MAX_LISTED],
+            "strayed": self.strayed[:MAX_LISTED],
+            "late": self.late[:MAX_LISTED],
+            "tipped": self.tipped[:MAX_LISTED],
+            "overloaded": self.overloaded[:MAX_LISTED],
         }
 
 
 @dataclass(slots=True)
-class _Silence:
+class _UnansweredAttempt:
     """A try that ended without an answer: excused if its node was killed just then."""
 
     rid: str
@@ -63,7 +65,7 @@
     ended: float
 
 
-class Ledger:
+class InvariantChecker:
     def __init__(self, scenario: Scenario) -> None:
         self.rules = scenario.rules
         self.effects = {row.name: row.effect for row in scenario.classes}
@@ -71,10 +73,10 @@
         self.fell = 0  # cold equipos pushed over, by whomever
         self.overloads: list[Overload] = []  # of cold equipos, by whomever
         self.cold_most = 0.0  # the largest part of its bound that any cold equipo was sent
-        self._starts: dict[str, list[SlowStart]] = {}
+        self._starts: dict[str, list[ServerStart]] = {}
         self._means: dict[str, float] = {}  # ms of work of a mean request, where a start was recorded
-        self._broken = Broken()
-        self._silent: list[_Silence] = []
+        self._broken = Violations()
+        self._silent: list[_UnansweredAttempt] = []
         self._killed: dict[str, list[float]] = defaultdict(list)
         self._resent: set[str] = set()  # rids that a client itself sent once more
         self._refused: set[str] = set()  # rids of clients that were refused
@@ -88,7 +90,7 @@
                 for item in row["tries"]:
                     self._answers(item)
             case "started":
-                start = SlowStart(row["equipo"], row["t"], row["work_per_ms"] / row["mean_ms"])
+                start = ServerStart(row["equipo"], row["t"], row["work_per_ms"] / row["mean_ms"])
                 self._starts.setdefault(row["equipo"], []).append(start)
                 self._means[row["equipo"]] = row["mean_ms"]
             case "job":
@@ -107,10 +109,10 @@
                 self._broken.late.append(row)
             case "fell":
                 self.fell += 1
-                if row["told_share"] >= TOLD_SHARE:
+                if row["told_share"] >= INFORMED_SHARE_LIMIT:
                     self._broken.tipped.append(row["equipo"])
 
-    def close(self) -> Broken:
+    def close(self) -> Violations:
         """What all that was taken says of the rules."""
         for one in self._silent:
             if not any(one.sent - 1.0 <= at <= one.ended + 1.0 for at in self._killed.get(one.node, ())):
@@ -125,7 +127,7 @@
             found, most = start.overloads(self.rules)
             self.overloads += found
             self.cold_most = max(self.cold_most, most)
-            if found and found[0].told_share > TOLD_SHARE + 1e-9:  # of sums of floats
+            if found and found[0].told_share > INFORMED_SHARE_LIMIT + 1e-9:  # of sums of floats
                 self._broken.overloaded.append(found[0].row())
         self._starts.clear()
         self._silent.clear()
@@ -144,13 +146,13 @@
             self._broken.foreign.append(item["rid"])
         if item.get("resent"):
             self._resent.add(item["rid"])
-        if item["status"] in REFUSALS:
+        if item["status"] in REJECTION_STATUSES:
             self._refused.add(item["rid"])
         if item["status"]:
-            if item["ended"] - item["sent"] > item["patience"] + SLACK_MS:
+            if item["ended"] - item["sent"] > item["patience"] + RESPONSE_SLACK_MS:
                 self._broken.unanswered.append(item["rid"])
         elif item.get("why") != "unreachable":
-            self._silent.append(_Silence(item["rid"], item["node"], item["sent"], item["ended"]))
+            self._silent.append(_UnansweredAttempt(item["rid"], item["node"], item["sent"], item["ended"]))
 
     def _by_the_client(self, rids: list[str]) -> bool:
         """Whether the client itself repeated it where no refusal had said that this was harmless."""
@@ -159,10 +161,10 @@
         return not any(rid in self._refused for rid in rids)
 
 
-def audit(scenario: Scenario, folder: Path) -> Broken:
+def check_records(scenario: Scenario, folder: Path) -> Violations:
     """What the records of a run say of the rules."""
-    ledger = Ledger(scenario)
+    ledger = InvariantChecker(scenario)
     for name in ("run", "load", "equipos"):
-        for row in read(folder / f"{name}.jsonl"):
+        for row in read_records(folder / f"{name}.jsonl"):
             ledger.take(row)
     return ledger.close()
--- a/rosewheel/lab/load.py
+++ b/rosewheel/lab/load.py
@@ -13,24 +13,24 @@
 
 from hdrh.histogram import HdrHistogram
 
-from rosewheel.lab.emulator import request
-from rosewheel.lab.nodes import health
+from rosewheel.lab.emulator import encode_request
+from rosewheel.lab.node_process import check_health
 from rosewheel.lab.plan import Arrival, Plan
-from rosewheel.lab.records import Writer
-from rosewheel.lab.retry import SLACK_MS, Verdict, wait_ms
-from rosewheel.lab.streams import dealt, stream
+from rosewheel.lab.random_streams import random_stream, weighted_choice
+from rosewheel.lab.records import RecordWriter
+from rosewheel.lab.retry import RESPONSE_SLACK_MS, AttemptOutcome, retry_delay_ms
 from rosewheel.lab.tables import ClassTable
-from rosewheel.lab.wire import Address, Answered, Asking, Peer, now_ms
+from rosewheel.lab.wire import Address, HttpClient, HttpResponse, PendingRequest, now_ms
 
-HEALTH_S = 0.1  # how often the front looks after its nodes
+HEALTH_POLL_S = 0.1  # how often the front looks after its nodes
 
 
-class Front:
+class ClientDispatcher:
     """The layer that deals clients out among the nodes, and learns late which of them are dead."""
 
     def __init__(self, nodes: dict[str, Address], notice_ms: float) -> None:
         self.nodes, self.notice_ms = nodes, notice_ms
-        self.peers = {name: Peer(address) for name, address in nodes.items()}
+        self.peers = {name: HttpClient(address) for name, address in nodes.items()}
         self.up = dict.fromkeys(nodes, True)
         self.only: tuple[
             str, ...
@@ -55,22 +55,22 @@
     async def _watch(self) -> None:
         while True:
             for name, address in self.nodes.items():
-                well = await health(address) != 0
+                well = await check_health(address) != 0
                 if well is self.up[name]:
                     self._since.pop(name, None)
                 elif now_ms() - self._since.setdefault(name, now_ms()) >= (0.0 if well else self.notice_ms):
                     self.up[name] = well
                     self._since.pop(name)
-            await asyncio.sleep(HEALTH_S)
+            await asyncio.sleep(HEALTH_POLL_S)
 
 
-class Op:
+class ClientOperation:
     """One client's wish and its tries."""
 
-    def __init__(self, load: Load, arrival: Arrival, table: ClassTable) -> None:
+    def __init__(self, load: LoadGenerator, arrival: Arrival, table: ClassTable) -> None:
         self.load, self.arrival, self.table = load, arrival, table
         self.tries: list[dict[str, Any]] = []
-        self.asking: Asking | None = None
+        self.asking: PendingRequest | None = None
         self.timer: asyncio.TimerHandle | None = None
 
     def try_once(self) -> None:
@@ -82,7 +82,7 @@
         sent = now_ms()
         row: dict[str, Any] = {"rid": rid, "node": node, "sent": load.t(sent), "patience": round(patience, 1)}
         self.tries.append(row)
-        data = request(
+        data = encode_request(
             table.name,
             table.effect,
             rid,
@@ -94,15 +94,15 @@
             table.body_bytes,
         )
         fresh = load.plan.scenario.clients.new_connection > load.random.random()
-        self.timer = load.loop.call_later((patience + SLACK_MS) / 1000.0, self._give_up)
+        self.timer = load.loop.call_later((patience + RESPONSE_SLACK_MS) / 1000.0, self._give_up)
         self.asking = load.front.peers[node].ask(data, self._answered, fresh)
 
     def _give_up(self) -> None:
         if self.asking is not None:
             self.asking.abandon()
-        self._answered(Answered(0, why="no answer"))
+        self._answered(HttpResponse(0, why="no answer"))
 
-    def _answered(self, answered: Answered) -> None:
+    def _answered(self, answered: HttpResponse) -> None:
         load, row = self.load, self.tries[-1]
         if self.timer is not None:
             self.timer.cancel()
@@ -116,28 +116,28 @@
         if answered.status == 200 or not self._again(answered):
             load.ended(self)
 
-    def _again(self, answered: Answered) -> bool:
+    def _again(self, answered: HttpResponse) -> bool:
         """Whether another try follows, and when."""
         load = self.load
         if load.stopping:
             return False
-        verdict = Verdict(answered.status, answered.why, answered.retry_after_s)
+        verdict = AttemptOutcome(answered.status, answered.why, answered.retry_after_s)
         spent = now_ms() - load.t0 - self.arrival.at_ms
-        wait = wait_ms(load.plan, self.table, verdict, len(self.tries), spent, load.random, load.storm)
+        wait = retry_delay_ms(load.plan, self.table, verdict, len(self.tries), spent, load.random, load.storm)
         if wait is None:
             return False
         load.later(wait, self.try_once)
         return True
 
 
-class Load:
+class LoadGenerator:
     """All clients of a plan against these nodes."""
 
-    def __init__(self, plan: Plan, nodes: dict[str, Address], records: Writer) -> None:
+    def __init__(self, plan: Plan, nodes: dict[str, Address], records: RecordWriter) -> None:
         self.plan, self.records = plan, records
         self.loop = asyncio.get_running_loop()
-        self.front = Front(nodes, plan.notice_ms)
-        self.random = stream(plan.seed, "run", "clients")
+        self.front = ClientDispatcher(nodes, plan.notice_ms)
+        self.random = random_stream(plan.seed, "run", "clients")
         self.tables = {row.name: row for row in plan.scenario.classes}
         self.t0 = now_ms()
         self.latency = {name: HdrHistogram(1, 60_000, 3) for name in self.tables}
@@ -145,7 +145,7 @@
         self.worth: list[
             tuple[float, float, float]
         ] = []  # of each wish: planned moment, asked, served in time
-        self.open: set[Op] = set()
+        self.open: set[ClientOperation] = set()
         self.stopping = False
         self.storm = 0  # tries more than usual, while a retry storm lasts
         self.lag_max_ms = 0.0
@@ -193,7 +193,7 @@
 
     def pick(self) -> str:
         nodes = self.plan.scenario.nodes
-        return dealt(self.random, self.front.choices(), nodes.share if nodes.shares else None)
+        return weighted_choice(self.random, self.front.choices(), nodes.share if nodes.shares else None)
 
     def later(self, wait_ms: float, what: Callable[[], None]) -> None:
         def run() -> None:
@@ -208,7 +208,7 @@
         while self._at < len(arrivals) and arrivals[self._at].at_ms <= elapsed:
             arrival = arrivals[self._at]
             self.lag_max_ms = max(self.lag_max_ms, elapsed - arrival.at_ms)
-            op = Op(self, arrival, self.tables[arrival.service])
+            op = ClientOperation(self, arrival, self.tables[arrival.service])
             self.open.add(op)
             op.try_once()
             self._at += 1
@@ -217,7 +217,7 @@
         else:
             self._check()
 
-    def ended(self, op: Op) -> None:
+    def ended(self, op: ClientOperation) -> None:
         last, table, arrival = op.tries[-1], op.table, op.arrival
         took = last["ended"] - arrival.at_ms
         served = last["status"] == 200
--- a/rosewheel/lab/nodes.py
+++ b/rosewheel/lab/node_process.py
@@ -17,8 +17,8 @@
 from rosewheel.lab.plan import Plan
 from rosewheel.lab.wire import Address
 
-EFFECTS = {"safe": "free", "keyed": "guarded", "unsafe": "single_shot"}
-HEALTHY_S = 30.0  # a node that has not said yes by then will not
+EFFECT_NAMES = {"safe": "free", "keyed": "guarded", "unsafe": "single_shot"}
+START_TIMEOUT_S = 30.0  # a node that has not said yes by then will not
 _PR_SET_PDEATHSIG = 1
 
 
@@ -27,7 +27,7 @@
     ctypes.CDLL(None).prctl(_PR_SET_PDEATHSIG, signal.SIGKILL)
 
 
-def settings(plan: Plan, tier: int, siblings: int, zone: str = "") -> dict[str, Any]:
+def platform_settings(plan: Plan, tier: int, siblings: int, zone: str = "") -> dict[str, Any]:
     """The settings of a node that sends to this tier, as the platform words them. `zone`: where it stands."""
     scenario, rules, nodes = plan.scenario, plan.scenario.rules, plan.scenario.nodes
     return {
@@ -43,7 +43,7 @@
                 "giveUpMs": row.give_up_ms,
                 "credit": row.worth,
                 "lateWorth": 0.0,
-                "effect": EFFECTS[row.effect],
+                "effect": EFFECT_NAMES[row.effect],
                 "keyScope": row.group,
                 "memorySpanMs": row.memory_ms,
             }
@@ -70,7 +70,7 @@
     }
 
 
-def hold(port: int = 0) -> socket.socket:
+def listening_socket(port: int = 0) -> socket.socket:
     """A clients' socket that outlives the processes which accept from it."""
     return socket.create_server(("127.0.0.1", port), backlog=1024)
 
@@ -93,8 +93,8 @@
         self.name, self.held = name, held
         self._reserved: socket.socket | None = None
         if held is None:
-            self._reserved = reserve() if after is None else after._reserved
-        self._door = reserve() if ops else None
+            self._reserved = reserve_address() if after is None else after._reserved
+        self._door = reserve_address() if ops else None
         address = held or self._reserved
         assert address is not None
         self.listen: Address = address.getsockname()[:2]
@@ -134,9 +134,9 @@
 
     async def healthy(self, need_list: bool = True) -> bool:
         """Whether it says yes within `HEALTHY_S`; without equipos in its list it listens, and that will do."""
-        deadline = asyncio.get_running_loop().time() + HEALTHY_S
+        deadline = asyncio.get_running_loop().time() + START_TIMEOUT_S
         while self.alive and asyncio.get_running_loop().time() < deadline:
-            status = await health(self.listen)
+            status = await check_health(self.listen)
             if status == 200 or (status and not need_list):
                 return True
             await asyncio.sleep(0.05)
@@ -174,7 +174,7 @@
         return (int(fields[11]) + int(fields[12])) / os.sysconf("SC_CLK_TCK")
 
 
-async def health(address: Address) -> int:
+async def check_health(address: Address) -> int:
     """The status with which a node answers for its health; 0 where it doesn't within a second."""
     try:
         async with asyncio.timeout(1.0):
@@ -190,7 +190,7 @@
     return int(parts[1]) if len(parts) > 1 and parts[1].isdigit() else 0
 
 
-def reserve() -> socket.socket:
+def reserve_address() -> socket.socket:
     """A socket that is bound and does not listen. A process that binds the same address with SO_REUSEADDR may, and
     the system gives its port to nobody else meanwhile, not to one of a run's many connections either."""
     sock = socket.socket()
--- a/rosewheel/lab/plan.py
+++ b/rosewheel/lab/plan.py
@@ -14,11 +14,11 @@
 import msgspec
 import numpy as np
 
-from rosewheel.lab.equipo import Choke, Spec
-from rosewheel.lab.graph import Edges
-from rosewheel.lab.scenario import Scenario, TroubleTable
-from rosewheel.lab.streams import lognormal, stream
-from rosewheel.lab.tables import KindTable, Range, ServiceTable, TierTable
+from rosewheel.lab.random_streams import lognormal_factor, random_stream
+from rosewheel.lab.scenario import FaultTable, Scenario
+from rosewheel.lab.server_model import OverloadSlowdown, ServerSpec
+from rosewheel.lab.service_graph import CallEdges
+from rosewheel.lab.tables import Range, ServerKindTable, ServiceTable, TierTable
 
 
 @dataclass(slots=True, frozen=True)
@@ -32,7 +32,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Step:
+class FaultStep:
     """One moment of a trouble: `begin` and `end` for most; `drain`, `stop` and `start` within a deploy, `away` and
     `back` within a storm of discovery."""
 
@@ -45,7 +45,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class ClassFigures:
+class ClassParameters:
     name: str
     share: float
     work_ms: float
@@ -57,18 +57,18 @@
 class Plan:
     scenario: Scenario
     seed: int
-    equipos: tuple[Spec, ...]  # those that run from the start
-    later: tuple[Spec, ...]  # those that a deploy starts
-    edges: Edges  # by tier: whom it calls, and how often for each request
-    classes: tuple[ClassFigures, ...]
+    equipos: tuple[ServerSpec, ...]  # those that run from the start
+    later: tuple[ServerSpec, ...]  # those that a deploy starts
+    edges: CallEdges  # by tier: whom it calls, and how often for each request
+    classes: tuple[ClassParameters, ...]
     arrivals: tuple[Arrival, ...]
-    steps: tuple[Step, ...]
+    steps: tuple[FaultStep, ...]
     try_share: float
     backoff_ms: float
     honour: float
     notice_ms: float  # until clients learn that a node is dead, or back
 
-    def spec(self, name: str) -> Spec:
+    def spec(self, name: str) -> ServerSpec:
         return next(spec for spec in (*self.equipos, *self.later) if spec.name == name)
 
     def _calls(self) -> object:
@@ -112,7 +112,7 @@
     equipos = tuple(_fleet(scenario, seed))
     steps, later = _steps(scenario, seed, equipos)
     classes = tuple(
-        ClassFigures(
+        ClassParameters(
             row.name,
             row.share,
             _drawn(row.work_ms, seed, "class", row.name, "work"),
@@ -137,7 +137,7 @@
     )
 
 
-def told_after_ms(scenario: Scenario, rng: np.random.Generator, change: str) -> float:
+def discovery_delay_ms(scenario: Scenario, rng: np.random.Generator, change: str) -> float:
     """How long until discovery tells a change of this kind: `add`, `drain`, `stop`, `silent`, or `storm` for one
     that it makes up itself. `spread`: how much later than the first one a node hears of it."""
     table = scenario.discovery
@@ -154,7 +154,7 @@
     return float(rng.uniform(*value)) if isinstance(value, tuple) else value
 
 
-def targets(plan: Plan, tier: int, rng: np.random.Generator) -> tuple[int, ...]:
+def call_targets(plan: Plan, tier: int, rng: np.random.Generator) -> tuple[int, ...]:
     """The tiers that a request at this one calls, one call after the other."""
     found: list[int] = []
     for to, mean in plan.edges[tier]:
@@ -162,15 +162,20 @@
     return tuple(found)
 
 
-def stretches(
-    plan: Plan, spec: Spec, service: ClassFigures, total_ms: float, rng: np.random.Generator, calls: int
+def work_segments(
+    plan: Plan,
+    spec: ServerSpec,
+    service: ClassParameters,
+    total_ms: float,
+    rng: np.random.Generator,
+    calls: int,
 ) -> tuple[float, ...]:
     """The work of a request at one equipo: stretches with a call between each two. `rng`: of the attempt's noise."""
-    own = total_ms * plan.scenario.tiers[spec.tier].work * lognormal(rng, service.attempt_noise)
+    own = total_ms * plan.scenario.tiers[spec.tier].work * lognormal_factor(rng, service.attempt_noise)
     return (own,) if not calls else (own / 2.0, *([0.0] * (calls - 1)), own / 2.0)
 
 
-def _edges(scenario: Scenario, seed: int) -> Edges:
+def _edges(scenario: Scenario, seed: int) -> CallEdges:
     rows: list[tuple[tuple[int, float], ...]] = []
     known: set[str] = set()
     for at, below in enumerate(scenario.called):
@@ -189,13 +194,13 @@
 def _drawn(value: Range, seed: int, *names: object) -> float:
     if not isinstance(value, tuple):
         return float(value)
-    return float(stream(seed, *names).uniform(value[0], value[1]))
+    return float(random_stream(seed, *names).uniform(value[0], value[1]))
 
 
 # ---------------------------------------------------------------------- fleet
 
 
-def _fleet(scenario: Scenario, seed: int) -> Iterator[Spec]:
+def _fleet(scenario: Scenario, seed: int) -> Iterator[ServerSpec]:
     for at, tier in enumerate(scenario.tiers):
         number = 0
         for kind in tier.kind:
@@ -210,11 +215,11 @@
     seed: int,
     at: int,
     tier: TierTable,
-    kind: KindTable,
+    kind: ServerKindTable,
     one: int,
     number: int,
     new: str = "",
-) -> Spec:
+) -> ServerSpec:
     """The figures of one equipo. Those of a kind share the kind's draws; the speed is each equipo's own."""
 
     def drawn(value: Range, key: str, *who: object) -> float:
@@ -231,7 +236,7 @@
     def of(value: Range, key: str) -> float:
         return drawn(value, key, kind.name)
 
-    return Spec(
+    return ServerSpec(
         name=name,
         tier=at,
         kind=kind.name,
@@ -247,7 +252,7 @@
         cold_ms=of(kind.cold_s, "cold") * 1000.0,
         choke=None
         if choke is None
-        else Choke(
+        else OverloadSlowdown(
             at=drawn(choke.at, "choke", "at"),
             over_ms=drawn(choke.over_s, "choke", "over") * 1000.0,
             slower=drawn(choke.slower, "choke", "slower"),
@@ -288,14 +293,14 @@
     return factor
 
 
-def _arrivals(scenario: Scenario, seed: int, classes: tuple[ClassFigures, ...]) -> Iterator[Arrival]:
+def _arrivals(scenario: Scenario, seed: int, classes: tuple[ClassParameters, ...]) -> Iterator[Arrival]:
     """A Poisson process whose rate follows shape, bursts and surges, by thinning one of the highest rate."""
-    clients, rng = scenario.clients, stream(seed, "arrivals")
+    clients, rng = scenario.clients, random_stream(seed, "arrivals")
     slots = int(np.ceil(scenario.seconds * 1000.0 / clients.burst_ms))
     bursts = np.ones(slots)
     if clients.burst_cv > 0.0:
         shape = 1.0 / clients.burst_cv**2
-        bursts = stream(seed, "bursts").gamma(shape, 1.0 / shape, slots)
+        bursts = random_stream(seed, "bursts").gamma(shape, 1.0 / shape, slots)
     grid = _rate_factor(scenario, seed, (np.arange(slots) + 0.5) * clients.burst_ms / 1000.0)
     rates = clients.rate_per_s * grid * bursts  # by stretch of `burst_ms`
     counts = rng.poisson(rates * clients.burst_ms / 1000.0)
@@ -303,8 +308,8 @@
     times = np.sort(starts + rng.uniform(0.0, clients.burst_ms, int(counts.sum())))
     times = times[times < scenario.seconds * 1000.0]
     shares = np.array([row.share for row in classes])
-    picks = stream(seed, "classes").choice(len(classes), len(times), p=shares / shares.sum())
-    sizes = stream(seed, "sizes")
+    picks = random_stream(seed, "classes").choice(len(classes), len(times), p=shares / shares.sum())
+    sizes = random_stream(seed, "sizes")
     unit = sizes.standard_normal(len(times)), sizes.standard_exponential(len(times))
     for at, (time, pick) in enumerate(zip(times, picks, strict=True)):
         row, table = classes[pick], scenario.classes[pick]
@@ -320,9 +325,11 @@
 # ------------------------------------------------------------------- troubles
 
 
-def _steps(scenario: Scenario, seed: int, equipos: tuple[Spec, ...]) -> tuple[list[Step], tuple[Spec, ...]]:
-    steps: list[Step] = []
-    later: list[Spec] = []
+def _steps(
+    scenario: Scenario, seed: int, equipos: tuple[ServerSpec, ...]
+) -> tuple[list[FaultStep], tuple[ServerSpec, ...]]:
+    steps: list[FaultStep] = []
+    later: list[ServerSpec] = []
     for at, trouble in enumerate(scenario.troubles):
         area = zones_of(scenario, trouble)
         tier = trouble.where or scenario.tiers[0].name
@@ -330,7 +337,7 @@
             spec.name
             for spec in equipos
             if spec.zone in area
-            and (scenario.tiers[spec.tier].name == tier or (not trouble.where and in_area(trouble)))
+            and (scenario.tiers[spec.tier].name == tier or (not trouble.where and is_zonal(trouble)))
         ]
         if trouble.kind in ("node-loss", "front-shift"):
             names = [f"n{number}" for number in range(scenario.nodes.count)]
@@ -344,7 +351,7 @@
             names = [
                 spec.name for spec in later if spec.name in started and scenario.tiers[spec.tier].name == tier
             ]
-        order = [names[pick] for pick in stream(seed, "trouble", at, "on").permutation(len(names))]
+        order = [names[pick] for pick in random_stream(seed, "trouble", at, "on").permutation(len(names))]
         on = tuple(order[: max(1, round(trouble.part * len(order)))])
         begin = trouble.at_s * 1000.0
         end = begin + _drawn(trouble.for_s, seed, "trouble", at, "for") * 1000.0
@@ -357,20 +364,20 @@
             times = max(1, round(size))
             for number in range(times):
                 start = begin + (end - begin) * number / times
-                steps.append(Step(round(start, 3), at, "away", on))
-                steps.append(Step(round(start + (end - begin) / times / 2.0, 3), at, "back", on))
+                steps.append(FaultStep(round(start, 3), at, "away", on))
+                steps.append(FaultStep(round(start + (end - begin) / times / 2.0, 3), at, "back", on))
         else:
-            steps.append(Step(begin, at, "begin", on, size, trouble.part))
+            steps.append(FaultStep(begin, at, "begin", on, size, trouble.part))
             if end > begin:
-                steps.append(Step(end, at, "end", on, size, trouble.part))
+                steps.append(FaultStep(end, at, "end", on, size, trouble.part))
     return sorted(steps, key=lambda step: (step.at_ms, step.trouble)), tuple(later)
 
 
-def in_area(trouble: TroubleTable) -> bool:
+def is_zonal(trouble: FaultTable) -> bool:
     return bool(trouble.zone or trouble.region)
 
 
-def zones_of(scenario: Scenario, trouble: TroubleTable) -> tuple[str, ...]:
+def zones_of(scenario: Scenario, trouble: FaultTable) -> tuple[str, ...]:
     """The zones that a trouble is held to; all where it names none."""
     if trouble.zone:
         return (trouble.zone,)
@@ -378,31 +385,31 @@
 
 
 def _neighbour(
-    seed: int, at: int, trouble: TroubleTable, on: tuple[str, ...], size: float, span: tuple[float, float]
-) -> Iterator[Step]:
+    seed: int, at: int, trouble: FaultTable, on: tuple[str, ...], size: float, span: tuple[float, float]
+) -> Iterator[FaultStep]:
     """Another program that comes and goes, on each equipo in its own time."""
     mean = _drawn(trouble.on_s, seed, "trouble", at, "on_s") * 1000.0
     for name in on:
-        rng = stream(seed, "trouble", at, "neighbour", name)
+        rng = random_stream(seed, "trouble", at, "neighbour", name)
         time, taking = span[0] + float(rng.uniform(0.0, mean)), True
         while time < span[1]:
-            yield Step(round(time, 3), at, "begin" if taking else "end", (name,), size)
+            yield FaultStep(round(time, 3), at, "begin" if taking else "end", (name,), size)
             taking = not taking
             time += mean * float(rng.uniform(0.5, 1.5))
-        yield Step(span[1], at, "end", (name,), size)
+        yield FaultStep(span[1], at, "end", (name,), size)
 
 
 def _deploy(
     scenario: Scenario,
     seed: int,
     at: int,
-    trouble: TroubleTable,
-    equipos: tuple[Spec, ...],
+    trouble: FaultTable,
+    equipos: tuple[ServerSpec, ...],
     on: tuple[str, ...],
     all_of_tier: int,
     span: tuple[float, float],
-    later: list[Spec],
-) -> Iterator[Step]:
+    later: list[ServerSpec],
+) -> Iterator[FaultStep]:
     """Batches that drain, stop, and are followed by new equipos of the same kinds, cold and under new names."""
     size = _drawn(trouble.size, seed, "trouble", at, "size")
     batch = max(1, round(size * all_of_tier))
@@ -418,10 +425,10 @@
             new = dataclasses.replace(
                 old,
                 name=f"{name}-r{at + 1}",
-                speed=old.speed * float(stream(seed, "trouble", at, "speed", name).uniform(0.9, 1.1)),
+                speed=old.speed * float(random_stream(seed, "trouble", at, "speed", name).uniform(0.9, 1.1)),
             )
             later.append(new)
             fresh.append(new.name)
-        yield Step(round(begin, 3), at, "drain", names)
-        yield Step(round(begin + drain, 3), at, "stop", names)
-        yield Step(round(begin + boot, 3), at, "start", tuple(fresh))
+        yield FaultStep(round(begin, 3), at, "drain", names)
+        yield FaultStep(round(begin + drain, 3), at, "stop", names)
+        yield FaultStep(round(begin + boot, 3), at, "start", tuple(fresh))
--- a/rosewheel/lab/streams.py
+++ b/rosewheel/lab/random_streams.py
@@ -15,14 +15,16 @@
 import numpy as np
 
 
-def stream(seed: int, *names: object) -> np.random.Generator:
+def random_stream(seed: int, *names: object) -> np.random.Generator:
     """The generator of this name, the same on every machine: PCG64 seeded by a digest of seed and names."""
     text = "\x1f".join(str(name) for name in (seed, *names))
     digest = hashlib.blake2b(text.encode(), digest_size=16).digest()
     return np.random.Generator(np.random.PCG64(int.from_bytes(digest, "big")))
 
 
-def dealt(rng: np.random.Generator, names: Sequence[str], share: Callable[[str], float] | None) -> str:
+def weighted_choice(
+    rng: np.random.Generator, names: Sequence[str], share: Callable[[str], float] | None
+) -> str:
     """One of these, each as likely as its share; as likely as any other where there are no shares."""
     place = float(rng.random())
     if share is None:
@@ -31,7 +33,7 @@
     return names[min(len(names) - 1, bisect_right(sums, place * sums[-1]))]
 
 
-def lognormal(rng: np.random.Generator, cv: float) -> float:
+def lognormal_factor(rng: np.random.Generator, cv: float) -> float:
     """A factor with mean 1 and this coefficient of variation."""
     if cv <= 0.0:
         return 1.0
--- a/rosewheel/lab/rows.py
+++ b/rosewheel/lab/record_codec.py
@@ -4,13 +4,13 @@
 
 from typing import Any
 
-from rosewheel.lab import equipo as model
+from rosewheel.lab import server_model as model
 from rosewheel.lab.plan import Plan
 from rosewheel.lab.slow_start import mean_work_ms
 
 
-def job(
-    spec: model.Spec,
+def job_record(
+    spec: model.ServerSpec,
     one: model.Job,
     t: float,
     came: float,
@@ -42,7 +42,7 @@
     }
 
 
-def started(plan: Plan, spec: model.Spec, t: float) -> dict[str, Any]:
+def start_record(plan: Plan, spec: model.ServerSpec, t: float) -> dict[str, Any]:
     """An equipo that starts cold: what it can do once it is warm, and what a mean request takes there."""
     return {
         "e": "started",
@@ -53,7 +53,7 @@
     }
 
 
-def sample(name: str, one: model.Equipo, t: float) -> dict[str, Any]:
+def sample_record(name: str, one: model.EmulatedServer, t: float) -> dict[str, Any]:
     """An equipo as it stands, its model brought up to now."""
     return {
         "e": "sample",
@@ -69,7 +69,7 @@
     }
 
 
-def burden(one: model.Equipo, kind: str, size: float, begins: bool, now: float) -> None:
+def apply_server_fault(one: model.EmulatedServer, kind: str, size: float, begins: bool, now: float) -> None:
     """The troubles that are the model's own: `slow`, `neighbour` and `errors`; any other kind does nothing here."""
     if kind == "slow":
         one.slow_down(now, size if begins else 1.0)
--- a/rosewheel/lab/records.py
+++ b/rosewheel/lab/records.py
@@ -11,7 +11,7 @@
 FLUSH_BYTES = 1 << 16
 
 
-class Writer:
+class RecordWriter:
     """Lines are kept until there are some, or until `flush`; a run flushes twice a second."""
 
     def __init__(self, path: Path) -> None:
@@ -41,7 +41,7 @@
         self.file.close()
 
 
-def read(path: Path) -> Iterator[dict[str, Any]]:
+def read_records(path: Path) -> Iterator[dict[str, Any]]:
     """Every whole line; what a crash left of the last one is passed over."""
     decode = msgspec.json.Decoder(dict[str, Any]).decode
     try:
--- a/rosewheel/lab/report.py
+++ b/rosewheel/lab/report.py
@@ -13,8 +13,8 @@
 import matplotlib as mpl
 import numpy as np
 
-from rosewheel.lab.experiment import Row
-from rosewheel.lab.records import read
+from rosewheel.lab.experiment import VariantRow
+from rosewheel.lab.records import read_records
 
 mpl.use("Agg")
 
@@ -26,7 +26,7 @@
 SPAN_COLOURS = ("#f4c7c3", "#c9daf8", "#d9ead3", "#fff2cc", "#ead1dc")
 
 
-def as_text(rows: Sequence[Row]) -> str:
+def text_table(rows: Sequence[VariantRow]) -> str:
     """The table, one line a variant."""
     width = max(8, *(len(row.variant) for row in rows))
     lines = [f"{'variant':{width}}  runs  void  service  +/- 95%  rules  p99 ms"]
@@ -43,7 +43,7 @@
     return "\n".join(lines)
 
 
-def write(folder: Path, summaries: Sequence[dict[str, Any]], rows: Sequence[Row]) -> Path:
+def write_report(folder: Path, summaries: Sequence[dict[str, Any]], rows: Sequence[VariantRow]) -> Path:
     """`report.html` in this folder: the table, and the plots of each variant's first run."""
     shown: dict[str, dict[str, Any]] = {}
     for one in summaries:
@@ -70,17 +70,17 @@
 
 
 def _plots(folder: Path) -> list[Figure]:
-    ops = [row for row in read(folder / "load.jsonl") if row["e"] == "op"]
+    ops = [row for row in read_records(folder / "load.jsonl") if row["e"] == "op"]
     samples: dict[str, list[dict[str, Any]]] = defaultdict(list)
     steps: list[dict[str, Any]] = []
-    for row in read(folder / "equipos.jsonl"):
+    for row in read_records(folder / "equipos.jsonl"):
         if row["e"] == "sample":
             samples[row["equipo"]].append(row)
         elif row["e"] == "step":
             steps.append(row)
-    steps += [row | {"kind": row["e"], "what": "moment"} for row in read(folder / "run.jsonl")]
+    steps += [row | {"kind": row["e"], "what": "moment"} for row in read_records(folder / "run.jsonl")]
     end = max((op["at"] for op in ops), default=0.0) / 1000.0
-    spans = spans_from(steps, end)
+    spans = fault_spans(steps, end)
     figures = []
     if ops:
         figures += [_service(ops, spans), _latency(ops, spans)]
@@ -89,7 +89,7 @@
     return figures
 
 
-def spans_from(steps: Sequence[dict[str, Any]], end_s: float) -> list[tuple[str, float, float]]:
+def fault_spans(steps: Sequence[dict[str, Any]], end_s: float) -> list[tuple[str, float, float]]:
     """The troubles as (kind, from s, to s), each from its first moment to its last."""
     first: dict[str, float] = {}
     last: dict[str, float] = {}
--- a/rosewheel/lab/retry.py
+++ b/rosewheel/lab/retry.py
@@ -9,13 +9,13 @@
 from rosewheel.lab.plan import Plan
 from rosewheel.lab.tables import ClassTable
 
-REFUSALS = (429, 503)
-SLACK_MS = 50.0  # an answer may be this late to its caller's patience
-STORM_WAIT = 0.1  # of the usual wait, while a retry storm lasts
+REJECTION_STATUSES = (429, 503)
+RESPONSE_SLACK_MS = 50.0  # an answer may be this late to its caller's patience
+RETRY_STORM_DELAY_FACTOR = 0.1  # of the usual wait, while a retry storm lasts
 
 
 @dataclass(slots=True, frozen=True)
-class Verdict:
+class AttemptOutcome:
     """How a try ended for its client."""
 
     status: int = 0  # 0: without an answer
@@ -23,10 +23,10 @@
     retry_after_s: float | None = None
 
 
-def wait_ms(
+def retry_delay_ms(
     plan: Plan,
     table: ClassTable,
-    verdict: Verdict,
+    verdict: AttemptOutcome,
     tries: int,
     spent_ms: float,
     rng: np.random.Generator,
@@ -37,13 +37,13 @@
     clients = plan.scenario.clients
     if tries > clients.retries + storm:
         return None
-    harmless = verdict.status in REFUSALS or verdict.why == "unreachable"
+    harmless = verdict.status in REJECTION_STATUSES or verdict.why == "unreachable"
     anew = table.effect == "safe" or (table.effect == "keyed" and table.group == "all")
     if not (harmless or anew) or spent_ms >= table.give_up_ms:
         return None
     wait = plan.backoff_ms * 2.0 ** (tries - 1) * float(rng.uniform(0.5, 1.5))
     if storm:
-        return wait * STORM_WAIT
+        return wait * RETRY_STORM_DELAY_FACTOR
     if verdict.retry_after_s is not None and rng.random() < plan.honour:
         wait = max(wait, verdict.retry_after_s * 1000.0)
     return wait
--- a/rosewheel/lab/run.py
+++ b/rosewheel/lab/run.py
@@ -17,69 +17,77 @@
 
 import msgspec
 
-from rosewheel.lab import ledger
-from rosewheel.lab.load import Load
-from rosewheel.lab.nodes import NodeProcess, hold, settings
-from rosewheel.lab.plan import Plan, Step
-from rosewheel.lab.records import Writer, read
-from rosewheel.lab.streams import stream
+from rosewheel.lab import invariant_checker
+from rosewheel.lab.load import LoadGenerator
+from rosewheel.lab.node_process import NodeProcess, listening_socket, platform_settings
+from rosewheel.lab.plan import FaultStep, Plan
+from rosewheel.lab.random_streams import random_stream
+from rosewheel.lab.records import RecordWriter, read_records
 from rosewheel.lab.wire import Address, now_ms
 from rosewheel.proxy import snapshots
 
-READY_S = 60.0
+EMULATOR_START_TIMEOUT_S = 60.0
 LEAD_MS = 500.0  # from the moment all is ready to the plan's first
 # A timer that is late moves an answer by as much. Where one in a hundred is later than this share of the shortest
 # aim, the emulator itself may have moved the service by a point, and the run says nothing.
 VOID_LAG_SHARE = 0.01
-AFTER_MS = 10_000.0  # what is looked at after a restart
-UPGRADE_YES_S = 6.0
-UPGRADE_KILL_S = 3.7
+AFTER_RESTART_MS = 10_000.0  # what is looked at after a restart
+UPGRADE_HEALTHY_TIMEOUT_S = 6.0
+UPGRADE_EXIT_TIMEOUT_S = 3.7
 
 
 class RunError(Exception):
     """A run that could not be made; the text is one plain line."""
 
 
-def lean() -> None:
+def tune_garbage_collector() -> None:
     """Guards timers against the collector: what is there lives as long as the run."""
     gc.collect()
     gc.freeze()
     gc.set_threshold(50_000, 50, 100)
 
 
-OURS = ("node-crash", "node-upgrade", "node-loss", "front-shift", "retry-storm")  # not the emulator's
+NODE_FAULT_KINDS = (
+    "node-crash",
+    "node-upgrade",
+    "node-loss",
+    "front-shift",
+    "retry-storm",
+)  # not the emulator's
 
 
-class Run:
+class ExperimentRun:
     """`execute` plays the plan once and leaves its records in `folder`."""
 
     def __init__(self, plan: Plan, folder: Path) -> None:
         self.plan, self.folder = plan, folder
         self.nodes: dict[str, NodeProcess] = {}
-        self.load: Load | None = None
+        self.load: LoadGenerator | None = None
         self._agents: dict[str, tuple[Address, dict[str, Any]]] = {}
         self._held: dict[str, socket.socket] = {}
         self._old: list[NodeProcess] = []
         self._tasks: set[asyncio.Task[None]] = set()
         self._emulator: asyncio.subprocess.Process | None = None
         self._errors = (folder / "emulator.log").open("ab")
-        self.records = Writer(folder / "run.jsonl")
+        self.records = RecordWriter(folder / "run.jsonl")
         self.cpu_s = 0.0  # of the front's nodes
 
     async def execute(self) -> dict[str, Any]:
         began = time.monotonic()
         try:
             await self._start()
-            lean()
+            tune_garbage_collector()
             t0 = now_ms() + LEAD_MS
             await self._say({"t0": t0})
-            with_load = Writer(self.folder / "load.jsonl")
-            self.load = Load(self.plan, {name: node.listen for name, node in self.nodes.items()}, with_load)
+            with_load = RecordWriter(self.folder / "load.jsonl")
+            self.load = LoadGenerator(
+                self.plan, {name: node.listen for name, node in self.nodes.items()}, with_load
+            )
             loop = asyncio.get_running_loop()
             timers = [
                 loop.call_later(max(0.0, (t0 + step.at_ms - now_ms()) / 1000.0), self._step, step, t0)
                 for step in self.plan.steps
-                if self.plan.scenario.troubles[step.trouble].kind in OURS
+                if self.plan.scenario.troubles[step.trouble].kind in NODE_FAULT_KINDS
             ]
             flush = loop.create_task(self._flush(with_load, t0))
             try:
@@ -105,7 +113,7 @@
         command = [
             sys.executable,
             "-m",
-            "rosewheel.lab.child",
+            "rosewheel.lab.emulator_process",
             str(path),
             str(self.plan.seed),
             str(self.folder),
@@ -119,7 +127,7 @@
         upgrades = any(trouble.kind == "node-upgrade" for trouble in scenario.troubles)
         for name in self._agents:
             if upgrades:
-                self._held[name] = hold()
+                self._held[name] = listening_socket()
             self.nodes[name] = self._node(name)
         for name, node in self.nodes.items():
             if not await node.healthy():
@@ -128,12 +136,12 @@
     def _node(self, name: str, after: NodeProcess | None = None) -> NodeProcess:
         discovery, known = self._agents[name]
         nodes = self.plan.scenario.nodes
-        seed = int(stream(self.plan.seed, "node", name, len(self._old)).integers(1 << 62))
+        seed = int(random_stream(self.plan.seed, "node", name, len(self._old)).integers(1 << 62))
         config = {
             "seed": f"{seed:x}",
             "limits": {"memory_mb": nodes.memory_mb, "sockets": nodes.sockets},
             "known": known,
-            "settings": settings(self.plan, 0, nodes.count),
+            "settings": platform_settings(self.plan, 0, nodes.count),
         }
         held = self._held.get(name)
         return NodeProcess(name, self.folder / "nodes", discovery, config, held, ops=True, after=after)
@@ -148,7 +156,7 @@
         assert self._emulator is not None
         assert self._emulator.stdout is not None
         with contextlib.suppress(TimeoutError):
-            async with asyncio.timeout(READY_S):
+            async with asyncio.timeout(EMULATOR_START_TIMEOUT_S):
                 line = await self._emulator.stdout.readline()
             if line:
                 row: dict[str, Any] = msgspec.json.decode(line)
@@ -156,7 +164,7 @@
         said = (self.folder / "emulator.log").read_text(errors="replace").strip().rpartition("\n")[2]
         raise RunError(f"the emulator did not start: {said or 'it said nothing'}")
 
-    async def _flush(self, records: Writer, t0: float) -> None:
+    async def _flush(self, records: RecordWriter, t0: float) -> None:
         while True:
             await asyncio.sleep(0.5)
             self._weigh(now_ms() - t0)
@@ -173,7 +181,7 @@
 
     # --------------------------------------------------------------- troubles
 
-    def _step(self, step: Step, t0: float) -> None:
+    def _step(self, step: FaultStep, t0: float) -> None:
         trouble, begins = self.plan.scenario.troubles[step.trouble], step.what == "begin"
         if trouble.kind in ("front-shift", "retry-storm"):
             assert self.load is not None
@@ -197,7 +205,7 @@
             self._tasks.add(task)
             task.add_done_callback(self._tasks.discard)
 
-    def _length_s(self, step: Step) -> float:
+    def _length_s(self, step: FaultStep) -> float:
         """From this step to the end of its trouble, as the seed drew it; 0 where it has none."""
         ends = [one.at_ms for one in self.plan.steps if one.trouble == step.trouble and one.what == "end"]
         return (ends[0] - step.at_ms) / 1000.0 if ends else 0.0
@@ -227,7 +235,7 @@
         wants it one of them is killed on the way."""
         row, old = self.plan.scenario.troubles[trouble], self.nodes[name]
         low, high = row.kill_ms if isinstance(row.kill_ms, tuple) else (row.kill_ms, row.kill_ms)
-        after_s = float(stream(self.plan.seed, "trouble", trouble, "kill").uniform(low, high)) / 1000.0
+        after_s = float(random_stream(self.plan.seed, "trouble", trouble, "kill").uniform(low, high)) / 1000.0
         self._forget(old)
         new = self._node(name)
         if row.kills == "starting":
@@ -236,8 +244,8 @@
             return
         self.nodes[name] = new
         self._old.append(old)
-        deadline = asyncio.get_running_loop().time() + UPGRADE_YES_S
-        while asyncio.get_running_loop().time() < deadline and not await _says_yes(new):
+        deadline = asyncio.get_running_loop().time() + UPGRADE_HEALTHY_TIMEOUT_S
+        while asyncio.get_running_loop().time() < deadline and not await _admin_healthy(new):
             await asyncio.sleep(0.05)
         self._back(name, t0)
         self.cpu_s += old.cpu_s()
@@ -248,7 +256,7 @@
         if row.kills == "new":
             self._old.append(new)
             self.nodes[name] = self._node(name)
-        if not await old.ended(UPGRADE_KILL_S):
+        if not await old.ended(UPGRADE_EXIT_TIMEOUT_S):
             self._kill(old, t0)
 
     def _kill(self, node: NodeProcess, t0: float) -> None:
@@ -283,9 +291,9 @@
     def _summary(self, wall_s: float, crashed: list[str], memory_mb: float) -> dict[str, Any]:
         assert self.load is not None
         scenario = self.plan.scenario
-        broken = ledger.audit(scenario, self.folder)
+        broken = invariant_checker.check_records(scenario, self.folder)
         own: dict[str, Any] = {}
-        for row in read(self.folder / "equipos.jsonl"):
+        for row in read_records(self.folder / "equipos.jsonl"):
             if row["e"] == "emulator":
                 own = row
         lag = own.get("lag_p99_ms", 1e9)
@@ -329,7 +337,7 @@
         """Of each quarter of the run: the median over the processes of the front's nodes, every half second, of
         memory and descriptors, and how many processes there were at most at one time."""
         length = self.plan.scenario.seconds * 1000.0 / 4.0
-        rows = [row for row in read(self.folder / "run.jsonl") if row.get("e") == "process"]
+        rows = [row for row in read_records(self.folder / "run.jsonl") if row.get("e") == "process"]
         quarters: list[dict[str, float]] = []
         for at in range(4):
             mine = [row for row in rows if at * length <= row["t"] < (at + 1) * length]
@@ -348,12 +356,12 @@
     def _after_restarts(self) -> float | None:
         """Service in the 10 s after each node that started again; None where none did."""
         assert self.load is not None
-        backs = [row["t"] for row in read(self.folder / "run.jsonl") if row.get("e") == "back"]
-        windows = [self.load.service(back, back + AFTER_MS) for back in backs]
+        backs = [row["t"] for row in read_records(self.folder / "run.jsonl") if row.get("e") == "back"]
+        windows = [self.load.service(back, back + AFTER_RESTART_MS) for back in backs]
         return round(sum(windows) / len(windows), 4) if windows else None
 
 
-async def _says_yes(node: NodeProcess) -> bool:
+async def _admin_healthy(node: NodeProcess) -> bool:
     """What an operator would ask: the health at the new process's own door."""
     if node.ops is None:
         return False
--- a/rosewheel/lab/scale/call_statistics.py
+++ b/rosewheel/lab/scale/call_statistics.py
@@ -13,7 +13,7 @@
 import msgspec
 import numpy as np
 
-from rosewheel.lab.records import read
+from rosewheel.lab.records import read_records
 from rosewheel.lab.scale.call_scenario import DIRECT_PREFIX
 
 HTTP_OK = 200
@@ -105,12 +105,16 @@
 
 def _server_times(folder: Path) -> dict[str, float]:
     """The server's own time of each request that it served, in ms."""
-    jobs = (msgspec.convert(row, _ServerJob) for row in read(folder / "equipos.jsonl") if row["e"] == "job")
+    jobs = (
+        msgspec.convert(row, _ServerJob)
+        for row in read_records(folder / "equipos.jsonl")
+        if row["e"] == "job"
+    )
     return {job.request_id: job.ended_ms - job.started_ms for job in jobs if job.outcome == "served"}
 
 
 def _operations(folder: Path) -> Iterator[_Operation]:
-    for row in read(folder / "load.jsonl"):
+    for row in read_records(folder / "load.jsonl"):
         if row["e"] == "op":
             yield msgspec.convert(row, _Operation)
 
--- a/rosewheel/lab/scale/calls_worker.py
+++ b/rosewheel/lab/scale/calls_worker.py
@@ -9,8 +9,8 @@
 import msgspec
 
 from rosewheel.lab import plan as plans
-from rosewheel.lab.load import Load
-from rosewheel.lab.records import Writer
+from rosewheel.lab.load import LoadGenerator
+from rosewheel.lab.records import RecordWriter
 from rosewheel.lab.scale.messages import (
     CallsCommand,
     CallsReady,
@@ -29,8 +29,8 @@
     def __init__(self, setup: CallsSetup) -> None:
         self.setup = setup
         self.plan = plans.make(msgspec.convert(setup.scenario, Scenario), setup.seed)
-        self.records = Writer(Path(setup.folder) / "load.jsonl")
-        self._load: Load | None = None
+        self.records = RecordWriter(Path(setup.folder) / "load.jsonl")
+        self._load: LoadGenerator | None = None
         self._task: asyncio.Task[None] | None = None
 
     async def ready(self) -> CallsReady:
@@ -41,13 +41,13 @@
         """Carry out a command of the run."""
         match command:
             case StartLoad(start_ms=start_ms):
-                self._load = load = Load(self.plan, self.setup.targets, self.records)
+                self._load = load = LoadGenerator(self.plan, self.setup.targets, self.records)
                 self._task = asyncio.get_running_loop().create_task(self._run(load, start_ms))
             case StopLoad():
                 return self._stop()
         return None
 
-    async def _run(self, load: Load, start_ms: float) -> None:
+    async def _run(self, load: LoadGenerator, start_ms: float) -> None:
         with contextlib.suppress(asyncio.CancelledError):
             await load.run(start_ms)
 
--- a/rosewheel/lab/scale/control_machine.py
+++ b/rosewheel/lab/scale/control_machine.py
@@ -6,7 +6,7 @@
 import socket
 from pathlib import Path
 
-from rosewheel.lab.nodes import reserve
+from rosewheel.lab.node_process import reserve_address
 from rosewheel.lab.scale.daemon import Daemon
 from rosewheel.lab.scale.plan import ControlMachine
 from rosewheel.lab.wire import Address
@@ -18,7 +18,7 @@
     def __init__(self, machine: ControlMachine, folder: Path) -> None:
         super().__init__(folder / machine.name)
         self.machine = machine
-        self._reserved: socket.socket = reserve()
+        self._reserved: socket.socket = reserve_address()
         self.address: Address = self._reserved.getsockname()[:2]
         self._arguments: list[str] = []
 
--- a/rosewheel/lab/scale/discovery_server.py
+++ b/rosewheel/lab/scale/discovery_server.py
@@ -10,9 +10,9 @@
 
 import msgspec
 
-from rosewheel.lab.catalog import BEAT_S, Entry
+from rosewheel.lab.discovery import HEARTBEAT_S, DiscoveryEntry
 from rosewheel.lab.scale.plan import EndpointHealth
-from rosewheel.lab.wire import Address, Asked, Serving
+from rosewheel.lab.wire import Address, HttpRequest, ServerConnection
 
 LISTEN_BACKLOG = 2048
 
@@ -20,10 +20,10 @@
 class ServiceList:
     """The endpoint list of one service; each change makes a new version, the first list is version 1."""
 
-    def __init__(self, endpoints: list[Entry]) -> None:
+    def __init__(self, endpoints: list[DiscoveryEntry]) -> None:
         self.endpoints = {endpoint.host: endpoint for endpoint in endpoints}
-        self.changes: list[Entry] = []  # the change at index `i` made version `i + 2`
-        self.watch_versions: dict[Serving, int] = {}  # the version that each watch was sent last
+        self.changes: list[DiscoveryEntry] = []  # the change at index `i` made version `i + 2`
+        self.watch_versions: dict[ServerConnection, int] = {}  # the version that each watch was sent last
         self._encoded_updates: dict[int, bytes] = {}  # by the version that the watch has
 
     @property
@@ -36,7 +36,7 @@
         """Number of endpoints that are active."""
         return sum(endpoint.health == EndpointHealth.ACTIVE for endpoint in self.endpoints.values())
 
-    def apply(self, endpoint: Entry) -> None:
+    def apply(self, endpoint: DiscoveryEntry) -> None:
         """Add, update or remove an endpoint."""
         if endpoint.health == EndpointHealth.LEFT:
             self.endpoints.pop(endpoint.host, None)
@@ -70,23 +70,23 @@
         self.loop = asyncio.get_running_loop()
         self.watches_opened = 0
         self.updates_sent = 0
-        self.connections: set[Serving] = set()
+        self.connections: set[ServerConnection] = set()
         self._server: asyncio.Server | None = None
         self._heartbeat: asyncio.TimerHandle | None = None
 
     async def start(self) -> Address:
         """Listen on loopback; the address."""
         self._server = await self.loop.create_server(
-            lambda: Serving(self._handle_request, self.connections.add, self._connection_closed),
+            lambda: ServerConnection(self._handle_request, self.connections.add, self._connection_closed),
             "127.0.0.1",
             0,
             backlog=LISTEN_BACKLOG,
         )
-        self._heartbeat = self.loop.call_later(BEAT_S, self._send_heartbeats)
+        self._heartbeat = self.loop.call_later(HEARTBEAT_S, self._send_heartbeats)
         address: Address = self._server.sockets[0].getsockname()[:2]
         return address
 
-    def publish(self, service: int, endpoint: Entry) -> int:
+    def publish(self, service: int, endpoint: DiscoveryEntry) -> int:
         """Change a service's list and notify its watches; the new version."""
         service_list = self.services[service]
         service_list.apply(endpoint)
@@ -103,7 +103,7 @@
         for connection in list(self.connections):
             connection.close()
 
-    def _handle_request(self, request: Asked) -> None:
+    def _handle_request(self, request: HttpRequest) -> None:
         path, _, query = request.target.decode("latin-1").partition("?")
         parameters = dict(pair.partition("=")[::2] for pair in query.split("&") if pair)
         service = self._service_of(request.connection)
@@ -117,17 +117,17 @@
         request.connection.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
         self._send_update(service_list, request.connection, since)
 
-    def _service_of(self, connection: Serving) -> int | None:
+    def _service_of(self, connection: ServerConnection) -> int | None:
         if connection.transport is None:
             return None
         return self.service_of_address.get(connection.transport.get_extra_info("peername")[0])
 
-    def _connection_closed(self, connection: Serving) -> None:
+    def _connection_closed(self, connection: ServerConnection) -> None:
         self.connections.discard(connection)
         if connection.current is not None:
             connection.current.watch_versions.pop(connection, None)
 
-    def _send_update(self, service_list: ServiceList, watch: Serving, since: int) -> None:
+    def _send_update(self, service_list: ServiceList, watch: ServerConnection, since: int) -> None:
         if since != service_list.version:
             self.updates_sent += 1
             _write_line(watch, service_list.update_since(since))
@@ -137,9 +137,9 @@
         for service_list in self.services:
             for watch in service_list.watch_versions:
                 _write_line(watch, b"")
-        self._heartbeat = self.loop.call_later(BEAT_S, self._send_heartbeats)
+        self._heartbeat = self.loop.call_later(HEARTBEAT_S, self._send_heartbeats)
 
 
-def _write_line(watch: Serving, line: bytes) -> None:
+def _write_line(watch: ServerConnection, line: bytes) -> None:
     """Write a line as one chunk of a chunked body."""
     watch.write(b"%x\r\n%b\n\r\n" % (len(line) + 1, line))
--- a/rosewheel/lab/scale/discovery_worker.py
+++ b/rosewheel/lab/scale/discovery_worker.py
@@ -7,7 +7,7 @@
 
 import msgspec
 
-from rosewheel.lab.catalog import Entry
+from rosewheel.lab.discovery import DiscoveryEntry
 from rosewheel.lab.scale.discovery_server import DiscoveryServer, ServiceList
 from rosewheel.lab.scale.messages import (
     ChangeLists,
@@ -30,7 +30,7 @@
 
     def __init__(self, setup: DiscoverySetup) -> None:
         self.services = [
-            ServiceList([Entry(row.host, row.dial, row.site, row.block) for row in rows])
+            ServiceList([DiscoveryEntry(row.host, row.dial, row.site, row.block) for row in rows])
             for rows in setup.services
         ]
         self.server = DiscoveryServer(self.services, setup.service_of_address)
@@ -63,7 +63,7 @@
     def _publish(self, change: EndpointChange) -> PublishedList:
         first = self._endpoints[change.host]
         at_ms = now_ms()
-        endpoint = Entry(change.host, first.dial, first.site, first.block, change.health)
+        endpoint = DiscoveryEntry(change.host, first.dial, first.site, first.block, change.health)
         return PublishedList(change.service, self.server.publish(change.service, endpoint), at_ms)
 
     def _statistics(self) -> DiscoveryStatistics:
--- a/rosewheel/lab/scale/fleet.py
+++ b/rosewheel/lab/scale/fleet.py
@@ -9,6 +9,7 @@
 
 import msgspec
 
+from rosewheel.lab.random_streams import random_stream
 from rosewheel.lab.scale.call_scenario import DIRECT_PREFIX, call_scenario, direct_targets
 from rosewheel.lab.scale.control_machine import ControlMachineProcess
 from rosewheel.lab.scale.control_operator import Operator, initial_document, service_name
@@ -30,7 +31,6 @@
 from rosewheel.lab.scale.real_node import RealNode, RealNodeSetup
 from rosewheel.lab.scale.version_log import SIMULATED_WORKER_PREFIX
 from rosewheel.lab.scale.worker import WorkerProcess
-from rosewheel.lab.streams import stream
 from rosewheel.lab.wire import Address
 
 SIMULATED_NODES_PER_PROCESS = 120
@@ -206,7 +206,7 @@
         for number in range(direct_targets(self.options)):
             host, _, port = servers[number % len(servers)].rpartition(":")
             targets[f"{DIRECT_PREFIX}-{number}"] = (host, int(port))
-        seed = int(stream(self.options.seed, "scale", "calls").integers(1 << 31))
+        seed = int(random_stream(self.options.seed, "scale", "calls").integers(1 << 31))
         scenario = msgspec.to_builtins(call_scenario(self.options))
         setup = CallsSetup(scenario, seed, targets, str(self.folder))
         await self._start_worker(WorkerName.CALLS, "calls_worker", setup, CallsReady)
--- a/rosewheel/lab/scale/planning.py
+++ b/rosewheel/lab/scale/planning.py
@@ -11,6 +11,7 @@
 
 import numpy as np
 
+from rosewheel.lab.random_streams import random_stream
 from rosewheel.lab.scale.options import FAULT_TIMINGS, Fault, Options
 from rosewheel.lab.scale.plan import (
     CHANGES_PHASE,
@@ -26,7 +27,6 @@
     Plan,
     StepAction,
 )
-from rosewheel.lab.streams import stream
 
 RACKS_PER_ZONE = 6
 CONTROL_MACHINE_ZONES = (0, 2, 4, 5)  # the first one is the leader's
@@ -59,7 +59,7 @@
 
 def _place_machines(options: Options) -> tuple[Machine, ...]:
     """Spread each service over zones and racks, so that losing one of them takes only a part of every service."""
-    rng = stream(options.seed, "scale", "places")
+    rng = random_stream(options.seed, "scale", "places")
     order = rng.permutation(options.nodes)
     real = {int(number) for number in rng.permutation(options.nodes)[: options.real]}
     zones = len(REGION_OF_ZONE)
@@ -107,7 +107,7 @@
         self.machines, self.control_machines, self.phase = machines, control_machines, phase
         active_fraction = FAULT_TIMINGS[phase.name].active_fraction
         self.end_s = phase.begin_s + (phase.end_s - phase.begin_s) * active_fraction
-        self.rng: np.random.Generator = stream(options.seed, "scale", phase.name)
+        self.rng: np.random.Generator = random_stream(options.seed, "scale", phase.name)
         self.shuffled_nodes = [int(number) for number in self.rng.permutation(options.nodes)]
 
     def steps(self) -> list[FaultStep]:
@@ -170,7 +170,7 @@
 
 
 def _config_changes(options: Options) -> Iterator[Change]:
-    rng = stream(options.seed, "scale", "config")
+    rng = random_stream(options.seed, "scale", "config")
     begin_s = options.seconds * QUIET_FRACTION
     for at_s in sorted(rng.uniform(begin_s, options.seconds, options.changes).tolist()):
         yield Change(at_s, ChangeKind.CONFIG, int(rng.integers(options.services)))
@@ -178,7 +178,7 @@
 
 def _list_changes(options: Options) -> Iterator[Change]:
     """Servers that begin to drain and return after `DRAIN_S`."""
-    rng = stream(options.seed, "scale", "lists")
+    rng = random_stream(options.seed, "scale", "lists")
     begin_s = options.seconds * QUIET_FRACTION
     count = max(1, round(options.nodes / NODES_PER_LIST_CHANGE_PER_S * (options.seconds - begin_s)))
     for at_s in sorted(rng.uniform(begin_s, options.seconds, count).tolist()):
--- a/rosewheel/lab/scale/real_node.py
+++ b/rosewheel/lab/scale/real_node.py
@@ -10,7 +10,7 @@
 
 from rosewheel.control.errors import HttpCallError
 from rosewheel.control.http_client import JsonHttpClient
-from rosewheel.lab.nodes import health, reserve
+from rosewheel.lab.node_process import check_health, reserve_address
 from rosewheel.lab.scale.daemon import Daemon
 from rosewheel.lab.scale.plan import Machine, zone_name
 from rosewheel.lab.wire import Address
@@ -76,7 +76,7 @@
         super().__init__(folder / setup.machine.name)
         self.machine = setup.machine
         self.folder.mkdir(parents=True, exist_ok=True)
-        self._reserved: list[socket.socket] = [reserve(), reserve()]
+        self._reserved: list[socket.socket] = [reserve_address(), reserve_address()]
         self.listen: Address = self._reserved[0].getsockname()[:2]
         self.admin: Address = self._reserved[1].getsockname()[:2]
         self.config_path = self.folder / "node.toml"
@@ -105,7 +105,7 @@
         """Whether the node reports that it serves within `HEALTHY_TIMEOUT_S`."""
         deadline_s = asyncio.get_running_loop().time() + HEALTHY_TIMEOUT_S
         while self.alive and asyncio.get_running_loop().time() < deadline_s:
-            if await health(self.listen) == HTTP_OK:
+            if await check_health(self.listen) == HTTP_OK:
                 return True
             await asyncio.sleep(HEALTH_CHECK_INTERVAL_S)
         return False
--- a/rosewheel/lab/scale/relay.py
+++ b/rosewheel/lab/scale/relay.py
@@ -15,7 +15,7 @@
 
 from rosewheel.lab.scale.messages import ListenerSetup, TrafficCounters, TrafficTable
 from rosewheel.lab.scale.reachability import Reachability
-from rosewheel.lab.wire import reset
+from rosewheel.lab.wire import reset_connection
 
 
 @dataclass(slots=True)
@@ -244,7 +244,7 @@
         self.state.connections.discard(self)
         for end in (self.downstream, self.upstream):
             if end.transport is not None:
-                reset(end.transport)
+                reset_connection(end.transport)
 
 
 def _write(end: _RelayEnd, data: bytes) -> None:
--- a/rosewheel/lab/scenario.py
+++ b/rosewheel/lab/scenario.py
@@ -18,7 +18,7 @@
 from msgspec import Meta
 
 from rosewheel.config.checked import KeyedError, Problem, ProblemsError, convert, places, tables, text_of
-from rosewheel.lab import graph
+from rosewheel.lab import service_graph
 from rosewheel.lab.tables import (
     ClassTable,
     Count,
@@ -32,10 +32,10 @@
     Share,
     Table,
     TierTable,
-    top,
+    upper_bound,
 )
 
-TROUBLES = Literal[
+FaultKind = Literal[
     "slow",
     "neighbour",
     "errors",
@@ -56,12 +56,12 @@
     "loss",
     "cut-off",
 ]
-OF_AREAS = ("loss", "cut-off")  # of a zone or a region, and of all that lies in it
-MAY_BE_IN_AN_AREA = (*OF_AREAS, "slow", "neighbour", "errors", "crash", "vanish")
-FAULTS = Literal["refuse", "reset", "silence", "delay", "half", "spoilt"]
+ZONE_FAULT_KINDS = ("loss", "cut-off")  # of a zone or a region, and of all that lies in it
+ZONAL_FAULT_KINDS = (*ZONE_FAULT_KINDS, "slow", "neighbour", "errors", "crash", "vanish")
+ConnectionFaultKind = Literal["refuse", "reset", "silence", "delay", "half", "spoilt"]
 # Without an end: an equipo stays away, a node is started again at once.
-ENDLESS = ("crash", "node-crash", "node-upgrade", "node-loss")
-NEEDS_SIZE = (
+OPEN_ENDED_FAULT_KINDS = ("crash", "node-crash", "node-upgrade", "node-loss")
+SIZED_FAULT_KINDS = (
     "slow",
     "neighbour",
     "errors",
@@ -140,8 +140,8 @@
     stated_cold_s: Natural = 24.0
 
 
-class TroubleTable(Table, frozen=True, kw_only=True):
-    kind: TROUBLES
+class FaultTable(Table, frozen=True, kw_only=True):
+    kind: FaultKind
     at_s: Natural
     for_s: Range = 0.0
     tier: str = ""  # whose equipos; empty: the first tier, or all in the zone or region that is named
@@ -160,7 +160,7 @@
     boot_s: Range = 1.0  # deploy: from the drain to the start of what follows
     fresh: bool = False  # errors, slow: of those that the deploys before it in the file have started by then
     cold: bool = False  # vanish: what comes back is a new process
-    how: FAULTS = "reset"
+    how: ConnectionFaultKind = "reset"
     delay_ms: Natural = 500.0  # faults: of `delay`
     node: Annotated[int, Meta(ge=0)] = 0  # node-crash, node-upgrade: which of the front's
     # node-upgrade: which process is killed outright in the middle of it. `starting`: the new one, before the old one
@@ -178,7 +178,7 @@
         self._check_area()
         if self.kills and self.kind != "node-upgrade":
             raise KeyedError("kills", f"no process is killed by a trouble of kind {self.kind}")
-        if self.kind in NEEDS_SIZE and self.size == 0.0:
+        if self.kind in SIZED_FAULT_KINDS and self.size == 0.0:
             raise KeyedError("size", f"a trouble of kind {self.kind} needs one above zero")
         if self.cold and self.kind != "vanish":
             raise KeyedError("cold", f"a trouble of kind {self.kind} brings nothing back that could be")
@@ -186,9 +186,9 @@
             raise KeyedError(
                 "fresh", f"a trouble of kind {self.kind} does not tell new equipos from old ones"
             )
-        if self.kind == "errors" and top(self.size) > 1.0:
+        if self.kind == "errors" and upper_bound(self.size) > 1.0:
             raise KeyedError("size", "more than all of what comes")
-        if self.kind == "neighbour" and top(self.size) >= 1.0:
+        if self.kind == "neighbour" and upper_bound(self.size) >= 1.0:
             raise KeyedError("size", "the other program leaves nothing")
 
     def _check_area(self) -> None:
@@ -197,9 +197,9 @@
         if self.zone and self.region:
             raise KeyedError("region", "a zone is named as well")
         area = "zone" if self.zone else "region" if self.region else ""
-        if area and self.kind not in MAY_BE_IN_AN_AREA:
+        if area and self.kind not in ZONAL_FAULT_KINDS:
             raise KeyedError(area, f"a trouble of kind {self.kind} is not held to a {area}")
-        if self.kind in OF_AREAS:
+        if self.kind in ZONE_FAULT_KINDS:
             if not area:
                 raise KeyedError("zone", f"a trouble of kind {self.kind} needs a zone or a region")
             if self.where or self.part != 1.0:
@@ -226,7 +226,7 @@
     nodes: NodesTable = NodesTable()
     discovery: DiscoveryTable = DiscoveryTable()
     rules: RulesTable = RulesTable()
-    troubles: tuple[TroubleTable, ...] = msgspec.field(name="trouble", default=())
+    troubles: tuple[FaultTable, ...] = msgspec.field(name="trouble", default=())
 
     def __post_init__(self) -> None:
         if not self.classes:
@@ -242,7 +242,7 @@
         for at, tier in enumerate(self.tiers):
             if tier.work == 0.0:
                 raise KeyedError(f"{key}[{at}].work", f"a {key} that does nothing")
-            if at and top(tier.calls) == 0.0:
+            if at and upper_bound(tier.calls) == 0.0:
                 raise KeyedError(f"{key}[{at}].calls", f"a {key} that nobody calls: {tier.name}")
         total = sum(tier.work for tier in self.tiers)
         if abs(total - 1.0) > 0.01:
@@ -284,8 +284,8 @@
         if not self.services:
             return
         try:
-            deep = graph.levels(self.called)
-        except graph.CircleError as error:
+            deep = service_graph.depths(self.called)
+        except service_graph.CallCycleError as error:
             way = [names[at] for at in error.circle]
             at = error.circle[0]
             number = [call.to for call in self.services[at].call].index(way[1])
@@ -297,8 +297,8 @@
         for at, level in enumerate(deep):
             if level == 0:
                 raise KeyedError(f"service[{at}].name", f"a service that nobody calls: {names[at]}")
-            if level > graph.MOST_DEEP:
-                raise KeyedError(f"service[{at}].name", f"{level} deep; {graph.MOST_DEEP} at most")
+            if level > service_graph.MAX_DEPTH:
+                raise KeyedError(f"service[{at}].name", f"{level} deep; {service_graph.MAX_DEPTH} at most")
 
     def _check_regions(self, key: str) -> None:
         zones = [zone for region in self.regions for zone in region.zones]
@@ -317,7 +317,7 @@
             if len(zones) > 1 and row.effect == "keyed" and row.group == "zone":
                 raise KeyedError(f"class[{at}].group", "keys kept by zone are not played with several zones")
 
-    def _check_trouble(self, path: str, trouble: TroubleTable) -> None:
+    def _check_trouble(self, path: str, trouble: FaultTable) -> None:
         if trouble.at_s >= self.seconds:
             raise KeyedError(f"{path}.at_s", f"after the end of the run ({self.seconds:g} s)")
         key = "service" if trouble.service else "tier"
@@ -329,16 +329,16 @@
             raise KeyedError(f"{path}.region", f"no region is called {trouble.region!r}")
         if trouble.kind in ("node-crash", "node-upgrade") and trouble.node >= self.nodes.count:
             raise KeyedError(f"{path}.node", f"there are {self.nodes.count} nodes, counted from 0")
-        if trouble.kind not in ENDLESS and top(trouble.for_s) == 0.0:
+        if trouble.kind not in OPEN_ENDED_FAULT_KINDS and upper_bound(trouble.for_s) == 0.0:
             raise KeyedError(f"{path}.for_s", "it lasts no time")
 
 
-SHIPPED = Path(__file__).parent / "scenarios"
+BUNDLED_FOLDER = Path(__file__).parent / "scenarios"
 
 
-def shipped() -> list[str]:
+def bundled_names() -> list[str]:
     """The names of the scenarios that come with the program."""
-    return sorted(path.stem for path in SHIPPED.glob("*.toml"))
+    return sorted(path.stem for path in BUNDLED_FOLDER.glob("*.toml"))
 
 
 def load(name: str, changes: Mapping[str, object] | None = None) -> Scenario:
@@ -354,7 +354,7 @@
 
 
 def _path(name: str, beside: Path | None = None) -> Path:
-    path = SHIPPED / f"{name}.toml"
+    path = BUNDLED_FOLDER / f"{name}.toml"
     if "/" not in name and path.exists():
         return path
     return Path(name) if beside is None else beside.parent / name
--- a/rosewheel/lab/host.py
+++ b/rosewheel/lab/server_host.py
@@ -11,14 +11,14 @@
 
 import numpy as np
 
-from rosewheel.lab import equipo as model
-from rosewheel.lab.wire import Address, Asked, Serving, now_ms
+from rosewheel.lab import server_model as model
+from rosewheel.lab.wire import Address, HttpRequest, ServerConnection, now_ms
 
-BACKLOG = 512
+LISTEN_BACKLOG = 512
 
 
 @dataclass(slots=True, frozen=True)
-class Fault:
+class ConnectionFault:
     """What befalls a share of the connections while a trouble lasts."""
 
     how: str
@@ -28,11 +28,11 @@
 
 
 @dataclass(slots=True, eq=False)
-class Work:
+class ServerWork:
     """A request that an equipo works on, and where its answer goes."""
 
-    host: Host
-    asked: Asked
+    host: EmulatedServerHost
+    asked: HttpRequest
     job: model.Job
     service: str
     node: str
@@ -42,34 +42,34 @@
     wanted: bool = True  # False: whoever asked has gone
 
 
-class Owner(Protocol):
+class HostOwner(Protocol):
     """What a host needs of the emulator."""
 
-    def take(self, host: Host, asked: Asked) -> Work | None: ...
-    def act(self, host: Host, acts: list[model.Action]) -> None: ...
+    def take(self, host: EmulatedServerHost, asked: HttpRequest) -> ServerWork | None: ...
+    def act(self, host: EmulatedServerHost, acts: list[model.Action]) -> None: ...
     def lag(self, lag_ms: float) -> None: ...
 
 
-class Host:
+class EmulatedServerHost:
     """One equipo: listener, connections, and the timer that drives its model."""
 
     def __init__(
         self,
-        owner: Owner,
-        spec: model.Spec,
-        memory: model.Memory,
+        owner: HostOwner,
+        spec: model.ServerSpec,
+        memory: model.DedupTable,
         rng: np.random.Generator,
         cold: bool,
         reports: bool,
     ) -> None:
         self.owner, self.spec, self.memory, self.rng, self.reports = owner, spec, memory, rng, reports
         self.loop = asyncio.get_running_loop()
-        self.model = model.Equipo(spec, memory, rng, now_ms(), cold)
+        self.model = model.EmulatedServer(spec, memory, rng, now_ms(), cold)
         self.address: Address = ("127.0.0.1", 0)
-        self.faults: dict[int, Fault] = {}  # by trouble
+        self.faults: dict[int, ConnectionFault] = {}  # by trouble
         self.vanished = False
-        self.connections: set[Serving] = set()
-        self.broken: dict[Serving, Fault] = {}
+        self.connections: set[ServerConnection] = set()
+        self.broken: dict[ServerConnection, ConnectionFault] = {}
         self._sock: socket.socket | None = None
         self._server: asyncio.Server | None = None
         self._timer: asyncio.TimerHandle | None = None
@@ -79,7 +79,7 @@
     # ------------------------------------------------------------- listening
 
     async def listen(self) -> Address:
-        self._sock = socket.create_server(self.address, backlog=BACKLOG)
+        self._sock = socket.create_server(self.address, backlog=LISTEN_BACKLOG)
         self.address = self._sock.getsockname()[:2]
         await self._accept()
         return self.address
@@ -87,10 +87,12 @@
     async def _accept(self) -> None:
         assert self._sock is not None
         # A descriptor of its own, so that closing the server leaves the socket to be used again.
-        self._server = await self.loop.create_server(self._serving, sock=self._sock.dup(), backlog=BACKLOG)
+        self._server = await self.loop.create_server(
+            self._serving, sock=self._sock.dup(), backlog=LISTEN_BACKLOG
+        )
 
-    def _serving(self) -> Serving:
-        return Serving(self._asked, self._made, self._lost)
+    def _serving(self) -> ServerConnection:
+        return ServerConnection(self._asked, self._made, self._lost)
 
     def refuse(self) -> None:
         """From now on connections are refused: nobody listens."""
@@ -134,10 +136,10 @@
             connection.silent = False
             connection.reset()
         if self._sock is not None:
-            self._sock.listen(BACKLOG)
+            self._sock.listen(LISTEN_BACKLOG)
             await self._accept()
 
-    def begin_fault(self, number: int, fault: Fault) -> None:
+    def begin_fault(self, number: int, fault: ConnectionFault) -> None:
         """From now on this befalls its share of the connections, those that are open included."""
         self.faults[number] = fault
         for connection in self.connections:
@@ -147,14 +149,14 @@
         """New connections are well again; those that it befell stay as they are until they are closed."""
         self.faults.pop(number, None)
 
-    def _befall(self, connection: Serving, fault: Fault) -> None:
+    def _befall(self, connection: ServerConnection, fault: ConnectionFault) -> None:
         if connection not in self.broken and fault.rng.random() < fault.part:
             self.broken[connection] = fault
             connection.silent = fault.how == "silence"
 
     # ------------------------------------------------------------ connections
 
-    def _made(self, connection: Serving) -> None:
+    def _made(self, connection: ServerConnection) -> None:
         self.connections.add(connection)
         if self.vanished:
             connection.silent = True
@@ -164,17 +166,17 @@
         self.model.connect(now)
         self.arm()
 
-    def _lost(self, connection: Serving) -> None:
+    def _lost(self, connection: ServerConnection) -> None:
         self.connections.discard(connection)
         self.broken.pop(connection, None)
-        work: Work | None = connection.current
+        work: ServerWork | None = connection.current
         if work is not None:
             work.wanted = False  # a cancel or a time-out stops no work
         self.catch_up(now := now_ms())
         self.model.disconnect(now)
         self.arm()
 
-    def _asked(self, asked: Asked) -> None:
+    def _asked(self, asked: HttpRequest) -> None:
         path = asked.target.partition(b"?")[0]
         if path in (b"/ping", b"/_load"):
             self.catch_up(now := now_ms())
@@ -198,18 +200,18 @@
         self.owner.act(self, self.model.arrive(now, work.job))
         self.arm()
 
-    def reply(self, work: Work, verdict: model.Verdict, body: bytes) -> None:
+    def reply(self, work: ServerWork, verdict: model.JobResult, body: bytes) -> None:
         """Answer a request, through whatever fault its connection has."""
         connection = work.asked.connection
         if connection.current is work:
             connection.current = None
         if not work.wanted or connection.transport is None:
             return
-        status = {model.Verdict.SERVED: 200, model.Verdict.ERROR: 500, model.Verdict.TURNED_AWAY: 503}[
+        status = {model.JobResult.SERVED: 200, model.JobResult.ERROR: 500, model.JobResult.TURNED_AWAY: 503}[
             verdict
         ]
         extra = b"" if not self.reports else b"Server-Load: TEXT %b\r\n" % self._load().encode()
-        if verdict is model.Verdict.TURNED_AWAY:
+        if verdict is model.JobResult.TURNED_AWAY:
             extra += b"Not-Started: 1\r\n"
         fault = self.broken.get(connection)
         if fault is None or fault.how in ("refuse", "silence", "reset"):
@@ -276,5 +278,5 @@
 
     def restart(self) -> None:
         """A new process under the same name, cold."""
-        self.model = model.Equipo(self.spec, self.memory, self.rng, now_ms(), cold=True)
+        self.model = model.EmulatedServer(self.spec, self.memory, self.rng, now_ms(), cold=True)
         self.arm()
--- a/rosewheel/lab/equipo.py
+++ b/rosewheel/lab/server_model.py
@@ -16,15 +16,15 @@
 
 import numpy as np
 
-from rosewheel.lab.streams import lognormal
+from rosewheel.lab.random_streams import lognormal_factor
 
-COLD_STEP_MS = 100.0  # a cold equipo's capacity is raised in steps of this length, each at its lower end
-CHOKED_STEP_MS = 50.0  # how often a slowed equipo looks whether it has been idle for long enough
-BUSY_MS = 500.0  # smoothing of how busy it is
+WARM_UP_STEP_MS = 100.0  # a cold equipo's capacity is raised in steps of this length, each at its lower end
+SLOWDOWN_POLL_MS = 50.0  # how often a slowed equipo looks whether it has been idle for long enough
+BUSY_SMOOTHING_MS = 500.0  # smoothing of how busy it is
 
 
 @dataclass(slots=True, frozen=True)
-class Choke:
+class OverloadSlowdown:
     """The lasting slowdown: with more than `at` requests waiting for each core for `over_ms` an equipo turns
     `slower` times slower, until it has been busy for less than a share `below` for `rest_ms`, or `most_ms` passed."""
 
@@ -37,7 +37,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Spec:
+class ServerSpec:
     """The figures of one equipo, drawn already."""
 
     name: str
@@ -53,7 +53,7 @@
     knee: float = math.inf
     cold_from: float = 1.0
     cold_ms: float = 0.0
-    choke: Choke | None = None
+    choke: OverloadSlowdown | None = None
     tip_multiple: float = 4.0  # a cold equipo that is sent more than this many times what it can do
     tip_ms: float = 1500.0  # in a window of this length falls over and stays down
     tip_slack_ms: float = 500.0  # of work, for chance: a request or two
@@ -70,13 +70,13 @@
     probe_ms: float = 0.0  # of work, for each probe
 
 
-class State(Enum):
+class LifecycleState(Enum):
     UP = "up"
     DRAINING = "draining"  # ends what it has and turns away what is new
     DOWN = "down"  # stopped, crashed or tipped over
 
 
-class Stage(Enum):
+class JobStage(Enum):
     WAITING = "waiting"
     RUNNING = "running"
     CALLING = "calling"  # its slot is kept while the next tier works
@@ -84,7 +84,7 @@
     OVER = "over"
 
 
-class Verdict(Enum):
+class JobResult(Enum):
     """What an equipo says to a request."""
 
     SERVED = "served"
@@ -93,7 +93,7 @@
 
 
 @dataclass(slots=True)
-class Remembered:
+class DedupEntry:
     """A key that a grupo has seen."""
 
     until_ms: float
@@ -110,21 +110,21 @@
     key: str | None = None
     memory_ms: float = 0.0  # how long the grupo drops repeats of the key
     told: bool = True  # whoever sent it had been told when this equipo started
-    stage: Stage = Stage.WAITING
+    stage: JobStage = JobStage.WAITING
     at: int = 0  # the stretch it is in
     fails: bool = False
     effect: bool = False  # its work has begun
-    remembered: Remembered | None = None  # where the grupo keeps its key, for the first with it
+    remembered: DedupEntry | None = None  # where the grupo keeps its key, for the first with it
 
 
 @dataclass(slots=True, frozen=True)
 class Reply:
     job: int
-    verdict: Verdict
+    verdict: JobResult
 
 
 @dataclass(slots=True, frozen=True)
-class CallNext:
+class CallNextTier:
     """Call the next tier for this job; the outcome comes back through `called`."""
 
     job: int
@@ -132,30 +132,30 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Began:
+class JobStarted:
     """The work of a job has begun: from here on it may have had its effect."""
 
     job: int
 
 
 @dataclass(slots=True, frozen=True)
-class Fell:
+class ServerCollapsed:
     """A cold equipo was pushed over; `told_share` of the load came from those who had been told of its start."""
 
     told_share: float
 
 
-Action = Reply | CallNext | Began | Fell
+Action = Reply | CallNextTier | JobStarted | ServerCollapsed
 
 
-class Memory:
+class DedupTable:
     """The keys that the equipos of one grupo remember together."""
 
     def __init__(self) -> None:
-        self.keys: dict[str, Remembered] = {}
+        self.keys: dict[str, DedupEntry] = {}
         self._order: deque[tuple[float, str]] = deque()
 
-    def find(self, now: float, key: str) -> Remembered | None:
+    def find(self, now: float, key: str) -> DedupEntry | None:
         while self._order and self._order[0][0] <= now:
             until, old = self._order.popleft()
             entry = self.keys.get(old)
@@ -163,26 +163,28 @@
                 del self.keys[old]
         return self.keys.get(key)
 
-    def add(self, key: str, until_ms: float) -> Remembered:
-        self.keys[key] = entry = Remembered(until_ms)
+    def add(self, key: str, until_ms: float) -> DedupEntry:
+        self.keys[key] = entry = DedupEntry(until_ms)
         self._order.append((until_ms, key))
         return entry
 
-    def drop(self, key: str, entry: Remembered) -> None:
+    def drop(self, key: str, entry: DedupEntry) -> None:
         """This one is not remembered any more; a later one under the same key is."""
         if self.keys.get(key) is entry:
             del self.keys[key]
 
 
-class Equipo:
+class EmulatedServer:
     """One equipo. Every method takes the time first, never an earlier one than before, and returns actions.
 
     `tick` must be called at `due()`; a later call does the same work later.
     """
 
-    def __init__(self, spec: Spec, memory: Memory, rng: np.random.Generator, now: float, cold: bool) -> None:
+    def __init__(
+        self, spec: ServerSpec, memory: DedupTable, rng: np.random.Generator, now: float, cold: bool
+    ) -> None:
         self.spec, self.memory, self.rng = spec, memory, rng
-        self.state = State.UP
+        self.state = LifecycleState.UP
         self.started_ms = now if cold else -math.inf
         self.jobs: dict[int, Job] = {}
         self.waiting: deque[Job] = deque()
@@ -234,7 +236,7 @@
     def capacity(self) -> float:
         """Work it does in a millisecond with all cores busy, as of the last event."""
         spec = self.spec
-        if self._pause_end is not None or self.state is State.DOWN:
+        if self._pause_end is not None or self.state is LifecycleState.DOWN:
             return 0.0
         share = self.warmth(self._now) * (1.0 - self.taken) / self.slower
         share /= 1.0 + spec.thrash * max(0.0, self.held - spec.knee)
@@ -253,16 +255,16 @@
 
     def due(self) -> float:
         """When `tick` is wanted next; infinity where nothing is to come."""
-        if self.state is State.DOWN:
+        if self.state is LifecycleState.DOWN:
             return math.inf
         due = self._pause_next if self._pause_end is None else self._pause_end
         if self.running and self._rate > 0.0:
             due = min(due, self._now + max(0.0, self.running[0][0] - self._had) / self._rate)
         if self.running and self._now - self.started_ms < self.spec.cold_ms:
-            due = min(due, self._now + COLD_STEP_MS)
+            due = min(due, self._now + WARM_UP_STEP_MS)
         if self.spec.choke is not None:
             if self.choked_ms is not None:
-                due = min(due, self._now + CHOKED_STEP_MS)
+                due = min(due, self._now + SLOWDOWN_POLL_MS)
             elif self._over_ms is not None:
                 due = min(due, self._over_ms + self.spec.choke.over_ms)
         return due
@@ -286,20 +288,20 @@
         self._advance(now)
         self.arrived += 1
         acts = self._strain(now, sum(job.work), job.told)
-        if self.state is not State.UP:
+        if self.state is not LifecycleState.UP:
             return [*acts, *self._turn_away(job)]
         if self.failing and self.rng.random() < self.failing:
             self.ended += 1
-            job.stage = Stage.OVER
-            return [*acts, Reply(job.id, Verdict.ERROR)]
+            job.stage = JobStage.OVER
+            return [*acts, Reply(job.id, JobResult.ERROR)]
         if job.key is not None:
             known = self.memory.find(now, job.key)
             if known is not None and known.served:
                 self.ended += 1
-                job.stage = Stage.OVER
-                return [*acts, Reply(job.id, Verdict.SERVED)]
+                job.stage = JobStage.OVER
+                return [*acts, Reply(job.id, JobResult.SERVED)]
             if known is not None:
-                job.stage = Stage.JOINED
+                job.stage = JobStage.JOINED
                 known.joined.append(job.id)
                 self.jobs[job.id] = job
                 return acts
@@ -320,7 +322,7 @@
         """The next tier has answered a call of this job."""
         self._advance(now)
         job = self.jobs.get(id)
-        if job is None or job.stage is not Stage.CALLING:
+        if job is None or job.stage is not JobStage.CALLING:
             return []
         acts: list[Action] = []
         self.calling -= 1
@@ -328,7 +330,7 @@
             job.at += 1
             self._run(job)
         else:
-            acts = self._end(job, Verdict.ERROR)
+            acts = self._end(job, JobResult.ERROR)
             acts += self._fill()
         self._settle(now)
         return acts
@@ -339,16 +341,16 @@
         if job is None:
             return False
         self.ended += 1
-        job.stage = Stage.OVER
+        job.stage = JobStage.OVER
         return True
 
     def probe(self, now: float) -> bool:
         """A health call, answered beside the queue; it costs a little work. False: not for new work."""
         self._advance(now)
-        if self.state is State.UP and self.spec.probe_ms > 0.0:
+        if self.state is LifecycleState.UP and self.spec.probe_ms > 0.0:
             self._push(self.spec.probe_ms, None)
             self._settle(now)
-        return self.state is State.UP
+        return self.state is LifecycleState.UP
 
     def slow_down(self, now: float, factor: float) -> None:
         """Trouble: everything takes `factor` times as long; 1 ends it."""
@@ -364,14 +366,14 @@
 
     def drain(self, now: float) -> None:
         self._advance(now)
-        if self.state is State.UP:
-            self.state = State.DRAINING
+        if self.state is LifecycleState.UP:
+            self.state = LifecycleState.DRAINING
         self._settle(now)
 
     def stop(self, now: float) -> None:
         """It is gone, and with it all it held; nobody gets an answer."""
         self._advance(now)
-        self.state = State.DOWN
+        self.state = LifecycleState.DOWN
         # A repeat that joined here may belong to another equipo of the grupo; it never hears more either.
         for job in self.jobs.values():
             if job.key is not None and job.remembered is not None:
@@ -386,7 +388,7 @@
     def tick(self, now: float) -> list[Action]:
         """Everything that has come due, at its own time: a late call changes no work and no order."""
         acts: list[Action] = []
-        while (due := self.due()) <= now and self.state is not State.DOWN:
+        while (due := self.due()) <= now and self.state is not LifecycleState.DOWN:
             due = max(due, self._now)
             before = self._now
             self._advance(due)
@@ -410,7 +412,7 @@
         if passed <= 0.0:
             return
         while self._report_next <= now:  # the queue has been the same since the last event
-            noise = lognormal(self.rng, self.spec.report_noise)
+            noise = lognormal_factor(self.rng, self.spec.report_noise)
             self._reports.append((self._report_next + self.spec.report_delay_ms, self.queue * noise))
             self._report_next += self.spec.report_period_ms
             if self._report_next < now - 10.0 * self.spec.report_period_ms:
@@ -420,7 +422,7 @@
             self._had += had
             self.done_work += had * len(self.running)
         busy = min(1.0, len(self.running) / self.spec.cores)
-        self._busy = busy + (self._busy - busy) * math.exp(-passed / BUSY_MS)
+        self._busy = busy + (self._busy - busy) * math.exp(-passed / BUSY_SMOOTHING_MS)
         self._now = now
 
     def _set_rate(self) -> None:
@@ -431,7 +433,7 @@
     def _settle(self, now: float) -> None:
         """After each event: the lasting slowdown, then the pace until the next one."""
         choke = self.spec.choke
-        if choke is not None and self.state is not State.DOWN:
+        if choke is not None and self.state is not LifecycleState.DOWN:
             if self.choked_ms is None:
                 over = self.queue > choke.at * self.spec.cores
                 if not over:
@@ -459,10 +461,10 @@
     def _begin(self, job: Job) -> list[Action]:
         job.effect = True
         self._run(job)
-        return [Began(job.id)]
+        return [JobStarted(job.id)]
 
     def _run(self, job: Job) -> None:
-        job.stage = Stage.RUNNING
+        job.stage = JobStage.RUNNING
         self._push(job.work[job.at], job)
 
     def _finished(self) -> list[Action]:
@@ -473,13 +475,13 @@
             if job is None:  # a probe's work
                 continue
             if job.fails and job.at == len(job.work) - 1:
-                acts += self._end(job, Verdict.ERROR)
+                acts += self._end(job, JobResult.ERROR)
             elif job.at < len(job.work) - 1:
-                job.stage = Stage.CALLING
+                job.stage = JobStage.CALLING
                 self.calling += 1
-                acts.append(CallNext(job.id, job.at))
+                acts.append(CallNextTier(job.id, job.at))
             else:
-                acts += self._end(job, Verdict.SERVED)
+                acts += self._end(job, JobResult.SERVED)
         return acts + self._fill()
 
     def _fill(self) -> list[Action]:
@@ -488,14 +490,14 @@
             acts += self._begin(self.waiting.popleft())
         return acts
 
-    def _end(self, job: Job, verdict: Verdict) -> list[Action]:
-        job.stage = Stage.OVER
+    def _end(self, job: Job, verdict: JobResult) -> list[Action]:
+        job.stage = JobStage.OVER
         self.jobs.pop(job.id, None)
         self.ended += 1
         acts: list[Action] = [Reply(job.id, verdict)]
         entry = job.remembered
         if job.key is not None and entry is not None:
-            entry.served = verdict is Verdict.SERVED
+            entry.served = verdict is JobResult.SERVED
             if not entry.served:  # it may have had its effect in part; a repeat does it anew
                 self.memory.drop(job.key, entry)
             # The grupo may have forgotten the key meanwhile; who had joined before is answered all the same.
@@ -504,10 +506,10 @@
         return acts
 
     def _turn_away(self, job: Job) -> list[Action]:
-        job.stage = Stage.OVER
+        job.stage = JobStage.OVER
         self.ended += 1
         self.turned_away += 1
-        return [Reply(job.id, Verdict.TURNED_AWAY)]
+        return [Reply(job.id, JobResult.TURNED_AWAY)]
 
     # --------------------------------------------------------------- troubles
 
@@ -519,7 +521,7 @@
     def _strain(self, now: float, work: float, told: bool) -> list[Action]:
         """All that is sent to a cold equipo counts, also what it turns away."""
         spec = self.spec
-        if self.state is State.DOWN or now - self.started_ms >= spec.cold_ms:
+        if self.state is LifecycleState.DOWN or now - self.started_ms >= spec.cold_ms:
             return []
         self._offered.append((now, work, told))
         while self._offered[0][0] <= now - spec.tip_ms:
@@ -530,4 +532,4 @@
             return []
         share = sum(item[1] for item in self._offered if item[2]) / offered
         self.stop(now)
-        return [Fell(share)]
+        return [ServerCollapsed(share)]
--- a/rosewheel/lab/graph.py
+++ b/rosewheel/lab/service_graph.py
@@ -8,12 +8,12 @@
 from collections.abc import Sequence
 from graphlib import CycleError, TopologicalSorter
 
-MOST_DEEP = 20  # services one below the other, the first included
+MAX_DEPTH = 20  # services one below the other, the first included
 
-Edges = tuple[tuple[tuple[int, float], ...], ...]  # by caller: whom it calls, and how often on average
+CallEdges = tuple[tuple[tuple[int, float], ...], ...]  # by caller: whom it calls, and how often on average
 
 
-class CircleError(ValueError):
+class CallCycleError(ValueError):
     """Services that call one another in a circle, the first of them once more at the end."""
 
     def __init__(self, circle: Sequence[int]) -> None:
@@ -21,7 +21,7 @@
         self.circle = tuple(circle)
 
 
-def order(called: Sequence[Sequence[int]]) -> tuple[int, ...]:
+def topological_order(called: Sequence[Sequence[int]]) -> tuple[int, ...]:
     """Every caller before all that it calls; CircleError where there is no such order."""
     sorter: TopologicalSorter[int] = TopologicalSorter({at: () for at in range(len(called))})
     for at, below in enumerate(called):
@@ -30,24 +30,24 @@
     try:
         return tuple(sorter.static_order())
     except CycleError as error:
-        raise CircleError(error.args[1]) from error
+        raise CallCycleError(error.args[1]) from error
 
 
-def levels(called: Sequence[Sequence[int]]) -> tuple[int, ...]:
+def depths(called: Sequence[Sequence[int]]) -> tuple[int, ...]:
     """How deep each service lies on the longest way to it: the first is 1, one that no request reaches is 0."""
     deep = [0] * len(called)
     deep[0] = 1
-    for at in order(called):
+    for at in topological_order(called):
         for to in called[at] if deep[at] else ():
             deep[to] = max(deep[to], deep[at] + 1)
     return tuple(deep)
 
 
-def visits(edges: Edges) -> tuple[float, ...]:
+def mean_visits(edges: CallEdges) -> tuple[float, ...]:
     """How often a request of a client comes to each service on average, over all ways, where nothing fails."""
     means = [0.0] * len(edges)
     means[0] = 1.0
-    for at in order([[to for to, _ in row] for row in edges]):
+    for at in topological_order([[to for to, _ in row] for row in edges]):
         for to, mean in edges[at]:
             means[to] += means[at] * mean
     return tuple(means)
--- a/rosewheel/lab/simulation/clients.py
+++ b/rosewheel/lab/simulation/clients.py
@@ -6,19 +6,19 @@
 from typing import Any
 
 from rosewheel.lab.plan import Arrival, Plan
-from rosewheel.lab.retry import SLACK_MS, Verdict, wait_ms
-from rosewheel.lab.simulation.events import Queue, Row
-from rosewheel.lab.simulation.node import Call, VirtualNode
-from rosewheel.lab.streams import dealt, stream
+from rosewheel.lab.random_streams import random_stream, weighted_choice
+from rosewheel.lab.retry import RESPONSE_SLACK_MS, AttemptOutcome, retry_delay_ms
+from rosewheel.lab.simulation.events import EventQueue, ScheduledEvent
+from rosewheel.lab.simulation.node import NodeRequest, SimulatedNode
 from rosewheel.lab.tables import ClassTable
 
 Write = Callable[[dict[str, Any]], None]
 
 
-class Front:
+class SimulatedDispatcher:
     """The layer that deals clients out, and learns late which nodes are dead."""
 
-    def __init__(self, queue: Queue, nodes: dict[str, VirtualNode], notice_ms: float) -> None:
+    def __init__(self, queue: EventQueue, nodes: dict[str, SimulatedNode], notice_ms: float) -> None:
         self.queue, self.nodes, self.notice_ms = queue, nodes, notice_ms
         self.up = dict.fromkeys(nodes, True)
         self.only: tuple[str, ...] = ()  # if any: those that all clients are dealt to, as a trouble wants it
@@ -43,17 +43,17 @@
             self.changed()
 
 
-class Op:
+class SimulatedOperation:
     """One client's wish and its tries."""
 
     __slots__ = ("arrival", "call", "clients", "node", "table", "timer", "tries")
 
-    def __init__(self, clients: Clients, arrival: Arrival, table: ClassTable) -> None:
+    def __init__(self, clients: SimulatedClients, arrival: Arrival, table: ClassTable) -> None:
         self.clients, self.arrival, self.table = clients, arrival, table
         self.tries: list[dict[str, Any]] = []
-        self.call: Call | None = None
-        self.node: VirtualNode | None = None
-        self.timer: Row | None = None
+        self.call: NodeRequest | None = None
+        self.node: SimulatedNode | None = None
+        self.timer: ScheduledEvent | None = None
 
     def try_once(self) -> None:
         clients, table = self.clients, self.table
@@ -61,19 +61,19 @@
         rid = f"{self.arrival.op}.{len(self.tries)}"
         now, patience = clients.queue.now, table.give_up_ms * clients.plan.try_share
         self.tries.append({"rid": rid, "node": name, "sent": round(now, 1), "patience": round(patience, 1)})
-        self.call = Call(
+        self.call = NodeRequest(
             rid, table.name, self.arrival.op, self.arrival.work_ms, self.arrival.op, patience, self._answered
         )
-        self.timer = clients.queue.after(patience + SLACK_MS, self._give_up)
+        self.timer = clients.queue.after(patience + RESPONSE_SLACK_MS, self._give_up)
         self.node = clients.front.nodes[name]
         self.node.ask(self.call)
 
     def _give_up(self) -> None:
         if self.call is not None and self.node is not None:
             self.node.abandon(self.call)
-        self._answered(Verdict(why="no answer"))
+        self._answered(AttemptOutcome(why="no answer"))
 
-    def _answered(self, verdict: Verdict) -> None:
+    def _answered(self, verdict: AttemptOutcome) -> None:
         clients, row = self.clients, self.tries[-1]
         if "ended" in row:  # it had been given up when this came
             return
@@ -86,24 +86,29 @@
         if verdict.status == 200 or not self._again(verdict):
             clients.ended(self)
 
-    def _again(self, verdict: Verdict) -> bool:
+    def _again(self, verdict: AttemptOutcome) -> bool:
         clients = self.clients
         spent = clients.queue.now - self.arrival.at_ms
         tries = len(self.tries)
-        wait = wait_ms(clients.plan, self.table, verdict, tries, spent, clients.random, clients.storm)
+        wait = retry_delay_ms(clients.plan, self.table, verdict, tries, spent, clients.random, clients.storm)
         if wait is None:
             return False
         clients.queue.after(wait, self.try_once)
         return True
 
 
-class Clients:
+class SimulatedClients:
     def __init__(
-        self, plan: Plan, queue: Queue, front: Front, write: Write, wish: Callable[[Op, bool], None]
+        self,
+        plan: Plan,
+        queue: EventQueue,
+        front: SimulatedDispatcher,
+        write: Write,
+        wish: Callable[[SimulatedOperation, bool], None],
     ) -> None:
         self.plan, self.queue, self.front, self.write = plan, queue, front, write
         self.wish = wish  # told of each wish that is over, and whether it was served in time
-        self.random = stream(plan.seed, "run", "clients")
+        self.random = random_stream(plan.seed, "run", "clients")
         self.tables = {row.name: row for row in plan.scenario.classes}
         self.open = 0
         self.storm = 0  # tries more than usual, while a retry storm lasts
@@ -117,7 +122,7 @@
 
     def pick(self) -> str:
         nodes = self.plan.scenario.nodes
-        return dealt(self.random, self.front.choices(), nodes.share if nodes.shares else None)
+        return weighted_choice(self.random, self.front.choices(), nodes.share if nodes.shares else None)
 
     def _next(self) -> None:
         arrival = self.plan.arrivals[self._at]
@@ -125,9 +130,9 @@
         self.open += 1
         if self._at < len(self.plan.arrivals):
             self.queue.at(self.plan.arrivals[self._at].at_ms, self._next)
-        Op(self, arrival, self.tables[arrival.service]).try_once()
+        SimulatedOperation(self, arrival, self.tables[arrival.service]).try_once()
 
-    def ended(self, op: Op) -> None:
+    def ended(self, op: SimulatedOperation) -> None:
         last, table, arrival = op.tries[-1], op.table, op.arrival
         took = last["ended"] - arrival.at_ms
         in_time = last["status"] == 200 and took <= table.aim_ms
--- a/rosewheel/lab/simulation/discovery.py
+++ b/rosewheel/lab/simulation/discovery.py
@@ -8,22 +8,24 @@
 import numpy as np
 
 from rosewheel.discovery.backoff import REWATCH_MOST_PART, REWATCH_PART
-from rosewheel.lab.plan import Plan, told_after_ms
-from rosewheel.lab.simulation.events import Queue
-from rosewheel.lab.simulation.network import HOP_MS
-from rosewheel.lab.simulation.node import VirtualNode
+from rosewheel.lab.plan import Plan, discovery_delay_ms
+from rosewheel.lab.simulation.events import EventQueue
+from rosewheel.lab.simulation.network import ONE_WAY_MS
+from rosewheel.lab.simulation.node import SimulatedNode
 from rosewheel.node.limits import Bounds
 from rosewheel.policy.events import EndpointListForm, Server, ServerState
 
-GRACE_MS = Bounds().drain_grace_ms
+DRAIN_GRACE_MS = Bounds().drain_grace_ms
 
-Told = Callable[[str, Server], None]
+OnNotified = Callable[[str, Server], None]
 
 
-class Agent:
+class SimulatedAgent:
     """What stands on a node's machine. What it has learned counts as told when it is written to an open watch."""
 
-    def __init__(self, queue: Queue, node: VirtualNode, truth: dict[str, Server], told: Told) -> None:
+    def __init__(
+        self, queue: EventQueue, node: SimulatedNode, truth: dict[str, Server], told: OnNotified
+    ) -> None:
         self.queue, self.node, self._told = queue, node, told
         self.entries = dict(truth)
         self.news: list[Server] = []  # learned and not told yet
@@ -46,7 +48,7 @@
         news, self.news = self.news, []
         for entry in news:
             self._told(self.node.name, entry)
-        self.queue.after(HOP_MS, self.node.heard, EndpointListForm.DELTA, tuple(news))
+        self.queue.after(ONE_WAY_MS, self.node.heard, EndpointListForm.DELTA, tuple(news))
 
     def reopen(self, wait_ms: float) -> None:
         """The watch is gone and comes back after this, going on where it was."""
@@ -58,32 +60,32 @@
         self.tell()
 
 
-class Registry:
+class SimulatedRegistry:
     """All agents of the nodes that send to one tier."""
 
     def __init__(
         self,
-        queue: Queue,
+        queue: EventQueue,
         plan: Plan,
-        told: Told,
+        told: OnNotified,
         heard_before: Callable[[str, str], bool],
         rng: np.random.Generator,
     ) -> None:
         self.queue, self.plan, self.rng, self._told = queue, plan, rng, told
         self.heard_before = heard_before  # whether a node of this name was ever told of that server
         self.truth: dict[str, Server] = {}
-        self.agents: dict[VirtualNode, Agent] = {}
+        self.agents: dict[SimulatedNode, SimulatedAgent] = {}
         self.behind_ms = 0.0  # how much further behind it is, by a trouble
 
-    def add(self, node: VirtualNode) -> None:
+    def add(self, node: SimulatedNode) -> None:
         """A node that begins with the list as it is now."""
-        self.agents[node] = agent = Agent(self.queue, node, self.truth, self._told)
+        self.agents[node] = agent = SimulatedAgent(self.queue, node, self.truth, self._told)
         for entry in agent.entries.values():  # told anew, whatever the process before it had heard
             if entry.launched_ms is not None or self.heard_before(node.name, entry.address):
                 self._told(node.name, entry)
         node.heard(EndpointListForm.CACHED, tuple(agent.entries.values()))
 
-    def drop(self, node: VirtualNode) -> None:
+    def drop(self, node: SimulatedNode) -> None:
         self.agents.pop(node, None)
 
     def set(self, entry: Server, change: str) -> None:
@@ -92,9 +94,9 @@
             self.truth.pop(entry.address, None)
         else:
             self.truth[entry.address] = entry
-        base = self.queue.now + told_after_ms(self.plan.scenario, self.rng, change) + self.behind_ms
+        base = self.queue.now + discovery_delay_ms(self.plan.scenario, self.rng, change) + self.behind_ms
         for agent in self.agents.values():
-            due = max(agent.free_ms, base + told_after_ms(self.plan.scenario, self.rng, "spread"))
+            due = max(agent.free_ms, base + discovery_delay_ms(self.plan.scenario, self.rng, "spread"))
             agent.free_ms = due
             self.queue.at(due, self._learn, agent, entry)
 
@@ -104,7 +106,7 @@
         if entry is not None and entry.state is not state:
             self.set(dataclasses.replace(entry, state=state), change)
 
-    def _learn(self, agent: Agent, entry: Server) -> None:
+    def _learn(self, agent: SimulatedAgent, entry: Server) -> None:
         if not agent.node.dead:
             agent.learn(entry)
 
@@ -112,7 +114,7 @@
         for agent in self.agents.values():
             agent.stalled = on
             if not on:  # its node had given the watch up and tries again now and then
-                agent.reopen(float(self.rng.uniform(0.0, GRACE_MS / REWATCH_MOST_PART)))
+                agent.reopen(float(self.rng.uniform(0.0, DRAIN_GRACE_MS / REWATCH_MOST_PART)))
 
     def cut(self, zones: frozenset[str]) -> None:
         """These zones are cut off: agents there hear nothing, the others hear that what lies there is gone."""
@@ -134,4 +136,4 @@
 
     def break_off(self) -> None:
         for agent in self.agents.values():
-            agent.reopen(float(self.rng.uniform(0.6, 1.0)) * GRACE_MS / REWATCH_PART)
+            agent.reopen(float(self.rng.uniform(0.6, 1.0)) * DRAIN_GRACE_MS / REWATCH_PART)
--- a/rosewheel/lab/simulation/host.py
+++ b/rosewheel/lab/simulation/host.py
@@ -8,22 +8,22 @@
 
 import numpy as np
 
-from rosewheel.lab import equipo as model
-from rosewheel.lab.host import Fault
-from rosewheel.lab.simulation.events import Queue
-from rosewheel.lab.simulation.network import Exchange, Link
+from rosewheel.lab import server_model as model
+from rosewheel.lab.server_host import ConnectionFault
+from rosewheel.lab.simulation.events import EventQueue
+from rosewheel.lab.simulation.network import Attempt, Connection
 from rosewheel.policy.events import AttemptResult
 
 Report = dict[str, float]
 
 
 @dataclass(slots=True, eq=False)
-class Work:
+class SimulatedWork:
     """A request that an equipo works on."""
 
-    host: Host
-    link: Link
-    exchange: Exchange
+    host: SimulatedServerHost
+    link: Connection
+    exchange: Attempt
     job: model.Job
     came_ms: float
     deadline_ms: float
@@ -31,33 +31,33 @@
     targets: tuple[int, ...] = ()  # the tiers that it calls, one call after the other
 
 
-class Owner(Protocol):
+class HostOwner(Protocol):
     """What a host needs of its world."""
 
-    queue: Queue
+    queue: EventQueue
 
-    def take(self, host: Host, link: Link, exchange: Exchange) -> Work: ...
-    def act(self, host: Host, acts: list[model.Action]) -> None: ...
+    def take(self, host: SimulatedServerHost, link: Connection, exchange: Attempt) -> SimulatedWork: ...
+    def act(self, host: SimulatedServerHost, acts: list[model.Action]) -> None: ...
 
 
-class Host:
+class SimulatedServerHost:
     def __init__(
         self,
-        owner: Owner,
-        spec: model.Spec,
-        memory: model.Memory,
+        owner: HostOwner,
+        spec: model.ServerSpec,
+        memory: model.DedupTable,
         rng: np.random.Generator,
         cold: bool,
         reports: bool,
     ) -> None:
         self.owner, self.spec, self.memory, self.rng, self.reports = owner, spec, memory, rng, reports
         self.queue = owner.queue
-        self.model = model.Equipo(spec, memory, rng, self.queue.now, cold)
+        self.model = model.EmulatedServer(spec, memory, rng, self.queue.now, cold)
         self.listening = False
         self.vanished = False
-        self.links: dict[Link, None] = {}  # in the order in which they came
-        self.work: dict[int, Work] = {}
-        self.faults: dict[int, Fault] = {}  # by trouble
+        self.links: dict[Connection, None] = {}  # in the order in which they came
+        self.work: dict[int, SimulatedWork] = {}
+        self.faults: dict[int, ConnectionFault] = {}  # by trouble
         self.since_ms = self.queue.now  # when it was last started,
         self.up_ms = 0.0  # and for how long it had run before
         self.worked = 0.0  # work done by the models before this one
@@ -66,7 +66,7 @@
 
     # ----------------------------------------------------------- connections
 
-    def made(self, link: Link) -> None:
+    def made(self, link: Connection) -> None:
         self.links[link] = None
         link.silent = self.vanished
         for fault in self.faults.values():
@@ -75,7 +75,7 @@
         self.model.connect(self.queue.now)
         self.arm()
 
-    def lost(self, link: Link) -> None:
+    def lost(self, link: Connection) -> None:
         """Its node has closed it, or is gone."""
         if link not in self.links:
             return
@@ -86,7 +86,7 @@
         self.model.disconnect(self.queue.now)
         self.arm()
 
-    def asked(self, link: Link, exchange: Exchange) -> None:
+    def asked(self, link: Connection, exchange: Attempt) -> None:
         if link.dead or link.silent or link not in self.links:
             return
         if link.fault is not None and link.fault.how == "reset":
@@ -101,7 +101,7 @@
         self.owner.act(self, self.model.arrive(self.queue.now, work.job))
         self.arm()
 
-    def reply(self, work: Work, verdict: model.Verdict) -> None:
+    def reply(self, work: SimulatedWork, verdict: model.JobResult) -> None:
         """Answer a request, through whatever fault its connection has."""
         link = work.link
         if link.work is work:
@@ -109,9 +109,9 @@
         if not work.wanted or link.dead or link.silent:
             return
         result = {
-            model.Verdict.SERVED: AttemptResult.OK,
-            model.Verdict.ERROR: AttemptResult.ERROR,
-            model.Verdict.TURNED_AWAY: AttemptResult.OVERLOADED,
+            model.JobResult.SERVED: AttemptResult.OK,
+            model.JobResult.ERROR: AttemptResult.ERROR,
+            model.JobResult.TURNED_AWAY: AttemptResult.OVERLOADED,
         }[verdict]
         how = link.fault.how if link.fault is not None else ""
         if how == "delay" and link.fault is not None:
@@ -121,7 +121,7 @@
         else:
             self._answer(link, work.exchange, result)
 
-    def _answer(self, link: Link, exchange: Exchange, result: AttemptResult, keep: bool = True) -> None:
+    def _answer(self, link: Connection, exchange: Attempt, result: AttemptResult, keep: bool = True) -> None:
         if link.dead or link.silent:
             return
         told = result is not AttemptResult.RESET and self.reports
@@ -136,7 +136,7 @@
         report = {"queue": round(self.model.report(self.queue.now), 3)} if self.reports else None
         return (AttemptResult.OK if up else AttemptResult.ERROR), report
 
-    def break_off(self, link: Link) -> None:
+    def break_off(self, link: Connection) -> None:
         """Reset a connection."""
         if link not in self.links:
             return
@@ -149,7 +149,7 @@
 
     # --------------------------------------------------------------- troubles
 
-    def begin_fault(self, number: int, fault: Fault) -> None:
+    def begin_fault(self, number: int, fault: ConnectionFault) -> None:
         """From now on this befalls its share of the connections, those that are open included."""
         self.faults[number] = fault
         for link in self.links:
@@ -160,7 +160,7 @@
         self.faults.pop(number, None)
 
     @staticmethod
-    def _befall(link: Link, fault: Fault) -> None:
+    def _befall(link: Connection, fault: ConnectionFault) -> None:
         if link.fault is None and fault.rng.random() < fault.part:
             link.fault = fault
             link.silent = fault.how == "silence"
@@ -187,7 +187,7 @@
         self.listening = False
         self.work.clear()
 
-    def cut(self, silent: bool, links: list[Link]) -> None:
+    def cut(self, silent: bool, links: list[Connection]) -> None:
         """A cut of the network that these connections cross begins, or is over: then they are reset."""
         for link in links:
             link.silent = silent or self.vanished
@@ -207,7 +207,7 @@
     def start(self) -> None:
         """A new process under the same name, cold."""
         self.worked += self.model.done_work
-        self.model = model.Equipo(self.spec, self.memory, self.rng, self.queue.now, cold=True)
+        self.model = model.EmulatedServer(self.spec, self.memory, self.rng, self.queue.now, cold=True)
         self.listening, self.vanished, self.since_ms = True, False, self.queue.now
         self._armed = math.inf
         self.arm()
--- a/rosewheel/lab/simulation/network.py
+++ b/rosewheel/lab/simulation/network.py
@@ -10,49 +10,49 @@
 from typing import TYPE_CHECKING
 
 if TYPE_CHECKING:
-    from rosewheel.lab.host import Fault
-    from rosewheel.lab.simulation.host import Host, Work
-    from rosewheel.lab.simulation.node import Call, VirtualNode
+    from rosewheel.lab.server_host import ConnectionFault
+    from rosewheel.lab.simulation.host import SimulatedServerHost, SimulatedWork
+    from rosewheel.lab.simulation.node import NodeRequest, SimulatedNode
 
 # One way, with the work of both its ends: a request through an idle node on loopback takes under a millisecond more
 # than at the equipo alone, there and back over two links.
-HOP_MS = 0.2
+ONE_WAY_MS = 0.2
 
 
 @dataclass(slots=True, eq=False)
-class Link:
+class Connection:
     """An open connection."""
 
-    host: Host
-    node: VirtualNode
+    host: SimulatedServerHost
+    node: SimulatedNode
     idle_since: float = 0.0
     closed: bool = False  # by its node
     dead: bool = False  # by its host
     silent: bool = False  # a fault: whatever is sent, nothing is said
-    fault: Fault | None = None
+    fault: ConnectionFault | None = None
     used: int = 0  # requests so far
-    way_ms: float = HOP_MS  # from one end to the other
-    work: Work | None = None  # what the host works on for it
-    exchange: Exchange | None = None
+    way_ms: float = ONE_WAY_MS  # from one end to the other
+    work: SimulatedWork | None = None  # what the host works on for it
+    exchange: Attempt | None = None
 
 
 @dataclass(slots=True, eq=False)
-class Exchange:
+class Attempt:
     """An attempt on its way."""
 
-    call: Call
+    call: NodeRequest
     number: int
     timeout_ms: float
     began_ms: float
-    link: Link | None = None
+    link: Connection | None = None
     over: bool = False  # given up by its node, or settled
 
 
 @dataclass(slots=True, eq=False)
-class Pool:
+class ConnectionPool:
     """What a node holds towards one equipo."""
 
     up: bool
     launched_ms: float | None
     heard_ms: float = float("-inf")  # when it last said anything
-    idle: list[Link] = field(default_factory=list)  # the one used last at the end
+    idle: list[Connection] = field(default_factory=list)  # the one used last at the end
--- a/rosewheel/lab/simulation/node.py
+++ b/rosewheel/lab/simulation/node.py
@@ -12,11 +12,11 @@
 from typing import Protocol
 
 from rosewheel.http.upstream import IDLE_PART, SETTLE_S, SILENT_S, SWEEP_S
-from rosewheel.lab.retry import Verdict
-from rosewheel.lab.simulation.events import Queue
-from rosewheel.lab.simulation.host import Host, Report
-from rosewheel.lab.simulation.network import HOP_MS, Exchange, Link, Pool
-from rosewheel.lab.simulation.topology import Areas
+from rosewheel.lab.retry import AttemptOutcome
+from rosewheel.lab.simulation.events import EventQueue
+from rosewheel.lab.simulation.host import Report, SimulatedServerHost
+from rosewheel.lab.simulation.network import ONE_WAY_MS, Attempt, Connection, ConnectionPool
+from rosewheel.lab.simulation.topology import Topology
 from rosewheel.node.core import (
     Abort,
     Answer,
@@ -36,7 +36,7 @@
 
 
 @dataclass(slots=True, eq=False)
-class Call:
+class NodeRequest:
     """A request at a node, and who waits for its answer."""
 
     rid: str
@@ -45,33 +45,33 @@
     work_ms: float
     key: str
     patience_ms: float
-    done: Callable[[Verdict], None]
+    done: Callable[[AttemptOutcome], None]
     abandoned: bool = False
 
 
-class Hosts(Protocol):
+class NodeEnvironment(Protocol):
     """What a node needs of its world."""
 
-    queue: Queue
-    hosts: dict[str, Host]
-    areas: Areas
+    queue: EventQueue
+    hosts: dict[str, SimulatedServerHost]
+    areas: Topology
 
-    def answered_by(self, node: VirtualNode, exchange: Exchange, result: AttemptResult) -> None:
+    def answered_by(self, node: SimulatedNode, exchange: Attempt, result: AttemptResult) -> None:
         """How an attempt ended, as its node sees it."""
 
 
-class VirtualNode:
+class SimulatedNode:
     def __init__(
-        self, world: Hosts, name: str, tier: int, settings: Settings, bounds: Bounds, seed: int
+        self, world: NodeEnvironment, name: str, tier: int, settings: Settings, bounds: Bounds, seed: int
     ) -> None:
         self.world, self.name, self.tier, self.bounds = world, name, tier, bounds
         self.queue, self.zone = world.queue, settings.zone
         self.node = Node(settings, bounds, seed, self.queue.now)
-        self.calls: dict[str, Call] = {}
-        self.pools: dict[str, Pool] = {}
-        self.idle: dict[Link, None] = {}  # of all pools, the longest idle first
-        self.links: dict[Link, None] = {}
-        self.out: dict[tuple[str, int], Exchange] = {}
+        self.calls: dict[str, NodeRequest] = {}
+        self.pools: dict[str, ConnectionPool] = {}
+        self.idle: dict[Connection, None] = {}  # of all pools, the longest idle first
+        self.links: dict[Connection, None] = {}
+        self.out: dict[tuple[str, int], Attempt] = {}
         self.coming = 0  # connections that are coming up
         self.most = max(8, bounds.sockets - RESERVED_DESCRIPTORS)
         self.rest = Rest(bounds.conn_idle_ms / 1000.0, settings.balancer_count > FEW)
@@ -81,13 +81,13 @@
 
     # ----------------------------------------------------------------- callers
 
-    def ask(self, call: Call) -> None:
+    def ask(self, call: NodeRequest) -> None:
         """A request of which the last byte has just been sent."""
-        self.queue.after(HOP_MS, self._asked, call)
+        self.queue.after(ONE_WAY_MS, self._asked, call)
 
-    def _asked(self, call: Call) -> None:
+    def _asked(self, call: NodeRequest) -> None:
         if self.dead:
-            self.queue.after(HOP_MS, call.done, Verdict(why="unreachable"))
+            self.queue.after(ONE_WAY_MS, call.done, AttemptOutcome(why="unreachable"))
             return
         if call.abandoned:
             return
@@ -95,12 +95,12 @@
         self.calls[call.rid] = call
         self.apply(self.node.request(self.queue.now, RequestReceived(call.rid, call.service, give_up)))
 
-    def abandon(self, call: Call) -> None:
+    def abandon(self, call: NodeRequest) -> None:
         """Whoever asked has closed the connection."""
         call.abandoned = True
-        self.queue.after(HOP_MS, self._gone, call)
+        self.queue.after(ONE_WAY_MS, self._gone, call)
 
-    def _gone(self, call: Call) -> None:
+    def _gone(self, call: NodeRequest) -> None:
         if not self.dead and self.calls.get(call.rid) is call:
             del self.calls[call.rid]
             self.apply(self.node.client_gone(self.queue.now, call.rid))
@@ -123,7 +123,7 @@
                 continue
             up = server.state is ServerState.UP
             if pool is None:
-                self.pools[server.address] = Pool(up, server.launched_ms)
+                self.pools[server.address] = ConnectionPool(up, server.launched_ms)
                 continue
             if not up or pool.launched_ms != server.launched_ms:
                 self._retire(pool)
@@ -162,14 +162,14 @@
             return
         # To the millisecond, as the program writes it.
         retry_s = round(answer.retry_after_ms / 1000.0, 3) if answer.retry_after_ms > 0.0 else None
-        self.queue.after(HOP_MS, call.done, Verdict(answer.status, "", retry_s))
+        self.queue.after(ONE_WAY_MS, call.done, AttemptOutcome(answer.status, "", retry_s))
 
     def _start(self, effect: Dispatch) -> None:
         call = self.calls.get(effect.id)
         if call is None:
             self.queue.after(0.0, self._ended, effect.id, effect.attempt, AttemptResult.CANCELLED, None)
             return
-        exchange = Exchange(call, effect.attempt, effect.timeout_ms, self.queue.now)
+        exchange = Attempt(call, effect.attempt, effect.timeout_ms, self.queue.now)
         self.out[effect.id, effect.attempt] = exchange
         pool = self.pools.get(effect.server)
         if pool is not None and pool.up:
@@ -182,7 +182,7 @@
                     return
         self._open(effect.server, pool, exchange)
 
-    def _open(self, server: str, pool: Pool | None, exchange: Exchange) -> None:
+    def _open(self, server: str, pool: ConnectionPool | None, exchange: Attempt) -> None:
         host = self.world.hosts.get(server)
         if pool is None or not pool.up or host is None or not self._room():
             self.queue.after(0.0, self._failed, exchange)
@@ -192,13 +192,15 @@
         wait = self.bounds.connect_timeout_ms if silent else 2.0 * self._way_ms(host)
         self.queue.after(wait, self._opened, server, pool, host, exchange)
 
-    def _way_ms(self, host: Host) -> float:
+    def _way_ms(self, host: SimulatedServerHost) -> float:
         return self.world.areas.way_ms(self.zone, host.spec.zone)
 
-    def _apart(self, host: Host) -> bool:
+    def _apart(self, host: SimulatedServerHost) -> bool:
         return self.world.areas.apart(self.zone, host.spec.zone)
 
-    def _opened(self, server: str, pool: Pool, host: Host, exchange: Exchange) -> None:
+    def _opened(
+        self, server: str, pool: ConnectionPool, host: SimulatedServerHost, exchange: Attempt
+    ) -> None:
         self.coming -= 1
         if self.dead or exchange.over:
             return
@@ -207,23 +209,23 @@
         if not there or self.pools.get(server) is not pool or not pool.up:
             self._failed(exchange)
             return
-        link = Link(host, self, way_ms=self._way_ms(host))
+        link = Connection(host, self, way_ms=self._way_ms(host))
         self.links[link] = None
         host.made(link)
         self._send(link, exchange)
 
-    def _failed(self, exchange: Exchange) -> None:
+    def _failed(self, exchange: Attempt) -> None:
         if not exchange.over:
             exchange.over = True
             self._settled(exchange, AttemptResult.CONNECT_FAILED, None)
 
-    def _send(self, link: Link, exchange: Exchange) -> None:
+    def _send(self, link: Connection, exchange: Attempt) -> None:
         self.node.figures.tried()
         link.exchange, exchange.link = exchange, link
         link.used += 1
         self.queue.after(link.way_ms, link.host.asked, link, exchange)
 
-    def returned(self, exchange: Exchange, result: AttemptResult, report: Report | None, keep: bool) -> None:
+    def returned(self, exchange: Attempt, result: AttemptResult, report: Report | None, keep: bool) -> None:
         """An answer has come, or a connection has ended in its stead."""
         link = exchange.link
         if self.dead or exchange.over or link is None:
@@ -244,7 +246,7 @@
             self._close(link)
         self._settled(exchange, result, report)
 
-    def broken(self, link: Link) -> None:
+    def broken(self, link: Connection) -> None:
         """Its server has reset it."""
         if self.dead or link.closed:
             return
@@ -257,7 +259,7 @@
             exchange.over = True
             self._settled(exchange, AttemptResult.RESET, None)
 
-    def _settled(self, exchange: Exchange, result: AttemptResult, report: Report | None) -> None:
+    def _settled(self, exchange: Attempt, result: AttemptResult, report: Report | None) -> None:
         del self.out[exchange.call.rid, exchange.number]
         self.world.answered_by(self, exchange, result)
         self._ended(exchange.call.rid, exchange.number, result, report)
@@ -295,7 +297,7 @@
         self._close(oldest)
         return True
 
-    def _close(self, link: Link) -> None:
+    def _close(self, link: Connection) -> None:
         if link.closed:
             return
         link.closed = True
@@ -304,7 +306,7 @@
         if not link.dead:
             self.queue.after(link.way_ms, link.host.lost, link)
 
-    def _retire(self, pool: Pool) -> None:
+    def _retire(self, pool: ConnectionPool) -> None:
         idle, pool.idle = pool.idle, []
         for link in idle:
             self._close(link)
@@ -323,7 +325,7 @@
 
     def _probe(self, server: str) -> None:
         host = self.world.hosts.get(server)
-        way = HOP_MS if host is None else self._way_ms(host)
+        way = ONE_WAY_MS if host is None else self._way_ms(host)
         self.queue.after(way, self._probes, server, self.queue.now)
 
     def _probes(self, server: str, began: float) -> None:
@@ -331,7 +333,7 @@
         result, report, wait = (
             AttemptResult.CONNECT_FAILED,
             None,
-            HOP_MS if host is None else self._way_ms(host),
+            ONE_WAY_MS if host is None else self._way_ms(host),
         )
         if host is not None and (host.vanished or self._apart(host)):
             result, wait = AttemptResult.TIMEOUT, self.bounds.probe_timeout_ms
@@ -353,7 +355,7 @@
         self.dead = True
         for call in self.calls.values():
             if not call.abandoned:
-                self.queue.after(HOP_MS, call.done, Verdict(why="broken"))
+                self.queue.after(ONE_WAY_MS, call.done, AttemptOutcome(why="broken"))
         self.calls.clear()
         for link in list(self.links):
             self._close(link)
--- a/rosewheel/lab/simulation/outages.py
+++ b/rosewheel/lab/simulation/outages.py
@@ -4,23 +4,23 @@
 
 from typing import TYPE_CHECKING
 
-from rosewheel.lab.equipo import State
-from rosewheel.lab.plan import Step, zones_of
-from rosewheel.lab.simulation.clients import Front
-from rosewheel.lab.simulation.host import Host
-from rosewheel.lab.simulation.network import Link
+from rosewheel.lab.plan import FaultStep, zones_of
+from rosewheel.lab.server_model import LifecycleState
+from rosewheel.lab.simulation.clients import SimulatedDispatcher
+from rosewheel.lab.simulation.host import SimulatedServerHost
+from rosewheel.lab.simulation.network import Connection
 from rosewheel.policy.events import ServerState
 
 if TYPE_CHECKING:
-    from rosewheel.lab.simulation.world import World
+    from rosewheel.lab.simulation.fleet import SimulatedFleet
 
 
-class Losses:
-    def __init__(self, world: World) -> None:
+class ZoneOutages:
+    def __init__(self, world: SimulatedFleet) -> None:
         self.world = world
-        self._lost: dict[int, list[Host]] = {}  # by trouble
+        self._lost: dict[int, list[SimulatedServerHost]] = {}  # by trouble
 
-    def loss(self, step: Step, front: Front, begins: bool) -> None:
+    def loss(self, step: FaultStep, front: SimulatedDispatcher, begins: bool) -> None:
         """All that runs there is lost in silence, nodes of the front too; later it starts anew, cold."""
         world, zones = self.world, self._zones(step)
         if not begins:
@@ -41,7 +41,7 @@
             if node.zone in zones:
                 world.node_dies(name, front, world.length_ms(step))
 
-    def cut(self, step: Step, begins: bool) -> None:
+    def cut(self, step: FaultStep, begins: bool) -> None:
         """Nothing gets in or out, but for what clients ask the front's nodes there."""
         world, zones = self.world, self._zones(step)
         before = {host: self._crossing(host) for host in world.hosts.values()}
@@ -59,13 +59,13 @@
             if begins:
                 registry.cut(zones)
             else:
-                up = (host for host in there if host.listening and host.model.state is State.UP)
+                up = (host for host in there if host.listening and host.model.state is LifecycleState.UP)
                 registry.mend(zones, [world.entry(host) for host in up if host.spec.tier == tier])
 
-    def _zones(self, step: Step) -> frozenset[str]:
+    def _zones(self, step: FaultStep) -> frozenset[str]:
         scenario = self.world.plan.scenario
         return frozenset(zones_of(scenario, scenario.troubles[step.trouble]))
 
-    def _crossing(self, host: Host) -> list[Link]:
+    def _crossing(self, host: SimulatedServerHost) -> list[Connection]:
         """Its connections to nodes that nothing gets to."""
         return [link for link in host.links if self.world.areas.apart(link.node.zone, host.spec.zone)]
--- a/rosewheel/lab/simulation/simulate.py
+++ b/rosewheel/lab/simulation/simulate.py
@@ -11,20 +11,20 @@
 import msgspec
 
 from rosewheel.config.checked import Problem, ProblemsError
-from rosewheel.lab.ledger import Ledger
+from rosewheel.lab.invariant_checker import InvariantChecker
 from rosewheel.lab.plan import Plan
-from rosewheel.lab.records import Writer
+from rosewheel.lab.records import RecordWriter
 from rosewheel.lab.scenario import Scenario
-from rosewheel.lab.simulation.clients import Clients, Front
-from rosewheel.lab.simulation.events import Queue
-from rosewheel.lab.simulation.figures import Tally, of_tiers
-from rosewheel.lab.simulation.world import World
+from rosewheel.lab.simulation.clients import SimulatedClients, SimulatedDispatcher
+from rosewheel.lab.simulation.events import EventQueue
+from rosewheel.lab.simulation.fleet import SimulatedFleet
+from rosewheel.lab.simulation.statistics import RunStatistics, tier_statistics
 
 LEAD_MS = 500.0  # between the start of the last node and the plan's beginning
 SLICE_MS = 100.0
-AFTER_MS = 10_000.0
-LONGEST_MS = 120_000.0  # after the last arrival nobody waits for longer
-STREAMS = ("run", "load", "equipos")
+AFTER_RESTART_MS = 10_000.0
+MAX_TAIL_MS = 120_000.0  # after the last arrival nobody waits for longer
+RECORD_FILES = ("run", "load", "equipos")
 
 Progress = Callable[[float, int, float], None]  # seconds simulated, events, seconds of wall clock
 
@@ -32,13 +32,15 @@
 class Recorder:
     """Every record in the order in which it was made: into a digest, the ledger, and files if there is a folder."""
 
-    def __init__(self, ledger: Ledger, folder: Path | None) -> None:
+    def __init__(self, ledger: InvariantChecker, folder: Path | None) -> None:
         self.ledger = ledger
         self.backs: list[float] = []
         self.rows = 0
         self._hash = hashlib.blake2b(digest_size=8)
         self._encode = msgspec.json.Encoder().encode
-        self._files = {} if folder is None else {name: Writer(folder / f"{name}.jsonl") for name in STREAMS}
+        self._files = (
+            {} if folder is None else {name: RecordWriter(folder / f"{name}.jsonl") for name in RECORD_FILES}
+        )
 
     def write(self, name: str, row: dict[str, Any]) -> None:
         self.rows += 1
@@ -56,7 +58,7 @@
         return self._hash.hexdigest()
 
 
-def check(scenario: Scenario) -> None:
+def check_simulated(scenario: Scenario) -> None:
     """ProblemsError where a scenario wants what is not simulated."""
     for at, trouble in enumerate(scenario.troubles):
         if trouble.kills:
@@ -70,19 +72,19 @@
     def __init__(self, plan: Plan, folder: Path | None = None) -> None:
         self.plan = plan
         spread_ms = plan.scenario.nodes.spread_s * 1000.0
-        self.ledger = Ledger(plan.scenario)
+        self.ledger = InvariantChecker(plan.scenario)
         self.recorder = Recorder(self.ledger, folder)
-        self.queue = Queue(-(spread_ms + LEAD_MS))
-        self.world = World(plan, self.queue, self.recorder.write)
-        self.tally = Tally(plan)
-        self.clients: Clients | None = None
+        self.queue = EventQueue(-(spread_ms + LEAD_MS))
+        self.world = SimulatedFleet(plan, self.queue, self.recorder.write)
+        self.tally = RunStatistics(plan)
+        self.clients: SimulatedClients | None = None
         self.world.start(self._begin)
 
     def _begin(self) -> None:
         """All nodes are up: clients and troubles take their places."""
         plan, queue = self.plan, self.queue
-        front = Front(queue, self.world.nodes, plan.notice_ms)
-        self.clients = Clients(
+        front = SimulatedDispatcher(queue, self.world.nodes, plan.notice_ms)
+        self.clients = SimulatedClients(
             plan, queue, front, lambda row: self.recorder.write("load", row), self.tally.take
         )
         for step in plan.steps:
@@ -101,7 +103,7 @@
         end = self.plan.scenario.seconds * 1000.0
         if self.clients is None or self.queue.now < end:
             return False
-        return self.clients.done or self.queue.now >= end + LONGEST_MS
+        return self.clients.done or self.queue.now >= end + MAX_TAIL_MS
 
     def run(self, progress: Progress | None = None) -> dict[str, Any]:
         """Play it to its end and say what came of it."""
@@ -120,7 +122,7 @@
         scenario, tally = self.plan.scenario, self.tally
         digest, broken, swing = self.recorder.close(), self.ledger.close(), tally.swing()
         windows = [
-            tally.service(back, back + AFTER_MS)
+            tally.service(back, back + AFTER_RESTART_MS)
             for back in self.recorder.backs
             if 0.0 <= back < scenario.seconds * 1000.0
         ]
@@ -147,7 +149,7 @@
             "fell": self.ledger.fell,
             "overloads": len(self.ledger.overloads),
             "cold_most": round(self.ledger.cold_most, 3),
-            "tiers": of_tiers(self.world),
+            "tiers": tier_statistics(self.world),
             "rules": broken.row(),
             "crashed": [],
             "events": self.queue.done,
--- a/rosewheel/lab/simulation/figures.py
+++ b/rosewheel/lab/simulation/statistics.py
@@ -8,15 +8,15 @@
 from hdrh.histogram import HdrHistogram
 
 from rosewheel.lab.plan import Plan
-from rosewheel.lab.simulation.clients import Op
-from rosewheel.lab.simulation.world import World
+from rosewheel.lab.simulation.clients import SimulatedOperation
+from rosewheel.lab.simulation.fleet import SimulatedFleet
 from rosewheel.policy.events import AttemptResult
 
 BIN_MS = 100.0
-WORST_MS = 10_000.0
+WORST_WINDOW_MS = 10_000.0
 
 
-class Tally:
+class RunStatistics:
     """Takes each wish as it ends."""
 
     def __init__(self, plan: Plan) -> None:
@@ -29,7 +29,7 @@
         self.counts = {name: {"asked": 0, "served": 0, "in_time": 0} for name in names}
         self.tries = 0
 
-    def take(self, op: Op, in_time: bool) -> None:
+    def take(self, op: SimulatedOperation, in_time: bool) -> None:
         arrival, last = op.arrival, op.tries[-1]
         served = last["status"] == 200
         counts = self.counts[arrival.service]
@@ -61,8 +61,10 @@
     def worst(self) -> float:
         """Service in the worst 10 s, or in all where that is shorter."""
         begin, end = self.whole
-        starts = range(round(begin), round(end - BIN_MS - WORST_MS) + 1, 1000)
-        return min((self.service(at, at + WORST_MS) for at in starts), default=self.service(begin, end))
+        starts = range(round(begin), round(end - BIN_MS - WORST_WINDOW_MS) + 1, 1000)
+        return min(
+            (self.service(at, at + WORST_WINDOW_MS) for at in starts), default=self.service(begin, end)
+        )
 
     def swing(self) -> float | None:
         """How much refusals come and go: the standard deviation of their number in each second over its mean.
@@ -74,7 +76,7 @@
         return statistics.pstdev(seconds) / statistics.fmean(seconds)
 
 
-def of_tiers(world: World) -> dict[str, dict[str, Any]]:
+def tier_statistics(world: SimulatedFleet) -> dict[str, dict[str, Any]]:
     """By tier: attempts for each request served there, attempts by how they ended, and the most used equipo's share
     of its capacity over the mean."""
     found: dict[str, dict[str, Any]] = {}
--- a/rosewheel/lab/simulation/topology.py
+++ b/rosewheel/lab/simulation/topology.py
@@ -3,10 +3,10 @@
 from __future__ import annotations
 
 from rosewheel.lab.scenario import Scenario
-from rosewheel.lab.simulation.network import HOP_MS
+from rosewheel.lab.simulation.network import ONE_WAY_MS
 
 
-class Areas:
+class Topology:
     """Zones go by their names; a scenario without regions has one."""
 
     def __init__(self, scenario: Scenario) -> None:
@@ -18,9 +18,9 @@
         """One way, with the work of both its ends."""
         network = self.network
         if here == there:
-            return HOP_MS + network.within_zone_ms
+            return ONE_WAY_MS + network.within_zone_ms
         near = self._region.get(here) == self._region.get(there)
-        return HOP_MS + (network.between_zones_ms if near else network.between_regions_ms)
+        return ONE_WAY_MS + (network.between_zones_ms if near else network.between_regions_ms)
 
     def apart(self, here: str, there: str) -> bool:
         """Whether nothing gets from one to the other."""
--- a/rosewheel/lab/slow_start.py
+++ b/rosewheel/lab/slow_start.py
@@ -32,7 +32,7 @@
 
 
 @dataclass(slots=True)
-class SlowStart:
+class ServerStart:
     """One start of an equipo, and what it was sent since."""
 
     equipo: str
@@ -53,7 +53,7 @@
             while window[0][0] <= one[0] - rules.tip_ms:
                 window.popleft()
             got = sum(item[1] for item in window)
-            allowed = self.able * allowance(rules, age - rules.tip_ms, age)
+            allowed = self.able * allowed_work_ms(rules, age - rules.tip_ms, age)
             bound = allowed + 2.0 * math.sqrt(allowed) + 2.0
             most = max(most, got / bound)
             if got > bound:
@@ -63,7 +63,7 @@
         return found, most
 
 
-def allowance(rules: RulesTable, since_ms: float, until_ms: float) -> float:
+def allowed_work_ms(rules: RulesTable, since_ms: float, until_ms: float) -> float:
     """Milliseconds of a warm equipo's capacity that a cold one may be sent between two of its ages."""
     since_ms, cold_ms = max(0.0, since_ms), rules.stated_cold_s * 1000.0
     slope = (1.0 - rules.stated_cold_from) / cold_ms if cold_ms else 0.0
--- a/rosewheel/lab/tables.py
+++ b/rosewheel/lab/tables.py
@@ -23,7 +23,7 @@
 Name = Annotated[str, Meta(pattern=r"^[a-z0-9][a-z0-9-]{0,39}$")]
 
 
-def top(value: Range) -> float:
+def upper_bound(value: Range) -> float:
     return value[1] if isinstance(value, tuple) else value
 
 
@@ -61,7 +61,7 @@
             raise KeyedError("aim_ms", "an answer is wanted after the client has given up")
 
 
-class ChokeTable(Table, frozen=True, kw_only=True):
+class OverloadSlowdownTable(Table, frozen=True, kw_only=True):
     """The lasting slowdown of an equipo with far more waiting than cores."""
 
     at: Range = (4.0, 7.0)
@@ -75,7 +75,7 @@
         self._ordered("at", "over_s", "slower", "rest_s", "below", "most_s")
 
 
-class KindTable(Table, frozen=True, kw_only=True):
+class ServerKindTable(Table, frozen=True, kw_only=True):
     name: Name
     count: Annotated[int, Meta(ge=0)]
     cores: Count = 2
@@ -116,8 +116,8 @@
     work: Share  # the part of a request's work that this tier does
     calls: Range = 1.0  # how often a request of the tier above calls this one, on average
     cell_size: Count = 8
-    kind: tuple[KindTable, ...]
-    choke: ChokeTable | None = ChokeTable()
+    kind: tuple[ServerKindTable, ...]
+    choke: OverloadSlowdownTable | None = OverloadSlowdownTable()
     report: ReportTable = ReportTable()
     connections_per_core: Range = (600.0, 900.0)
     connection_tax: Range = (0.15, 0.31)
@@ -139,7 +139,7 @@
 
     def __post_init__(self) -> None:
         self._ordered("times")
-        if top(self.times) == 0.0:
+        if upper_bound(self.times) == 0.0:
             raise KeyedError("times", "a call that is never made")
 
 
--- a/rosewheel/lab/wire.py
+++ b/rosewheel/lab/wire.py
@@ -17,7 +17,9 @@
 import httptools
 
 Address = tuple[str, int]
-CROSSED_MS = 20.0  # a kept connection that ends this soon after a request had been closed before it came
+STALE_CONNECTION_MS = (
+    20.0  # a kept connection that ends this soon after a request had been closed before it came
+)
 
 
 def now_ms() -> float:
@@ -25,7 +27,7 @@
     return time.monotonic() * 1000.0
 
 
-def reset(transport: asyncio.Transport) -> None:
+def reset_connection(transport: asyncio.Transport) -> None:
     """End a connection with a reset."""
     sock = transport.get_extra_info("socket")
     if sock is not None:
@@ -37,10 +39,10 @@
 
 
 @dataclass(slots=True, eq=False)
-class Asked:
+class HttpRequest:
     """A request that has come whole."""
 
-    connection: Serving
+    connection: ServerConnection
     method: bytes
     target: bytes
     headers: dict[bytes, bytes]
@@ -53,14 +55,14 @@
         return self.headers.get(name, b"").decode("latin-1")
 
 
-class Serving(asyncio.Protocol):
+class ServerConnection(asyncio.Protocol):
     """A server's end of a connection."""
 
     def __init__(
         self,
-        asked: Callable[[Asked], None],
-        made: Callable[[Serving], None] | None = None,
-        lost: Callable[[Serving], None] | None = None,
+        asked: Callable[[HttpRequest], None],
+        made: Callable[[ServerConnection], None] | None = None,
+        lost: Callable[[ServerConnection], None] | None = None,
     ) -> None:
         self._asked, self._made, self._lost = asked, made, lost
         self.transport: asyncio.Transport | None = None
@@ -104,7 +106,7 @@
         assert self.parser is not None
         self.requests += 1
         method = self.parser.get_method()
-        asked = Asked(
+        asked = HttpRequest(
             self,
             method,
             self._target,
@@ -137,7 +139,7 @@
 
     def reset(self) -> None:
         if self.transport is not None:
-            reset(self.transport)
+            reset_connection(self.transport)
 
     def connection_lost(self, exc: Exception | None) -> None:
         self.transport = None
@@ -150,7 +152,7 @@
 
 
 @dataclass(slots=True)
-class Answered:
+class HttpResponse:
     """How a request ended for its client."""
 
     status: int  # 0: no answer
@@ -160,13 +162,13 @@
 
 
 @dataclass(slots=True, eq=False)
-class Asking:
+class PendingRequest:
     """One request on its way."""
 
     data: bytes
-    done: Callable[[Answered], None]
+    done: Callable[[HttpResponse], None]
     sent_ms: float = 0.0
-    connection: Caller | None = None
+    connection: ClientConnection | None = None
     over: bool = False
     resent: bool = False
     given_up: bool = field(default=False)
@@ -177,20 +179,20 @@
         if self.connection is not None:
             self.connection.close()
 
-    def end(self, answered: Answered) -> None:
+    def end(self, answered: HttpResponse) -> None:
         if not self.over:
             self.over = True
             self.done(answered)
 
 
-class Caller(asyncio.Protocol):
+class ClientConnection(asyncio.Protocol):
     """A client's end of a connection."""
 
-    def __init__(self, peer: Peer) -> None:
+    def __init__(self, peer: HttpClient) -> None:
         self.peer = peer
         self.transport: asyncio.Transport | None = None
         self.parser: httptools.HttpResponseParser | None = httptools.HttpResponseParser(self)
-        self.asking: Asking | None = None
+        self.asking: PendingRequest | None = None
         self.used = 0
         self._complete = False
         self._keep = False
@@ -205,7 +207,7 @@
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = cast(asyncio.Transport, transport)
 
-    def send(self, asking: Asking) -> None:
+    def send(self, asking: PendingRequest) -> None:
         assert self.transport is not None
         self.used += 1
         self.asking, asking.connection = asking, self
@@ -224,14 +226,14 @@
             self.parser.feed_data(data)
         except httptools.HttpParserError:
             if not self._complete:
-                self._end(Answered(0, why="broken"), keep=False)
+                self._end(HttpResponse(0, why="broken"), keep=False)
                 return
             self.peer.surplus += 1
             self._keep = False
         if self._complete:
             assert self.parser is not None
             status = self.parser.get_status_code()
-            self._end(Answered(status, b"".join(self._body), self._retry_after), keep=self._keep)
+            self._end(HttpResponse(status, b"".join(self._body), self._retry_after), keep=self._keep)
 
     def on_header(self, name: bytes, value: bytes) -> None:
         if name.lower() == b"retry-after":
@@ -251,7 +253,7 @@
         assert self.parser is not None
         self._complete, self._keep = True, self.parser.should_keep_alive()
 
-    def _end(self, answered: Answered, keep: bool) -> None:
+    def _end(self, answered: HttpResponse, keep: bool) -> None:
         asking, self.asking = self.asking, None
         self._begin()
         if keep and self.transport is not None and not self.transport.is_closing():
@@ -274,32 +276,32 @@
         if asking is None or asking.over:
             return
         asking.connection = None
-        crossed = self.used > 1 and not self._heard and now_ms() - asking.sent_ms < CROSSED_MS
+        crossed = self.used > 1 and not self._heard and now_ms() - asking.sent_ms < STALE_CONNECTION_MS
         if crossed and not asking.resent:
             asking.resent = True
             self.peer.start(asking, fresh=True)
         else:
-            asking.end(Answered(0, why="broken"))
+            asking.end(HttpResponse(0, why="broken"))
 
 
-class Peer:
+class HttpClient:
     """A server and this client's connections to it."""
 
     def __init__(self, address: Address) -> None:
         self.address = address
         self.loop = asyncio.get_running_loop()
-        self.idle: list[Caller] = []
-        self.open: set[Caller] = set()
+        self.idle: list[ClientConnection] = []
+        self.open: set[ClientConnection] = set()
         self.surplus = 0  # answers that nobody had asked for
         self._tasks: set[asyncio.Task[None]] = set()
 
-    def ask(self, data: bytes, done: Callable[[Answered], None], fresh: bool = False) -> Asking:
+    def ask(self, data: bytes, done: Callable[[HttpResponse], None], fresh: bool = False) -> PendingRequest:
         """Send this request, on a kept connection unless a `fresh` one is wanted; `done` is called once."""
-        asking = Asking(data, done)
+        asking = PendingRequest(data, done)
         self.start(asking, fresh)
         return asking
 
-    def start(self, asking: Asking, fresh: bool = False) -> None:
+    def start(self, asking: PendingRequest, fresh: bool = False) -> None:
         while self.idle and not fresh:
             connection = self.idle.pop()
             if connection.transport is not None and not connection.transport.is_closing():
@@ -309,12 +311,12 @@
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
-    async def _connect(self, asking: Asking) -> None:
-        connection = Caller(self)
+    async def _connect(self, asking: PendingRequest) -> None:
+        connection = ClientConnection(self)
         try:
             await self.loop.create_connection(lambda: connection, *self.address)
         except OSError:
-            asking.end(Answered(0, why="unreachable"))
+            asking.end(HttpResponse(0, why="unreachable"))
             return
         self.open.add(connection)
         if asking.over:
@@ -322,7 +324,7 @@
         else:
             connection.send(asking)
 
-    def forget(self, connection: Caller) -> None:
+    def forget(self, connection: ClientConnection) -> None:
         self.open.discard(connection)
         if connection in self.idle:
             self.idle.remove(connection)
--- a/tests/lab/test_emulator.py
+++ b/tests/lab/test_emulator.py
@@ -19,12 +19,12 @@
 
 from rosewheel.config.checked import parse
 from rosewheel.lab import plan as plans
-from rosewheel.lab.catalog import Entry, Registry
-from rosewheel.lab.emulator import Emulator, request
-from rosewheel.lab.host import Fault, Host
-from rosewheel.lab.records import Writer, read
+from rosewheel.lab.discovery import DiscoveryEntry, DiscoveryRegistry
+from rosewheel.lab.emulator import Emulator, encode_request
+from rosewheel.lab.random_streams import random_stream
+from rosewheel.lab.records import RecordWriter, read_records
 from rosewheel.lab.scenario import Scenario
-from rosewheel.lab.streams import stream
+from rosewheel.lab.server_host import ConnectionFault, EmulatedServerHost
 from rosewheel.lab.wire import now_ms
 from tests.support.sockets import Message, read_message, run, status, until
 
@@ -67,7 +67,7 @@
 
 @contextlib.asynccontextmanager
 async def emulated(folder: Path, text: str = TEXT) -> AsyncIterator[Emulator]:
-    records = Writer(folder / "equipos.jsonl")
+    records = RecordWriter(folder / "equipos.jsonl")
     emulator = Emulator(plans.make(parse(text, Scenario, "s")), folder, records)
     try:
         await emulator.start()
@@ -78,14 +78,14 @@
         records.close()
 
 
-def first(emulator: Emulator) -> Host:
+def first(emulator: Emulator) -> EmulatedServerHost:
     return next(iter(emulator.hosts.values()))
 
 
 class Plain:
     """A client's connection with nothing clever about it."""
 
-    def __init__(self, host: Host) -> None:
+    def __init__(self, host: EmulatedServerHost) -> None:
         self.host, self.sent = host, 0
 
     async def __aenter__(self) -> Plain:
@@ -99,7 +99,7 @@
         self, rid: str, service: str = "post", work: float = 20.0, key: str = "", node: str = ""
     ) -> None:
         effect = "keyed" if key else "unsafe"
-        self.writer.write(request(service, effect, rid, 2000, node, rid, work, key, 10))
+        self.writer.write(encode_request(service, effect, rid, 2000, node, rid, work, key, 10))
 
     async def answer(self) -> Message | None:
         async with asyncio.timeout(20.0):
@@ -111,7 +111,7 @@
 
 
 def jobs(folder: Path) -> list[dict[str, Any]]:
-    return [row for row in read(folder / "equipos.jsonl") if row["e"] == "job"]
+    return [row for row in read_records(folder / "equipos.jsonl") if row["e"] == "job"]
 
 
 def test_an_answer_is_made_for_its_request_and_tells_the_load(tmp_path: Path):
@@ -184,7 +184,9 @@
             host = first(emulator)
             async with Plain(host) as client:
                 await until(lambda: len(host.connections) == 1)
-                host.begin_fault(0, Fault(how, 1.0, 1.0, stream(1, "fault")))  # also of what is open
+                host.begin_fault(
+                    0, ConnectionFault(how, 1.0, 1.0, random_stream(1, "fault"))
+                )  # also of what is open
                 client.send("r1")
                 if how == "reset":
                     with pytest.raises(ConnectionResetError):
@@ -317,15 +319,17 @@
 def test_changes_are_told_late_in_order_and_not_while_discovery_is_down():
     async def main() -> None:
         heard: list[tuple[str, str, str]] = []
-        registry = Registry(lambda _change, _node: 1.0, lambda n, h, e, _at: heard.append((n, h, e.health)))
-        registry.set(Entry("s", "127.0.0.1:1", "z", 0), "add", at_once=True)
+        registry = DiscoveryRegistry(
+            lambda _change, _node: 1.0, lambda n, h, e, _at: heard.append((n, h, e.health))
+        )
+        registry.set(DiscoveryEntry("s", "127.0.0.1:1", "z", 0), "add", at_once=True)
         agent = registry.agent("n0")
         reader, writer = await watch(await agent.start(), 0)
         row = await told(reader)
         assert (row["whole"], [host["host"] for host in row["hosts"]]) == (True, ["s"])
         agent.stall(True)
-        registry.set(Entry("s", "127.0.0.1:1", "z", 0, "leaving"), "drain")
-        registry.set(Entry("s", "127.0.0.1:1", "z", 0, "left"), "stop")
+        registry.set(DiscoveryEntry("s", "127.0.0.1:1", "z", 0, "leaving"), "drain")
+        registry.set(DiscoveryEntry("s", "127.0.0.1:1", "z", 0, "left"), "stop")
         await until(lambda: agent.version == 3)
         assert heard[-1][2] == "active", "what was not written was not told"
         agent.stall(False)
@@ -364,7 +368,9 @@
         folder = tmp_path if verb == "emulate" else tmp_path / "v0-s1"
         if verb == "emulate":
             process.stdout.readline()  # all is up
-        asyncio.run(until(lambda: any(row["e"] == "sample" for row in read(folder / "equipos.jsonl"))))
+        asyncio.run(
+            until(lambda: any(row["e"] == "sample" for row in read_records(folder / "equipos.jsonl")))
+        )
         family = _family(process.pid)
         assert len(family) == (2 if verb == "emulate" else 4)  # nodes; and for the experiment the emulator
         process.send_signal(how)
@@ -375,7 +381,7 @@
         host, port = msgspec.json.decode(config.read_bytes())["listen"].split(":")
         with pytest.raises(ConnectionRefusedError):
             socket.create_connection((host, int(port)))
-    assert all("e" in row for row in read(folder / "equipos.jsonl"))
+    assert all("e" in row for row in read_records(folder / "equipos.jsonl"))
     assert process.returncode == {"emulate": 0, "experiment": 130}[verb] or how is signal.SIGKILL
 
 
@@ -410,4 +416,4 @@
 def test_records_are_readable_up_to_a_torn_line(tmp_path: Path):
     path = tmp_path / "r.jsonl"
     path.write_bytes(b'{"e":"a"}\n{"e":"b"}\n{"e":"c","t"')
-    assert [row["e"] for row in read(path)] == ["a", "b"]
+    assert [row["e"] for row in read_records(path)] == ["a", "b"]
