--- a/tests/lab/test_graph.py
+++ b/tests/lab/test_graph.py
@@ -15,13 +15,13 @@
 
 from rosewheel.cli.main import main
 from rosewheel.config.checked import ProblemsError, parse
-from rosewheel.lab import experiment, graph, plan, records, scenario
-from rosewheel.lab.graph import CircleError
+from rosewheel.lab import experiment, plan, records, scenario, service_graph
 from rosewheel.lab.scenario import Scenario
-from rosewheel.lab.simulation.host import Host
-from rosewheel.lab.simulation.network import HOP_MS
+from rosewheel.lab.service_graph import CallCycleError
+from rosewheel.lab.simulation.host import SimulatedServerHost
+from rosewheel.lab.simulation.network import ONE_WAY_MS
 from rosewheel.lab.simulation.simulate import Simulation, simulate
-from rosewheel.lab.simulation.topology import Areas
+from rosewheel.lab.simulation.topology import Topology
 
 SHORT = settings(max_examples=25, deadline=None, derandomize=True)
 
@@ -177,7 +177,7 @@
 
 
 def test_twenty_levels_are_taken_and_one_more_is_not() -> None:
-    assert max(graph.levels(chain(20).called)) == 20
+    assert max(service_graph.depths(chain(20).called)) == 20
     with pytest.raises(msgspec.ValidationError, match="21 deep; 20 at most"):
         chain(21)
 
@@ -196,7 +196,7 @@
     told = {"kind": "loss", "zone": "sala", "at_s": 1.0, "for_s": 1.0}
     quiet = scenario.load("quiet", {"trouble": [told]})
     with pytest.raises(ProblemsError, match=r"trouble\[0\].kind: services, regions"):
-        experiment.check(quiet)
+        experiment.check_emulated(quiet)
 
 
 # --------------------------------------------------------------------- shapes
@@ -206,8 +206,8 @@
 def test_an_order_has_each_caller_first_or_there_is_a_circle(called: list[set[int]]) -> None:
     rows = [sorted(row) for row in called]
     try:
-        found = graph.order(rows)
-    except CircleError as error:
+        found = service_graph.topological_order(rows)
+    except CallCycleError as error:
         way = error.circle
         assert way[0] == way[-1]
         assert all(to in rows[at] for at, to in itertools.pairwise(way))
@@ -219,8 +219,8 @@
 
 def test_visits_are_counted_over_all_ways() -> None:
     edges = (((1, 1.0), (2, 0.5)), ((3, 2.0),), ((3, 1.0),), ())
-    assert graph.visits(edges) == (1.0, 1.0, 0.5, 2.5)
-    assert graph.levels([[1, 2], [3], [3], []]) == (1, 2, 2, 3)
+    assert service_graph.mean_visits(edges) == (1.0, 1.0, 0.5, 2.5)
+    assert service_graph.depths([[1, 2], [3], [3], []]) == (1, 2, 2, 3)
 
 
 def test_equipos_stand_in_their_zones_in_turn_and_grupos_lie_within_one() -> None:
@@ -239,10 +239,10 @@
 
 
 def test_a_way_takes_what_the_network_says() -> None:
-    areas = Areas(parse(GOOD, Scenario, "s"))
-    assert areas.way_ms("sur-a", "sur-a") == HOP_MS
-    assert areas.way_ms("sur-a", "sur-b") == HOP_MS + 1.0
-    assert areas.way_ms("sur-a", "norte-a") == HOP_MS + 8.0
+    areas = Topology(parse(GOOD, Scenario, "s"))
+    assert areas.way_ms("sur-a", "sur-a") == ONE_WAY_MS
+    assert areas.way_ms("sur-a", "sur-b") == ONE_WAY_MS + 1.0
+    assert areas.way_ms("sur-a", "norte-a") == ONE_WAY_MS + 8.0
     areas.cut(0, frozenset(["sur-a", "sur-b"]))
     assert areas.apart("sur-b", "norte-a")
     assert not areas.apart("sur-a", "sur-b")
@@ -276,7 +276,7 @@
 
 def jobs(one: plan.Plan, folder: Path) -> list[dict[str, Any]]:
     assert simulate(one, folder)["ok"]
-    return [row for row in records.read(folder / "equipos.jsonl") if row["e"] == "job"]
+    return [row for row in records.read_records(folder / "equipos.jsonl") if row["e"] == "job"]
 
 
 def test_a_request_twenty_deep_is_answered_once_at_each_level(tmp_path: Path) -> None:
@@ -287,7 +287,7 @@
         by.setdefault(row["op"].split("/")[0], Counter())[row["tier"]] += 1
     assert set(by) == {item.op for item in one.arrivals}
     assert all(levels == dict.fromkeys(range(20), 1) for levels in by.values())
-    wishes = [row for row in records.read(tmp_path / "load.jsonl") if row["e"] == "op"]
+    wishes = [row for row in records.read_records(tmp_path / "load.jsonl") if row["e"] == "op"]
     assert all(row["in_time"] and len(row["tries"]) == 1 for row in wishes)
 
 
@@ -308,14 +308,16 @@
     told = parse(GOOD[: GOOD.index("[[trouble]]")], Scenario, "s")
     one = plan.make(told)
     found: Counter[int] = Counter(row["tier"] for row in jobs(one, tmp_path))
-    means = graph.visits(one.edges)
+    means = service_graph.mean_visits(one.edges)
     asked = len(one.arrivals)
     assert found[0] == asked
     # Of each of some 600 requests: far outside chance.
     assert all(abs(found[at] / asked - mean) < 0.15 for at, mean in enumerate(means))
     assert means[3] == pytest.approx(means[1] + 0.6)
     callers = {
-        row["node"].split("-")[1] for row in records.read(tmp_path / "equipos.jsonl") if row.get("tier") == 3
+        row["node"].split("-")[1]
+        for row in records.read_records(tmp_path / "equipos.jsonl")
+        if row.get("tier") == 3
     }
     assert callers == {"albumes", "perfiles"}
 
@@ -380,7 +382,7 @@
     run = Simulation(plan.make(regions([LOSS | {"kind": kind}])), tmp_path)
     summary = run.run()
     assert summary["ok"], summary["rules"]
-    rows = [row for row in records.read(tmp_path / "equipos.jsonl") if row["e"] == "job"]
+    rows = [row for row in records.read_records(tmp_path / "equipos.jsonl") if row["e"] == "job"]
     zone = {spec.name: spec.zone for spec in run.plan.equipos}
     inside = [row for row in rows if zone[row["equipo"]] != "norte-a" and row["ran"]]
     before = [row for row in inside if row["came"] < 2000.0]
@@ -413,7 +415,7 @@
         work = sum(host.model.done_work for host in lost)
         run.queue.run(3000.0)
         done.append(sum(host.model.done_work for host in lost) - work)
-        monkeypatch.setattr(Host, "lose", Host.vanish)
+        monkeypatch.setattr(SimulatedServerHost, "lose", SimulatedServerHost.vanish)
     assert done[0] == 0.0
     assert done[1] > 0.0
 
--- a/tests/lab/test_lab.py
+++ b/tests/lab/test_lab.py
@@ -12,12 +12,12 @@
 
 from rosewheel.cli.main import main
 from rosewheel.lab import experiment as experiments
-from rosewheel.lab import ledger
+from rosewheel.lab import invariant_checker
 from rosewheel.lab import plan as plans
 from rosewheel.lab import scenario as scenarios
-from rosewheel.lab.load import Load
-from rosewheel.lab.records import Writer, read
-from rosewheel.lab.report import spans_from
+from rosewheel.lab.load import LoadGenerator
+from rosewheel.lab.records import RecordWriter, read_records
+from rosewheel.lab.report import fault_spans
 from rosewheel.lab.wire import now_ms
 from tests.support.sockets import FakeServer, Message, answer, run
 
@@ -37,7 +37,7 @@
 
 def asked_of(
     tmp_path: Path, handler: Any, changes: dict[str, object] | None = None, at_once: bool = True
-) -> tuple[list[dict[str, Any]], FakeServer, Load]:
+) -> tuple[list[dict[str, Any]], FakeServer, LoadGenerator]:
     """The clients of a small plan against a node that does what the handler says."""
     plan = plans.make(scenarios.load("quiet", QUICK | (changes or {})))
     kept: list[Any] = []
@@ -50,15 +50,15 @@
                 await handler(message, writer)
 
         async with FakeServer(well).up() as server:
-            records = Writer(tmp_path / "load.jsonl")
-            load = Load(plan, {"n0": ("127.0.0.1", server.port)}, records)
+            records = RecordWriter(tmp_path / "load.jsonl")
+            load = LoadGenerator(plan, {"n0": ("127.0.0.1", server.port)}, records)
             kept.extend([server, load])
             # With the plan's beginning in the past, all is due at once.
             await load.run(now_ms() - (plan.scenario.seconds * 1000.0 if at_once else 0.0))
             records.close()
 
     run(play())
-    ops = [row for row in read(tmp_path / "load.jsonl") if row["e"] == "op"]
+    ops = [row for row in read_records(tmp_path / "load.jsonl") if row["e"] == "op"]
     assert len(ops) == len(plan.arrivals)
     return ops, kept[0], kept[1]
 
@@ -117,7 +117,7 @@
         writer.write(answer(body=b"somebody else's"))
 
     asked_of(tmp_path, wrong)
-    broken = ledger.audit(scenarios.load("quiet"), tmp_path)
+    broken = invariant_checker.check_records(scenarios.load("quiet"), tmp_path)
     assert broken.foreign
     assert not broken.unanswered
 
@@ -128,7 +128,7 @@
 
     ops, _, _ = asked_of(tmp_path, drop, {"clients.new_connection": 1.0})
     assert all(len(op["tries"]) == 1 for op in ops)
-    broken = ledger.audit(scenarios.load("quiet"), tmp_path)
+    broken = invariant_checker.check_records(scenarios.load("quiet"), tmp_path)
     assert len(broken.unanswered) == len(ops)
 
 
@@ -137,7 +137,7 @@
         writer.write(answer(body=own(message)) * 2)
 
     asked_of(tmp_path, twice)
-    assert ledger.audit(scenarios.load("quiet"), tmp_path).double > 0
+    assert invariant_checker.check_records(scenarios.load("quiet"), tmp_path).double > 0
 
 
 def test_service_is_told_of_any_stretch_of_the_run(tmp_path: Path):
@@ -213,7 +213,7 @@
     written(tmp_path, "load.jsonl", *ops)
     written(tmp_path, "equipos.jsonl", *jobs)
     written(tmp_path, "run.jsonl", {"e": "killed", "t": 2.0, "node": "n1"})
-    broken = ledger.audit(scenarios.load("quiet"), tmp_path)
+    broken = invariant_checker.check_records(scenarios.load("quiet"), tmp_path)
     assert {key: value for key, value in broken.row().items() if value} == found
     assert (broken.count() == 0) is (not found)
 
@@ -223,7 +223,7 @@
 
 def test_an_experiment_keeps_the_rules_and_leaves_records_a_table_and_a_page(tmp_path: Path):
     """Nodes as processes, equipos in two tiers, a deploy and an upgrade, all at a small size."""
-    text = (scenarios.SHIPPED / "upgrade.toml").read_text().replace("at_s = 14", "at_s = 1.5")
+    text = (scenarios.BUNDLED_FOLDER / "upgrade.toml").read_text().replace("at_s = 14", "at_s = 1.5")
     text = text.replace("at_s = 6", "at_s = 1")
     text += '\n[[trouble]]\nkind = "deploy"\nat_s = 1\nfor_s = 1\nsize = 0.5\npart = 0.5\ndrain_s = 1\nboot_s = 0\n'
     text += "\n[discovery]\nadd_ms = 100\nnotice_ms = 100\nspread_ms = 10\n"
@@ -254,8 +254,15 @@
         assert 0.0 < summary["after_restarts"] <= 1.0
         learned = [path.read_text() for path in (out / folder / "nodes").glob("n[01]/log")]
         assert all("is taken back, of" in text for text in learned), "an upgrade begins with what was learned"
-        assert {row["e"] for row in read(out / folder / "equipos.jsonl")} >= {"job", "sample", "step", "told"}
-        assert len([row for row in read(out / folder / "run.jsonl") if row["e"] == "node-upgrade"]) == 2
+        assert {row["e"] for row in read_records(out / folder / "equipos.jsonl")} >= {
+            "job",
+            "sample",
+            "step",
+            "told",
+        }
+        assert (
+            len([row for row in read_records(out / folder / "run.jsonl") if row["e"] == "node-upgrade"]) == 2
+        )
 
 
 def _variant(path: Path, folder: str) -> scenarios.Scenario:
@@ -265,11 +272,11 @@
 
 def test_void_runs_are_counted_and_left_out_and_chance_has_an_interval():
     one = {"variant": "a", "void": False, "ok": True, "service": 0.9, "classes": {"c": {"p99_ms": 10.0}}}
-    rows = experiments.table([one, one | {"service": 0.8}, one | {"service": 0.1, "void": True}])
+    rows = experiments.summarize([one, one | {"service": 0.8}, one | {"service": 0.1, "void": True}])
     assert (rows[0].runs, rows[0].void) == (3, 1)
     assert rows[0].service == pytest.approx(0.85)
     assert rows[0].half == pytest.approx(12.706 * 0.05, rel=1e-3)  # Student's t, one degree of freedom
-    assert experiments.table([one])[0].half is None
+    assert experiments.summarize([one])[0].half is None
 
 
 def test_troubles_become_spans():
@@ -278,4 +285,4 @@
         {"t": 4000.0, "kind": "slow", "what": "end"},
         {"t": 2000.0, "kind": "faults", "what": "begin"},
     ]
-    assert spans_from(steps, 9.0) == [("slow", 1.0, 4.0), ("faults", 2.0, 9.0)]
+    assert fault_spans(steps, 9.0) == [("slow", 1.0, 4.0), ("faults", 2.0, 9.0)]
--- a/tests/lab/test_scale_network.py
+++ b/tests/lab/test_scale_network.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from rosewheel.lab.catalog import Entry
+from rosewheel.lab.discovery import DiscoveryEntry
 from rosewheel.lab.scale.discovery_server import DiscoveryServer, ServiceList
 from rosewheel.lab.scale.messages import ListenerSetup, SimulatedNodeSetup, TrafficCounters, TrafficKind
 from rosewheel.lab.scale.network import Network
@@ -201,7 +201,9 @@
 
 def test_simulated_node_receives_its_own_list_and_returns_with_its_machine() -> None:
     async def main() -> None:
-        services = [ServiceList([Entry(f"s{number}", "127.0.0.1:9", "z0", 0)]) for number in range(2)]
+        services = [
+            ServiceList([DiscoveryEntry(f"s{number}", "127.0.0.1:9", "z0", 0)]) for number in range(2)
+        ]
         discovery = DiscoveryServer(services, {address: int(name[1]) for address, name in MACHINES.items()})
         network = Network(REGIONS, MACHINES, far_s=0.001)
         address = await discovery.start()
@@ -215,13 +217,13 @@
             node.start()
         await wait_until(lambda: all(node.list_version == 1 for node in nodes))
         assert [list(node.watch.lists.rows) for node in nodes if node.watch] == [["s0"], ["s1"]]
-        discovery.publish(0, Entry("more", "127.0.0.1:9", "z0", 0))
+        discovery.publish(0, DiscoveryEntry("more", "127.0.0.1:9", "z0", 0))
         await wait_until(lambda: nodes[0].list_version == 2)
         assert [node.endpoints for node in nodes] == [2, 1]
         # Its machine is lost and returns with a new process, which has no state.
         network.lose_machines(["n0"])
         nodes[0].stop()
-        discovery.publish(0, Entry("s0", "127.0.0.1:9", "z0", 0, "left"))
+        discovery.publish(0, DiscoveryEntry("s0", "127.0.0.1:9", "z0", 0, "left"))
         network.restore_machines(["n0"])
         nodes[0].start()
         await wait_until(lambda: nodes[0].list_version == 3)
@@ -231,7 +233,7 @@
         # A watch that ended is opened again from the version that the node has.
         for connection in list(discovery.connections):
             connection.reset()
-        discovery.publish(1, Entry("third", "127.0.0.1:9", "z0", 0))
+        discovery.publish(1, DiscoveryEntry("third", "127.0.0.1:9", "z0", 0))
         await wait_until(lambda: nodes[1].list_version == 2)
         for node in nodes:
             node.stop()
--- a/tests/lab/test_scenario.py
+++ b/tests/lab/test_scenario.py
@@ -98,8 +98,8 @@
 
 
 def test_every_shipped_scenario_is_good_and_has_a_plan():
-    assert {"quiet", "demo"} <= set(scenarios.shipped())
-    for name in scenarios.shipped():
+    assert {"quiet", "demo"} <= set(scenarios.bundled_names())
+    for name in scenarios.bundled_names():
         changes: dict[str, object] = {"clients.rate_per_s": 5.0}  # the plans of large ones take long
         if name == "demo":
             changes["seconds"] = 60.0
--- a/tests/lab/test_server_model.py
+++ b/tests/lab/test_server_model.py
@@ -9,33 +9,35 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, rule
 
-from rosewheel.lab.equipo import (
+from rosewheel.lab.random_streams import random_stream
+from rosewheel.lab.server_model import (
     Action,
-    Began,
-    CallNext,
-    Choke,
-    Equipo,
-    Fell,
+    CallNextTier,
+    DedupTable,
+    EmulatedServer,
     Job,
-    Memory,
+    JobResult,
+    JobStarted,
+    LifecycleState,
+    OverloadSlowdown,
     Reply,
-    Spec,
-    State,
-    Verdict,
+    ServerCollapsed,
+    ServerSpec,
 )
-from rosewheel.lab.streams import stream
 
-CHOKE = Choke(at=2.0, over_ms=300.0, slower=3.0, rest_ms=400.0, below=0.3, most_ms=2000.0)
-SPEC = Spec("e", 0, cores=2, speed=1.5, slots=4, queue=3, thrash=0.1, knee=2.0, choke=CHOKE)
+CHOKE = OverloadSlowdown(at=2.0, over_ms=300.0, slower=3.0, rest_ms=400.0, below=0.3, most_ms=2000.0)
+SPEC = ServerSpec("e", 0, cores=2, speed=1.5, slots=4, queue=3, thrash=0.1, knee=2.0, choke=CHOKE)
 PAUSES = dataclasses.replace(SPEC, pause_every_ms=300.0, pause_ms=40.0, pause_grow=1.0, error_rate=0.1)
 COLD = dataclasses.replace(PAUSES, cold_from=0.2, cold_ms=3000.0, tip_slack_ms=1e9)
 
 
-def made(spec: Spec, cold: bool = False, seed: int = 1, memory: Memory | None = None) -> Equipo:
-    return Equipo(spec, memory or Memory(), stream(seed, "test"), 0.0, cold)
+def made(
+    spec: ServerSpec, cold: bool = False, seed: int = 1, memory: DedupTable | None = None
+) -> EmulatedServer:
+    return EmulatedServer(spec, memory or DedupTable(), random_stream(seed, "test"), 0.0, cold)
 
 
-def play(equipo: Equipo, until: float, step: float = math.inf) -> list[Action]:
+def play(equipo: EmulatedServer, until: float, step: float = math.inf) -> list[Action]:
     """Tick at every due moment up to this one."""
     acts: list[Action] = []
     while (due := equipo.due()) <= until:
@@ -52,10 +54,10 @@
         seed=st.integers(0, 9),
         late=st.booleans(),
     )
-    def begin(self, spec: Spec, cold: bool, seed: int, late: bool) -> None:
+    def begin(self, spec: ServerSpec, cold: bool, seed: int, late: bool) -> None:
         self.equipo, self.now, self.late = made(spec, cold, seed), 0.0, late
         self.sent: set[int] = set()
-        self.replies: dict[int, Verdict] = {}
+        self.replies: dict[int, JobResult] = {}
         self.began: set[int] = set()
         self.calls: list[int] = []
         self.keys: dict[str, int] = {}
@@ -67,13 +69,13 @@
                 case Reply(id, verdict):
                     assert id in self.sent
                     assert id not in self.replies, "a second answer"
-                    assert verdict is not Verdict.TURNED_AWAY or id not in self.began
+                    assert verdict is not JobResult.TURNED_AWAY or id not in self.began
                     self.replies[id] = verdict
                     self.equipo.joined_ended(id)
-                case Began(id):
+                case JobStarted(id):
                     assert id not in self.began, "run twice"
                     self.began.add(id)
-                case CallNext(id):
+                case CallNextTier(id):
                     self.calls.append(id)
 
     @rule(wait=st.floats(0.0, 400.0))
@@ -103,7 +105,7 @@
 
     @rule()
     def probe(self) -> None:
-        assert self.equipo.probe(self.now) is (self.equipo.state is State.UP)
+        assert self.equipo.probe(self.now) is (self.equipo.state is LifecycleState.UP)
 
     @rule()
     def drain(self) -> None:
@@ -161,7 +163,7 @@
     assert ends[0] == ends[1]
 
 
-def crowd(equipo: Equipo, now: float, count: int, work: float = 1e6) -> None:
+def crowd(equipo: EmulatedServer, now: float, count: int, work: float = 1e6) -> None:
     for id in range(count):
         equipo.arrive(now, Job(id, (work,)))
 
@@ -211,13 +213,13 @@
     spec = dataclasses.replace(COLD, pause_ms=0.0, tip_slack_ms=0.0, slots=500, choke=None)
     bound = spec.tip_multiple * spec.cores * spec.speed * spec.cold_from * spec.tip_ms
     equipo = made(spec, cold=True)
-    assert not any(isinstance(act, Fell) for act in equipo.arrive(0.0, Job(1, (bound * 0.99,))))
+    assert not any(isinstance(act, ServerCollapsed) for act in equipo.arrive(0.0, Job(1, (bound * 0.99,))))
     acts = equipo.arrive(0.0, Job(2, (bound * 0.02,), told=False))
-    fell = [act for act in acts if isinstance(act, Fell)]
+    fell = [act for act in acts if isinstance(act, ServerCollapsed)]
     assert len(fell) == 1
     assert fell[0].told_share > 0.9
-    assert equipo.state is State.DOWN
-    assert equipo.arrive(1.0, Job(3, (1.0,))) == [Reply(3, Verdict.TURNED_AWAY)]
+    assert equipo.state is LifecycleState.DOWN
+    assert equipo.arrive(1.0, Job(3, (1.0,))) == [Reply(3, JobResult.TURNED_AWAY)]
 
 
 def test_what_came_before_the_window_does_not_tip():
@@ -226,21 +228,21 @@
     equipo = made(spec, cold=True)
     for number in range(5):
         acts = equipo.arrive(number * spec.tip_ms, Job(number, (bound * 0.9,)))
-        assert not any(isinstance(act, Fell) for act in acts)
+        assert not any(isinstance(act, ServerCollapsed) for act in acts)
 
 
 def test_a_repeat_within_the_grupo_runs_once_and_both_are_answered():
-    memory = Memory()
+    memory = DedupTable()
     one, two = made(SPEC, memory=memory), made(SPEC, memory=memory, seed=2)
     acts = one.arrive(0.0, Job(1, (150.0,), "k", memory_ms=1000.0))
-    assert acts == [Began(1)]
+    assert acts == [JobStarted(1)]
     assert two.arrive(10.0, Job(2, (150.0,), "k", memory_ms=1000.0)) == []
     ended = play(one, 200.0)
-    assert ended == [Reply(1, Verdict.SERVED), Reply(2, Verdict.SERVED)]
+    assert ended == [Reply(1, JobResult.SERVED), Reply(2, JobResult.SERVED)]
     assert two.joined_ended(2)
-    assert two.arrive(300.0, Job(3, (150.0,), "k", memory_ms=1000.0)) == [Reply(3, Verdict.SERVED)]
+    assert two.arrive(300.0, Job(3, (150.0,), "k", memory_ms=1000.0)) == [Reply(3, JobResult.SERVED)]
     # Past the time for which the key is remembered it runs anew.
-    assert two.arrive(1001.0, Job(4, (150.0,), "k", memory_ms=1000.0)) == [Began(4)]
+    assert two.arrive(1001.0, Job(4, (150.0,), "k", memory_ms=1000.0)) == [JobStarted(4)]
 
 
 def test_reports_are_refreshed_now_and_then_and_come_late():
@@ -269,7 +271,7 @@
     at_once = 0
     for id in range(100):
         acts = equipo.arrive(id * 100.0, Job(id, (10.0,)))
-        at_once += any(isinstance(act, Reply) and act.verdict is Verdict.ERROR for act in acts)
+        at_once += any(isinstance(act, Reply) and act.verdict is JobResult.ERROR for act in acts)
         play(equipo, id * 100.0 + 99.0)
     assert 30 < at_once < 70
     assert equipo.done_work > 0.0
--- a/tests/lab/test_simulation.py
+++ b/tests/lab/test_simulation.py
@@ -16,15 +16,14 @@
 
 from rosewheel.cli.main import main
 from rosewheel.config.checked import ProblemsError
-from rosewheel.lab import ledger, plan, scenario
-from rosewheel.lab.retry import Verdict
-from rosewheel.lab.scenario import OF_AREAS, Scenario
-from rosewheel.lab.scenario import TROUBLES as TROUBLE_KINDS
-from rosewheel.lab.simulation.clients import Op
-from rosewheel.lab.simulation.discovery import Registry
-from rosewheel.lab.simulation.events import Queue
-from rosewheel.lab.simulation.node import VirtualNode
-from rosewheel.lab.simulation.simulate import Simulation, check, simulate
+from rosewheel.lab import invariant_checker, plan, scenario
+from rosewheel.lab.retry import AttemptOutcome
+from rosewheel.lab.scenario import ZONE_FAULT_KINDS, FaultKind, Scenario
+from rosewheel.lab.simulation.clients import SimulatedOperation
+from rosewheel.lab.simulation.discovery import SimulatedRegistry
+from rosewheel.lab.simulation.events import EventQueue
+from rosewheel.lab.simulation.node import SimulatedNode
+from rosewheel.lab.simulation.simulate import Simulation, check_simulated, simulate
 from rosewheel.node.core import Dispatch, Effect
 from rosewheel.node.idle_timeout import Rest
 from rosewheel.policy import balancer
@@ -45,7 +44,7 @@
 def test_what_is_due_happens_once_in_order_and_what_was_called_off_never(
     rows: list[tuple[int, bool]], stops: list[int]
 ) -> None:
-    queue, seen = Queue(0.0), []
+    queue, seen = EventQueue(0.0), []
     for number, (due, off) in enumerate(rows):
         row = queue.at(float(due), seen.append, (due, number))
         if off:
@@ -58,7 +57,7 @@
 
 
 def test_a_crowd_that_is_called_off_leaves_the_rest() -> None:
-    queue, seen = Queue(0.0), []
+    queue, seen = EventQueue(0.0), []
     rows = [queue.at(float(at % 7), seen.append, at) for at in range(5000)]
 
     def call_off() -> None:
@@ -100,7 +99,7 @@
     one = plan.make(told)
     summary = simulate(one, tmp_path)
     assert summary == {**simulate(one), "wall_s": summary["wall_s"]}
-    assert ledger.audit(told, tmp_path).row() == summary["rules"]
+    assert invariant_checker.check_records(told, tmp_path).row() == summary["rules"]
     assert sum(path.read_bytes().count(b"\n") for path in tmp_path.iterdir()) == summary["records"]
     assert simulate(plan.make(told, 2))["digest"] != summary["digest"]
 
@@ -118,7 +117,7 @@
 TROUBLES = st.fixed_dictionaries(
     {
         "kind": st.sampled_from(
-            [kind for kind in get_args(TROUBLE_KINDS) if kind not in ("faults", *OF_AREAS)]
+            [kind for kind in get_args(FaultKind) if kind not in ("faults", *ZONE_FAULT_KINDS)]
         ),
         "at_s": st.floats(0.5, 5.0),
         "for_s": st.floats(0.2, 4.0),
@@ -129,7 +128,7 @@
 )
 AREAS = st.fixed_dictionaries(
     {
-        "kind": st.sampled_from(OF_AREAS),
+        "kind": st.sampled_from(ZONE_FAULT_KINDS),
         "at_s": st.floats(0.5, 5.0),
         "for_s": st.floats(0.2, 4.0),
         "zone": st.just("sala"),
@@ -202,9 +201,9 @@
 
 
 def test_a_node_that_sends_unsafe_work_twice_is_found_out(monkeypatch: pytest.MonkeyPatch) -> None:
-    plain = VirtualNode.apply
+    plain = SimulatedNode.apply
 
-    def apply(self: VirtualNode, effects: list[Effect]) -> None:
+    def apply(self: SimulatedNode, effects: list[Effect]) -> None:
         again = [
             Dispatch(one.id, one.attempt + 50, one.server, one.timeout_ms)
             for one in effects
@@ -212,7 +211,7 @@
         ]
         plain(self, [*effects, *again])
 
-    monkeypatch.setattr(VirtualNode, "apply", apply)
+    monkeypatch.setattr(SimulatedNode, "apply", apply)
     summary = simulate(plan.make(made([], 20.0)))
     assert not summary["ok"]
     assert summary["rules"]["twice"]
@@ -220,13 +219,13 @@
 
 def test_a_node_that_is_deaf_to_a_drain_is_found_out(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(
-        VirtualNode, "heard", lambda self, form, servers: None if self.pools else plain(self, form, servers)
+        SimulatedNode, "heard", lambda self, form, servers: None if self.pools else plain(self, form, servers)
     )
     deploy = {"kind": "deploy", "at_s": 1.0, "for_s": 2.0, "size": 0.5, "part": 0.5}
     assert simulate(plan.make(made([deploy], 60.0)))["rules"]["late"]
 
 
-plain = VirtualNode.heard
+plain = SimulatedNode.heard
 
 
 def replaced() -> Scenario:
@@ -280,15 +279,15 @@
 
 def test_an_equipo_back_from_a_lost_zone_is_cold_and_told_as_new() -> None:
     told: list[Server] = []
-    plain = Registry.set
+    plain = SimulatedRegistry.set
 
-    def spy(self: Registry, server: Server, change: str) -> None:
+    def spy(self: SimulatedRegistry, server: Server, change: str) -> None:
         told.append(server)
         plain(self, server, change)
 
     gone = {"kind": "vanish", "at_s": 2.0, "for_s": 1.5, "part": 0.2, "cold": True}
     with pytest.MonkeyPatch.context() as patch:
-        patch.setattr(Registry, "set", spy)
+        patch.setattr(SimulatedRegistry, "set", spy)
         summary = simulate(plan.make(made([gone], 40.0)))
     back = [server for server in told if server.launched_ms]
     assert back
@@ -300,14 +299,14 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     heard: list[float] = []
-    again = Op._again
+    again = SimulatedOperation._again
 
-    def spy(self: Op, verdict: Verdict) -> bool:
+    def spy(self: SimulatedOperation, verdict: AttemptOutcome) -> bool:
         if verdict.retry_after_s is not None:
             heard.append(verdict.retry_after_s)
         return again(self, verdict)
 
-    monkeypatch.setattr(Op, "_again", spy)
+    monkeypatch.setattr(SimulatedOperation, "_again", spy)
     simulate(plan.make(made([], 900.0)))
     assert any(wait % 1.0 for wait in heard)
     assert all(wait == round(wait, 3) and 0.0 < wait <= 2.0 for wait in heard)
@@ -315,4 +314,4 @@
 
 def test_killed_processes_in_an_upgrade_are_refused_in_one_line() -> None:
     with pytest.raises(ProblemsError, match=r"kills"):
-        check(scenario.load("upgrade-kills"))
+        check_simulated(scenario.load("upgrade-kills"))
--- a/tests/policy/test_slow_start.py
+++ b/tests/policy/test_slow_start.py
@@ -14,15 +14,15 @@
 from hypothesis import strategies as st
 
 from rosewheel.lab import plan
-from rosewheel.lab.equipo import Spec
-from rosewheel.lab.ledger import Broken, Ledger
+from rosewheel.lab.invariant_checker import InvariantChecker, Violations
+from rosewheel.lab.random_streams import random_stream, weighted_choice
 from rosewheel.lab.scenario import RulesTable, Scenario, load
-from rosewheel.lab.simulation.discovery import Registry
-from rosewheel.lab.simulation.events import Queue
-from rosewheel.lab.simulation.node import VirtualNode
+from rosewheel.lab.server_model import ServerSpec
+from rosewheel.lab.simulation.discovery import SimulatedRegistry
+from rosewheel.lab.simulation.events import EventQueue
+from rosewheel.lab.simulation.node import SimulatedNode
 from rosewheel.lab.simulation.simulate import Simulation, simulate
-from rosewheel.lab.slow_start import SlowStart, allowance
-from rosewheel.lab.streams import dealt, stream
+from rosewheel.lab.slow_start import ServerStart, allowed_work_ms
 from rosewheel.policy.events import EndpointListForm, EndpointListUpdate, Server, ServerState
 from rosewheel.policy.settings import Settings
 from tests.support.balancers import Bed, sent
@@ -38,16 +38,18 @@
 def test_what_is_allowed_is_the_sum_of_the_stated_share(until: float, length: float) -> None:
     steps = np.linspace(max(0.0, until - length), until, 2001)
     shares = 3.0 * (0.2 + 0.8 * steps / 10_000.0)
-    assert allowance(RULES, until - length, until) == pytest.approx(np.trapezoid(shares, steps), abs=1e-6)
+    assert allowed_work_ms(RULES, until - length, until) == pytest.approx(
+        np.trapezoid(shares, steps), abs=1e-6
+    )
 
 
-def start(able: float = 0.01) -> SlowStart:
+def start(able: float = 0.01) -> ServerStart:
     """Ten requests of mean work a second when warm."""
-    return SlowStart("e", 1000.0, able)
+    return ServerStart("e", 1000.0, able)
 
 
 def bound(age: float, able: float = 0.01) -> float:
-    allowed = able * allowance(RULES, age - 1500.0, age)
+    allowed = able * allowed_work_ms(RULES, age - 1500.0, age)
     return allowed + 2.0 * math.sqrt(allowed) + 2.0
 
 
@@ -58,7 +60,7 @@
     one.sent = [(1000.0 + 5000.0, bound(5000.0) * 1.001, True)]
     [found], most = one.overloads(RULES)
     assert (found.equipo, found.t, found.told_share) == ("e", 6000.0, 1.0)
-    assert found.allowed == pytest.approx(0.01 * allowance(RULES, 3500.0, 5000.0))
+    assert found.allowed == pytest.approx(0.01 * allowed_work_ms(RULES, 3500.0, 5000.0))
     assert most > 1.0
 
 
@@ -89,8 +91,8 @@
     assert one.overloads(RULES)[0] == []
 
 
-def read(*rows: dict[str, Any]) -> tuple[Ledger, Broken]:
-    ledger = Ledger(load("quiet"))
+def read(*rows: dict[str, Any]) -> tuple[InvariantChecker, Violations]:
+    ledger = InvariantChecker(load("quiet"))
     for row in rows:
         ledger.take(row)
     return ledger, ledger.close()
@@ -108,7 +110,7 @@
 @pytest.mark.parametrize(("known", "broken"), [(30, True), (21, True), (20, False), (0, False)])
 def test_the_rule_is_broken_where_over_two_thirds_came_from_those_who_knew(known: int, broken: bool) -> None:
     """Thirty equal requests, of which the last is the one too many."""
-    allowed = 0.01 * allowance(load("quiet").rules, 0.0, 130.0)
+    allowed = 0.01 * allowed_work_ms(load("quiet").rules, 0.0, 130.0)
     each = (allowed + 2.0 * math.sqrt(allowed) + 2.0) / 29.5 * 200.0
     rows = [job(101.0 + at, at >= 30 - known, each) for at in range(30)]
     ledger, found = read(started(0.0), *rows[:29])
@@ -130,9 +132,9 @@
 def test_clients_are_dealt_out_by_the_shares_of_nodes_and_evenly_without() -> None:
     rng, names = np.random.default_rng(3), ["n0", "n1", "n2"]
     nodes = msgspec.structs.replace(load("quiet").nodes, count=3, shares=(6.0,))
-    got = [dealt(rng, names, nodes.share) for _ in range(4000)]
+    got = [weighted_choice(rng, names, nodes.share) for _ in range(4000)]
     assert [got.count(name) / 4000 for name in names] == pytest.approx([0.75, 0.125, 0.125], abs=0.03)
-    got = [dealt(rng, names, None) for _ in range(4000)]
+    got = [weighted_choice(rng, names, None) for _ in range(4000)]
     assert [got.count(name) / 4000 for name in names] == pytest.approx([1 / 3] * 3, abs=0.03)
 
 
@@ -194,16 +196,16 @@
 @pytest.mark.parametrize("nodes", [10, 30])
 def test_nodes_that_prefer_their_own_zone_keep_to_it_too(nodes: int, monkeypatch: pytest.MonkeyPatch) -> None:
     """Three in ten nodes are in the zone of eight in ten equipos, most of which are replaced."""
-    plain = VirtualNode.__init__
+    plain = SimulatedNode.__init__
 
-    def init(self: VirtualNode, world: Any, name: str, tier: int, told: Settings, *rest: Any) -> None:
+    def init(self: SimulatedNode, world: Any, name: str, tier: int, told: Settings, *rest: Any) -> None:
         zone = "ab"[int(name[1:]) % 10 >= 3]
         plain(self, world, name, tier, dataclasses.replace(told, zone=zone, cross_zone_cost=0.05), *rest)
 
-    monkeypatch.setattr(VirtualNode, "__init__", init)
+    monkeypatch.setattr(SimulatedNode, "__init__", init)
     one = plan.make(fleet(nodes, False, [REPLACED], []), 1)
 
-    def zoned(specs: tuple[Spec, ...]) -> tuple[Spec, ...]:
+    def zoned(specs: tuple[ServerSpec, ...]) -> tuple[ServerSpec, ...]:
         return tuple(dataclasses.replace(spec, zone="ab"[at % 5 == 4]) for at, spec in enumerate(specs))
 
     summary = simulate(dataclasses.replace(one, equipos=zoned(one.equipos), later=zoned(one.later)))
@@ -213,9 +215,13 @@
 
 def test_a_node_that_starts_with_a_list_has_been_told_of_all_starts_in_it() -> None:
     told: list[tuple[str, str]] = []
-    queue, one = Queue(0.0), plan.make(load("quiet"))
-    registry = Registry(
-        queue, one, lambda node, entry: told.append((node, entry.address)), lambda *_: False, stream(1, "x")
+    queue, one = EventQueue(0.0), plan.make(load("quiet"))
+    registry = SimulatedRegistry(
+        queue,
+        one,
+        lambda node, entry: told.append((node, entry.address)),
+        lambda *_: False,
+        random_stream(1, "x"),
     )
     registry.truth = {"old": Server("old"), "new": Server("new", launched_ms=5.0)}
     node = Mock()
@@ -255,7 +261,7 @@
         tip_multiple=cfg.overload_factor,
     )
     able = len(beds) * 3.0 / beds[0].balancer.period_ms / 10.0
-    assert 0 < sends <= able * allowance(rules, age - cfg.overload_window_ms, age) / 2.0
+    assert 0 < sends <= able * allowed_work_ms(rules, age - cfg.overload_window_ms, age) / 2.0
 
 
 @SHORT
