--- a/rosewheel/lab/scale/fleet.py
+++ b/rosewheel/lab/scale/fleet.py
@@ -36,7 +36,7 @@
 SIMULATED_NODES_PER_PROCESS = 120
 CONCURRENT_NODE_STARTS = 8  # each takes most of a second of CPU
 UNUSED_ENDPOINT = "127.0.0.1:9"  # of servers in a run without real nodes, which nobody calls
-EMULATOR_MODULE = "rosewheel.lab.child"
+EMULATOR_MODULE = "rosewheel.lab.emulator_process"
 PACKAGE = "rosewheel.lab.scale"
 
 Ready = TypeVar("Ready")
