--- a/rosewheel/control/__init__.py
+++ b/rosewheel/control/__init__.py
@@ -1,1 +1,1 @@
-"""The fleet's configuration: versions of it, the machines that hold them, and the node's side."""
+"""The fleet's configuration: its revisions, the control machines that replicate them, and the nodes' subscriptions."""
--- a/rosewheel/control/codec/calls.py
+++ b/rosewheel/control/codec/calls.py
@@ -2,7 +2,6 @@
 
 from __future__ import annotations
 
-from collections.abc import Mapping
 from typing import Any
 
 from rosewheel.control.codec.paths import HISTORY_PATH
@@ -179,7 +178,7 @@
     return PromoteRequest(force=row.get("force") is True, author=str(row.get("by", "")))
 
 
-def decode_config_service(query: Mapping[str, Any]) -> str:
+def decode_config_service(query: JsonObject) -> str:
     """Read the service whose part of the document is asked for; empty for the complete document."""
     return str(query.get("service", ""))
 
@@ -189,7 +188,7 @@
     return f"{HISTORY_PATH}?most={limit}"
 
 
-def decode_history_limit(query: Mapping[str, Any]) -> int:
+def decode_history_limit(query: JsonObject) -> int:
     """Read how many changes a history call asks for.
 
     Raises:
@@ -280,7 +279,7 @@
     return row
 
 
-def decode_error(row: Any) -> ErrorAnswer:
+def decode_error(row: object) -> ErrorAnswer:
     """Read the answer to a call that failed; one of another form gives an empty text."""
     if not isinstance(row, dict):
         return ErrorAnswer("")
--- a/rosewheel/control/codec/status.py
+++ b/rosewheel/control/codec/status.py
@@ -2,7 +2,6 @@
 
 from __future__ import annotations
 
-from collections.abc import Mapping
 from typing import Any
 
 from rosewheel.control.codec.paths import STATUS_PATH
@@ -43,19 +42,19 @@
     return STATUS_PATH + ("?" + "&".join(options) if options else "")
 
 
-def decode_local_only(query: Mapping[str, Any]) -> bool:
+def decode_local_only(query: JsonObject) -> bool:
     """Read whether the machine is to answer by its own knowledge."""
     return query.get("here") == "1"
 
 
-def decode_all_nodes(query: Mapping[str, Any]) -> bool:
+def decode_all_nodes(query: JsonObject) -> bool:
     """Read whether the report is to list each node."""
     return query.get("all") == "1"
 
 
-def relay_status(row: JsonObject, asked: str) -> JsonObject:
-    """Return the leader's answer as the machine that was asked passes it on."""
-    return row | {"asked": asked}
+def relay_status(row: JsonObject, contacted: str) -> JsonObject:
+    """Return the leader's answer as the contacted machine passes it on."""
+    return row | {"asked": contacted}
 
 
 # --------------------------------------------------------------------------------- encoding
@@ -64,7 +63,7 @@
 def encode_status(report: StatusReport) -> JsonObject:
     """Return the status report."""
     return {
-        "asked": report.asked,
+        "asked": report.contacted,
         "machine": report.machine,
         "problem": report.problem,
         **encode_answer_revision(report.committed),
@@ -132,7 +131,7 @@
     """
     with malformed_on_error():
         return StatusReport(
-            asked=row["asked"],
+            contacted=row["asked"],
             machine=row["machine"],
             problem=row["problem"],
             committed=decode_answer_revision(row),
--- a/rosewheel/control/codec/values.py
+++ b/rosewheel/control/codec/values.py
@@ -32,7 +32,7 @@
     return [revision.epoch_number, revision.leader, revision.number]
 
 
-def decode_revision(value: Any) -> Revision:
+def decode_revision(value: object) -> Revision:
     """Read `[epoch number, leader, number]`.
 
     Raises:
@@ -49,7 +49,7 @@
     return [epoch.number, epoch.leader]
 
 
-def decode_epoch(value: Any) -> Epoch:
+def decode_epoch(value: object) -> Epoch:
     """Read `[number, leader]`.
 
     Raises:
@@ -75,7 +75,7 @@
     return Revision(row["epoch"], row["writer"], row["version"])
 
 
-def decode_document(value: Any) -> Document:
+def decode_document(value: object) -> Document:
     """Read a JSON object.
 
     Raises:
--- a/rosewheel/control/codec/watch.py
+++ b/rosewheel/control/codec/watch.py
@@ -3,7 +3,6 @@
 from __future__ import annotations
 
 from collections.abc import Iterable, Mapping
-from typing import Any
 from urllib.parse import quote
 
 import orjson
@@ -124,18 +123,19 @@
     ]
 
 
-def _decode_acknowledgement(value: Any) -> NodeAcknowledgement:
-    node, service, stamp, applied, rejected, reason = value
-    _check_names(node, service)
-    _check_stamp(stamp)
-    return NodeAcknowledgement(
-        node,
-        service,
-        stamp,
-        decode_revision(applied),
-        _decode_optional_revision(rejected),
-        str(reason)[:MAX_REASON_LENGTH],
-    )
+def _decode_acknowledgement(value: object) -> NodeAcknowledgement:
+    match value:
+        case [str(node), str(service), int(stamp), applied, rejected, reason]:
+            _check_names(node, service)
+            return NodeAcknowledgement(
+                node,
+                service,
+                stamp,
+                decode_revision(applied),
+                _decode_optional_revision(rejected),
+                str(reason)[:MAX_REASON_LENGTH],
+            )
+    raise MalformedMessageError(f"{value!r} is no acknowledgement")
 
 
 def encode_node_status(status: NodeStatus) -> JsonArray:
@@ -152,45 +152,36 @@
     ]
 
 
-def decode_node_status(value: Any) -> NodeStatus:
+def decode_node_status(value: object) -> NodeStatus:
     """Read a node's status.
 
     Raises:
         MalformedMessageError: It is none.
     """
-    with malformed_on_error():
-        node, service, machine, stamp, applied, rejected, reason, connected = value
-        _check_names(node, service)
-        _check_stamp(stamp)
-        if not isinstance(machine, str):
-            raise MalformedMessageError("names are text")
-        return NodeStatus(
-            node,
-            service,
-            machine,
-            stamp,
-            decode_revision(applied),
-            _decode_optional_revision(rejected),
-            str(reason)[:MAX_REASON_LENGTH],
-            bool(connected),
-        )
+    match value:
+        case [str(node), str(service), str(machine), int(stamp), applied, rejected, reason, connected]:
+            _check_names(node, service)
+            return NodeStatus(
+                node,
+                service,
+                machine,
+                stamp,
+                decode_revision(applied),
+                _decode_optional_revision(rejected),
+                str(reason)[:MAX_REASON_LENGTH],
+                bool(connected),
+            )
+    raise MalformedMessageError(f"{value!r} is no node's status")
 
 
 def _encode_optional_revision(revision: Revision | None) -> JsonArray | None:
     return None if revision is None else encode_revision(revision)
 
 
-def _decode_optional_revision(value: Any) -> Revision | None:
+def _decode_optional_revision(value: object) -> Revision | None:
     return None if value is None else decode_revision(value)
 
 
-def _check_names(node: Any, service: Any) -> None:
-    if not (isinstance(node, str) and isinstance(service, str)):
-        raise MalformedMessageError("names are text")
+def _check_names(node: str, service: str) -> None:
     if not node or len(node) > MAX_NAME_LENGTH or len(service) > MAX_NAME_LENGTH:
         raise MalformedMessageError("a name is empty or too long")
-
-
-def _check_stamp(stamp: Any) -> None:
-    if not isinstance(stamp, int):
-        raise MalformedMessageError("a stamp is a whole number")
--- a/rosewheel/control/documents.py
+++ b/rosewheel/control/documents.py
@@ -13,7 +13,7 @@
 MAX_PATCH_DEPTH = 12  # nested containers in a patch; the operator's tables need six
 
 
-def apply_patch(document: Any, patch: Document) -> Document:
+def apply_patch(document: object, patch: Document) -> Document:
     """Return the document with a merge patch applied; parts that the patch leaves alone are shared, not copied."""
     result = dict(document) if isinstance(document, dict) else {}
     for key, value in patch.items():
--- a/rosewheel/control/durable_log.py
+++ b/rosewheel/control/durable_log.py
@@ -24,7 +24,7 @@
 
 RECORD_HEADER = struct.Struct("<III")  # length of the body, crc32 of that length, crc32 of the body
 BODY_LENGTH = struct.Struct("<I")
-BODY_END = b"\n"  # no body ends in a zero, so that unwritten space is told from a record
+BODY_END = b"\n"  # no body ends in a zero, so unwritten space is not mistaken for a record
 MAX_BODY_BYTES = 64 << 20  # guards memory: a longer record was not written here
 
 
--- a/rosewheel/control/http_client.py
+++ b/rosewheel/control/http_client.py
@@ -3,6 +3,7 @@
 from __future__ import annotations
 
 import asyncio
+from collections.abc import Mapping
 from typing import Any, NamedTuple, cast
 
 import httptools
@@ -10,11 +11,13 @@
 
 from rosewheel.config.platform import Address
 from rosewheel.control.errors import HttpCallError
+from rosewheel.control.timing import CONNECT_TIMEOUT_S
 
-CONNECT_TIMEOUT_S = 0.7
 DEFAULT_TIMEOUT_S = 2.0
 MAX_ANSWER_BYTES = 64 << 20  # guards memory
 
+JsonBody = Mapping[str, Any]
+
 
 class JsonResponse(NamedTuple):
     """Answer to a call.
@@ -41,14 +44,14 @@
         self._lock = asyncio.Lock()
 
     async def call(
-        self, method: str, target: str, body: Any = None, timeout_s: float = DEFAULT_TIMEOUT_S
+        self, method: str, target: str, body: JsonBody | None = None, timeout_s: float = DEFAULT_TIMEOUT_S
     ) -> JsonResponse:
         """Make one call.
 
         Args:
             method: HTTP method.
             target: Path and query.
-            body: Value to send as JSON; None for no body.
+            body: Object to send as JSON; None for no body.
             timeout_s: Limit of the whole call, waiting for earlier ones included.
 
         Raises:
@@ -68,7 +71,7 @@
             self.close()
             raise
 
-    def _encode_request(self, method: str, target: str, body: Any) -> bytes:
+    def _encode_request(self, method: str, target: str, body: JsonBody | None) -> bytes:
         content = b"" if body is None else orjson.dumps(body)
         host, port = self.address
         head = f"{method} {target} HTTP/1.1\r\nHost: {host}:{port}\r\nContent-Length: {len(content)}\r\n\r\n"
--- a/rosewheel/control/machine.py
+++ b/rosewheel/control/machine.py
@@ -86,13 +86,13 @@
         self._run_maintenance()
 
     async def _listen(self, sock: socket.socket | None) -> asyncio.Server:
-        def accept() -> Caller:
-            return Caller(self._api, CALL_LIMITS, self._loop)
-
         if sock is not None:
-            return await self._loop.create_server(accept, sock=sock, backlog=LISTEN_BACKLOG)
+            return await self._loop.create_server(self._accept, sock=sock, backlog=LISTEN_BACKLOG)
         host, port = self.settings.listen
-        return await self._loop.create_server(accept, host, port, backlog=LISTEN_BACKLOG)
+        return await self._loop.create_server(self._accept, host, port, backlog=LISTEN_BACKLOG)
+
+    def _accept(self) -> Caller:
+        return Caller(self._api, CALL_LIMITS, self._loop)
 
     @property
     def port(self) -> int:
--- a/rosewheel/control/machine_selection.py
+++ b/rosewheel/control/machine_selection.py
@@ -10,9 +10,8 @@
 from hashlib import blake2b
 from random import Random
 
-from rosewheel.control.timing import RECONNECT_BACKOFF_S
+from rosewheel.control.timing import MIN_BACKOFF_SHARE, RECONNECT_BACKOFF_S
 
-MIN_BACKOFF_SHARE = 0.25  # of the upper bound of a backoff
 # Range of the wait, in seconds, until a node that had to move tries its preferred machine again.
 RETURN_INTERVAL_S = (60.0, 240.0)
 
--- a/rosewheel/control/machine_status.py
+++ b/rosewheel/control/machine_status.py
@@ -84,7 +84,7 @@
         """
         replica, failure = self._store.replica, self._store.log.failure
         return StatusReport(
-            asked=self._name,
+            contacted=self._name,
             machine=self._name,
             problem=problem or ("" if failure is None else str(failure)),
             committed=replica.committed,
@@ -106,10 +106,10 @@
         return MachineReport(peer.peer, peer.last_revision, last_contact_s, is_leader)
 
     def _fleet_report(self, all_nodes: bool) -> FleetReport:
-        replica, time_of_day_s = self._store.replica, time.time()
-
-        def age_s(number: int) -> float:
-            return max(0.0, time_of_day_s - replica.history.created_at_s(number))
-
-        reporter = FleetReporter(replica.committed, self._clock.time(), age_s)
+        history, time_of_day_s = self._store.replica.history, time.time()
+        reporter = FleetReporter(
+            self._store.replica.committed,
+            now_s=self._clock.time(),
+            age_s=lambda number: max(0.0, time_of_day_s - history.created_at_s(number)),
+        )
         return reporter.report(self._nodes, include_all=all_nodes)
--- a/rosewheel/control/messages.py
+++ b/rosewheel/control/messages.py
@@ -306,7 +306,7 @@
     """Answer to `rosewheel control status`.
 
     Attributes:
-        asked: The machine that was asked.
+        contacted: The machine that was called.
         machine: The machine whose knowledge this is.
         problem: Why the report may be incomplete, or the machine accepts no changes; empty for none.
         committed: The revision that nodes are shown.
@@ -316,7 +316,7 @@
         fleet: The nodes.
     """
 
-    asked: str
+    contacted: str
     machine: str
     problem: str
     committed: Revision
--- a/rosewheel/control/node_registry.py
+++ b/rosewheel/control/node_registry.py
@@ -21,7 +21,7 @@
 
     Attributes:
         status: The latest status.
-        updated_at_s: When the node was last heard of.
+        updated_at_s: When the last message about the node arrived.
         unchanged_since_s: Since when its applied and rejected revisions have been the same.
     """
 
--- a/rosewheel/control/replica.py
+++ b/rosewheel/control/replica.py
@@ -1,7 +1,7 @@
 """The replication rules between control machines: who leads, which changes are committed, what a follower takes.
 
-No I/O and no clock. Records that a method returns, or that its arguments stand for, are on disk before the replica is
-told of them (`appended`, `suffix_appended`, `epoch_observed`) and before anything is said of them to other machines.
+No I/O and no clock. `appended`, `suffix_appended` and `epoch_observed` are called once their records are on disk, and
+nothing is sent to other machines before that.
 
 - One machine leads. Every revision carries the epoch of its leader. A machine that has seen an epoch takes nothing of a
   lower one, and a leader that sees a higher one accepts no more changes.
--- a/rosewheel/control/replication_watch.py
+++ b/rosewheel/control/replication_watch.py
@@ -20,6 +20,7 @@
 from rosewheel.control.timing import (
     CONNECT_TIMEOUT_S,
     FIRST_LINE_TIMEOUT_S,
+    MIN_BACKOFF_SHARE,
     RECONNECT_BACKOFF_S,
     WATCH_IDLE_TIMEOUT_S,
 )
@@ -27,8 +28,6 @@
 
 log = logging.getLogger("rosewheel.control")
 
-MIN_BACKOFF_SHARE = 0.25  # of the upper bound of a backoff
-
 
 class ReplicationWatch:
     """Watches the leader, or another follower while the leader can't be reached, and appends what it receives."""
--- a/rosewheel/control/store.py
+++ b/rosewheel/control/store.py
@@ -1,4 +1,4 @@
-"""A replica with its log: what the replica is told is on disk first. One operation runs after the other."""
+"""A replica with its log: each record is on disk before the replica counts it. One operation runs after the other."""
 
 from __future__ import annotations
 
--- a/rosewheel/control/subscriber.py
+++ b/rosewheel/control/subscriber.py
@@ -68,7 +68,7 @@
             seed: Of the waits.
             cache_path: File for the last applied document; None to save none.
             apply: Applies the complete document that concerns the node. Raises ValueError, with everything as before,
-                where it can't; the control machines are told the reason.
+                where it can't; the control machines receive the reason.
             on_update: Called with the applied revision after each update.
             on_acknowledged: Called with the applied revision once a control machine has it.
         """
--- a/rosewheel/control/timer.py
+++ b/rosewheel/control/timer.py
@@ -20,12 +20,11 @@
     def start(self, wait_s: float, callback: Callable[[], None]) -> None:
         """Call back after `wait_s` seconds, in place of any call that is due."""
         self.cancel()
+        self._handle = asyncio.get_running_loop().call_later(wait_s, self._expire, callback)
 
-        def expire() -> None:
-            self._handle = None
-            callback()
-
-        self._handle = asyncio.get_running_loop().call_later(wait_s, expire)
+    def _expire(self, callback: Callable[[], None]) -> None:
+        self._handle = None
+        callback()
 
     def cancel(self) -> None:
         """Drop the call that is due."""
--- a/rosewheel/control/timing.py
+++ b/rosewheel/control/timing.py
@@ -8,5 +8,6 @@
 KEEPALIVE_INTERVAL_S = 2.0  # between the empty lines on each watch
 WATCH_IDLE_TIMEOUT_S = 2.8  # a watch without a line for so long is closed
 RECONNECT_BACKOFF_S = 0.4  # upper bound of the wait before the next attempt
-CONNECT_TIMEOUT_S = 0.7
+MIN_BACKOFF_SHARE = 0.25  # the least wait, as a share of that bound
+CONNECT_TIMEOUT_S = 0.7  # of watches and calls
 FIRST_LINE_TIMEOUT_S = 1.2  # from the start of the attempt, the connection included
--- a/tests/control/test_codec.py
+++ b/tests/control/test_codec.py
@@ -187,7 +187,7 @@
         NodeStatus("n1", "fotos", "c2", 0, Revision(1, "", 3), Revision(1, "", 4), "limits: no"), 2.0, 1.5
     )
     report = StatusReport(
-        asked="c2",
+        contacted="c2",
         machine="c1",
         problem="",
         committed=Revision(1, "c1", 4),
