--- a/rosewheel/lab/scale/simulated_node.py
+++ b/rosewheel/lab/scale/simulated_node.py
@@ -36,27 +36,6 @@
         return await super().create_connection(*arguments, **keywords)
 
 
-class RecordingSubscriber(ConfigurationSubscriber):
-    """The product's subscriber, which records when a configuration was applied and when it was acknowledged."""
-
-    def __init__(self, setup: SimulatedNodeSetup, seed: int, records: NodeRecords) -> None:
-        name = node_name(setup.number)
-        super().__init__(
-            name,
-            setup.service,
-            setup.control_machines,
-            seed,
-            None,
-            self._count_applied,
-            on_update=lambda applied: records.config.add(setup.number, applied.number),
-            on_acknowledged=lambda applied: records.acked.add(setup.number, applied.number),
-        )
-        self.applied_count = 0
-
-    def _count_applied(self, document: Document) -> None:
-        self.applied_count += 1
-
-
 class SimulatedNode:
     """One node without a data plane. A restarted one remembers nothing, as on a new machine."""
 
@@ -65,9 +44,9 @@
         self.number = setup.number
         self.loop = asyncio.get_running_loop()
         self.watch: Discovery | None = None
-        self.subscriber: RecordingSubscriber | None = None
+        self.subscriber: ConfigurationSubscriber | None = None
+        self.configs_applied = 0  # since the node was made
         self._starts = 0
-        self._applied_before = 0  # by subscribers of earlier starts
         self._context = contextvars.copy_context()
         self._context.run(SOURCE_ADDRESS.set, setup.address)
 
@@ -91,11 +70,6 @@
         """Number of endpoints in the list."""
         return 0 if self.watch is None else len(self.watch.lists.rows)
 
-    @property
-    def configs_applied(self) -> int:
-        """Number of configurations applied since the node was made."""
-        return self._applied_before + (0 if self.subscriber is None else self.subscriber.applied_count)
-
     def start(self) -> None:
         """Open the watches; nothing if the node runs."""
         if self.watch is None:
@@ -113,14 +87,30 @@
         )
         watch.watch()
         if self.setup.control_machines:
-            self.subscriber = RecordingSubscriber(self.setup, rng.getrandbits(62), self.records)
+            self.subscriber = self._subscriber(rng.getrandbits(62))
             self.subscriber.start()
 
+    def _subscriber(self, seed: int) -> ConfigurationSubscriber:
+        """The product's subscriber, which records when a configuration was applied and when it was acknowledged."""
+        number, records = self.number, self.records
+        return ConfigurationSubscriber(
+            node_name(number),
+            self.setup.service,
+            self.setup.control_machines,
+            seed,
+            None,
+            self._apply,
+            on_update=lambda applied: records.config.add(number, applied.number),
+            on_acknowledged=lambda applied: records.acked.add(number, applied.number),
+        )
+
+    def _apply(self, document: Document) -> None:
+        self.configs_applied += 1
+
     def stop(self) -> None:
         """Close the watches."""
         subscriber, self.subscriber = self.subscriber, None
         if subscriber is not None:
-            self._applied_before += subscriber.applied_count
             subscriber.close()
         watch, self.watch = self.watch, None
         if watch is not None:
