--- a/benchmarks/lists.py
+++ b/benchmarks/lists.py
@@ -21,7 +21,7 @@
 import uvloop
 
 from rosewheel.config.platform import Config
-from rosewheel.discovery.catalog import entries_from
+from rosewheel.discovery.endpoint_list import parse_endpoints
 from rosewheel.node.limits import Bounds
 from rosewheel.policy.events import EndpointListForm
 from rosewheel.policy.settings import Idempotency, ServiceClass, Settings
@@ -45,7 +45,7 @@
             known={"seq": 0, "hosts": []},
         )
     )
-    made.discovery.watch = lambda: None  # type: ignore[method-assign]
+    made.discovery.start = lambda: None  # type: ignore[method-assign]
     return made
 
 
@@ -71,17 +71,17 @@
         began = last = time.perf_counter()
         listed = orjson.loads(text)["hosts"]
         texts.append(time.perf_counter() - began)
-        node.discovery.lists.take(True, listed)
+        node.discovery.endpoint_list.apply(True, listed)
         while True:
             now = time.perf_counter()
             turns.append(now - last)
             last = now
-            if node.discovery.lists._turn is None:
+            if node.discovery.endpoint_list._next_turn is None:
                 break
             await asyncio.sleep(0)
         each.append(time.perf_counter() - began)
         began = time.perf_counter()
-        whole._endpoint_list_updated(EndpointListForm.SNAPSHOT, entries_from(orjson.loads(text)["hosts"]))
+        whole._endpoint_list_updated(EndpointListForm.SNAPSHOT, parse_endpoints(orjson.loads(text)["hosts"]))
         at_once.append(time.perf_counter() - began)
         await asyncio.sleep(0)
     assert set(node.node.servers) == set(whole.node.servers)
--- a/rosewheel/control/replication_watch.py
+++ b/rosewheel/control/replication_watch.py
@@ -24,7 +24,7 @@
     RECONNECT_BACKOFF_S,
     WATCH_IDLE_TIMEOUT_S,
 )
-from rosewheel.discovery.watch import Watcher
+from rosewheel.discovery.watch_client import WatchClient
 
 log = logging.getLogger("rosewheel.control")
 
@@ -47,7 +47,7 @@
         self._received: deque[LogSuffix] = deque()
         self._append_task: asyncio.Task[None] | None = None
         self._retry_timer: asyncio.TimerHandle | None = None
-        self._watcher: Watcher[LogSuffix] | None = None
+        self._watcher: WatchClient[LogSuffix] | None = None
         self._closed = False
 
     @property
@@ -95,20 +95,20 @@
         self._stop()
         self._source.select(peer, self._loop.time())
         self._watcher = self._make_watcher(self._peers[peer].address)
-        self._watcher.watch()
+        self._watcher.start()
 
-    def _make_watcher(self, address: Address) -> Watcher[LogSuffix]:
-        return Watcher(
+    def _make_watcher(self, address: Address) -> WatchClient[LogSuffix]:
+        return WatchClient(
             address,
             0,
-            path=lambda _: self._target(),
-            read=decode_log_suffix,
-            take=lambda _, suffix: self._receive(suffix),
-            failed=self._watch_failed,
+            path_for=lambda _: self._target(),
+            parse=decode_log_suffix,
+            on_update=lambda _, suffix: self._receive(suffix),
+            on_failure=self._watch_failed,
             log=log,
-            silence_s=WATCH_IDLE_TIMEOUT_S,
-            connect_s=CONNECT_TIMEOUT_S,
-            first_s=FIRST_LINE_TIMEOUT_S,
+            silence_timeout_s=WATCH_IDLE_TIMEOUT_S,
+            connect_timeout_s=CONNECT_TIMEOUT_S,
+            first_line_timeout_s=FIRST_LINE_TIMEOUT_S,
         )
 
     def _target(self) -> str:
--- a/rosewheel/control/subscriber.py
+++ b/rosewheel/control/subscriber.py
@@ -24,7 +24,7 @@
 from rosewheel.control.subscription import Subscription, UpdateEffect
 from rosewheel.control.timer import Timer
 from rosewheel.control.timing import CONNECT_TIMEOUT_S, FIRST_LINE_TIMEOUT_S, WATCH_IDLE_TIMEOUT_S
-from rosewheel.discovery.watch import Watcher
+from rosewheel.discovery.watch_client import WatchClient
 
 log = logging.getLogger("rosewheel.control")
 
@@ -84,7 +84,7 @@
         self._return_attempts = 0  # to the preferred machine, since it was lost
         self._closed = False
         self._reopen_timer, self._return_timer = Timer(), Timer()
-        self._watcher: Watcher[ConfigurationUpdate] | None = None
+        self._watcher: WatchClient[ConfigurationUpdate] | None = None
 
     def start(self) -> None:
         """Apply the saved document, if it is good, and open a watch."""
@@ -124,29 +124,29 @@
         self._acknowledgements.use_machine(address)
         if self._watcher is None:
             self._watcher = self._make_watcher(address)
-        self._watcher.move(address)
-        self._watcher.since = (
+        self._watcher.change_address(address)
+        self._watcher.revision = (
             0  # the order of revisions is checked here: their numbers do not grow over epochs
         )
-        self._watcher.watch()
+        self._watcher.start()
         if not self.state.received_is_applied:
             self._acknowledgements.schedule()
         if not self.selection.is_preferred and not self._return_timer.is_running:
             backoff = min(MAX_RETURN_BACKOFF, 2.0**self._return_attempts)
             self._return_timer.start(self.selection.draw_return_wait_s() * backoff, self._try_preferred)
 
-    def _make_watcher(self, address: Address) -> Watcher[ConfigurationUpdate]:
-        return Watcher(
+    def _make_watcher(self, address: Address) -> WatchClient[ConfigurationUpdate]:
+        return WatchClient(
             address,
             0,
-            path=lambda _: self._target(),
-            read=self._decode,
-            take=lambda _, update: self._receive(update),
-            failed=self._watch_failed,
+            path_for=lambda _: self._target(),
+            parse=self._decode,
+            on_update=lambda _, update: self._receive(update),
+            on_failure=self._watch_failed,
             log=log,
-            silence_s=WATCH_IDLE_TIMEOUT_S,
-            connect_s=CONNECT_TIMEOUT_S,
-            first_s=FIRST_LINE_TIMEOUT_S,
+            silence_timeout_s=WATCH_IDLE_TIMEOUT_S,
+            connect_timeout_s=CONNECT_TIMEOUT_S,
+            first_line_timeout_s=FIRST_LINE_TIMEOUT_S,
         )
 
     def _target(self) -> str:
--- a/rosewheel/hot_restart/migration.py
+++ b/rosewheel/hot_restart/migration.py
@@ -12,9 +12,9 @@
 from typing import TYPE_CHECKING, Any
 
 from rosewheel.hot_restart.channel import close_descriptors
-from rosewheel.http import connection as equipos
-from rosewheel.http import downstream as callers
-from rosewheel.http.downstream import Caller
+from rosewheel.http import downstream_connection as callers
+from rosewheel.http import upstream_connection as equipos
+from rosewheel.http.downstream_connection import DownstreamConnection
 
 if TYPE_CHECKING:
     from rosewheel.proxy.proxy import Proxy
@@ -66,45 +66,54 @@
         """Begin with what would be lost first: long answers, then callers, and connections to equipos among them,
         since what those callers ask next needs them. False where nothing is left that can be moved by now."""
         relay = self.relay
-        for caller in relay.server.callers:
-            if caller.current is not None and caller.movable and self._detach_response(caller, done):
+        for caller in relay.server.connections:
+            if (
+                caller.active_request is not None
+                and caller.detachable
+                and self._detach_response(caller, done)
+            ):
                 return True
         if relay.random.random() < 0.5 and self._detach_idle(done):
             return True
-        for caller in relay.server.callers:
-            if caller.current is None and caller.movable:
-                caller.lift(functools.partial(self._one, CALLER, done))
+        for caller in relay.server.connections:
+            if caller.active_request is None and caller.detachable:
+                caller.detach(functools.partial(self._one, CALLER, done))
                 return True
         return self._detach_idle(done)
 
     def _detach_idle(self, done: OnDetached) -> bool:
-        return self.relay.upstream.lift_idle(functools.partial(self._one, EQUIPO, done))
+        return self.relay.upstream.detach_idle(functools.partial(self._one, EQUIPO, done))
 
-    def _one(self, kind: str, done: OnDetached, lifted: callers.Lifted | equipos.Lifted | None) -> None:
+    def _one(
+        self,
+        kind: str,
+        done: OnDetached,
+        lifted: callers.DetachedDownstream | equipos.DetachedUpstream | None,
+    ) -> None:
         if lifted is None:
             done(None)
-        elif isinstance(lifted, callers.Lifted):
-            done(MigratedConnection(kind, lifted.state, [lifted.fd], lifted.held))
+        elif isinstance(lifted, callers.DetachedDownstream):
+            done(MigratedConnection(kind, lifted.state, [lifted.fd], lifted.pending_bytes))
         else:
             done(MigratedConnection(kind, lifted.state, [lifted.fd]))
 
-    def _detach_response(self, caller: Caller, done: OnDetached) -> bool:
+    def _detach_response(self, caller: DownstreamConnection, done: OnDetached) -> bool:
         """Both ends at once: neither is read or written from here on."""
-        relay, call = self.relay, caller.current
+        relay, call = self.relay, caller.active_request
         passing = relay.node.passing(call.id) if call is not None else None
         if call is None or passing is None:
             return False
         service, server, attempt = passing
-        ends: dict[str, callers.Lifted | equipos.Lifted | None] = {}
+        ends: dict[str, callers.DetachedDownstream | equipos.DetachedUpstream | None] = {}
 
-        def one(end: str, lifted: callers.Lifted | equipos.Lifted | None) -> None:
+        def one(end: str, lifted: callers.DetachedDownstream | equipos.DetachedUpstream | None) -> None:
             ends[end] = lifted
             if len(ends) == 2:
                 self._passage(call.id, service, server, ends, done)
 
-        if not relay.upstream.lift_passage(call.id, attempt, functools.partial(one, "equipo")):
+        if not relay.upstream.detach_response(call.id, attempt, functools.partial(one, "equipo")):
             return False
-        caller.lift(functools.partial(one, "caller"))
+        caller.detach(functools.partial(one, "caller"))
         return True
 
     def _passage(
@@ -112,11 +121,11 @@
         id: str,
         service: str,
         server: str,
-        ends: dict[str, callers.Lifted | equipos.Lifted | None],
+        ends: dict[str, callers.DetachedDownstream | equipos.DetachedUpstream | None],
         done: OnDetached,
     ) -> None:
         relay, out, back = self.relay, ends["caller"], ends["equipo"]
-        if isinstance(out, callers.Lifted) and isinstance(back, equipos.Lifted):
+        if isinstance(out, callers.DetachedDownstream) and isinstance(back, equipos.DetachedUpstream):
             relay.calls.pop(id, None)
             relay.apply(relay.node.handed(time.monotonic() * 1000.0, id))
             state = {
@@ -126,7 +135,7 @@
                 "caller": out.state,
                 "equipo": back.state,
             }
-            done(MigratedConnection(PASSAGE, state, [out.fd, back.fd], out.held))
+            done(MigratedConnection(PASSAGE, state, [out.fd, back.fd], out.pending_bytes))
             return
         # One end went while the other was lifted: the answer is cut off. Where the caller is still there, the end of
         # its connection says so.
@@ -147,7 +156,7 @@
             return "this process stops too"
         if not relay.room_for(len(item.fds), idle=item.kind == EQUIPO):
             return "no room"
-        if item.kind == EQUIPO and not relay.upstream.wants(item.state):
+        if item.kind == EQUIPO and not relay.upstream.accepts_idle(item.state):
             return "no use for it"
         if item.kind == PASSAGE and item.state["id"] in relay.node.open:
             return "its request can't be open here"
@@ -176,11 +185,11 @@
             for sock in socks:
                 sock.close()
 
-    def _caller(self, state: dict[str, Any], held: bytes, kept: bool) -> Caller:
-        caller = Caller(self.relay.server)
-        caller.resume(state, held)
+    def _caller(self, state: dict[str, Any], held: bytes, kept: bool) -> DownstreamConnection:
+        caller = DownstreamConnection(self.relay.server)
+        caller.restore(state, held)
         if kept:
-            caller.kept = caller.last = True
+            caller.detach_declined = caller.close_after_response = True
         return caller
 
     async def _go_on_passing(self, item: MigratedConnection, socks: list[socket.socket], kept: bool) -> None:
@@ -189,19 +198,21 @@
         caller = self._caller(state["caller"], item.held, kept)
         if not relay.node.adopt(time.monotonic() * 1000.0, id, str(state["service"]), state["server"]):
             raise ValueError(f"{id} is open here already")
-        conn: equipos.Connection | None = None
+        conn: equipos.UpstreamConnection | None = None
 
         def eased() -> None:
             if conn is not None:
-                conn.ease()
+                conn.resume_response()
 
-        call = caller.resume_answer(id, eased)
+        call = caller.restore_response(id, eased)
         relay.calls[id] = call
-        conn = relay.upstream.adopt_passage(id, state["equipo"], functools.partial(caller.piece, call))
+        conn = relay.upstream.adopt_response(
+            id, state["equipo"], functools.partial(caller.send_response_data, call)
+        )
         await self.loop.connect_accepted_socket(lambda: caller, socks[0])
         if relay.calls.get(id) is not call:  # it left just now
             socks[1].close()
             return
-        await relay.upstream.join(conn, socks[1])
-        if caller.choked:
-            conn.hold()
+        await relay.upstream.attach_socket(conn, socks[1])
+        if caller.write_blocked:
+            conn.pause_response()
--- a/rosewheel/http/body.py
+++ b/rosewheel/http/body.py
@@ -5,92 +5,92 @@
 from collections import deque
 from collections.abc import Callable
 
-HOLD_BYTES = 1 << 20  # a longer body passes through
-SHARES = 4  # no connection's bodies hold more than this part of what all may hold
+MAX_BUFFERED_BODY_BYTES = 1 << 20  # a longer body passes through
+CONNECTION_SHARE_DIVISOR = 4  # no connection's bodies hold more than this part of what all may hold
 
 
-class Budget:
+class BufferBudget:
     """What all bodies together may hold. It is no hard wall: past it bodies pass through, and each of these
     holds no more than its window."""
 
-    def __init__(self, most: int) -> None:
-        self.most, self.used = most, 0
+    def __init__(self, limit_bytes: int) -> None:
+        self.limit_bytes, self.used_bytes = limit_bytes, 0
 
     @property
-    def spent(self) -> bool:
-        return self.used > self.most
+    def exceeded(self) -> bool:
+        return self.used_bytes > self.limit_bytes
 
     @property
-    def share(self) -> int:
+    def connection_share_bytes(self) -> int:
         """What one connection's may hold of it."""
-        return self.most // SHARES
+        return self.limit_bytes // CONNECTION_SHARE_DIVISOR
 
 
-class Body:
+class RequestBody:
     """Filled by the caller's connection, read by that of the attempt which is out.
 
     `reader` is called when there is more to read, `eased` when there is room for more.
     """
 
-    def __init__(self, budget: Budget, eased: Callable[[], None]) -> None:
-        self.budget, self.eased = budget, eased
-        self.pieces: deque[bytes] = deque()
-        self.first = 0  # the number of the piece that stands first: more than 0 once some are dropped
-        self.size = 0  # of all that has come
-        self.held = 0
+    def __init__(self, budget: BufferBudget, on_space: Callable[[], None]) -> None:
+        self.budget, self.on_space = budget, on_space
+        self.segments: deque[bytes] = deque()
+        self.first_index = 0  # the number of the piece that stands first: more than 0 once some are dropped
+        self.received_bytes = 0  # of all that has come
+        self.buffered_bytes = 0
         self.complete = False
-        self.streamed = False  # it passes through
-        self.read = False  # some of it is on its way to a server
-        self.unwanted = False  # nobody reads it any more
-        self.reader: Callable[[], None] | None = None
+        self.streaming = False  # it passes through
+        self.reading_started = False  # some of it is on its way to a server
+        self.released = False  # nobody reads it any more
+        self.on_data: Callable[[], None] | None = None
 
     @property
-    def resendable(self) -> bool:
-        return self.first == 0 and not self.unwanted
+    def replayable(self) -> bool:
+        return self.first_index == 0 and not self.released
 
-    def add(self, data: bytes) -> None:
-        self.size += len(data)
-        if self.unwanted:
+    def append(self, data: bytes) -> None:
+        self.received_bytes += len(data)
+        if self.released:
             return
-        self.pieces.append(data)
-        self.held += len(data)
-        self.budget.used += len(data)
-        if self.size > HOLD_BYTES or self.budget.spent:
-            self.streamed = True
-        if self.reader is not None:
-            self.reader()
-
-    def end(self) -> None:
+        self.segments.append(data)
+        self.buffered_bytes += len(data)
+        self.budget.used_bytes += len(data)
+        if self.received_bytes > MAX_BUFFERED_BODY_BYTES or self.budget.exceeded:
+            self.streaming = True
+        if self.on_data is not None:
+            self.on_data()
+
+    def finish(self) -> None:
         self.complete = True
-        if self.reader is not None:
-            self.reader()
+        if self.on_data is not None:
+            self.on_data()
 
-    def piece(self, number: int) -> bytes | None:
+    def segment(self, index: int) -> bytes | None:
         """The piece of this number, or None where it has not come. Of a body that passes through, those
         before it are dropped: they have been read, and are not read again."""
-        self.read = True
-        if self.streamed:
-            while self.first < number:
-                self._drop()
-        at = number - self.first
-        return self.pieces[at] if 0 <= at < len(self.pieces) else None
-
-    def _drop(self) -> None:
-        size = len(self.pieces.popleft())
-        self.first += 1
-        self.held -= size
-        self.budget.used -= size
-        self.eased()
-
-    def again(self) -> None:
+        self.reading_started = True
+        if self.streaming:
+            while self.first_index < index:
+                self._drop_first()
+        at = index - self.first_index
+        return self.segments[at] if 0 <= at < len(self.segments) else None
+
+    def _drop_first(self) -> None:
+        size = len(self.segments.popleft())
+        self.first_index += 1
+        self.buffered_bytes -= size
+        self.budget.used_bytes -= size
+        self.on_space()
+
+    def rewind(self) -> None:
         """Who read it is gone; where all of it is still here, another one may come and read it."""
-        if self.first == 0 and self.read and not self.unwanted:
-            self.read = False
-            self.eased()
+        if self.first_index == 0 and self.reading_started and not self.released:
+            self.reading_started = False
+            self.on_space()
 
     def release(self) -> None:
         """Nobody needs it any more; what still comes of it is not kept."""
-        self.unwanted, self.reader = True, None
-        self.budget.used -= self.held
-        self.held = 0
-        self.pieces.clear()
+        self.released, self.on_data = True, None
+        self.budget.used_bytes -= self.buffered_bytes
+        self.buffered_bytes = 0
+        self.segments.clear()
--- a/rosewheel/http/call.py
+++ b/rosewheel/http/request.py
@@ -5,13 +5,13 @@
 from dataclasses import dataclass
 from typing import TYPE_CHECKING
 
-from rosewheel.http.body import Body
+from rosewheel.http.body import RequestBody
 
 if TYPE_CHECKING:
-    from rosewheel.http.downstream import Caller
+    from rosewheel.http.downstream_connection import DownstreamConnection
 
 # What may stand in a request once only: two of them are two opinions on what it is.
-SINGLE_HEADERS = frozenset(
+SINGLE_VALUE_HEADERS = frozenset(
     (
         b"content-length",
         b"transfer-encoding",
@@ -22,7 +22,7 @@
     )
 )
 # Of one connection only, or written anew for the server.
-OWN_HEADERS = frozenset(
+NOT_FORWARDED_HEADERS = frozenset(
     (
         b"connection",
         b"keep-alive",
@@ -47,43 +47,43 @@
 
 
 @dataclass(slots=True, eq=False)
-class Call:
+class DownstreamRequest:
     """A caller's request. Its body may still be on its way."""
 
-    caller: Caller
+    connection: DownstreamConnection
     method: bytes
     target: bytes
     headers: list[tuple[bytes, bytes]]
-    body: Body
-    length: int | None = None  # of the body, where the head tells
+    body: RequestBody
+    content_length: int | None = None  # of the body, where the head tells
     id: str = ""
-    asked: bool = False  # the relay has been asked
-    patience_ms: float = 0.0  # how long its caller waits from its last byte on
-    begun: bool = False  # a long answer is being passed on
-    firsts: dict[bytes, bytes] | None = None  # the first value of each header
+    dispatched: bool = False  # the relay has been asked
+    timeout_ms: float = 0.0  # how long its caller waits from its last byte on
+    response_started: bool = False  # a long answer is being passed on
+    _first_values: dict[bytes, bytes] | None = None  # the first value of each header
 
     def header(self, name: bytes) -> str | None:
-        if self.firsts is None:
-            self.firsts = dict(reversed(self.headers))
-        value = self.firsts.get(name)
+        if self._first_values is None:
+            self._first_values = dict(reversed(self.headers))
+        value = self._first_values.get(name)
         return None if value is None else value.decode("latin-1").strip()
 
-    def head(self, timeout_ms: float) -> tuple[bytes, bool]:
+    def upstream_head(self, timeout_ms: float) -> tuple[bytes, bool]:
         """The request's head as it goes on to a server, and whether its body goes in chunks."""
         target, authority = origin_form(self.target)
         parts = [b"%b %b HTTP/1.1\r\n" % (self.method, target)]
-        own = OWN_HEADERS
+        own = NOT_FORWARDED_HEADERS
         if authority is not None or self.header(b"host") is None:
             parts.append(b"Host: %b\r\n" % (authority or b""))
-            own = OWN_HEADERS | {b"host"}
+            own = NOT_FORWARDED_HEADERS | {b"host"}
         # What the caller names in Connection is of that connection only.
         named = self.header(b"connection")
         if named:
             items = {item.strip().lower() for item in named.encode("latin-1").split(b",")}
-            own = own | (items - SINGLE_HEADERS)
+            own = own | (items - SINGLE_VALUE_HEADERS)
         parts += [b"%b: %b\r\n" % pair for pair in self.headers if pair[0] not in own]
         parts.append(b"Request-Timeout-Ms: %d\r\n" % max(1, int(timeout_ms)))
-        length = self.body.size if self.body.complete else self.length
+        length = self.body.received_bytes if self.body.complete else self.content_length
         if length is None:
             parts.append(b"Transfer-Encoding: chunked\r\n")
         elif length or self.method != b"GET":
--- a/rosewheel/lab/scale/simulated_node.py
+++ b/rosewheel/lab/scale/simulated_node.py
@@ -14,8 +14,8 @@
 
 from rosewheel.control.documents import Document
 from rosewheel.control.subscriber import ConfigurationSubscriber
-from rosewheel.discovery.backoff import Waits
-from rosewheel.discovery.catalog import Discovery
+from rosewheel.discovery.backoff import WatchBackoff
+from rosewheel.discovery.endpoint_list import DiscoveryWatch
 from rosewheel.lab.scale.messages import SimulatedNodeSetup
 from rosewheel.lab.scale.plan import node_name
 from rosewheel.lab.scale.version_log import NodeRecords
@@ -43,7 +43,7 @@
         self.setup, self.seed, self.records = setup, seed, records
         self.number = setup.number
         self.loop = asyncio.get_running_loop()
-        self.watch: Discovery | None = None
+        self.watch: DiscoveryWatch | None = None
         self.subscriber: ConfigurationSubscriber | None = None
         self.configs_applied = 0  # since the node was made
         self._starts = 0
@@ -58,7 +58,7 @@
     @property
     def list_version(self) -> int:
         """Version of the endpoint list; 0 without one."""
-        return 0 if self.watch is None else self.watch.since
+        return 0 if self.watch is None else self.watch.revision
 
     @property
     def config_version(self) -> int:
@@ -68,7 +68,7 @@
     @property
     def endpoints(self) -> int:
         """Number of endpoints in the list."""
-        return 0 if self.watch is None else len(self.watch.lists.rows)
+        return 0 if self.watch is None else len(self.watch.endpoint_list.rows)
 
     def start(self) -> None:
         """Open the watches; nothing if the node runs."""
@@ -78,14 +78,14 @@
     def _start(self) -> None:
         self._starts += 1
         rng = random.Random(f"{self.seed}/{self.number}/{self._starts}")
-        self.backoff = Waits(rng)
-        self.watch = watch = Discovery(
+        self.backoff = WatchBackoff(rng)
+        self.watch = watch = DiscoveryWatch(
             self.setup.discovery,
             0,
             lambda form, endpoints: self._list_received(watch, form),
-            spoke=self.backoff.heard,
+            on_first_line=self.backoff.reset,
         )
-        watch.watch()
+        watch.start()
         if self.setup.control_machines:
             self.subscriber = self._subscriber(rng.getrandbits(62))
             self.subscriber.start()
@@ -115,18 +115,18 @@
         watch, self.watch = self.watch, None
         if watch is not None:
             watch.close()
-            watch.lists.close()
+            watch.endpoint_list.close()
 
-    def _list_received(self, watch: Discovery, form: EndpointListForm) -> None:
+    def _list_received(self, watch: DiscoveryWatch, form: EndpointListForm) -> None:
         if watch is not self.watch:
             return
         if form is EndpointListForm.FAILED:
-            wait_s = self.backoff.ended(self.loop.time() - watch.opened_s, GRACE_S)
+            wait_s = self.backoff.next_delay_s(self.loop.time() - watch.started_s, GRACE_S)
             self.loop.call_later(wait_s, self._reopen, watch, context=self._context)
             return
-        self.backoff.heard()
-        self.records.lists.add(self.number, watch.since)
+        self.backoff.reset()
+        self.records.lists.add(self.number, watch.revision)
 
-    def _reopen(self, watch: Discovery) -> None:
-        if watch is self.watch and not watch.open:
-            watch.watch()
+    def _reopen(self, watch: DiscoveryWatch) -> None:
+        if watch is self.watch and not watch.is_open:
+            watch.start()
--- a/rosewheel/lab/simulation/discovery.py
+++ b/rosewheel/lab/simulation/discovery.py
@@ -7,7 +7,7 @@
 
 import numpy as np
 
-from rosewheel.discovery.backoff import REWATCH_MOST_PART, REWATCH_PART
+from rosewheel.discovery.backoff import INITIAL_DELAY_DIVISOR, MAX_DELAY_DIVISOR
 from rosewheel.lab.plan import Plan, discovery_delay_ms
 from rosewheel.lab.simulation.events import EventQueue
 from rosewheel.lab.simulation.network import ONE_WAY_MS
@@ -114,7 +114,7 @@
         for agent in self.agents.values():
             agent.stalled = on
             if not on:  # its node had given the watch up and tries again now and then
-                agent.reopen(float(self.rng.uniform(0.0, DRAIN_GRACE_MS / REWATCH_MOST_PART)))
+                agent.reopen(float(self.rng.uniform(0.0, DRAIN_GRACE_MS / MAX_DELAY_DIVISOR)))
 
     def cut(self, zones: frozenset[str]) -> None:
         """These zones are cut off: agents there hear nothing, the others hear that what lies there is gone."""
@@ -136,4 +136,4 @@
 
     def break_off(self) -> None:
         for agent in self.agents.values():
-            agent.reopen(float(self.rng.uniform(0.6, 1.0)) * DRAIN_GRACE_MS / REWATCH_PART)
+            agent.reopen(float(self.rng.uniform(0.6, 1.0)) * DRAIN_GRACE_MS / INITIAL_DELAY_DIVISOR)
--- a/rosewheel/lab/simulation/node.py
+++ b/rosewheel/lab/simulation/node.py
@@ -11,7 +11,12 @@
 from dataclasses import dataclass
 from typing import Protocol
 
-from rosewheel.http.upstream import IDLE_PART, SETTLE_S, SILENT_S, SWEEP_S
+from rosewheel.http.upstream_pool import (
+    MAX_IDLE_DIVISOR,
+    REUSE_QUIET_PERIOD_S,
+    SWEEP_INTERVAL_S,
+    UNRESPONSIVE_AFTER_S,
+)
 from rosewheel.lab.retry import AttemptOutcome
 from rosewheel.lab.simulation.events import EventQueue
 from rosewheel.lab.simulation.host import Report, SimulatedServerHost
@@ -77,7 +82,7 @@
         self.rest = Rest(bounds.conn_idle_ms / 1000.0, settings.balancer_count > FEW)
         self.dead = False
         self._armed = math.inf
-        self.queue.after(SWEEP_S * 1000.0, self._sweep)
+        self.queue.after(SWEEP_INTERVAL_S * 1000.0, self._sweep)
 
     # ----------------------------------------------------------------- callers
 
@@ -173,7 +178,7 @@
         self.out[effect.id, effect.attempt] = exchange
         pool = self.pools.get(effect.server)
         if pool is not None and pool.up:
-            rested = self.queue.now - SETTLE_S * 1000.0
+            rested = self.queue.now - REUSE_QUIET_PERIOD_S * 1000.0
             for link in reversed(pool.idle):
                 if link.idle_since <= rested:
                     pool.idle.remove(link)
@@ -240,7 +245,7 @@
             link.idle_since = self.queue.now
             pool.idle.append(link)
             self.idle[link] = None
-            if len(pool.idle) > max(2, self.bounds.sockets // IDLE_PART):
+            if len(pool.idle) > max(2, self.bounds.sockets // MAX_IDLE_DIVISOR):
                 self._close(pool.idle.pop(0))
         else:
             self._close(link)
@@ -281,7 +286,7 @@
         link.exchange = None
         pool = self.pools.get(link.host.spec.name)
         self._close(link)
-        silent = self.queue.now - SILENT_S * 1000.0
+        silent = self.queue.now - UNRESPONSIVE_AFTER_S * 1000.0
         if pool is not None and pool.heard_ms <= exchange.began_ms <= silent:
             self._retire(pool)  # as the program does: its machine may have vanished
 
@@ -319,7 +324,7 @@
         while self.idle and (link := next(iter(self.idle))).idle_since <= oldest:
             self.pools[link.host.spec.name].idle.remove(link)
             self._close(link)
-        self.queue.after(SWEEP_S * 1000.0, self._sweep)
+        self.queue.after(SWEEP_INTERVAL_S * 1000.0, self._sweep)
 
     # ------------------------------------------------------------------ probes
 
--- a/rosewheel/policy/balancer.py
+++ b/rosewheel/policy/balancer.py
@@ -109,7 +109,9 @@
 FRESH_MS = 1500.0  # a reported utilisation counts for this long
 ZONE_WEIGHT = 64.0  # calls in the queue that a crossing of zones counts as, per unit of its price
 WATCH_MS = 250.0  # half the first time from one call of discovery to the next; doubled at each failure
-WATCH_MAX_MS = 4000.0  # the longest such time, what a call took included: discovery/watch.py has the sum
+WATCH_MAX_MS = (
+    4000.0  # the longest such time, what a call took included: discovery/watch_client.py has the sum
+)
 WATCH_LEAST_MS = 200.0  # the longest wait behind a call that took longer, or a watch that was open
 COLD_KEEP = 0.5  # what a cold server has earned and is not sent lapses after this part of `tip_after_ms`
 AT_ONCE = 4.0  # balancers that may send a server its first call just as it returns
--- a/rosewheel/proxy/proxy.py
+++ b/rosewheel/proxy/proxy.py
@@ -14,16 +14,16 @@
 from typing import TYPE_CHECKING, Any
 
 from rosewheel.config.platform import Config, ConfigError
-from rosewheel.discovery.backoff import Waits
-from rosewheel.discovery.catalog import Discovery, Entry, entries_from
+from rosewheel.discovery.backoff import WatchBackoff
+from rosewheel.discovery.endpoint_list import DiscoveryWatch, Endpoint, parse_endpoints
 from rosewheel.hot_restart.migration import Migration
 from rosewheel.hot_restart.service import HotRestart
 from rosewheel.hot_restart.transfers import TRANSFER_WINDOW
-from rosewheel.http.body import Budget
-from rosewheel.http.call import BadRequestError, Call
-from rosewheel.http.callers import Server
-from rosewheel.http.connection import Sink
-from rosewheel.http.upstream import Upstream
+from rosewheel.http.body import BufferBudget
+from rosewheel.http.downstream_server import DownstreamServer
+from rosewheel.http.request import BadRequestError, DownstreamRequest
+from rosewheel.http.upstream_connection import ResponseSink
+from rosewheel.http.upstream_pool import UpstreamPool
 from rosewheel.listener import bind, open_listener
 from rosewheel.node.core import (
     SERVED,
@@ -94,17 +94,17 @@
             config.state, self.cordons.hand, self._process_count_changed, config.inherited is not None
         )
         self.node = Node(config.settings, config.bounds, config.seed, now_ms())
-        self.upstream = Upstream(
+        self.upstream = UpstreamPool(
             config.bounds,
             self._make_room,
             self._ended,
             self._probed,
             self._began,
             self.node.figures.tried,
-            crowds=config.settings.balancer_count > FEW,
+            large_fleet=config.settings.balancer_count > FEW,
         )
-        self.budget = Budget(0)
-        self.server = Server(
+        self.budget = BufferBudget(0)
+        self.server = DownstreamServer(
             self._make_room,
             self._asked,
             self._arrived,
@@ -119,20 +119,20 @@
             self.admin = Admin(self)
         self.snapshots = SnapshotWriter(config.state, config.name, self._learned, config.on_disk)
         self.random = random.Random(config.seed)
-        self.watch_backoff = Waits(self.random)
+        self.watch_backoff = WatchBackoff(self.random)
         self.migration = Migration(self)
         self.hot_restart = HotRestart(config.state if config.handover else None, config.name, self.migration)
         self._list_received = asyncio.Event()  # discovery has said something
         since = config.known.get("seq")
-        known = [server.address for server, _ in entries_from(config.known.get("hosts"))]
-        self.discovery = Discovery(
+        known = [server.address for server, _ in parse_endpoints(config.known.get("hosts"))]
+        self.discovery = DiscoveryWatch(
             config.discovery,
             since if isinstance(since, int) else 0,
             self._endpoint_list_updated,
             known,
-            spoke=self._spoke,
+            on_first_line=self._spoke,
         )
-        self.calls: dict[str, Call] = {}
+        self.calls: dict[str, DownstreamRequest] = {}
         self.longest_ms = 0.0  # of the requests so far, how long a caller waits at most
         self._share(config.bounds.sockets)
         self.stopped = False
@@ -152,10 +152,10 @@
         self.shared_state.start()  # before anything can be sent: what is out by hand stays out
         if self.admin is not None and self.config.ops is not None:
             await self.admin.start(door or bind(self.config.ops, "LB_OPS"))
-        self._endpoint_list_updated(EndpointListForm.CACHED, entries_from(self.config.known.get("hosts")))
+        self._endpoint_list_updated(EndpointListForm.CACHED, parse_endpoints(self.config.known.get("hosts")))
         self._recall()
         if not self.config.settings.poll_discovery:
-            self.discovery.watch()
+            self.discovery.start()
         first_s = self._list_wait_s()
         if first_s > 0.0:
             with contextlib.suppress(TimeoutError):
@@ -175,12 +175,12 @@
         kept = self.snapshots.read()
         if kept is not None:
             known = self.node.recall(now_ms(), kept.learned, kept.age_ms)
-            self.upstream.recall(kept.rest_s)
+            self.upstream.restore_idle_limit(kept.rest_s)
             log.info("what was learned %.1f s ago is taken back, of %d equipos", kept.age_ms / 1e3, known)
         self.snapshots.start()
 
     def _learned(self) -> tuple[Learned, float]:
-        return self.node.learned(now_ms()), self.upstream.rest.usable_s
+        return self.node.learned(now_ms()), self.upstream.idle_timeout.usable_s
 
     def reload(self, config: Config) -> None:
         """Take over what may change while the node runs: the address of discovery, settings and bounds. Raises
@@ -197,10 +197,10 @@
         log.info("the configuration was read again, discovery at %s:%d", *config.discovery)
         if not moved or self.stopped:
             return
-        self.discovery.move(config.discovery)
+        self.discovery.change_address(config.discovery)
         self.apply(self.node.moved(now_ms()))
         if not self.config.settings.poll_discovery:
-            self.discovery.watch()
+            self.discovery.start()
 
     def configure(self, settings: Settings, bounds: Bounds) -> None:
         """These hold from now on, but for requests that are taken already. Raises ValueError that names the key where
@@ -210,14 +210,14 @@
             return
         effects = self.node.configure(now_ms(), settings, bounds)  # before anything else: it alone may refuse
         self.config = dataclasses.replace(was, settings=settings, bounds=bounds)
-        self.upstream.configure(bounds, crowds=settings.balancer_count > FEW)
+        self.upstream.configure(bounds, large_fleet=settings.balancer_count > FEW)
         self._share(bounds.sockets)
         self._shrink()
         self.apply(effects)
         log.info("another configuration holds from now on, %d classes", len(settings.classes))
         pushed = was.settings.poll_discovery and not settings.poll_discovery
-        if pushed and not self.discovery.open and not self.stopped:  # the module asks no more
-            self.discovery.watch()
+        if pushed and not self.discovery.is_open and not self.stopped:  # the module asks no more
+            self.discovery.start()
 
     async def drain(self) -> None:
         self.snapshots.close()  # a process that follows writes its own from now on
@@ -232,7 +232,7 @@
             self.admin.close()
         self.shared_state.close()
         self.discovery.close()
-        self.discovery.lists.close()
+        self.discovery.endpoint_list.close()
         self.upstream.close()
         if self._timer is not None:
             self._timer.cancel()
@@ -241,7 +241,7 @@
         """Hand over what can be by now; whether that goes on."""
         going = self.hot_restart.migrate_next()
         return self.migration.busy or (
-            going and (bool(self.server.callers) or not self.hot_restart.migration_finished)
+            going and (bool(self.server.connections) or not self.hot_restart.migration_finished)
         )
 
     # -------------------------------------------------- another process of the node
@@ -249,11 +249,11 @@
     @property
     def descriptors(self) -> int:
         """Those of callers and servers."""
-        return len(self.server.callers) + self.upstream.descriptors
+        return len(self.server.connections) + self.upstream.descriptor_count
 
     def room_for(self, count: int, idle: bool) -> bool:
         """Whether this process may hold so many more; an idle connection to a server makes no other one give way."""
-        if len(self.server.callers) >= self.server.most and not idle:
+        if len(self.server.connections) >= self.server.max_connections and not idle:
             return False
         return self.descriptors + self.migration.arriving + count <= self.max_descriptors or (
             not idle and self._make_room()
@@ -281,20 +281,20 @@
         if self.process_count > 1 and self.predecessor_descriptors is not None:
             half = max(half, sockets - self.predecessor_descriptors - 2 * TRANSFER_WINDOW)
         sockets = half
-        self.budget.most = int(self.config.bounds.memory_mb / self.process_count * BODIES_PART) << 20
+        self.budget.limit_bytes = int(self.config.bounds.memory_mb / self.process_count * BODIES_PART) << 20
         spare = min(RESERVED_DESCRIPTORS, max(24, sockets // SPARE_PART))
         if self.admin is not None:
             spare += self.admin.most  # so that no crowd can keep operators out
         self.max_descriptors = max(8, sockets - spare)
-        self.server.most_surplus = max(2, min(SURPLUS, sockets // SURPLUS_PART))
-        self.server.most = max(6, int(self.max_descriptors * CALLERS))
+        self.server.max_over_limit = max(2, min(SURPLUS, sockets // SURPLUS_PART))
+        self.server.max_connections = max(6, int(self.max_descriptors * CALLERS))
 
     def _make_room(self) -> bool:
         """Room for the descriptor that has come or is about to, if need be that of an idle connection."""
         if self.descriptors < self.max_descriptors:
             return True
         # Callers first: they connect again at no cost, while a new connection costs a server work.
-        return self.server.close_idle() or self.upstream.close_idle()
+        return self.server.close_longest_idle() or self.upstream.close_longest_idle()
 
     # --------------------------------------------------------------- operators
 
@@ -324,7 +324,7 @@
         return True
 
     def _cordon(self, member: str, out: bool) -> None:
-        self.upstream.cordon(member, out)
+        self.upstream.set_cordoned(member, out)
         self.apply(self.node.cordon(now_ms(), member, out))
 
     def _process_count_changed(self, processes: int) -> None:
@@ -340,12 +340,12 @@
     def _shrink(self) -> None:
         """Give up what is idle past what this process may hold; what is in use stays until it is not."""
         while self.descriptors > self.max_descriptors:
-            if not (self.server.close_idle() or self.upstream.close_idle()):
+            if not (self.server.close_longest_idle() or self.upstream.close_longest_idle()):
                 break
 
     # ------------------------------------------------------------------ events
 
-    def _asked(self, call: Call) -> None:
+    def _asked(self, call: DownstreamRequest) -> None:
         request = self._request(call)
         call.id = request.id
         try:
@@ -355,7 +355,7 @@
         self.calls[request.id] = call
         self.apply(effects)
 
-    def _request(self, call: Call) -> RequestReceived:
+    def _request(self, call: DownstreamRequest) -> RequestReceived:
         if call.method not in METHODS:
             raise BadRequestError(405, "GET and POST only")
         id, service = call.header(b"request-id"), call.header(b"request-class")
@@ -370,7 +370,7 @@
         if self.server.draining and self._left_ms() < min(timeout, LEAST_MS):
             self.node.figures.ended(service, Ended.SHED)
             raise BadRequestError(503, "this node stops before the answer could be there")
-        call.patience_ms = timeout
+        call.timeout_ms = timeout
         hint = figure(call.header(b"work-hint"), "Work-Hint", DECIMAL)
         return RequestReceived(
             id=id,
@@ -390,36 +390,38 @@
 
     def _left_ms(self) -> float:
         """How long this process still has for answers, once it has been told to stop."""
-        return (self.server.drained_s - self.loop.time()) * 1000.0 + self.longest_ms + STOP_MS
+        return (self.server.drain_started_s - self.loop.time()) * 1000.0 + self.longest_ms + STOP_MS
 
-    def _arrived(self, call: Call) -> None:
+    def _arrived(self, call: DownstreamRequest) -> None:
         if self.calls.get(call.id) is call:
             now = now_ms()
-            self.apply(self.node.arrived(now, call.id, now + self._wait_ms(call.patience_ms)))
+            self.apply(self.node.arrived(now, call.id, now + self._wait_ms(call.timeout_ms)))
 
-    def _began(self, id: str, attempt: int, length: int | None, eased: Callable[[], None]) -> Sink | None:
+    def _began(
+        self, id: str, attempt: int, length: int | None, eased: Callable[[], None]
+    ) -> ResponseSink | None:
         call = self.calls.get(id)
         effects = self.node.began(now_ms(), id, attempt) if call is not None else None
         if call is None or effects is None:
             return None
-        call.caller.begin(call, length, eased)
+        call.connection.start_response(call, length, eased)
         self.apply(effects)
-        return functools.partial(call.caller.piece, call)
+        return functools.partial(call.connection.send_response_data, call)
 
-    def _gone(self, call: Call) -> None:
+    def _gone(self, call: DownstreamRequest) -> None:
         if self.calls.get(call.id) is call:
             del self.calls[call.id]
             self.apply(self.node.client_gone(now_ms(), call.id))
             for attempt in self.node.out(call.id):
                 # Guards servers, also where the settings allow no cancel: what is not written yet is none.
-                if self.upstream.withdraw(call.id, attempt):
+                if self.upstream.cancel_unsent_attempt(call.id, attempt):
                     self.apply(self.node.ended(now_ms(), call.id, attempt, AttemptResult.CONNECT_FAILED))
 
     def _ended(
         self, id: str, attempt: int, result: AttemptResult, report: dict[str, float] | None, body: bytes
     ) -> None:
         call = self.calls.get(id)
-        if call is not None and not call.body.resendable:
+        if call is not None and not call.body.replayable:
             self.node.spent(id)
         self.apply(self.node.ended(now_ms(), id, attempt, result, report, body))
 
@@ -428,33 +430,33 @@
     ) -> None:
         self.apply(self.node.probed(now_ms(), server, result, latency_ms, report))
 
-    def _endpoint_list_updated(self, form: EndpointListForm, entries: list[Entry]) -> None:
+    def _endpoint_list_updated(self, form: EndpointListForm, entries: list[Endpoint]) -> None:
         if form is EndpointListForm.FAILED:
             if self.config.settings.poll_discovery:
                 self.apply(self.node.members(now_ms(), form))
             else:
-                lasted = self.loop.time() - self.discovery.opened_s
-                wait = self.watch_backoff.ended(lasted, self.config.bounds.drain_grace_ms / 1000.0)
+                lasted = self.loop.time() - self.discovery.started_s
+                wait = self.watch_backoff.next_delay_s(lasted, self.config.bounds.drain_grace_ms / 1000.0)
                 self.loop.call_later(wait, self._reopen_watch)
             return
         if form is not EndpointListForm.CACHED:
             self._list_received.set()
-            self.watch_backoff.heard()
-        self.upstream.update(entries, whole=form is not EndpointListForm.DELTA)
+            self.watch_backoff.reset()
+        self.upstream.update(entries, is_snapshot=form is not EndpointListForm.DELTA)
         servers = tuple(server for server, _ in entries)
         self.apply(self.node.members(now_ms(), form, servers))
 
     def _spoke(self) -> None:
         """A watch is open on a discovery that works, though it may have no change to tell."""
-        self.watch_backoff.heard()
+        self.watch_backoff.reset()
         if self.config.settings.poll_discovery:
             self.apply(self.node.members(now_ms(), EndpointListForm.DELTA))
 
     def _reopen_watch(self) -> None:
         if self.config.settings.poll_discovery:  # they were pushed when this was set; now the module asks
             return
-        if not self.discovery.open and not self.stopped:  # a move may have been quicker
-            self.discovery.watch()
+        if not self.discovery.is_open and not self.stopped:  # a move may have been quicker
+            self.discovery.start()
 
     def _tick(self) -> None:
         self._timer = None
@@ -475,32 +477,32 @@
             case Dispatch():
                 call = self.calls.get(effect.id)
                 # Asked again at each attempt: a loop that is late reads of a caller's end after that of an attempt.
-                if call is None or call.caller.forget_if_left():
+                if call is None or call.connection.close_if_disconnected():
                     self.loop.call_soon(
                         self._ended, effect.id, effect.attempt, AttemptResult.CANCELLED, None, b""
                     )
                     return
-                head, chunked = call.head(effect.timeout_ms)
-                wanted = call.caller.still_there
-                self.upstream.start(
+                head, chunked = call.upstream_head(effect.timeout_ms)
+                wanted = call.connection.is_connected
+                self.upstream.start_attempt(
                     effect.id, effect.attempt, effect.server, head, call.body, chunked, wanted
                 )
             case Abort():
-                self.upstream.abort(effect.id, effect.attempt)
+                self.upstream.abort_attempt(effect.id, effect.attempt)
             case Answer():
                 call = self.calls.pop(effect.id, None)
                 if call is None:
                     return
-                if not call.begun:
-                    call.caller.answer(call, effect.status, effect.body, effect.retry_after_ms)
+                if not call.response_started:
+                    call.connection.respond(call, effect.status, effect.body, effect.retry_after_ms)
                 elif effect.status == SERVED:
-                    call.caller.finish(call)
+                    call.connection.finish_response(call)
                 else:
-                    call.caller.cut(call)
+                    call.connection.abort_response(call)
             case StartWatch():
-                self.discovery.watch()
+                self.discovery.start()
             case StartProbe():
-                self.upstream.probe(effect.server)
+                self.upstream.check_health(effect.server)
 
     def _arm(self) -> None:
         """One timer of the loop stands for all of the node's."""
--- a/tests/cli/test_run.py
+++ b/tests/cli/test_run.py
@@ -17,7 +17,7 @@
 import pytest
 
 from rosewheel.config import platform
-from rosewheel.discovery.catalog import entries_from
+from rosewheel.discovery.endpoint_list import parse_endpoints
 from rosewheel.node.core import Node
 from rosewheel.policy.balancer import Balancer
 from rosewheel.policy.events import EndpointListForm, RequestReceived
@@ -265,7 +265,7 @@
                 pytest.fail(f"{path}: {said}")
             continue
         node = Node(config.settings, config.bounds, config.seed, 0.0)
-        entries = entries_from(config.known.get("hosts"))
+        entries = parse_endpoints(config.known.get("hosts"))
         node.members(0.0, EndpointListForm.CACHED, tuple(server for server, _ in entries))
         node.request(1.0, RequestReceived("r", config.settings.classes[0].name, 900.0))
         for at in range(1, 40):
--- a/tests/discovery/test_endpoint_list_races.py
+++ b/tests/discovery/test_endpoint_list_races.py
@@ -13,8 +13,8 @@
 from hypothesis import strategies as st
 
 from rosewheel.discovery import backoff as rewatch
-from rosewheel.discovery import watch
-from rosewheel.discovery.catalog import Discovery, Entry
+from rosewheel.discovery import watch_client
+from rosewheel.discovery.endpoint_list import DiscoveryWatch, Endpoint
 from rosewheel.node.limits import Bounds
 from rosewheel.policy.events import EndpointListForm
 from rosewheel.proxy import proxy as relay_module
@@ -136,8 +136,8 @@
 ):
     """What discovery has at its return counts as told at once: no wait may lie between one watch and the next.
     Seen: a wait of up to a second, in which a return went unheard for 0.45 s of the 0.4 that a drain allows."""
-    monkeypatch.setattr(watch, "FIRST_S", 0.05)
-    monkeypatch.setattr(watch, "SILENCE_S", 0.05)
+    monkeypatch.setattr(watch_client, "FIRST_LINE_TIMEOUT_S", 0.05)
+    monkeypatch.setattr(watch_client, "SILENCE_TIMEOUT_S", 0.05)
     waits: list[float] = []
 
     async def main() -> None:
@@ -170,14 +170,14 @@
             relay.loop = _Loop(relay.loop, lambda wait, *_: waits.append(wait))  # type: ignore[assignment]
             for grace_ms in (50.0, 400.0, 3000.0):
                 relay.config = _grace(relay.config, grace_ms)
-                relay.watch_backoff.unheard = 0
+                relay.watch_backoff.failed_watches = 0
                 waits.clear()
                 for _ in range(12):
-                    relay.discovery.opened_s = relay.loop.time()
+                    relay.discovery.started_s = relay.loop.time()
                     relay._endpoint_list_updated(EndpointListForm.FAILED, [])
-                assert 0.0 < waits[0] <= max(rewatch.REWATCH_LEAST_S, grace_ms / 1000.0 / 8)
-                assert max(waits) <= max(rewatch.REWATCH_LEAST_S, grace_ms / 1000.0 / 3)
-                relay.discovery.opened_s = relay.loop.time() - 3.0
+                assert 0.0 < waits[0] <= max(rewatch.MIN_DELAY_S, grace_ms / 1000.0 / 8)
+                assert max(waits) <= max(rewatch.MIN_DELAY_S, grace_ms / 1000.0 / 3)
+                relay.discovery.started_s = relay.loop.time() - 3.0
                 relay._endpoint_list_updated(EndpointListForm.FAILED, [])
                 assert waits[-1] == 0.0
 
@@ -186,9 +186,9 @@
 
 def test_the_times_of_a_silent_watch_fit_under_the_six_seconds():
     """Of a watch that falls silent, and of the next one that is silent too: noticed, opened, and heard."""
-    assert watch.SILENCE_S > 2.5  # an empty line comes every 2 s, and may be late
+    assert watch_client.SILENCE_TIMEOUT_S > 2.5  # an empty line comes every 2 s, and may be late
     assert (
-        watch.SILENCE_S + watch.FIRST_S < 5.5
+        watch_client.SILENCE_TIMEOUT_S + watch_client.FIRST_LINE_TIMEOUT_S < 5.5
     )  # where lists are asked for, the module's waits come to these: test_rewatch
 
 
@@ -209,9 +209,9 @@
 
 def heard_of(
     pieces: list[bytes], since: int = 5
-) -> tuple[list[tuple[EndpointListForm, list[Entry]]], list[str]]:
+) -> tuple[list[tuple[EndpointListForm, list[Endpoint]]], list[str]]:
     """What a watch makes of these pieces, and of the requests that it took: the second one is left silent."""
-    heard: list[tuple[EndpointListForm, list[Entry]]] = []
+    heard: list[tuple[EndpointListForm, list[Endpoint]]] = []
     asked: list[str] = []
 
     async def main() -> None:
@@ -219,16 +219,16 @@
         async with Agent(scripts={1: script}).up() as agent:
             done = asyncio.Event()
 
-            def took(form: EndpointListForm, entries: list[Entry]) -> None:
+            def took(form: EndpointListForm, entries: list[Endpoint]) -> None:
                 heard.append((form, entries))
                 if form is EndpointListForm.FAILED or entries:
                     done.set()
 
-            discovery = Discovery(("127.0.0.1", agent.port), since, took)
-            discovery.watch()
+            discovery = DiscoveryWatch(("127.0.0.1", agent.port), since, took)
+            discovery.start()
             await done.wait()
             if heard[-1][0] is EndpointListForm.FAILED:
-                discovery.watch()
+                discovery.start()
                 await until(lambda: len(agent.asked) == 2)
             discovery.close()
             asked.extend(agent.asked)
@@ -270,22 +270,24 @@
     """Guards the node: an exception here would end the watch without a word, and no other would follow."""
 
     class Watch:
-        told, spoke, half = False, False, b""
+        def __init__(self) -> None:
+            self.update_received = self.first_line_seen = False
+            self.partial_lines: list[bytes] = []
 
         def close(self) -> None: ...
 
     ends: list[EndpointListForm] = []
-    discovery = Discovery(("127.0.0.1", 1), 5, lambda form, _: ends.append(form))
-    discovery._watch = watch = Watch()  # type: ignore[assignment]
+    discovery = DiscoveryWatch(("127.0.0.1", 1), 5, lambda form, _: ends.append(form))
+    discovery._connection = connection = Watch()  # type: ignore[assignment]
     for text in (first, second, b"{" + first, b'{"seq":7,"hosts":[' + second):
-        discovery.line(watch, text)  # type: ignore[arg-type]
+        discovery.line_received(connection, text)  # type: ignore[arg-type]
     assert ends.count(EndpointListForm.FAILED) <= 1
 
 
 def test_answers_of_another_status_end_the_watch():
     async def main() -> None:
         async with Agent(scripts={1: answer(503, b"")}).up() as agent, pushed(agent, []) as relay:
-            relay.discovery.watch()
+            relay.discovery.start()
             await until(lambda: len(agent.asked) == 2)
 
     run(main())
--- a/tests/discovery/test_long_lists.py
+++ b/tests/discovery/test_long_lists.py
@@ -10,8 +10,8 @@
 from hypothesis import settings as hypothesis_settings
 from hypothesis import strategies as st
 
-from rosewheel.discovery import catalog
-from rosewheel.discovery.catalog import Entry, Lists, entries_from
+from rosewheel.discovery import endpoint_list
+from rosewheel.discovery.endpoint_list import Endpoint, EndpointList, parse_endpoints
 from rosewheel.policy.events import EndpointListForm, ServerState
 from rosewheel.proxy.proxy import Proxy
 from tests.support.sockets import config, entry, run
@@ -29,7 +29,7 @@
 TOLD = st.lists(st.tuples(st.booleans(), ROWS), max_size=6)
 
 
-def _applied(into: dict[str, Any], form: EndpointListForm, entries: list[Entry]) -> None:
+def _applied(into: dict[str, Any], form: EndpointListForm, entries: list[Endpoint]) -> None:
     """What whoever hears of lists makes of one."""
     if form is EndpointListForm.SNAPSHOT:
         into.clear()
@@ -50,27 +50,29 @@
     sliced: dict[str, Any] = {}
     most = [0]
     for into in (whole, sliced):
-        _applied(into, EndpointListForm.SNAPSHOT, entries_from(known))
+        _applied(into, EndpointListForm.SNAPSHOT, parse_endpoints(known))
 
-    def heard(form: EndpointListForm, entries: list[Entry]) -> None:
+    def heard(form: EndpointListForm, entries: list[Endpoint]) -> None:
         most[0] = max(most[0], len(entries))
         _applied(sliced, form, entries)
 
     async def main() -> None:
-        lists = Lists(heard, [row["host"] for row in known if row["health"] != "left"])
+        lists = EndpointList(heard, [row["host"] for row in known if row["health"] != "left"])
         for is_whole, rows in told:
-            lists.take(is_whole, rows)
+            lists.apply(is_whole, rows)
             _applied(
-                whole, EndpointListForm.SNAPSHOT if is_whole else EndpointListForm.DELTA, entries_from(rows)
+                whole,
+                EndpointListForm.SNAPSHOT if is_whole else EndpointListForm.DELTA,
+                parse_endpoints(rows),
             )
-        while lists._turn is not None:
+        while lists._next_turn is not None:
             await asyncio.sleep(0)
 
-    kept, catalog.SLICE = catalog.SLICE, 3
+    kept, endpoint_list.MAX_ENTRIES_PER_TURN = endpoint_list.MAX_ENTRIES_PER_TURN, 3
     try:
         run(main())
     finally:
-        catalog.SLICE = kept
+        endpoint_list.MAX_ENTRIES_PER_TURN = kept
     assert sliced == whole
     assert most[0] <= 3
 
@@ -78,14 +80,14 @@
 def test_a_long_list_that_says_the_same_again_costs_nothing_behind_it():
     async def main() -> None:
         heard: list[int] = []
-        lists = Lists(lambda form, entries: heard.append(len(entries)))
-        rows = [entry(f"s{at}", 9000) for at in range(2 * catalog.SLICE)]
+        lists = EndpointList(lambda form, entries: heard.append(len(entries)))
+        rows = [entry(f"s{at}", 9000) for at in range(2 * endpoint_list.MAX_ENTRIES_PER_TURN)]
         for again in range(3):
             rows[again] = entry(f"s{again}", 9001)
-            lists.take(True, rows)
-            while lists._turn is not None:
+            lists.apply(True, rows)
+            while lists._next_turn is not None:
                 await asyncio.sleep(0)
-        assert heard[:2] == [catalog.SLICE] * 2
+        assert heard[:2] == [endpoint_list.MAX_ENTRIES_PER_TURN] * 2
         assert sum(heard[2:]) == 2
 
     run(main())
@@ -95,18 +97,18 @@
 def test_a_node_follows_lists_of_any_length(count: int):
     async def main() -> None:
         relay = Proxy(config([entry("old", 9000)]))
-        relay.discovery.watch = lambda: None  # type: ignore[method-assign]
-        relay._endpoint_list_updated(EndpointListForm.CACHED, entries_from(relay.config.known["hosts"]))
+        relay.discovery.start = lambda: None  # type: ignore[method-assign]
+        relay._endpoint_list_updated(EndpointListForm.CACHED, parse_endpoints(relay.config.known["hosts"]))
         assert "old" in relay.node.servers
         rows = [entry(f"s{at}", 9000) for at in range(count)]
         for part in (rows, rows[1:], rows[1:2]):
-            relay.discovery.lists.take(True, part)
-            while relay.discovery.lists._turn is not None:
+            relay.discovery.endpoint_list.apply(True, part)
+            while relay.discovery.endpoint_list._next_turn is not None:
                 await asyncio.sleep(0)
             wanted = {row["host"] for row in part}
             assert set(relay.node.servers) == wanted, "what a whole list does not name is gone"
-            assert set(relay.upstream.pools) == wanted
+            assert set(relay.upstream.endpoints) == wanted
             assert set(relay.node.balancer.peers) == wanted
-        relay.discovery.lists.close()
+        relay.discovery.endpoint_list.close()
 
     run(main())
--- a/tests/discovery/test_watch_backoff.py
+++ b/tests/discovery/test_watch_backoff.py
@@ -14,7 +14,7 @@
 from hypothesis import settings as hypothesis_settings
 from hypothesis import strategies as st
 
-from rosewheel.discovery import backoff, watch
+from rosewheel.discovery import backoff, watch_client
 from rosewheel.node.limits import Bounds
 from rosewheel.policy import balancer
 from rosewheel.policy.actions import StartTimer, WatchEndpoints
@@ -47,7 +47,7 @@
         relay = Proxy(dataclasses.replace(told, bounds=Bounds(drain_grace_ms=grace_ms)))
         relay._endpoint_list_updated(EndpointListForm.CACHED, [])
         if not asks:
-            relay.discovery.watch()
+            relay.discovery.start()
         await asyncio.sleep(until_s)
         relay.stopped = True
         relay.discovery.close()
@@ -170,11 +170,24 @@
 
 def test_the_sum_of_the_longest_times_is_what_the_page_of_constants_says():
     rewatch_s, apart_s = balancer.WATCH_LEAST_MS / 1000.0, balancer.WATCH_MAX_MS / 1000.0
-    for wait_s, longest_s in ((rewatch_s, apart_s), (0.0, backoff.REWATCH_MOST_S)):
-        assert backoff.REWATCH_MOST_S <= watch.FIRST_S  # so that no wait follows a try that was silent
-        assert max(watch.SILENCE_S + wait_s, watch.FIRST_S + wait_s, longest_s) + watch.SETTLE_S < HEARD_S
-        assert watch.SILENCE_S + watch.FIRST_S + 2.0 * (wait_s + watch.SETTLE_S) < HEARD_S
-    assert watch.CONNECT_S < watch.FIRST_S
+    for wait_s, longest_s in ((rewatch_s, apart_s), (0.0, backoff.MAX_DELAY_S)):
+        assert (
+            backoff.MAX_DELAY_S <= watch_client.FIRST_LINE_TIMEOUT_S
+        )  # so that no wait follows a try that was silent
+        assert (
+            max(
+                watch_client.SILENCE_TIMEOUT_S + wait_s, watch_client.FIRST_LINE_TIMEOUT_S + wait_s, longest_s
+            )
+            + watch_client.SILENCE_RECHECK_S
+            < HEARD_S
+        )
+        assert (
+            watch_client.SILENCE_TIMEOUT_S
+            + watch_client.FIRST_LINE_TIMEOUT_S
+            + 2.0 * (wait_s + watch_client.SILENCE_RECHECK_S)
+            < HEARD_S
+        )
+    assert watch_client.CONNECT_TIMEOUT_S < watch_client.FIRST_LINE_TIMEOUT_S
 
 
 # ---------------------------------------------------------------- on loopback
@@ -233,8 +246,8 @@
     asks: bool, monkeypatch: pytest.MonkeyPatch
 ):
     """On sockets, with all times a fortieth: silent, dead, dying within a line, silent within one, and back."""
-    for name in ("SILENCE_S", "CONNECT_S", "FIRST_S"):
-        monkeypatch.setattr(watch, name, getattr(watch, name) / 40.0)
+    for name in ("SILENCE_TIMEOUT_S", "CONNECT_TIMEOUT_S", "FIRST_LINE_TIMEOUT_S"):
+        monkeypatch.setattr(watch_client, name, getattr(watch_client, name) / 40.0)
     for name in ("WATCH_MS", "WATCH_MAX_MS", "WATCH_LEAST_MS"):
         monkeypatch.setattr(balancer, name, getattr(balancer, name) / 40.0)
 
@@ -247,7 +260,7 @@
                     await until(lambda: discovery.asked >= 3)
                     assert relay.node.knows("old")
                     discovery.end()
-                    await until(lambda: not relay.discovery.open)
+                    await until(lambda: not relay.discovery.is_open)
                 await discovery.begin("served")
                 await until(lambda: relay.node.knows("new"))
                 assert not relay.node.knows("old")
--- a/tests/discovery/test_watch_client.py
+++ b/tests/discovery/test_watch_client.py
@@ -11,8 +11,8 @@
 import orjson
 import pytest
 
-from rosewheel.discovery import watch
-from rosewheel.discovery.watch import Watcher
+from rosewheel.discovery import watch_client
+from rosewheel.discovery.watch_client import WatchClient
 from tests.discovery.test_endpoint_list_races import HEAD, Agent, chunk
 from tests.support.sockets import run, until
 
@@ -36,7 +36,7 @@
         ended = asyncio.Event()
         first = b'{"seq":8,"whole":true,\n"pairs":{"a":1}}\n'
         async with Agent(scripts={1: HEAD + chunk(b"\n") + chunk(first) + chunk(second)}).up() as agent:
-            watcher = Watcher(
+            watcher = WatchClient(
                 ("127.0.0.1", agent.port),
                 3,
                 lambda since: f"/pairs?from={since}",
@@ -45,10 +45,10 @@
                 ended.set,
                 LOG,
             )
-            watcher.watch()
+            watcher.start()
             await ended.wait()
-            assert not watcher.open
-            watcher.watch()
+            assert not watcher.is_open
+            watcher.start()
             await until(lambda: len(agent.asked) == 2)
             watcher.close()
         assert took == [(True, {"a": 1})]
@@ -65,7 +65,9 @@
         reads.append(len(text))
         return orjson.loads(text)
 
-    monkeypatch.setattr(watch, "orjson", SimpleNamespace(loads=loads, JSONDecodeError=orjson.JSONDecodeError))
+    monkeypatch.setattr(
+        watch_client, "orjson", SimpleNamespace(loads=loads, JSONDecodeError=orjson.JSONDecodeError)
+    )
     given = {"seq": 9, "whole": True, "pairs": {f"a{at}": [{"b{[": '"'}, at] for at in range(500)}}
 
     async def main() -> None:
@@ -73,7 +75,7 @@
         async with Agent(scripts={1: HEAD + chunk(text) + chunk(text)}).up() as agent:
             took: list[dict[str, Any]] = []
             failed: list[None] = []
-            watcher = Watcher(
+            watcher = WatchClient(
                 ("127.0.0.1", agent.port),
                 3,
                 lambda since: f"/pairs?from={since}",
@@ -82,7 +84,7 @@
                 lambda: failed.append(None),
                 LOG,
             )
-            watcher.watch()
+            watcher.start()
             await until(lambda: len(took) == 2 or bool(failed))
             watcher.close()
             assert took == [given["pairs"]] * 2
--- a/tests/hot_restart/test_hot_restart.py
+++ b/tests/hot_restart/test_hot_restart.py
@@ -21,7 +21,7 @@
     encode_packets,
     newest_common_version,
 )
-from rosewheel.http.upstream import SETTLE_S
+from rosewheel.http.upstream_pool import REUSE_QUIET_PERIOD_S
 from rosewheel.proxy.proxy import Proxy
 from tests.support.sockets import (
     WAIT_S,
@@ -75,7 +75,7 @@
 
 def process(known: list[dict[str, Any]], folder: Path, inherited: int | None, **changes: Any) -> Proxy:
     relay = Proxy(config(known, inherited=inherited, state=str(folder), **changes))
-    relay.discovery.watch = relay._list_received.set  # type: ignore[method-assign]
+    relay.discovery.start = relay._list_received.set  # type: ignore[method-assign]
     return relay
 
 
@@ -162,7 +162,7 @@
                 assert old.figures()["responses"]["read"]["ok"] == 0
                 got = await client.ask(id="small-1")
                 assert status(got) == 200
-                assert len(new.server.callers) == 1
+                assert len(new.server.connections) == 1
                 assert server.connections >= 1
                 await client.__aexit__()
 
@@ -178,9 +178,9 @@
     await asyncio.get_running_loop().sock_connect(sock, ("127.0.0.1", port))
     client.reader, client.writer = await asyncio.open_connection(sock=sock, limit=4096)
     client.send(id=f"long-{number}")
-    await until(lambda: f"long-{number}" in old.calls and old.calls[f"long-{number}"].begun)
-    caller = old.calls[f"long-{number}"].caller
-    await until(lambda: caller.choked)
+    await until(lambda: f"long-{number}" in old.calls and old.calls[f"long-{number}"].response_started)
+    caller = old.calls[f"long-{number}"].connection
+    await until(lambda: caller.write_blocked)
     return client
 
 
@@ -199,7 +199,10 @@
             # connections would depend on how fast the answers come.
             loop = node.upstream.loop
             await until(
-                lambda: all(conn.idle_since < loop.time() - SETTLE_S for conn in node.upstream.resting)
+                lambda: all(
+                    conn.idle_since_s < loop.time() - REUSE_QUIET_PERIOD_S
+                    for conn in node.upstream.idle_connections
+                )
             )
             gate.clear()
             before = len(known.got)
@@ -211,7 +214,7 @@
                 got = await client.answer()
                 assert got is not None
                 assert (status(got), got.headers.get("connection")) == (200, None)
-            await until(lambda: len(node.upstream.resting) == len(asking))
+            await until(lambda: len(node.upstream.idle_connections) == len(asking))
 
         async with FakeServer(serve).up() as server:
             async with bench([entry("s", server.port)], tmp_path) as node:
@@ -219,15 +222,15 @@
                 clients = [node.client() for _ in range(40)]
                 for client in clients:
                     await client.__aenter__()
-                await until(lambda: len(old.server.callers) == 40)
+                await until(lambda: len(old.server.connections) == 40)
                 await ask_at_once(old, clients[:together], server)
                 assert server.connections == together
                 new = await node.next()
                 await old.drain()
                 assert old.hot_restart.sender is not None
                 assert old.hot_restart.sender.migrated == {"caller": 40, "equipo": together}
-                await until(lambda: len(new.server.callers) == 40)
-                await until(lambda: len(new.upstream.resting) == together)
+                await until(lambda: len(new.server.connections) == 40)
+                await until(lambda: len(new.upstream.idle_connections) == together)
                 for at in range(0, 40, together):
                     await ask_at_once(new, clients[at : at + together], server)
                 assert server.connections == together
@@ -247,7 +250,7 @@
                 clients = [node.client() for _ in range(30)]
                 for client in clients:
                     await client.__aenter__()
-                await until(lambda: len(old.server.callers) == 30)
+                await until(lambda: len(old.server.connections) == 30)
                 await node.next()
                 stop = asyncio.ensure_future(old.drain())
                 for at, client in enumerate(clients):
@@ -327,7 +330,7 @@
                 slow = [await slow_client(old, node.port, at) for at in range(2)]
                 idle = node.client()
                 await idle.__aenter__()
-                await until(lambda: len(old.server.callers) == 3)
+                await until(lambda: len(old.server.connections) == 3)
                 new = Successor(tmp_path)
                 if step != "connected":
                     await new.greet(ready=step != "greeted")
@@ -472,11 +475,13 @@
             old = await node.next()
             async with node.client() as client:
                 client.writer.write(first)
-                await until(lambda: bool(old.server.callers) and next(iter(old.server.callers)).partial)
-                caller = next(iter(old.server.callers))
-                await until(lambda: caller.raw >= len(first) or caller.headed)
-                if caller.incoming is not None:
-                    await until(lambda: caller.incoming.body.size in (150_000, 7))
+                await until(
+                    lambda: bool(old.server.connections) and next(iter(old.server.connections)).partial
+                )
+                caller = next(iter(old.server.connections))
+                await until(lambda: caller.raw_bytes >= len(first) or caller.headed)
+                if caller.incoming_request is not None:
+                    await until(lambda: caller.incoming_request.body.received_bytes in (150_000, 7))
                 await node.next()
                 await old.drain()
                 assert old.hot_restart.sender is not None
@@ -573,7 +578,7 @@
             held.close()
             old.die()
             assert status(await client.ask()) == 200
-            assert len(new.server.callers) == 1
+            assert len(new.server.connections) == 1
 
     run(main())
 
@@ -591,7 +596,7 @@
             held.setblocking(False)
             asked = await asyncio.get_running_loop().sock_recv(held, 65536)
             assert asked.startswith(b"GET /api/k")
-            assert not new.server.callers
+            assert not new.server.connections
             held.close()
 
     run(main())
@@ -606,7 +611,7 @@
             changes: dict[str, Any] = {}
             if case == "no room":
                 new.predecessor_holds = lambda held: None  # type: ignore[method-assign]
-                new.server.most = 0
+                new.server.max_connections = 0
             if case == "it stops too":
                 new.server.draining = True
             if case == "unknown kind":
@@ -633,7 +638,7 @@
                 async with node.client() as client:
                     assert status(await client.ask(id="a")) == 200
                     new = await node.next()
-                    new.server.most = 0
+                    new.server.max_connections = 0
                     new.predecessor_holds = lambda held: None  # type: ignore[method-assign]
                     stop = asyncio.ensure_future(old.drain())
                     await until(
@@ -680,7 +685,7 @@
             await old.start()
             address = ("127.0.0.1", old.server.port)
             new = Proxy(dataclasses.replace(config(known, state=str(tmp_path)), listen=address))
-            new.discovery.watch = new._list_received.set  # type: ignore[method-assign]
+            new.discovery.start = new._list_received.set  # type: ignore[method-assign]
             async with Client(port=address[1]) as client:
                 assert status(await client.ask(id="a")) == 200
                 await new.start()
@@ -735,8 +740,8 @@
                         assert status(await client.ask(id=f"small-{at}")) == 200
                         old, new = node.made[-1], await node.next()
                         await old.drain()
-                        assert not old.server.callers
-                        await until(lambda new=new: len(new.server.callers) == 2)
+                        assert not old.server.connections
+                        await until(lambda new=new: len(new.server.connections) == 2)
                         held.append(len(os.listdir("/proc/self/fd")))
                     gate.set()
                     assert await read_long(slow.reader) == LONG
--- a/tests/hot_restart/test_transfers.py
+++ b/tests/hot_restart/test_transfers.py
@@ -12,7 +12,7 @@
 
 from rosewheel.hot_restart.transfers import TransferLedger
 from rosewheel.hot_restart.wire import PACKET_BYTES, MessageReader, ProtocolError, encode_packets
-from rosewheel.http.framing import Chunks, FramingError
+from rosewheel.http.chunk_tracker import ChunkedEncodingError, ChunkTracker
 
 
 class Ownership(RuleBasedStateMachine):
@@ -143,7 +143,7 @@
     return b"".join((*lines, b"0\r\n", trailers, b"\r\n"))
 
 
-def _fed(chunks: Chunks, data: bytes, cuts: list[int]) -> None:
+def _fed(chunks: ChunkTracker, data: bytes, cuts: list[int]) -> None:
     at = 0
     for cut in sorted({min(cut, len(data)) for cut in cuts}):
         chunks.feed(data[at:cut])
@@ -159,12 +159,12 @@
     before = b"HTTP/1.1 103 Early\r\nA: b\r\n\r\n" if interim else b""
     wire = _wire(chunks, extra, trailers)
     cut = min(int(share * len(wire)), len(wire) - 1)
-    place = Chunks()
+    place = ChunkTracker()
     _fed(place, before + head + wire[:cut], cuts)
     first, second = Parsed(httptools.HttpResponseParser), Parsed(httptools.HttpResponseParser)
     first.parser.feed_data(head + wire[:cut])
     second.quiet = True
-    second.parser.feed_data(head + place.resume())
+    second.parser.feed_data(head + place.resume_prefix())
     second.quiet = False
     assert not second.over
     second.parser.feed_data(wire[cut:])
@@ -177,11 +177,11 @@
     head = b"POST /api HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n"
     wire = _wire(chunks, extra, trailers)
     cut = min(int(share * len(wire)), len(wire) - 1)
-    place, first = Chunks(), Parsed(httptools.HttpRequestParser)
+    place, first = ChunkTracker(), Parsed(httptools.HttpRequestParser)
     _fed(place, head + wire[:cut], cuts)
     first.parser.feed_data(head + wire[:cut])
     again = Parsed(httptools.HttpRequestParser)
-    again.parser.feed_data(head + place.again(first.body))
+    again.parser.feed_data(head + place.reencode(first.body))
     assert (again.body, again.over) == (first.body, False)
     again.parser.feed_data(wire[cut:])
     assert (again.body, again.over) == (b"".join(chunks), True)
@@ -189,9 +189,9 @@
 
 @pytest.mark.parametrize("data", [b"zz\r\n", b"1\r\nabc\r\n", b"1" * 5000])
 def test_what_is_no_chunk_is_not_followed(data):
-    place = Chunks()
+    place = ChunkTracker()
     place.feed(b"HTTP/1.1 200 OK\r\n\r\n")
-    with pytest.raises(FramingError):
+    with pytest.raises(ChunkedEncodingError):
         place.feed(data)
 
 
--- a/tests/http/test_client_disconnects.py
+++ b/tests/http/test_client_disconnects.py
@@ -12,10 +12,10 @@
 
 import pytest
 
-from rosewheel.http.body import SHARES
-from rosewheel.http.callers import UNREAD_S
-from rosewheel.http.downstream import Caller
-from rosewheel.http.reader import WAITING
+from rosewheel.http.body import CONNECTION_SHARE_DIVISOR
+from rosewheel.http.downstream_connection import DownstreamConnection
+from rosewheel.http.downstream_server import PAUSED_CHECK_INTERVAL_S
+from rosewheel.http.request_reader import MAX_PIPELINED_REQUESTS
 from rosewheel.policy.actions import ForwardRequest
 from rosewheel.proxy.proxy import Proxy, now_ms
 from tests.support.balancers import KEYED, SAFE, UNSAFE
@@ -65,8 +65,8 @@
                 leave(client, how)
                 await until(lambda: not relay.calls)
                 up.set()
-                await until(lambda: not relay.node.open and not relay.upstream.live)
-                assert relay.upstream.coming == 0
+                await until(lambda: not relay.node.open and not relay.upstream.exchanges)
+                assert relay.upstream.connecting_count == 0
             async with Client(
                 relay
             ) as other:  # the slot of the first is free again, and nothing of it is on its way
@@ -88,9 +88,9 @@
                     b"POST / HTTP/1.1\r\nRequest-Id: r\r\nRequest-Class: post\r\nRequest-Timeout-Ms: 2000\r\n"
                     b"Content-Length: 4000000\r\n\r\n" + bytes(3_000_000)
                 )
-                await until(lambda: relay.upstream.opened == 1)
+                await until(lambda: relay.upstream.open_count == 1)
                 leave(client, "reset")
-                await until(lambda: not relay.node.open and relay.upstream.opened == 0)
+                await until(lambda: not relay.node.open and relay.upstream.open_count == 0)
             assert not server.got
 
     run(main())
@@ -111,17 +111,17 @@
             node([entry("s", server.port)], classes=(patient,)) as relay,
         ):
             async with Client(relay) as client:
-                relay.budget.most = SHARES * 16384
+                relay.budget.limit_bytes = CONNECTION_SHARE_DIVISOR * 16384
                 for at in range(3):
                     client.send("post", id=f"r{at}", body=b"x" * 9000, timeout=60000)
                 await until(lambda: len(server.got) == 1)
-                caller = next(iter(relay.server.callers))
-                await until(lambda: caller.paused)
+                caller = next(iter(relay.server.connections))
+                await until(lambda: caller.reading_paused)
                 leave(client, how)
-                await until(lambda: not relay.server.callers)  # while its first request is still out
+                await until(lambda: not relay.server.connections)  # while its first request is still out
                 assert not relay.calls
                 assert not relay.node.open
-                assert relay.node.active == relay.budget.used == 0
+                assert relay.node.active == relay.budget.used_bytes == 0
                 free.set()
             async with Client(relay) as other:
                 assert status(await other.ask("post")) == 200
@@ -133,16 +133,16 @@
 
 def test_one_that_has_left_is_not_asked_though_the_loop_has_not_read_so(monkeypatch: pytest.MonkeyPatch):
     """A request and the end of its connection may lie side by side before a loop that is late."""
-    monkeypatch.setattr("rosewheel.http.upstream.SETTLE_S", -1.0)
+    monkeypatch.setattr("rosewheel.http.upstream_pool.REUSE_QUIET_PERIOD_S", -1.0)
 
     async def main() -> None:
         async with FakeServer().up() as server, node([entry("s", server.port)]) as relay:
             async with Client(relay) as client:
                 assert status(await client.ask("post")) == 200  # so that a connection is at hand
-            await until(lambda: not relay.server.callers)
-            came: list[Caller] = []
-            joined = relay.server.joined
-            relay.server.joined = lambda caller: (came.append(caller), joined(caller))[1]  # type: ignore[method-assign]
+            await until(lambda: not relay.server.connections)
+            came: list[DownstreamConnection] = []
+            joined = relay.server.connection_opened
+            relay.server.connection_opened = lambda caller: (came.append(caller), joined(caller))[1]  # type: ignore[method-assign]
             for ends in range(3):
                 with socket.create_connection(
                     ("127.0.0.1", relay.server.port)
@@ -151,7 +151,7 @@
                         b"POST / HTTP/1.1\r\nRequest-Id: %d\r\nRequest-Class: post\r\n"
                         b"Request-Timeout-Ms: 2000\r\nContent-Length: 0\r\n\r\n" % ends
                     )
-                await until(lambda: bool(came) and not relay.server.callers)
+                await until(lambda: bool(came) and not relay.server.connections)
                 came.clear()
             async with Client(relay) as client:
                 assert status(await client.ask("post")) == 200
@@ -169,7 +169,7 @@
             async with Client(relay) as client:
                 client.send("post")
                 await until(lambda: len(server.got) == 1)
-                caller = next(iter(relay.server.callers))
+                caller = next(iter(relay.server.connections))
                 assert not caller.eof_received()  # so that the loop closes it
                 assert not relay.calls
                 assert not relay.node.open
@@ -186,11 +186,11 @@
             for client in clients:
                 await client.__aenter__()
                 client.send("read")
-            await until(lambda: relay.node.active + len(relay.server.quiet) >= len(clients))
+            await until(lambda: relay.node.active + len(relay.server.idle_connections) >= len(clients))
             for at, client in enumerate(clients):
                 leave(client, ("close", "reset", "half")[at % 3])
-            await until(lambda: not relay.calls and not relay.node.open and not relay.upstream.live)
-            await until(lambda: relay.upstream.opened == 0)
+            await until(lambda: not relay.calls and not relay.node.open and not relay.upstream.exchanges)
+            await until(lambda: relay.upstream.open_count == 0)
             assert relay.node.active == 0
             assert relay.node.balancer.pool.load == 0.0
             free.set()
@@ -201,7 +201,7 @@
 
 
 def test_leaving_is_noticed_well_within_what_a_request_may_wait():
-    assert UNREAD_S * 2 < 0.3
+    assert PAUSED_CHECK_INTERVAL_S * 2 < 0.3
 
 
 # Patient enough that no deadline ends anything here; a key is remembered for longer than any test takes.
@@ -216,15 +216,15 @@
 @pytest.fixture
 def unasked(monkeypatch: pytest.MonkeyPatch) -> None:
     """Nobody asks the system for those that are not read: what holds then holds in between as well."""
-    monkeypatch.setattr("rosewheel.http.callers.UNREAD_S", 3600.0)
+    monkeypatch.setattr("rosewheel.http.downstream_server.PAUSED_CHECK_INTERVAL_S", 3600.0)
 
 
-async def unread(relay: Proxy, client: Client) -> Caller:
+async def unread(relay: Proxy, client: Client) -> DownstreamConnection:
     """Requests ahead of the answer that is due, until their connection is not read any more."""
-    (caller,) = relay.server.callers
-    for at in range(WAITING):
+    (caller,) = relay.server.connections
+    for at in range(MAX_PIPELINED_REQUESTS):
         client.send("post", id=f"ahead-{at}", timeout=60000)
-    await until(lambda: caller.paused)
+    await until(lambda: caller.reading_paused)
     return caller
 
 
@@ -255,9 +255,9 @@
                 leave(client, how)
                 await asyncio.sleep(0)  # so that the system has been told
                 await fail(one if one.got else two, end)
-                await until(lambda: not relay.node.open and not relay.upstream.live)
+                await until(lambda: not relay.node.open and not relay.upstream.exchanges)
                 assert len(one.got) + len(two.got) == 1
-                assert relay.node.active == relay.budget.used == relay.upstream.coming == 0
+                assert relay.node.active == relay.budget.used_bytes == relay.upstream.connecting_count == 0
 
     run(main())
 
@@ -267,7 +267,7 @@
     cancel: bool, monkeypatch: pytest.MonkeyPatch
 ):
     """The end of the caller and that of the attempt lie side by side, the attempt's before."""
-    monkeypatch.setattr("rosewheel.http.upstream.SETTLE_S", -1.0)
+    monkeypatch.setattr("rosewheel.http.upstream_pool.REUSE_QUIET_PERIOD_S", -1.0)
 
     async def main() -> None:
         sock = socket.socket()
@@ -284,17 +284,17 @@
             entries = [entry("one", one.port), entry("two", two.port)]
             async with node(entries, classes=PATIENT, may_cancel=cancel) as relay:
                 for name in ("one", "two"):  # so that a connection is at hand
-                    relay.upstream.probe(name)
-                await until(lambda: len(relay.upstream.resting) == 2)
+                    relay.upstream.check_health(name)
+                await until(lambda: len(relay.upstream.idle_connections) == 2)
                 sock.connect(("127.0.0.1", relay.server.port))
                 sock.sendall(
                     b"POST / HTTP/1.1\r\nRequest-Id: r\r\nRequest-Class: post\r\n"
                     b"Request-Timeout-Ms: 60000\r\nContent-Length: 0\r\n\r\n"
                 )
                 await until(lambda: len(one.got) + len(two.got) >= 3)
-                await until(lambda: not relay.server.callers and not relay.node.open)
+                await until(lambda: not relay.server.connections and not relay.node.open)
                 assert len(one.got) + len(two.got) == 3
-                assert not relay.upstream.live
+                assert not relay.upstream.exchanges
                 assert relay.node.active == 0
 
     run(main())
@@ -315,8 +315,8 @@
                 await asyncio.sleep(0)
                 relay.node._act(now_ms(), ForwardRequest("first", "two" if one.got else "one", 50000.0))
                 relay.apply(relay.node._run(now_ms()))
-                await until(lambda: not relay.node.open and not relay.upstream.live)
-                assert relay.upstream.coming == 0
+                await until(lambda: not relay.node.open and not relay.upstream.exchanges)
+                assert relay.upstream.connecting_count == 0
                 assert len(one.got) + len(two.got) == 1
             free.set()
 
@@ -342,7 +342,7 @@
     sock, _ = await loop.sock_accept(listener)
     with sock:
         sock.setblocking(False)
-        await until(lambda: relay.upstream.coming == 0)
+        await until(lambda: relay.upstream.connecting_count == 0)
         got = b""
         with contextlib.suppress(ConnectionError):
             while piece := await loop.sock_recv(sock, 65536):
@@ -359,14 +359,14 @@
             async with node([entry("s", port)], classes=PATIENT, may_cancel=cancel) as relay:
                 async with Client(relay) as client:
                     client.send("post", timeout=60000)
-                    await until(lambda: relay.upstream.coming == 1)
+                    await until(lambda: relay.upstream.connecting_count == 1)
                     leave(client, how)
-                    await until(lambda: relay.upstream.coming == 0)
+                    await until(lambda: relay.upstream.connecting_count == 0)
                 listener.accept()[0].close()
                 with pytest.raises(BlockingIOError):
                     listener.accept()
                 assert not relay.node.open
-                assert not relay.upstream.live
+                assert not relay.upstream.exchanges
 
     run(main())
 
@@ -381,18 +381,18 @@
             port = listener.getsockname()[1]
             async with node([entry("s", port)], classes=PATIENT) as relay, Client(relay) as client:
                 client.send("post", id="first", timeout=60000)
-                await until(lambda: relay.upstream.coming == 1)
+                await until(lambda: relay.upstream.connecting_count == 1)
                 await unread(relay, client)
                 leave(client, how)
                 assert await comes_up(listener, relay) == b""
                 assert not relay.node.open
-                assert not relay.upstream.live
-                assert relay.upstream.opened == 0
+                assert not relay.upstream.exchanges
+                assert relay.upstream.open_count == 0
 
     run(main())
 
 
-async def push(sock: socket.socket, data: bytes, caller: Caller) -> None:
+async def push(sock: socket.socket, data: bytes, caller: DownstreamConnection) -> None:
     """Hand all of it to the system, or as much as it takes while the node does not read."""
     sock.setblocking(False)
     view = memoryview(data)
@@ -402,7 +402,7 @@
             view = view[sock.send(view) :]
             full = 0
         except BlockingIOError:
-            full += caller.paused
+            full += caller.reading_paused
             await asyncio.sleep(0.002)
 
 
@@ -428,19 +428,19 @@
                     start = head + b"Request-Id: first\r\nContent-Length: 0\r\n\r\n"
                     more = head + b"Request-Id: %d\r\nContent-Length: 900000\r\n\r\n" + bytes(900_000)
                     rest = b"".join(more.replace(b"%d", b"%d" % at) for at in range(4))
-                await until(lambda: bool(relay.server.callers))
-                (caller,) = relay.server.callers
+                await until(lambda: bool(relay.server.connections))
+                (caller,) = relay.server.connections
                 await push(sock, start, caller)
-                await until(lambda: relay.upstream.coming == 1)
+                await until(lambda: relay.upstream.connecting_count == 1)
                 await push(sock, rest, caller)
                 sock.close()
-                await until(lambda: relay.upstream.coming == 0 or caller.paused)
+                await until(lambda: relay.upstream.connecting_count == 0 or caller.reading_paused)
                 listener.accept()[0].close()
-                await until(lambda: not relay.node.open and not relay.server.callers)
-                await until(lambda: relay.upstream.coming == relay.upstream.opened == 0)
+                await until(lambda: not relay.node.open and not relay.server.connections)
+                await until(lambda: relay.upstream.connecting_count == relay.upstream.open_count == 0)
                 with pytest.raises(BlockingIOError):
                     listener.accept()
-                assert relay.budget.used == 0
+                assert relay.budget.used_bytes == 0
 
     run(main())
 
--- a/tests/http/test_connection_reuse.py
+++ b/tests/http/test_connection_reuse.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from rosewheel.http import upstream
+from rosewheel.http import upstream_pool
 from rosewheel.node.idle_timeout import Rest
 from rosewheel.node.limits import Bounds
 from rosewheel.policy.events import EndpointListForm, Server, ServerState
@@ -32,12 +32,13 @@
                     got = await client.ask("post", id=f"r{at}")
                     assert got.body == b"r%d" % at
 
-    monkeypatch.setattr(upstream, "SETTLE_S", 3600.0)  # the order is caused, whatever the machine's pace
+    # The order is caused, whatever the pace of the machine.
+    monkeypatch.setattr(upstream_pool, "REUSE_QUIET_PERIOD_S", 3600.0)
     run(main())
 
 
 def test_a_connection_rests_for_longer_than_second_answers_are_late():
-    assert upstream.SETTLE_S >= 5 * 0.004
+    assert upstream_pool.REUSE_QUIET_PERIOD_S >= 5 * 0.004
 
 
 def test_bytes_that_come_while_it_rests_end_a_connection():
@@ -46,7 +47,7 @@
             async with Client(relay) as client:
                 assert status(await client.ask("post")) == 200
                 server.writers[0].write(answer())
-                await until(lambda: relay.upstream.opened == 0)
+                await until(lambda: relay.upstream.open_count == 0)
                 assert status(await client.ask("post")) == 200
             assert server.connections == 2
 
@@ -62,11 +63,11 @@
     async def main() -> None:
         bounds = Bounds(conn_idle_ms=50_000.0, connect_timeout_ms=20_000.0)
         async with FakeServer().up() as server, node([entry("s", server.port)], bounds=bounds) as relay:
-            relay.upstream.sweeper.cancel()
+            relay.upstream._sweep_timer.cancel()
             async with Client(relay) as client:
                 assert status(await client.ask("post")) == 200
-                (conn,) = relay.upstream.resting
-                conn.idle_since = relay.loop.time() - rested_s
+                (conn,) = relay.upstream.idle_connections
+                conn.idle_since_s = relay.loop.time() - rested_s
                 assert status(await client.ask("post")) == 200
             assert server.connections == (2 if rested_s else 1)
 
@@ -75,7 +76,7 @@
 
 @pytest.fixture
 def settled(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(upstream, "SETTLE_S", -1.0)
+    monkeypatch.setattr(upstream_pool, "REUSE_QUIET_PERIOD_S", -1.0)
 
 
 def test_what_may_be_used_never_outlasts_what_is_stated():
@@ -137,7 +138,7 @@
                 relay._endpoint_list_updated(EndpointListForm.DELTA, [(named, ("127.0.0.1", server.port))])
 
             async with Client(relay) as client:
-                first_ms = relay.upstream.pools["s"].launched_ms
+                first_ms = relay.upstream.endpoints["s"].launched_ms
                 client.send("post")
                 await until(lambda: len(server.got) == 1)
                 told(ServerState.DRAINING, first_ms)
--- a/tests/http/test_large_messages.py
+++ b/tests/http/test_large_messages.py
@@ -10,9 +10,9 @@
 import pytest
 
 from rosewheel.http import body as body_module
-from rosewheel.http import connection as connection_module
-from rosewheel.http import downstream as server_module
-from rosewheel.http import upstream as upstream_module
+from rosewheel.http import downstream_connection as server_module
+from rosewheel.http import upstream_connection as connection_module
+from rosewheel.http import upstream_pool as upstream_module
 from tests.support.sockets import Client, FakeServer, answer, entry, node, read_message, run, status, until
 
 Connected = Callable[[asyncio.StreamReader, asyncio.StreamWriter], Awaitable[None]]
@@ -71,7 +71,9 @@
         nonlocal most
         async with RawServer(taking).up() as server, node([entry("s", server.port)]) as relay:
             # What one connection may hold while that to the equipo comes up.
-            relay.budget.most = body_module.SHARES * body_module.HOLD_BYTES
+            relay.budget.limit_bytes = (
+                body_module.CONNECTION_SHARE_DIVISOR * body_module.MAX_BUFFERED_BODY_BYTES
+            )
             async with Client(relay) as client:
                 data = pattern(SIZE)
                 framing = "Transfer-Encoding: chunked" if chunked else f"Content-Length: {SIZE}"
@@ -81,7 +83,7 @@
                     framed = b"%x;ext=1\r\n%b\r\n" % (len(piece), piece)
                     client.writer.write(framed if chunked else piece)
                     await client.writer.drain()
-                    most = max(most, relay.budget.used)
+                    most = max(most, relay.budget.used_bytes)
                 if chunked:
                     client.writer.write(b"0\r\nX-Trailer: y\r\n\r\n")
                 assert status(await client.answer()) == 200
@@ -89,8 +91,8 @@
                 framing_line = "transfer-encoding: chunked" if chunked else f"content-length: {SIZE}"
                 assert framing_line in got[0][0]
                 assert "x-trailer" not in got[0][0]
-                assert most <= body_module.HOLD_BYTES + (1 << 20)
-                assert relay.budget.used == 0
+                assert most <= body_module.MAX_BUFFERED_BODY_BYTES + (1 << 20)
+                assert relay.budget.used_bytes == 0
 
     run(main())
 
@@ -102,7 +104,7 @@
     async def main() -> None:
         async with FakeServer().up() as server, node([entry("s", server.port)]) as relay:
             for hold in (1 << 20, 10):
-                monkeypatch.setattr(body_module, "HOLD_BYTES", hold)
+                monkeypatch.setattr(body_module, "MAX_BUFFERED_BODY_BYTES", hold)
                 async with Client(relay) as client:
                     raw = request("Content-Length: 40").replace(b"2000", b"250").replace(b"big", b"%d" % hold)
                     client.writer.write(raw)
@@ -117,7 +119,7 @@
 
 def test_an_unsafe_request_cut_off_on_its_way_never_ran_and_is_refused(monkeypatch: pytest.MonkeyPatch):
     """Guards against a second sending of what is no longer here, and against a failure that is none."""
-    monkeypatch.setattr(body_module, "HOLD_BYTES", 1000)
+    monkeypatch.setattr(body_module, "MAX_BUFFERED_BODY_BYTES", 1000)
 
     async def breaking(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         await reader.readexactly(50_000)
@@ -132,13 +134,13 @@
                 assert status(got) == 503
                 client.writer.write(pattern(900_000))
                 relay._endpoint_list_updated(
-                    EndpointListForm.SNAPSHOT, discovery.entries_from([entry("s2", two.port)])
+                    EndpointListForm.SNAPSHOT, discovery.parse_endpoints([entry("s2", two.port)])
                 )
                 assert status(await client.ask("post")) == 200  # the rest was read past
                 assert relay.node.figures.classes["post"].shed == 1
-                assert relay.budget.used == 0
+                assert relay.budget.used_bytes == 0
 
-    from rosewheel.discovery import catalog as discovery
+    from rosewheel.discovery import endpoint_list as discovery
     from rosewheel.policy.events import EndpointListForm
 
     run(main())
@@ -277,12 +279,12 @@
             async with Client(relay) as slow, Client(relay) as other:
                 slow.send("post", id="slow")
                 await slow.reader.readuntil(b"\r\n\r\n")
-                await until(lambda: any(c.choked for c in relay.server.callers))
+                await until(lambda: any(c.write_blocked for c in relay.server.connections))
                 assert status(await other.ask("post")) == 200
                 assert written < len(data) - (1 << 20), "the rest waits at its server"
-                (conn,) = [one for one in relay.upstream.live.values()]
-                assert conn.conn is not None
-                assert conn.conn.paused
+                (conn,) = [one for one in relay.upstream.exchanges.values()]
+                assert conn.connection is not None
+                assert conn.connection.reading_paused
                 digest = hashlib.sha256()
                 left = len(data)
                 while left:
@@ -308,8 +310,8 @@
             async with Client(relay) as client:
                 client.send("post")
                 await client.reader.readuntil(b"\r\n\r\n")
-            await until(lambda: not relay.upstream.live and not relay.node.open)
-            await until(lambda: relay.upstream.opened == 0)
+            await until(lambda: not relay.upstream.exchanges and not relay.node.open)
+            await until(lambda: relay.upstream.open_count == 0)
             assert relay.figures()["active"] == 0
             assert not relay.node.balancer.jobs
 
@@ -317,7 +319,7 @@
 
 
 def test_a_caller_that_reads_nothing_at_all_is_let_go_of(monkeypatch: pytest.MonkeyPatch):
-    monkeypatch.setattr(server_module, "TAKE_S", 0.3)
+    monkeypatch.setattr(server_module, "SEND_STALL_TIMEOUT_S", 0.3)
 
     async def giving(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         await reader.readuntil(b"\r\n\r\n")
@@ -327,15 +329,15 @@
         async with RawServer(giving).up() as server, node([entry("s", server.port)]) as relay:
             async with Client(relay) as client:
                 client.send("post")
-                await until(lambda: bool(relay.server.callers) and server.connections == 1)
-                await until(lambda: not relay.server.callers and not relay.upstream.live)
+                await until(lambda: bool(relay.server.connections) and server.connections == 1)
+                await until(lambda: not relay.server.connections and not relay.upstream.exchanges)
 
     run(main())
 
 
 def test_a_server_that_stalls_in_a_long_answer_is_given_up_in_the_end(monkeypatch: pytest.MonkeyPatch):
-    monkeypatch.setattr(connection_module, "STALL_S", 0.2)
-    monkeypatch.setattr(connection_module, "PARTIAL_S", 0.1)
+    monkeypatch.setattr(connection_module, "STREAM_PAUSE_TIMEOUT_S", 0.2)
+    monkeypatch.setattr(connection_module, "RESPONSE_PAUSE_TIMEOUT_S", 0.1)
 
     async def giving(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         await reader.readuntil(b"\r\n\r\n")
@@ -408,8 +410,8 @@
 
 
 def test_a_body_that_stops_on_its_way_is_told_so(monkeypatch: pytest.MonkeyPatch):
-    monkeypatch.setattr(server_module, "PARTIAL_S", 0.1)
-    monkeypatch.setattr(body_module, "HOLD_BYTES", 10)
+    monkeypatch.setattr(server_module, "RECEIVE_TIMEOUT_S", 0.1)
+    monkeypatch.setattr(body_module, "MAX_BUFFERED_BODY_BYTES", 10)
 
     async def main() -> None:
         async with FakeServer().up() as server, node([entry("s", server.port)]) as relay:
@@ -418,9 +420,9 @@
                     client.writer.write(request("Content-Length: 1000").replace(b"big", b"%d" % size))
                     client.writer.write(b"x" * size)
                     assert status(await client.answer()) == 408
-            await until(lambda: not relay.node.open and not relay.upstream.live)
+            await until(lambda: not relay.node.open and not relay.upstream.exchanges)
             assert server.got == []
-            assert relay.budget.used == 0
+            assert relay.budget.used_bytes == 0
 
     run(main())
 
@@ -463,8 +465,8 @@
 
 def test_a_server_that_reads_nothing_of_a_body_is_given_up(monkeypatch: pytest.MonkeyPatch):
     """Guards callers: before the last byte no deadline runs, so nothing else would end this."""
-    monkeypatch.setattr(connection_module, "WRITE_STALL_S", 0.2)
-    monkeypatch.setattr(upstream_module, "SWEEP_S", 0.05)
+    monkeypatch.setattr(connection_module, "WRITE_STALL_TIMEOUT_S", 0.2)
+    monkeypatch.setattr(upstream_module, "SWEEP_INTERVAL_S", 0.05)
 
     async def ignoring(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         writer.transport.pause_reading()  # type: ignore[attr-defined]
@@ -477,7 +479,7 @@
                 assert status(await client.answer()) == 503, "it never ran"
                 await sending  # and the rest is read past
                 assert status(await client.ask("post", id="next")) == 504
-                assert relay.budget.used == 0
+                assert relay.budget.used_bytes == 0
 
     run(main())
 
@@ -490,8 +492,8 @@
 
 def test_a_request_that_has_its_answer_gets_no_second_one(monkeypatch: pytest.MonkeyPatch):
     """Guards the order of answers: the rest of a refused body stops on its way, and that is all."""
-    monkeypatch.setattr(server_module, "PARTIAL_S", 0.1)
-    monkeypatch.setattr(body_module, "HOLD_BYTES", 10)
+    monkeypatch.setattr(server_module, "RECEIVE_TIMEOUT_S", 0.1)
+    monkeypatch.setattr(body_module, "MAX_BUFFERED_BODY_BYTES", 10)
 
     async def main() -> None:
         async with node([entry("down", 1)]) as relay, Client(relay) as client:
--- a/tests/http/test_slow_clients.py
+++ b/tests/http/test_slow_clients.py
@@ -7,7 +7,7 @@
 import pytest
 
 from rosewheel.discovery import backoff as rewatch
-from rosewheel.discovery import watch as watch_module
+from rosewheel.discovery import watch_client as watch_module
 from rosewheel.node.limits import Bounds
 from tests.support.sockets import Client, FakeDiscovery, FakeServer, entry, node, run, status, until
 
@@ -19,22 +19,22 @@
 
     async def main() -> None:
         async with FakeServer().up() as server, node([entry("s", server.port)]) as relay:
-            relay.server.most = 5
+            relay.server.max_connections = 5
             async with Client(relay) as slow, contextlib.AsyncExitStack() as stack:
                 slow.writer.write(HEAD[:1])
-                await until(lambda: len(relay.server.halves) == 1)
-                (true,) = relay.server.halves
+                await until(lambda: len(relay.server.partial_connections) == 1)
+                (true,) = relay.server.partial_connections
                 for at in range(1, len(HEAD)):
-                    for caller in relay.server.halves:
-                        caller.heard -= 1.0  # as if the pieces came one a second
+                    for caller in relay.server.partial_connections:
+                        caller.last_received_s -= 1.0  # as if the pieces came one a second
                     slow.writer.write(HEAD[at : at + 1])
-                    await until(lambda at=at: true.raw in (at + 1, 0))
+                    await until(lambda at=at: true.raw_bytes in (at + 1, 0))
                     if at % 4 == 0:
                         one = await stack.enter_async_context(Client(relay))
                         one.writer.write(HEAD[:20])
-                        await until(lambda: all(caller.raw > 0 for caller in relay.server.callers))
+                        await until(lambda: all(caller.raw_bytes > 0 for caller in relay.server.connections))
                 assert status(await slow.answer()) == 200
-                assert len(relay.server.callers) <= 5
+                assert len(relay.server.connections) <= 5
 
     run(main())
 
@@ -44,10 +44,10 @@
         async with FakeServer().up() as server, node([entry("s", server.port)]) as relay:
             async with Client(relay) as half:
                 half.writer.write(HEAD[:20])
-                await until(lambda: len(relay.server.halves) == 1)
-                (caller,) = relay.server.halves
-                caller.heard -= 1.0
-                relay.server.most = 1
+                await until(lambda: len(relay.server.partial_connections) == 1)
+                (caller,) = relay.server.partial_connections
+                caller.last_received_s -= 1.0
+                relay.server.max_connections = 1
                 async with Client(relay) as other:
                     assert status(await other.ask()) == 200
                 assert status(await half.answer()) == 408
@@ -64,8 +64,8 @@
             for processes in (1, 2):
                 relay.process_count = processes
                 relay._share(sockets)
-                assert relay.server.most < relay.max_descriptors
-                assert processes * (relay.max_descriptors + relay.server.most_surplus + 12) <= sockets
+                assert relay.server.max_connections < relay.max_descriptors
+                assert processes * (relay.max_descriptors + relay.server.max_over_limit + 12) <= sockets
 
     run(main())
 
@@ -90,17 +90,17 @@
                 await until(lambda: len(discovery.asked) == 7)
                 assert status(await client.ask()) == 200  # by the list as it was held
                 discovery.tell(9, entry("s", server.port), whole=True)
-                await until(lambda: relay.watch_backoff.unheard == 0)
+                await until(lambda: relay.watch_backoff.failed_watches == 0)
 
     run(main())
     grace_s = Bounds().drain_grace_ms / 1000.0
-    assert waits[0] <= grace_s / rewatch.REWATCH_PART
-    assert max(waits) > grace_s / rewatch.REWATCH_PART
-    assert max(waits) <= grace_s / rewatch.REWATCH_MOST_PART
+    assert waits[0] <= grace_s / rewatch.INITIAL_DELAY_DIVISOR
+    assert max(waits) > grace_s / rewatch.INITIAL_DELAY_DIVISOR
+    assert max(waits) <= grace_s / rewatch.MAX_DELAY_DIVISOR
 
 
 def test_a_watch_that_is_never_answered_is_given_up_soon(monkeypatch: pytest.MonkeyPatch):
-    monkeypatch.setattr(watch_module, "FIRST_S", 0.05)
+    monkeypatch.setattr(watch_module, "FIRST_LINE_TIMEOUT_S", 0.05)
 
     async def main() -> None:
         async with FakeDiscovery(mute=True).up() as discovery, node([], pushed=discovery):
--- a/tests/http/test_sockets.py
+++ b/tests/http/test_sockets.py
@@ -13,8 +13,8 @@
 import pytest
 
 from rosewheel.config.platform import Config
-from rosewheel.http.body import SHARES
-from rosewheel.http.connection import report_from
+from rosewheel.http.body import CONNECTION_SHARE_DIVISOR
+from rosewheel.http.upstream_connection import parse_load_report
 from rosewheel.node.limits import Bounds
 from rosewheel.policy.actions import Action, CancelAttempt
 from rosewheel.policy.events import (
@@ -69,7 +69,7 @@
 @pytest.fixture
 def no_rest(monkeypatch: pytest.MonkeyPatch) -> None:
     """Connections may be used again at once: these tests ask faster than any server answers."""
-    monkeypatch.setattr("rosewheel.http.upstream.SETTLE_S", -1.0)
+    monkeypatch.setattr("rosewheel.http.upstream_pool.REUSE_QUIET_PERIOD_S", -1.0)
 
 
 @pytest.mark.usefixtures("no_rest")
@@ -195,7 +195,7 @@
             await until(lambda: server.closed == 1)
             assert not relay.node.open
             assert not relay.calls
-            assert not relay.upstream.live
+            assert not relay.upstream.exchanges
 
     run(main())
 
@@ -209,7 +209,7 @@
             async with Client(relay) as client:
                 assert status(await client.ask("post")) == 200
                 await until(lambda: server.closed == 1)
-                assert relay.upstream.opened == 0
+                assert relay.upstream.open_count == 0
                 assert status(await client.ask("post")) == 200
                 assert server.connections == 2
 
@@ -250,7 +250,7 @@
                     assert status(await client.answer()) == 200
                 if gives_back:
                     await until(lambda: server.closed == server.connections)
-                assert (relay.upstream.rest.limit_s == 0.0) is gives_back
+                assert (relay.upstream.idle_timeout.limit_s == 0.0) is gives_back
 
     run(main())
 
@@ -270,7 +270,7 @@
                 server.writers[0].write(data)
             else:
                 server.writers[0].close()
-            await until(lambda: relay.upstream.opened == 0)
+            await until(lambda: relay.upstream.open_count == 0)
             assert status(await client.ask("post")) == 200
 
     run(main())
@@ -279,7 +279,8 @@
 @pytest.mark.usefixtures("no_rest")
 def test_a_node_learns_that_idle_connections_go_stale_early(monkeypatch: pytest.MonkeyPatch):
     """Guards unsafe requests where connections are forgotten without a word: one is lost, not each time."""
-    monkeypatch.setattr("rosewheel.http.connection.STALE_S", 1.0)  # a busy machine may be late to say
+    # A busy machine may be late to report the reset.
+    monkeypatch.setattr("rosewheel.http.upstream_connection.STALE_RESET_WINDOW_S", 1.0)
 
     async def main() -> None:
         seen: dict[int, float] = {}
@@ -300,14 +301,14 @@
                 assert status(await client.ask("post")) == 200
                 await asyncio.sleep(0.15)
                 assert status(await client.ask("post")) == 502, "it may have run, whatever is likely"
-                assert 0.05 <= relay.upstream.rest.usable_s < 5.0
-                relay.upstream.rest.usable_s = 0.07
+                assert 0.05 <= relay.upstream.idle_timeout.usable_s < 5.0
+                relay.upstream.idle_timeout.usable_s = 0.07
                 for _ in range(3):
                     assert status(await client.ask("post")) == 200
                     await asyncio.sleep(0.15)
-                assert relay.upstream.rest.usable_s == 0.07
-                relay.upstream.rest.taught_s -= 60.0
-                await until(lambda: relay.upstream.rest.usable_s > 0.1)  # it is tried again in time
+                assert relay.upstream.idle_timeout.usable_s == 0.07
+                relay.upstream.idle_timeout.taught_s -= 60.0
+                await until(lambda: relay.upstream.idle_timeout.usable_s > 0.1)  # it is tried again in time
 
     run(main())
 
@@ -388,18 +389,18 @@
     async def main() -> None:
         free, slow = held_back()
         async with FakeServer(slow).up() as server, node([entry("s", server.port)]) as relay:
-            relay.budget.most = SHARES * 16384  # so that a connection may hold 16 KB
+            relay.budget.limit_bytes = CONNECTION_SHARE_DIVISOR * 16384  # so that a connection may hold 16 KB
             async with Client(relay) as client:
                 for at in range(3):
                     client.send("post", id=f"r{at}", body=b"x" * 9000)
                 await until(lambda: len(server.got) == 1)
-                caller = next(iter(relay.server.callers))
-                await until(lambda: caller.paused)
+                caller = next(iter(relay.server.connections))
+                await until(lambda: caller.reading_paused)
                 free.set()
                 for _ in range(3):
                     assert status(await client.answer()) == 200
                 assert [message.headers["request-id"] for message in server.got] == ["r0", "r1", "r2"]
-                assert not caller.paused
+                assert not caller.reading_paused
                 assert status(await client.ask("post")) == 200
 
     run(main())
@@ -484,8 +485,8 @@
                     await client.ask()
                 discovery.tell_bytes(b"\n")
                 discovery.tell(6, {"host": "bad"}, entry("s1", one.port, health="leaving"))
-                await until(lambda: relay.discovery.since == 6)
-                assert not relay.upstream.pools["s1"].idle
+                await until(lambda: relay.discovery.revision == 6)
+                assert not relay.upstream.endpoints["s1"].idle_connections
                 before = len(one.got)
                 for _ in range(6):
                     assert status(await client.ask()) == 200
@@ -493,8 +494,8 @@
                 line = b'{"seq":7,"whole":false,"hosts":[{"host":"s1","health":"left"}]}\n'
                 discovery.tell_bytes(line[:20])
                 discovery.tell_bytes(line[20:])
-                await until(lambda: relay.discovery.since == 7)
-                assert list(relay.upstream.pools) == ["s2"]
+                await until(lambda: relay.discovery.revision == 7)
+                assert list(relay.upstream.endpoints) == ["s2"]
 
     run(main())
 
@@ -508,7 +509,7 @@
             node([entry("s", server.port)]) as relay,
             Client(relay) as client,
         ):
-            start = relay.upstream.start
+            start = relay.upstream.start_attempt
 
             def leaving(*args: object) -> None:
                 start(*args)  # type: ignore[arg-type]
@@ -518,7 +519,7 @@
                     [(Server("s", "a", 0, ServerState.DRAINING), ("127.0.0.1", server.port))],
                 )
 
-            relay.upstream.start = leaving  # type: ignore[method-assign]
+            relay.upstream.start_attempt = leaving  # type: ignore[method-assign]
             assert status(await client.ask("post")) == 503
             assert not server.got
 
@@ -605,10 +606,10 @@
                 one.send("post")
                 two.send("post")
                 assert status(await one.answer()) == status(await two.answer()) == 200
-                assert relay.upstream.opened == 2
+                assert relay.upstream.open_count == 2
                 silent = True
                 assert status(await one.ask("post", timeout=700)) == 504
-                await until(lambda: relay.upstream.opened == 0)
+                await until(lambda: relay.upstream.open_count == 0)
                 assert server.connections == 2
 
     run(main())
@@ -647,7 +648,7 @@
 
 def test_a_silent_watch_is_a_failed_one(monkeypatch: pytest.MonkeyPatch):
     """Guards the list against a discovery that is cut off: its connection stays open and says nothing."""
-    monkeypatch.setattr("rosewheel.discovery.watch.SILENCE_S", 0.05)
+    monkeypatch.setattr("rosewheel.discovery.watch_client.SILENCE_TIMEOUT_S", 0.05)
 
     async def main() -> None:
         async with FakeDiscovery().up() as discovery, node([], discovery):
@@ -669,10 +670,10 @@
                 await loop.sock_recv(peer, 4096)
                 await loop.sock_sendall(peer, answer())
                 assert status(await client.answer()) == 200
-                idle = relay.upstream.pools["s"].idle[0]
-                assert idle.usable()
+                idle = relay.upstream.endpoints["s"].idle_connections[0]
+                assert idle.is_usable()
                 peer.close()  # no turn of the loop between this and the next line
-                assert not idle.usable()
+                assert not idle.is_usable()
 
     run(main())
 
@@ -690,25 +691,25 @@
                 upstream = relay.upstream
 
                 def agrees() -> bool:
-                    by_pool = [conn for pool in upstream.pools.values() for conn in pool.idle]
-                    times = [conn.idle_since for conn in upstream.resting]
-                    return set(upstream.resting) == set(by_pool) and times == sorted(times)
+                    by_pool = [conn for pool in upstream.endpoints.values() for conn in pool.idle_connections]
+                    times = [conn.idle_since_s for conn in upstream.idle_connections]
+                    return set(upstream.idle_connections) == set(by_pool) and times == sorted(times)
 
                 for _ in range(60):
                     assert status(await client.ask()) == 200
                     assert agrees()
                     assert relay.descriptors <= relay.max_descriptors
-                assert len(upstream.resting) > 1
-                out = next(iter(upstream.resting)).pool.host
-                upstream.cordon(out, True)
+                assert len(upstream.idle_connections) > 1
+                out = next(iter(upstream.idle_connections)).endpoint.host
+                upstream.set_cordoned(out, True)
                 assert agrees()
-                assert not upstream.pools[out].idle
-                first = next(iter(upstream.resting))
-                assert upstream.close_idle()
-                assert first not in upstream.resting
+                assert not upstream.endpoints[out].idle_connections
+                first = next(iter(upstream.idle_connections))
+                assert upstream.close_longest_idle()
+                assert first not in upstream.idle_connections
                 assert agrees()
-                upstream.update([], whole=True)
-                assert not upstream.resting
+                upstream.update([], is_snapshot=True)
+                assert not upstream.idle_connections
 
     run(main())
 
@@ -723,7 +724,7 @@
             async with Client(relay) as one, Client(relay) as two, Client(relay):
                 one.send("post")
                 await until(lambda: len(server.got) == 1)
-                await until(lambda: len(relay.server.callers) == 3)
+                await until(lambda: len(relay.server.connections) == 3)
                 assert status(await two.ask("post")) == 503  # no room for a connection to a server
                 async with Client(relay) as surplus:
                     surplus.send("post")
@@ -733,8 +734,8 @@
                     assert got.headers["connection"] == "close"
                 free.set()
                 assert status(await one.answer()) == 200
-                for caller in relay.server.callers:
-                    caller.since -= 5.0  # as if they had been idle that long
+                for caller in relay.server.connections:
+                    caller.last_activity_s -= 5.0  # as if they had been idle that long
                 async with Client(relay) as later:
                     assert status(await later.ask("post")) == 200
                     assert status(await later.ask("post")) == 200
@@ -757,7 +758,7 @@
             async with node([], old) as relay:
                 await until(lambda: bool(old.writers))
                 old.tell(8)
-                await until(lambda: relay.discovery.since == 8)
+                await until(lambda: relay.discovery.revision == 8)
                 relay.node.balancer.watch_failures = 9  # as if it had failed for long: 4 s to the next try
                 for discovery in (new, newer):  # twice in a row
                     before = relay.loop.time()
@@ -834,7 +835,7 @@
 def test_a_stop_takes_only_what_it_can_answer(monkeypatch: pytest.MonkeyPatch):
     """Guards requests against the end of the process: until then callers go on asking, however patient, but
     with less time than they would have, and with too little they are refused and nothing is sent."""
-    monkeypatch.setattr("rosewheel.http.callers.STAY_S", 60.0)
+    monkeypatch.setattr("rosewheel.http.downstream_server.KEEP_OPEN_DURING_DRAIN_S", 60.0)
 
     async def main() -> None:
         async with FakeServer().up() as server, node([entry("s", server.port)]) as relay:
@@ -845,7 +846,7 @@
                 await until(lambda: relay.server.draining)
                 got = await early.ask("post", timeout=5000)
                 assert (status(got), got.headers.get("connection")) == (200, None)
-                relay.server.drained_s -= 2.6  # as if so much of the 3.5 s had passed
+                relay.server.drain_started_s -= 2.6  # as if so much of the 3.5 s had passed
                 assert status(await late.ask("post", timeout=5000)) == 503
                 assert await late.reader.read() == b""
                 assert status(await early.ask("post", timeout=600)) == 200
@@ -860,13 +861,13 @@
 
 def test_a_request_that_comes_during_a_stop_is_answered_before_its_end(monkeypatch: pytest.MonkeyPatch):
     """Guards the one final answer: the process ends before the patience of who asks late in a stop does."""
-    monkeypatch.setattr("rosewheel.http.callers.STAY_S", 60.0)
+    monkeypatch.setattr("rosewheel.http.downstream_server.KEEP_OPEN_DURING_DRAIN_S", 60.0)
 
     async def main() -> None:
         async with FakeServer(never).up() as server, node([entry("s", server.port)]) as relay:
             async with Client(relay) as client:
                 began = relay.loop.time()
-                relay.server.draining, relay.server.drained_s = True, began - 1.7
+                relay.server.draining, relay.server.drain_started_s = True, began - 1.7
                 assert status(await client.ask("points", timeout=2400, Idempotency_Key="k")) == 504
                 assert relay.loop.time() - began < 2.0
                 assert len(server.got) == 1
@@ -881,14 +882,14 @@
         async with contextlib.AsyncExitStack() as stack:
             server = await stack.enter_async_context(FakeServer().up())
             relay = await stack.enter_async_context(node([entry("s", server.port)]))
-            relay.server.most = 4
+            relay.server.max_connections = 4
             for _ in range(12):
                 client = await stack.enter_async_context(Client(relay))
                 got = await client.ask("post")
                 assert (status(got), got.headers.get("connection")) == (200, None)
-                for caller in relay.server.callers:
-                    caller.since -= 0.1  # as if they came ten a second
-            assert len(relay.server.callers) <= 4
+                for caller in relay.server.connections:
+                    caller.last_activity_s -= 0.1  # as if they came ten a second
+            assert len(relay.server.connections) <= 4
 
     run(main())
 
@@ -936,7 +937,7 @@
                 assert await client.reader.read() == b""
             assert not server.got
             assert not relay.node.open
-            await until(lambda: not relay.server.callers)
+            await until(lambda: not relay.server.connections)
 
     run(main())
 
@@ -982,7 +983,7 @@
                             break
                 if raw:
                     assert status(await client.answer()) in (413, 431)
-                await until(lambda: not relay.server.callers)
+                await until(lambda: not relay.server.connections)
 
     run(main())
 
@@ -1001,8 +1002,8 @@
                 assert await half.reader.read() == b""
                 assert relay.loop.time() - began < 2.9
                 assert status(await used.ask()) == 200
-                for caller in relay.server.callers:
-                    caller.since -= 5.0  # as if it had asked that long ago
+                for caller in relay.server.connections:
+                    caller.last_activity_s -= 5.0  # as if it had asked that long ago
                 assert await used.reader.read() == b""
 
     run(main())
@@ -1015,16 +1016,16 @@
         async with contextlib.AsyncExitStack() as stack:
             server = await stack.enter_async_context(FakeServer().up())
             relay = await stack.enter_async_context(node([entry("s", server.port)]))
-            relay.server.most = 4
+            relay.server.max_connections = 4
             kept = [await stack.enter_async_context(Client(relay)) for _ in range(4)]
             for client in kept:
                 assert status(await client.ask()) == 200
-            for caller in relay.server.callers:
-                caller.since -= 1.5
+            for caller in relay.server.connections:
+                caller.last_activity_s -= 1.5
             async with Client(relay) as fresh:
                 assert status(await fresh.ask()) == 200
                 assert await kept[0].reader.read() == b""
-                assert len(relay.server.callers) == 4
+                assert len(relay.server.connections) == 4
 
     run(main())
 
@@ -1041,7 +1042,7 @@
                 async with Client(relay) as thief:
                     assert status(await thief.ask("post", id="same")) == 409
                     assert await thief.reader.read() == b""
-                await until(lambda: len(relay.server.callers) == 1)
+                await until(lambda: len(relay.server.connections) == 1)
                 free.set()
                 assert status(await owner.answer()) == 200
                 assert len(server.got) == 1
@@ -1132,7 +1133,7 @@
                 assert status(await client.ask("read", timeout=3000)) == 200
                 assert len(one.got) + len(two.got) == 3
                 assert relay.loop.time() - began < 1.9
-                await until(lambda: relay.upstream.opened == 1)
+                await until(lambda: relay.upstream.open_count == 1)
 
     run(main())
 
@@ -1152,7 +1153,7 @@
 )
 def test_an_absurd_report_is_none(text: str, report: dict[str, float] | None):
     """Guards the ranking: a figure past all reason would keep its server out for long."""
-    assert report_from(text) == report
+    assert parse_load_report(text) == report
 
 
 def test_nothing_of_a_connection_is_left_for_the_collector():
@@ -1167,18 +1168,21 @@
                     async with Client(relay) as bad:
                         bad.writer.write(b"noise\r\n\r\n")
                         assert status(await bad.answer()) == 400
-                    caller = next(iter(relay.server.callers))
-                    left = [weakref.ref(one) for one in (caller, relay.upstream.pools["s"].idle[0])]
-                    left.append(weakref.ref(relay.discovery._watch))
+                    caller = next(iter(relay.server.connections))
+                    left = [
+                        weakref.ref(one)
+                        for one in (caller, relay.upstream.endpoints["s"].idle_connections[0])
+                    ]
+                    left.append(weakref.ref(relay.discovery._connection))
                     del caller
                 gc.collect()
                 gc.disable()
                 try:
-                    relay.upstream.close_idle()
+                    relay.upstream.close_longest_idle()
                     relay.reload(moved_to(relay, discovery))
                     discovery.writers[0].transport.abort()
                     relay.discovery.close()
-                    await until(lambda: not relay.server.callers and relay.upstream.opened == 0)
+                    await until(lambda: not relay.server.connections and relay.upstream.open_count == 0)
                     await until(lambda: not any(ref() for ref in left))
                 finally:
                     gc.enable()
--- a/tests/lab/test_scale_network.py
+++ b/tests/lab/test_scale_network.py
@@ -216,7 +216,7 @@
         for node in nodes:
             node.start()
         await wait_until(lambda: all(node.list_version == 1 for node in nodes))
-        assert [list(node.watch.lists.rows) for node in nodes if node.watch] == [["s0"], ["s1"]]
+        assert [list(node.watch.endpoint_list.rows) for node in nodes if node.watch] == [["s0"], ["s1"]]
         discovery.publish(0, DiscoveryEntry("more", "127.0.0.1:9", "z0", 0))
         await wait_until(lambda: nodes[0].list_version == 2)
         assert [node.endpoints for node in nodes] == [2, 1]
@@ -228,7 +228,7 @@
         nodes[0].start()
         await wait_until(lambda: nodes[0].list_version == 3)
         assert nodes[0].watch is not None
-        assert list(nodes[0].watch.lists.rows) == ["more"]
+        assert list(nodes[0].watch.endpoint_list.rows) == ["more"]
         assert list(records.lists.versions) == [1, 1, 2, 3]
         # A watch that ended is opened again from the version that the node has.
         for connection in list(discovery.connections):
--- a/tests/lab/test_scale_plan.py
+++ b/tests/lab/test_scale_plan.py
@@ -11,7 +11,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from rosewheel.discovery.backoff import REWATCH_LEAST_S, Waits
+from rosewheel.discovery.backoff import MIN_DELAY_S, WatchBackoff
 from rosewheel.lab.scale.errors import InvalidOptionsError
 from rosewheel.lab.scale.options import FAULT_NAMES, Options
 from rosewheel.lab.scale.plan import ChangeKind, StepAction
@@ -221,13 +221,13 @@
 
 
 def test_backoff_grows_to_a_fraction_of_the_grace_and_is_reset_by_a_message() -> None:
-    waits = Waits(random.Random(1))
-    first = waits.ended(0.0, 2.4)
+    waits = WatchBackoff(random.Random(1))
+    first = waits.next_delay_s(0.0, 2.4)
     assert 0.6 * 0.3 <= first <= 0.3
     for _ in range(12):
-        last = waits.ended(0.0, 2.4)
+        last = waits.next_delay_s(0.0, 2.4)
     assert 0.6 * 0.8 <= last <= 0.8
-    waits.heard()
-    assert waits.ended(0.0, 2.4) <= 0.3
-    assert waits.ended(5.0, 2.4) == 0.0  # it lasted longer: at once
-    assert waits.ended(0.0, 0.0) >= 0.6 * REWATCH_LEAST_S
+    waits.reset()
+    assert waits.next_delay_s(0.0, 2.4) <= 0.3
+    assert waits.next_delay_s(5.0, 2.4) == 0.0  # it lasted longer: at once
+    assert waits.next_delay_s(0.0, 0.0) >= 0.6 * MIN_DELAY_S
--- a/tests/node/test_statistics.py
+++ b/tests/node/test_statistics.py
@@ -60,7 +60,7 @@
                 free.set()
                 assert status(await one.answer()) == 200
                 assert status(await two.ask("read")) == 200
-                relay.upstream.cordon("s", True)  # so that nothing can be sent, whatever is decided
+                relay.upstream.set_cordoned("s", True)  # so that nothing can be sent, whatever is decided
                 assert status(await two.ask("post")) == 503
             now = relay.figures()
             assert now["responses"]["post"] == {"ok": 1, "shed": 1, "errors": 0}
--- a/tests/proxy/test_listener.py
+++ b/tests/proxy/test_listener.py
@@ -53,11 +53,11 @@
                 old = Proxy(config(known, inherited=os.dup(held.fileno())))
                 new = Proxy(config(known, inherited=os.dup(held.fileno())))
                 for relay in (old, new):
-                    relay.discovery.watch = relay._list_received.set  # type: ignore[method-assign]
+                    relay.discovery.start = relay._list_received.set  # type: ignore[method-assign]
                 await old.start()
                 async with Client(port=port) as early, Client(port=port) as quiet:
                     assert status(await early.ask()) == 200
-                    await until(lambda: len(old.server.callers) == 2)
+                    await until(lambda: len(old.server.connections) == 2)
                     assert (old.serving(), new.serving()) == (True, False)
                     await new.start()
                     assert new.serving()
@@ -67,12 +67,12 @@
                     for at in range(20):
                         async with Client(port=port) as client:
                             assert status(await client.ask(id=f"late-{at}")) == 200
-                    assert len(old.server.callers) == 2
+                    assert len(old.server.connections) == 2
                     for client in (early, quiet):
                         got = await client.ask()
                         assert (status(got), got.headers.get("connection")) == (200, "close")
                     await stop
-                    assert not old.server.callers
+                    assert not old.server.connections
                 async with Client(port=port) as client:
                     assert status(await client.ask()) == 200
                 new.server.close()
--- a/tests/proxy/test_reconfiguration.py
+++ b/tests/proxy/test_reconfiguration.py
@@ -16,7 +16,7 @@
 
 from rosewheel.admin.server import reply_to
 from rosewheel.config.platform import ConfigError
-from rosewheel.discovery.watch import SILENCE_S
+from rosewheel.discovery.watch_client import SILENCE_TIMEOUT_S
 from rosewheel.node.limits import Bounds
 from rosewheel.policy.settings import Settings
 from rosewheel.proxy.cordons import Cordons
@@ -147,19 +147,19 @@
 def test_other_bounds_reach_all_that_keeps_to_them():
     async def main() -> None:
         async with node([]) as relay:
-            relay.upstream.rest.kept_s = 3.0
+            relay.upstream.idle_timeout.kept_s = 3.0
             bounds = Bounds(conn_idle_ms=500.0, connect_timeout_ms=7.0, sockets=200, memory_mb=40.0)
             relay.configure(other(relay, balancer_count=100), bounds)
             assert (relay.upstream.bounds, relay.node.bounds) == (bounds, bounds)
-            assert relay.upstream.rest.reusable_s == pytest.approx(0.4)
-            assert relay.upstream.rest.crowds
-            assert relay.upstream.rest.kept_s == 3.0
-            assert relay.budget.most == 6 << 20
+            assert relay.upstream.idle_timeout.reusable_s == pytest.approx(0.4)
+            assert relay.upstream.idle_timeout.crowds
+            assert relay.upstream.idle_timeout.kept_s == 3.0
+            assert relay.budget.limit_bytes == 6 << 20
             assert relay.max_descriptors < 200
-            assert relay.server.most < relay.max_descriptors
+            assert relay.server.max_connections < relay.max_descriptors
             relay.configure(other(relay, balancer_count=1), bounds)
-            assert not relay.upstream.rest.crowds
-            assert relay.upstream.rest.kept_s == math.inf
+            assert not relay.upstream.idle_timeout.crowds
+            assert relay.upstream.idle_timeout.kept_s == math.inf
 
     run(main())
 
@@ -172,15 +172,15 @@
                 clients = [await stack.enter_async_context(Client(relay)) for _ in range(40)]
                 for client in clients[:6]:
                     client.send("read")
-                await until(lambda: len(server.got) == 6 and len(relay.server.callers) == 40)
-                for caller in relay.server.callers:
-                    caller.since -= 10.0  # none of them is new, so each may be closed
+                await until(lambda: len(server.got) == 6 and len(relay.server.connections) == 40)
+                for caller in relay.server.connections:
+                    caller.last_activity_s -= 10.0  # none of them is new, so each may be closed
                 relay.configure(relay.config.settings, dataclasses.replace(relay.config.bounds, sockets=64))
                 assert relay.max_descriptors < 46
                 assert relay.descriptors <= relay.max_descriptors
                 relay.configure(relay.config.settings, dataclasses.replace(relay.config.bounds, sockets=32))
                 assert relay.max_descriptors < 12  # 6 callers and 6 equipos' connections are in use
-                await until(lambda: len(relay.server.callers) == 6)
+                await until(lambda: len(relay.server.connections) == 6)
                 free.set()
                 for client in clients[:6]:
                     assert status(await client.answer()) == 200
@@ -193,21 +193,21 @@
         async with FakeDiscovery().up() as discovery, node([], discovery) as relay:
             await until(lambda: len(discovery.writers) == 1)
             relay.configure(other(relay, poll_discovery=False), relay.config.bounds)
-            assert relay.discovery.silence_s == SILENCE_S  # one time for both ways
-            assert relay.discovery.open
+            assert relay.discovery.silence_timeout_s == SILENCE_TIMEOUT_S  # one time for both ways
+            assert relay.discovery.is_open
             discovery.writers[-1].transport.abort()  # the module would wait for long; the agent costs nothing
             await until(lambda: len(discovery.writers) == 2)
             discovery.writers[-1].transport.abort()
-            await until(lambda: not relay.discovery.open)  # the next look is set for a moment from now
+            await until(lambda: not relay.discovery.is_open)  # the next look is set for a moment from now
             relay.configure(other(relay, poll_discovery=True), relay.config.bounds)
-            assert relay.discovery.silence_s == SILENCE_S
+            assert relay.discovery.silence_timeout_s == SILENCE_TIMEOUT_S
             await until(lambda: len(discovery.writers) == 3)
-            watch = relay.discovery._watch
+            watch = relay.discovery._connection
             relay._reopen_watch()  # the look that was set: it must not break off what the module has asked for
-            assert relay.discovery._watch is watch
+            assert relay.discovery._connection is watch
             relay.discovery.close()
             relay._reopen_watch()
-            assert not relay.discovery.open, "where lists are asked for the module says when"
+            assert not relay.discovery.is_open, "where lists are asked for the module says when"
 
     run(main())
 
@@ -226,9 +226,9 @@
                 waits.append(delay)
                 return timeout(delay)
 
-            monkeypatch.setattr("rosewheel.http.upstream.asyncio.timeout", noted)
+            monkeypatch.setattr("rosewheel.http.upstream_pool.asyncio.timeout", noted)
             relay.configure(relay.config.settings, Bounds(connect_timeout_ms=100.0))
-            relay.upstream.start("r", 0, "s", b"")
+            relay.upstream.start_attempt("r", 0, "s", b"")
             relay.configure(relay.config.settings, Bounds(connect_timeout_ms=5000.0))
             await until(lambda: 0.1 in waits or 5.0 in waits)
             assert 5.0 not in waits
--- a/tests/proxy/test_shutdown.py
+++ b/tests/proxy/test_shutdown.py
@@ -8,8 +8,8 @@
 
 import pytest
 
-from rosewheel.http import callers as callers_module
-from rosewheel.http.downstream import Caller
+from rosewheel.http import downstream_server as callers_module
+from rosewheel.http.downstream_connection import DownstreamConnection
 from rosewheel.proxy.proxy import Proxy
 from tests.support.balancers import KEYED, SAFE, UNSAFE
 from tests.support.sockets import Client, FakeServer, Message, answer, entry, node, run, status, until
@@ -67,14 +67,16 @@
             async with Client(relay) as idle, Client(relay) as half:
                 assert status(await idle.ask("post", timeout=int(give_up_ms))) == 200
                 half.writer.write(b"POST / HTTP/1.1\r\nRequest-Id: x")
-                await until(lambda: any(caller.partial for caller in relay.server.callers))
+                await until(lambda: any(caller.partial for caller in relay.server.connections))
                 clock = clocked(relay, monkeypatch)
-                for caller in relay.server.callers:
-                    caller.since = clock.time()
+                for caller in relay.server.connections:
+                    caller.last_activity_s = clock.time()
                 await relay.drain()
-                assert not relay.server.callers
+                assert not relay.server.connections
                 assert clock.passed < min(give_up_ms / 1000.0, 3.0) + KILLED_S - 0.1
-                assert clock.passed >= callers_module.LINGER_S  # new connections go on coming for so long
+                assert (
+                    clock.passed >= callers_module.ACCEPT_DURING_DRAIN_S
+                )  # new connections go on coming for so long
 
     run(main())
 
@@ -99,7 +101,9 @@
                 there.send("post", timeout=timeout_ms)
                 async with Client(relay) as fresh:
                     fresh.send("post", timeout=timeout_ms)
-                    await until(lambda: relay.node.active + relay.server.rejected >= 3 or not relay.calls)
+                    await until(
+                        lambda: relay.node.active + relay.server.rejected_count >= 3 or not relay.calls
+                    )
                     free.set()
                     for client in (flying, there, fresh):
                         assert status(await client.answer()) in (200, 503, 504)
@@ -114,8 +118,8 @@
     async def main() -> None:
         async with FakeServer().up() as server, node([entry("s", server.port)]) as relay:
             with socket.create_connection(("127.0.0.1", relay.server.port)) as sock:
-                await until(lambda: len(relay.server.callers) == 1)
-                caller: Caller = next(iter(relay.server.callers))
+                await until(lambda: len(relay.server.connections) == 1)
+                caller: DownstreamConnection = next(iter(relay.server.connections))
                 sock.sendall(ask_bytes("late", 2000))  # no turn of the loop between this and the next line
                 assert not caller.close_if_idle(0.0)
                 sock.setblocking(False)
@@ -146,6 +150,6 @@
                 assert status(await client.answer()) == 200
                 await stopping
                 relay.reload(dataclasses.replace(relay.config, discovery=("127.0.0.1", 3)))
-                assert not relay.discovery.open
+                assert not relay.discovery.is_open
 
     run(main())
