--- a/rosewheel/cli/control.py
+++ b/rosewheel/cli/control.py
@@ -57,7 +57,9 @@
     metavar="ADDRESS:PORT",
     help="A control machine.",
 )
-author_option = click.option("--by", "author", default=None, help="Who does it; else the user of this shell.")
+author_option = click.option(
+    "--by", "author", default=None, help="Who makes the change (default: the user of this shell)."
+)
 unreplicated_option = click.option(
     "--alone",
     "unreplicated",
@@ -65,9 +67,9 @@
     help="Acknowledge it though no other machine holds it: it may be lost with this one.",
 )
 expected_option = click.option(
-    "--version", "expected", type=int, help="The version it was made for; else the present one."
+    "--version", "expected", type=int, help="The version that it was made for (default: the present one)."
 )
-json_option = click.option("--json", "as_json", is_flag=True, help="The answer as it came.")
+json_option = click.option("--json", "as_json", is_flag=True, help="Print the answer as JSON.")
 
 
 # -------------------------------------------------------------------------------- changes
@@ -78,12 +80,12 @@
 @machine_option
 @expected_option
 @author_option
-@click.option("--note", default="", help="Why.")
+@click.option("--note", default="", help="Why the change is made.")
 @unreplicated_option
 def put(
     path: str, machine: str, expected: int | None, author: str | None, note: str, unreplicated: bool
 ) -> None:
-    """Make a change: FILE holds a merge patch, as TOML, or as JSON where a key is to be taken away (null)."""
+    """Make a change. FILE holds a merge patch, as TOML, or as JSON to remove a key (null)."""
     patch = _read_patch(path)
     number = _current_number(machine) if expected is None else expected
     request = PutRequest(patch, number, author or _user(), note, unreplicated)
@@ -99,7 +101,7 @@
 def rollback(
     version: int, machine: str, expected: int | None, author: str | None, unreplicated: bool
 ) -> None:
-    """Make a new version of what VERSION held."""
+    """Make a new version with the content of VERSION."""
     number = _current_number(machine) if expected is None else expected
     request = RollbackRequest(version, number, author or _user(), unreplicated)
     _print_change(call_machine(machine, "POST", ROLLBACK_PATH, encode_rollback(request)))
@@ -157,10 +159,10 @@
 
 @control.command()
 @machine_option
-@click.option("--most", "limit", default=20, show_default=True, help="How many.")
+@click.option("--most", "limit", default=20, show_default=True, help="How many versions.")
 @json_option
 def history(machine: str, limit: int, as_json: bool) -> None:
-    """The versions, newest first."""
+    """List the versions, newest first."""
     row = call_machine(machine, "GET", history_target(limit))
     if as_json:
         click.echo(json.dumps(row))
@@ -179,11 +181,13 @@
 
 @control.command()
 @machine_option
-@click.option("--all", "all_nodes", is_flag=True, help="Each node.")
+@click.option("--all", "all_nodes", is_flag=True, help="List each node.")
 @json_option
 def status(machine: str, all_nodes: bool, as_json: bool) -> None:
-    """Which version is shown, which machines hold it, which nodes have it in force. Ends with 1 where a node is behind
-    or has refused, or the writer can't be asked."""
+    """Show which version nodes get, which machines hold it, and which nodes have it in force.
+
+    Ends with 1 if a node is behind or has refused a version, or if the writer can't be asked.
+    """
     row = call_machine(machine, "GET", status_target(all_nodes=all_nodes))
     report = decode_status(row)
     if as_json:
--- a/rosewheel/cli/control_serve.py
+++ b/rosewheel/cli/control_serve.py
@@ -96,14 +96,17 @@
 
 
 @click.command()
-@click.option("--config", "path", type=click.Path(), help="A TOML file with what the flags say otherwise.")
+@click.option("--config", "path", type=click.Path(), help="A TOML file in place of the other options.")
 @click.option("--name", help="This machine's name.")
 @click.option("--listen", help="ADDRESS:PORT for nodes, machines and operators.")
 @click.option(
-    "--peer", "peers", multiple=True, metavar="NAME=ADDRESS:PORT", help="Another machine; once each."
+    "--peer", "peers", multiple=True, metavar="NAME=ADDRESS:PORT", help="Another machine; repeat for each."
 )
 @click.option(
-    "--writer", "leader", default="", help="Who writes at first; counts only where the folder is empty."
+    "--writer",
+    "leader",
+    default="",
+    help="The machine that writes at first; counts only where --dir is empty.",
 )
 @click.option("--dir", "data_dir", type=click.Path(), help="The folder of the log.")
 @click.option("--json", "json_lines", is_flag=True, help="Log JSON lines.")
--- a/rosewheel/control/history.py
+++ b/rosewheel/control/history.py
@@ -7,6 +7,7 @@
 
 from rosewheel.control.documents import Document, apply_patch, make_patch
 from rosewheel.control.errors import OutOfSequenceError, RevisionConflictError, UnknownRevisionError
+from rosewheel.control.messages import PutRequest
 from rosewheel.control.revisions import Change, Epoch, Revision, Snapshot
 
 RETAINED_REVISIONS = 2000  # more than two days' changes at 920 a day
@@ -46,35 +47,27 @@
         self.changes.append(change)
         self._documents.append(apply_patch(self._documents[-1], change.patch))
 
-    def draft(
-        self,
-        epoch: Epoch,
-        patch: Document,
-        expected: int,
-        *,
-        author: str = "",
-        note: str = "",
-        created_at_s: float = 0.0,
-        unreplicated: bool = False,
-    ) -> Change:
-        """Return the change that a patch would make, without appending it.
+    def draft(self, epoch: Epoch, request: PutRequest, created_at_s: float = 0.0) -> Change:
+        """Return the change that a request would make, without appending it.
 
         Args:
             epoch: The leader's epoch.
-            patch: Merge patch against the last document.
-            expected: Number of the revision that the patch was made for.
-            author: Who makes the change.
-            note: Why.
+            request: The patch against the last document, and who makes it.
             created_at_s: The leader's time of day, in seconds since 1970.
-            unreplicated: Acknowledge the change without a copy on another machine.
 
         Raises:
-            RevisionConflictError: `expected` is not the last revision.
+            RevisionConflictError: The request was made for another revision than the last one.
         """
-        if expected != self.last.number:
-            raise RevisionConflictError(self.last.number, expected)
-        revision = Revision(*epoch, self.last.number + 1)
-        return Change(revision, patch, author, note, created_at_s, unreplicated)
+        if request.expected != self.last.number:
+            raise RevisionConflictError(self.last.number, request.expected)
+        return Change(
+            Revision(*epoch, self.last.number + 1),
+            request.patch,
+            request.author,
+            request.note,
+            created_at_s,
+            request.unreplicated,
+        )
 
     def document_at(self, revision: Revision) -> Document | None:
         """Return the document of a revision; None where it is on another branch or not retained."""
--- a/rosewheel/control/machine.py
+++ b/rosewheel/control/machine.py
@@ -11,6 +11,7 @@
 from rosewheel.control.durable_log import DurableLog
 from rosewheel.control.heartbeats import PeerHeartbeat
 from rosewheel.control.machine_api import CALL_LIMITS, MachineApi
+from rosewheel.control.machine_parts import MachineParts
 from rosewheel.control.machine_settings import MachineSettings
 from rosewheel.control.messages import NodeStatus
 from rosewheel.control.node_registry import NodeRegistry
@@ -58,15 +59,8 @@
         self.watches = WatchPublisher(self.store.replica, self._loop)
         self.heartbeats: dict[str, PeerHeartbeat] = {}
         self.replication: ReplicationWatch | None = None
-        self._api = MachineApi(
-            settings,
-            os.urandom(PROCESS_ID_BYTES).hex(),
-            self.store,
-            self.nodes,
-            self.watches,
-            self.heartbeats,
-            self._loop,
-        )
+        parts = MachineParts(settings, self.store, self.nodes, self.watches, self.heartbeats, self._loop)
+        self._api = MachineApi(parts, process_id=os.urandom(PROCESS_ID_BYTES).hex())
         self._listener: asyncio.Server | None = None
         self._maintenance_timer: asyncio.TimerHandle | None = None
 
--- a/rosewheel/control/machine_api.py
+++ b/rosewheel/control/machine_api.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 import logging
-from collections.abc import Awaitable, Callable, Mapping
+from collections.abc import Awaitable, Callable
 from typing import NamedTuple
 from urllib.parse import parse_qs
 
@@ -25,9 +25,8 @@
     UnknownRevisionError,
     WriteUnavailableError,
 )
-from rosewheel.control.heartbeats import PeerHeartbeat
-from rosewheel.control.machine_settings import MachineSettings
-from rosewheel.control.machine_status import MonotonicClock, StatusReporter
+from rosewheel.control.machine_parts import MachineParts
+from rosewheel.control.machine_status import StatusReporter
 from rosewheel.control.messages import (
     ChangeAnswer,
     ErrorAnswer,
@@ -36,12 +35,10 @@
     NodeStatus,
     WatchRequest,
 )
-from rosewheel.control.node_registry import NodeRegistry
 from rosewheel.control.promotion import COMMIT_TIMEOUT_S, Promotion
 from rosewheel.control.revisions import Change
-from rosewheel.control.store import Store
 from rosewheel.control.validation import MAX_DOCUMENT_BYTES, validate_patch
-from rosewheel.control.watches import Watch, WatchPublisher
+from rosewheel.control.watches import Watch
 
 log = logging.getLogger("rosewheel.control")
 
@@ -57,33 +54,19 @@
 class MachineApi:
     """Answers calls; the owner of the connections in the sense of `admin.calls`."""
 
-    def __init__(
-        self,
-        settings: MachineSettings,
-        process_id: str,
-        store: Store,
-        nodes: NodeRegistry,
-        watches: WatchPublisher,
-        peers: Mapping[str, PeerHeartbeat],
-        clock: MonotonicClock,
-    ) -> None:
-        """Set the parts that calls work on.
+    def __init__(self, parts: MachineParts, process_id: str) -> None:
+        """Set what calls work on.
 
         Args:
-            settings: Of this machine.
+            parts: Of this machine.
             process_id: Random identity of this process.
-            store: This machine's store.
-            nodes: The nodes that it knows of.
-            watches: The open watches.
-            peers: The other machines.
-            clock: The clock of `nodes` and `peers`.
         """
-        self._settings, self._process_id = settings, process_id
-        self._store, self._nodes, self._watches, self._peers = store, nodes, watches, peers
-        self._clock = clock
+        self._process_id = process_id
+        self._settings, self._store, self._nodes = parts.settings, parts.store, parts.nodes
+        self._watches, self._peers, self._clock = parts.watches, parts.peers, parts.clock
         self._callers: dict[Caller, None] = {}
-        self._status_reporter = StatusReporter(settings.name, store, nodes, peers, clock)
-        self._promotion = Promotion(settings.name, store, peers)
+        self._status_reporter = StatusReporter(parts)
+        self._promotion = Promotion(parts)
         self._routes = {
             paths.CONFIG_PATH: _Route("GET", self._config),
             paths.ACKNOWLEDGE_PATH: _Route("POST", self._acknowledge),
--- a/rosewheel/control/machine_status.py
+++ b/rosewheel/control/machine_status.py
@@ -3,50 +3,25 @@
 from __future__ import annotations
 
 import time
-from collections.abc import Mapping
-from typing import Protocol
 
 from rosewheel.control.codec.status import encode_status, relay_status, status_target
 from rosewheel.control.codec.values import JsonObject
 from rosewheel.control.errors import HttpCallError
 from rosewheel.control.fleet_report import FleetReporter
 from rosewheel.control.heartbeats import PeerHeartbeat
+from rosewheel.control.machine_parts import MachineParts
 from rosewheel.control.messages import FleetReport, MachineReport, StatusReport
-from rosewheel.control.node_registry import NodeRegistry
-from rosewheel.control.store import Store
 
 LEADER_CALL_TIMEOUT_S = 1.5
 
 
-class MonotonicClock(Protocol):
-    """The loop's clock."""
-
-    def time(self) -> float:
-        """Return seconds from an arbitrary start."""
-
-
 class StatusReporter:
     """Makes status reports. The leader knows all nodes, so other machines ask it."""
 
-    def __init__(
-        self,
-        name: str,
-        store: Store,
-        nodes: NodeRegistry,
-        peers: Mapping[str, PeerHeartbeat],
-        clock: MonotonicClock,
-    ) -> None:
-        """Set the parts that are reported on.
-
-        Args:
-            name: This machine.
-            store: Its store.
-            nodes: The nodes that it knows of.
-            peers: The other machines.
-            clock: The clock of `nodes` and `peers`.
-        """
-        self._name, self._store, self._nodes = name, store, nodes
-        self._peers, self._clock = peers, clock
+    def __init__(self, parts: MachineParts) -> None:
+        """Report on these parts."""
+        self._parts = parts
+        self._name, self._store = parts.name, parts.store
 
     async def answer(self, local_only: bool, all_nodes: bool) -> JsonObject:
         """Return the leader's report, or this machine's own where the leader can't be asked.
@@ -56,7 +31,7 @@
             all_nodes: List each node.
         """
         replica = self._store.replica
-        leader = self._peers.get(replica.highest_epoch_seen.leader)
+        leader = self._parts.peers.get(replica.highest_epoch_seen.leader)
         problem = ""
         if leader is not None and not local_only:
             try:
@@ -90,7 +65,7 @@
             committed=replica.committed,
             last_number=replica.last.number,
             highest_epoch_seen=replica.highest_epoch_seen,
-            machines=(self._own_report(), *(self._peer_report(peer) for peer in self._peers.values())),
+            machines=(self._own_report(), *(self._peer_report(peer) for peer in self._parts.peers.values())),
             fleet=self._fleet_report(all_nodes),
         )
 
@@ -101,7 +76,7 @@
     def _peer_report(self, peer: PeerHeartbeat) -> MachineReport:
         last_contact_s = None
         if peer.last_revision is not None:
-            last_contact_s = self._clock.time() - peer.last_contact_s
+            last_contact_s = self._parts.clock.time() - peer.last_contact_s
         is_leader = peer.peer == self._store.replica.highest_epoch_seen.leader
         return MachineReport(peer.peer, peer.last_revision, last_contact_s, is_leader)
 
@@ -109,7 +84,7 @@
         history, time_of_day_s = self._store.replica.history, time.time()
         reporter = FleetReporter(
             self._store.replica.committed,
-            now_s=self._clock.time(),
+            now_s=self._parts.clock.time(),
             age_s=lambda number: max(0.0, time_of_day_s - history.created_at_s(number)),
         )
-        return reporter.report(self._nodes, include_all=all_nodes)
+        return reporter.report(self._parts.nodes, include_all=all_nodes)
--- a/rosewheel/control/promotion.py
+++ b/rosewheel/control/promotion.py
@@ -10,9 +10,9 @@
 from rosewheel.control.codec.values import JsonObject
 from rosewheel.control.errors import HigherEpochSeenError, HttpCallError
 from rosewheel.control.heartbeats import PeerHeartbeat
+from rosewheel.control.machine_parts import MachineParts
 from rosewheel.control.messages import ChangeAnswer, Heartbeat, MachineState, PromoteRequest
 from rosewheel.control.revisions import Revision
-from rosewheel.control.store import Store
 
 # How long a change may take to reach another machine. One that turns to a new leader needs 2 s.
 COMMIT_TIMEOUT_S = 4.0
@@ -22,15 +22,9 @@
 class Promotion:
     """Promotes this machine."""
 
-    def __init__(self, name: str, store: Store, peers: Mapping[str, PeerHeartbeat]) -> None:
-        """Set the parts that a promotion works on.
-
-        Args:
-            name: This machine.
-            store: Its store.
-            peers: The other machines.
-        """
-        self._name, self._store, self._peers = name, store, peers
+    def __init__(self, parts: MachineParts) -> None:
+        """Promote the machine of these parts."""
+        self._name, self._store, self._peers = parts.name, parts.store, parts.peers
 
     async def run(self, request: PromoteRequest) -> ChangeAnswer:
         """Begin an epoch of this machine above all that were seen.
--- a/rosewheel/control/replica.py
+++ b/rosewheel/control/replica.py
@@ -26,6 +26,7 @@
     WriteUnavailableError,
 )
 from rosewheel.control.history import RETAINED_REVISIONS, RevisionHistory, check_sequence
+from rosewheel.control.messages import PutRequest
 from rosewheel.control.promotion_rules import check_promotable
 from rosewheel.control.revisions import (
     INITIAL_REVISION,
@@ -159,43 +160,31 @@
 
     # ----------------------------------------------------------------------- leading
 
-    def draft(
-        self,
-        patch: Document,
-        expected: int,
-        *,
-        author: str = "",
-        note: str = "",
-        created_at_s: float = 0.0,
-        unreplicated: bool = False,
-    ) -> Change:
-        """Return the change to append for a patch; arguments as of `RevisionHistory.draft`.
+    def draft(self, request: PutRequest, created_at_s: float = 0.0) -> Change:
+        """Return the change to append for a request.
+
+        Args:
+            request: The patch, and who makes it.
+            created_at_s: Time of day, in seconds since 1970.
 
         Raises:
             NotLeaderError: This machine does not lead.
             WriteUnavailableError: It leads, and can't accept a change yet.
-            RevisionConflictError: `expected` is not the last revision.
+            RevisionConflictError: The request was made for another revision than the last one.
         """
         if not self.is_leader:
-            if self.highest_epoch_seen == Epoch(FIRST_EPOCH_NUMBER, self.name) and (
-                self.last == INITIAL_REVISION
-            ):
-                raise self._first_change_error()
-            leader = self.highest_epoch_seen.leader if self.highest_epoch_seen.leader != self.name else ""
-            raise NotLeaderError(self.name, leader)
-        change = self.history.draft(
-            self.highest_epoch_seen,
-            patch,
-            expected,
-            author=author,
-            note=note,
-            created_at_s=created_at_s,
-            unreplicated=unreplicated,
-        )
+            raise self._not_leader_error()
+        change = self.history.draft(self.highest_epoch_seen, request, created_at_s)
         if self.uncommitted_count and not change.unreplicated:
             raise PreviousChangeUncommittedError(self.last.number)
         return change
 
+    def _not_leader_error(self) -> NotLeaderError | WriteUnavailableError:
+        if self.highest_epoch_seen == Epoch(FIRST_EPOCH_NUMBER, self.name) and self.last == INITIAL_REVISION:
+            return self._first_change_error()
+        leader = self.highest_epoch_seen.leader
+        return NotLeaderError(self.name, leader if leader != self.name else "")
+
     def _first_change_error(self) -> WriteUnavailableError:
         peers_with_revisions = [peer for peer in self.uncontacted_peers if peer in self.peer_revisions]
         if peers_with_revisions:
--- a/rosewheel/control/replication_watch.py
+++ b/rosewheel/control/replication_watch.py
@@ -8,7 +8,6 @@
 from collections import deque
 from collections.abc import Mapping
 
-from rosewheel.config.platform import Address
 from rosewheel.control.codec.log_records import decode_log_suffix
 from rosewheel.control.codec.watch import encode_watch_target
 from rosewheel.control.errors import OutOfSequenceError, SuffixRejectedError
@@ -17,13 +16,8 @@
 from rosewheel.control.replication_source import ReplicationSource, SourceAction
 from rosewheel.control.revisions import LogSuffix
 from rosewheel.control.store import Store
-from rosewheel.control.timing import (
-    CONNECT_TIMEOUT_S,
-    FIRST_LINE_TIMEOUT_S,
-    MIN_BACKOFF_SHARE,
-    RECONNECT_BACKOFF_S,
-    WATCH_IDLE_TIMEOUT_S,
-)
+from rosewheel.control.timing import MIN_BACKOFF_SHARE, RECONNECT_BACKOFF_S
+from rosewheel.control.watch_client import make_watcher
 from rosewheel.discovery.watch_client import WatchClient
 
 log = logging.getLogger("rosewheel.control")
@@ -94,22 +88,14 @@
     def _open(self, peer: str) -> None:
         self._stop()
         self._source.select(peer, self._loop.time())
-        self._watcher = self._make_watcher(self._peers[peer].address)
-        self._watcher.start()
-
-    def _make_watcher(self, address: Address) -> WatchClient[LogSuffix]:
-        return WatchClient(
-            address,
-            0,
-            path_for=lambda _: self._target(),
-            parse=decode_log_suffix,
-            on_update=lambda _, suffix: self._receive(suffix),
+        self._watcher = make_watcher(
+            self._peers[peer].address,
+            self._target,
+            decode=decode_log_suffix,
+            on_update=self._receive,
             on_failure=self._watch_failed,
-            log=log,
-            silence_timeout_s=WATCH_IDLE_TIMEOUT_S,
-            connect_timeout_s=CONNECT_TIMEOUT_S,
-            first_line_timeout_s=FIRST_LINE_TIMEOUT_S,
         )
+        self._watcher.start()
 
     def _target(self) -> str:
         return encode_watch_target(WatchRequest(self._store.replica.last, peer=self._name))
--- a/rosewheel/control/store.py
+++ b/rosewheel/control/store.py
@@ -119,14 +119,7 @@
             )
 
     async def _put(self, request: PutRequest) -> Change | None:
-        change = self.replica.draft(
-            request.patch,
-            request.expected,
-            author=request.author,
-            note=request.note,
-            created_at_s=time.time(),
-            unreplicated=request.unreplicated,
-        )
+        change = self.replica.draft(request, time.time())
         if not self._changes_document(change.patch):
             return None
         await self._append([change])
--- a/rosewheel/control/subscriber.py
+++ b/rosewheel/control/subscriber.py
@@ -11,11 +11,11 @@
 import time
 from collections.abc import Callable, Mapping
 from pathlib import Path
-from typing import Any
 
 from rosewheel.config.platform import Address
 from rosewheel.control.acknowledgement import AcknowledgementSender
 from rosewheel.control.cached_document import CachedDocumentFile
+from rosewheel.control.codec.values import JsonObject
 from rosewheel.control.codec.watch import decode_update, encode_watch_target
 from rosewheel.control.documents import Document
 from rosewheel.control.machine_selection import MachineSelection
@@ -23,7 +23,7 @@
 from rosewheel.control.revisions import Revision
 from rosewheel.control.subscription import Subscription, UpdateEffect
 from rosewheel.control.timer import Timer
-from rosewheel.control.timing import CONNECT_TIMEOUT_S, FIRST_LINE_TIMEOUT_S, WATCH_IDLE_TIMEOUT_S
+from rosewheel.control.watch_client import make_watcher
 from rosewheel.discovery.watch_client import WatchClient
 
 log = logging.getLogger("rosewheel.control")
@@ -123,7 +123,13 @@
         address = self.machines[self.selection.current]
         self._acknowledgements.use_machine(address)
         if self._watcher is None:
-            self._watcher = self._make_watcher(address)
+            self._watcher = make_watcher(
+                address,
+                self._target,
+                decode=self._decode,
+                on_update=self._receive,
+                on_failure=self._watch_failed,
+            )
         self._watcher.change_address(address)
         self._watcher.revision = (
             0  # the order of revisions is checked here: their numbers do not grow over epochs
@@ -135,20 +141,6 @@
             backoff = min(MAX_RETURN_BACKOFF, 2.0**self._return_attempts)
             self._return_timer.start(self.selection.draw_return_wait_s() * backoff, self._try_preferred)
 
-    def _make_watcher(self, address: Address) -> WatchClient[ConfigurationUpdate]:
-        return WatchClient(
-            address,
-            0,
-            path_for=lambda _: self._target(),
-            parse=self._decode,
-            on_update=lambda _, update: self._receive(update),
-            on_failure=self._watch_failed,
-            log=log,
-            silence_timeout_s=WATCH_IDLE_TIMEOUT_S,
-            connect_timeout_s=CONNECT_TIMEOUT_S,
-            first_line_timeout_s=FIRST_LINE_TIMEOUT_S,
-        )
-
     def _target(self) -> str:
         request = WatchRequest(
             self.state.received,
@@ -173,7 +165,7 @@
 
     # ------------------------------------------------------------------------- updates
 
-    def _decode(self, row: dict[str, Any]) -> ConfigurationUpdate:
+    def _decode(self, row: JsonObject) -> ConfigurationUpdate:
         update = decode_update(row)
         self.state.check(update)
         return update
--- a/tests/control/test_history.py
+++ b/tests/control/test_history.py
@@ -15,6 +15,7 @@
 )
 from rosewheel.control.errors import OutOfSequenceError, RevisionConflictError, UnknownRevisionError
 from rosewheel.control.history import RevisionHistory
+from rosewheel.control.messages import PutRequest
 from rosewheel.control.revisions import Change, Epoch, Revision
 
 KEYS = st.sampled_from(["limits", "routing", "class", "a", "b"])
@@ -70,7 +71,7 @@
 def history_of(patches: list[Document]) -> RevisionHistory:
     history = RevisionHistory()
     for patch in patches:
-        history.append(history.draft(Epoch(1, "c1"), patch, history.last.number))
+        history.append(history.draft(Epoch(1, "c1"), PutRequest(patch, history.last.number)))
     return history
 
 
@@ -109,7 +110,7 @@
 def test_a_change_for_another_revision_conflicts_and_a_gap_is_refused():
     history = history_of([{"a": 1}])
     with pytest.raises(RevisionConflictError, match="version is 1, not 0"):
-        history.draft(Epoch(1, "c1"), {}, 0)
+        history.draft(Epoch(1, "c1"), PutRequest({}, expected=0))
     for revision in (Revision(1, "c1", 3), Revision(1, "c1", 1), Revision(0, "", 2)):
         with pytest.raises(OutOfSequenceError, match="does not follow"):
             history.append(Change(revision, {}))
--- a/tests/control/test_replica.py
+++ b/tests/control/test_replica.py
@@ -25,6 +25,7 @@
     SuffixRejectedError,
     WriteUnavailableError,
 )
+from rosewheel.control.messages import PutRequest
 from rosewheel.control.replica import Replica
 from rosewheel.control.revisions import INITIAL_REVISION, Epoch, EpochObserved, LogRecord, Revision
 
@@ -62,7 +63,8 @@
         self.disk += map(encode_log_record, records)
 
     def put(self, patch: Document, unreplicated: bool = False) -> Revision:
-        change = self.replica.draft(patch, self.replica.last.number, unreplicated=unreplicated)
+        request = PutRequest(patch, self.replica.last.number, unreplicated=unreplicated)
+        change = self.replica.draft(request)
         self.write(change)
         self.replica.appended(change)
         return change.revision
