--- a/rosewheel/control/replication_watch.py
+++ b/rosewheel/control/replication_watch.py
@@ -7,6 +7,7 @@
 import random
 from collections import deque
 from collections.abc import Mapping
+from functools import partial
 
 from rosewheel.control.codec.log_records import decode_log_suffix
 from rosewheel.control.codec.watch import encode_watch_target
@@ -16,6 +17,7 @@
 from rosewheel.control.replication_source import ReplicationSource, SourceAction
 from rosewheel.control.revisions import LogSuffix
 from rosewheel.control.store import Store
+from rosewheel.control.timer import Timer
 from rosewheel.control.timing import MIN_BACKOFF_SHARE, RECONNECT_BACKOFF_S
 from rosewheel.control.watch_client import make_watcher
 from rosewheel.discovery.watch_client import WatchClient
@@ -40,7 +42,7 @@
         self._source = ReplicationSource(name, list(peers), self._random)
         self._received: deque[LogSuffix] = deque()
         self._append_task: asyncio.Task[None] | None = None
-        self._retry_timer: asyncio.TimerHandle | None = None
+        self._retry_timer = Timer()
         self._watcher: WatchClient[LogSuffix] | None = None
         self._closed = False
 
@@ -75,16 +77,11 @@
     def _stop(self) -> None:
         self._source.stop()
         self._received.clear()
-        self._cancel_retry()
+        self._retry_timer.cancel()
         if self._watcher is not None:
             self._watcher.close()
             self._watcher = None
 
-    def _cancel_retry(self) -> None:
-        if self._retry_timer is not None:
-            self._retry_timer.cancel()
-            self._retry_timer = None
-
     def _open(self, peer: str) -> None:
         self._stop()
         self._source.select(peer, self._loop.time())
@@ -106,9 +103,8 @@
 
     def _open_later(self, peer: str) -> None:
         self._received.clear()
-        self._cancel_retry()
         backoff_s = RECONNECT_BACKOFF_S * self._random.uniform(MIN_BACKOFF_SHARE, 1.0)
-        self._retry_timer = self._loop.call_later(backoff_s, self._open, peer)
+        self._retry_timer.start(backoff_s, partial(self._open, peer))
 
     def _receive(self, suffix: LogSuffix) -> None:
         self._received.append(suffix)
