--- a/benchmarks/graph.py
+++ b/benchmarks/graph.py
@@ -133,7 +133,7 @@
         "widest": max(found),
         "levels": [round(value, 3) for value in found],
         "tries": sum(len(row["tries"]) for row in wishes) / len(wishes),
-        "service_then": played.tally.service(begin, end),
+        "service_then": played.statistics.service(begin, end),
         "worst_10_s": summary["worst_10_s"],
         "service": summary["service"],
         "ok": summary["ok"],
--- a/rosewheel/cli/lab.py
+++ b/rosewheel/cli/lab.py
@@ -19,6 +19,7 @@
 from rosewheel.config.platform import parse_address
 from rosewheel.lab import experiment as experiments
 from rosewheel.lab import plan as plans
+from rosewheel.lab import plan_codec
 from rosewheel.lab import scenario as scenarios
 from rosewheel.lab.emulator import Emulator
 from rosewheel.lab.load import LoadGenerator
@@ -83,7 +84,7 @@
 
 
 def print_plan(plan: Plan) -> None:
-    for line in plan.lines():
+    for line in plan_codec.plan_lines(plan):
         click.echo(line.decode())
 
 
@@ -118,24 +119,28 @@
     live: asyncio.Task[None] | None = None
     try:
         await emulator.start()
-        agent = emulator.agent("n0")
+        agent = emulator.add_agent("n0")
         discovery = await agent.start()
         limits = {"memory_mb": plan.scenario.nodes.memory_mb, "sockets": plan.scenario.nodes.sockets}
-        config = {"limits": limits, "known": agent.known(), "settings": platform_settings(plan, 0, 1)}
+        config = {
+            "limits": limits,
+            "known": agent.snapshot_record(),
+            "settings": platform_settings(plan, 0, 1),
+        }
         node = NodeProcess("n0", folder, discovery, config, ops=True)
-        if not await node.healthy():
-            raise RunError(f"the node did not start: {node.last_words()}")
-        host, port = node.listen
+        if not await node.wait_healthy():
+            raise RunError(f"the node did not start: {node.last_log_line()}")
+        host, port = node.listen_address
         service = plan.scenario.classes[0].name
         click.echo(f"node      http://{host}:{port}   {len(emulator.hosts)} equipos behind it")
-        if node.ops is not None:
-            click.echo(f"operators http://{node.ops[0]}:{node.ops[1]}/admin/stats")
+        if node.admin_address is not None:
+            click.echo(f"operators http://{node.admin_address[0]}:{node.admin_address[1]}/admin/stats")
         click.echo(
             f'try       curl -si -X POST http://{host}:{port}/api/{service} -H "Request-Id: try-$RANDOM" '
             f'-H "Request-Class: {service}" -H "Request-Timeout-Ms: 3000" -d photo\n'
         )
-        load = LoadGenerator(plan, {"n0": node.listen}, asked)
-        emulator.begin(now_ms())
+        load = LoadGenerator(plan, {"n0": node.listen_address}, asked)
+        emulator.start_clock(now_ms())
         live = asyncio.get_running_loop().create_task(_live(emulator, load))
         await load.run(now_ms())
     finally:
@@ -146,7 +151,7 @@
         if node is not None:
             node.terminate()
             with contextlib.suppress(asyncio.CancelledError):
-                await node.ended(5.0)
+                await node.wait_ended(5.0)
             node.kill()
         emulator.close()
         records.close()
@@ -159,10 +164,9 @@
         await asyncio.sleep(1.0)
         asked = sum(counts["asked"] for counts in load.counts.values())
         good = sum(counts["in_time"] for counts in load.counts.values())
-        queues = " ".join(f"{host.model.held:2}" for host in emulator.hosts.values())
-        line = (
-            f"{time.monotonic() - began:5.0f} s  asked {asked:6}  in time {good:6}  open {len(load.open):3}"
-        )
+        queues = " ".join(f"{host.model.in_progress:2}" for host in emulator.hosts.values())
+        elapsed, open_count = time.monotonic() - began, len(load.open_operations)
+        line = f"{elapsed:5.0f} s  asked {asked:6}  in time {good:6}  open {open_count:3}"
         click.echo(f"{line}  at each equipo {queues}")
 
 
@@ -193,14 +197,14 @@
         await emulator.start()
         agents = {}
         for number in range(plan.scenario.nodes.count):
-            host, port = await emulator.agent(f"n{number}").start()
+            host, port = await emulator.add_agent(f"n{number}").start()
             agents[f"n{number}"] = f"{host}:{port}"
         json_line({"discovery": agents, "settings": platform_settings(plan, 0, plan.scenario.nodes.count)})
         sys.stdout.flush()
-        emulator.begin(now_ms())
+        emulator.start_clock(now_ms())
         await asyncio.sleep(plan.scenario.seconds)
     finally:
-        figures = emulator.figures_now()
+        figures = emulator.statistics()
         emulator.close()
         records.close()
     json_line({"ok": True, **figures})
--- a/rosewheel/lab/discovery.py
+++ b/rosewheel/lab/discovery.py
@@ -13,6 +13,7 @@
 
 import msgspec
 
+from rosewheel.lab.discovery_delays import DiscoveryChange
 from rosewheel.lab.wire import Address, HttpRequest, ServerConnection, now_ms
 
 HEARTBEAT_S = 2.0  # an empty line comes this often while nothing changes
@@ -22,23 +23,23 @@
 class DiscoveryEntry:
     """One equipo as discovery names it."""
 
-    host: str
-    dial: str
-    site: str
-    block: int
+    name: str
+    address: str
+    zone: str
+    cell: int
     health: str = "active"
-    born_ms: int = 0
+    launched_ms: int = 0
 
-    def row(self) -> dict[str, Any]:
+    def wire_record(self) -> dict[str, Any]:
         return {
-            "host": self.host,
-            "dial": self.dial,
-            "site": self.site,
+            "host": self.name,
+            "dial": self.address,
+            "site": self.zone,
             "class": "lab",
-            "block": self.block,
+            "block": self.cell,
             "health": self.health,
             "share": 1.0,
-            "born_ms": self.born_ms,
+            "born_ms": self.launched_ms,
         }
 
 
@@ -66,18 +67,18 @@
         address: Address = self._server.sockets[0].getsockname()[:2]
         return address
 
-    def known(self) -> dict[str, Any]:
+    def snapshot_record(self) -> dict[str, Any]:
         """The whole list, in the form that a node's configuration has it."""
-        hosts = [entry.row() for entry in self.entries.values()]
+        hosts = [entry.wire_record() for entry in self.entries.values()]
         return {"seq": self.version, "whole": True, "hosts": hosts}
 
     def learn(self, entry: DiscoveryEntry) -> None:
         """A change has reached this agent."""
         self.version += 1
         if entry.health == "left":
-            self.entries.pop(entry.host, None)
+            self.entries.pop(entry.name, None)
         else:
-            self.entries[entry.host] = entry
+            self.entries[entry.name] = entry
         self.changes.append((self.version, entry))
         self._tell()
 
@@ -86,7 +87,7 @@
         self.stalled = on
         self._tell()
 
-    def break_off(self) -> None:
+    def reset_watches(self) -> None:
         for watch in list(self._open):
             watch.reset()
 
@@ -103,17 +104,17 @@
     def _asked(self, asked: HttpRequest) -> None:
         path, _, query = asked.target.decode("latin-1").partition("?")
         if path != "/catalog/members":
-            asked.connection.answer(404)
+            asked.connection.respond(404)
             return
         pairs = dict(pair.partition("=")[::2] for pair in query.split("&") if pair)
         if "follow" not in pairs:
             if not self.stalled:
-                asked.connection.answer(200, msgspec.json.encode(self.known()))
+                asked.connection.respond(200, msgspec.json.encode(self.snapshot_record()))
             return
         since = int(pairs.get("since", "0")) if pairs.get("since", "0").isdigit() else 0
         asked.connection.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
         if not 0 < since <= self.version and not self.stalled:
-            self._line(asked.connection, self.known())
+            self._line(asked.connection, self.snapshot_record())
             for entry in self.entries.values():
                 self._told(self.node, entry)
             since = self.version
@@ -131,7 +132,7 @@
             if since == self.version:
                 continue
             news = [entry for version, entry in self.changes if version > since]
-            rows = [entry.row() for entry in news]
+            rows = [entry.wire_record() for entry in news]
             self._line(watch, {"seq": self.version, "whole": False, "hosts": rows})
             self._watches[watch] = self.version
             for entry in news:
@@ -152,40 +153,42 @@
     """All agents of one tier's nodes, and the delays with which they learn."""
 
     def __init__(
-        self, delay: Callable[[str, str], float], told: Callable[[str, str, DiscoveryEntry, float], None]
+        self,
+        delay: Callable[[DiscoveryChange], float],
+        told: Callable[[str, str, DiscoveryEntry, float], None],
     ) -> None:
         self.loop = asyncio.get_running_loop()
         self.agents: dict[str, DiscoveryAgent] = {}
-        self.truth: dict[str, DiscoveryEntry] = {}
-        self.behind_ms = 0.0  # how much further behind it is, by a trouble
-        self._delay = delay  # (kind of change, node) -> ms
+        self.current: dict[str, DiscoveryEntry] = {}
+        self.extra_delay_ms = 0.0  # how much further behind it is, by a trouble
+        self._delay = delay
         self._on_told = told  # (node, equipo, entry, when)
         self._free: dict[str, float] = {}  # by agent: changes come in order
         self._timers: set[asyncio.TimerHandle] = set()
 
-    def agent(self, node: str) -> DiscoveryAgent:
+    def add_agent(self, node: str) -> DiscoveryAgent:
         agent = DiscoveryAgent(node, self._told)
-        agent.entries = dict(self.truth)
+        agent.entries = dict(self.current)
         self.agents[node] = agent
         return agent
 
-    def drop(self, node: str) -> None:
+    def remove_agent(self, node: str) -> None:
         agent = self.agents.pop(node, None)
         if agent is not None:
             agent.close()
 
-    def set(self, entry: DiscoveryEntry, change: str, at_once: bool = False) -> None:
+    def update(self, entry: DiscoveryEntry, change: DiscoveryChange, at_once: bool = False) -> None:
         """The truth has changed; `change` is `add`, `drain`, `stop` or `silent` and tells the delay."""
         if entry.health == "left":
-            self.truth.pop(entry.host, None)
+            self.current.pop(entry.name, None)
         else:
-            self.truth[entry.host] = entry
-        base = 0.0 if at_once else self._delay(change, "") + self.behind_ms
+            self.current[entry.name] = entry
+        base = 0.0 if at_once else self._delay(change) + self.extra_delay_ms
         for name, agent in self.agents.items():
             if at_once:
                 agent.learn(entry)
                 continue
-            due = max(self._free.get(name, 0.0), now_ms() + base + self._delay("spread", name))
+            due = max(self._free.get(name, 0.0), now_ms() + base + self._delay(DiscoveryChange.SPREAD))
             self._free[name] = due
             self._later(due, agent, entry)
 
@@ -204,4 +207,4 @@
             agent.close()
 
     def _told(self, node: str, entry: DiscoveryEntry) -> None:
-        self._on_told(node, entry.host, entry, now_ms())
+        self._on_told(node, entry.name, entry, now_ms())
--- a/rosewheel/lab/emulator_process.py
+++ b/rosewheel/lab/emulator_process.py
@@ -32,15 +32,15 @@
         await emulator.start()
         agents = {}
         for number in range(scenario.nodes.count):
-            agent = emulator.agent(f"n{number}")
+            agent = emulator.add_agent(f"n{number}")
             agents[agent.node] = await agent.start()
-            known = agent.known()
+            known = agent.snapshot_record()
         sys.stdout.buffer.write(msgspec.json.encode({"agents": agents, "known": known}) + b"\n")
         sys.stdout.buffer.flush()
         tune_garbage_collector()
         line = await told.readline()
         if line:
-            emulator.begin(msgspec.json.decode(line)["t0"])
+            emulator.start_clock(msgspec.json.decode(line)["t0"])
             await told.read()
     except RuntimeError as error:
         print(error, file=sys.stderr)
--- a/rosewheel/lab/experiment.py
+++ b/rosewheel/lab/experiment.py
@@ -13,8 +13,9 @@
 from rosewheel.config.checked import Problem, ProblemsError
 from rosewheel.lab import plan as plans
 from rosewheel.lab import scenario as scenarios
+from rosewheel.lab.fault_table import ZONE_FAULT_KINDS
 from rosewheel.lab.run import ExperimentRun
-from rosewheel.lab.scenario import ZONE_FAULT_KINDS, Scenario
+from rosewheel.lab.scenario import Scenario
 from rosewheel.lab.tables import NetworkTable
 
 
@@ -45,7 +46,7 @@
         "region": bool(scenario.regions),
         "network": scenario.network != NetworkTable(),
     }
-    for at, trouble in enumerate(scenario.troubles):
+    for at, trouble in enumerate(scenario.faults):
         wanted[f"trouble[{at}].kind"] = trouble.kind in ZONE_FAULT_KINDS
     for key, there in wanted.items():
         if there:
@@ -91,13 +92,13 @@
 
     variant: str
     runs: int
-    void: int
+    void_runs: int
     service: float
-    half: float | None  # None: one run says nothing of chance
+    half_width: float | None  # None: one run says nothing of chance
     p99_ms: dict[str, float]
-    broken: int
-    after: float | None = None  # service in the 10 s after restarts of nodes, and its interval
-    after_half: float | None = None
+    violated_runs: int
+    after_restarts: float | None = None  # service in the 10 s after restarts of nodes, and its interval
+    after_restarts_half_width: float | None = None
 
 
 def summarize(summaries: Sequence[dict[str, Any]]) -> list[VariantRow]:
@@ -114,15 +115,15 @@
             VariantRow(
                 variant=name,
                 runs=len(mine),
-                void=len(mine) - len(good),
+                void_runs=len(mine) - len(good),
                 service=mean,
-                half=_half_width(services),
+                half_width=_half_width(services),
                 p99_ms={
                     key: sum(one["classes"][key]["p99_ms"] for one in good) / len(good) for key in classes
                 },
-                broken=sum(not one["ok"] for one in mine),
-                after=sum(after) / len(after) if after else None,
-                after_half=_half_width(after),
+                violated_runs=sum(not one["ok"] for one in mine),
+                after_restarts=sum(after) / len(after) if after else None,
+                after_restarts_half_width=_half_width(after),
             )
         )
     return rows
--- a/rosewheel/lab/invariant_checker.py
+++ b/rosewheel/lab/invariant_checker.py
@@ -17,6 +17,7 @@
 from rosewheel.lab.retry import REJECTION_STATUSES, RESPONSE_SLACK_MS
 from rosewheel.lab.scenario import Scenario
 from rosewheel.lab.slow_start import Overload, ServerStart
+from rosewheel.policy.settings import DedupScope, Idempotency
 
 INFORMED_SHARE_LIMIT = (
     2.0 / 3.0
@@ -29,28 +30,37 @@
     """Every breach by kind; an empty one means that all rules held."""
 
     unanswered: list[str] = field(default_factory=list)  # a request that a living node left without an answer
-    double: int = 0  # answers that nobody had asked for
+    surplus_answers: int = 0  # answers that nobody had asked for
     foreign: list[str] = field(default_factory=list)  # served with what no equipo made for it
-    twice: list[str] = field(default_factory=list)  # unsafe work that ran twice
-    strayed: list[str] = field(default_factory=list)  # a keyed repeat outside the grupo of the first
-    late: list[dict[str, Any]] = field(default_factory=list)  # new work to an equipo that drains
-    tipped: list[str] = field(default_factory=list)  # a cold equipo pushed over by those who knew
+    executed_twice: list[str] = field(default_factory=list)  # unsafe work that ran twice
+    outside_dedup_scope: list[str] = field(
+        default_factory=list
+    )  # a keyed repeat outside the grupo of the first
+    after_drain: list[dict[str, Any]] = field(default_factory=list)  # new work to an equipo that drains
+    collapsed: list[str] = field(default_factory=list)  # a cold equipo pushed over by those who knew
     # the first overload of a cold equipo by those who knew, by `slow_start.py`
     overloaded: list[dict[str, Any]] = field(default_factory=list)
 
     def count(self) -> int:
-        lists = (self.unanswered, self.foreign, self.twice, self.strayed, self.late, self.tipped)
-        return self.double + sum(len(item) for item in (*lists, self.overloaded))
-
-    def row(self) -> dict[str, Any]:
+        lists = (
+            self.unanswered,
+            self.foreign,
+            self.executed_twice,
+            self.outside_dedup_scope,
+            self.after_drain,
+            self.collapsed,
+        )
+        return self.surplus_answers + sum(len(item) for item in (*lists, self.overloaded))
+
+    def as_record(self) -> dict[str, Any]:
         return {
             "unanswered": self.unanswered[:MAX_LISTED],
-            "double": self.double,
+            "double": self.surplus_answers,
             "foreign": self.foreign[:MAX_LISTED],
-            "twice": self.twice[:MAX_LISTED],
-            "strayed": self.strayed[:MAX_LISTED],
-            "late": self.late[:MAX_LISTED],
-            "tipped": self.tipped[:MAX_LISTED],
+            "twice": self.executed_twice[:MAX_LISTED],
+            "strayed": self.outside_dedup_scope[:MAX_LISTED],
+            "late": self.after_drain[:MAX_LISTED],
+            "tipped": self.collapsed[:MAX_LISTED],
             "overloaded": self.overloaded[:MAX_LISTED],
         }
 
@@ -68,11 +78,14 @@
 class InvariantChecker:
     def __init__(self, scenario: Scenario) -> None:
         self.rules = scenario.rules
-        self.effects = {row.name: row.effect for row in scenario.classes}
-        self.narrow = any(row.effect == "keyed" and row.group == "cell" for row in scenario.classes)
-        self.fell = 0  # cold equipos pushed over, by whomever
+        self.effects = {row.name: row.idempotency for row in scenario.classes}
+        self.narrow = any(
+            row.idempotency is Idempotency.IDEMPOTENT_WITH_KEY and row.dedup_scope is DedupScope.CELL
+            for row in scenario.classes
+        )
+        self.collapses = 0  # cold equipos pushed over, by whomever
         self.overloads: list[Overload] = []  # of cold equipos, by whomever
-        self.cold_most = 0.0  # the largest part of its bound that any cold equipo was sent
+        self.max_bound_share = 0.0  # the largest part of its bound that any cold equipo was sent
         self._starts: dict[str, list[ServerStart]] = {}
         self._means: dict[str, float] = {}  # ms of work of a mean request, where a start was recorded
         self._broken = Violations()
@@ -84,7 +97,7 @@
         self._cells: dict[str, int] = {}  # keyed: by rid, the grupo where its work began
         self._astray: dict[str, None] = {}
 
-    def take(self, row: dict[str, Any]) -> None:
+    def observe(self, row: dict[str, Any]) -> None:
         match row.get("e"):
             case "op":
                 for item in row["tries"]:
@@ -97,38 +110,38 @@
                 if row["ran"]:
                     self._job(row)
                 starts = self._starts.get(row.get("equipo", ""))
-                if starts and row["came"] >= starts[-1].at_ms:
+                if starts and row["came"] >= starts[-1].started_ms:
                     size = row["work"] / self._means[row["equipo"]]
-                    starts[-1].sent.append((row["came"], size, row["told"]))
+                    starts[-1].arrivals.append((row["came"], size, row["told"]))
             case "killed":
                 # A node that was killed owes nothing; what it had taken is its clients' to repeat.
                 self._killed[row["node"]].append(row["t"])
             case "clients":
-                self._broken.double += row["surplus"]
+                self._broken.surplus_answers += row["surplus"]
             case "late":
-                self._broken.late.append(row)
+                self._broken.after_drain.append(row)
             case "fell":
-                self.fell += 1
+                self.collapses += 1
                 if row["told_share"] >= INFORMED_SHARE_LIMIT:
-                    self._broken.tipped.append(row["equipo"])
+                    self._broken.collapsed.append(row["equipo"])
 
-    def close(self) -> Violations:
+    def finish(self) -> Violations:
         """What all that was taken says of the rules."""
         for one in self._silent:
             if not any(one.sent - 1.0 <= at <= one.ended + 1.0 for at in self._killed.get(one.node, ())):
                 self._broken.unanswered.append(one.rid)
         for op, rids in self._ran.items():
             if len(rids) > 1 and not self._by_the_client(rids):
-                self._broken.twice.append(op)
+                self._broken.executed_twice.append(op)
         # What a client sent once more itself, because its node was killed with it, no node can have kept together.
         if self.narrow:
-            self._broken.strayed = [rid for rid in self._astray if rid not in self._resent]
+            self._broken.outside_dedup_scope = [rid for rid in self._astray if rid not in self._resent]
         for start in (start for starts in self._starts.values() for start in starts):
             found, most = start.overloads(self.rules)
             self.overloads += found
-            self.cold_most = max(self.cold_most, most)
-            if found and found[0].told_share > INFORMED_SHARE_LIMIT + 1e-9:  # of sums of floats
-                self._broken.overloaded.append(found[0].row())
+            self.max_bound_share = max(self.max_bound_share, most)
+            if found and found[0].informed_share > INFORMED_SHARE_LIMIT + 1e-9:  # of sums of floats
+                self._broken.overloaded.append(found[0].as_record())
         self._starts.clear()
         self._silent.clear()
         self._ran.clear()
@@ -136,9 +149,13 @@
 
     def _job(self, row: dict[str, Any]) -> None:
         effect, rid = self.effects[row["class"]], row["rid"]
-        if effect == "unsafe":
+        if effect is Idempotency.NON_IDEMPOTENT:
             self._ran.setdefault(row["op"], []).append(rid)
-        elif effect == "keyed" and self.narrow and self._cells.setdefault(rid, row["cell"]) != row["cell"]:
+        elif (
+            effect is Idempotency.IDEMPOTENT_WITH_KEY
+            and self.narrow
+            and self._cells.setdefault(rid, row["cell"]) != row["cell"]
+        ):
             self._astray[rid] = None
 
     def _answers(self, item: dict[str, Any]) -> None:
@@ -166,5 +183,5 @@
     ledger = InvariantChecker(scenario)
     for name in ("run", "load", "equipos"):
         for row in read_records(folder / f"{name}.jsonl"):
-            ledger.take(row)
-    return ledger.close()
+            ledger.observe(row)
+    return ledger.finish()
--- a/rosewheel/lab/node_process.py
+++ b/rosewheel/lab/node_process.py
@@ -16,8 +16,13 @@
 
 from rosewheel.lab.plan import Plan
 from rosewheel.lab.wire import Address
+from rosewheel.policy.settings import Idempotency
 
-EFFECT_NAMES = {"safe": "free", "keyed": "guarded", "unsafe": "single_shot"}
+EFFECT_NAMES = {
+    Idempotency.IDEMPOTENT: "free",
+    Idempotency.IDEMPOTENT_WITH_KEY: "guarded",
+    Idempotency.NON_IDEMPOTENT: "single_shot",
+}
 START_TIMEOUT_S = 30.0  # a node that has not said yes by then will not
 _PR_SET_PDEATHSIG = 1
 
@@ -39,13 +44,13 @@
         "categories": [
             {
                 "name": row.name,
-                "aimMs": row.aim_ms,
-                "giveUpMs": row.give_up_ms,
-                "credit": row.worth,
+                "aimMs": row.latency_objective_ms,
+                "giveUpMs": row.deadline_ms,
+                "credit": row.priority_weight,
                 "lateWorth": 0.0,
-                "effect": EFFECT_NAMES[row.effect],
-                "keyScope": row.group,
-                "memorySpanMs": row.memory_ms,
+                "effect": EFFECT_NAMES[row.idempotency],
+                "keyScope": row.dedup_scope.value,
+                "memorySpanMs": row.dedup_window_ms,
             }
             for row in scenario.classes
         ],
@@ -54,19 +59,19 @@
             "maxAttempts": nodes.max_attempts,
             "maxRetryAfterMs": nodes.max_retry_after_ms,
             "retryAfter": nodes.retry_after,
-            "secondCopies": nodes.second_copies,
+            "secondCopies": nodes.hedged_requests,
             "connIdleMs": 30000,
             "connectTimeoutMs": 250,
             "mayProbe": True,
         },
-        "feedback": {"fields": ["depth"] if scenario.tiers[tier].report.on else []},
+        "feedback": {"fields": ["depth"] if scenario.tiers[tier].report.enabled else []},
         "invariants": {
-            "coldFrom": rules.stated_cold_from,
-            "coldMs": rules.stated_cold_s * 1000.0,
-            "tipAfterMs": rules.tip_ms,
-            "overloadFactor": rules.tip_multiple,
+            "coldFrom": rules.warm_up_initial_share,
+            "coldMs": rules.warm_up_s * 1000.0,
+            "tipAfterMs": rules.overload_window_ms,
+            "overloadFactor": rules.overload_factor,
         },
-        "prices": {"crossZone": scenario.network.cross_zone_price},
+        "prices": {"crossZone": scenario.network.cross_zone_cost},
     }
 
 
@@ -90,25 +95,25 @@
     ) -> None:
         """Start it. `held` is the clients' socket where the platform holds one; `after` the process whose address it
         takes over."""
-        self.name, self.held = name, held
+        self.name, self.inherited_socket = name, held
         self._reserved: socket.socket | None = None
         if held is None:
             self._reserved = reserve_address() if after is None else after._reserved
         self._door = reserve_address() if ops else None
         address = held or self._reserved
         assert address is not None
-        self.listen: Address = address.getsockname()[:2]
-        self.ops: Address | None = None if self._door is None else self._door.getsockname()[:2]
+        self.listen_address: Address = address.getsockname()[:2]
+        self.admin_address: Address | None = None if self._door is None else self._door.getsockname()[:2]
         self.folder = folder / name
         (self.folder / "tmp").mkdir(parents=True, exist_ok=True)
         row = {
             "name": name,
-            "listen": _text(self.listen),
+            "listen": _text(self.listen_address),
             "discovery": _text(discovery),
             **config,
         }
-        if self.ops is not None:
-            row["ops"] = _text(self.ops)
+        if self.admin_address is not None:
+            row["ops"] = _text(self.admin_address)
         path = self.folder / "config.json"
         path.write_bytes(msgspec.json.encode(row))
         environ = {key: value for key, value in os.environ.items() if not key.startswith("LB_")}
@@ -132,17 +137,17 @@
     def alive(self) -> bool:
         return self.process.poll() is None
 
-    async def healthy(self, need_list: bool = True) -> bool:
+    async def wait_healthy(self, need_list: bool = True) -> bool:
         """Whether it says yes within `HEALTHY_S`; without equipos in its list it listens, and that will do."""
         deadline = asyncio.get_running_loop().time() + START_TIMEOUT_S
         while self.alive and asyncio.get_running_loop().time() < deadline:
-            status = await check_health(self.listen)
+            status = await check_health(self.listen_address)
             if status == 200 or (status and not need_list):
                 return True
             await asyncio.sleep(0.05)
         return False
 
-    def last_words(self) -> str:
+    def last_log_line(self) -> str:
         """The end of its log."""
         return (self.folder / "log").read_text(errors="replace").strip().rpartition("\n")[2]
 
@@ -159,7 +164,7 @@
         if self._reserved is not None and not keep_address:
             self._reserved.close()
 
-    async def ended(self, within_s: float) -> bool:
+    async def wait_ended(self, within_s: float) -> bool:
         deadline = asyncio.get_running_loop().time() + within_s
         while self.alive and asyncio.get_running_loop().time() < deadline:
             await asyncio.sleep(0.02)
--- a/rosewheel/lab/record_codec.py
+++ b/rosewheel/lab/record_codec.py
@@ -34,9 +34,9 @@
         "rid": rid,
         "came": came,
         "verdict": verdict,
-        "work": round(sum(one.work), 3),
-        "told": one.told,
-        "ran": one.effect,
+        "work": round(sum(one.segments_ms), 3),
+        "told": one.sender_informed,
+        "ran": one.started,
         "wanted": wanted,
         "over": over,
     }
@@ -60,20 +60,20 @@
         "t": t,
         "equipo": name,
         "state": one.state.value,
-        "queue": one.queue,
-        "held": one.held,
-        "slowed": one.choked_ms is not None,
+        "queue": one.queue_length,
+        "held": one.in_progress,
+        "slowed": one.slowed_since_ms is not None,
         "speed": round(one.capacity / (one.spec.cores * one.spec.speed), 3),
-        "connections": one.connected,
-        "turned_away": one.turned_away,
+        "connections": one.connection_count,
+        "turned_away": one.rejected,
     }
 
 
 def apply_server_fault(one: model.EmulatedServer, kind: str, size: float, begins: bool, now: float) -> None:
     """The troubles that are the model's own: `slow`, `neighbour` and `errors`; any other kind does nothing here."""
     if kind == "slow":
-        one.slow_down(now, size if begins else 1.0)
+        one.set_slow_factor(now, size if begins else 1.0)
     elif kind == "neighbour":
-        one.take(now, size if begins else 0.0)
+        one.set_neighbour_share(now, size if begins else 0.0)
     elif kind == "errors":
-        one.failing = size if begins else 0.0
+        one.forced_error_share = size if begins else 0.0
--- a/rosewheel/lab/report.py
+++ b/rosewheel/lab/report.py
@@ -31,14 +31,16 @@
     width = max(8, *(len(row.variant) for row in rows))
     lines = [f"{'variant':{width}}  runs  void  service  +/- 95%  rules  p99 ms"]
     for row in rows:
-        half = "      -" if row.half is None else f"{row.half:7.3f}"
-        rules = "kept  " if not row.broken else f"{row.broken} bad "
+        half = "      -" if row.half_width is None else f"{row.half_width:7.3f}"
+        rules = "kept  " if not row.violated_runs else f"{row.violated_runs} bad "
         p99 = "  ".join(f"{name} {value:.0f}" for name, value in row.p99_ms.items())
-        if row.after is not None:
-            p99 += f"  after restarts {row.after:.3f}"
-            p99 += "" if row.after_half is None else f" +/- {row.after_half:.3f}"
+        if row.after_restarts is not None:
+            p99 += f"  after restarts {row.after_restarts:.3f}"
+            p99 += (
+                "" if row.after_restarts_half_width is None else f" +/- {row.after_restarts_half_width:.3f}"
+            )
         lines.append(
-            f"{row.variant:{width}}  {row.runs:4}  {row.void:4}  {row.service:7.3f}  {half}  {rules} {p99}"
+            f"{row.variant:{width}}  {row.runs:4}  {row.void_runs:4}  {row.service:7.3f}  {half}  {rules} {p99}"
         )
     return "\n".join(lines)
 
--- a/rosewheel/lab/retry.py
+++ b/rosewheel/lab/retry.py
@@ -8,6 +8,7 @@
 
 from rosewheel.lab.plan import Plan
 from rosewheel.lab.tables import ClassTable
+from rosewheel.policy.settings import DedupScope, Idempotency
 
 REJECTION_STATUSES = (429, 503)
 RESPONSE_SLACK_MS = 50.0  # an answer may be this late to its caller's patience
@@ -19,7 +20,7 @@
     """How a try ended for its client."""
 
     status: int = 0  # 0: without an answer
-    why: str = ""  # without one: `unreachable` (nothing was taken), `broken`, `no answer`
+    failure: str = ""  # without one: `unreachable` (nothing was taken), `broken`, `no answer`
     retry_after_s: float | None = None
 
 
@@ -37,13 +38,15 @@
     clients = plan.scenario.clients
     if tries > clients.retries + storm:
         return None
-    harmless = verdict.status in REJECTION_STATUSES or verdict.why == "unreachable"
-    anew = table.effect == "safe" or (table.effect == "keyed" and table.group == "all")
-    if not (harmless or anew) or spent_ms >= table.give_up_ms:
+    harmless = verdict.status in REJECTION_STATUSES or verdict.failure == "unreachable"
+    anew = table.idempotency is Idempotency.IDEMPOTENT or (
+        table.idempotency is Idempotency.IDEMPOTENT_WITH_KEY and table.dedup_scope is DedupScope.ALL
+    )
+    if not (harmless or anew) or spent_ms >= table.deadline_ms:
         return None
     wait = plan.backoff_ms * 2.0 ** (tries - 1) * float(rng.uniform(0.5, 1.5))
     if storm:
         return wait * RETRY_STORM_DELAY_FACTOR
-    if verdict.retry_after_s is not None and rng.random() < plan.honour:
+    if verdict.retry_after_s is not None and rng.random() < plan.retry_after_share:
         wait = max(wait, verdict.retry_after_s * 1000.0)
     return wait
--- a/rosewheel/lab/run.py
+++ b/rosewheel/lab/run.py
@@ -20,7 +20,9 @@
 from rosewheel.lab import invariant_checker
 from rosewheel.lab.load import LoadGenerator
 from rosewheel.lab.node_process import NodeProcess, listening_socket, platform_settings
-from rosewheel.lab.plan import FaultStep, Plan
+from rosewheel.lab.plan import Plan
+from rosewheel.lab.plan_codec import plan_digest
+from rosewheel.lab.plan_faults import FaultStep
 from rosewheel.lab.random_streams import random_stream
 from rosewheel.lab.records import RecordWriter, read_records
 from rosewheel.lab.wire import Address, now_ms
@@ -81,13 +83,13 @@
             await self._say({"t0": t0})
             with_load = RecordWriter(self.folder / "load.jsonl")
             self.load = LoadGenerator(
-                self.plan, {name: node.listen for name, node in self.nodes.items()}, with_load
+                self.plan, {name: node.listen_address for name, node in self.nodes.items()}, with_load
             )
             loop = asyncio.get_running_loop()
             timers = [
                 loop.call_later(max(0.0, (t0 + step.at_ms - now_ms()) / 1000.0), self._step, step, t0)
                 for step in self.plan.steps
-                if self.plan.scenario.troubles[step.trouble].kind in NODE_FAULT_KINDS
+                if self.plan.scenario.faults[step.fault].kind in NODE_FAULT_KINDS
             ]
             flush = loop.create_task(self._flush(with_load, t0))
             try:
@@ -124,14 +126,14 @@
         row = await self._heard()
         for name, (host, port) in row["agents"].items():
             self._agents[name] = ((host, port), row["known"])
-        upgrades = any(trouble.kind == "node-upgrade" for trouble in scenario.troubles)
+        upgrades = any(trouble.kind == "node-upgrade" for trouble in scenario.faults)
         for name in self._agents:
             if upgrades:
                 self._held[name] = listening_socket()
             self.nodes[name] = self._node(name)
         for name, node in self.nodes.items():
-            if not await node.healthy():
-                raise RunError(f"node {name} did not start: {node.last_words()}")
+            if not await node.wait_healthy():
+                raise RunError(f"node {name} did not start: {node.last_log_line()}")
 
     def _node(self, name: str, after: NodeProcess | None = None) -> NodeProcess:
         discovery, known = self._agents[name]
@@ -182,22 +184,20 @@
     # --------------------------------------------------------------- troubles
 
     def _step(self, step: FaultStep, t0: float) -> None:
-        trouble, begins = self.plan.scenario.troubles[step.trouble], step.what == "begin"
+        trouble, begins = self.plan.scenario.faults[step.fault], step.phase == "begin"
         if trouble.kind in ("front-shift", "retry-storm"):
             assert self.load is not None
             if trouble.kind == "front-shift":
-                self.load.front.only = step.equipos if begins else ()
+                self.load.dispatcher.allowed_nodes = step.targets if begins else ()
             else:
-                self.load.storm = round(step.size) if begins else 0
+                self.load.extra_retries = round(step.size) if begins else 0
             return
-        names = step.equipos if trouble.kind == "node-loss" else (list(self.nodes)[trouble.node],)
+        names = step.targets if trouble.kind == "node-loss" else (list(self.nodes)[trouble.node_index],)
         for name in names if begins else ():
             self.records.write({"e": trouble.kind, "t": round(now_ms() - t0, 1), "node": name})
             crash = trouble.kind != "node-upgrade"
             work = (
-                self._crash(name, self._length_s(step), t0)
-                if crash
-                else self._upgrade(name, step.trouble, t0)
+                self._crash(name, self._length_s(step), t0) if crash else self._upgrade(name, step.fault, t0)
             )
             if crash:
                 self.records.write({"e": "killed", "t": round(now_ms() - t0, 1), "node": name})
@@ -207,7 +207,7 @@
 
     def _length_s(self, step: FaultStep) -> float:
         """From this step to the end of its trouble, as the seed drew it; 0 where it has none."""
-        ends = [one.at_ms for one in self.plan.steps if one.trouble == step.trouble and one.what == "end"]
+        ends = [one.at_ms for one in self.plan.steps if one.fault == step.fault and one.phase == "end"]
         return (ends[0] - step.at_ms) / 1000.0 if ends else 0.0
 
     async def _crash(self, name: str, down_s: float, t0: float) -> None:
@@ -219,12 +219,12 @@
         await asyncio.sleep(down_s)
         self._forget(old)
         self.nodes[name] = self._node(name, after=old)
-        if await self.nodes[name].healthy():
+        if await self.nodes[name].wait_healthy():
             self._back(name, t0)
 
     def _forget(self, node: NodeProcess) -> None:
         """Where a scenario wants it, a new process finds nothing of what the one before it had learned."""
-        if not self.plan.scenario.nodes.keeps:
+        if not self.plan.scenario.nodes.keep_learned_state:
             (node.folder / "tmp" / snapshots.SNAPSHOT_NAME).unlink(missing_ok=True)
 
     def _back(self, name: str, t0: float) -> None:
@@ -233,12 +233,16 @@
     async def _upgrade(self, name: str, trouble: int, t0: float) -> None:
         """A new process beside the old one; SIGTERM to the old one once the new one says yes. Where the scenario
         wants it one of them is killed on the way."""
-        row, old = self.plan.scenario.troubles[trouble], self.nodes[name]
-        low, high = row.kill_ms if isinstance(row.kill_ms, tuple) else (row.kill_ms, row.kill_ms)
+        row, old = self.plan.scenario.faults[trouble], self.nodes[name]
+        low, high = (
+            row.kill_delay_ms
+            if isinstance(row.kill_delay_ms, tuple)
+            else (row.kill_delay_ms, row.kill_delay_ms)
+        )
         after_s = float(random_stream(self.plan.seed, "trouble", trouble, "kill").uniform(low, high)) / 1000.0
         self._forget(old)
         new = self._node(name)
-        if row.kills == "starting":
+        if row.killed_process == "starting":
             await asyncio.sleep(after_s)
             self._kill(new, t0)
             return
@@ -250,13 +254,13 @@
         self._back(name, t0)
         self.cpu_s += old.cpu_s()
         old.terminate()
-        if row.kills:
+        if row.killed_process:
             await asyncio.sleep(after_s)
-            self._kill(old if row.kills == "old" else new, t0)
-        if row.kills == "new":
+            self._kill(old if row.killed_process == "old" else new, t0)
+        if row.killed_process == "new":
             self._old.append(new)
             self.nodes[name] = self._node(name)
-        if not await old.ended(UPGRADE_EXIT_TIMEOUT_S):
+        if not await old.wait_ended(UPGRADE_EXIT_TIMEOUT_S):
             self._kill(old, t0)
 
     def _kill(self, node: NodeProcess, t0: float) -> None:
@@ -281,7 +285,7 @@
                 self._emulator.kill()
                 await self._emulator.wait()
         for node in (*self.nodes.values(), *self._old):
-            await node.ended(5.0)
+            await node.wait_ended(5.0)
             node.kill()
         for held in self._held.values():
             held.close()
@@ -297,13 +301,13 @@
             if row["e"] == "emulator":
                 own = row
         lag = own.get("lag_p99_ms", 1e9)
-        aim = min(row.aim_ms for row in scenario.classes)
+        aim = min(row.latency_objective_ms for row in scenario.classes)
         elapsed = scenario.seconds
         summary: dict[str, Any] = {
             "ok": broken.count() == 0 and not crashed,
             "scenario": scenario.name,
             "seed": self.plan.seed,
-            "plan": self.plan.digest(),
+            "plan": plan_digest(self.plan),
             "service": round(self.load.service(), 4),
             "after_restarts": self._after_restarts(),
             "void": bool(lag > VOID_LAG_SHARE * aim or self.load.lag_max_ms > VOID_LAG_SHARE * aim * 10),
@@ -315,7 +319,7 @@
                 }
                 for name in self.load.counts
             },
-            "rules": broken.row(),
+            "rules": broken.as_record(),
             "crashed": crashed,
             "emulator": {
                 "cores": round(own.get("cpu_s", 0.0) / elapsed, 3),
@@ -363,11 +367,11 @@
 
 async def _admin_healthy(node: NodeProcess) -> bool:
     """What an operator would ask: the health at the new process's own door."""
-    if node.ops is None:
+    if node.admin_address is None:
         return False
     try:
         async with asyncio.timeout(1.0):
-            reader, writer = await asyncio.open_connection(*node.ops)
+            reader, writer = await asyncio.open_connection(*node.admin_address)
             writer.write(b"GET /admin/health HTTP/1.1\r\nHost: a\r\nConnection: close\r\n\r\n")
             line = await reader.readline()
             writer.close()
--- a/rosewheel/lab/scale/calls_worker.py
+++ b/rosewheel/lab/scale/calls_worker.py
@@ -56,7 +56,7 @@
             return None
         self._load.stop()
         self.records.flush()
-        return LoadStopped(len(self._load.open), round(self._load.lag_max_ms, 1))
+        return LoadStopped(len(self._load.open_operations), round(self._load.lag_max_ms, 1))
 
     async def close(self) -> None:
         """Abandon calls in flight and close the records."""
--- a/rosewheel/lab/scale/discovery_server.py
+++ b/rosewheel/lab/scale/discovery_server.py
@@ -21,7 +21,7 @@
     """The endpoint list of one service; each change makes a new version, the first list is version 1."""
 
     def __init__(self, endpoints: list[DiscoveryEntry]) -> None:
-        self.endpoints = {endpoint.host: endpoint for endpoint in endpoints}
+        self.endpoints = {endpoint.name: endpoint for endpoint in endpoints}
         self.changes: list[DiscoveryEntry] = []  # the change at index `i` made version `i + 2`
         self.watch_versions: dict[ServerConnection, int] = {}  # the version that each watch was sent last
         self._encoded_updates: dict[int, bytes] = {}  # by the version that the watch has
@@ -39,9 +39,9 @@
     def apply(self, endpoint: DiscoveryEntry) -> None:
         """Add, update or remove an endpoint."""
         if endpoint.health == EndpointHealth.LEFT:
-            self.endpoints.pop(endpoint.host, None)
+            self.endpoints.pop(endpoint.name, None)
         else:
-            self.endpoints[endpoint.host] = endpoint
+            self.endpoints[endpoint.name] = endpoint
         self.changes.append(endpoint)
         self._encoded_updates.clear()
 
@@ -51,7 +51,7 @@
         if line is None:
             is_snapshot = not 0 < version <= self.version
             endpoints = list(self.endpoints.values()) if is_snapshot else self.changes[version - 1 :]
-            hosts = [endpoint.row() for endpoint in endpoints]
+            hosts = [endpoint.wire_record() for endpoint in endpoints]
             line = msgspec.json.encode({"seq": self.version, "whole": is_snapshot, "hosts": hosts})
             self._encoded_updates[version] = line
         return line
@@ -108,12 +108,12 @@
         parameters = dict(pair.partition("=")[::2] for pair in query.split("&") if pair)
         service = self._service_of(request.connection)
         if path != "/catalog/members" or "follow" not in parameters or service is None:
-            request.connection.answer(404)
+            request.connection.respond(404)
             return
         since = int(parameters["since"]) if parameters.get("since", "").isdigit() else 0
         service_list = self.services[service]
         self.watches_opened += 1
-        request.connection.current = service_list
+        request.connection.current_work = service_list
         request.connection.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
         self._send_update(service_list, request.connection, since)
 
@@ -124,8 +124,8 @@
 
     def _connection_closed(self, connection: ServerConnection) -> None:
         self.connections.discard(connection)
-        if connection.current is not None:
-            connection.current.watch_versions.pop(connection, None)
+        if connection.current_work is not None:
+            connection.current_work.watch_versions.pop(connection, None)
 
     def _send_update(self, service_list: ServiceList, watch: ServerConnection, since: int) -> None:
         if since != service_list.version:
--- a/rosewheel/lab/scale/discovery_worker.py
+++ b/rosewheel/lab/scale/discovery_worker.py
@@ -35,7 +35,7 @@
         ]
         self.server = DiscoveryServer(self.services, setup.service_of_address)
         self._endpoints = {
-            endpoint.host: endpoint for service in self.services for endpoint in service.endpoints.values()
+            endpoint.name: endpoint for service in self.services for endpoint in service.endpoints.values()
         }
         self._lost_hosts: set[str] = set()
 
@@ -63,7 +63,7 @@
     def _publish(self, change: EndpointChange) -> PublishedList:
         first = self._endpoints[change.host]
         at_ms = now_ms()
-        endpoint = DiscoveryEntry(change.host, first.dial, first.site, first.block, change.health)
+        endpoint = DiscoveryEntry(change.host, first.address, first.zone, first.cell, change.health)
         return PublishedList(change.service, self.server.publish(change.service, endpoint), at_ms)
 
     def _statistics(self) -> DiscoveryStatistics:
--- a/rosewheel/lab/server_host.py
+++ b/rosewheel/lab/server_host.py
@@ -21,8 +21,8 @@
 class ConnectionFault:
     """What befalls a share of the connections while a trouble lasts."""
 
-    how: str
-    part: float
+    kind: str
+    share: float
     delay_ms: float
     rng: np.random.Generator
 
@@ -32,22 +32,22 @@
     """A request that an equipo works on, and where its answer goes."""
 
     host: EmulatedServerHost
-    asked: HttpRequest
+    request: HttpRequest
     job: model.Job
-    service: str
-    node: str
-    op: str
+    class_name: str
+    sender: str
+    operation_id: str
     deadline_ms: float
-    total_ms: float  # of work over all tiers
-    wanted: bool = True  # False: whoever asked has gone
+    total_work_ms: float  # of work over all tiers
+    client_connected: bool = True  # False: whoever asked has gone
 
 
 class HostOwner(Protocol):
     """What a host needs of the emulator."""
 
-    def take(self, host: EmulatedServerHost, asked: HttpRequest) -> ServerWork | None: ...
-    def act(self, host: EmulatedServerHost, acts: list[model.Action]) -> None: ...
-    def lag(self, lag_ms: float) -> None: ...
+    def accept_request(self, host: EmulatedServerHost, asked: HttpRequest) -> ServerWork | None: ...
+    def apply_actions(self, host: EmulatedServerHost, acts: list[model.Action]) -> None: ...
+    def record_timer_lag(self, lag_ms: float) -> None: ...
 
 
 class EmulatedServerHost:
@@ -62,14 +62,14 @@
         cold: bool,
         reports: bool,
     ) -> None:
-        self.owner, self.spec, self.memory, self.rng, self.reports = owner, spec, memory, rng, reports
+        self.owner, self.spec, self.dedup_table, self.rng, self.reports = owner, spec, memory, rng, reports
         self.loop = asyncio.get_running_loop()
         self.model = model.EmulatedServer(spec, memory, rng, now_ms(), cold)
         self.address: Address = ("127.0.0.1", 0)
         self.faults: dict[int, ConnectionFault] = {}  # by trouble
-        self.vanished = False
+        self.isolated = False
         self.connections: set[ServerConnection] = set()
-        self.broken: dict[ServerConnection, ConnectionFault] = {}
+        self.affected_connections: dict[ServerConnection, ConnectionFault] = {}
         self._sock: socket.socket | None = None
         self._server: asyncio.Server | None = None
         self._timer: asyncio.TimerHandle | None = None
@@ -94,7 +94,7 @@
     def _serving(self) -> ServerConnection:
         return ServerConnection(self._asked, self._made, self._lost)
 
-    def refuse(self) -> None:
+    def stop_accepting(self) -> None:
         """From now on connections are refused: nobody listens."""
         if self._server is not None:
             self._server.close()
@@ -103,15 +103,15 @@
             self._sock.close()
             self._sock = None
 
-    async def accept_again(self) -> None:
+    async def resume_accepting(self) -> None:
         if self._sock is None:
             await self.listen()
         elif self._server is None:
             await self._accept()
 
-    def vanish(self) -> None:
+    def isolate(self) -> None:
         """The machine is cut off: what is open says nothing any more, what is new never comes up."""
-        self.vanished = True
+        self.isolated = True
         for connection in self.connections:
             connection.silent = True
         if self._server is not None and self._sock is not None:
@@ -126,9 +126,9 @@
                     filler.connect(self.address)
                 self._fillers.append(filler)
 
-    async def reappear(self) -> None:
+    async def rejoin(self) -> None:
         """It is back: connections from before are reset."""
-        self.vanished = False
+        self.isolated = False
         for filler in self._fillers:
             filler.close()
         self._fillers.clear()
@@ -150,15 +150,15 @@
         self.faults.pop(number, None)
 
     def _befall(self, connection: ServerConnection, fault: ConnectionFault) -> None:
-        if connection not in self.broken and fault.rng.random() < fault.part:
-            self.broken[connection] = fault
-            connection.silent = fault.how == "silence"
+        if connection not in self.affected_connections and fault.rng.random() < fault.share:
+            self.affected_connections[connection] = fault
+            connection.silent = fault.kind == "silence"
 
     # ------------------------------------------------------------ connections
 
     def _made(self, connection: ServerConnection) -> None:
         self.connections.add(connection)
-        if self.vanished:
+        if self.isolated:
             connection.silent = True
         for fault in self.faults.values():
             self._befall(connection, fault)
@@ -168,10 +168,10 @@
 
     def _lost(self, connection: ServerConnection) -> None:
         self.connections.discard(connection)
-        self.broken.pop(connection, None)
-        work: ServerWork | None = connection.current
+        self.affected_connections.pop(connection, None)
+        work: ServerWork | None = connection.current_work
         if work is not None:
-            work.wanted = False  # a cancel or a time-out stops no work
+            work.client_connected = False  # a cancel or a time-out stops no work
         self.catch_up(now := now_ms())
         self.model.disconnect(now)
         self.arm()
@@ -180,45 +180,45 @@
         path = asked.target.partition(b"?")[0]
         if path in (b"/ping", b"/_load"):
             self.catch_up(now := now_ms())
-            up = self.model.probe(now)
+            up = self.model.check_health(now)
             body = self._load().encode() if path == b"/_load" and self.reports else b""
-            asked.connection.answer(200 if up else 503, body)
+            asked.connection.respond(200 if up else 503, body)
             self.arm()
             return
-        fault = self.broken.get(asked.connection)
-        if fault is not None and fault.how == "reset":
+        fault = self.affected_connections.get(asked.connection)
+        if fault is not None and fault.kind == "reset":
             asked.connection.reset()
             return
-        if self.model.connected > self.spec.connections:
-            asked.connection.answer(503, extra=b"Not-Started: 1\r\n", close=True)
+        if self.model.connection_count > self.spec.max_connections:
+            asked.connection.respond(503, extra=b"Not-Started: 1\r\n", close=True)
             return
-        work = self.owner.take(self, asked)
+        work = self.owner.accept_request(self, asked)
         if work is None:
             return
-        asked.connection.current = work
+        asked.connection.current_work = work
         self.catch_up(now := now_ms())
-        self.owner.act(self, self.model.arrive(now, work.job))
+        self.owner.apply_actions(self, self.model.arrive(now, work.job))
         self.arm()
 
     def reply(self, work: ServerWork, verdict: model.JobResult, body: bytes) -> None:
         """Answer a request, through whatever fault its connection has."""
-        connection = work.asked.connection
-        if connection.current is work:
-            connection.current = None
-        if not work.wanted or connection.transport is None:
+        connection = work.request.connection
+        if connection.current_work is work:
+            connection.current_work = None
+        if not work.client_connected or connection.transport is None:
             return
-        status = {model.JobResult.SERVED: 200, model.JobResult.ERROR: 500, model.JobResult.TURNED_AWAY: 503}[
+        status = {model.JobResult.SERVED: 200, model.JobResult.ERROR: 500, model.JobResult.REJECTED: 503}[
             verdict
         ]
         extra = b"" if not self.reports else b"Server-Load: TEXT %b\r\n" % self._load().encode()
-        if verdict is model.JobResult.TURNED_AWAY:
+        if verdict is model.JobResult.REJECTED:
             extra += b"Not-Started: 1\r\n"
-        fault = self.broken.get(connection)
-        if fault is None or fault.how in ("refuse", "silence", "reset"):
-            connection.answer(status, body, extra)
-        elif fault.how == "delay":
-            self.loop.call_later(fault.delay_ms / 1000.0, connection.answer, status, body, extra)
-        elif fault.how == "half":
+        fault = self.affected_connections.get(connection)
+        if fault is None or fault.kind in ("refuse", "silence", "reset"):
+            connection.respond(status, body, extra)
+        elif fault.kind == "delay":
+            self.loop.call_later(fault.delay_ms / 1000.0, connection.respond, status, body, extra)
+        elif fault.kind == "half":
             whole = b"HTTP/1.1 %d X\r\nContent-Length: %d\r\n\r\n%b" % (status, len(body) + 64, body)
             connection.write(whole[: len(whole) // 2])
             connection.close()
@@ -226,13 +226,13 @@
             connection.write(bytes(fault.rng.integers(0, 256, 64, dtype=np.uint8)))
 
     def _load(self) -> str:
-        return f"queue={self.model.report(now_ms()):.3f}"
+        return f"queue={self.model.reported_queue(now_ms()):.3f}"
 
     # ----------------------------------------------------------------- timer
 
     def arm(self) -> None:
         """One timer of the loop, at the model's next moment."""
-        due = self.model.due()
+        due = self.model.next_due_ms()
         if due == self._due and self._timer is not None:
             return
         if self._timer is not None:
@@ -246,23 +246,23 @@
 
     def catch_up(self, now: float) -> None:
         """What is due before whatever has just come: a timer may be a moment late, an event is not."""
-        if self.model.due() <= now:
-            self.owner.act(self, self.model.tick(now))
+        if self.model.next_due_ms() <= now:
+            self.owner.apply_actions(self, self.model.tick(now))
 
     def _tick(self, meant_ms: float) -> None:
         now = now_ms()
         self._timer = None
         self._due = math.nan
-        self.owner.lag(max(0.0, now - meant_ms))
-        self.owner.act(self, self.model.tick(now))
+        self.owner.record_timer_lag(max(0.0, now - meant_ms))
+        self.owner.apply_actions(self, self.model.tick(now))
         self.arm()
 
     # ------------------------------------------------------------------- end
 
-    def die(self) -> None:
+    def terminate(self) -> None:
         """The process is gone: connections reset, new ones refused, and all it held with it."""
         self.model.stop(now_ms())
-        self.refuse()
+        self.stop_accepting()
         for connection in list(self.connections):
             connection.reset()
         self.arm()
@@ -272,11 +272,11 @@
             self._timer.cancel()
         for filler in self._fillers:
             filler.close()
-        self.refuse()
+        self.stop_accepting()
         for connection in list(self.connections):
             connection.close()
 
     def restart(self) -> None:
         """A new process under the same name, cold."""
-        self.model = model.EmulatedServer(self.spec, self.memory, self.rng, now_ms(), cold=True)
+        self.model = model.EmulatedServer(self.spec, self.dedup_table, self.rng, now_ms(), cold=True)
         self.arm()
--- a/rosewheel/lab/service_graph.py
+++ b/rosewheel/lab/service_graph.py
@@ -1,6 +1,6 @@
-"""Which service calls which: levels, visits for each request, and no circles.
+"""The call graph of services: its order, its depth, and how often a request visits each service.
 
-Services go by their place in the scenario; the first is the one that clients ask.
+Services are named by their index in the scenario; clients send their requests to the first.
 """
 
 from __future__ import annotations
@@ -8,46 +8,55 @@
 from collections.abc import Sequence
 from graphlib import CycleError, TopologicalSorter
 
-MAX_DEPTH = 20  # services one below the other, the first included
+MAX_DEPTH = 20  # services on the longest path, the first included
 
-CallEdges = tuple[tuple[tuple[int, float], ...], ...]  # by caller: whom it calls, and how often on average
+# By caller: the services that it calls, and the mean number of calls for each request.
+CallEdges = tuple[tuple[tuple[int, float], ...], ...]
 
 
 class CallCycleError(ValueError):
-    """Services that call one another in a circle, the first of them once more at the end."""
+    """Services call one another in a cycle.
 
-    def __init__(self, circle: Sequence[int]) -> None:
-        super().__init__(circle)
-        self.circle = tuple(circle)
+    Attributes:
+        cycle: the services of the cycle in order of the calls; the first one is repeated at the end.
+    """
 
+    def __init__(self, cycle: Sequence[int]) -> None:
+        super().__init__(cycle)
+        self.cycle = tuple(cycle)
 
-def topological_order(called: Sequence[Sequence[int]]) -> tuple[int, ...]:
-    """Every caller before all that it calls; CircleError where there is no such order."""
-    sorter: TopologicalSorter[int] = TopologicalSorter({at: () for at in range(len(called))})
-    for at, below in enumerate(called):
-        for to in below:
-            sorter.add(to, at)
+
+def topological_order(callees: Sequence[Sequence[int]]) -> tuple[int, ...]:
+    """All services, each caller before the services that it calls.
+
+    Raises:
+        CallCycleError: there is no such order.
+    """
+    sorter: TopologicalSorter[int] = TopologicalSorter({index: () for index in range(len(callees))})
+    for caller, called in enumerate(callees):
+        for callee in called:
+            sorter.add(callee, caller)
     try:
         return tuple(sorter.static_order())
     except CycleError as error:
         raise CallCycleError(error.args[1]) from error
 
 
-def depths(called: Sequence[Sequence[int]]) -> tuple[int, ...]:
-    """How deep each service lies on the longest way to it: the first is 1, one that no request reaches is 0."""
-    deep = [0] * len(called)
-    deep[0] = 1
-    for at in topological_order(called):
-        for to in called[at] if deep[at] else ():
-            deep[to] = max(deep[to], deep[at] + 1)
-    return tuple(deep)
+def depths(callees: Sequence[Sequence[int]]) -> tuple[int, ...]:
+    """The length of the longest path to each service: 1 for the first one, 0 for one that no request reaches."""
+    depth = [0] * len(callees)
+    depth[0] = 1
+    for caller in topological_order(callees):
+        for callee in callees[caller] if depth[caller] else ():
+            depth[callee] = max(depth[callee], depth[caller] + 1)
+    return tuple(depth)
 
 
 def mean_visits(edges: CallEdges) -> tuple[float, ...]:
-    """How often a request of a client comes to each service on average, over all ways, where nothing fails."""
+    """The mean number of calls to each service for one request of a client, over all paths, without failures."""
     means = [0.0] * len(edges)
     means[0] = 1.0
-    for at in topological_order([[to for to, _ in row] for row in edges]):
-        for to, mean in edges[at]:
-            means[to] += means[at] * mean
+    for caller in topological_order([[callee for callee, _ in calls] for calls in edges]):
+        for callee, mean in edges[caller]:
+            means[callee] += means[caller] * mean
     return tuple(means)
--- a/rosewheel/lab/simulation/discovery.py
+++ b/rosewheel/lab/simulation/discovery.py
@@ -8,7 +8,8 @@
 import numpy as np
 
 from rosewheel.discovery.backoff import INITIAL_DELAY_DIVISOR, MAX_DELAY_DIVISOR
-from rosewheel.lab.plan import Plan, discovery_delay_ms
+from rosewheel.lab.discovery_delays import DiscoveryChange, discovery_delay_ms
+from rosewheel.lab.plan import Plan
 from rosewheel.lab.simulation.events import EventQueue
 from rosewheel.lab.simulation.network import ONE_WAY_MS
 from rosewheel.lab.simulation.node import SimulatedNode
@@ -28,36 +29,38 @@
     ) -> None:
         self.queue, self.node, self._told = queue, node, told
         self.entries = dict(truth)
-        self.news: list[Server] = []  # learned and not told yet
+        self.pending: list[Server] = []  # learned and not told yet
         self.stalled = False
-        self.cut = False  # its machine is cut off
-        self.open = True
-        self.free_ms = 0.0  # changes come in order: none is learned before this
+        self.isolated = False  # its machine is cut off
+        self.watch_open = True
+        self.last_change_ms = 0.0  # changes come in order: none is learned before this
 
     def learn(self, entry: Server) -> None:
         if entry.state is ServerState.REMOVED:
             self.entries.pop(entry.address, None)
         else:
             self.entries[entry.address] = entry
-        self.news.append(entry)
-        self.tell()
+        self.pending.append(entry)
+        self.notify()
 
-    def tell(self) -> None:
-        if self.stalled or self.cut or not self.open or not self.news:
+    def notify(self) -> None:
+        if self.stalled or self.isolated or not self.watch_open or not self.pending:
             return
-        news, self.news = self.news, []
+        news, self.pending = self.pending, []
         for entry in news:
             self._told(self.node.name, entry)
-        self.queue.after(ONE_WAY_MS, self.node.heard, EndpointListForm.DELTA, tuple(news))
+        self.queue.call_later(
+            ONE_WAY_MS, self.node.receive_endpoint_list, EndpointListForm.DELTA, tuple(news)
+        )
 
     def reopen(self, wait_ms: float) -> None:
         """The watch is gone and comes back after this, going on where it was."""
-        self.open = False
-        self.queue.after(wait_ms, self._opened)
+        self.watch_open = False
+        self.queue.call_later(wait_ms, self._opened)
 
     def _opened(self) -> None:
-        self.open = True
-        self.tell()
+        self.watch_open = True
+        self.notify()
 
 
 class SimulatedRegistry:
@@ -72,39 +75,46 @@
         rng: np.random.Generator,
     ) -> None:
         self.queue, self.plan, self.rng, self._told = queue, plan, rng, told
-        self.heard_before = heard_before  # whether a node of this name was ever told of that server
-        self.truth: dict[str, Server] = {}
+        self.was_notified = heard_before  # whether a node of this name was ever told of that server
+        self.current: dict[str, Server] = {}
         self.agents: dict[SimulatedNode, SimulatedAgent] = {}
-        self.behind_ms = 0.0  # how much further behind it is, by a trouble
+        self.extra_delay_ms = 0.0  # how much further behind it is, by a trouble
 
-    def add(self, node: SimulatedNode) -> None:
+    def add_agent(self, node: SimulatedNode) -> None:
         """A node that begins with the list as it is now."""
-        self.agents[node] = agent = SimulatedAgent(self.queue, node, self.truth, self._told)
+        self.agents[node] = agent = SimulatedAgent(self.queue, node, self.current, self._told)
         for entry in agent.entries.values():  # told anew, whatever the process before it had heard
-            if entry.launched_ms is not None or self.heard_before(node.name, entry.address):
+            if entry.launched_ms is not None or self.was_notified(node.name, entry.address):
                 self._told(node.name, entry)
-        node.heard(EndpointListForm.CACHED, tuple(agent.entries.values()))
+        node.receive_endpoint_list(EndpointListForm.CACHED, tuple(agent.entries.values()))
 
-    def drop(self, node: SimulatedNode) -> None:
+    def remove_agent(self, node: SimulatedNode) -> None:
         self.agents.pop(node, None)
 
-    def set(self, entry: Server, change: str) -> None:
+    def update(self, entry: Server, change: DiscoveryChange) -> None:
         """The truth has changed; `change` tells the delay."""
         if entry.state is ServerState.REMOVED:
-            self.truth.pop(entry.address, None)
+            self.current.pop(entry.address, None)
         else:
-            self.truth[entry.address] = entry
-        base = self.queue.now + discovery_delay_ms(self.plan.scenario, self.rng, change) + self.behind_ms
+            self.current[entry.address] = entry
+        base = (
+            self.queue.now
+            + discovery_delay_ms(self.plan.scenario.discovery, self.rng, change)
+            + self.extra_delay_ms
+        )
         for agent in self.agents.values():
-            due = max(agent.free_ms, base + discovery_delay_ms(self.plan.scenario, self.rng, "spread"))
-            agent.free_ms = due
-            self.queue.at(due, self._learn, agent, entry)
-
-    def restate(self, name: str, state: ServerState, change: str) -> None:
+            due = max(
+                agent.last_change_ms,
+                base + discovery_delay_ms(self.plan.scenario.discovery, self.rng, DiscoveryChange.SPREAD),
+            )
+            agent.last_change_ms = due
+            self.queue.call_at(due, self._learn, agent, entry)
+
+    def set_state(self, name: str, state: ServerState, change: DiscoveryChange) -> None:
         """The same server in another state; one that the list does not have is left out."""
-        entry = self.truth.get(name)
+        entry = self.current.get(name)
         if entry is not None and entry.state is not state:
-            self.set(dataclasses.replace(entry, state=state), change)
+            self.update(dataclasses.replace(entry, state=state), change)
 
     def _learn(self, agent: SimulatedAgent, entry: Server) -> None:
         if not agent.node.dead:
@@ -116,24 +126,24 @@
             if not on:  # its node had given the watch up and tries again now and then
                 agent.reopen(float(self.rng.uniform(0.0, DRAIN_GRACE_MS / MAX_DELAY_DIVISOR)))
 
-    def cut(self, zones: frozenset[str]) -> None:
+    def isolate(self, zones: frozenset[str]) -> None:
         """These zones are cut off: agents there hear nothing, the others hear that what lies there is gone."""
         for agent in self.agents.values():
-            agent.cut = agent.cut or agent.node.zone in zones
-        for entry in list(self.truth.values()):
+            agent.isolated = agent.isolated or agent.node.zone in zones
+        for entry in list(self.current.values()):
             if entry.zone in zones:
-                self.restate(entry.address, ServerState.REMOVED, "silent")
+                self.set_state(entry.address, ServerState.REMOVED, DiscoveryChange.SERVER_DIED)
 
-    def mend(self, zones: frozenset[str], back: list[Server]) -> None:
+    def heal(self, zones: frozenset[str], back: list[Server]) -> None:
         """They are not any more; `back`: what has run there all the while. Agents there never hear that it was gone."""
         for agent in self.agents.values():
             if agent.node.zone in zones:
-                agent.news = [entry for entry in agent.news if entry.zone not in zones]
-                agent.cut = False
-                agent.tell()
+                agent.pending = [entry for entry in agent.pending if entry.zone not in zones]
+                agent.isolated = False
+                agent.notify()
         for entry in back:
-            self.set(entry, "add")
+            self.update(entry, DiscoveryChange.ADD)
 
-    def break_off(self) -> None:
+    def reset_watches(self) -> None:
         for agent in self.agents.values():
             agent.reopen(float(self.rng.uniform(0.6, 1.0)) * DRAIN_GRACE_MS / INITIAL_DELAY_DIVISOR)
--- a/rosewheel/lab/simulation/events.py
+++ b/rosewheel/lab/simulation/events.py
@@ -15,7 +15,7 @@
 class EventQueue:
     def __init__(self, now: float) -> None:
         self.now = now  # milliseconds of the plan's clock; below zero before it begins
-        self.done = 0  # events so far
+        self.processed = 0  # events so far
         self._rows: list[ScheduledEvent] = []
         self._order = 0
         self._off = 0  # rows that were called off and are still here
@@ -23,17 +23,17 @@
     def __len__(self) -> int:
         return len(self._rows) - self._off
 
-    def at(self, due: float, what: Callable[..., None], *args: Any) -> ScheduledEvent:
+    def call_at(self, due: float, what: Callable[..., None], *args: Any) -> ScheduledEvent:
         """Call this at that moment, or now if it is past. What is returned is for `off`."""
         self._order += 1
         row = [due if due > self.now else self.now, self._order, what, args]
         heapq.heappush(self._rows, row)
         return row
 
-    def after(self, wait: float, what: Callable[..., None], *args: Any) -> ScheduledEvent:
-        return self.at(self.now + wait, what, *args)
+    def call_later(self, wait: float, what: Callable[..., None], *args: Any) -> ScheduledEvent:
+        return self.call_at(self.now + wait, what, *args)
 
-    def off(self, row: ScheduledEvent) -> None:
+    def cancel(self, row: ScheduledEvent) -> None:
         """Call it off, if it has not happened yet."""
         if row[2] is None:
             return
@@ -56,6 +56,6 @@
                 continue
             row[2] = None  # it has happened: calling it off later means nothing
             self.now = row[0]
-            self.done += 1
+            self.processed += 1
             what(*args)
         self.now = max(self.now, until)
--- a/rosewheel/lab/simulation/fleet.py
+++ b/rosewheel/lab/simulation/fleet.py
@@ -9,9 +9,12 @@
 
 from rosewheel.lab import record_codec
 from rosewheel.lab import server_model as model
+from rosewheel.lab.discovery_delays import DiscoveryChange
 from rosewheel.lab.node_process import platform_settings
-from rosewheel.lab.plan import FaultStep, Plan, call_targets, work_segments
+from rosewheel.lab.plan import Plan
+from rosewheel.lab.plan_faults import FaultStep
 from rosewheel.lab.random_streams import random_stream
+from rosewheel.lab.request_work import call_targets, work_segments
 from rosewheel.lab.retry import AttemptOutcome
 from rosewheel.lab.server_host import ConnectionFault
 from rosewheel.lab.simulation.clients import SimulatedDispatcher
@@ -24,7 +27,7 @@
 from rosewheel.lab.simulation.topology import Topology
 from rosewheel.node.limits import Bounds
 from rosewheel.policy.events import AttemptResult, Server, ServerState
-from rosewheel.policy.settings import Settings
+from rosewheel.policy.settings import Idempotency, Settings
 from rosewheel.policy.settings_codec import settings_from
 
 SAMPLE_PERIOD_MS = 500.0
@@ -39,20 +42,20 @@
         self.plan, self.queue, self.write = plan, queue, write
         scenario = plan.scenario
         self.hosts: dict[str, SimulatedServerHost] = {}
-        self.specs = {spec.name: spec for spec in (*plan.equipos, *plan.later)}
-        self.memories: dict[tuple[int, int], model.DedupTable] = {}
-        self.grupos: dict[tuple[int, int], list[SimulatedServerHost]] = {}
-        self.tables = {row.name: row for row in scenario.classes}
-        self.figures = {row.name: row for row in plan.classes}
+        self.specs = {spec.name: spec for spec in (*plan.servers, *plan.deployed_servers)}
+        self.dedup_tables: dict[tuple[int, int], model.DedupTable] = {}
+        self.cells: dict[tuple[int, int], list[SimulatedServerHost]] = {}
+        self.classes = {row.name: row for row in scenario.classes}
+        self.class_parameters = {row.name: row for row in plan.classes}
         # by node and equipo: its state and start as last told, and when
-        self.told: dict[tuple[str, str], tuple[ServerState, float, float | None]] = {}
+        self.notifications: dict[tuple[str, str], tuple[ServerState, float, float | None]] = {}
         self.results: list[Counter[AttemptResult]] = [
             Counter() for _ in scenario.tiers
         ]  # of attempts, by tier
         self.sent = [0] * len(scenario.tiers)  # requests that came to equipos
         self.served = [0] * len(scenario.tiers)
-        self.areas = Topology(scenario)
-        self.companions: dict[
+        self.topology = Topology(scenario)
+        self.local_nodes: dict[
             tuple[str, int], SimulatedNode
         ] = {}  # by equipo, and the tier that it calls by it
         self._losses = ZoneOutages(self)
@@ -62,7 +65,7 @@
                 queue,
                 plan,
                 self._told,
-                lambda node, equipo: (node, equipo) in self.told,
+                lambda node, equipo: (node, equipo) in self.notifications,
                 random_stream(plan.seed, "run", "discovery", tier),
             )
             for tier in range(len(scenario.tiers))
@@ -72,32 +75,32 @@
         self._settings: dict[tuple[int, int, str], Settings] = {}
         self._bounds = Bounds(
             conn_idle_ms=30000.0,
-            second_copies=scenario.nodes.second_copies,
+            second_copies=scenario.nodes.hedged_requests,
             may_probe=True,
             sockets=scenario.nodes.sockets,
             memory_mb=scenario.nodes.memory_mb,
         )
         self._next = 0
         self._processes = 0
-        for spec in plan.equipos:
+        for spec in plan.servers:
             host = self._host(spec, cold=False)
             host.listening = True
-            self.registries[spec.tier].truth[spec.name] = Server(spec.name, spec.zone, spec.cell)
-        self.queue.at(0.0, self._sample)
+            self.registries[spec.tier].current[spec.name] = Server(spec.name, spec.zone, spec.cell)
+        self.queue.call_at(0.0, self._sample)
 
     def start(self, ready: Callable[[], None]) -> None:
         """The nodes begin, each at a moment of its own before the plan's clock does; `ready` once all have."""
         spread, rng = (
-            self.plan.scenario.nodes.spread_s * 1000.0,
+            self.plan.scenario.nodes.start_spread_s * 1000.0,
             random_stream(self.plan.seed, "run", "starts"),
         )
         for number in range(self.plan.scenario.nodes.count):
             wait = float(rng.uniform(0.0, spread))
-            self.queue.after(wait, self._front_starts, f"n{number}")
-        for spec in self.plan.equipos:
+            self.queue.call_later(wait, self._front_starts, f"n{number}")
+        for spec in self.plan.servers:
             if self.plan.edges[spec.tier]:
-                self.queue.after(float(rng.uniform(0.0, spread)), self._companions, spec)
-        self.queue.after(spread, ready)
+                self.queue.call_later(float(rng.uniform(0.0, spread)), self._companions, spec)
+        self.queue.call_later(spread, ready)
 
     def _front_starts(self, name: str) -> None:
         self.nodes[name] = self._front_node(name)
@@ -111,11 +114,11 @@
     # ------------------------------------------------------------------ fleet
 
     def _host(self, spec: model.ServerSpec, cold: bool) -> SimulatedServerHost:
-        memory = self.memories.setdefault((spec.tier, spec.cell), model.DedupTable())
+        memory = self.dedup_tables.setdefault((spec.tier, spec.cell), model.DedupTable())
         rng = random_stream(self.plan.seed, "run", "equipo", spec.name)
-        reports = self.plan.scenario.tiers[spec.tier].report.on
+        reports = self.plan.scenario.tiers[spec.tier].report.enabled
         self.hosts[spec.name] = host = SimulatedServerHost(self, spec, memory, rng, cold, reports)
-        self.grupos.setdefault((spec.tier, spec.cell), []).append(host)
+        self.cells.setdefault((spec.tier, spec.cell), []).append(host)
         return host
 
     def _node(self, name: str, tier: int, siblings: int, zone: str) -> SimulatedNode:
@@ -126,7 +129,7 @@
         self._processes += 1
         seed = int(random_stream(self.plan.seed, "node", name, self._processes).integers(1 << 62))
         node = SimulatedNode(self, name, tier, told, self._bounds, seed)
-        self.registries[tier].add(node)
+        self.registries[tier].add_agent(node)
         return node
 
     def _companions(self, spec: model.ServerSpec) -> None:
@@ -134,46 +137,55 @@
         edges, tiers = self.plan.edges, self.plan.scenario.tiers
         for number, (tier, _) in enumerate(edges[spec.tier]):
             callers = {at for at, row in enumerate(edges) if any(to == tier for to, _ in row)}
-            siblings = sum(1 for one in self.plan.equipos if one.tier in callers)
+            siblings = sum(1 for one in self.plan.servers if one.tier in callers)
             name = f"n-{spec.name}-{tiers[tier].name}" if number else f"n-{spec.name}"
-            self.companions[spec.name, tier] = self._node(name, tier, siblings, spec.zone)
+            self.local_nodes[spec.name, tier] = self._node(name, tier, siblings, spec.zone)
 
     def end_companions(self, spec: model.ServerSpec) -> None:
         for tier, _ in self.plan.edges[spec.tier]:
-            node = self.companions.pop((spec.name, tier), None)
+            node = self.local_nodes.pop((spec.name, tier), None)
             if node is not None:
                 node.kill()
-                self.registries[node.tier].drop(node)
+                self.registries[node.tier].remove_agent(node)
 
     def _told(self, node: str, entry: Server) -> None:
-        self.told[node, entry.address] = (entry.state, self.queue.now, entry.launched_ms)
+        self.notifications[node, entry.address] = (entry.state, self.queue.now, entry.launched_ms)
         health = entry.state.value
         self.write(
-            "equipos", {"e": "told", "t": self.t(), "node": node, "equipo": entry.address, "health": health}
+            "equipos",
+            {"e": "told", "t": self.plan_time(), "node": node, "equipo": entry.address, "health": health},
         )
 
     # --------------------------------------------------------------- requests
 
-    def take(self, host: SimulatedServerHost, link: Connection, exchange: Attempt) -> SimulatedWork:
+    def accept_request(self, host: SimulatedServerHost, link: Connection, exchange: Attempt) -> SimulatedWork:
         """A request at an equipo: how much work it will be there."""
-        call, spec = exchange.call, host.spec
-        table = self.tables[call.service]
+        call, spec = exchange.request, host.spec
+        table = self.classes[call.class_name]
         called = call_targets(self.plan, spec.tier, self._calls)
-        figures = self.figures[call.service]
+        figures = self.class_parameters[call.class_name]
         work = work_segments(self.plan, spec, figures, call.work_ms, self._noise, len(called))
-        if link.used == 1:
-            work = (work[0] + spec.handshake_ms, *work[1:])
+        if link.use_count == 1:
+            work = (work[0] + spec.handshake_work_ms, *work[1:])
         self._next += 1
         self.sent[spec.tier] += 1
-        key = f"{call.service}/{call.key}" if table.effect == "keyed" else None
-        told = self.told.get((link.node.name, spec.name))
+        key = (
+            f"{call.class_name}/{call.dedup_key}"
+            if table.idempotency is Idempotency.IDEMPOTENT_WITH_KEY
+            else None
+        )
+        told = self.notifications.get((link.node.name, spec.name))
         job = model.Job(
-            self._next, work, key, table.memory_ms, told=told is not None and told[2] == self._start(host)
+            self._next,
+            work,
+            key,
+            table.dedup_window_ms,
+            sender_informed=told is not None and told[2] == self._start(host),
         )
         if told is not None and told[0] is not ServerState.UP:
             self._late(host, link, call, told)
         now = self.queue.now
-        return SimulatedWork(host, link, exchange, job, now, now + exchange.timeout_ms, targets=called)
+        return SimulatedWork(host, link, exchange, job, now, now + exchange.timeout_ms, call_targets=called)
 
     @staticmethod
     def _start(host: SimulatedServerHost) -> float | None:
@@ -190,15 +202,18 @@
     ) -> None:
         """Something new has come to an equipo of which its node had been told that it drains or is gone."""
         rules = self.plan.scenario.rules
-        over = self.queue.now - told[1] - rules.drain_ms - rules.slack_ms
+        over = self.queue.now - told[1] - rules.drain_ms - rules.drain_slack_ms
         if over > 0.0:
-            row = {"e": "late", "t": self.t(), "node": link.node.name, "equipo": host.spec.name}
-            self.write("equipos", {**row, "health": told[0].value, "over_ms": round(over, 1), "op": call.op})
+            row = {"e": "late", "t": self.plan_time(), "node": link.node.name, "equipo": host.spec.name}
+            self.write(
+                "equipos",
+                {**row, "health": told[0].value, "over_ms": round(over, 1), "op": call.operation_id},
+            )
 
-    def answered_by(self, node: SimulatedNode, exchange: Attempt, result: AttemptResult) -> None:
+    def attempt_finished(self, node: SimulatedNode, exchange: Attempt, result: AttemptResult) -> None:
         self.results[node.tier][result] += 1
 
-    def act(self, host: SimulatedServerHost, acts: list[model.Action]) -> None:
+    def apply_actions(self, host: SimulatedServerHost, acts: list[model.Action]) -> None:
         for act in acts:
             match act:
                 case model.Reply(id, verdict):
@@ -208,7 +223,7 @@
                 case model.JobStarted():
                     pass
                 case model.ServerCollapsed(share):
-                    row = {"e": "fell", "t": self.t(), "equipo": host.spec.name, "told_share": share}
+                    row = {"e": "fell", "t": self.plan_time(), "equipo": host.spec.name, "told_share": share}
                     self.write("equipos", row)
                     self._crash(host)
 
@@ -217,15 +232,15 @@
         work = host.work.pop(id, None) or self._elsewhere(host, id)
         if work is None:
             return
-        if work.job.stage is model.JobStage.JOINED:
-            work.host.model.joined_ended(id)
+        if work.job.stage is model.JobStage.DUPLICATE:
+            work.host.model.finish_duplicate(id)
         if verdict is model.JobResult.SERVED:
             self.served[work.host.spec.tier] += 1
         self.record(work, verdict.value)
         work.host.reply(work, verdict)
 
     def _elsewhere(self, here: SimulatedServerHost, id: int) -> SimulatedWork | None:
-        for host in self.grupos[here.spec.tier, here.spec.cell]:
+        for host in self.cells[here.spec.tier, here.spec.cell]:
             work = host.work.pop(id, None)
             if work is not None:
                 return work
@@ -233,62 +248,70 @@
 
     def record(self, work: SimulatedWork, verdict: str) -> None:
         """How a request ended at an equipo, and whether its work had begun there."""
-        call = work.exchange.call
-        asked = (work.link.node.name, call.service, call.op, call.rid)
+        call = work.attempt.request
+        asked = (work.connection.node.name, call.class_name, call.operation_id, call.request_id)
         over = self.queue.now > work.deadline_ms
-        came = round(work.came_ms, 1)
+        came = round(work.received_ms, 1)
         row = record_codec.job_record(
-            work.host.spec, work.job, self.t(), came, asked, verdict, work.wanted, over
+            work.host.spec, work.job, self.plan_time(), came, asked, verdict, work.client_connected, over
         )
         self.write("equipos", row)
 
     def _call(self, host: SimulatedServerHost, work: SimulatedWork, number: int) -> None:
         """One call to another tier, through the equipo's own node for it."""
-        above, node = work.exchange.call, self.companions.get((host.spec.name, work.targets[number]))
-        table = self.tables[above.service]
-        left = work.deadline_ms - self.queue.now if self.plan.scenario.passes_deadline else table.give_up_ms
+        above, node = work.attempt.request, self.local_nodes.get((host.spec.name, work.call_targets[number]))
+        table = self.classes[above.class_name]
+        left = (
+            work.deadline_ms - self.queue.now if self.plan.scenario.propagate_deadline else table.deadline_ms
+        )
         model_then = host.model
         if node is None or left < 1.0:
-            self.queue.after(0.0, self._called, host, model_then, work.job.id, False)
+            self.queue.call_later(0.0, self._called, host, model_then, work.job.id, False)
             return
-        keyed = table.effect == "keyed"
-        key = f"{work.job.key or above.rid}.{number}"
-        rid = f"{above.rid}.{work.job.id}.{number}"
-        op = key if keyed else f"{above.op}/{work.job.id}.{number}"
+        keyed = table.idempotency is Idempotency.IDEMPOTENT_WITH_KEY
+        key = f"{work.job.key or above.request_id}.{number}"
+        rid = f"{above.request_id}.{work.job.id}.{number}"
+        op = key if keyed else f"{above.operation_id}/{work.job.id}.{number}"
         over = False
 
         def done(verdict: AttemptOutcome) -> None:
             nonlocal over
             if not over:
                 over = True
-                self.queue.off(timer)
+                self.queue.cancel(timer)
                 self._called(host, model_then, work.job.id, verdict.status == 200)
 
         def give_up() -> None:
             node.abandon(call)
-            done(AttemptOutcome(why="timed out"))
+            done(AttemptOutcome(failure="timed out"))
 
-        call = NodeRequest(rid, above.service, op, above.work_ms, key, float(max(1, int(left))), done)
-        timer = self.queue.after(left, give_up)
-        node.ask(call)
+        call = NodeRequest(rid, above.class_name, op, above.work_ms, key, float(max(1, int(left))), done)
+        timer = self.queue.call_later(left, give_up)
+        node.submit(call)
 
     def _called(self, host: SimulatedServerHost, then: model.EmulatedServer, id: int, good: bool) -> None:
         if host.model is not then:  # it was started anew since
             return
         host.catch_up()
-        self.act(host, host.model.called(self.queue.now, id, good))
+        self.apply_actions(host, host.model.call_finished(self.queue.now, id, good))
         host.arm()
 
     # --------------------------------------------------------------- troubles
 
-    def step(self, step: FaultStep, front: SimulatedDispatcher) -> None:
-        trouble = self.plan.scenario.troubles[step.trouble]
+    def inject(self, step: FaultStep, front: SimulatedDispatcher) -> None:
+        trouble = self.plan.scenario.faults[step.fault]
         self.write(
             "equipos",
-            {"e": "step", "t": self.t(), "kind": trouble.kind, "what": step.what, "equipos": step.equipos},
+            {
+                "e": "step",
+                "t": self.plan_time(),
+                "kind": trouble.kind,
+                "what": step.phase,
+                "equipos": step.targets,
+            },
         )
-        on = [self.hosts[name] for name in step.equipos if name in self.hosts]
-        begins, now = step.what == "begin", self.queue.now
+        on = [self.hosts[name] for name in step.targets if name in self.hosts]
+        begins, now = step.phase == "begin", self.queue.now
         for host in on:
             host.catch_up()
         match trouble.kind:
@@ -299,18 +322,20 @@
                 self._deploy_step(step, on)
             case "discovery-lag":
                 for registry in self.registries:
-                    registry.behind_ms = step.size * 1000.0 if begins else 0.0
+                    registry.extra_delay_ms = step.size * 1000.0 if begins else 0.0
             case "discovery-stall":
                 for registry in self.registries:
                     registry.stall(begins)
             case "discovery-break":
                 for registry in self.registries if begins else ():
-                    registry.break_off()
+                    registry.reset_watches()
             case "discovery-storm":
-                state = ServerState.DRAINING if step.what == "away" else ServerState.UP
+                state = ServerState.DRAINING if step.phase == "away" else ServerState.UP
                 for host in on:
                     if host.model.state is model.LifecycleState.UP:
-                        self.registries[host.spec.tier].restate(host.spec.name, state, "storm")
+                        self.registries[host.spec.tier].set_state(
+                            host.spec.name, state, DiscoveryChange.STORM
+                        )
             case "faults":
                 self._fault_step(step, begins)
             case "crash":
@@ -321,91 +346,94 @@
                         self.launch(host)
             case "vanish":
                 for host in on:
-                    self._vanish(host, begins, trouble.cold)
+                    self._vanish(host, begins, trouble.restart_cold)
             case "node-crash" | "node-loss":
-                names = step.equipos if trouble.kind == "node-loss" else (f"n{trouble.node}",)
+                names = step.targets if trouble.kind == "node-loss" else (f"n{trouble.node_index}",)
                 for name in names if begins else ():
                     self.node_dies(name, front, self.length_ms(step))
             case "node-upgrade":
                 if begins:
-                    self._upgrade(f"n{trouble.node}", front)
+                    self._upgrade(f"n{trouble.node_index}", front)
             case "loss":
                 self._losses.loss(step, front, begins)
             case "cut-off":
                 self._losses.cut(step, begins)
             case "front-shift":
-                front.only = step.equipos if begins else ()
-                front.changed()
+                front.allowed_nodes = step.targets if begins else ()
+                front.refresh()
         for host in on:
             host.arm()
 
     def _deploy_step(self, step: FaultStep, on: list[SimulatedServerHost]) -> None:
-        if step.what == "drain":
+        if step.phase == "drain":
             for host in on:
                 host.model.drain(self.queue.now)
-                self.registries[host.spec.tier].restate(host.spec.name, ServerState.DRAINING, "drain")
-        elif step.what == "stop":
+                self.registries[host.spec.tier].set_state(
+                    host.spec.name, ServerState.DRAINING, DiscoveryChange.DRAIN
+                )
+        elif step.phase == "stop":
             for host in on:
-                self.gone(host, "stop")
+                self.gone(host, DiscoveryChange.STOP)
         else:
-            for name in step.equipos:
+            for name in step.targets:
                 host = self._host(self.specs[name], cold=True)
                 self.launch(host)
 
     def launch(self, host: SimulatedServerHost) -> None:
         """Its node first, then it takes work and the list is told."""
-        self.queue.after(PROCESS_START_MS, self._launched, host)
+        self.queue.call_later(PROCESS_START_MS, self._launched, host)
 
     def _launched(self, host: SimulatedServerHost) -> None:
         if host.listening and host.model.state is not model.LifecycleState.DOWN:
             return  # two troubles have started it
         spec = host.spec
         self._companions(spec)
-        host.start()
-        self.write("equipos", record_codec.start_record(self.plan, spec, self.t()))
-        self.registries[spec.tier].set(
-            Server(spec.name, spec.zone, spec.cell, launched_ms=self.queue.now), "add"
+        host.restart()
+        self.write("equipos", record_codec.start_record(self.plan, spec, self.plan_time()))
+        self.registries[spec.tier].update(
+            Server(spec.name, spec.zone, spec.cell, launched_ms=self.queue.now), DiscoveryChange.ADD
         )
 
     def _fault_step(self, step: FaultStep, begins: bool) -> None:
-        trouble = self.plan.scenario.troubles[step.trouble]
-        tier = trouble.where or self.plan.scenario.tiers[0].name
+        trouble = self.plan.scenario.faults[step.fault]
+        tier = trouble.tier_name or self.plan.scenario.tiers[0].name
         for name, host in self.hosts.items():
             if self.plan.scenario.tiers[host.spec.tier].name != tier:
                 continue
-            if trouble.how == "refuse":
-                if name in step.equipos and host.model.state is not model.LifecycleState.DOWN:
+            if trouble.connection_fault == "refuse":
+                if name in step.targets and host.model.state is not model.LifecycleState.DOWN:
                     host.listening = not begins
             elif begins:
-                rng = random_stream(self.plan.seed, "run", "fault", step.trouble, name)
+                rng = random_stream(self.plan.seed, "run", "fault", step.fault, name)
                 host.begin_fault(
-                    step.trouble, ConnectionFault(trouble.how, trouble.part, trouble.delay_ms, rng)
+                    step.fault,
+                    ConnectionFault(trouble.connection_fault, trouble.share, trouble.delay_ms, rng),
                 )
             else:
-                host.end_fault(step.trouble)
+                host.end_fault(step.fault)
 
     def _crash(self, host: SimulatedServerHost) -> None:
-        self.gone(host, "silent")
+        self.gone(host, DiscoveryChange.SERVER_DIED)
 
-    def gone(self, host: SimulatedServerHost, change: str) -> None:
+    def gone(self, host: SimulatedServerHost, change: DiscoveryChange) -> None:
         """The process ends, and its node with it."""
         for work in host.work.values():
             self.record(work, "lost")
-        host.die()
+        host.terminate()
         self.end_companions(host.spec)
-        self.registries[host.spec.tier].restate(host.spec.name, ServerState.REMOVED, change)
+        self.registries[host.spec.tier].set_state(host.spec.name, ServerState.REMOVED, change)
 
     def _vanish(self, host: SimulatedServerHost, begins: bool, cold: bool) -> None:
         spec = host.spec
         if begins:
-            host.vanish()
-            self.registries[spec.tier].restate(spec.name, ServerState.REMOVED, "silent")
+            host.isolate()
+            self.registries[spec.tier].set_state(spec.name, ServerState.REMOVED, DiscoveryChange.SERVER_DIED)
         elif cold:
-            self.gone(host, "silent")
+            self.gone(host, DiscoveryChange.SERVER_DIED)
             self.launch(host)
         else:
-            host.reappear()
-            self.registries[spec.tier].set(self.entry(host), "add")
+            host.rejoin()
+            self.registries[spec.tier].update(self.entry(host), DiscoveryChange.ADD)
 
     @staticmethod
     def entry(host: SimulatedServerHost) -> Server:
@@ -417,26 +445,28 @@
 
     def length_ms(self, step: FaultStep) -> float:
         """From this step to the end of its trouble; 0 where it has none."""
-        ends = [one.at_ms for one in self.plan.steps if one.trouble == step.trouble and one.what == "end"]
+        ends = [one.at_ms for one in self.plan.steps if one.fault == step.fault and one.phase == "end"]
         return ends[0] - step.at_ms if ends else 0.0
 
     def node_dies(self, name: str, front: SimulatedDispatcher, down_ms: float) -> None:
         old = self.nodes[name]
         if old.dead:
             return
-        self.write("run", {"e": "killed", "t": self.t(), "node": name})
-        learned = old.node.learned(self.queue.now) if self.plan.scenario.nodes.keeps else None
+        self.write("run", {"e": "killed", "t": self.plan_time(), "node": name})
+        learned = old.node.learned(self.queue.now) if self.plan.scenario.nodes.keep_learned_state else None
         old.kill()
-        self.registries[0].drop(old)
-        front.look(name)
-        self.queue.after(down_ms + PROCESS_START_MS, self._node_returns, name, front, learned, self.queue.now)
+        self.registries[0].remove_agent(old)
+        front.node_changed(name)
+        self.queue.call_later(
+            down_ms + PROCESS_START_MS, self._node_returns, name, front, learned, self.queue.now
+        )
 
     def _node_returns(self, name: str, front: SimulatedDispatcher, learned: Any, died: float) -> None:
         self._front_starts(name)
         if learned is not None:
-            self.nodes[name].recall(learned, self.queue.now - died)
-        self.write("run", {"e": "back", "t": self.t(), "node": name})
-        front.look(name)
+            self.nodes[name].restore(learned, self.queue.now - died)
+        self.write("run", {"e": "back", "t": self.plan_time(), "node": name})
+        front.node_changed(name)
 
     def _upgrade(self, name: str, front: SimulatedDispatcher) -> None:
         """A new process beside the old one, which takes nothing new once the new one serves."""
@@ -444,11 +474,11 @@
         if old.dead:
             return
         new = self._front_node(name)
-        if self.plan.scenario.nodes.keeps:
-            new.recall(old.node.learned(self.queue.now), 0.0)
+        if self.plan.scenario.nodes.keep_learned_state:
+            new.restore(old.node.learned(self.queue.now), 0.0)
         for one in (old, new):
             one.apply(one.node.company(self.queue.now, 2))
-        self.queue.after(UPGRADE_OVERLAP_MS, self._upgraded, name, old, new)
+        self.queue.call_later(UPGRADE_OVERLAP_MS, self._upgraded, name, old, new)
 
     def _upgraded(self, name: str, old: SimulatedNode, new: SimulatedNode) -> None:
         if old.dead:  # it was killed meanwhile, and another has taken its place
@@ -456,11 +486,11 @@
             return
         self.nodes[name] = new
         new.apply(new.node.company(self.queue.now, 1))
-        self.write("run", {"e": "back", "t": self.t(), "node": name})
+        self.write("run", {"e": "back", "t": self.plan_time(), "node": name})
 
     # ---------------------------------------------------------------- records
 
-    def t(self) -> float:
+    def plan_time(self) -> float:
         return round(self.queue.now, 1)
 
     def _sample(self) -> None:
@@ -468,7 +498,7 @@
         for name, host in self.hosts.items():
             host.catch_up()
             one = host.model
-            one.report(now)  # as of now, not of the last event
-            self.write("equipos", record_codec.sample_record(name, one, self.t()))
+            one.reported_queue(now)  # as of now, not of the last event
+            self.write("equipos", record_codec.sample_record(name, one, self.plan_time()))
             host.arm()
-        self.queue.after(SAMPLE_PERIOD_MS, self._sample)
+        self.queue.call_later(SAMPLE_PERIOD_MS, self._sample)
--- a/rosewheel/lab/simulation/network.py
+++ b/rosewheel/lab/simulation/network.py
@@ -26,33 +26,33 @@
     host: SimulatedServerHost
     node: SimulatedNode
     idle_since: float = 0.0
-    closed: bool = False  # by its node
-    dead: bool = False  # by its host
+    closed_by_node: bool = False  # by its node
+    reset_by_host: bool = False  # by its host
     silent: bool = False  # a fault: whatever is sent, nothing is said
     fault: ConnectionFault | None = None
-    used: int = 0  # requests so far
-    way_ms: float = ONE_WAY_MS  # from one end to the other
+    use_count: int = 0  # requests so far
+    one_way_ms: float = ONE_WAY_MS  # from one end to the other
     work: SimulatedWork | None = None  # what the host works on for it
-    exchange: Attempt | None = None
+    attempt: Attempt | None = None
 
 
 @dataclass(slots=True, eq=False)
 class Attempt:
     """An attempt on its way."""
 
-    call: NodeRequest
+    request: NodeRequest
     number: int
     timeout_ms: float
-    began_ms: float
-    link: Connection | None = None
-    over: bool = False  # given up by its node, or settled
+    started_ms: float
+    connection: Connection | None = None
+    finished: bool = False  # given up by its node, or settled
 
 
 @dataclass(slots=True, eq=False)
 class ConnectionPool:
     """What a node holds towards one equipo."""
 
-    up: bool
+    accepts_requests: bool
     launched_ms: float | None
-    heard_ms: float = float("-inf")  # when it last said anything
+    last_response_ms: float = float("-inf")  # when it last said anything
     idle: list[Connection] = field(default_factory=list)  # the one used last at the end
--- a/rosewheel/lab/simulation/node.py
+++ b/rosewheel/lab/simulation/node.py
@@ -44,13 +44,13 @@
 class NodeRequest:
     """A request at a node, and who waits for its answer."""
 
-    rid: str
-    service: str
-    op: str
+    request_id: str
+    class_name: str
+    operation_id: str
     work_ms: float
-    key: str
-    patience_ms: float
-    done: Callable[[AttemptOutcome], None]
+    dedup_key: str
+    timeout_ms: float
+    on_done: Callable[[AttemptOutcome], None]
     abandoned: bool = False
 
 
@@ -59,9 +59,9 @@
 
     queue: EventQueue
     hosts: dict[str, SimulatedServerHost]
-    areas: Topology
+    topology: Topology
 
-    def answered_by(self, node: SimulatedNode, exchange: Attempt, result: AttemptResult) -> None:
+    def attempt_finished(self, node: SimulatedNode, exchange: Attempt, result: AttemptResult) -> None:
         """How an attempt ended, as its node sees it."""
 
 
@@ -69,50 +69,52 @@
     def __init__(
         self, world: NodeEnvironment, name: str, tier: int, settings: Settings, bounds: Bounds, seed: int
     ) -> None:
-        self.world, self.name, self.tier, self.bounds = world, name, tier, bounds
+        self.environment, self.name, self.tier, self.bounds = world, name, tier, bounds
         self.queue, self.zone = world.queue, settings.zone
         self.node = Node(settings, bounds, seed, self.queue.now)
-        self.calls: dict[str, NodeRequest] = {}
+        self.requests: dict[str, NodeRequest] = {}
         self.pools: dict[str, ConnectionPool] = {}
-        self.idle: dict[Connection, None] = {}  # of all pools, the longest idle first
-        self.links: dict[Connection, None] = {}
-        self.out: dict[tuple[str, int], Attempt] = {}
-        self.coming = 0  # connections that are coming up
-        self.most = max(8, bounds.sockets - RESERVED_DESCRIPTORS)
-        self.rest = Rest(bounds.conn_idle_ms / 1000.0, settings.balancer_count > FEW)
+        self.idle_connections: dict[Connection, None] = {}  # of all pools, the longest idle first
+        self.connections: dict[Connection, None] = {}
+        self.attempts: dict[tuple[str, int], Attempt] = {}
+        self.connecting = 0  # connections that are coming up
+        self.max_connections = max(8, bounds.sockets - RESERVED_DESCRIPTORS)
+        self.idle_timeout = Rest(bounds.conn_idle_ms / 1000.0, settings.balancer_count > FEW)
         self.dead = False
         self._armed = math.inf
-        self.queue.after(SWEEP_INTERVAL_S * 1000.0, self._sweep)
+        self.queue.call_later(SWEEP_INTERVAL_S * 1000.0, self._sweep)
 
     # ----------------------------------------------------------------- callers
 
-    def ask(self, call: NodeRequest) -> None:
+    def submit(self, call: NodeRequest) -> None:
         """A request of which the last byte has just been sent."""
-        self.queue.after(ONE_WAY_MS, self._asked, call)
+        self.queue.call_later(ONE_WAY_MS, self._asked, call)
 
     def _asked(self, call: NodeRequest) -> None:
         if self.dead:
-            self.queue.after(ONE_WAY_MS, call.done, AttemptOutcome(why="unreachable"))
+            self.queue.call_later(ONE_WAY_MS, call.on_done, AttemptOutcome(failure="unreachable"))
             return
         if call.abandoned:
             return
-        give_up = self.queue.now + max(1.0, call.patience_ms - DEADLINE_MARGIN_MS)
-        self.calls[call.rid] = call
-        self.apply(self.node.request(self.queue.now, RequestReceived(call.rid, call.service, give_up)))
+        give_up = self.queue.now + max(1.0, call.timeout_ms - DEADLINE_MARGIN_MS)
+        self.requests[call.request_id] = call
+        self.apply(
+            self.node.request(self.queue.now, RequestReceived(call.request_id, call.class_name, give_up))
+        )
 
     def abandon(self, call: NodeRequest) -> None:
         """Whoever asked has closed the connection."""
         call.abandoned = True
-        self.queue.after(ONE_WAY_MS, self._gone, call)
+        self.queue.call_later(ONE_WAY_MS, self._gone, call)
 
     def _gone(self, call: NodeRequest) -> None:
-        if not self.dead and self.calls.get(call.rid) is call:
-            del self.calls[call.rid]
-            self.apply(self.node.client_gone(self.queue.now, call.rid))
+        if not self.dead and self.requests.get(call.request_id) is call:
+            del self.requests[call.request_id]
+            self.apply(self.node.client_gone(self.queue.now, call.request_id))
 
     # --------------------------------------------------------------- discovery
 
-    def heard(self, form: EndpointListForm, servers: tuple[Server, ...]) -> None:
+    def receive_endpoint_list(self, form: EndpointListForm, servers: tuple[Server, ...]) -> None:
         if self.dead:
             return
         if form is not EndpointListForm.DELTA:
@@ -123,7 +125,7 @@
             pool = self.pools.get(server.address)
             if server.state is ServerState.REMOVED:
                 if pool is not None:
-                    pool.up = False
+                    pool.accepts_requests = False
                     self._retire(self.pools.pop(server.address))
                 continue
             up = server.state is ServerState.UP
@@ -132,7 +134,7 @@
                 continue
             if not up or pool.launched_ms != server.launched_ms:
                 self._retire(pool)
-            pool.up, pool.launched_ms = up, server.launched_ms
+            pool.accepts_requests, pool.launched_ms = up, server.launched_ms
         self.apply(self.node.members(self.queue.now, form, servers))
 
     # ---------------------------------------------------------------- attempts
@@ -153,7 +155,7 @@
         due = self.node.next_due()
         if due is not None and due < self._armed:
             self._armed = due
-            self.queue.at(due, self._tick, due)
+            self.queue.call_at(due, self._tick, due)
 
     def _tick(self, meant: float) -> None:
         if self.dead or meant != self._armed:
@@ -162,112 +164,114 @@
         self.apply(self.node.tick(self.queue.now))
 
     def _answer(self, answer: Answer) -> None:
-        call = self.calls.pop(answer.id, None)
+        call = self.requests.pop(answer.id, None)
         if call is None or call.abandoned:
             return
         # To the millisecond, as the program writes it.
         retry_s = round(answer.retry_after_ms / 1000.0, 3) if answer.retry_after_ms > 0.0 else None
-        self.queue.after(ONE_WAY_MS, call.done, AttemptOutcome(answer.status, "", retry_s))
+        self.queue.call_later(ONE_WAY_MS, call.on_done, AttemptOutcome(answer.status, "", retry_s))
 
     def _start(self, effect: Dispatch) -> None:
-        call = self.calls.get(effect.id)
+        call = self.requests.get(effect.id)
         if call is None:
-            self.queue.after(0.0, self._ended, effect.id, effect.attempt, AttemptResult.CANCELLED, None)
+            self.queue.call_later(0.0, self._ended, effect.id, effect.attempt, AttemptResult.CANCELLED, None)
             return
         exchange = Attempt(call, effect.attempt, effect.timeout_ms, self.queue.now)
-        self.out[effect.id, effect.attempt] = exchange
+        self.attempts[effect.id, effect.attempt] = exchange
         pool = self.pools.get(effect.server)
-        if pool is not None and pool.up:
+        if pool is not None and pool.accepts_requests:
             rested = self.queue.now - REUSE_QUIET_PERIOD_S * 1000.0
             for link in reversed(pool.idle):
                 if link.idle_since <= rested:
                     pool.idle.remove(link)
-                    del self.idle[link]
+                    del self.idle_connections[link]
                     self._send(link, exchange)
                     return
         self._open(effect.server, pool, exchange)
 
     def _open(self, server: str, pool: ConnectionPool | None, exchange: Attempt) -> None:
-        host = self.world.hosts.get(server)
-        if pool is None or not pool.up or host is None or not self._room():
-            self.queue.after(0.0, self._failed, exchange)
+        host = self.environment.hosts.get(server)
+        if pool is None or not pool.accepts_requests or host is None or not self._room():
+            self.queue.call_later(0.0, self._failed, exchange)
             return
-        self.coming += 1
-        silent = host.vanished or self._apart(host)
+        self.connecting += 1
+        silent = host.isolated or self._apart(host)
         wait = self.bounds.connect_timeout_ms if silent else 2.0 * self._way_ms(host)
-        self.queue.after(wait, self._opened, server, pool, host, exchange)
+        self.queue.call_later(wait, self._opened, server, pool, host, exchange)
 
     def _way_ms(self, host: SimulatedServerHost) -> float:
-        return self.world.areas.way_ms(self.zone, host.spec.zone)
+        return self.environment.topology.one_way_ms(self.zone, host.spec.zone)
 
     def _apart(self, host: SimulatedServerHost) -> bool:
-        return self.world.areas.apart(self.zone, host.spec.zone)
+        return self.environment.topology.separated(self.zone, host.spec.zone)
 
     def _opened(
         self, server: str, pool: ConnectionPool, host: SimulatedServerHost, exchange: Attempt
     ) -> None:
-        self.coming -= 1
-        if self.dead or exchange.over:
+        self.connecting -= 1
+        if self.dead or exchange.finished:
             return
         # The server may have left, or moved, while the connection came up.
-        there = not host.vanished and host.listening and not self._apart(host)
-        if not there or self.pools.get(server) is not pool or not pool.up:
+        there = not host.isolated and host.listening and not self._apart(host)
+        if not there or self.pools.get(server) is not pool or not pool.accepts_requests:
             self._failed(exchange)
             return
-        link = Connection(host, self, way_ms=self._way_ms(host))
-        self.links[link] = None
-        host.made(link)
+        link = Connection(host, self, one_way_ms=self._way_ms(host))
+        self.connections[link] = None
+        host.connection_opened(link)
         self._send(link, exchange)
 
     def _failed(self, exchange: Attempt) -> None:
-        if not exchange.over:
-            exchange.over = True
+        if not exchange.finished:
+            exchange.finished = True
             self._settled(exchange, AttemptResult.CONNECT_FAILED, None)
 
     def _send(self, link: Connection, exchange: Attempt) -> None:
         self.node.figures.tried()
-        link.exchange, exchange.link = exchange, link
-        link.used += 1
-        self.queue.after(link.way_ms, link.host.asked, link, exchange)
+        link.attempt, exchange.connection = exchange, link
+        link.use_count += 1
+        self.queue.call_later(link.one_way_ms, link.host.receive, link, exchange)
 
-    def returned(self, exchange: Attempt, result: AttemptResult, report: Report | None, keep: bool) -> None:
+    def attempt_answered(
+        self, exchange: Attempt, result: AttemptResult, report: Report | None, keep: bool
+    ) -> None:
         """An answer has come, or a connection has ended in its stead."""
-        link = exchange.link
-        if self.dead or exchange.over or link is None:
+        link = exchange.connection
+        if self.dead or exchange.finished or link is None:
             return
-        exchange.over, link.exchange = True, None
-        if result is AttemptResult.OVERLOADED and link.used == 1:
-            self.rest.refused(self.queue.now / 1000.0)
+        exchange.finished, link.attempt = True, None
+        if result is AttemptResult.OVERLOADED and link.use_count == 1:
+            self.idle_timeout.refused(self.queue.now / 1000.0)
         pool = self.pools.get(link.host.spec.name)
         if pool is not None:
-            pool.heard_ms = self.queue.now
-        if keep and not link.dead and pool is not None and pool.up:
+            pool.last_response_ms = self.queue.now
+        if keep and not link.reset_by_host and pool is not None and pool.accepts_requests:
             link.idle_since = self.queue.now
             pool.idle.append(link)
-            self.idle[link] = None
+            self.idle_connections[link] = None
             if len(pool.idle) > max(2, self.bounds.sockets // MAX_IDLE_DIVISOR):
                 self._close(pool.idle.pop(0))
         else:
             self._close(link)
         self._settled(exchange, result, report)
 
-    def broken(self, link: Connection) -> None:
+    def connection_reset(self, link: Connection) -> None:
         """Its server has reset it."""
-        if self.dead or link.closed:
+        if self.dead or link.closed_by_node:
             return
         pool = self.pools.get(link.host.spec.name)
         if pool is not None and link in pool.idle:
             pool.idle.remove(link)
         self._close(link)
-        exchange, link.exchange = link.exchange, None
-        if exchange is not None and not exchange.over:
-            exchange.over = True
+        exchange, link.attempt = link.attempt, None
+        if exchange is not None and not exchange.finished:
+            exchange.finished = True
             self._settled(exchange, AttemptResult.RESET, None)
 
     def _settled(self, exchange: Attempt, result: AttemptResult, report: Report | None) -> None:
-        del self.out[exchange.call.rid, exchange.number]
-        self.world.answered_by(self, exchange, result)
-        self._ended(exchange.call.rid, exchange.number, result, report)
+        del self.attempts[exchange.request.request_id, exchange.number]
+        self.environment.attempt_finished(self, exchange, result)
+        self._ended(exchange.request.request_id, exchange.number, result, report)
 
     def _ended(self, rid: str, attempt: int, result: AttemptResult, report: Report | None) -> None:
         if not self.dead:
@@ -275,27 +279,27 @@
 
     def _abort(self, rid: str, attempt: int) -> None:
         """Give an attempt up by closing its connection; nothing more is heard of it."""
-        exchange = self.out.pop((rid, attempt), None)
-        if exchange is None or exchange.over:
+        exchange = self.attempts.pop((rid, attempt), None)
+        if exchange is None or exchange.finished:
             return
-        exchange.over = True
-        self.world.answered_by(self, exchange, AttemptResult.CANCELLED)
-        link = exchange.link
+        exchange.finished = True
+        self.environment.attempt_finished(self, exchange, AttemptResult.CANCELLED)
+        link = exchange.connection
         if link is None:  # its connection is still coming up
             return
-        link.exchange = None
+        link.attempt = None
         pool = self.pools.get(link.host.spec.name)
         self._close(link)
         silent = self.queue.now - UNRESPONSIVE_AFTER_S * 1000.0
-        if pool is not None and pool.heard_ms <= exchange.began_ms <= silent:
+        if pool is not None and pool.last_response_ms <= exchange.started_ms <= silent:
             self._retire(pool)  # as the program does: its machine may have vanished
 
     # ------------------------------------------------------------- connections
 
     def _room(self) -> bool:
-        if len(self.links) + self.coming < self.most:
+        if len(self.connections) + self.connecting < self.max_connections:
             return True
-        oldest = next(iter(self.idle), None)
+        oldest = next(iter(self.idle_connections), None)
         if oldest is None:
             return False
         self.pools[oldest.host.spec.name].idle.remove(oldest)
@@ -303,13 +307,13 @@
         return True
 
     def _close(self, link: Connection) -> None:
-        if link.closed:
+        if link.closed_by_node:
             return
-        link.closed = True
-        self.idle.pop(link, None)
-        del self.links[link]
-        if not link.dead:
-            self.queue.after(link.way_ms, link.host.lost, link)
+        link.closed_by_node = True
+        self.idle_connections.pop(link, None)
+        del self.connections[link]
+        if not link.reset_by_host:
+            self.queue.call_later(link.one_way_ms, link.host.connection_closed, link)
 
     def _retire(self, pool: ConnectionPool) -> None:
         idle, pool.idle = pool.idle, []
@@ -319,32 +323,32 @@
     def _sweep(self) -> None:
         if self.dead:
             return
-        self.rest.forget(self.queue.now / 1000.0)
-        oldest = self.queue.now - self.rest.limit_s * 1000.0
-        while self.idle and (link := next(iter(self.idle))).idle_since <= oldest:
+        self.idle_timeout.forget(self.queue.now / 1000.0)
+        oldest = self.queue.now - self.idle_timeout.limit_s * 1000.0
+        while self.idle_connections and (link := next(iter(self.idle_connections))).idle_since <= oldest:
             self.pools[link.host.spec.name].idle.remove(link)
             self._close(link)
-        self.queue.after(SWEEP_INTERVAL_S * 1000.0, self._sweep)
+        self.queue.call_later(SWEEP_INTERVAL_S * 1000.0, self._sweep)
 
     # ------------------------------------------------------------------ probes
 
     def _probe(self, server: str) -> None:
-        host = self.world.hosts.get(server)
+        host = self.environment.hosts.get(server)
         way = ONE_WAY_MS if host is None else self._way_ms(host)
-        self.queue.after(way, self._probes, server, self.queue.now)
+        self.queue.call_later(way, self._probes, server, self.queue.now)
 
     def _probes(self, server: str, began: float) -> None:
-        host = self.world.hosts.get(server)
+        host = self.environment.hosts.get(server)
         result, report, wait = (
             AttemptResult.CONNECT_FAILED,
             None,
             ONE_WAY_MS if host is None else self._way_ms(host),
         )
-        if host is not None and (host.vanished or self._apart(host)):
+        if host is not None and (host.isolated or self._apart(host)):
             result, wait = AttemptResult.TIMEOUT, self.bounds.probe_timeout_ms
         elif host is not None and host.listening:
-            result, report = host.probe()
-        self.queue.after(wait, self._probed, server, began, result, report)
+            result, report = host.check_health()
+        self.queue.call_later(wait, self._probed, server, began, result, report)
 
     def _probed(self, server: str, began: float, result: AttemptResult, report: Report | None) -> None:
         if not self.dead:
@@ -352,15 +356,15 @@
 
     # ------------------------------------------------------------ life and end
 
-    def recall(self, learned: Learned, age_ms: float) -> None:
+    def restore(self, learned: Learned, age_ms: float) -> None:
         self.node.recall(self.queue.now, learned, age_ms)
 
     def kill(self) -> None:
         """The process is gone: its callers' connections and its own end with it."""
         self.dead = True
-        for call in self.calls.values():
+        for call in self.requests.values():
             if not call.abandoned:
-                self.queue.after(ONE_WAY_MS, call.done, AttemptOutcome(why="broken"))
-        self.calls.clear()
-        for link in list(self.links):
+                self.queue.call_later(ONE_WAY_MS, call.on_done, AttemptOutcome(failure="broken"))
+        self.requests.clear()
+        for link in list(self.connections):
             self._close(link)
--- a/rosewheel/lab/simulation/simulate.py
+++ b/rosewheel/lab/simulation/simulate.py
@@ -13,6 +13,7 @@
 from rosewheel.config.checked import Problem, ProblemsError
 from rosewheel.lab.invariant_checker import InvariantChecker
 from rosewheel.lab.plan import Plan
+from rosewheel.lab.plan_codec import plan_digest
 from rosewheel.lab.records import RecordWriter
 from rosewheel.lab.scenario import Scenario
 from rosewheel.lab.simulation.clients import SimulatedClients, SimulatedDispatcher
@@ -46,7 +47,7 @@
         self.rows += 1
         line = self._encode(row)
         self._hash.update(line)
-        self.ledger.take(row)
+        self.ledger.observe(row)
         if row["e"] == "back":
             self.backs.append(row["t"])
         if self._files:
@@ -60,8 +61,8 @@
 
 def check_simulated(scenario: Scenario) -> None:
     """ProblemsError where a scenario wants what is not simulated."""
-    for at, trouble in enumerate(scenario.troubles):
-        if trouble.kills:
+    for at, trouble in enumerate(scenario.faults):
+        if trouble.killed_process:
             why = "a process that is killed in the middle of an upgrade is not simulated"
             raise ProblemsError(scenario.name, [Problem(f"trouble[{at}].kills", None, why)])
 
@@ -71,34 +72,34 @@
 
     def __init__(self, plan: Plan, folder: Path | None = None) -> None:
         self.plan = plan
-        spread_ms = plan.scenario.nodes.spread_s * 1000.0
-        self.ledger = InvariantChecker(plan.scenario)
-        self.recorder = Recorder(self.ledger, folder)
+        spread_ms = plan.scenario.nodes.start_spread_s * 1000.0
+        self.checker = InvariantChecker(plan.scenario)
+        self.recorder = Recorder(self.checker, folder)
         self.queue = EventQueue(-(spread_ms + LEAD_MS))
-        self.world = SimulatedFleet(plan, self.queue, self.recorder.write)
-        self.tally = RunStatistics(plan)
+        self.fleet = SimulatedFleet(plan, self.queue, self.recorder.write)
+        self.statistics = RunStatistics(plan)
         self.clients: SimulatedClients | None = None
-        self.world.start(self._begin)
+        self.fleet.start(self._begin)
 
     def _begin(self) -> None:
         """All nodes are up: clients and troubles take their places."""
         plan, queue = self.plan, self.queue
-        front = SimulatedDispatcher(queue, self.world.nodes, plan.notice_ms)
+        front = SimulatedDispatcher(queue, self.fleet.nodes, plan.node_notice_ms)
         self.clients = SimulatedClients(
-            plan, queue, front, lambda row: self.recorder.write("load", row), self.tally.take
+            plan, queue, front, lambda row: self.recorder.write("load", row), self.statistics.record
         )
         for step in plan.steps:
-            if plan.scenario.troubles[step.trouble].kind == "retry-storm":
-                queue.at(step.at_ms, self._storm, round(step.size) if step.what == "begin" else 0)
+            if plan.scenario.faults[step.fault].kind == "retry-storm":
+                queue.call_at(step.at_ms, self._storm, round(step.size) if step.phase == "begin" else 0)
             else:
-                queue.at(step.at_ms, self.world.step, step, front)
+                queue.call_at(step.at_ms, self.fleet.inject, step, front)
 
     def _storm(self, tries: int) -> None:
         assert self.clients is not None
-        self.clients.storm = tries
+        self.clients.extra_retries = tries
 
     @property
-    def over(self) -> bool:
+    def finished(self) -> bool:
         """The plan's time is up and every client has its answer, or has waited longer than any can."""
         end = self.plan.scenario.seconds * 1000.0
         if self.clients is None or self.queue.now < end:
@@ -108,19 +109,19 @@
     def run(self, progress: Progress | None = None) -> dict[str, Any]:
         """Play it to its end and say what came of it."""
         began = time.monotonic()
-        while not self.over:
+        while not self.finished:
             self.queue.run(self.queue.now + SLICE_MS)
             if progress is not None:
-                progress(self.queue.now / 1000.0, self.queue.done, time.monotonic() - began)
-        for name, histogram in self.tally.latency.items():
+                progress(self.queue.now / 1000.0, self.queue.processed, time.monotonic() - began)
+        for name, histogram in self.statistics.latency.items():
             quantiles = {f"p{q:g}": histogram.get_value_at_percentile(q) for q in (50.0, 90.0, 99.0, 99.9)}
-            row = {"e": "latency", "class": name, **self.tally.counts[name], **quantiles}
+            row = {"e": "latency", "class": name, **self.statistics.counts[name], **quantiles}
             self.recorder.write("load", row)
         return {**self._summary(), "wall_s": round(time.monotonic() - began, 1)}
 
     def _summary(self) -> dict[str, Any]:
-        scenario, tally = self.plan.scenario, self.tally
-        digest, broken, swing = self.recorder.close(), self.ledger.close(), tally.swing()
+        scenario, tally = self.plan.scenario, self.statistics
+        digest, broken, swing = self.recorder.close(), self.checker.finish(), tally.rejection_variation()
         windows = [
             tally.service(back, back + AFTER_RESTART_MS)
             for back in self.recorder.backs
@@ -130,10 +131,10 @@
             "ok": broken.count() == 0 and self.clients is not None and self.clients.done,
             "scenario": scenario.name,
             "seed": self.plan.seed,
-            "plan": self.plan.digest(),
+            "plan": plan_digest(self.plan),
             "digest": digest,
-            "service": round(tally.service(*tally.whole), 4),
-            "worst_10_s": round(tally.worst(), 4),
+            "service": round(tally.service(*tally.measured_span), 4),
+            "worst_10_s": round(tally.worst_window(), 4),
             "after_restarts": round(sum(windows) / len(windows), 4) if windows else None,
             "void": False,
             "classes": {
@@ -144,15 +145,15 @@
                 }
                 for name in tally.counts
             },
-            "tries": tally.tries,
+            "tries": tally.attempts,
             "swing": None if swing is None else round(swing, 3),
-            "fell": self.ledger.fell,
-            "overloads": len(self.ledger.overloads),
-            "cold_most": round(self.ledger.cold_most, 3),
-            "tiers": tier_statistics(self.world),
-            "rules": broken.row(),
+            "fell": self.checker.collapses,
+            "overloads": len(self.checker.overloads),
+            "cold_most": round(self.checker.max_bound_share, 3),
+            "tiers": tier_statistics(self.fleet),
+            "rules": broken.as_record(),
             "crashed": [],
-            "events": self.queue.done,
+            "events": self.queue.processed,
             "records": self.recorder.rows,
         }
 
--- a/rosewheel/lab/simulation/topology.py
+++ b/rosewheel/lab/simulation/topology.py
@@ -14,7 +14,7 @@
         self._region = {zone: region.name for region in scenario.regions for zone in region.zones}
         self._cuts: dict[int, frozenset[str]] = {}  # by trouble: the zones that are cut off together
 
-    def way_ms(self, here: str, there: str) -> float:
+    def one_way_ms(self, here: str, there: str) -> float:
         """One way, with the work of both its ends."""
         network = self.network
         if here == there:
@@ -22,13 +22,13 @@
         near = self._region.get(here) == self._region.get(there)
         return ONE_WAY_MS + (network.between_zones_ms if near else network.between_regions_ms)
 
-    def apart(self, here: str, there: str) -> bool:
+    def separated(self, here: str, there: str) -> bool:
         """Whether nothing gets from one to the other."""
         return here != there and any((here in cut) is not (there in cut) for cut in self._cuts.values())
 
-    def cut(self, trouble: int, zones: frozenset[str]) -> None:
+    def isolate(self, trouble: int, zones: frozenset[str]) -> None:
         """What lies in these zones and what lies outside can't reach one another until `mend`."""
         self._cuts[trouble] = zones
 
-    def mend(self, trouble: int) -> None:
+    def heal(self, trouble: int) -> None:
         self._cuts.pop(trouble, None)
--- a/rosewheel/lab/slow_start.py
+++ b/rosewheel/lab/slow_start.py
@@ -20,57 +20,64 @@
 class Overload:
     """A window in which a cold equipo got too much, as of the request that was too many."""
 
-    equipo: str
-    t: float  # ms of the plan's clock
-    got: float  # requests of mean work
+    server: str
+    at_ms: float  # ms of the plan's clock
+    received: float  # requests of mean work
     allowed: float  # N
-    told_share: float  # the part of `got` from nodes that had been told of the start
+    informed_share: float  # the part of `got` from nodes that had been told of the start
 
-    def row(self) -> dict[str, object]:
-        figures = {key: round(getattr(self, key), 3) for key in ("t", "got", "allowed", "told_share")}
-        return {"equipo": self.equipo, **figures}
+    def as_record(self) -> dict[str, object]:
+        return {
+            "equipo": self.server,
+            "t": round(self.at_ms, 3),
+            "got": round(self.received, 3),
+            "allowed": round(self.allowed, 3),
+            "told_share": round(self.informed_share, 3),
+        }
 
 
 @dataclass(slots=True)
 class ServerStart:
     """One start of an equipo, and what it was sent since."""
 
-    equipo: str
-    at_ms: float
-    able: float  # requests of mean work a ms, when warm
-    sent: list[tuple[float, float, bool]] = field(default_factory=list)  # when, requests of mean work, told
+    server: str
+    started_ms: float
+    capacity_per_ms: float  # requests of mean work a ms, when warm
+    arrivals: list[tuple[float, float, bool]] = field(
+        default_factory=list
+    )  # when, requests of mean work, told
 
     def overloads(self, rules: RulesTable) -> tuple[list[Overload], float]:
         """In order; each begins a new window, as the equipo would have fallen. And the largest part of the bound that
         any window came to."""
         found, most = [], 0.0
         window: deque[tuple[float, float, bool]] = deque()
-        for one in sorted(self.sent):
-            age = one[0] - self.at_ms
-            if not 0.0 <= age < rules.stated_cold_s * 1000.0:
+        for one in sorted(self.arrivals):
+            age = one[0] - self.started_ms
+            if not 0.0 <= age < rules.warm_up_s * 1000.0:
                 continue
             window.append(one)
-            while window[0][0] <= one[0] - rules.tip_ms:
+            while window[0][0] <= one[0] - rules.overload_window_ms:
                 window.popleft()
             got = sum(item[1] for item in window)
-            allowed = self.able * allowed_work_ms(rules, age - rules.tip_ms, age)
+            allowed = self.capacity_per_ms * allowed_work_ms(rules, age - rules.overload_window_ms, age)
             bound = allowed + 2.0 * math.sqrt(allowed) + 2.0
             most = max(most, got / bound)
             if got > bound:
                 told = sum(item[1] for item in window if item[2])
-                found.append(Overload(self.equipo, one[0], got, allowed, told / got))
+                found.append(Overload(self.server, one[0], got, allowed, told / got))
                 window.clear()
         return found, most
 
 
 def allowed_work_ms(rules: RulesTable, since_ms: float, until_ms: float) -> float:
     """Milliseconds of a warm equipo's capacity that a cold one may be sent between two of its ages."""
-    since_ms, cold_ms = max(0.0, since_ms), rules.stated_cold_s * 1000.0
-    slope = (1.0 - rules.stated_cold_from) / cold_ms if cold_ms else 0.0
+    since_ms, cold_ms = max(0.0, since_ms), rules.warm_up_s * 1000.0
+    slope = (1.0 - rules.warm_up_initial_share) / cold_ms if cold_ms else 0.0
     return (
-        rules.tip_multiple
+        rules.overload_factor
         * (until_ms - since_ms)
-        * (rules.stated_cold_from + slope * (since_ms + until_ms) / 2.0)
+        * (rules.warm_up_initial_share + slope * (since_ms + until_ms) / 2.0)
     )
 
 
--- a/rosewheel/lab/tables.py
+++ b/rosewheel/lab/tables.py
@@ -1,6 +1,7 @@
-"""The tables of a scenario's file that say what there is: classes, tiers or services and their equipos, regions.
+"""Tables of a scenario file: request classes, tiers or services with their servers, zones and the network.
 
-A figure may be a number or a range `[low, high]`; times are in the unit that the key's ending tells.
+A value may be a number or a range `[low, high]`, from which the seed draws. Units are the suffixes of the names.
+The keys of the file are older than these names; `rename` maps them, here and in `fault_table.py`.
 """
 
 from __future__ import annotations
@@ -12,149 +13,247 @@
 from msgspec import Meta
 
 from rosewheel.config.checked import KeyedError
+from rosewheel.policy.settings import DedupScope, Idempotency
 
 Share = Annotated[float, Meta(ge=0, le=1)]
 Positive = Annotated[float, Meta(gt=0)]
-Natural = Annotated[float, Meta(ge=0)]
+NonNegative = Annotated[float, Meta(ge=0)]
 Count = Annotated[int, Meta(ge=1)]
-Range = (
-    float | tuple[float, float]
-)  # its bounds are checked by the table: msgspec 0.23 crashes on them in a tuple
+# The tables check the bounds of a range themselves: msgspec 0.23 crashes on constraints inside a tuple.
+Range = float | tuple[float, float]
 Name = Annotated[str, Meta(pattern=r"^[a-z0-9][a-z0-9-]{0,39}$")]
 
+MAX_BODY_BYTES = 32 << 20
+
 
 def upper_bound(value: Range) -> float:
+    """The largest value that can be drawn from a range."""
     return value[1] if isinstance(value, tuple) else value
 
 
 class Table(msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
     """One table of the file; unknown keys are errors."""
 
-    def _ordered(self, *keys: str) -> None:
-        """Ranges, or single figures in their place: none below zero, none that ends below its beginning."""
-        for key in keys:
-            value = getattr(self, key)
+    def _check_ranges(self, *fields: str) -> None:
+        """Check that these ranges are ordered and hold no negative number.
+
+        Raises:
+            KeyedError: with the key of the first range that is not.
+        """
+        keys = {field.name: field.encode_name for field in msgspec.structs.fields(type(self))}
+        for name in fields:
+            value = getattr(self, name)
             low, high = value if isinstance(value, tuple) else (value, value)
             if not 0.0 <= low <= high < math.inf:
-                raise KeyedError(key, "not a number from zero up, or a range that ends below its beginning")
-
+                raise KeyedError(
+                    keys[name], "not a number from zero up, or a range that ends below its beginning"
+                )
+
+
+class ClassTable(
+    Table,
+    frozen=True,
+    kw_only=True,
+    rename={
+        "latency_objective_ms": "aim_ms",
+        "deadline_ms": "give_up_ms",
+        "priority_weight": "worth",
+        "idempotency": "effect",
+        "dedup_scope": "group",
+        "dedup_window_ms": "memory_ms",
+    },
+):
+    """A class of requests.
+
+    Attributes:
+        share: part of all requests; the shares of all classes together count as 1.
+        work_ms: mean work over all tiers, in ms of a reference core.
+        cv: coefficient of variation of the work, from request to request.
+        attempt_noise: coefficient of variation of the work of one request from server to server.
+        latency_objective_ms: a response within this time counts as in time.
+        deadline_ms: how long a client waits, over all its attempts.
+        priority_weight: value of a response in time.
+        dedup_window_ms: how long servers remember the key of a request.
+    """
 
-class ClassTable(Table, frozen=True, kw_only=True):
     name: Name
-    share: Positive  # of the requests; all shares together count as the whole
-    work_ms: Range  # mean work over all tiers, in ms of a yardstick core
-    cv: Range = 0.5  # of the work, from request to request
+    share: Positive
+    work_ms: Range
+    cv: Range = 0.5
     distribution: Literal["lognormal", "exp", "fixed"] = "lognormal"
-    attempt_noise: Range = 0.0  # cv of what the same request takes at one equipo or another
-    aim_ms: Positive = 2500.0
-    give_up_ms: Positive = 6000.0
-    worth: Natural = 1.0
-    effect: Literal["safe", "keyed", "unsafe"] = "unsafe"
-    group: Literal["all", "zone", "cell"] = "all"
-    memory_ms: Natural = 10000.0
-    body_bytes: Annotated[int, Meta(ge=0, le=32 << 20)] = 200
-    answer_bytes: Annotated[int, Meta(ge=1, le=32 << 20)] = 200
+    attempt_noise: Range = 0.0
+    latency_objective_ms: Positive = 2500.0
+    deadline_ms: Positive = 6000.0
+    priority_weight: NonNegative = 1.0
+    idempotency: Idempotency = Idempotency.NON_IDEMPOTENT
+    dedup_scope: DedupScope = DedupScope.ALL
+    dedup_window_ms: NonNegative = 10000.0
+    body_bytes: Annotated[int, Meta(ge=0, le=MAX_BODY_BYTES)] = 200
+    answer_bytes: Annotated[int, Meta(ge=1, le=MAX_BODY_BYTES)] = 200
 
     def __post_init__(self) -> None:
-        self._ordered("work_ms", "cv", "attempt_noise")
-        if self.aim_ms > self.give_up_ms:
+        self._check_ranges("work_ms", "cv", "attempt_noise")
+        if self.latency_objective_ms > self.deadline_ms:
             raise KeyedError("aim_ms", "an answer is wanted after the client has given up")
 
 
-class OverloadSlowdownTable(Table, frozen=True, kw_only=True):
-    """The lasting slowdown of an equipo with far more waiting than cores."""
-
-    at: Range = (4.0, 7.0)
-    over_s: Range = (1.5, 2.5)
-    slower: Range = (2.0, 3.5)
-    rest_s: Range = (2.4, 4.5)
-    below: Range = (0.25, 0.4)
-    most_s: Range = (16.0, 27.0)
+class OverloadSlowdownTable(
+    Table,
+    frozen=True,
+    kw_only=True,
+    rename={
+        "queue_per_core": "at",
+        "trigger_s": "over_s",
+        "factor": "slower",
+        "recovery_s": "rest_s",
+        "recovery_busy_share": "below",
+        "max_s": "most_s",
+    },
+):
+    """The lasting slowdown of an overloaded server; see `server_model.OverloadSlowdown`."""
+
+    queue_per_core: Range = (4.0, 7.0)
+    trigger_s: Range = (1.5, 2.5)
+    factor: Range = (2.0, 3.5)
+    recovery_s: Range = (2.4, 4.5)
+    recovery_busy_share: Range = (0.25, 0.4)
+    max_s: Range = (16.0, 27.0)
 
     def __post_init__(self) -> None:
-        self._ordered("at", "over_s", "slower", "rest_s", "below", "most_s")
-
+        self._check_ranges(
+            "queue_per_core", "trigger_s", "factor", "recovery_s", "recovery_busy_share", "max_s"
+        )
+
+
+class ServerKindTable(
+    Table,
+    frozen=True,
+    kw_only=True,
+    rename={
+        "concurrency_limit": "slots",
+        "queue_limit": "queue",
+        "contention_factor": "thrash",
+        "contention_threshold": "knee",
+        "warm_up_initial_share": "cold_from",
+        "warm_up_s": "cold_s",
+        "pause_interval_s": "pause_every_s",
+        "pause_growth": "pause_grow",
+    },
+):
+    """Servers of one kind; see `server_model.ServerSpec` for the values.
+
+    Attributes:
+        speeds: the speed of each server, in place of `speed`.
+    """
 
-class ServerKindTable(Table, frozen=True, kw_only=True):
     name: Name
     count: Annotated[int, Meta(ge=0)]
     cores: Count = 2
     speed: Range = 1.0
-    speeds: tuple[Positive, ...] = ()  # each equipo's own, in place of `speed`
-    slots: Range = (28, 66)
-    queue: Range = (3, 8)
-    thrash: Range = 0.0
-    knee: Range = (25.0, 44.0)
-    cold_from: Range = (0.12, 0.33)
-    cold_s: Range = (10.0, 24.0)
-    pause_every_s: Range = (2.2, 12.0)
+    speeds: tuple[Positive, ...] = ()
+    concurrency_limit: Range = (28, 66)
+    queue_limit: Range = (3, 8)
+    contention_factor: Range = 0.0
+    contention_threshold: Range = (25.0, 44.0)
+    warm_up_initial_share: Range = (0.12, 0.33)
+    warm_up_s: Range = (10.0, 24.0)
+    pause_interval_s: Range = (2.2, 12.0)
     pause_ms: Range = 0.0
-    pause_grow: Range = 0.0
+    pause_growth: Range = 0.0
     error_rate: Range = 0.0
 
     def __post_init__(self) -> None:
-        self._ordered("speed", "slots", "queue", "thrash", "knee", "cold_from", "cold_s")
-        self._ordered("pause_every_s", "pause_ms", "pause_grow", "error_rate")
+        self._check_ranges("speed", "concurrency_limit", "queue_limit", "contention_factor")
+        self._check_ranges("contention_threshold", "warm_up_initial_share", "warm_up_s")
+        self._check_ranges("pause_interval_s", "pause_ms", "pause_growth", "error_rate")
         if self.speeds and len(self.speeds) != self.count:
             raise KeyedError("speeds", f"{len(self.speeds)} speeds for {self.count} equipos")
 
 
-class ReportTable(Table, frozen=True, kw_only=True):
-    """What answers tell of an equipo's queue."""
+class ReportTable(Table, frozen=True, kw_only=True, rename={"enabled": "on"}):
+    """Load reports of servers: how often the value is refreshed, how late it is, and how noisy."""
 
     period_ms: Range = (57.0, 420.0)
     delay_ms: Range = (24.0, 110.0)
     noise: Range = (0.044, 0.18)
-    on: bool = True
+    enabled: bool = True
 
     def __post_init__(self) -> None:
-        self._ordered("period_ms", "delay_ms", "noise")
+        self._check_ranges("period_ms", "delay_ms", "noise")
+
+
+class TierTable(
+    Table,
+    frozen=True,
+    kw_only=True,
+    rename={
+        "calls_per_request": "calls",
+        "kinds": "kind",
+        "slowdown": "choke",
+        "connection_overhead": "connection_tax",
+        "handshake_work_ms": "handshake_ms",
+        "health_check_work_ms": "probe_ms",
+    },
+):
+    """One tier of servers.
+
+    Attributes:
+        work: part of a request's work that this tier does.
+        calls_per_request: calls of this tier for each request of the tier above, on average.
+        cell_size: servers that share a deduplication table, at most.
+        zones: zones of the servers, in turn; all zones of all regions where none is given.
+    """
 
-
-class TierTable(Table, frozen=True, kw_only=True):
     name: Name
-    work: Share  # the part of a request's work that this tier does
-    calls: Range = 1.0  # how often a request of the tier above calls this one, on average
+    work: Share
+    calls_per_request: Range = 1.0
     cell_size: Count = 8
-    kind: tuple[ServerKindTable, ...]
-    choke: OverloadSlowdownTable | None = OverloadSlowdownTable()
+    kinds: tuple[ServerKindTable, ...]
+    slowdown: OverloadSlowdownTable | None = OverloadSlowdownTable()
     report: ReportTable = ReportTable()
     connections_per_core: Range = (600.0, 900.0)
-    connection_tax: Range = (0.15, 0.31)
-    handshake_ms: Range = (0.95, 3.0)
-    probe_ms: Range = (0.045, 0.091)
-    zones: tuple[Name, ...] = ()  # where its equipos stand, in turn; empty: in all zones of all regions
+    connection_overhead: Range = (0.15, 0.31)
+    handshake_work_ms: Range = (0.95, 3.0)
+    health_check_work_ms: Range = (0.045, 0.091)
+    zones: tuple[Name, ...] = ()
 
     def __post_init__(self) -> None:
-        self._ordered("calls", "connections_per_core", "connection_tax", "handshake_ms", "probe_ms")
-        if sum(kind.count for kind in self.kind) == 0:
+        self._check_ranges("calls_per_request", "connections_per_core", "connection_overhead")
+        self._check_ranges("handshake_work_ms", "health_check_work_ms")
+        if sum(kind.count for kind in self.kinds) == 0:
             raise KeyedError("kind", "a tier without equipos")
 
 
-class CallTable(Table, frozen=True, kw_only=True):
-    """That a service calls another one, one call after the other."""
+class CallTable(Table, frozen=True, kw_only=True, rename={"service": "to", "calls_per_request": "times"}):
+    """Calls of a service to another one, one after the other.
+
+    Attributes:
+        calls_per_request: on average; 0.3 is one call with that probability, 2 are two calls.
+    """
 
-    to: Name
-    times: Range = 1.0  # for each request, on average: 0.3 is a call with that probability, 2 are two calls
+    service: Name
+    calls_per_request: Range = 1.0
 
     def __post_init__(self) -> None:
-        self._ordered("times")
-        if upper_bound(self.times) == 0.0:
+        self._check_ranges("calls_per_request")
+        if upper_bound(self.calls_per_request) == 0.0:
             raise KeyedError("times", "a call that is never made")
 
 
-class ServiceTable(TierTable, frozen=True, kw_only=True):
-    """One service of a graph: a tier that says itself whom it calls."""
+class ServiceTable(TierTable, frozen=True, kw_only=True, rename={"outgoing_calls": "call"}):
+    """One service of a call graph: a tier that names the services which it calls."""
 
-    call: tuple[CallTable, ...] = ()
+    outgoing_calls: tuple[CallTable, ...] = ()
 
     def __post_init__(self) -> None:
         super().__post_init__()
-        if self.calls != 1.0:
+        if self.calls_per_request != 1.0:
             raise KeyedError("calls", "a service says whom it calls in its own `call` tables")
 
 
 class RegionTable(Table, frozen=True, kw_only=True):
+    """A region and its zones."""
+
     name: Name
     zones: tuple[Name, ...]
 
@@ -163,13 +262,18 @@
             raise KeyedError("zones", "a region without zones")
 
 
-class NetworkTable(Table, frozen=True, kw_only=True):
-    """How long a way takes between a node and an equipo, beyond the work of both ends: each way, in ms."""
+class NetworkTable(Table, frozen=True, kw_only=True, rename={"cross_zone_cost": "cross_zone_price"}):
+    """One-way delays between a node and a server, beyond the work of both ends.
+
+    Attributes:
+        between_zones_ms: delay between two zones of one region.
+        cross_zone_cost: cost of a call to another zone, as nodes are configured.
+    """
 
-    within_zone_ms: Natural = 0.0
-    between_zones_ms: Natural = 0.0  # of one region
-    between_regions_ms: Natural = 0.0
-    cross_zone_price: Natural = 0.0  # what nodes are told that a call to another zone costs
+    within_zone_ms: NonNegative = 0.0
+    between_zones_ms: NonNegative = 0.0
+    between_regions_ms: NonNegative = 0.0
+    cross_zone_cost: NonNegative = 0.0
 
     def __post_init__(self) -> None:
         if not self.within_zone_ms <= self.between_zones_ms <= self.between_regions_ms:
--- a/rosewheel/lab/wire.py
+++ b/rosewheel/lab/wire.py
@@ -46,9 +46,9 @@
     method: bytes
     target: bytes
     headers: dict[bytes, bytes]
-    size: int  # of the body, bytes
-    first_ms: float  # when its first byte came
-    came_ms: float
+    body_bytes: int  # of the body, bytes
+    first_byte_ms: float  # when its first byte came
+    received_ms: float
     first_on_connection: bool
 
     def header(self, name: bytes) -> str:
@@ -68,8 +68,8 @@
         self.transport: asyncio.Transport | None = None
         self.parser: httptools.HttpRequestParser | None = httptools.HttpRequestParser(self)
         self.silent = False  # a fault: whatever comes, nothing is said
-        self.requests = 0
-        self.current: Any = None  # what the owner keeps of the request that is being worked on
+        self.request_count = 0
+        self.current_work: Any = None  # what the owner keeps of the request that is being worked on
         self._first_ms = 0.0
         self._begin()
 
@@ -104,7 +104,7 @@
 
     def on_message_complete(self) -> None:
         assert self.parser is not None
-        self.requests += 1
+        self.request_count += 1
         method = self.parser.get_method()
         asked = HttpRequest(
             self,
@@ -114,13 +114,13 @@
             self._size,
             self._first_ms,
             now_ms(),
-            self.requests == 1,
+            self.request_count == 1,
         )
         self._first_ms = 0.0
         self._begin()
         self._asked(asked)
 
-    def answer(self, status: int, body: bytes = b"", extra: bytes = b"", close: bool = False) -> None:
+    def respond(self, status: int, body: bytes = b"", extra: bytes = b"", close: bool = False) -> None:
         if self.transport is None or self.transport.is_closing() or self.silent:
             return
         tail = b"Connection: close\r\n" if close else b""
@@ -158,7 +158,7 @@
     status: int  # 0: no answer
     body: bytes = b""
     retry_after_s: float | None = None
-    why: str = ""  # without an answer: `unreachable` (nothing was taken), `broken`
+    failure: str = ""  # without an answer: `unreachable` (nothing was taken), `broken`
 
 
 @dataclass(slots=True, eq=False)
@@ -166,34 +166,34 @@
     """One request on its way."""
 
     data: bytes
-    done: Callable[[HttpResponse], None]
+    on_done: Callable[[HttpResponse], None]
     sent_ms: float = 0.0
     connection: ClientConnection | None = None
-    over: bool = False
+    finished: bool = False
     resent: bool = False
     given_up: bool = field(default=False)
 
     def abandon(self) -> None:
         """The client goes away: its connection is closed and nothing more is heard."""
-        self.over = self.given_up = True
+        self.finished = self.given_up = True
         if self.connection is not None:
             self.connection.close()
 
-    def end(self, answered: HttpResponse) -> None:
-        if not self.over:
-            self.over = True
-            self.done(answered)
+    def finish(self, answered: HttpResponse) -> None:
+        if not self.finished:
+            self.finished = True
+            self.on_done(answered)
 
 
 class ClientConnection(asyncio.Protocol):
     """A client's end of a connection."""
 
     def __init__(self, peer: HttpClient) -> None:
-        self.peer = peer
+        self.client = peer
         self.transport: asyncio.Transport | None = None
         self.parser: httptools.HttpResponseParser | None = httptools.HttpResponseParser(self)
-        self.asking: PendingRequest | None = None
-        self.used = 0
+        self.pending: PendingRequest | None = None
+        self.use_count = 0
         self._complete = False
         self._keep = False
         self._heard = False
@@ -209,15 +209,15 @@
 
     def send(self, asking: PendingRequest) -> None:
         assert self.transport is not None
-        self.used += 1
-        self.asking, asking.connection = asking, self
+        self.use_count += 1
+        self.pending, asking.connection = asking, self
         asking.sent_ms = now_ms()
         self._heard = False
         self.transport.write(asking.data)
 
     def data_received(self, data: bytes) -> None:
-        if self.asking is None:  # nobody asked for this
-            self.peer.surplus += 1
+        if self.pending is None:  # nobody asked for this
+            self.client.surplus_answers += 1
             self.close()
             return
         self._heard = True
@@ -226,9 +226,9 @@
             self.parser.feed_data(data)
         except httptools.HttpParserError:
             if not self._complete:
-                self._end(HttpResponse(0, why="broken"), keep=False)
+                self._end(HttpResponse(0, failure="broken"), keep=False)
                 return
-            self.peer.surplus += 1
+            self.client.surplus_answers += 1
             self._keep = False
         if self._complete:
             assert self.parser is not None
@@ -247,22 +247,22 @@
 
     def on_message_begin(self) -> None:
         if self._complete:
-            self.peer.surplus += 1
+            self.client.surplus_answers += 1
 
     def on_message_complete(self) -> None:
         assert self.parser is not None
         self._complete, self._keep = True, self.parser.should_keep_alive()
 
     def _end(self, answered: HttpResponse, keep: bool) -> None:
-        asking, self.asking = self.asking, None
+        asking, self.pending = self.pending, None
         self._begin()
         if keep and self.transport is not None and not self.transport.is_closing():
-            self.peer.idle.append(self)
+            self.client.idle.append(self)
         else:
             self.close()
         if asking is not None:
             asking.connection = None
-            asking.end(answered)
+            asking.finish(answered)
 
     def close(self) -> None:
         if self.transport is not None:
@@ -271,17 +271,17 @@
     def connection_lost(self, exc: Exception | None) -> None:
         self.transport = None
         self.parser = None
-        self.peer.forget(self)
-        asking, self.asking = self.asking, None
-        if asking is None or asking.over:
+        self.client.forget(self)
+        asking, self.pending = self.pending, None
+        if asking is None or asking.finished:
             return
         asking.connection = None
-        crossed = self.used > 1 and not self._heard and now_ms() - asking.sent_ms < STALE_CONNECTION_MS
+        crossed = self.use_count > 1 and not self._heard and now_ms() - asking.sent_ms < STALE_CONNECTION_MS
         if crossed and not asking.resent:
             asking.resent = True
-            self.peer.start(asking, fresh=True)
+            self.client.dispatch(asking, fresh=True)
         else:
-            asking.end(HttpResponse(0, why="broken"))
+            asking.finish(HttpResponse(0, failure="broken"))
 
 
 class HttpClient:
@@ -292,16 +292,16 @@
         self.loop = asyncio.get_running_loop()
         self.idle: list[ClientConnection] = []
         self.open: set[ClientConnection] = set()
-        self.surplus = 0  # answers that nobody had asked for
+        self.surplus_answers = 0  # answers that nobody had asked for
         self._tasks: set[asyncio.Task[None]] = set()
 
-    def ask(self, data: bytes, done: Callable[[HttpResponse], None], fresh: bool = False) -> PendingRequest:
+    def send(self, data: bytes, done: Callable[[HttpResponse], None], fresh: bool = False) -> PendingRequest:
         """Send this request, on a kept connection unless a `fresh` one is wanted; `done` is called once."""
         asking = PendingRequest(data, done)
-        self.start(asking, fresh)
+        self.dispatch(asking, fresh)
         return asking
 
-    def start(self, asking: PendingRequest, fresh: bool = False) -> None:
+    def dispatch(self, asking: PendingRequest, fresh: bool = False) -> None:
         while self.idle and not fresh:
             connection = self.idle.pop()
             if connection.transport is not None and not connection.transport.is_closing():
@@ -316,10 +316,10 @@
         try:
             await self.loop.create_connection(lambda: connection, *self.address)
         except OSError:
-            asking.end(HttpResponse(0, why="unreachable"))
+            asking.finish(HttpResponse(0, failure="unreachable"))
             return
         self.open.add(connection)
-        if asking.over:
+        if asking.finished:
             connection.close()
         else:
             connection.send(asking)
--- a/tests/lab/test_emulator.py
+++ b/tests/lab/test_emulator.py
@@ -20,12 +20,15 @@
 from rosewheel.config.checked import parse
 from rosewheel.lab import plan as plans
 from rosewheel.lab.discovery import DiscoveryEntry, DiscoveryRegistry
-from rosewheel.lab.emulator import Emulator, encode_request
+from rosewheel.lab.discovery_delays import DiscoveryChange
+from rosewheel.lab.emulator import Emulator
 from rosewheel.lab.random_streams import random_stream
 from rosewheel.lab.records import RecordWriter, read_records
+from rosewheel.lab.request_codec import ClientRequest
 from rosewheel.lab.scenario import Scenario
 from rosewheel.lab.server_host import ConnectionFault, EmulatedServerHost
 from rosewheel.lab.wire import now_ms
+from rosewheel.policy.settings import Idempotency
 from tests.support.sockets import Message, read_message, run, status, until
 
 ROOT = Path(__file__).parent.parent.parent
@@ -71,7 +74,7 @@
     emulator = Emulator(plans.make(parse(text, Scenario, "s")), folder, records)
     try:
         await emulator.start()
-        emulator.begin(now_ms())
+        emulator.start_clock(now_ms())
         yield emulator
     finally:
         emulator.close()
@@ -98,8 +101,9 @@
     def send(
         self, rid: str, service: str = "post", work: float = 20.0, key: str = "", node: str = ""
     ) -> None:
-        effect = "keyed" if key else "unsafe"
-        self.writer.write(encode_request(service, effect, rid, 2000, node, rid, work, key, 10))
+        effect = Idempotency.IDEMPOTENT_WITH_KEY if key else Idempotency.NON_IDEMPOTENT
+        request = ClientRequest(service, effect, rid, 2000, node, rid, work, key, 10)
+        self.writer.write(request.encode())
 
     async def answer(self) -> Message | None:
         async with asyncio.timeout(20.0):
@@ -214,10 +218,10 @@
     async def main() -> None:
         async with emulated(tmp_path) as emulator:
             host = first(emulator)
-            host.refuse()
+            host.stop_accepting()
             with pytest.raises(ConnectionRefusedError):
                 await asyncio.open_connection(*host.address)
-            await host.accept_again()
+            await host.resume_accepting()
             async with Plain(host) as client:
                 assert status(await client.ask("r1")) == 200
 
@@ -230,7 +234,7 @@
             host = first(emulator)
             async with Plain(host) as client:
                 assert status(await client.ask("r1")) == 200
-                host.vanish()
+                host.isolate()
                 client.send("r2")
                 fresh = socket.socket()
                 fresh.setblocking(False)
@@ -243,7 +247,7 @@
                 with pytest.raises(OSError, match=r"107|not connected"):
                     fresh.getpeername()
                 fresh.close()
-                await host.reappear()
+                await host.rejoin()
                 with pytest.raises(ConnectionResetError):
                     await asked
             async with Plain(host) as client:
@@ -265,7 +269,7 @@
             with pytest.raises(ConnectionRefusedError):
                 await asyncio.open_connection(*host.address)
             await emulator._revive(host)
-            assert host.model.warmth(now_ms()) < 1.0
+            assert host.model.warm_up_share(now_ms()) < 1.0
             async with Plain(host) as client:
                 assert status(await client.ask("r2")) == 200
 
@@ -285,7 +289,7 @@
             monkeypatch.setattr("time.time", lambda: wall() + 3600.0)
             emulator._crash(host)
             await emulator._revive(host)
-            born = emulator.registries[0].truth[host.spec.name].born_ms
+            born = emulator.registries[0].current[host.spec.name].launched_ms
             assert born < (wall() + 1800.0) * 1000.0, (
                 "an hour ahead: it would look as if it had not started yet"
             )
@@ -319,24 +323,22 @@
 def test_changes_are_told_late_in_order_and_not_while_discovery_is_down():
     async def main() -> None:
         heard: list[tuple[str, str, str]] = []
-        registry = DiscoveryRegistry(
-            lambda _change, _node: 1.0, lambda n, h, e, _at: heard.append((n, h, e.health))
-        )
-        registry.set(DiscoveryEntry("s", "127.0.0.1:1", "z", 0), "add", at_once=True)
-        agent = registry.agent("n0")
+        registry = DiscoveryRegistry(lambda _change: 1.0, lambda n, h, e, _at: heard.append((n, h, e.health)))
+        registry.update(DiscoveryEntry("s", "127.0.0.1:1", "z", 0), DiscoveryChange.ADD, at_once=True)
+        agent = registry.add_agent("n0")
         reader, writer = await watch(await agent.start(), 0)
         row = await told(reader)
         assert (row["whole"], [host["host"] for host in row["hosts"]]) == (True, ["s"])
         agent.stall(True)
-        registry.set(DiscoveryEntry("s", "127.0.0.1:1", "z", 0, "leaving"), "drain")
-        registry.set(DiscoveryEntry("s", "127.0.0.1:1", "z", 0, "left"), "stop")
+        registry.update(DiscoveryEntry("s", "127.0.0.1:1", "z", 0, "leaving"), DiscoveryChange.DRAIN)
+        registry.update(DiscoveryEntry("s", "127.0.0.1:1", "z", 0, "left"), DiscoveryChange.STOP)
         await until(lambda: agent.version == 3)
         assert heard[-1][2] == "active", "what was not written was not told"
         agent.stall(False)
         row = await told(reader)
         assert [host["health"] for host in row["hosts"]] == ["leaving", "left"]
         assert [item[2] for item in heard] == ["active", "leaving", "left"]
-        agent.break_off()
+        agent.reset_watches()
         with pytest.raises((ConnectionResetError, asyncio.IncompleteReadError)):
             await reader.readuntil(b"never")
         writer.close()
@@ -396,7 +398,7 @@
         async with emulated(tmp_path) as emulator:
             for _ in range(100):
                 first(emulator)._tick(now_ms() - 40.0)
-            assert emulator.figures_now()["lag_p99_ms"] >= 40.0
+            assert emulator.statistics()["lag_p99_ms"] >= 40.0
 
     run(main())
 
--- a/tests/lab/test_graph.py
+++ b/tests/lab/test_graph.py
@@ -177,7 +177,7 @@
 
 
 def test_twenty_levels_are_taken_and_one_more_is_not() -> None:
-    assert max(service_graph.depths(chain(20).called)) == 20
+    assert max(service_graph.depths(chain(20).callees)) == 20
     with pytest.raises(msgspec.ValidationError, match="21 deep; 20 at most"):
         chain(21)
 
@@ -208,7 +208,7 @@
     try:
         found = service_graph.topological_order(rows)
     except CallCycleError as error:
-        way = error.circle
+        way = error.cycle
         assert way[0] == way[-1]
         assert all(to in rows[at] for at, to in itertools.pairwise(way))
         return
@@ -225,29 +225,29 @@
 
 def test_equipos_stand_in_their_zones_in_turn_and_grupos_lie_within_one() -> None:
     one = plan.make(parse(GOOD.replace("count = 6", "count = 40"), Scenario, "s"))
-    mine = [spec for spec in one.equipos if spec.tier == 0]
+    mine = [spec for spec in one.servers if spec.tier == 0]
     assert Counter(spec.zone for spec in mine) == {"sur-a": 14, "sur-b": 13, "norte-a": 13}
     assert len({(spec.cell, spec.zone) for spec in mine}) == len({spec.cell for spec in mine}) == 6
-    assert {spec.zone for spec in one.equipos if spec.tier == 3} == {"sur-a", "norte-a"}
+    assert {spec.zone for spec in one.servers if spec.tier == 3} == {"sur-a", "norte-a"}
 
 
 def test_a_trouble_of_a_zone_is_held_to_it() -> None:
     one = plan.make(parse(GOOD, Scenario, "s"))
-    lost, failing = (next(step for step in one.steps if step.trouble == at) for at in (0, 1))
-    assert sorted(lost.equipos) == sorted(spec.name for spec in one.equipos if spec.zone == "norte-a")
-    assert sorted(failing.equipos) == ["archivo-0", "archivo-2"]
+    lost, failing = (next(step for step in one.steps if step.fault == at) for at in (0, 1))
+    assert sorted(lost.targets) == sorted(spec.name for spec in one.servers if spec.zone == "norte-a")
+    assert sorted(failing.targets) == ["archivo-0", "archivo-2"]
 
 
 def test_a_way_takes_what_the_network_says() -> None:
     areas = Topology(parse(GOOD, Scenario, "s"))
-    assert areas.way_ms("sur-a", "sur-a") == ONE_WAY_MS
-    assert areas.way_ms("sur-a", "sur-b") == ONE_WAY_MS + 1.0
-    assert areas.way_ms("sur-a", "norte-a") == ONE_WAY_MS + 8.0
-    areas.cut(0, frozenset(["sur-a", "sur-b"]))
-    assert areas.apart("sur-b", "norte-a")
-    assert not areas.apart("sur-a", "sur-b")
-    areas.mend(0)
-    assert not areas.apart("sur-b", "norte-a")
+    assert areas.one_way_ms("sur-a", "sur-a") == ONE_WAY_MS
+    assert areas.one_way_ms("sur-a", "sur-b") == ONE_WAY_MS + 1.0
+    assert areas.one_way_ms("sur-a", "norte-a") == ONE_WAY_MS + 8.0
+    areas.isolate(0, frozenset(["sur-a", "sur-b"]))
+    assert areas.separated("sur-b", "norte-a")
+    assert not areas.separated("sur-a", "sur-b")
+    areas.heal(0)
+    assert not areas.separated("sur-b", "norte-a")
 
 
 # ----------------------------------------------------------------------- runs
@@ -285,7 +285,7 @@
     for row in jobs(one, tmp_path):
         assert row["verdict"] == "served"
         by.setdefault(row["op"].split("/")[0], Counter())[row["tier"]] += 1
-    assert set(by) == {item.op for item in one.arrivals}
+    assert set(by) == {item.operation_id for item in one.arrivals}
     assert all(levels == dict.fromkeys(range(20), 1) for levels in by.values())
     wishes = [row for row in records.read_records(tmp_path / "load.jsonl") if row["e"] == "op"]
     assert all(row["in_time"] and len(row["tries"]) == 1 for row in wishes)
@@ -383,7 +383,7 @@
     summary = run.run()
     assert summary["ok"], summary["rules"]
     rows = [row for row in records.read_records(tmp_path / "equipos.jsonl") if row["e"] == "job"]
-    zone = {spec.name: spec.zone for spec in run.plan.equipos}
+    zone = {spec.name: spec.zone for spec in run.plan.servers}
     inside = [row for row in rows if zone[row["equipo"]] != "norte-a" and row["ran"]]
     before = [row for row in inside if row["came"] < 2000.0]
     during = [row for row in inside if 2000.0 <= row["came"] < 5000.0]
@@ -393,15 +393,15 @@
         assert not during
     else:  # what lies there goes on with its own clients, and hears of nothing outside
         assert during
-        nodes = {**run.world.nodes, **{node.name: node for node in run.world.companions.values()}}
+        nodes = {**run.fleet.nodes, **{node.name: node for node in run.fleet.local_nodes.values()}}
         assert all(nodes[row["node"]].zone != "norte-a" for row in during if row["came"] > 2010.0)
-    hosts = [host for host in run.world.hosts.values() if host.spec.zone != "norte-a"]
-    assert all(host.listening and not host.vanished for host in hosts)
+    hosts = [host for host in run.fleet.hosts.values() if host.spec.zone != "norte-a"]
+    assert all(host.listening and not host.isolated for host in hosts)
     assert all((host.model.started_ms > 5000.0) is back_cold for host in hosts)
-    truth = {name for registry in run.world.registries for name in registry.truth}
-    assert truth == set(run.world.hosts)
-    for agent in (agent for registry in run.world.registries for agent in registry.agents.values()):
-        assert not agent.cut
+    truth = {name for registry in run.fleet.registries for name in registry.current}
+    assert truth == set(run.fleet.hosts)
+    for agent in (agent for registry in run.fleet.registries for agent in registry.agents.values()):
+        assert not agent.isolated
 
 
 def test_a_lost_machine_does_not_work_on_and_a_cut_one_does(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -411,11 +411,11 @@
         run = Simulation(plan.make(regions([LOSS], 60.0)))
         while not run.clients or run.queue.now < 2000.5:
             run.queue.run(run.queue.now + 0.5)
-        lost = [host for host in run.world.hosts.values() if host.spec.zone != "norte-a"]
-        work = sum(host.model.done_work for host in lost)
+        lost = [host for host in run.fleet.hosts.values() if host.spec.zone != "norte-a"]
+        work = sum(host.model.work_done_ms for host in lost)
         run.queue.run(3000.0)
-        done.append(sum(host.model.done_work for host in lost) - work)
-        monkeypatch.setattr(SimulatedServerHost, "lose", SimulatedServerHost.vanish)
+        done.append(sum(host.model.work_done_ms for host in lost) - work)
+        monkeypatch.setattr(SimulatedServerHost, "lose_machine", SimulatedServerHost.isolate)
     assert done[0] == 0.0
     assert done[1] > 0.0
 
@@ -454,19 +454,19 @@
     assert summary["ok"], summary["rules"]
     assert sum(one["asked"] for one in summary["classes"].values()) == len(run.plan.arrivals)
     run.queue.run(run.queue.now + 30_000.0)
-    for node in [*run.world.nodes.values(), *run.world.companions.values()]:
+    for node in [*run.fleet.nodes.values(), *run.fleet.local_nodes.values()]:
         assert node.node.active == 0
-        assert not node.calls
-        assert not node.out
-    for host in run.world.hosts.values():
-        assert host.model.connected == len(host.links)
+        assert not node.requests
+        assert not node.attempts
+    for host in run.fleet.hosts.values():
+        assert host.model.connection_count == len(host.connections)
 
 
 @pytest.mark.parametrize("name", ["graph-chain", "graph-diamond", "graph-zone", "graph-region"])
 def test_shipped_graphs_keep_the_rules(name: str) -> None:
     """Short forms: each trouble for two seconds, and what comes right after it."""
     changes: dict[str, object] = {"seconds": 9, "clients.rate_per_s": 20}
-    for at in range(len(scenario.load(name).troubles)):
+    for at in range(len(scenario.load(name).faults)):
         changes |= {f"trouble.{at}.at_s": 2.0 + 3.0 * at, f"trouble.{at}.for_s": 2.0}
     summary = simulate(plan.make(scenario.load(name, changes)))
     assert summary["ok"], summary["rules"]
--- a/tests/lab/test_lab.py
+++ b/tests/lab/test_lab.py
@@ -16,6 +16,7 @@
 from rosewheel.lab import plan as plans
 from rosewheel.lab import scenario as scenarios
 from rosewheel.lab.load import LoadGenerator
+from rosewheel.lab.plan_codec import plan_digest
 from rosewheel.lab.records import RecordWriter, read_records
 from rosewheel.lab.report import fault_spans
 from rosewheel.lab.wire import now_ms
@@ -137,7 +138,7 @@
         writer.write(answer(body=own(message)) * 2)
 
     asked_of(tmp_path, twice)
-    assert invariant_checker.check_records(scenarios.load("quiet"), tmp_path).double > 0
+    assert invariant_checker.check_records(scenarios.load("quiet"), tmp_path).surplus_answers > 0
 
 
 def test_service_is_told_of_any_stretch_of_the_run(tmp_path: Path):
@@ -214,7 +215,7 @@
     written(tmp_path, "equipos.jsonl", *jobs)
     written(tmp_path, "run.jsonl", {"e": "killed", "t": 2.0, "node": "n1"})
     broken = invariant_checker.check_records(scenarios.load("quiet"), tmp_path)
-    assert {key: value for key, value in broken.row().items() if value} == found
+    assert {key: value for key, value in broken.as_record().items() if value} == found
     assert (broken.count() == 0) is (not found)
 
 
@@ -250,7 +251,7 @@
     for folder in ("v0-s1", "v1-s1"):
         summary = msgspec.json.decode((out / folder / "summary.json").read_bytes())
         assert summary["ok"]
-        assert summary["plan"] == plans.make(_variant(path, folder)).digest()
+        assert summary["plan"] == plan_digest(plans.make(_variant(path, folder)))
         assert 0.0 < summary["after_restarts"] <= 1.0
         learned = [path.read_text() for path in (out / folder / "nodes").glob("n[01]/log")]
         assert all("is taken back, of" in text for text in learned), "an upgrade begins with what was learned"
@@ -273,10 +274,10 @@
 def test_void_runs_are_counted_and_left_out_and_chance_has_an_interval():
     one = {"variant": "a", "void": False, "ok": True, "service": 0.9, "classes": {"c": {"p99_ms": 10.0}}}
     rows = experiments.summarize([one, one | {"service": 0.8}, one | {"service": 0.1, "void": True}])
-    assert (rows[0].runs, rows[0].void) == (3, 1)
+    assert (rows[0].runs, rows[0].void_runs) == (3, 1)
     assert rows[0].service == pytest.approx(0.85)
-    assert rows[0].half == pytest.approx(12.706 * 0.05, rel=1e-3)  # Student's t, one degree of freedom
-    assert experiments.summarize([one])[0].half is None
+    assert rows[0].half_width == pytest.approx(12.706 * 0.05, rel=1e-3)  # Student's t, one degree of freedom
+    assert experiments.summarize([one])[0].half_width is None
 
 
 def test_troubles_become_spans():
--- a/tests/lab/test_scenario.py
+++ b/tests/lab/test_scenario.py
@@ -18,6 +18,7 @@
 from rosewheel.config.platform import ConfigError
 from rosewheel.lab import plan as plans
 from rosewheel.lab import scenario as scenarios
+from rosewheel.lab.plan_codec import plan_lines
 from rosewheel.lab.scenario import Scenario
 from rosewheel.policy.settings import DedupScope, Idempotency
 
@@ -112,9 +113,9 @@
 @settings(max_examples=10, deadline=None)
 def test_a_seed_gives_one_plan(seed: int):
     told = parse(GOOD, Scenario, "s")
-    one = b"\n".join(plans.make(told, seed).lines())
-    assert one == b"\n".join(plans.make(told, seed).lines())
-    assert one != b"\n".join(plans.make(told, seed + 1).lines())
+    one = b"\n".join(plan_lines(plans.make(told, seed)))
+    assert one == b"\n".join(plan_lines(plans.make(told, seed)))
+    assert one != b"\n".join(plan_lines(plans.make(told, seed + 1)))
 
 
 def test_the_plan_of_a_seed_is_the_same_in_every_process(tmp_path: Path):
@@ -133,14 +134,14 @@
         ).stdout
         for salt in ("1", "2")
     ]
-    assert said[0] == said[1] == b"\n".join(plans.make(parse(GOOD, Scenario, "s")).lines()) + b"\n"
+    assert said[0] == said[1] == b"\n".join(plan_lines(plans.make(parse(GOOD, Scenario, "s")))) + b"\n"
 
 
 def test_more_of_one_thing_shuffles_nothing_else():
     told = plans.make(parse(GOOD, Scenario, "s"))
     more = plans.make(parse(GOOD.replace("count = 3", "count = 5"), Scenario, "s"))
-    assert [spec.speed for spec in told.equipos if spec.tier == 0] == [
-        spec.speed for spec in more.equipos if spec.tier == 0
+    assert [spec.speed for spec in told.servers if spec.tier == 0] == [
+        spec.speed for spec in more.servers if spec.tier == 0
     ]
     assert told.arrivals == more.arrivals
 
@@ -158,18 +159,18 @@
 
 def test_a_fault_of_fresh_equipos_falls_on_those_that_a_deploy_has_started():
     one = plans.make(scenarios.load("fleet-join"))
-    at = len(one.scenario.troubles) - 1
-    on = {name for step in one.steps if step.trouble == at for name in step.equipos}
+    at = len(one.scenario.faults) - 1
+    on = {name for step in one.steps if step.fault == at for name in step.targets}
     assert on
-    assert on <= {spec.name for spec in one.later}
+    assert on <= {spec.name for spec in one.deployed_servers}
 
 
 def test_a_deploy_drains_stops_and_starts_each_of_its_equipos_once():
     plan = plans.make(parse(GOOD, Scenario, "s"))
     by: dict[str, list[str]] = {}
     for step in plan.steps:
-        by.setdefault(step.what, []).extend(step.equipos)
-    names = [spec.name for spec in plan.equipos if spec.tier == 0]
+        by.setdefault(step.phase, []).extend(step.targets)
+    names = [spec.name for spec in plan.servers if spec.tier == 0]
     assert sorted(by["drain"]) == sorted(by["stop"]) == sorted(names)
     assert sorted(by["start"]) == sorted(f"{name}-r1" for name in names)
 
@@ -197,7 +198,7 @@
 def test_vary_reaches_into_a_scenario():
     told = scenarios.load("quiet", {"clients.rate_per_s": 7, "tier.0.kind.1.count": 1})
     assert told.clients.rate_per_s == 7.0
-    assert told.tiers[0].kind[1].count == 1
+    assert told.tiers[0].kinds[1].count == 1
     with pytest.raises(ProblemsError, match="no such place"):
         scenarios.load("quiet", {"tier.9.calls": 1})
 
--- a/tests/lab/test_server_model.py
+++ b/tests/lab/test_server_model.py
@@ -25,10 +25,27 @@
     ServerSpec,
 )
 
-CHOKE = OverloadSlowdown(at=2.0, over_ms=300.0, slower=3.0, rest_ms=400.0, below=0.3, most_ms=2000.0)
-SPEC = ServerSpec("e", 0, cores=2, speed=1.5, slots=4, queue=3, thrash=0.1, knee=2.0, choke=CHOKE)
-PAUSES = dataclasses.replace(SPEC, pause_every_ms=300.0, pause_ms=40.0, pause_grow=1.0, error_rate=0.1)
-COLD = dataclasses.replace(PAUSES, cold_from=0.2, cold_ms=3000.0, tip_slack_ms=1e9)
+CHOKE = OverloadSlowdown(
+    queue_per_core=2.0,
+    trigger_ms=300.0,
+    factor=3.0,
+    recovery_ms=400.0,
+    recovery_busy_share=0.3,
+    max_ms=2000.0,
+)
+SPEC = ServerSpec(
+    "e",
+    0,
+    cores=2,
+    speed=1.5,
+    concurrency_limit=4,
+    queue_limit=3,
+    contention_factor=0.1,
+    contention_threshold=2.0,
+    slowdown=CHOKE,
+)
+PAUSES = dataclasses.replace(SPEC, pause_interval_ms=300.0, pause_ms=40.0, pause_growth=1.0, error_rate=0.1)
+COLD = dataclasses.replace(PAUSES, warm_up_initial_share=0.2, warm_up_ms=3000.0, overload_slack_ms=1e9)
 
 
 def made(
@@ -40,7 +57,7 @@
 def play(equipo: EmulatedServer, until: float, step: float = math.inf) -> list[Action]:
     """Tick at every due moment up to this one."""
     acts: list[Action] = []
-    while (due := equipo.due()) <= until:
+    while (due := equipo.next_due_ms()) <= until:
         acts += equipo.tick(max(due, equipo._now))
     return acts + equipo.tick(until)
 
@@ -69,9 +86,9 @@
                 case Reply(id, verdict):
                     assert id in self.sent
                     assert id not in self.replies, "a second answer"
-                    assert verdict is not JobResult.TURNED_AWAY or id not in self.began
+                    assert verdict is not JobResult.REJECTED or id not in self.began
                     self.replies[id] = verdict
-                    self.equipo.joined_ended(id)
+                    self.equipo.finish_duplicate(id)
                 case JobStarted(id):
                     assert id not in self.began, "run twice"
                     self.began.add(id)
@@ -91,21 +108,21 @@
         id = len(self.sent)
         self.sent.add(id)
         self.take(self.equipo.tick(self.now))
-        self.take(self.equipo.arrive(self.now, Job(id, tuple(work), key, memory_ms=1000.0)))
+        self.take(self.equipo.arrive(self.now, Job(id, tuple(work), key, dedup_window_ms=1000.0)))
 
     @rule(ok=st.booleans())
     def call_returns(self, ok: bool) -> None:
         if self.calls:
-            self.take(self.equipo.called(self.now, self.calls.pop(0), ok))
+            self.take(self.equipo.call_finished(self.now, self.calls.pop(0), ok))
 
     @rule(factor=st.sampled_from([1.0, 4.0]), share=st.sampled_from([0.0, 0.6]))
     def trouble(self, factor: float, share: float) -> None:
-        self.equipo.slow_down(self.now, factor)
-        self.equipo.take(self.now, share)
+        self.equipo.set_slow_factor(self.now, factor)
+        self.equipo.set_neighbour_share(self.now, share)
 
     @rule()
     def probe(self) -> None:
-        assert self.equipo.probe(self.now) is (self.equipo.state is LifecycleState.UP)
+        assert self.equipo.check_health(self.now) is (self.equipo.state is LifecycleState.UP)
 
     @rule()
     def drain(self) -> None:
@@ -115,7 +132,7 @@
     def no_work_out_of_nothing(self) -> None:
         if hasattr(self, "equipo"):
             spec = self.equipo.spec
-            assert self.equipo.done_work <= spec.cores * spec.speed * self.now * (1 + 1e-9) + 1e-6
+            assert self.equipo.work_done_ms <= spec.cores * spec.speed * self.now * (1 + 1e-9) + 1e-6
 
     @invariant()
     def all_that_came_is_here_or_answered(self) -> None:
@@ -123,15 +140,15 @@
             assert self.sent == set(self.replies) | set(self.equipo.jobs)
             assert not set(self.replies) & set(self.equipo.jobs)
             working = sum(1 for _, _, job in self.equipo.running if job is not None)
-            assert working + self.equipo.calling <= self.equipo.spec.slots
-            assert len(self.equipo.waiting) <= self.equipo.spec.queue
+            assert working + self.equipo.awaiting_calls <= self.equipo.spec.concurrency_limit
+            assert len(self.equipo.queued) <= self.equipo.spec.queue_limit
 
     def teardown(self) -> None:
         if not hasattr(self, "equipo"):
             return
         # In the end, with every call answered and no more troubles, everything comes out.
-        self.equipo.slow_down(self.now, 1.0)
-        self.equipo.take(self.now, 0.0)
+        self.equipo.set_slow_factor(self.now, 1.0)
+        self.equipo.set_neighbour_share(self.now, 0.0)
         for _ in range(200):
             while self.calls:
                 self.call_returns(True)
@@ -169,33 +186,33 @@
 
 
 def test_the_lasting_slowdown_begins_and_ends_by_its_figures():
-    spec = dataclasses.replace(SPEC, slots=50, thrash=0.0)
+    spec = dataclasses.replace(SPEC, concurrency_limit=50, contention_factor=0.0)
     equipo = made(spec)
     crowd(equipo, 0.0, 6)  # 4 wait for 2 cores: not more than 2 for each
     play(equipo, 1000.0)
-    assert equipo.choked_ms is None
+    assert equipo.slowed_since_ms is None
     full = equipo.capacity
     equipo.arrive(1000.0, Job(100, (1e6,)))
-    play(equipo, 1000.0 + CHOKE.over_ms - 1.0)
-    assert equipo.choked_ms is None
-    play(equipo, 1000.0 + CHOKE.over_ms)
-    assert equipo.choked_ms == 1000.0 + CHOKE.over_ms
-    assert math.isclose(equipo.capacity, full / CHOKE.slower)
-    play(equipo, equipo.choked_ms + CHOKE.most_ms - 60.0)
-    assert equipo.choked_ms is not None, "it stays while it is busy"
-    play(equipo, equipo.choked_ms + CHOKE.most_ms + 60.0)
-    assert equipo.choked_ms is None or equipo.choked_ms > 3000.0
+    play(equipo, 1000.0 + CHOKE.trigger_ms - 1.0)
+    assert equipo.slowed_since_ms is None
+    play(equipo, 1000.0 + CHOKE.trigger_ms)
+    assert equipo.slowed_since_ms == 1000.0 + CHOKE.trigger_ms
+    assert math.isclose(equipo.capacity, full / CHOKE.factor)
+    play(equipo, equipo.slowed_since_ms + CHOKE.max_ms - 60.0)
+    assert equipo.slowed_since_ms is not None, "it stays while it is busy"
+    play(equipo, equipo.slowed_since_ms + CHOKE.max_ms + 60.0)
+    assert equipo.slowed_since_ms is None or equipo.slowed_since_ms > 3000.0
 
 
 def test_a_slowed_equipo_recovers_once_it_is_mostly_idle():
-    spec = dataclasses.replace(SPEC, slots=50, thrash=0.0)
+    spec = dataclasses.replace(SPEC, concurrency_limit=50, contention_factor=0.0)
     equipo = made(spec)
     crowd(equipo, 0.0, 10, work=150.0)  # done soon after it has turned slow
     play(equipo, 310.0)
-    assert equipo.choked_ms is not None
+    assert equipo.slowed_since_ms is not None
     play(equipo, 3000.0)
     assert not equipo.jobs
-    assert equipo.choked_ms is None
+    assert equipo.slowed_since_ms is None
 
 
 @given(st.floats(0.0, 3000.0))
@@ -204,74 +221,84 @@
     crowd(equipo, 0.0, 2)
     play(equipo, at)
     share = equipo.capacity / (COLD.cores * COLD.speed)
-    assert COLD.cold_from - 1e-9 <= share <= equipo.warmth(at) + 1e-9
-    assert equipo.warmth(at) >= COLD.cold_from
-    assert equipo.warmth(3000.0) == 1.0
+    assert COLD.warm_up_initial_share - 1e-9 <= share <= equipo.warm_up_share(at) + 1e-9
+    assert equipo.warm_up_share(at) >= COLD.warm_up_initial_share
+    assert equipo.warm_up_share(3000.0) == 1.0
 
 
 def test_a_cold_equipo_tips_over_past_its_multiple_and_not_before():
-    spec = dataclasses.replace(COLD, pause_ms=0.0, tip_slack_ms=0.0, slots=500, choke=None)
-    bound = spec.tip_multiple * spec.cores * spec.speed * spec.cold_from * spec.tip_ms
+    spec = dataclasses.replace(
+        COLD, pause_ms=0.0, overload_slack_ms=0.0, concurrency_limit=500, slowdown=None
+    )
+    bound = (
+        spec.overload_factor * spec.cores * spec.speed * spec.warm_up_initial_share * spec.overload_window_ms
+    )
     equipo = made(spec, cold=True)
     assert not any(isinstance(act, ServerCollapsed) for act in equipo.arrive(0.0, Job(1, (bound * 0.99,))))
-    acts = equipo.arrive(0.0, Job(2, (bound * 0.02,), told=False))
+    acts = equipo.arrive(0.0, Job(2, (bound * 0.02,), sender_informed=False))
     fell = [act for act in acts if isinstance(act, ServerCollapsed)]
     assert len(fell) == 1
-    assert fell[0].told_share > 0.9
+    assert fell[0].informed_share > 0.9
     assert equipo.state is LifecycleState.DOWN
-    assert equipo.arrive(1.0, Job(3, (1.0,))) == [Reply(3, JobResult.TURNED_AWAY)]
+    assert equipo.arrive(1.0, Job(3, (1.0,))) == [Reply(3, JobResult.REJECTED)]
 
 
 def test_what_came_before_the_window_does_not_tip():
-    spec = dataclasses.replace(COLD, pause_ms=0.0, tip_slack_ms=0.0, slots=500, choke=None)
-    bound = spec.tip_multiple * spec.cores * spec.speed * spec.cold_from * spec.tip_ms
+    spec = dataclasses.replace(
+        COLD, pause_ms=0.0, overload_slack_ms=0.0, concurrency_limit=500, slowdown=None
+    )
+    bound = (
+        spec.overload_factor * spec.cores * spec.speed * spec.warm_up_initial_share * spec.overload_window_ms
+    )
     equipo = made(spec, cold=True)
     for number in range(5):
-        acts = equipo.arrive(number * spec.tip_ms, Job(number, (bound * 0.9,)))
+        acts = equipo.arrive(number * spec.overload_window_ms, Job(number, (bound * 0.9,)))
         assert not any(isinstance(act, ServerCollapsed) for act in acts)
 
 
 def test_a_repeat_within_the_grupo_runs_once_and_both_are_answered():
     memory = DedupTable()
     one, two = made(SPEC, memory=memory), made(SPEC, memory=memory, seed=2)
-    acts = one.arrive(0.0, Job(1, (150.0,), "k", memory_ms=1000.0))
+    acts = one.arrive(0.0, Job(1, (150.0,), "k", dedup_window_ms=1000.0))
     assert acts == [JobStarted(1)]
-    assert two.arrive(10.0, Job(2, (150.0,), "k", memory_ms=1000.0)) == []
+    assert two.arrive(10.0, Job(2, (150.0,), "k", dedup_window_ms=1000.0)) == []
     ended = play(one, 200.0)
     assert ended == [Reply(1, JobResult.SERVED), Reply(2, JobResult.SERVED)]
-    assert two.joined_ended(2)
-    assert two.arrive(300.0, Job(3, (150.0,), "k", memory_ms=1000.0)) == [Reply(3, JobResult.SERVED)]
+    assert two.finish_duplicate(2)
+    assert two.arrive(300.0, Job(3, (150.0,), "k", dedup_window_ms=1000.0)) == [Reply(3, JobResult.SERVED)]
     # Past the time for which the key is remembered it runs anew.
-    assert two.arrive(1001.0, Job(4, (150.0,), "k", memory_ms=1000.0)) == [JobStarted(4)]
+    assert two.arrive(1001.0, Job(4, (150.0,), "k", dedup_window_ms=1000.0)) == [JobStarted(4)]
 
 
 def test_reports_are_refreshed_now_and_then_and_come_late():
-    spec = dataclasses.replace(SPEC, slots=50, report_period_ms=100.0, report_delay_ms=30.0)
+    spec = dataclasses.replace(SPEC, concurrency_limit=50, report_period_ms=100.0, report_delay_ms=30.0)
     equipo = made(spec)
     crowd(equipo, 50.0, 12)
-    assert equipo.report(60.0) == 0.0
-    assert equipo.report(129.0) == 0.0
-    assert equipo.report(130.0) == 10.0
+    assert equipo.reported_queue(60.0) == 0.0
+    assert equipo.reported_queue(129.0) == 0.0
+    assert equipo.reported_queue(130.0) == 10.0
 
 
 @given(st.floats(1e3, 1e5), st.floats(100.0, 2000.0))
 @settings(max_examples=200, deadline=None, derandomize=True)
 def test_what_is_due_comes_about_at_that_moment_and_not_for_ever(start: float, over_ms: float) -> None:
-    spec = dataclasses.replace(SPEC, slots=40, choke=dataclasses.replace(CHOKE, over_ms=over_ms))
+    spec = dataclasses.replace(
+        SPEC, concurrency_limit=40, slowdown=dataclasses.replace(CHOKE, trigger_ms=over_ms)
+    )
     equipo = made(spec)
     for number in range(30):
         equipo.arrive(start, Job(number, (100_000.0,)))
-    equipo.tick(equipo.due())
-    assert equipo.choked_ms is not None
+    equipo.tick(equipo.next_due_ms())
+    assert equipo.slowed_since_ms is not None
 
 
 def test_an_equipo_that_fails_answers_its_share_at_once_and_works_on_the_rest() -> None:
     equipo = made(SPEC)
-    equipo.failing = 0.5
+    equipo.forced_error_share = 0.5
     at_once = 0
     for id in range(100):
         acts = equipo.arrive(id * 100.0, Job(id, (10.0,)))
-        at_once += any(isinstance(act, Reply) and act.verdict is JobResult.ERROR for act in acts)
+        at_once += any(isinstance(act, Reply) and act.result is JobResult.ERROR for act in acts)
         play(equipo, id * 100.0 + 99.0)
     assert 30 < at_once < 70
-    assert equipo.done_work > 0.0
+    assert equipo.work_done_ms > 0.0
--- a/tests/lab/test_simulation.py
+++ b/tests/lab/test_simulation.py
@@ -6,7 +6,7 @@
 import subprocess
 import sys
 from pathlib import Path
-from typing import Any, get_args
+from typing import Any
 
 import msgspec
 import pytest
@@ -17,8 +17,10 @@
 from rosewheel.cli.main import main
 from rosewheel.config.checked import ProblemsError
 from rosewheel.lab import invariant_checker, plan, scenario
+from rosewheel.lab.discovery_delays import DiscoveryChange
+from rosewheel.lab.fault_table import ZONE_FAULT_KINDS, FaultKind
 from rosewheel.lab.retry import AttemptOutcome
-from rosewheel.lab.scenario import ZONE_FAULT_KINDS, FaultKind, Scenario
+from rosewheel.lab.scenario import Scenario
 from rosewheel.lab.simulation.clients import SimulatedOperation
 from rosewheel.lab.simulation.discovery import SimulatedRegistry
 from rosewheel.lab.simulation.events import EventQueue
@@ -46,9 +48,9 @@
 ) -> None:
     queue, seen = EventQueue(0.0), []
     for number, (due, off) in enumerate(rows):
-        row = queue.at(float(due), seen.append, (due, number))
+        row = queue.call_at(float(due), seen.append, (due, number))
         if off:
-            queue.off(row)
+            queue.cancel(row)
     for stop in [*sorted(stops), 100]:
         queue.run(float(stop))
         assert all(due <= stop for due, _ in seen)
@@ -58,14 +60,14 @@
 
 def test_a_crowd_that_is_called_off_leaves_the_rest() -> None:
     queue, seen = EventQueue(0.0), []
-    rows = [queue.at(float(at % 7), seen.append, at) for at in range(5000)]
+    rows = [queue.call_at(float(at % 7), seen.append, at) for at in range(5000)]
 
     def call_off() -> None:
         for at, row in enumerate(rows):
             if at % 100:
-                queue.off(row)
+                queue.cancel(row)
 
-    queue.at(0.0, call_off)
+    queue.call_at(0.0, call_off)
     queue.run(10.0)
     # Those of the first moment had happened before.
     late = [at for at in seen if at % 7]
@@ -99,7 +101,7 @@
     one = plan.make(told)
     summary = simulate(one, tmp_path)
     assert summary == {**simulate(one), "wall_s": summary["wall_s"]}
-    assert invariant_checker.check_records(told, tmp_path).row() == summary["rules"]
+    assert invariant_checker.check_records(told, tmp_path).as_record() == summary["rules"]
     assert sum(path.read_bytes().count(b"\n") for path in tmp_path.iterdir()) == summary["records"]
     assert simulate(plan.make(told, 2))["digest"] != summary["digest"]
 
@@ -116,9 +118,7 @@
 
 TROUBLES = st.fixed_dictionaries(
     {
-        "kind": st.sampled_from(
-            [kind for kind in get_args(FaultKind) if kind not in ("faults", *ZONE_FAULT_KINDS)]
-        ),
+        "kind": st.sampled_from([kind for kind in FaultKind if kind not in ("faults", *ZONE_FAULT_KINDS)]),
         "at_s": st.floats(0.5, 5.0),
         "for_s": st.floats(0.2, 4.0),
         "size": st.sampled_from([0.4, 0.9]),
@@ -184,13 +184,13 @@
     assert asked == len(run.plan.arrivals)
     # Nothing is left behind once everybody has an answer and what ran on has ended.
     run.queue.run(run.queue.now + 30_000.0)
-    for node in [*run.world.nodes.values(), *run.world.companions.values()]:
+    for node in [*run.fleet.nodes.values(), *run.fleet.local_nodes.values()]:
         assert node.node.active == 0
-        assert not node.calls
-        assert not node.out
-        assert len(node.links) <= node.most
-    for host in run.world.hosts.values():
-        assert host.model.connected == len(host.links)
+        assert not node.requests
+        assert not node.attempts
+        assert len(node.connections) <= node.max_connections
+    for host in run.fleet.hosts.values():
+        assert host.model.connection_count == len(host.connections)
 
 
 def test_a_node_that_died_while_an_equipo_was_said_to_leave_may_send_there_again() -> None:
@@ -219,13 +219,15 @@
 
 def test_a_node_that_is_deaf_to_a_drain_is_found_out(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(
-        SimulatedNode, "heard", lambda self, form, servers: None if self.pools else plain(self, form, servers)
+        SimulatedNode,
+        "receive_endpoint_list",
+        lambda self, form, servers: None if self.pools else plain(self, form, servers),
     )
     deploy = {"kind": "deploy", "at_s": 1.0, "for_s": 2.0, "size": 0.5, "part": 0.5}
     assert simulate(plan.make(made([deploy], 60.0)))["rules"]["late"]
 
 
-plain = SimulatedNode.heard
+plain = SimulatedNode.receive_endpoint_list
 
 
 def replaced() -> Scenario:
@@ -279,15 +281,15 @@
 
 def test_an_equipo_back_from_a_lost_zone_is_cold_and_told_as_new() -> None:
     told: list[Server] = []
-    plain = SimulatedRegistry.set
+    plain = SimulatedRegistry.update
 
-    def spy(self: SimulatedRegistry, server: Server, change: str) -> None:
+    def spy(self: SimulatedRegistry, server: Server, change: DiscoveryChange) -> None:
         told.append(server)
         plain(self, server, change)
 
     gone = {"kind": "vanish", "at_s": 2.0, "for_s": 1.5, "part": 0.2, "cold": True}
     with pytest.MonkeyPatch.context() as patch:
-        patch.setattr(SimulatedRegistry, "set", spy)
+        patch.setattr(SimulatedRegistry, "update", spy)
         summary = simulate(plan.make(made([gone], 40.0)))
     back = [server for server in told if server.launched_ms]
     assert back
@@ -299,14 +301,14 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     heard: list[float] = []
-    again = SimulatedOperation._again
+    again = SimulatedOperation._schedule_retry
 
     def spy(self: SimulatedOperation, verdict: AttemptOutcome) -> bool:
         if verdict.retry_after_s is not None:
             heard.append(verdict.retry_after_s)
         return again(self, verdict)
 
-    monkeypatch.setattr(SimulatedOperation, "_again", spy)
+    monkeypatch.setattr(SimulatedOperation, "_schedule_retry", spy)
     simulate(plan.make(made([], 900.0)))
     assert any(wait % 1.0 for wait in heard)
     assert all(wait == round(wait, 3) and 0.0 < wait <= 2.0 for wait in heard)
