--- a/tests/policy/test_slow_start.py
+++ b/tests/policy/test_slow_start.py
@@ -27,7 +27,7 @@
 from rosewheel.policy.settings import Settings
 from tests.support.balancers import Bed, sent
 
-RULES = RulesTable(stated_cold_from=0.2, stated_cold_s=10.0, tip_ms=1500.0, tip_multiple=3.0)
+RULES = RulesTable(warm_up_initial_share=0.2, warm_up_s=10.0, overload_window_ms=1500.0, overload_factor=3.0)
 SHORT = settings(max_examples=60, deadline=None, derandomize=True)
 
 # ------------------------------------------------------------------ the count
@@ -55,11 +55,11 @@
 
 def test_a_known_overload_is_counted_and_a_bound_just_met_is_not() -> None:
     one = start()
-    one.sent = [(1000.0 + 5000.0, bound(5000.0), True)]
+    one.arrivals = [(1000.0 + 5000.0, bound(5000.0), True)]
     assert one.overloads(RULES) == ([], 1.0)
-    one.sent = [(1000.0 + 5000.0, bound(5000.0) * 1.001, True)]
+    one.arrivals = [(1000.0 + 5000.0, bound(5000.0) * 1.001, True)]
     [found], most = one.overloads(RULES)
-    assert (found.equipo, found.t, found.told_share) == ("e", 6000.0, 1.0)
+    assert (found.server, found.at_ms, found.informed_share) == ("e", 6000.0, 1.0)
     assert found.allowed == pytest.approx(0.01 * allowed_work_ms(RULES, 3500.0, 5000.0))
     assert most > 1.0
 
@@ -67,35 +67,35 @@
 def test_the_parts_of_a_window_add_up_in_the_order_in_which_they_came_and_no_longer() -> None:
     half = bound(5000.0) * 0.55
     one = start()
-    one.sent = [(6000.0, half, True), (4600.0, half, False)]  # as their jobs ended
+    one.arrivals = [(6000.0, half, True), (4600.0, half, False)]  # as their jobs ended
     [found], _ = one.overloads(RULES)
-    assert found.got == pytest.approx(2.0 * half)
-    assert found.told_share == pytest.approx(0.5)
-    one.sent = [(6000.0, half, True), (4500.0, half, False)]  # a whole window apart
+    assert found.received == pytest.approx(2.0 * half)
+    assert found.informed_share == pytest.approx(0.5)
+    one.arrivals = [(6000.0, half, True), (4500.0, half, False)]  # a whole window apart
     assert one.overloads(RULES)[0] == []
 
 
 def test_nothing_is_allowed_before_the_start_and_all_once_warm() -> None:
     one = start()
-    one.sent = [(1000.0, 2.1, True)]
+    one.arrivals = [(1000.0, 2.1, True)]
     assert len(one.overloads(RULES)[0]) == 1
-    one.sent = [(1000.0 + RULES.stated_cold_s * 1000.0, 500.0, True), (999.0, 500.0, True)]
+    one.arrivals = [(1000.0 + RULES.warm_up_s * 1000.0, 500.0, True), (999.0, 500.0, True)]
     assert one.overloads(RULES) == ([], 0.0)
 
 
 def test_many_small_ones_count_as_few_large_ones() -> None:
     one = start()
-    one.sent = [(6000.0 + at, bound(5000.0) / 100.0, True) for at in range(120)]
+    one.arrivals = [(6000.0 + at, bound(5000.0) / 100.0, True) for at in range(120)]
     assert len(one.overloads(RULES)[0]) == 1
-    one.sent = one.sent[:99]
+    one.arrivals = one.arrivals[:99]
     assert one.overloads(RULES)[0] == []
 
 
 def read(*rows: dict[str, Any]) -> tuple[InvariantChecker, Violations]:
     ledger = InvariantChecker(load("quiet"))
     for row in rows:
-        ledger.take(row)
-    return ledger, ledger.close()
+        ledger.observe(row)
+    return ledger, ledger.finish()
 
 
 def started(t: float) -> dict[str, Any]:
@@ -131,8 +131,8 @@
 
 def test_clients_are_dealt_out_by_the_shares_of_nodes_and_evenly_without() -> None:
     rng, names = np.random.default_rng(3), ["n0", "n1", "n2"]
-    nodes = msgspec.structs.replace(load("quiet").nodes, count=3, shares=(6.0,))
-    got = [weighted_choice(rng, names, nodes.share) for _ in range(4000)]
+    nodes = msgspec.structs.replace(load("quiet").nodes, count=3, client_shares=(6.0,))
+    got = [weighted_choice(rng, names, nodes.client_share) for _ in range(4000)]
     assert [got.count(name) / 4000 for name in names] == pytest.approx([0.75, 0.125, 0.125], abs=0.03)
     got = [weighted_choice(rng, names, None) for _ in range(4000)]
     assert [got.count(name) / 4000 for name in names] == pytest.approx([1 / 3] * 3, abs=0.03)
@@ -188,9 +188,9 @@
     summary = run.run()
     assert summary["rules"]["overloaded"] == []
     assert summary["rules"]["tipped"] == []
-    cold = [spec.name for spec in run.world.specs.values() if run.world.hosts[spec.name].model.started_ms > 0]
+    cold = [spec.name for spec in run.fleet.specs.values() if run.fleet.hosts[spec.name].model.started_ms > 0]
     assert len(cold) >= 5
-    assert all(run.world.hosts[name].model.done_work > 0.0 for name in cold), "none is left idle"
+    assert all(run.fleet.hosts[name].model.work_done_ms > 0.0 for name in cold), "none is left idle"
 
 
 @pytest.mark.parametrize("nodes", [10, 30])
@@ -208,7 +208,9 @@
     def zoned(specs: tuple[ServerSpec, ...]) -> tuple[ServerSpec, ...]:
         return tuple(dataclasses.replace(spec, zone="ab"[at % 5 == 4]) for at, spec in enumerate(specs))
 
-    summary = simulate(dataclasses.replace(one, equipos=zoned(one.equipos), later=zoned(one.later)))
+    summary = simulate(
+        dataclasses.replace(one, servers=zoned(one.servers), deployed_servers=zoned(one.deployed_servers))
+    )
     assert summary["rules"]["overloaded"] == []
     assert summary["rules"]["tipped"] == []
 
@@ -223,10 +225,10 @@
         lambda *_: False,
         random_stream(1, "x"),
     )
-    registry.truth = {"old": Server("old"), "new": Server("new", launched_ms=5.0)}
+    registry.current = {"old": Server("old"), "new": Server("new", launched_ms=5.0)}
     node = Mock()
     node.name = "n7"
-    registry.add(node)
+    registry.add_agent(node)
     assert told == [("n7", "new")]
 
 
@@ -255,10 +257,10 @@
     # the budget of the settings.
     cfg, age = beds[0].balancer.cfg, beds[0].now - cold.launched_ms
     rules = RulesTable(
-        stated_cold_from=cfg.warm_up_initial_share,
-        stated_cold_s=cfg.warm_up_ms / 1000.0,
-        tip_ms=cfg.overload_window_ms,
-        tip_multiple=cfg.overload_factor,
+        warm_up_initial_share=cfg.warm_up_initial_share,
+        warm_up_s=cfg.warm_up_ms / 1000.0,
+        overload_window_ms=cfg.overload_window_ms,
+        overload_factor=cfg.overload_factor,
     )
     able = len(beds) * 3.0 / beds[0].balancer.period_ms / 10.0
     assert 0 < sends <= able * allowed_work_ms(rules, age - cfg.overload_window_ms, age) / 2.0
