--- a/rosewheel/cli/control.py
+++ b/rosewheel/cli/control.py
@@ -1,4 +1,4 @@
-"""`rosewheel control`: the machines that hold the fleet's configuration, and what an operator asks of them."""
+"""`rosewheel control`: runs the machines that hold the fleet's configuration, changes it, and reports on it."""
 
 from __future__ import annotations
 
@@ -41,9 +41,9 @@
 
 @click.group()
 def control() -> None:
-    """The fleet's configuration: machines that hold it, changes, who has what in force, another writer.
+    """The fleet's configuration: its machines, changes, status, and promotion of another writer.
 
-    Exit codes: 0 done, 1 it was not done, 2 bad input (one plain line).
+    Exit codes: 0 done, 1 not done, 2 bad input (one plain line).
     """
 
 
--- a/rosewheel/control/cached_document.py
+++ b/rosewheel/control/cached_document.py
@@ -18,10 +18,10 @@
 
 
 class CachedDocumentFile:
-    """Saves what a subscription has applied, in a thread: requests must not wait for a disk."""
+    """Saves the applied document of a subscription, in a thread: requests must not wait for a disk."""
 
     def __init__(self, path: Path, service: str, subscription: Subscription) -> None:
-        """Set what is saved where.
+        """Set the file and its source.
 
         Args:
             path: The file.
@@ -47,7 +47,7 @@
         self._saved = revision
 
     def save(self) -> None:
-        """Begin to save what is applied now, unless a save is in progress, which then saves it too."""
+        """Begin to save the applied document. A save in progress includes it."""
         if self._task is None or self._task.done():
             self._task = asyncio.get_running_loop().create_task(self._save())
 
--- a/rosewheel/control/codec/values.py
+++ b/rosewheel/control/codec/values.py
@@ -16,7 +16,7 @@
 
 @contextlib.contextmanager
 def malformed_on_error() -> Iterator[None]:
-    """Turn what a missing or mistyped field raises into MalformedMessageError."""
+    """Raise MalformedMessageError in place of the errors of missing and mistyped fields."""
     try:
         yield
     except ControlError:
--- a/rosewheel/control/codec/watch.py
+++ b/rosewheel/control/codec/watch.py
@@ -1,4 +1,4 @@
-"""Targets of watches, lines of a node's watch, and what nodes acknowledge."""
+"""JSON of watches: their targets, the updates of a node's watch, acknowledgements and node statuses."""
 
 from __future__ import annotations
 
--- a/rosewheel/control/documents.py
+++ b/rosewheel/control/documents.py
@@ -42,7 +42,7 @@
 
 
 def document_for_service(document: Document, service: str) -> Document:
-    """Return what concerns a node of this service: the common part with the service's own values over it."""
+    """Return the document of one service: the common part, overridden by the service's own values."""
     common = {key: value for key, value in document.items() if key != "services"}
     services = document.get("services")
     own = services.get(service) if isinstance(services, dict) else None
--- a/rosewheel/control/errors.py
+++ b/rosewheel/control/errors.py
@@ -1,4 +1,4 @@
-"""Errors of the fleet's configuration. Each carries what went wrong as fields; its text is one plain line."""
+"""Errors of the fleet's configuration. Each has the facts as fields; its text is one plain line."""
 
 from __future__ import annotations
 
--- a/rosewheel/control/fleet_report.py
+++ b/rosewheel/control/fleet_report.py
@@ -1,4 +1,4 @@
-"""Report of which nodes have applied what. No I/O and no clock."""
+"""Report of the nodes by the revision that they have applied. No I/O and no clock."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
     """Makes the report of one moment."""
 
     def __init__(self, committed: Revision, now_s: float, age_s: Callable[[int], float]) -> None:
-        """Set what nodes are compared with.
+        """Set the revision and the clocks that nodes are compared with.
 
         Args:
             committed: The revision that nodes are shown.
--- a/rosewheel/control/heartbeats.py
+++ b/rosewheel/control/heartbeats.py
@@ -1,4 +1,4 @@
-"""Heartbeats to the other control machines. The one to the leader also carries what this machine knows of nodes."""
+"""Heartbeats to the other control machines. Those to the leader carry the statuses of nodes too."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 
 class HeartbeatOwner(Protocol):
-    """What heartbeats need of their control machine."""
+    """The control machine that sends heartbeats."""
 
     name: str
     store: Store
--- a/rosewheel/control/http_client.py
+++ b/rosewheel/control/http_client.py
@@ -144,7 +144,7 @@
         return await self._answer
 
     def data_received(self, data: bytes) -> None:
-        """Parse what was received."""
+        """Parse a part of the answer."""
         try:
             self._parser.feed_data(data)
         except httptools.HttpParserError as error:
--- a/rosewheel/control/machine.py
+++ b/rosewheel/control/machine.py
@@ -123,7 +123,7 @@
             self.replication.reconcile()
 
     def _store_changed(self) -> None:
-        """Send what is new to the watches, and report to the leader what is on disk here."""
+        """Send new revisions to the watches, and report this machine's last one to the leader."""
         self.watches.publish()
         if self.replication is not None:
             self.replication.reconcile()
--- a/rosewheel/control/machine_api.py
+++ b/rosewheel/control/machine_api.py
@@ -55,7 +55,7 @@
     """Answers calls; the owner of the connections in the sense of `admin.calls`."""
 
     def __init__(self, parts: MachineParts, process_id: str) -> None:
-        """Set what calls work on.
+        """Set up the routes.
 
         Args:
             parts: Of this machine.
--- a/rosewheel/control/machine_settings.py
+++ b/rosewheel/control/machine_settings.py
@@ -10,7 +10,7 @@
 
 @dataclass(slots=True, frozen=True)
 class MachineSettings:
-    """What a control machine is started with.
+    """Settings that a control machine is started with.
 
     Attributes:
         name: Its name, the same on all machines.
--- a/rosewheel/control/messages.py
+++ b/rosewheel/control/messages.py
@@ -255,7 +255,7 @@
 
 @dataclass(slots=True, frozen=True)
 class FleetReport:
-    """Which nodes have applied what.
+    """The nodes of a fleet by the revision that they have applied.
 
     Attributes:
         nodes: How many nodes are known.
--- a/rosewheel/control/replica.py
+++ b/rosewheel/control/replica.py
@@ -1,4 +1,4 @@
-"""The replication rules between control machines: who leads, which changes are committed, what a follower takes.
+"""The replication rules between control machines: leadership, commitment of changes, and following.
 
 No I/O and no clock. `appended`, `suffix_appended` and `epoch_observed` are called once their records are on disk, and
 nothing is sent to other machines before that.
@@ -221,8 +221,8 @@
     # --------------------------------------------------------------------- following
 
     def log_suffix(self, revision: Revision) -> LogSuffix | None:
-        """Return what a machine lacks whose last revision is given; None where this machine has nothing for it."""
-        # A leader that was replaced must not pass on what only it has.
+        """Return the log after a follower's last revision; None where this machine has nothing newer for it."""
+        # A replaced leader must not pass on its uncommitted changes.
         offered = self.last if self.is_leader else self.committed
         if revision >= offered:
             return None
--- a/rosewheel/control/replication_watch.py
+++ b/rosewheel/control/replication_watch.py
@@ -26,7 +26,7 @@
 
 
 class ReplicationWatch:
-    """Watches the leader, or another follower while the leader can't be reached, and appends what it receives."""
+    """Watches the leader, or another follower while the leader can't be reached, and appends their log."""
 
     def __init__(self, name: str, store: Store, peers: Mapping[str, PeerHeartbeat]) -> None:
         """Start without a watch.
@@ -52,7 +52,7 @@
         return self._source.current
 
     def reconcile(self) -> None:
-        """Watch the machine that is to be watched now. Called after each change of the store, and periodically."""
+        """Open, close or keep the watch. Called after each change of the store, and periodically."""
         if self._closed:
             return
         leader = self._leader
--- a/rosewheel/control/store.py
+++ b/rosewheel/control/store.py
@@ -32,7 +32,7 @@
 
     Attributes:
         log: The log on disk.
-        replica: The state that the log stands for.
+        replica: The state that the log records.
     """
 
     def __init__(self, durable_log: DurableLog, replica: Replica, on_change: Callable[[], None]) -> None:
@@ -160,7 +160,7 @@
     # --------------------------------------------------------------- from other machines
 
     async def append_suffix(self, suffix: LogSuffix) -> None:
-        """Append what another machine sent.
+        """Append another machine's log suffix.
 
         Raises:
             SuffixRejectedError: It must not be appended.
@@ -172,7 +172,7 @@
             if suffix.snapshot is None:
                 await self._append(suffix.changes)
             else:
-                # In one step: a part of the suffix would be less than others rely on.
+                # In one step: other machines count on the complete suffix.
                 await self._rewrite([suffix.snapshot, *suffix.changes, self.replica.epoch_record])
             self.replica.suffix_appended(suffix)
             await self._compact()
--- a/rosewheel/control/subscriber.py
+++ b/rosewheel/control/subscriber.py
@@ -1,8 +1,8 @@
 """The node's side: receives the configuration of the node's service from one control machine and applies it.
 
-It costs a node one open connection, a timer, and a short call for each change. Requests never wait for it: what is
-applied stays applied until the next revision, also while no control machine can be reached, and a node that starts
-begins with the document that it has saved.
+It costs a node one open connection, a timer, and a short call for each change. Requests never wait for it. The applied
+revision stays until the next one, also while no control machine can be reached, and a node starts with its cached
+document.
 """
 
 from __future__ import annotations
--- a/rosewheel/control/subscription.py
+++ b/rosewheel/control/subscription.py
@@ -1,4 +1,4 @@
-"""What a node has received of its configuration, and what it has applied. No I/O and no clock."""
+"""The received and the applied configuration of a node. No I/O and no clock."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class UpdateEffect(Enum):
-    """What a node does with an update that it has received."""
+    """How a node reacts to an update."""
 
     APPLY = auto()  # apply the received document
     SAVE = auto()  # save the new epoch: nothing older may be taken after a restart either
@@ -19,7 +19,7 @@
 
 
 class Subscription:
-    """The state of one node. Later patches are merged into what was received, whether or not it could be applied.
+    """The state of one node. Patches are merged into the received document, whether or not that could be applied.
 
     Attributes:
         received: The last revision that was received.
--- a/rosewheel/control/watches.py
+++ b/rosewheel/control/watches.py
@@ -42,7 +42,7 @@
 
 
 class UpdateEncoder:
-    """Lines of nodes' watches. What is the same for many nodes is made once."""
+    """Encodes the lines of nodes' watches, once for all nodes of the same service and revision."""
 
     def __init__(self, replica: Replica) -> None:
         self._replica = replica
@@ -75,7 +75,7 @@
 
 
 class WatchPublisher:
-    """Sends each watch what it lacks.
+    """Sends changes to all open watches.
 
     Attributes:
         watches: All open watches by their connection.
@@ -128,7 +128,7 @@
             caller.abort()
 
     def publish(self) -> None:
-        """Send what is new to all watches that have started."""
+        """Send new revisions to all watches that have started."""
         for watch in list(self.watches.values()):
             if not watch.is_queued:
                 self._send(watch)
--- a/tests/support/control_machines.py
+++ b/tests/support/control_machines.py
@@ -24,8 +24,8 @@
 
 
 class InterruptibleRoute:
-    """Forwards connections to one address. While it is interrupted nothing passes and no end notices; what was written
-    meanwhile arrives afterwards, as with TCP retransmission."""
+    """Forwards connections to one address. While it is interrupted nothing passes and neither end is notified. Data
+    written meanwhile arrives afterwards, as with TCP retransmission."""
 
     def __init__(self, target: Address) -> None:
         self.target = target
