--- a/rosewheel/control/codec/watch.py
+++ b/rosewheel/control/codec/watch.py
@@ -21,6 +21,7 @@
 from rosewheel.control.revisions import Revision
 
 MAX_NAME_LENGTH = 200  # characters of a node's or service's name
+MAX_NUMBER = 2**63 - 1  # larger ones can't be written to the log or passed on as JSON
 MAX_REASON_LENGTH = 300  # characters; a longer one is cut
 
 
@@ -52,7 +53,8 @@
         MalformedMessageError: A number is none, or a name is too long.
     """
     with malformed_on_error():
-        received = Revision(int(query.get("epoch", 0)), query.get("writer", ""), int(query.get("since", 0)))
+        epoch_number, number = _query_number(query, "epoch"), _query_number(query, "since")
+        received = Revision(epoch_number, query.get("writer", ""), number)
         node, service = query.get("node", ""), query.get("service", "")
         if node:
             _check_names(node, service)
@@ -61,11 +63,18 @@
             peer=query.get("peer", ""),
             node=node,
             service=service,
-            stamp=int(query.get("stamp", 0)),
+            stamp=_query_number(query, "stamp"),
             received_is_applied=query.get("held") == "1",
         )
 
 
+def _query_number(query: Mapping[str, str], key: str) -> int:
+    number = int(query.get(key, 0))
+    if abs(number) > MAX_NUMBER:
+        raise MalformedMessageError(f"{key}: {number} is too large")
+    return number
+
+
 # -------------------------------------------------------------------- lines of a node's watch
 
 
--- a/rosewheel/control/replication_watch.py
+++ b/rosewheel/control/replication_watch.py
@@ -19,7 +19,7 @@
 from rosewheel.control.store import Store
 from rosewheel.control.timer import Timer
 from rosewheel.control.timing import MIN_BACKOFF_SHARE, RECONNECT_BACKOFF_S
-from rosewheel.control.watch_client import make_watcher
+from rosewheel.control.watch_client import make_watch_client
 from rosewheel.discovery.watch_client import WatchClient
 
 log = logging.getLogger("rosewheel.control")
@@ -43,7 +43,7 @@
         self._received: deque[LogSuffix] = deque()
         self._append_task: asyncio.Task[None] | None = None
         self._retry_timer = Timer()
-        self._watcher: WatchClient[LogSuffix] | None = None
+        self._watch_client: WatchClient[LogSuffix] | None = None
         self._closed = False
 
     @property
@@ -78,21 +78,21 @@
         self._source.stop()
         self._received.clear()
         self._retry_timer.cancel()
-        if self._watcher is not None:
-            self._watcher.close()
-            self._watcher = None
+        if self._watch_client is not None:
+            self._watch_client.close()
+            self._watch_client = None
 
     def _open(self, peer: str) -> None:
         self._stop()
         self._source.select(peer, self._loop.time())
-        self._watcher = make_watcher(
+        self._watch_client = make_watch_client(
             self._peers[peer].address,
             self._target,
             decode=decode_log_suffix,
             on_update=self._receive,
             on_failure=self._watch_failed,
         )
-        self._watcher.start()
+        self._watch_client.start()
 
     def _target(self) -> str:
         return encode_watch_target(WatchRequest(self._store.replica.last, peer=self._name))
@@ -118,6 +118,6 @@
                 await self._store.append_suffix(suffix)
             except (SuffixRejectedError, OutOfSequenceError, OSError) as error:
                 log.warning("log suffix rejected: %s, peer=%s", error, self.source)
-                if self._watcher is not None:
-                    self._watcher.close()
+                if self._watch_client is not None:
+                    self._watch_client.close()
                     self._open_later(self.source)
--- a/rosewheel/control/subscriber.py
+++ b/rosewheel/control/subscriber.py
@@ -23,7 +23,7 @@
 from rosewheel.control.revisions import Revision
 from rosewheel.control.subscription import Subscription, UpdateEffect
 from rosewheel.control.timer import Timer
-from rosewheel.control.watch_client import make_watcher
+from rosewheel.control.watch_client import make_watch_client
 from rosewheel.discovery.watch_client import WatchClient
 
 log = logging.getLogger("rosewheel.control")
@@ -84,7 +84,7 @@
         self._return_attempts = 0  # to the preferred machine, since it was lost
         self._closed = False
         self._reopen_timer, self._return_timer = Timer(), Timer()
-        self._watcher: WatchClient[ConfigurationUpdate] | None = None
+        self._watch_client: WatchClient[ConfigurationUpdate] | None = None
 
     def start(self) -> None:
         """Apply the saved document, if it is good, and open a watch."""
@@ -96,8 +96,8 @@
         self._closed = True
         self._reopen_timer.cancel()
         self._return_timer.cancel()
-        if self._watcher is not None:
-            self._watcher.close()
+        if self._watch_client is not None:
+            self._watch_client.close()
         self._acknowledgements.close()
 
     @property
@@ -122,19 +122,18 @@
             return
         address = self.machines[self.selection.current]
         self._acknowledgements.use_machine(address)
-        if self._watcher is None:
-            self._watcher = make_watcher(
+        if self._watch_client is None:
+            self._watch_client = make_watch_client(
                 address,
                 self._target,
                 decode=self._decode,
                 on_update=self._receive,
                 on_failure=self._watch_failed,
             )
-        self._watcher.change_address(address)
-        self._watcher.revision = (
-            0  # the order of revisions is checked here: their numbers do not grow over epochs
-        )
-        self._watcher.start()
+        self._watch_client.change_address(address)
+        # The subscription checks the order of revisions, since their numbers may fall in a later epoch.
+        self._watch_client.revision = 0
+        self._watch_client.start()
         if not self.state.received_is_applied:
             self._acknowledgements.schedule()
         if not self.selection.is_preferred and not self._return_timer.is_running:
--- a/rosewheel/control/watch_client.py
+++ b/rosewheel/control/watch_client.py
@@ -18,14 +18,14 @@
 Update = TypeVar("Update", ConfigurationUpdate, LogSuffix)
 
 
-def make_watcher(
+def make_watch_client(
     address: Address,
     target: Callable[[], str],
     decode: Callable[[JsonObject], Update],
     on_update: Callable[[Update], None],
     on_failure: Callable[[], None],
 ) -> WatchClient[Update]:
-    """Return a watcher with the time limits of control; it is not opened yet.
+    """Return a client with the time limits of control; its watch is not opened yet.
 
     Args:
         address: The control machine.
--- a/tests/control/test_codec.py
+++ b/tests/control/test_codec.py
@@ -2,6 +2,8 @@
 
 from __future__ import annotations
 
+from urllib.parse import parse_qs
+
 import orjson
 import pytest
 
@@ -106,6 +108,16 @@
 )
 def test_watch_targets(request_: WatchRequest, target: str):
     assert watch.encode_watch_target(request_) == target
+    query = {key: values[-1] for key, values in parse_qs(target.partition("?")[2]).items()}
+    assert watch.is_watch_query(query)
+    assert watch.decode_watch_request(query) == request_
+
+
+@pytest.mark.parametrize("key", ["epoch", "since", "stamp"])
+@pytest.mark.parametrize("value", ["x", "", str(2**63), str(-(2**63)), "9" * 5000])
+def test_a_watch_request_with_a_malformed_number_is_refused(key: str, value: str):
+    with pytest.raises(MalformedMessageError):
+        watch.decode_watch_request({"follow": "1", "node": "n1", key: value})
 
 
 def test_updates_of_a_nodes_watch():
