--- a/benchmarks/lists.py
+++ b/benchmarks/lists.py
@@ -22,7 +22,7 @@
 
 from rosewheel.config.platform import Config
 from rosewheel.discovery.endpoint_list import parse_endpoints
-from rosewheel.node.limits import Bounds
+from rosewheel.node.limits import Limits
 from rosewheel.policy.events import EndpointListForm
 from rosewheel.policy.settings import Idempotency, ServiceClass, Settings
 from rosewheel.proxy.proxy import Proxy
@@ -41,7 +41,7 @@
             discovery=("127.0.0.1", 1),
             seed=1,
             settings=Settings(classes=classes, warm_up_initial_share=0.2, warm_up_ms=10_000.0),
-            bounds=Bounds(),
+            bounds=Limits(),
             known={"seq": 0, "hosts": []},
         )
     )
--- a/benchmarks/timers.py
+++ b/benchmarks/timers.py
@@ -14,8 +14,9 @@
 import time
 from collections import deque
 
-from rosewheel.node.core import Dispatch, Node
-from rosewheel.node.limits import Bounds
+from rosewheel.node.core import Node
+from rosewheel.node.effects import StartAttempt
+from rosewheel.node.limits import Limits
 from rosewheel.policy.events import AttemptResult, EndpointListForm, RequestReceived, Server
 from rosewheel.policy.settings import ServiceClass, Settings
 
@@ -44,10 +45,10 @@
 
 def made(kind: type[Node]) -> Node:
     service = ServiceClass("post", latency_objective_ms=2500, deadline_ms=6000)
-    node = kind(Settings(classes=(service,)), Bounds(), 1, 0.0)
+    node = kind(Settings(classes=(service,)), Limits(), 1, 0.0)
     if isinstance(node, Wheel):
         node.slots = {}
-    node.members(0.0, EndpointListForm.SNAPSHOT, tuple(Server(f"s{at}") for at in range(10)))
+    node.update_endpoints(0.0, EndpointListForm.SNAPSHOT, tuple(Server(f"s{at}") for at in range(10)))
     return node
 
 
@@ -57,11 +58,11 @@
     began = time.perf_counter()
     for number in range(requests):
         now += 0.25  # 4,000 requests a second
-        effects = node.request(now, RequestReceived(f"r{number}", "post", now + 6000.0))
-        out.extend((one.id, one.attempt) for one in effects if isinstance(one, Dispatch))
+        effects = node.receive_request(now, RequestReceived(f"r{number}", "post", now + 6000.0))
+        out.extend((one.id, one.attempt) for one in effects if isinstance(one, StartAttempt))
         if len(out) > most:
             id, attempt = out.popleft()
-            node.ended(now, id, attempt, AttemptResult.OK)
+            node.attempt_finished(now, id, attempt, AttemptResult.OK)
         if isinstance(node, Wheel):
             if not number % 64:
                 node.turn(now)
--- a/rosewheel/admin/server.py
+++ b/rosewheel/admin/server.py
@@ -15,26 +15,26 @@
 from typing import Any, Protocol
 from urllib.parse import parse_qs
 
-from rosewheel.admin.calls import Call, Caller, Limits, Reply
+from rosewheel.admin.json_http import ConnectionLimits, JsonConnection, JsonRequest, JsonResponse
 
 log = logging.getLogger("rosewheel.door")
 
-MOST = 12  # connections; their descriptors are part of those that callers and servers never get
-CALL_BYTES = 16 * 1024  # of one call, its body included
-CALL_S = 2.0  # how long a call may take to arrive
-ANSWER_S = 0.9  # and to be answered
-TAKE_S = 2.0  # and its answer to be taken
+MAX_CONNECTIONS = 12  # connections; their descriptors are part of those that callers and servers never get
+MAX_REQUEST_BYTES = 16 * 1024  # of one call, its body included
+RECEIVE_TIMEOUT_S = 2.0  # how long a call may take to arrive
+HANDLER_TIMEOUT_S = 0.9  # and to be answered
+SEND_TIMEOUT_S = 2.0  # and its answer to be taken
 BACKLOG = 256
-LIMITS = Limits(CALL_BYTES, CALL_S, TAKE_S)
+LIMITS = ConnectionLimits(MAX_REQUEST_BYTES, RECEIVE_TIMEOUT_S, SEND_TIMEOUT_S)
 
 
-class Desk(Protocol):
+class AdminBackend(Protocol):
     """What stands behind the door."""
 
     def serving(self) -> bool:
         """Whether this process takes callers."""
 
-    def figures(self) -> dict[str, Any]:
+    def statistics(self) -> dict[str, Any]:
         """The figures of this process, as they are now."""
 
     async def cordon(self, member: str) -> bool:
@@ -44,40 +44,40 @@
     async def uncordon(self, member: str) -> bool:
         """Let it serve again; the same otherwise."""
 
-    def out_by_fleet(self, member: str) -> bool:
+    def cordoned_by_fleet(self, member: str) -> bool:
         """Whether the fleet has taken it out, whatever is said by hand."""
 
 
-async def _health(desk: Desk, _member: str) -> Reply:
-    return Reply(200, {"serving": True}) if desk.serving() else Reply(503, {"serving": False})
+async def _health(desk: AdminBackend, _member: str) -> JsonResponse:
+    return JsonResponse(200, {"serving": True}) if desk.serving() else JsonResponse(503, {"serving": False})
 
 
-async def _stats(desk: Desk, _member: str) -> Reply:
-    return Reply(200, desk.figures())
+async def _stats(desk: AdminBackend, _member: str) -> JsonResponse:
+    return JsonResponse(200, desk.statistics())
 
 
-async def _cordon(desk: Desk, member: str) -> Reply:
+async def _cordon(desk: AdminBackend, member: str) -> JsonResponse:
     known = await desk.cordon(member)
-    return Reply(200, {"member": member, "cordoned": True}) if known else _unknown(member)
+    return JsonResponse(200, {"member": member, "cordoned": True}) if known else _unknown(member)
 
 
-async def _uncordon(desk: Desk, member: str) -> Reply:
+async def _uncordon(desk: AdminBackend, member: str) -> JsonResponse:
     known = await desk.uncordon(member)
     if not known:
         return _unknown(member)
-    if desk.out_by_fleet(member):  # Guards operators: it does not serve yet
-        return Reply(200, {"member": member, "cordoned": True, "by": "fleet"})
-    return Reply(200, {"member": member, "cordoned": False})
+    if desk.cordoned_by_fleet(member):  # Guards operators: it does not serve yet
+        return JsonResponse(200, {"member": member, "cordoned": True, "by": "fleet"})
+    return JsonResponse(200, {"member": member, "cordoned": False})
 
 
-def _unknown(member: str) -> Reply:
-    return Reply(404, {"error": f"no equipo {member[:200]!r} in the list"})
+def _unknown(member: str) -> JsonResponse:
+    return JsonResponse(404, {"error": f"no equipo {member[:200]!r} in the list"})
 
 
 @dataclass(slots=True, frozen=True)
 class _Route:
     method: str
-    call: Callable[[Desk, str], Awaitable[Reply]]
+    call: Callable[[AdminBackend, str], Awaitable[JsonResponse]]
     member: bool = False  # it is about one server, named in the query
 
 
@@ -89,38 +89,38 @@
 }
 
 
-async def reply_to(desk: Desk, method: str, target: str) -> Reply:
+async def respond_to(desk: AdminBackend, method: str, target: str) -> JsonResponse:
     """What a call is told."""
     path, _, query = target.partition("?")
     route = ROUTES.get(path)
     if route is None:
-        return Reply(404, {"error": "no such call; there are " + ", ".join(ROUTES)})
+        return JsonResponse(404, {"error": "no such call; there are " + ", ".join(ROUTES)})
     if method != route.method:
-        return Reply(405, {"error": f"{path} takes {route.method}"}, allow=route.method)
+        return JsonResponse(405, {"error": f"{path} takes {route.method}"}, allow=route.method)
     members = parse_qs(query).get("member", []) if route.member else [""]
     if len(members) != 1 or (route.member and not members[0]):
-        return Reply(400, {"error": f"{path} takes one member=ID"})
+        return JsonResponse(400, {"error": f"{path} takes one member=ID"})
     try:
-        async with asyncio.timeout(ANSWER_S):
+        async with asyncio.timeout(HANDLER_TIMEOUT_S):
             return await route.call(desk, members[0])
     except OSError as error:  # a timeout too
         why = str(error) or "timed out"
         log.error("%s %.200s: %s", method, target, why)
-        return Reply(500, {"error": f"in force here, but not kept for the next process: {why}"})
+        return JsonResponse(500, {"error": f"in force here, but not kept for the next process: {why}"})
 
 
-class Admin:
-    most = MOST
+class AdminServer:
+    max_connections = MAX_CONNECTIONS
 
-    def __init__(self, desk: Desk) -> None:
-        self.desk = desk
+    def __init__(self, desk: AdminBackend) -> None:
+        self.backend = desk
         self.loop = asyncio.get_running_loop()
-        self.callers: dict[Caller, None] = {}  # the longest silent first
+        self.connections: dict[JsonConnection, None] = {}  # the longest silent first
         self._listener: asyncio.Server | None = None
 
     async def start(self, sock: socket.socket) -> None:
         self._listener = await self.loop.create_server(
-            lambda: Caller(self, LIMITS, self.loop), sock=sock, backlog=BACKLOG
+            lambda: JsonConnection(self, LIMITS, self.loop), sock=sock, backlog=BACKLOG
         )
 
     @property
@@ -136,18 +136,20 @@
     def close(self) -> None:
         if self._listener is not None:
             self._listener.close()
-        for caller in list(self.callers):
+        for caller in list(self.connections):
             caller.abort()
 
-    def joined(self, caller: Caller) -> None:
-        self.callers[caller] = None
-        if len(self.callers) > MOST:
-            silent = next((one for one in self.callers if not one.called), next(iter(self.callers)))
+    def connection_opened(self, caller: JsonConnection) -> None:
+        self.connections[caller] = None
+        if len(self.connections) > MAX_CONNECTIONS:
+            silent = next(
+                (one for one in self.connections if not one.request_received), next(iter(self.connections))
+            )
             silent.abort()
-            self.callers.pop(silent, None)  # at once: the next one to join must not count on it again
+            self.connections.pop(silent, None)  # at once: the next one to join must not count on it again
 
-    def left(self, caller: Caller) -> None:
-        self.callers.pop(caller, None)
+    def connection_closed(self, caller: JsonConnection) -> None:
+        self.connections.pop(caller, None)
 
-    async def answer(self, call: Call, caller: Caller) -> Reply:
-        return await reply_to(self.desk, call.method, call.target)
+    async def handle(self, call: JsonRequest, caller: JsonConnection) -> JsonResponse:
+        return await respond_to(self.backend, call.method, call.target)
--- a/rosewheel/config/operator.py
+++ b/rosewheel/config/operator.py
@@ -17,7 +17,7 @@
 from rosewheel.config import platform
 from rosewheel.config.checked import KeyedError, ProblemsError, convert, read
 from rosewheel.config.platform import VARIABLES, Address, Config, ConfigError, Control, parse_address
-from rosewheel.node.limits import Bounds
+from rosewheel.node.limits import Limits
 from rosewheel.policy.settings import (
     DedupScope,
     Idempotency,
@@ -240,16 +240,16 @@
             connect_timeout_ms=self.limits.connect_timeout_ms,
         )
 
-    def bounds(self) -> Bounds:
-        return Bounds(
-            conn_idle_ms=self.limits.connection_idle_ms,
+    def bounds(self) -> Limits:
+        return Limits(
+            idle_timeout_ms=self.limits.connection_idle_ms,
             connect_timeout_ms=self.limits.connect_timeout_ms,
-            drain_grace_ms=self.routing.drain_grace_ms,
-            max_open=self.limits.max_open,
-            second_copies=self.routing.second_copies,
-            may_probe=self.routing.probes,
-            sockets=platform.descriptors(self.limits.sockets),
-            memory_mb=self.limits.memory_mb,
+            drain_notice_ms=self.routing.drain_grace_ms,
+            max_open_requests=self.limits.max_open,
+            hedging_allowed=self.routing.second_copies,
+            health_checks_allowed=self.routing.probes,
+            max_sockets=platform.descriptors(self.limits.sockets),
+            memory_limit_mb=self.limits.memory_mb,
         )
 
 
@@ -291,7 +291,7 @@
 ANY_NODE = {"node": {"listen": "127.0.0.1:1"}, "discovery": {"address": "127.0.0.1:1"}}
 
 
-def tuned(base: Operator | Mapping[str, Any], document: Any) -> tuple[Settings, Bounds]:
+def tuned(base: Operator | Mapping[str, Any], document: Any) -> tuple[Settings, Limits]:
     """The settings and bounds of a node with this file of its own under a document for all nodes: the file's tables
     `limits`, `routing`, `class` and `tenant`, and `cordons`. What the document leaves out is as the file has it. The
     file may be given as plain tables, also without those that every file needs. Raises ValueError: one plain line
--- a/rosewheel/config/platform.py
+++ b/rosewheel/config/platform.py
@@ -10,7 +10,7 @@
 
 import orjson
 
-from rosewheel.node.limits import Bounds
+from rosewheel.node.limits import Limits
 from rosewheel.policy.settings import Settings
 from rosewheel.policy.settings_codec import flag, settings_from, table
 
@@ -44,7 +44,7 @@
     discovery: Address
     seed: int
     settings: Settings
-    bounds: Bounds
+    bounds: Limits
     known: dict[str, Any]  # the server list as last had, in discovery's form
     ops: Address | None = None  # where operators call; without it there is no such door
     inherited: int | None = None  # the descriptor of a listening socket that the platform holds
@@ -105,14 +105,14 @@
     asked = settings_from(settings)
     allowed, rules, limits = table(settings, "bounds"), table(settings, "invariants"), table(row, "limits")
     given = {
-        "conn_idle_ms": _number(allowed, "connIdleMs"),
+        "idle_timeout_ms": _number(allowed, "connIdleMs"),
         "connect_timeout_ms": _number(allowed, "connectTimeoutMs"),
-        "drain_grace_ms": _number(rules, "drainGraceMs"),
-        "max_open": _whole(allowed, "maxOpen"),
-        "second_copies": flag(allowed, "secondCopies"),
-        "may_probe": flag(allowed, "mayProbe"),
-        "memory_mb": _number(limits, "memory_mb"),
-        "sockets": descriptors(_whole(limits, "sockets") or 1024),
+        "drain_notice_ms": _number(rules, "drainGraceMs"),
+        "max_open_requests": _whole(allowed, "maxOpen"),
+        "hedging_allowed": flag(allowed, "secondCopies"),
+        "health_checks_allowed": flag(allowed, "mayProbe"),
+        "memory_limit_mb": _number(limits, "memory_mb"),
+        "max_sockets": descriptors(_whole(limits, "sockets") or 1024),
     }
     known = row.get("known") or {"seq": 0, "hosts": []}
     if not isinstance(known, dict):
@@ -123,7 +123,7 @@
         discovery=_address(row, "discovery"),
         seed=_seed(row.get("seed")),
         settings=asked,
-        bounds=Bounds(**{key: value for key, value in given.items() if value is not None}),  # type: ignore[arg-type]
+        bounds=Limits(**{key: value for key, value in given.items() if value is not None}),  # type: ignore[arg-type]
         known=known,
         ops=_address(row, "ops") if row.get("ops") else None,
         inherited=inherited,
--- a/rosewheel/control/machine.py
+++ b/rosewheel/control/machine.py
@@ -7,7 +7,7 @@
 import os
 import socket
 
-from rosewheel.admin.calls import Caller
+from rosewheel.admin.json_http import JsonConnection
 from rosewheel.control.durable_log import DurableLog
 from rosewheel.control.heartbeats import PeerHeartbeat
 from rosewheel.control.machine_api import CALL_LIMITS, MachineApi
@@ -85,8 +85,8 @@
         host, port = self.settings.listen
         return await self._loop.create_server(self._accept, host, port, backlog=LISTEN_BACKLOG)
 
-    def _accept(self) -> Caller:
-        return Caller(self._api, CALL_LIMITS, self._loop)
+    def _accept(self) -> JsonConnection:
+        return JsonConnection(self._api, CALL_LIMITS, self._loop)
 
     @property
     def port(self) -> int:
--- a/rosewheel/control/machine_api.py
+++ b/rosewheel/control/machine_api.py
@@ -9,7 +9,7 @@
 
 import orjson
 
-from rosewheel.admin.calls import Call, Caller, Limits, Reply
+from rosewheel.admin.json_http import ConnectionLimits, JsonConnection, JsonRequest, JsonResponse
 from rosewheel.control.codec import calls as codec
 from rosewheel.control.codec import paths
 from rosewheel.control.codec.status import decode_all_nodes, decode_local_only
@@ -43,16 +43,18 @@
 log = logging.getLogger("rosewheel.control")
 
 # A call carries a change, or a batch of statuses: those of all 540 nodes are 120 kB.
-CALL_LIMITS = Limits(call_bytes=4 * MAX_DOCUMENT_BYTES, call_s=5.0, take_s=5.0, idle_s=30.0)
+CALL_LIMITS = ConnectionLimits(
+    max_request_bytes=4 * MAX_DOCUMENT_BYTES, receive_timeout_s=5.0, send_timeout_s=5.0, idle_timeout_s=30.0
+)
 
 
 class _Route(NamedTuple):
     method: str
-    handler: Callable[[JsonObject], Awaitable[Reply]]
+    handler: Callable[[JsonObject], Awaitable[JsonResponse]]
 
 
 class MachineApi:
-    """Answers calls; the owner of the connections in the sense of `admin.calls`."""
+    """Answers calls; the handler of its connections."""
 
     def __init__(self, parts: MachineParts, process_id: str) -> None:
         """Set up the routes.
@@ -64,7 +66,7 @@
         self._process_id = process_id
         self._settings, self._store, self._nodes = parts.settings, parts.store, parts.nodes
         self._watches, self._peers, self._clock = parts.watches, parts.peers, parts.clock
-        self._callers: dict[Caller, None] = {}
+        self._callers: dict[JsonConnection, None] = {}
         self._status_reporter = StatusReporter(parts)
         self._promotion = Promotion(parts)
         self._routes = {
@@ -86,18 +88,18 @@
 
     # -------------------------------------------------------------------- connections
 
-    def joined(self, caller: Caller) -> None:
+    def connection_opened(self, caller: JsonConnection) -> None:
         """A connection was opened."""
         self._callers[caller] = None
 
-    def left(self, caller: Caller) -> None:
+    def connection_closed(self, caller: JsonConnection) -> None:
         """A connection has ended."""
         self._callers.pop(caller, None)
         node = self._watches.closed(caller)
         if node:
             self._nodes.disconnected(node, self._settings.name, self._clock.time())
 
-    async def answer(self, call: Call, caller: Caller) -> Reply | None:
+    async def handle(self, call: JsonRequest, caller: JsonConnection) -> JsonResponse | None:
         """Return the answer to a call; None where the connection has become a watch."""
         path, _, query_text = call.target.partition("?")
         route = self._routes.get(path)
@@ -105,7 +107,7 @@
             return _error_reply(404, "no such call; there are " + ", ".join(self._routes))
         if call.method != route.method:
             error = ErrorAnswer(f"{path} takes {route.method}")
-            return Reply(405, codec.encode_error(error), allow=route.method)
+            return JsonResponse(405, codec.encode_error(error), allow=route.method)
         query = {key: values[-1] for key, values in parse_qs(query_text, keep_blank_values=True).items()}
         try:
             if path == paths.CONFIG_PATH and is_watch_query(query):
@@ -125,16 +127,16 @@
             log.error("call failed: %s, path=%s", error, path)
             return _error_reply(500, f"{self._settings.name} can't keep it: {error}")
 
-    def _not_leader_reply(self, error: NotLeaderError) -> Reply:
+    def _not_leader_reply(self, error: NotLeaderError) -> JsonResponse:
         leader = self._store.replica.highest_epoch_seen.leader
         address = ""
         if leader in self._settings.peers:
             address = "{}:{}".format(*self._settings.peers[leader])
-        return Reply(409, codec.encode_error(ErrorAnswer(str(error), leader, address)))
+        return JsonResponse(409, codec.encode_error(ErrorAnswer(str(error), leader, address)))
 
     # ------------------------------------------------------------------- nodes, machines
 
-    async def _open_watch(self, request: WatchRequest, caller: Caller) -> Reply | None:
+    async def _open_watch(self, request: WatchRequest, caller: JsonConnection) -> JsonResponse | None:
         if request.peer not in self._settings.peers and not request.node:
             return _error_reply(400, "who follows? node=NAME")
         # A caller that has seen a later epoch makes it known here.
@@ -155,7 +157,7 @@
         else:
             self._nodes.connected(request.node, request.service, machine, request.stamp, now_s)
 
-    async def _acknowledge(self, row: JsonObject) -> Reply:
+    async def _acknowledge(self, row: JsonObject) -> JsonResponse:
         now_s = self._clock.time()
         for acknowledgement in decode_acknowledgements(row):
             status = NodeStatus(
@@ -169,9 +171,9 @@
                 connected=acknowledgement.node in self._watches.connection_by_node,
             )
             self._nodes.record(status, now_s)
-        return Reply(200, {})
+        return JsonResponse(200, {})
 
-    async def _heartbeat(self, row: JsonObject) -> Reply:
+    async def _heartbeat(self, row: JsonObject) -> JsonResponse:
         heartbeat = codec.decode_heartbeat(row)
         peer = self._peers.get(heartbeat.machine)
         if peer is None:
@@ -181,13 +183,13 @@
         now_s = self._clock.time()
         for status in heartbeat.node_statuses or ():
             self._nodes.record(status, now_s)
-        return Reply(200, codec.encode_machine_state(self._state()))
+        return JsonResponse(200, codec.encode_machine_state(self._state()))
 
-    async def _fence(self, row: JsonObject) -> Reply:
+    async def _fence(self, row: JsonObject) -> JsonResponse:
         epoch = codec.decode_fence(row)
         await self._store.observe_epoch(epoch)
         is_fenced = self._store.replica.highest_epoch_seen == epoch
-        return Reply(200, codec.encode_fence_answer(self._state(is_fenced)))
+        return JsonResponse(200, codec.encode_fence_answer(self._state(is_fenced)))
 
     def _state(self, is_fenced: bool = False) -> MachineState:
         replica = self._store.replica
@@ -197,30 +199,30 @@
 
     # ------------------------------------------------------------------------- operators
 
-    async def _config(self, query: JsonObject) -> Reply:
+    async def _config(self, query: JsonObject) -> JsonResponse:
         replica = self._store.replica
         document = replica.committed_document
         if service := codec.decode_config_service(query):
             document = document_for_service(document, service)
-        return Reply(200, codec.encode_configuration(replica.committed, document))
+        return JsonResponse(200, codec.encode_configuration(replica.committed, document))
 
-    async def _put(self, row: JsonObject) -> Reply:
+    async def _put(self, row: JsonObject) -> JsonResponse:
         request = codec.decode_put(row)
         validate_patch(request.patch)
         return await self._change_reply(await self._store.put(request))
 
-    async def _rollback(self, row: JsonObject) -> Reply:
+    async def _rollback(self, row: JsonObject) -> JsonResponse:
         return await self._change_reply(await self._store.rollback(codec.decode_rollback(row)))
 
-    async def _change_reply(self, change: Change | None) -> Reply:
+    async def _change_reply(self, change: Change | None) -> JsonResponse:
         if change is None:
             answer = ChangeAnswer(self._store.replica.last, changed=False)
         else:
             await self._store.wait_committed(change.revision, COMMIT_TIMEOUT_S)
             answer = ChangeAnswer(change.revision, changed=True)
-        return Reply(200, codec.encode_change_answer(answer))
+        return JsonResponse(200, codec.encode_change_answer(answer))
 
-    async def _history(self, query: JsonObject) -> Reply:
+    async def _history(self, query: JsonObject) -> JsonResponse:
         limit = codec.decode_history_limit(query)
         history = self._store.replica.history
         answer = HistoryAnswer(
@@ -228,16 +230,16 @@
             oldest=history.snapshot.revision.number,
             changes=tuple(reversed(history.changes[-limit:])),
         )
-        return Reply(200, codec.encode_history(answer))
+        return JsonResponse(200, codec.encode_history(answer))
 
-    async def _status(self, query: JsonObject) -> Reply:
-        return Reply(
+    async def _status(self, query: JsonObject) -> JsonResponse:
+        return JsonResponse(
             200, await self._status_reporter.answer(decode_local_only(query), decode_all_nodes(query))
         )
 
-    async def _promote(self, row: JsonObject) -> Reply:
+    async def _promote(self, row: JsonObject) -> JsonResponse:
         answer = await self._promotion.run(codec.decode_promote(row))
-        return Reply(200, codec.encode_change_answer(answer))
+        return JsonResponse(200, codec.encode_change_answer(answer))
 
 
 def _json_object(body: bytes) -> JsonObject:
@@ -247,5 +249,5 @@
     return row
 
 
-def _error_reply(status: int, text: str, current: int | None = None) -> Reply:
-    return Reply(status, codec.encode_error(ErrorAnswer(text, current=current)))
+def _error_reply(status: int, text: str, current: int | None = None) -> JsonResponse:
+    return JsonResponse(status, codec.encode_error(ErrorAnswer(text, current=current)))
--- a/rosewheel/control/watches.py
+++ b/rosewheel/control/watches.py
@@ -5,7 +5,7 @@
 import asyncio
 from dataclasses import dataclass
 
-from rosewheel.admin.calls import Caller, chunk
+from rosewheel.admin.json_http import JsonConnection, encode_chunk
 from rosewheel.control.codec.log_records import encode_log_suffix
 from rosewheel.control.codec.watch import encode_update
 from rosewheel.control.connection_pacer import ConnectionPacer
@@ -15,7 +15,7 @@
 from rosewheel.control.revisions import Revision
 from rosewheel.control.timing import KEEPALIVE_INTERVAL_S
 
-KEEPALIVE = chunk(b"\n")
+KEEPALIVE = encode_chunk(b"\n")
 TCP_USER_TIMEOUT_S = 10.0  # unacknowledged data for so long: the other end's machine is gone without a word
 MAX_UNSENT_BYTES = 4 << 20  # a watch that reads more slowly is closed
 
@@ -33,7 +33,7 @@
         is_queued: It waits for its start.
     """
 
-    caller: Caller
+    caller: JsonConnection
     sent: Revision
     service: str = ""
     node: str = ""
@@ -60,7 +60,7 @@
         key = service, sent
         if key not in self._lines:
             update = self._update(service, sent, committed)
-            self._lines[key] = chunk(encode_update(update) + b"\n")
+            self._lines[key] = encode_chunk(encode_update(update) + b"\n")
         return self._lines[key]
 
     def _update(self, service: str, sent: Revision, committed: Revision) -> ConfigurationUpdate:
@@ -83,8 +83,8 @@
     """
 
     def __init__(self, replica: Replica, loop: asyncio.AbstractEventLoop) -> None:
-        self.watches: dict[Caller, Watch] = {}
-        self.connection_by_node: dict[str, Caller] = {}
+        self.watches: dict[JsonConnection, Watch] = {}
+        self.connection_by_node: dict[str, JsonConnection] = {}
         self._replica, self._loop = replica, loop
         self._pacer = ConnectionPacer()
         self._encoder = UpdateEncoder(replica)
@@ -96,8 +96,8 @@
         self.watches[caller] = watch
         if watch.node:
             self.connection_by_node[watch.node] = caller
-        caller.stream()
-        caller.unheard_after(TCP_USER_TIMEOUT_S)
+        caller.start_stream()
+        caller.set_acknowledgement_timeout(TCP_USER_TIMEOUT_S)
         caller.write(KEEPALIVE)
         wait_s = 0.0 if watch.peer else self._pacer.reserve(self._loop.time())
         if wait_s > 0.0:
@@ -109,7 +109,7 @@
         watch.is_queued = False
         self._send(watch)
 
-    def closed(self, caller: Caller) -> str:
+    def closed(self, caller: JsonConnection) -> str:
         """A connection has ended.
 
         Returns:
@@ -145,13 +145,13 @@
     def _send_suffix(self, watch: Watch) -> None:
         suffix = self._replica.log_suffix(watch.sent)
         if suffix is not None:
-            watch.caller.write(chunk(encode_log_suffix(suffix) + b"\n"))
+            watch.caller.write(encode_chunk(encode_log_suffix(suffix) + b"\n"))
             watch.sent = suffix.last
 
     def _send_keepalives(self) -> None:
         self._timer = self._loop.call_later(KEEPALIVE_INTERVAL_S, self._send_keepalives)
         for caller in list(self.watches):
-            if caller.unsent > MAX_UNSENT_BYTES:
+            if caller.unsent_bytes > MAX_UNSENT_BYTES:
                 caller.abort()
             else:
                 caller.write(KEEPALIVE)
--- a/rosewheel/hot_restart/migration.py
+++ b/rosewheel/hot_restart/migration.py
@@ -100,7 +100,7 @@
     def _detach_response(self, caller: DownstreamConnection, done: OnDetached) -> bool:
         """Both ends at once: neither is read or written from here on."""
         relay, call = self.relay, caller.active_request
-        passing = relay.node.passing(call.id) if call is not None else None
+        passing = relay.node.response_in_progress(call.id) if call is not None else None
         if call is None or passing is None:
             return False
         service, server, attempt = passing
@@ -127,7 +127,7 @@
         relay, out, back = self.relay, ends["caller"], ends["equipo"]
         if isinstance(out, callers.DetachedDownstream) and isinstance(back, equipos.DetachedUpstream):
             relay.calls.pop(id, None)
-            relay.apply(relay.node.handed(time.monotonic() * 1000.0, id))
+            relay.apply(relay.node.response_migrated(time.monotonic() * 1000.0, id))
             state = {
                 "id": id,
                 "service": service,
@@ -142,7 +142,7 @@
         close_descriptors([end.fd for end in (out, back) if end is not None])
         call = relay.calls.pop(id, None)
         if call is not None:
-            relay.apply(relay.node.client_gone(time.monotonic() * 1000.0, id))
+            relay.apply(relay.node.client_disconnected(time.monotonic() * 1000.0, id))
         done(None)
 
     # --------------------------------------------------------------- going on
@@ -158,7 +158,7 @@
             return "no room"
         if item.kind == EQUIPO and not relay.upstream.accepts_idle(item.state):
             return "no use for it"
-        if item.kind == PASSAGE and item.state["id"] in relay.node.open:
+        if item.kind == PASSAGE and item.state["id"] in relay.node.requests:
             return "its request can't be open here"
         return ""
 
@@ -196,7 +196,9 @@
         relay, state = self.relay, item.state
         id = str(state["id"])
         caller = self._caller(state["caller"], item.held, kept)
-        if not relay.node.adopt(time.monotonic() * 1000.0, id, str(state["service"]), state["server"]):
+        if not relay.node.adopt_response(
+            time.monotonic() * 1000.0, id, str(state["service"]), state["server"]
+        ):
             raise ValueError(f"{id} is open here already")
         conn: equipos.UpstreamConnection | None = None
 
--- a/rosewheel/hot_restart/service.py
+++ b/rosewheel/hot_restart/service.py
@@ -188,7 +188,7 @@
         if not links:
             self.moves.relay.sibling_loads({})
             return
-        loads = self.moves.relay.node.loads
+        loads = self.moves.relay.node.server_loads
         if len(loads) > MOST_TOLD:
             loads = dict(sorted(loads.items(), key=lambda row: -row[1])[:MOST_TOLD])
         for link in links:
--- a/rosewheel/http/upstream_pool.py
+++ b/rosewheel/http/upstream_pool.py
@@ -20,8 +20,8 @@
     UpstreamEndpoint,
     parse_load_report,
 )
-from rosewheel.node.idle_timeout import Rest
-from rosewheel.node.limits import Bounds
+from rosewheel.node.idle_timeout import IdleTimeout
+from rosewheel.node.limits import Limits
 from rosewheel.policy.events import AttemptResult, Server, ServerState
 
 log = logging.getLogger("rosewheel.equipos")
@@ -49,7 +49,7 @@
 class UpstreamPool:
     def __init__(
         self,
-        bounds: Bounds,
+        bounds: Limits,
         descriptor_available: Callable[[], bool],
         on_attempt_ended: AttemptEndedCallback,
         on_health_checked: HealthCheckedCallback,
@@ -72,7 +72,7 @@
         # without a look at pools, of which there may be thousands.
         self.idle_connections: dict[UpstreamConnection, None] = {}
         self.open_count = self.connecting_count = 0  # connections, and those that are coming up
-        self.idle_timeout = Rest(bounds.conn_idle_ms / 1000.0, large_fleet)
+        self.idle_timeout = IdleTimeout(bounds.idle_timeout_ms / 1000.0, large_fleet)
         self.invalid_response_count, self.last_invalid_response = (
             0,
             "",
@@ -80,10 +80,10 @@
         self.loop = asyncio.get_running_loop()
         self._sweep_timer = self.loop.call_later(SWEEP_INTERVAL_S, self._sweep)
 
-    def configure(self, bounds: Bounds, large_fleet: bool) -> None:
+    def configure(self, bounds: Limits, large_fleet: bool) -> None:
         """These hold from now on; a connection that is coming up keeps the time that it had for that."""
         self.bounds = bounds
-        self.idle_timeout.configure(bounds.conn_idle_ms / 1000.0, large_fleet)
+        self.idle_timeout.configure(bounds.idle_timeout_ms / 1000.0, large_fleet)
 
     # ----------------------------------------------------------------- servers
 
@@ -210,7 +210,7 @@
                 exchange.connection.close()
             done(AttemptResult.TIMEOUT, None, b"")
 
-        timer = self.loop.call_later(self.bounds.probe_timeout_ms / 1000.0, expired)
+        timer = self.loop.call_later(self.bounds.health_check_timeout_ms / 1000.0, expired)
         self._send_or_connect(host, exchange)
 
     def _send_or_connect(self, host: str, exchange: Exchange) -> None:
@@ -222,7 +222,7 @@
             if conn.idle_since_s > rested:
                 continue
             self.remove_idle(conn)
-            if now - conn.idle_since_s < self.idle_timeout.reusable_s and conn.is_usable():
+            if now - conn.idle_since_s < self.idle_timeout.reusable_for_s and conn.is_usable():
                 conn.send(exchange)
                 return
             conn.close()
@@ -263,7 +263,7 @@
         rested goes with it, so that the other process lets it settle."""
         now = self.loop.time()
         for conn in reversed(self.idle_connections):
-            if now - conn.idle_since_s >= self.idle_timeout.reusable_s:
+            if now - conn.idle_since_s >= self.idle_timeout.reusable_for_s:
                 break
             if self._accepts_requests(conn.endpoint.host) and conn.is_usable():
                 self.remove_idle(conn)
@@ -289,7 +289,7 @@
         theirs, ours = state["launched"], pool.launched_ms
         if (theirs is None) is not (ours is None) or (ours and abs(theirs - ours) > START_TIME_TOLERANCE_MS):
             return False
-        return float(state["rested_s"]) < self.idle_timeout.limit_s
+        return float(state["rested_s"]) < self.idle_timeout.close_after_s
 
     async def adopt_idle(self, sock: socket.socket, state: dict[str, Any]) -> None:
         pool = self.endpoints.get(state["host"])
@@ -327,16 +327,18 @@
 
     def record_stale(self, idle_s: float) -> None:
         """A connection that had rested for so long was of no use, and only the request found out."""
-        if self.idle_timeout.stale(self.loop.time(), idle_s):
-            log.info("connections go stale: they may rest for %.3f s from now on", self.idle_timeout.usable_s)
+        if self.idle_timeout.stale_connection_found(self.loop.time(), idle_s):
+            log.info(
+                "connections go stale: they may rest for %.3f s from now on", self.idle_timeout.stale_limit_s
+            )
 
     def record_rejection(self) -> None:
         """A new connection's first request was turned away."""
-        self.idle_timeout.refused(self.loop.time())
+        self.idle_timeout.new_connection_refused(self.loop.time())
 
     def restore_idle_limit(self, idle_limit_s: float) -> None:
         """What an earlier process had been taught of connections that go stale."""
-        self.idle_timeout.recall(self.loop.time(), idle_limit_s)
+        self.idle_timeout.restore_stale_limit(self.loop.time(), idle_limit_s)
 
     @property
     def descriptor_count(self) -> int:
@@ -365,7 +367,7 @@
             conn.idle_since_s = self.loop.time()
             conn.endpoint.idle_connections.append(conn)
             self.idle_connections[conn] = None
-            if len(conn.endpoint.idle_connections) > max(2, self.bounds.sockets // MAX_IDLE_DIVISOR):
+            if len(conn.endpoint.idle_connections) > max(2, self.bounds.max_sockets // MAX_IDLE_DIVISOR):
                 oldest = conn.endpoint.idle_connections[0]
                 self.remove_idle(oldest)
                 oldest.close()
@@ -385,8 +387,8 @@
         for exchange in list(self.exchanges.values()):
             if exchange.connection is not None and not exchange.request_sent:
                 exchange.connection.fail_if_write_stalled()
-        self.idle_timeout.forget(self.loop.time())
-        oldest = self.loop.time() - self.idle_timeout.limit_s
+        self.idle_timeout.relax(self.loop.time())
+        oldest = self.loop.time() - self.idle_timeout.close_after_s
         for conn in list(
             itertools.takewhile(lambda conn: conn.idle_since_s <= oldest, self.idle_connections)
         ):
--- a/rosewheel/lab/simulation/discovery.py
+++ b/rosewheel/lab/simulation/discovery.py
@@ -13,10 +13,10 @@
 from rosewheel.lab.simulation.events import EventQueue
 from rosewheel.lab.simulation.network import ONE_WAY_MS
 from rosewheel.lab.simulation.node import SimulatedNode
-from rosewheel.node.limits import Bounds
+from rosewheel.node.limits import Limits
 from rosewheel.policy.events import EndpointListForm, Server, ServerState
 
-DRAIN_GRACE_MS = Bounds().drain_grace_ms
+DRAIN_GRACE_MS = Limits().drain_notice_ms
 
 OnNotified = Callable[[str, Server], None]
 
--- a/rosewheel/lab/simulation/fleet.py
+++ b/rosewheel/lab/simulation/fleet.py
@@ -25,7 +25,7 @@
 from rosewheel.lab.simulation.node import NodeRequest, SimulatedNode
 from rosewheel.lab.simulation.outages import ZoneOutages
 from rosewheel.lab.simulation.topology import Topology
-from rosewheel.node.limits import Bounds
+from rosewheel.node.limits import Limits
 from rosewheel.policy.events import AttemptResult, Server, ServerState
 from rosewheel.policy.settings import Idempotency, Settings
 from rosewheel.policy.settings_codec import settings_from
@@ -73,12 +73,12 @@
         self._noise = random_stream(plan.seed, "run", "noise")
         self._calls = random_stream(plan.seed, "run", "calls")
         self._settings: dict[tuple[int, int, str], Settings] = {}
-        self._bounds = Bounds(
-            conn_idle_ms=30000.0,
-            second_copies=scenario.nodes.hedged_requests,
-            may_probe=True,
-            sockets=scenario.nodes.sockets,
-            memory_mb=scenario.nodes.memory_mb,
+        self._bounds = Limits(
+            idle_timeout_ms=30000.0,
+            hedging_allowed=scenario.nodes.hedged_requests,
+            health_checks_allowed=True,
+            max_sockets=scenario.nodes.sockets,
+            memory_limit_mb=scenario.nodes.memory_mb,
         )
         self._next = 0
         self._processes = 0
@@ -453,7 +453,9 @@
         if old.dead:
             return
         self.write("run", {"e": "killed", "t": self.plan_time(), "node": name})
-        learned = old.node.learned(self.queue.now) if self.plan.scenario.nodes.keep_learned_state else None
+        learned = (
+            old.node.learned_state(self.queue.now) if self.plan.scenario.nodes.keep_learned_state else None
+        )
         old.kill()
         self.registries[0].remove_agent(old)
         front.node_changed(name)
@@ -475,9 +477,9 @@
             return
         new = self._front_node(name)
         if self.plan.scenario.nodes.keep_learned_state:
-            new.restore(old.node.learned(self.queue.now), 0.0)
+            new.restore(old.node.learned_state(self.queue.now), 0.0)
         for one in (old, new):
-            one.apply(one.node.company(self.queue.now, 2))
+            one.apply(one.node.process_count_changed(self.queue.now, 2))
         self.queue.call_later(UPGRADE_OVERLAP_MS, self._upgraded, name, old, new)
 
     def _upgraded(self, name: str, old: SimulatedNode, new: SimulatedNode) -> None:
@@ -485,7 +487,7 @@
             new.kill()
             return
         self.nodes[name] = new
-        new.apply(new.node.company(self.queue.now, 1))
+        new.apply(new.node.process_count_changed(self.queue.now, 1))
         self.write("run", {"e": "back", "t": self.plan_time(), "node": name})
 
     # ---------------------------------------------------------------- records
--- a/rosewheel/lab/simulation/node.py
+++ b/rosewheel/lab/simulation/node.py
@@ -22,17 +22,17 @@
 from rosewheel.lab.simulation.host import Report, SimulatedServerHost
 from rosewheel.lab.simulation.network import ONE_WAY_MS, Attempt, Connection, ConnectionPool
 from rosewheel.lab.simulation.topology import Topology
-from rosewheel.node.core import (
-    Abort,
-    Answer,
-    Dispatch,
-    Effect,
-    Node,
-    StartProbe,
-    StartWatch,
+from rosewheel.node.core import Node
+from rosewheel.node.effects import (
+    AbortAttempt,
+    NodeEffect,
+    OpenEndpointWatch,
+    SendResponse,
+    StartAttempt,
+    StartHealthCheck,
 )
-from rosewheel.node.idle_timeout import Rest
-from rosewheel.node.limits import Bounds
+from rosewheel.node.idle_timeout import IdleTimeout
+from rosewheel.node.limits import Limits
 from rosewheel.policy.balancer import FEW
 from rosewheel.policy.events import AttemptResult, EndpointListForm, RequestReceived, Server, ServerState
 from rosewheel.policy.learned_state import Learned
@@ -67,7 +67,7 @@
 
 class SimulatedNode:
     def __init__(
-        self, world: NodeEnvironment, name: str, tier: int, settings: Settings, bounds: Bounds, seed: int
+        self, world: NodeEnvironment, name: str, tier: int, settings: Settings, bounds: Limits, seed: int
     ) -> None:
         self.environment, self.name, self.tier, self.bounds = world, name, tier, bounds
         self.queue, self.zone = world.queue, settings.zone
@@ -78,8 +78,8 @@
         self.connections: dict[Connection, None] = {}
         self.attempts: dict[tuple[str, int], Attempt] = {}
         self.connecting = 0  # connections that are coming up
-        self.max_connections = max(8, bounds.sockets - RESERVED_DESCRIPTORS)
-        self.idle_timeout = Rest(bounds.conn_idle_ms / 1000.0, settings.balancer_count > FEW)
+        self.max_connections = max(8, bounds.max_sockets - RESERVED_DESCRIPTORS)
+        self.idle_timeout = IdleTimeout(bounds.idle_timeout_ms / 1000.0, settings.balancer_count > FEW)
         self.dead = False
         self._armed = math.inf
         self.queue.call_later(SWEEP_INTERVAL_S * 1000.0, self._sweep)
@@ -99,7 +99,9 @@
         give_up = self.queue.now + max(1.0, call.timeout_ms - DEADLINE_MARGIN_MS)
         self.requests[call.request_id] = call
         self.apply(
-            self.node.request(self.queue.now, RequestReceived(call.request_id, call.class_name, give_up))
+            self.node.receive_request(
+                self.queue.now, RequestReceived(call.request_id, call.class_name, give_up)
+            )
         )
 
     def abandon(self, call: NodeRequest) -> None:
@@ -110,7 +112,7 @@
     def _gone(self, call: NodeRequest) -> None:
         if not self.dead and self.requests.get(call.request_id) is call:
             del self.requests[call.request_id]
-            self.apply(self.node.client_gone(self.queue.now, call.request_id))
+            self.apply(self.node.client_disconnected(self.queue.now, call.request_id))
 
     # --------------------------------------------------------------- discovery
 
@@ -135,24 +137,24 @@
             if not up or pool.launched_ms != server.launched_ms:
                 self._retire(pool)
             pool.accepts_requests, pool.launched_ms = up, server.launched_ms
-        self.apply(self.node.members(self.queue.now, form, servers))
+        self.apply(self.node.update_endpoints(self.queue.now, form, servers))
 
     # ---------------------------------------------------------------- attempts
 
-    def apply(self, effects: list[Effect]) -> None:
+    def apply(self, effects: list[NodeEffect]) -> None:
         for effect in effects:
             match effect:
-                case Dispatch():
+                case StartAttempt():
                     self._start(effect)
-                case Abort():
+                case AbortAttempt():
                     self._abort(effect.id, effect.attempt)
-                case Answer():
+                case SendResponse():
                     self._answer(effect)
-                case StartProbe():
+                case StartHealthCheck():
                     self._probe(effect.server)
-                case StartWatch():
+                case OpenEndpointWatch():
                     pass  # the watch on discovery is its agent's to keep
-        due = self.node.next_due()
+        due = self.node.next_timer_ms()
         if due is not None and due < self._armed:
             self._armed = due
             self.queue.call_at(due, self._tick, due)
@@ -163,7 +165,7 @@
         self._armed = math.inf
         self.apply(self.node.tick(self.queue.now))
 
-    def _answer(self, answer: Answer) -> None:
+    def _answer(self, answer: SendResponse) -> None:
         call = self.requests.pop(answer.id, None)
         if call is None or call.abandoned:
             return
@@ -171,7 +173,7 @@
         retry_s = round(answer.retry_after_ms / 1000.0, 3) if answer.retry_after_ms > 0.0 else None
         self.queue.call_later(ONE_WAY_MS, call.on_done, AttemptOutcome(answer.status, "", retry_s))
 
-    def _start(self, effect: Dispatch) -> None:
+    def _start(self, effect: StartAttempt) -> None:
         call = self.requests.get(effect.id)
         if call is None:
             self.queue.call_later(0.0, self._ended, effect.id, effect.attempt, AttemptResult.CANCELLED, None)
@@ -227,7 +229,7 @@
             self._settled(exchange, AttemptResult.CONNECT_FAILED, None)
 
     def _send(self, link: Connection, exchange: Attempt) -> None:
-        self.node.figures.tried()
+        self.node.statistics.count_attempt()
         link.attempt, exchange.connection = exchange, link
         link.use_count += 1
         self.queue.call_later(link.one_way_ms, link.host.receive, link, exchange)
@@ -241,7 +243,7 @@
             return
         exchange.finished, link.attempt = True, None
         if result is AttemptResult.OVERLOADED and link.use_count == 1:
-            self.idle_timeout.refused(self.queue.now / 1000.0)
+            self.idle_timeout.new_connection_refused(self.queue.now / 1000.0)
         pool = self.pools.get(link.host.spec.name)
         if pool is not None:
             pool.last_response_ms = self.queue.now
@@ -249,7 +251,7 @@
             link.idle_since = self.queue.now
             pool.idle.append(link)
             self.idle_connections[link] = None
-            if len(pool.idle) > max(2, self.bounds.sockets // MAX_IDLE_DIVISOR):
+            if len(pool.idle) > max(2, self.bounds.max_sockets // MAX_IDLE_DIVISOR):
                 self._close(pool.idle.pop(0))
         else:
             self._close(link)
@@ -275,7 +277,7 @@
 
     def _ended(self, rid: str, attempt: int, result: AttemptResult, report: Report | None) -> None:
         if not self.dead:
-            self.apply(self.node.ended(self.queue.now, rid, attempt, result, report))
+            self.apply(self.node.attempt_finished(self.queue.now, rid, attempt, result, report))
 
     def _abort(self, rid: str, attempt: int) -> None:
         """Give an attempt up by closing its connection; nothing more is heard of it."""
@@ -323,8 +325,8 @@
     def _sweep(self) -> None:
         if self.dead:
             return
-        self.idle_timeout.forget(self.queue.now / 1000.0)
-        oldest = self.queue.now - self.idle_timeout.limit_s * 1000.0
+        self.idle_timeout.relax(self.queue.now / 1000.0)
+        oldest = self.queue.now - self.idle_timeout.close_after_s * 1000.0
         while self.idle_connections and (link := next(iter(self.idle_connections))).idle_since <= oldest:
             self.pools[link.host.spec.name].idle.remove(link)
             self._close(link)
@@ -345,19 +347,23 @@
             ONE_WAY_MS if host is None else self._way_ms(host),
         )
         if host is not None and (host.isolated or self._apart(host)):
-            result, wait = AttemptResult.TIMEOUT, self.bounds.probe_timeout_ms
+            result, wait = AttemptResult.TIMEOUT, self.bounds.health_check_timeout_ms
         elif host is not None and host.listening:
             result, report = host.check_health()
         self.queue.call_later(wait, self._probed, server, began, result, report)
 
     def _probed(self, server: str, began: float, result: AttemptResult, report: Report | None) -> None:
         if not self.dead:
-            self.apply(self.node.probed(self.queue.now, server, result, self.queue.now - began, report))
+            self.apply(
+                self.node.health_check_finished(
+                    self.queue.now, server, result, self.queue.now - began, report
+                )
+            )
 
     # ------------------------------------------------------------ life and end
 
     def restore(self, learned: Learned, age_ms: float) -> None:
-        self.node.recall(self.queue.now, learned, age_ms)
+        self.node.restore_learned_state(self.queue.now, learned, age_ms)
 
     def kill(self) -> None:
         """The process is gone: its callers' connections and its own end with it."""
--- a/rosewheel/node/limits.py
+++ b/rosewheel/node/limits.py
@@ -6,15 +6,15 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Bounds:
+class Limits:
     """What the node enforces by itself, beside the module."""
 
-    conn_idle_ms: float = 10000.0
+    idle_timeout_ms: float = 10000.0
     connect_timeout_ms: float = 250.0
-    probe_timeout_ms: float = 250.0
-    drain_grace_ms: float = 400.0  # how soon a drain has to be heard of
-    max_open: int = 20000
-    second_copies: bool = True
-    may_probe: bool = False
-    sockets: int = 1024
-    memory_mb: float = 128.0
+    health_check_timeout_ms: float = 250.0
+    drain_notice_ms: float = 400.0  # how soon a drain has to be heard of
+    max_open_requests: int = 20000
+    hedging_allowed: bool = True
+    health_checks_allowed: bool = False
+    max_sockets: int = 1024
+    memory_limit_mb: float = 128.0
--- a/rosewheel/node/statistics.py
+++ b/rosewheel/node/statistics.py
@@ -11,7 +11,7 @@
 from typing import Any
 
 
-class Ended(Enum):
+class RequestOutcome(Enum):
     """How a request ended."""
 
     OK = "ok"
@@ -26,16 +26,18 @@
     errors: int = 0
 
 
-GONE = 64  # classes that are no more, whose counts are kept; Guards memory where names change all the time
+MAX_REMOVED_CLASSES = (
+    64  # classes that are no more, whose counts are kept; Guards memory where names change all the time
+)
 
 
-class Figures:
+class Statistics:
     """Counts from the start of the process. Classes are those of the settings, and the last that were, since what was
     taken under one is still to end; so there are only so many."""
 
     def __init__(self, classes: Iterable[str]) -> None:
         self.classes: dict[str, _Counts] = {}
-        self.tries = 0
+        self.attempts = 0
         self._known: frozenset[str] = frozenset()
         self.configure(classes)
 
@@ -47,7 +49,7 @@
         self.classes = {**here, **gone}  # the longest gone last
         self._forget()
 
-    def keep(self, service: str) -> None:
+    def track_class(self, service: str) -> None:
         """One request of this class is here, whether or not there is such a class."""
         if service not in self.classes:
             known = {name: counts for name, counts in self.classes.items() if name in self._known}
@@ -55,24 +57,24 @@
             self._forget()
 
     def _forget(self) -> None:
-        while len(self.classes) > len(self._known) + GONE:
+        while len(self.classes) > len(self._known) + MAX_REMOVED_CLASSES:
             self.classes.popitem()
 
-    def ended(self, service: str | None, how: Ended) -> None:
+    def count_request(self, service: str | None, how: RequestOutcome) -> None:
         counts = self.classes.get(service or "")
         if counts is None:  # no class of the settings: such a request was never one
             return
         match how:
-            case Ended.OK:
+            case RequestOutcome.OK:
                 counts.ok += 1
-            case Ended.SHED:
+            case RequestOutcome.SHED:
                 counts.shed += 1
-            case Ended.ERRORS:
+            case RequestOutcome.ERRORS:
                 counts.errors += 1
 
-    def tried(self) -> None:
+    def count_attempt(self) -> None:
         """An attempt has been written whole to a server."""
-        self.tries += 1
+        self.attempts += 1
 
     def report(self, active: int, pool_size: int, pool_ejected: int) -> dict[str, Any]:
         """All figures by the names that operators know; what is not a count is told by the caller."""
@@ -81,7 +83,7 @@
                 name: {"ok": counts.ok, "shed": counts.shed, "errors": counts.errors}
                 for name, counts in self.classes.items()
             },
-            "tries": self.tries,
+            "tries": self.attempts,
             "active": active,
             "pool_size": pool_size,
             "pool_ejected": pool_ejected,
--- a/rosewheel/proxy/proxy.py
+++ b/rosewheel/proxy/proxy.py
@@ -25,19 +25,19 @@
 from rosewheel.http.upstream_connection import ResponseSink
 from rosewheel.http.upstream_pool import UpstreamPool
 from rosewheel.listener import bind, open_listener
-from rosewheel.node.core import (
-    SERVED,
-    Abort,
-    Answer,
-    Dispatch,
-    Effect,
-    HeldAlreadyError,
-    Node,
-    StartProbe,
-    StartWatch,
+from rosewheel.node.core import Node
+from rosewheel.node.effects import (
+    AbortAttempt,
+    NodeEffect,
+    OpenEndpointWatch,
+    ResponseStatus,
+    SendResponse,
+    StartAttempt,
+    StartHealthCheck,
 )
-from rosewheel.node.limits import Bounds
-from rosewheel.node.statistics import Ended
+from rosewheel.node.errors import DuplicateRequestError
+from rosewheel.node.limits import Limits
+from rosewheel.node.statistics import RequestOutcome
 from rosewheel.policy.balancer import FEW
 from rosewheel.policy.events import AttemptResult, EndpointListForm, RequestReceived
 from rosewheel.policy.learned_state import Learned
@@ -48,7 +48,7 @@
 from rosewheel.proxy.state import SharedState
 
 if TYPE_CHECKING:
-    from rosewheel.admin.server import Admin
+    from rosewheel.admin.server import AdminServer
 
 log = logging.getLogger("rosewheel.proxy")
 
@@ -100,7 +100,7 @@
             self._ended,
             self._probed,
             self._began,
-            self.node.figures.tried,
+            self.node.statistics.count_attempt,
             large_fleet=config.settings.balancer_count > FEW,
         )
         self.budget = BufferBudget(0)
@@ -112,11 +112,11 @@
             lambda: self.node.can_serve,
             self.budget,
         )
-        self.admin: Admin | None = None
+        self.admin: AdminServer | None = None
         if config.ops is not None:  # imported where it is asked for: each start would pay for it
-            from rosewheel.admin.server import Admin
+            from rosewheel.admin.server import AdminServer
 
-            self.admin = Admin(self)
+            self.admin = AdminServer(self)
         self.snapshots = SnapshotWriter(config.state, config.name, self._learned, config.on_disk)
         self.random = random.Random(config.seed)
         self.watch_backoff = WatchBackoff(self.random)
@@ -134,7 +134,7 @@
         )
         self.calls: dict[str, DownstreamRequest] = {}
         self.longest_ms = 0.0  # of the requests so far, how long a caller waits at most
-        self._share(config.bounds.sockets)
+        self._share(config.bounds.max_sockets)
         self.stopped = False
         self._timer: asyncio.TimerHandle | None = None
         self._armed = 0.0
@@ -174,13 +174,13 @@
         """Begin with what an earlier process of this node had learned, as far as its age allows."""
         kept = self.snapshots.read()
         if kept is not None:
-            known = self.node.recall(now_ms(), kept.learned, kept.age_ms)
+            known = self.node.restore_learned_state(now_ms(), kept.learned, kept.age_ms)
             self.upstream.restore_idle_limit(kept.rest_s)
             log.info("what was learned %.1f s ago is taken back, of %d equipos", kept.age_ms / 1e3, known)
         self.snapshots.start()
 
     def _learned(self) -> tuple[Learned, float]:
-        return self.node.learned(now_ms()), self.upstream.idle_timeout.usable_s
+        return self.node.learned_state(now_ms()), self.upstream.idle_timeout.stale_limit_s
 
     def reload(self, config: Config) -> None:
         """Take over what may change while the node runs: the address of discovery, settings and bounds. Raises
@@ -198,11 +198,11 @@
         if not moved or self.stopped:
             return
         self.discovery.change_address(config.discovery)
-        self.apply(self.node.moved(now_ms()))
+        self.apply(self.node.discovery_address_changed(now_ms()))
         if not self.config.settings.poll_discovery:
             self.discovery.start()
 
-    def configure(self, settings: Settings, bounds: Bounds) -> None:
+    def configure(self, settings: Settings, bounds: Limits) -> None:
         """These hold from now on, but for requests that are taken already. Raises ValueError that names the key where
         they can't; all stays as it was then. The same ones again change nothing."""
         was = self.config
@@ -211,7 +211,7 @@
         effects = self.node.configure(now_ms(), settings, bounds)  # before anything else: it alone may refuse
         self.config = dataclasses.replace(was, settings=settings, bounds=bounds)
         self.upstream.configure(bounds, large_fleet=settings.balancer_count > FEW)
-        self._share(bounds.sockets)
+        self._share(bounds.max_sockets)
         self._shrink()
         self.apply(effects)
         log.info("another configuration holds from now on, %d classes", len(settings.classes))
@@ -222,7 +222,7 @@
     async def drain(self) -> None:
         self.snapshots.close()  # a process that follows writes its own from now on
         given = self.hot_restart.begin_shutdown()
-        longest_ms = min(LONGEST_MS, self.node.longest_ms(now_ms()))
+        longest_ms = min(LONGEST_MS, self.node.longest_remaining_deadline_ms(now_ms()))
         await self.server.drain(
             longest_ms / 1000.0, self.shares_listener or given, self._give if given else None
         )
@@ -263,28 +263,30 @@
         """An old process gives up what it has: what it no longer holds is this one's to use."""
         if isinstance(held, int) and held >= 0:
             self.predecessor_descriptors = held
-            self._share(self.config.bounds.sockets)
+            self._share(self.config.bounds.max_sockets)
 
     def predecessor_leaves(self, held: object) -> None:
         """It takes nothing new from now on, so this one paces servers by itself."""
         self.predecessor_holds(held)
-        self.apply(self.node.company(now_ms(), 1))
+        self.apply(self.node.process_count_changed(now_ms(), 1))
 
     def sibling_loads(self, loads: object) -> None:
         """What the other process has in flight, by server."""
         if isinstance(loads, dict):
             good = {name: float(load) for name, load in loads.items() if isinstance(load, int | float)}
-            self.apply(self.node.beside(now_ms(), good))
+            self.apply(self.node.sibling_process_load(now_ms(), good))
 
     def _share(self, sockets: int) -> None:
         half = sockets // self.process_count
         if self.process_count > 1 and self.predecessor_descriptors is not None:
             half = max(half, sockets - self.predecessor_descriptors - 2 * TRANSFER_WINDOW)
         sockets = half
-        self.budget.limit_bytes = int(self.config.bounds.memory_mb / self.process_count * BODIES_PART) << 20
+        self.budget.limit_bytes = (
+            int(self.config.bounds.memory_limit_mb / self.process_count * BODIES_PART) << 20
+        )
         spare = min(RESERVED_DESCRIPTORS, max(24, sockets // SPARE_PART))
         if self.admin is not None:
-            spare += self.admin.most  # so that no crowd can keep operators out
+            spare += self.admin.max_connections  # so that no crowd can keep operators out
         self.max_descriptors = max(8, sockets - spare)
         self.server.max_over_limit = max(2, min(SURPLUS, sockets // SURPLUS_PART))
         self.server.max_connections = max(6, int(self.max_descriptors * CALLERS))
@@ -301,14 +303,16 @@
     def serving(self) -> bool:
         return self.server.listening and self.node.can_serve
 
-    def figures(self) -> dict[str, Any]:
-        return self.node.figures.report(self.node.active, len(self.node.servers), self.node.avoided)
+    def statistics(self) -> dict[str, Any]:
+        return self.node.statistics.report(
+            self.node.active_requests, len(self.node.servers), self.node.cordoned_endpoint_count
+        )
 
     def set_fleet_cordons(self, members: frozenset[str]) -> None:
         """The fleet has taken these out, and no others. What is out by hand stays so, whatever the fleet says."""
         self.cordons.fleet(members)
 
-    def out_by_fleet(self, member: str) -> bool:
+    def cordoned_by_fleet(self, member: str) -> bool:
         return member in self.cordons.by_fleet
 
     async def cordon(self, member: str) -> bool:
@@ -318,14 +322,14 @@
         return await self._by_hand(member, out=False)
 
     async def _by_hand(self, member: str, out: bool) -> bool:
-        if not self.node.knows(member):
+        if not self.node.is_known_server(member):
             return False
         await self.cordons.put(member, out, self.shared_state)
         return True
 
     def _cordon(self, member: str, out: bool) -> None:
         self.upstream.set_cordoned(member, out)
-        self.apply(self.node.cordon(now_ms(), member, out))
+        self.apply(self.node.set_cordon(now_ms(), member, out))
 
     def _process_count_changed(self, processes: int) -> None:
         """While an old and a new process of one node overlap, they share its descriptors."""
@@ -333,8 +337,12 @@
         if processes == 1:
             self.predecessor_descriptors = None
         # One that leaves is still here, but sends nothing new.
-        self.apply(self.node.company(now_ms(), processes if self.predecessor_descriptors is None else 1))
-        self._share(self.config.bounds.sockets)
+        self.apply(
+            self.node.process_count_changed(
+                now_ms(), processes if self.predecessor_descriptors is None else 1
+            )
+        )
+        self._share(self.config.bounds.max_sockets)
         self._shrink()
 
     def _shrink(self) -> None:
@@ -349,8 +357,8 @@
         request = self._request(call)
         call.id = request.id
         try:
-            effects = self.node.request(now_ms(), request)
-        except HeldAlreadyError as error:
+            effects = self.node.receive_request(now_ms(), request)
+        except DuplicateRequestError as error:
             raise BadRequestError(409, "this Request-Id is being served already") from error
         self.calls[request.id] = call
         self.apply(effects)
@@ -361,14 +369,14 @@
         id, service = call.header(b"request-id"), call.header(b"request-class")
         if not id or len(id) > 256:
             raise BadRequestError(400, "Request-Id is missing or too long")
-        if service not in self.node.classes:
+        if service not in self.node.service_names:
             raise BadRequestError(400, "Request-Class is missing or unknown")
         timeout = figure(call.header(b"request-timeout-ms"), "Request-Timeout-Ms", WHOLE)
         if timeout is None or timeout <= 0:
             raise BadRequestError(400, "Request-Timeout-Ms is missing or not positive")
         self.longest_ms = max(self.longest_ms, min(timeout, LONGEST_MS))
         if self.server.draining and self._left_ms() < min(timeout, LEAST_MS):
-            self.node.figures.ended(service, Ended.SHED)
+            self.node.statistics.count_request(service, RequestOutcome.SHED)
             raise BadRequestError(503, "this node stops before the answer could be there")
         call.timeout_ms = timeout
         hint = figure(call.header(b"work-hint"), "Work-Hint", DECIMAL)
@@ -395,13 +403,13 @@
     def _arrived(self, call: DownstreamRequest) -> None:
         if self.calls.get(call.id) is call:
             now = now_ms()
-            self.apply(self.node.arrived(now, call.id, now + self._wait_ms(call.timeout_ms)))
+            self.apply(self.node.request_completed(now, call.id, now + self._wait_ms(call.timeout_ms)))
 
     def _began(
         self, id: str, attempt: int, length: int | None, eased: Callable[[], None]
     ) -> ResponseSink | None:
         call = self.calls.get(id)
-        effects = self.node.began(now_ms(), id, attempt) if call is not None else None
+        effects = self.node.response_started(now_ms(), id, attempt) if call is not None else None
         if call is None or effects is None:
             return None
         call.connection.start_response(call, length, eased)
@@ -411,32 +419,34 @@
     def _gone(self, call: DownstreamRequest) -> None:
         if self.calls.get(call.id) is call:
             del self.calls[call.id]
-            self.apply(self.node.client_gone(now_ms(), call.id))
-            for attempt in self.node.out(call.id):
+            self.apply(self.node.client_disconnected(now_ms(), call.id))
+            for attempt in self.node.attempts_in_flight(call.id):
                 # Guards servers, also where the settings allow no cancel: what is not written yet is none.
                 if self.upstream.cancel_unsent_attempt(call.id, attempt):
-                    self.apply(self.node.ended(now_ms(), call.id, attempt, AttemptResult.CONNECT_FAILED))
+                    self.apply(
+                        self.node.attempt_finished(now_ms(), call.id, attempt, AttemptResult.CONNECT_FAILED)
+                    )
 
     def _ended(
         self, id: str, attempt: int, result: AttemptResult, report: dict[str, float] | None, body: bytes
     ) -> None:
         call = self.calls.get(id)
         if call is not None and not call.body.replayable:
-            self.node.spent(id)
-        self.apply(self.node.ended(now_ms(), id, attempt, result, report, body))
+            self.node.request_body_discarded(id)
+        self.apply(self.node.attempt_finished(now_ms(), id, attempt, result, report, body))
 
     def _probed(
         self, server: str, result: AttemptResult, latency_ms: float, report: dict[str, float] | None
     ) -> None:
-        self.apply(self.node.probed(now_ms(), server, result, latency_ms, report))
+        self.apply(self.node.health_check_finished(now_ms(), server, result, latency_ms, report))
 
     def _endpoint_list_updated(self, form: EndpointListForm, entries: list[Endpoint]) -> None:
         if form is EndpointListForm.FAILED:
             if self.config.settings.poll_discovery:
-                self.apply(self.node.members(now_ms(), form))
+                self.apply(self.node.update_endpoints(now_ms(), form))
             else:
                 lasted = self.loop.time() - self.discovery.started_s
-                wait = self.watch_backoff.next_delay_s(lasted, self.config.bounds.drain_grace_ms / 1000.0)
+                wait = self.watch_backoff.next_delay_s(lasted, self.config.bounds.drain_notice_ms / 1000.0)
                 self.loop.call_later(wait, self._reopen_watch)
             return
         if form is not EndpointListForm.CACHED:
@@ -444,13 +454,13 @@
             self.watch_backoff.reset()
         self.upstream.update(entries, is_snapshot=form is not EndpointListForm.DELTA)
         servers = tuple(server for server, _ in entries)
-        self.apply(self.node.members(now_ms(), form, servers))
+        self.apply(self.node.update_endpoints(now_ms(), form, servers))
 
     def _spoke(self) -> None:
         """A watch is open on a discovery that works, though it may have no change to tell."""
         self.watch_backoff.reset()
         if self.config.settings.poll_discovery:
-            self.apply(self.node.members(now_ms(), EndpointListForm.DELTA))
+            self.apply(self.node.update_endpoints(now_ms(), EndpointListForm.DELTA))
 
     def _reopen_watch(self) -> None:
         if self.config.settings.poll_discovery:  # they were pushed when this was set; now the module asks
@@ -464,7 +474,7 @@
 
     # ----------------------------------------------------------------- effects
 
-    def apply(self, effects: list[Effect]) -> None:
+    def apply(self, effects: list[NodeEffect]) -> None:
         for effect in effects:
             try:
                 self._carry_out(effect)
@@ -472,9 +482,9 @@
                 log.exception("%s could not be carried out", type(effect).__name__)
         self._arm()
 
-    def _carry_out(self, effect: Effect) -> None:
+    def _carry_out(self, effect: NodeEffect) -> None:
         match effect:
-            case Dispatch():
+            case StartAttempt():
                 call = self.calls.get(effect.id)
                 # Asked again at each attempt: a loop that is late reads of a caller's end after that of an attempt.
                 if call is None or call.connection.close_if_disconnected():
@@ -487,26 +497,26 @@
                 self.upstream.start_attempt(
                     effect.id, effect.attempt, effect.server, head, call.body, chunked, wanted
                 )
-            case Abort():
+            case AbortAttempt():
                 self.upstream.abort_attempt(effect.id, effect.attempt)
-            case Answer():
+            case SendResponse():
                 call = self.calls.pop(effect.id, None)
                 if call is None:
                     return
                 if not call.response_started:
                     call.connection.respond(call, effect.status, effect.body, effect.retry_after_ms)
-                elif effect.status == SERVED:
+                elif effect.status == ResponseStatus.OK:
                     call.connection.finish_response(call)
                 else:
                     call.connection.abort_response(call)
-            case StartWatch():
+            case OpenEndpointWatch():
                 self.discovery.start()
-            case StartProbe():
+            case StartHealthCheck():
                 self.upstream.check_health(effect.server)
 
     def _arm(self) -> None:
         """One timer of the loop stands for all of the node's."""
-        due = self.node.next_due()
+        due = self.node.next_timer_ms()
         if due is None or (self._timer is not None and self._armed <= due):
             return
         if self._timer is not None:
--- a/rosewheel/proxy/reconfiguration.py
+++ b/rosewheel/proxy/reconfiguration.py
@@ -13,7 +13,7 @@
 from rosewheel.config.platform import Config, ConfigError, Control
 from rosewheel.control.documents import Document
 from rosewheel.control.subscriber import ConfigurationSubscriber
-from rosewheel.node.limits import Bounds
+from rosewheel.node.limits import Limits
 from rosewheel.policy.settings import Settings
 
 COPY = "control.copy"
@@ -22,7 +22,7 @@
 class Node(Protocol):
     """What is configured."""
 
-    def configure(self, settings: Settings, bounds: Bounds) -> None:
+    def configure(self, settings: Settings, bounds: Limits) -> None:
         """ValueError: all stays as it was."""
 
     def set_fleet_cordons(self, members: frozenset[str]) -> None: ...
--- a/tests/admin/test_admin_server.py
+++ b/tests/admin/test_admin_server.py
@@ -11,7 +11,7 @@
 import pytest
 
 from rosewheel.admin import server as admin
-from rosewheel.admin.server import Admin, reply_to
+from rosewheel.admin.server import AdminServer, respond_to
 from rosewheel.listener import bind
 from tests.support.sockets import Message, read_message, run, until
 
@@ -28,7 +28,7 @@
     def serving(self) -> bool:
         return self.up
 
-    def figures(self) -> dict[str, Any]:
+    def statistics(self) -> dict[str, Any]:
         return {"active": 3}
 
     async def cordon(self, member: str) -> bool:
@@ -37,7 +37,7 @@
     async def uncordon(self, member: str) -> bool:
         return self._set(member, False)
 
-    def out_by_fleet(self, member: str) -> bool:
+    def cordoned_by_fleet(self, member: str) -> bool:
         return member in self.fleet
 
     def _set(self, member: str, out: bool) -> bool:
@@ -49,8 +49,8 @@
 
 
 @contextlib.asynccontextmanager
-async def door(desk: Desk) -> AsyncIterator[Admin]:
-    admin = Admin(desk)
+async def door(desk: Desk) -> AsyncIterator[AdminServer]:
+    admin = AdminServer(desk)
     await admin.start(bind(("127.0.0.1", 0), "LB_OPS"))
     try:
         yield admin
@@ -88,7 +88,7 @@
 )
 def test_each_call_has_its_answer(method: str, target: str, status: int):
     async def main() -> None:
-        reply = await reply_to(Desk(), method, target)
+        reply = await respond_to(Desk(), method, target)
         assert reply.status == status
         assert bool(reply.allow) is (status == 405)
 
@@ -99,7 +99,7 @@
     async def main() -> None:
         desk = Desk()
         desk.up = False
-        assert (await reply_to(desk, "GET", "/admin/health")).status == 503
+        assert (await respond_to(desk, "GET", "/admin/health")).status == 503
 
     run(main())
 
@@ -110,7 +110,7 @@
     async def main() -> None:
         desk = Desk()
         desk.fails = PermissionError("read-only")
-        assert (await reply_to(desk, "POST", "/admin/cordon?member=s%201")).status == 500
+        assert (await respond_to(desk, "POST", "/admin/cordon?member=s%201")).status == 500
 
     run(main())
 
@@ -154,22 +154,22 @@
 
     async def main() -> None:
         async with door(Desk()) as box, contextlib.AsyncExitStack() as stack:
-            for at in range(4 * admin.MOST):
+            for at in range(4 * admin.MAX_CONNECTIONS):
                 _, writer = await asyncio.open_connection("127.0.0.1", box.port)
                 stack.callback(writer.close)
                 writer.write(b"GET /admin" if at % 2 else b"")
             assert (await call(box.port, b"GET /admin/health HTTP/1.1\r\n\r\n"))[0] == 200
-            assert len(box.callers) <= admin.MOST
+            assert len(box.connections) <= admin.MAX_CONNECTIONS
 
     run(main())
 
 
 def test_half_a_call_is_told_so_in_the_end(monkeypatch: pytest.MonkeyPatch):
-    monkeypatch.setattr(admin, "CALL_S", 0.05)
+    monkeypatch.setattr(admin, "RECEIVE_TIMEOUT_S", 0.05)
 
     async def main() -> None:
         async with door(Desk()) as box:
             assert (await call(box.port, b"GET /admin"))[0] == 408
-            await until(lambda: not box.callers)
+            await until(lambda: not box.connections)
 
     run(main())
--- a/tests/cli/test_run.py
+++ b/tests/cli/test_run.py
@@ -266,8 +266,8 @@
             continue
         node = Node(config.settings, config.bounds, config.seed, 0.0)
         entries = parse_endpoints(config.known.get("hosts"))
-        node.members(0.0, EndpointListForm.CACHED, tuple(server for server, _ in entries))
-        node.request(1.0, RequestReceived("r", config.settings.classes[0].name, 900.0))
+        node.update_endpoints(0.0, EndpointListForm.CACHED, tuple(server for server, _ in entries))
+        node.receive_request(1.0, RequestReceived("r", config.settings.classes[0].name, 900.0))
         for at in range(1, 40):
             node.tick(at * 100.0)
-        assert node.active == 0
+        assert node.active_requests == 0
--- a/tests/config/test_fleet_document.py
+++ b/tests/config/test_fleet_document.py
@@ -41,7 +41,7 @@
         1,
         0.2,
     )  # the file's, and its own
-    assert (bounds.max_open, bounds.sockets) == (9, 100)
+    assert (bounds.max_open_requests, bounds.max_sockets) == (9, 100)
     assert cordons(DOCUMENT) == {"equipo-1"}
 
 
--- a/tests/discovery/test_endpoint_list_races.py
+++ b/tests/discovery/test_endpoint_list_races.py
@@ -15,7 +15,7 @@
 from rosewheel.discovery import backoff as rewatch
 from rosewheel.discovery import watch_client
 from rosewheel.discovery.endpoint_list import DiscoveryWatch, Endpoint
-from rosewheel.node.limits import Bounds
+from rosewheel.node.limits import Limits
 from rosewheel.policy.events import EndpointListForm
 from rosewheel.proxy import proxy as relay_module
 from rosewheel.proxy.proxy import Proxy
@@ -193,7 +193,7 @@
 
 
 def _grace(config: object, grace_ms: float) -> object:
-    return dataclasses.replace(config, bounds=Bounds(drain_grace_ms=grace_ms))  # type: ignore[type-var]
+    return dataclasses.replace(config, bounds=Limits(drain_notice_ms=grace_ms))  # type: ignore[type-var]
 
 
 class _Loop:
--- a/tests/discovery/test_watch_backoff.py
+++ b/tests/discovery/test_watch_backoff.py
@@ -15,7 +15,7 @@
 from hypothesis import strategies as st
 
 from rosewheel.discovery import backoff, watch_client
-from rosewheel.node.limits import Bounds
+from rosewheel.node.limits import Limits
 from rosewheel.policy import balancer
 from rosewheel.policy.actions import StartTimer, WatchEndpoints
 from rosewheel.policy.events import EndpointListForm, EndpointListUpdate, TimerFired
@@ -44,7 +44,7 @@
 
     async def main() -> Proxy:
         told = dataclasses.replace(config([]), seed=seed, settings=settings(poll_discovery=asks))
-        relay = Proxy(dataclasses.replace(told, bounds=Bounds(drain_grace_ms=grace_ms)))
+        relay = Proxy(dataclasses.replace(told, bounds=Limits(drain_notice_ms=grace_ms)))
         relay._endpoint_list_updated(EndpointListForm.CACHED, [])
         if not asks:
             relay.discovery.start()
@@ -100,7 +100,7 @@
     heard_by = max(change_s, up_s) + HEARD_S
     script = {"phases": phases, "change_s": change_s, "back": back, "eager": eager, "late_s": late}
     net, relay = play(asks, seed, heard_by, grace, **script, cut_s=cut_s, recount=recount)
-    assert relay.node.knows("new"), f"tried at {net.calls}"
+    assert relay.node.is_known_server("new"), f"tried at {net.calls}"
 
 
 @pytest.mark.parametrize("asks", [False, True], ids=["pushed", "asked"])
@@ -115,7 +115,7 @@
     fell_s = 20.0  # its last line
     phases = [(20.5, "up"), (first - 20.5 - 0.1, "mute"), (0.2, kind)]
     net, relay = play(asks, seed, fell_s + HEARD_S, phases=phases, change_s=21.0, eager=False)
-    assert relay.node.knows("new"), f"tried at {net.calls}"
+    assert relay.node.is_known_server("new"), f"tried at {net.calls}"
     assert second <= fell_s + HEARD_S
 
 
@@ -258,11 +258,11 @@
                 for manners in ("mute", "dies", "half", "mute"):
                     await discovery.begin(manners)
                     await until(lambda: discovery.asked >= 3)
-                    assert relay.node.knows("old")
+                    assert relay.node.is_known_server("old")
                     discovery.end()
                     await until(lambda: not relay.discovery.is_open)
                 await discovery.begin("served")
-                await until(lambda: relay.node.knows("new"))
-                assert not relay.node.knows("old")
+                await until(lambda: relay.node.is_known_server("new"))
+                assert not relay.node.is_known_server("old")
 
     run(main())
--- a/tests/hot_restart/test_hot_restart.py
+++ b/tests/hot_restart/test_hot_restart.py
@@ -154,12 +154,12 @@
                 await old.drain()
                 assert not old.calls
                 assert len(new.calls) == 1
-                assert new.node.active == 1
+                assert new.node.active_requests == 1
                 gate.set()
                 async with asyncio.timeout(20):
                     assert await read_long(client.reader) == LONG
-                assert new.figures()["responses"]["read"]["ok"] == 1
-                assert old.figures()["responses"]["read"]["ok"] == 0
+                assert new.statistics()["responses"]["read"]["ok"] == 1
+                assert old.statistics()["responses"]["read"]["ok"] == 0
                 got = await client.ask(id="small-1")
                 assert status(got) == 200
                 assert len(new.server.connections) == 1
--- a/tests/http/test_client_disconnects.py
+++ b/tests/http/test_client_disconnects.py
@@ -65,14 +65,14 @@
                 leave(client, how)
                 await until(lambda: not relay.calls)
                 up.set()
-                await until(lambda: not relay.node.open and not relay.upstream.exchanges)
+                await until(lambda: not relay.node.requests and not relay.upstream.exchanges)
                 assert relay.upstream.connecting_count == 0
             async with Client(
                 relay
             ) as other:  # the slot of the first is free again, and nothing of it is on its way
                 assert status(await other.ask("post")) == 200
             assert len(server.got) == 1
-            assert relay.node.active == 0
+            assert relay.node.active_requests == 0
 
     run(main())
 
@@ -90,7 +90,7 @@
                 )
                 await until(lambda: relay.upstream.open_count == 1)
                 leave(client, "reset")
-                await until(lambda: not relay.node.open and relay.upstream.open_count == 0)
+                await until(lambda: not relay.node.requests and relay.upstream.open_count == 0)
             assert not server.got
 
     run(main())
@@ -120,8 +120,8 @@
                 leave(client, how)
                 await until(lambda: not relay.server.connections)  # while its first request is still out
                 assert not relay.calls
-                assert not relay.node.open
-                assert relay.node.active == relay.budget.used_bytes == 0
+                assert not relay.node.requests
+                assert relay.node.active_requests == relay.budget.used_bytes == 0
                 free.set()
             async with Client(relay) as other:
                 assert status(await other.ask("post")) == 200
@@ -172,7 +172,7 @@
                 caller = next(iter(relay.server.connections))
                 assert not caller.eof_received()  # so that the loop closes it
                 assert not relay.calls
-                assert not relay.node.open
+                assert not relay.node.requests
             free.set()
 
     run(main())
@@ -186,12 +186,14 @@
             for client in clients:
                 await client.__aenter__()
                 client.send("read")
-            await until(lambda: relay.node.active + len(relay.server.idle_connections) >= len(clients))
+            await until(
+                lambda: relay.node.active_requests + len(relay.server.idle_connections) >= len(clients)
+            )
             for at, client in enumerate(clients):
                 leave(client, ("close", "reset", "half")[at % 3])
-            await until(lambda: not relay.calls and not relay.node.open and not relay.upstream.exchanges)
+            await until(lambda: not relay.calls and not relay.node.requests and not relay.upstream.exchanges)
             await until(lambda: relay.upstream.open_count == 0)
-            assert relay.node.active == 0
+            assert relay.node.active_requests == 0
             assert relay.node.balancer.pool.load == 0.0
             free.set()
             for client in clients:
@@ -255,9 +257,14 @@
                 leave(client, how)
                 await asyncio.sleep(0)  # so that the system has been told
                 await fail(one if one.got else two, end)
-                await until(lambda: not relay.node.open and not relay.upstream.exchanges)
+                await until(lambda: not relay.node.requests and not relay.upstream.exchanges)
                 assert len(one.got) + len(two.got) == 1
-                assert relay.node.active == relay.budget.used_bytes == relay.upstream.connecting_count == 0
+                assert (
+                    relay.node.active_requests
+                    == relay.budget.used_bytes
+                    == relay.upstream.connecting_count
+                    == 0
+                )
 
     run(main())
 
@@ -292,10 +299,10 @@
                     b"Request-Timeout-Ms: 60000\r\nContent-Length: 0\r\n\r\n"
                 )
                 await until(lambda: len(one.got) + len(two.got) >= 3)
-                await until(lambda: not relay.server.connections and not relay.node.open)
+                await until(lambda: not relay.server.connections and not relay.node.requests)
                 assert len(one.got) + len(two.got) == 3
                 assert not relay.upstream.exchanges
-                assert relay.node.active == 0
+                assert relay.node.active_requests == 0
 
     run(main())
 
@@ -315,7 +322,7 @@
                 await asyncio.sleep(0)
                 relay.node._act(now_ms(), ForwardRequest("first", "two" if one.got else "one", 50000.0))
                 relay.apply(relay.node._run(now_ms()))
-                await until(lambda: not relay.node.open and not relay.upstream.exchanges)
+                await until(lambda: not relay.node.requests and not relay.upstream.exchanges)
                 assert relay.upstream.connecting_count == 0
                 assert len(one.got) + len(two.got) == 1
             free.set()
@@ -365,7 +372,7 @@
                 listener.accept()[0].close()
                 with pytest.raises(BlockingIOError):
                     listener.accept()
-                assert not relay.node.open
+                assert not relay.node.requests
                 assert not relay.upstream.exchanges
 
     run(main())
@@ -385,7 +392,7 @@
                 await unread(relay, client)
                 leave(client, how)
                 assert await comes_up(listener, relay) == b""
-                assert not relay.node.open
+                assert not relay.node.requests
                 assert not relay.upstream.exchanges
                 assert relay.upstream.open_count == 0
 
@@ -436,7 +443,7 @@
                 sock.close()
                 await until(lambda: relay.upstream.connecting_count == 0 or caller.reading_paused)
                 listener.accept()[0].close()
-                await until(lambda: not relay.node.open and not relay.server.connections)
+                await until(lambda: not relay.node.requests and not relay.server.connections)
                 await until(lambda: relay.upstream.connecting_count == relay.upstream.open_count == 0)
                 with pytest.raises(BlockingIOError):
                     listener.accept()
--- a/tests/http/test_connection_reuse.py
+++ b/tests/http/test_connection_reuse.py
@@ -7,8 +7,8 @@
 import pytest
 
 from rosewheel.http import upstream_pool
-from rosewheel.node.idle_timeout import Rest
-from rosewheel.node.limits import Bounds
+from rosewheel.node.idle_timeout import IdleTimeout
+from rosewheel.node.limits import Limits
 from rosewheel.policy.events import EndpointListForm, Server, ServerState
 from tests.support.sockets import Client, FakeServer, Message, answer, entry, node, run, status, until
 
@@ -61,7 +61,7 @@
     written to them ended as a reset, and an unsafe request with it. 50 s are stated, of which 40 are used."""
 
     async def main() -> None:
-        bounds = Bounds(conn_idle_ms=50_000.0, connect_timeout_ms=20_000.0)
+        bounds = Limits(idle_timeout_ms=50_000.0, connect_timeout_ms=20_000.0)
         async with FakeServer().up() as server, node([entry("s", server.port)], bounds=bounds) as relay:
             relay.upstream._sweep_timer.cancel()
             async with Client(relay) as client:
@@ -80,12 +80,14 @@
 
 
 def test_what_may_be_used_never_outlasts_what_is_stated():
-    rest = Rest(0.5, crowds=True)
-    assert rest.reusable_s == rest.longest_s < 0.5
-    rest.refused(1.0)
-    assert rest.reusable_s == rest.longest_s  # what is given back to others may still be used until then
-    rest.stale(2.0, 0.2)
-    assert rest.reusable_s == 0.1
+    rest = IdleTimeout(0.5, large_fleet=True)
+    assert rest.reusable_for_s == rest.configured_s < 0.5
+    rest.new_connection_refused(1.0)
+    assert (
+        rest.reusable_for_s == rest.configured_s
+    )  # what is given back to others may still be used until then
+    rest.stale_connection_found(2.0, 0.2)
+    assert rest.reusable_for_s == 0.1
 
 
 @pytest.mark.usefixtures("settled")
--- a/tests/http/test_large_messages.py
+++ b/tests/http/test_large_messages.py
@@ -137,7 +137,7 @@
                     EndpointListForm.SNAPSHOT, discovery.parse_endpoints([entry("s2", two.port)])
                 )
                 assert status(await client.ask("post")) == 200  # the rest was read past
-                assert relay.node.figures.classes["post"].shed == 1
+                assert relay.node.statistics.classes["post"].shed == 1
                 assert relay.budget.used_bytes == 0
 
     from rosewheel.discovery import endpoint_list as discovery
@@ -185,13 +185,13 @@
                 head = await client.reader.readuntil(b"\r\n\r\n")
                 assert b"Content-Length: 200000" in head
                 assert await client.reader.readexactly(10_000) == data[:10_000]
-                assert relay.figures()["active"] == 1
+                assert relay.statistics()["active"] == 1
                 await asyncio.sleep(0.4)  # past the deadline
                 free.set()
                 assert await client.reader.readexactly(190_000) == data[10_000:]
-                await until(lambda: relay.figures()["active"] == 0)
-                assert relay.node.figures.classes["post"].ok == 1
-                assert not relay.node.open
+                await until(lambda: relay.statistics()["active"] == 0)
+                assert relay.node.statistics.classes["post"].ok == 1
+                assert not relay.node.requests
                 assert not relay.node.balancer.jobs
 
     run(main())
@@ -249,10 +249,10 @@
                         if "300" in framing
                         else read_chunked(client.reader)
                     )
-                counts = relay.node.figures.classes["read"]
+                counts = relay.node.statistics.classes["read"]
                 assert (counts.ok, counts.errors) == (0, 1)
                 assert server.connections == 1, "a safe request too: what was passed on can't be taken back"
-                assert not relay.node.open
+                assert not relay.node.requests
 
     run(main())
 
@@ -310,9 +310,9 @@
             async with Client(relay) as client:
                 client.send("post")
                 await client.reader.readuntil(b"\r\n\r\n")
-            await until(lambda: not relay.upstream.exchanges and not relay.node.open)
+            await until(lambda: not relay.upstream.exchanges and not relay.node.requests)
             await until(lambda: relay.upstream.open_count == 0)
-            assert relay.figures()["active"] == 0
+            assert relay.statistics()["active"] == 0
             assert not relay.node.balancer.jobs
 
     run(main())
@@ -420,7 +420,7 @@
                     client.writer.write(request("Content-Length: 1000").replace(b"big", b"%d" % size))
                     client.writer.write(b"x" * size)
                     assert status(await client.answer()) == 408
-            await until(lambda: not relay.node.open and not relay.upstream.exchanges)
+            await until(lambda: not relay.node.requests and not relay.upstream.exchanges)
             assert server.got == []
             assert relay.budget.used_bytes == 0
 
--- a/tests/http/test_slow_clients.py
+++ b/tests/http/test_slow_clients.py
@@ -8,7 +8,7 @@
 
 from rosewheel.discovery import backoff as rewatch
 from rosewheel.discovery import watch_client as watch_module
-from rosewheel.node.limits import Bounds
+from rosewheel.node.limits import Limits
 from tests.support.sockets import Client, FakeDiscovery, FakeServer, entry, node, run, status, until
 
 HEAD = b"GET /x HTTP/1.1\r\nRequest-Id: a\r\nRequest-Class: read\r\nRequest-Timeout-Ms: 900\r\n\r\n"
@@ -60,7 +60,7 @@
     """Guards the limit also while a crowd is told that there is no room, and operators call."""
 
     async def main() -> None:
-        async with node([], bounds=Bounds(sockets=sockets)) as relay:
+        async with node([], bounds=Limits(max_sockets=sockets)) as relay:
             for processes in (1, 2):
                 relay.process_count = processes
                 relay._share(sockets)
@@ -93,7 +93,7 @@
                 await until(lambda: relay.watch_backoff.failed_watches == 0)
 
     run(main())
-    grace_s = Bounds().drain_grace_ms / 1000.0
+    grace_s = Limits().drain_notice_ms / 1000.0
     assert waits[0] <= grace_s / rewatch.INITIAL_DELAY_DIVISOR
     assert max(waits) > grace_s / rewatch.INITIAL_DELAY_DIVISOR
     assert max(waits) <= grace_s / rewatch.MAX_DELAY_DIVISOR
--- a/tests/http/test_sockets.py
+++ b/tests/http/test_sockets.py
@@ -15,7 +15,7 @@
 from rosewheel.config.platform import Config
 from rosewheel.http.body import CONNECTION_SHARE_DIVISOR
 from rosewheel.http.upstream_connection import parse_load_report
-from rosewheel.node.limits import Bounds
+from rosewheel.node.limits import Limits
 from rosewheel.policy.actions import Action, CancelAttempt
 from rosewheel.policy.events import (
     AttemptFinished,
@@ -178,7 +178,7 @@
             async with Client(relay) as client:
                 assert status(await client.ask("post", timeout=120)) == 504
                 await until(lambda: server.closed == 1)
-                assert not relay.node.open
+                assert not relay.node.requests
                 assert not relay.calls
 
     run(main())
@@ -193,7 +193,7 @@
                 client.send("post")
                 await until(lambda: len(server.got) == 1)
             await until(lambda: server.closed == 1)
-            assert not relay.node.open
+            assert not relay.node.requests
             assert not relay.calls
             assert not relay.upstream.exchanges
 
@@ -204,7 +204,7 @@
     """Guards against a write to a connection that is being closed: it is a reset, lost for a posting."""
 
     async def main() -> None:
-        bounds = Bounds(conn_idle_ms=1.0)
+        bounds = Limits(idle_timeout_ms=1.0)
         async with FakeServer().up() as server, node([entry("s", server.port)], bounds=bounds) as relay:
             async with Client(relay) as client:
                 assert status(await client.ask("post")) == 200
@@ -221,8 +221,8 @@
     monkeypatch: pytest.MonkeyPatch, siblings: int, gives_back: bool
 ):
     """Guards the other nodes: what each of many keeps for later shuts them out of a server that has nothing to do."""
-    monkeypatch.setattr("rosewheel.node.idle_timeout.CROWDED_SHARE", 0.0)
-    monkeypatch.setattr("rosewheel.node.idle_timeout.CROWDED_LEAST_S", 0.0)
+    monkeypatch.setattr("rosewheel.node.idle_timeout.REFUSAL_SHARE", 0.0)
+    monkeypatch.setattr("rosewheel.node.idle_timeout.MIN_REFUSAL_LIMIT_S", 0.0)
 
     async def main() -> None:
         gate = asyncio.Event()
@@ -250,7 +250,7 @@
                     assert status(await client.answer()) == 200
                 if gives_back:
                     await until(lambda: server.closed == server.connections)
-                assert (relay.upstream.idle_timeout.limit_s == 0.0) is gives_back
+                assert (relay.upstream.idle_timeout.close_after_s == 0.0) is gives_back
 
     run(main())
 
@@ -301,14 +301,16 @@
                 assert status(await client.ask("post")) == 200
                 await asyncio.sleep(0.15)
                 assert status(await client.ask("post")) == 502, "it may have run, whatever is likely"
-                assert 0.05 <= relay.upstream.idle_timeout.usable_s < 5.0
-                relay.upstream.idle_timeout.usable_s = 0.07
+                assert 0.05 <= relay.upstream.idle_timeout.stale_limit_s < 5.0
+                relay.upstream.idle_timeout.stale_limit_s = 0.07
                 for _ in range(3):
                     assert status(await client.ask("post")) == 200
                     await asyncio.sleep(0.15)
-                assert relay.upstream.idle_timeout.usable_s == 0.07
-                relay.upstream.idle_timeout.taught_s -= 60.0
-                await until(lambda: relay.upstream.idle_timeout.usable_s > 0.1)  # it is tried again in time
+                assert relay.upstream.idle_timeout.stale_limit_s == 0.07
+                relay.upstream.idle_timeout.stale_changed_at_s -= 60.0
+                await until(
+                    lambda: relay.upstream.idle_timeout.stale_limit_s > 0.1
+                )  # it is tried again in time
 
     run(main())
 
@@ -534,14 +536,14 @@
         async with FakeDiscovery(refuse=1 if end == "refused" else 0).up() as discovery:
             failures = 0
             async with node([], discovery) as relay:
-                members = relay.node.members
+                members = relay.node.update_endpoints
 
                 def count(now: float, form: EndpointListForm, servers: tuple[Server, ...] = ()):
                     nonlocal failures
                     failures += form is EndpointListForm.FAILED
                     return members(now, form, servers)
 
-                relay.node.members = count  # type: ignore[method-assign]
+                relay.node.update_endpoints = count  # type: ignore[method-assign]
                 if end != "refused":
                     await until(lambda: bool(discovery.writers))
                     if end == "garbage":
@@ -936,7 +938,7 @@
                 assert 400 <= status(await client.answer()) < 500
                 assert await client.reader.read() == b""
             assert not server.got
-            assert not relay.node.open
+            assert not relay.node.requests
             await until(lambda: not relay.server.connections)
 
     run(main())
@@ -954,7 +956,7 @@
                 assert status(await client.answer()) == 400
                 assert await client.reader.read() == b""
                 await until(lambda: server.closed == 1)
-                assert not relay.node.open
+                assert not relay.node.requests
 
     run(main())
 
--- a/tests/lab/test_graph.py
+++ b/tests/lab/test_graph.py
@@ -455,7 +455,7 @@
     assert sum(one["asked"] for one in summary["classes"].values()) == len(run.plan.arrivals)
     run.queue.run(run.queue.now + 30_000.0)
     for node in [*run.fleet.nodes.values(), *run.fleet.local_nodes.values()]:
-        assert node.node.active == 0
+        assert node.node.active_requests == 0
         assert not node.requests
         assert not node.attempts
     for host in run.fleet.hosts.values():
--- a/tests/lab/test_simulation.py
+++ b/tests/lab/test_simulation.py
@@ -26,8 +26,8 @@
 from rosewheel.lab.simulation.events import EventQueue
 from rosewheel.lab.simulation.node import SimulatedNode
 from rosewheel.lab.simulation.simulate import Simulation, check_simulated, simulate
-from rosewheel.node.core import Dispatch, Effect
-from rosewheel.node.idle_timeout import Rest
+from rosewheel.node.effects import NodeEffect, StartAttempt
+from rosewheel.node.idle_timeout import IdleTimeout
 from rosewheel.policy import balancer
 from rosewheel.policy.balancer import Balancer
 from rosewheel.policy.events import Server
@@ -185,7 +185,7 @@
     # Nothing is left behind once everybody has an answer and what ran on has ended.
     run.queue.run(run.queue.now + 30_000.0)
     for node in [*run.fleet.nodes.values(), *run.fleet.local_nodes.values()]:
-        assert node.node.active == 0
+        assert node.node.active_requests == 0
         assert not node.requests
         assert not node.attempts
         assert len(node.connections) <= node.max_connections
@@ -203,11 +203,11 @@
 def test_a_node_that_sends_unsafe_work_twice_is_found_out(monkeypatch: pytest.MonkeyPatch) -> None:
     plain = SimulatedNode.apply
 
-    def apply(self: SimulatedNode, effects: list[Effect]) -> None:
+    def apply(self: SimulatedNode, effects: list[NodeEffect]) -> None:
         again = [
-            Dispatch(one.id, one.attempt + 50, one.server, one.timeout_ms)
+            StartAttempt(one.id, one.attempt + 50, one.server, one.timeout_ms)
             for one in effects
-            if type(one) is Dispatch
+            if type(one) is StartAttempt
         ]
         plain(self, [*effects, *again])
 
@@ -275,7 +275,7 @@
     """Where equipos hold fewer connections than all nodes keep for later. Seen without the remedy as well."""
     one = plan.make(scenario.load("fleet-crowd", {"seconds": 13}))
     now = simulate(one)["service"]
-    monkeypatch.setattr(Rest, "refused", lambda *_: None)
+    monkeypatch.setattr(IdleTimeout, "new_connection_refused", lambda *_: None)
     assert now > simulate(one)["service"] + 0.2
 
 
--- a/tests/node/test_event_orders.py
+++ b/tests/node/test_event_orders.py
@@ -10,8 +10,9 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from rosewheel.node.core import Abort, Answer, Dispatch, Effect, Node
-from rosewheel.node.limits import Bounds
+from rosewheel.node.core import Node
+from rosewheel.node.effects import AbortAttempt, NodeEffect, SendResponse, StartAttempt
+from rosewheel.node.limits import Limits
 from rosewheel.policy.actions import Action, CancelAttempt, FailRequest, ForwardRequest, RejectRequest
 from rosewheel.policy.events import (
     AttemptFinished,
@@ -46,11 +47,11 @@
 
     def __init__(self, cancel: bool, copies: bool, attempts: int = 3) -> None:
         self.now = 0.0
-        self.log: list[Effect] = []
+        self.log: list[NodeEffect] = []
         cfg = settings(
             classes=tuple(KINDS.values()), may_cancel=cancel, warm_up_ms=0.0, max_attempts=attempts
         )
-        self.node = Node(cfg, Bounds(second_copies=copies), seed=3, now=0.0)
+        self.node = Node(cfg, Limits(hedging_allowed=copies), seed=3, now=0.0)
         self.servers = {f"s{at}": Server(f"s{at}", zone="a", cell=at // 2) for at in range(4)}
         self.kinds: dict[str, str] = {}
         self.rules: dict[
@@ -63,23 +64,23 @@
         self.sent: dict[str, list[tuple[int, str, float]]] = {}
         self.results: dict[tuple[str, int], AttemptResult] = {}
         self.halves: list[str] = []
-        self.do(self.node.members(0.0, EndpointListForm.SNAPSHOT, tuple(self.servers.values())))
+        self.do(self.node.update_endpoints(0.0, EndpointListForm.SNAPSHOT, tuple(self.servers.values())))
 
-    def do(self, effects: list[Effect]) -> None:
+    def do(self, effects: list[NodeEffect]) -> None:
         self.log += effects
         for effect in effects:
             match effect:
-                case Dispatch():
+                case StartAttempt():
                     self.dispatched(effect)
-                case Abort():
+                case AbortAttempt():
                     assert self.out.pop((effect.id, effect.attempt), None), "nothing to give up"
                     self.results[effect.id, effect.attempt] = AttemptResult.TIMEOUT  # it may have run
                     self.ended.append((effect.id, effect.attempt))
-                case Answer():
+                case SendResponse():
                     self.answers[effect.id].append(effect.status)
                     assert effect.id not in self.left, "an answer for one that has left"
 
-    def dispatched(self, effect: Dispatch) -> None:
+    def dispatched(self, effect: StartAttempt) -> None:
         id = effect.id
         kind, most, copies = self.rules[id]
         assert not self.answers[id], "sent on after its answer"
@@ -112,14 +113,14 @@
                 self.rules[id] = self.taken(service)
                 if not whole:
                     self.halves.append(id)
-                self.do(node.request(now, RequestReceived(id, service, now + 2500.0, complete=whole)))
+                self.do(node.receive_request(now, RequestReceived(id, service, now + 2500.0, complete=whole)))
             case ("arrive", at) if self.halves:
                 id = self.halves.pop(at % len(self.halves))
                 # An attempt counts once its last byte has come.
                 for number, row in enumerate(self.sent.get(id, [])):
                     if (id, row[0]) in self.out:
                         self.sent[id][number] = (*row[:2], now)
-                self.do(node.arrived(now, id, now + 2500.0))
+                self.do(node.request_completed(now, id, now + 2500.0))
             case ("end", at, result) if self.out:
                 key = sorted(self.out)[at % len(self.out)]
                 half = key[0] in self.halves
@@ -129,10 +130,10 @@
                 self.results[key] = result
                 self.ended.append(key)
                 if half:
-                    node.spent(key[0])
-                self.do(node.ended(now, *key, result))
+                    node.request_body_discarded(key[0])
+                self.do(node.attempt_finished(now, *key, result))
             case ("again", at, result) if self.ended:
-                effects = node.ended(now, *self.ended[at % len(self.ended)], result)
+                effects = node.attempt_finished(now, *self.ended[at % len(self.ended)], result)
                 assert not effects, "an attempt that was settled has said something"
             case ("leave", at) if self.kinds:
                 id = sorted(self.kinds)[at % len(self.kinds)]
@@ -143,24 +144,24 @@
                 host = f"s{at}"
                 born = now if restarted else self.servers[host].launched_ms
                 self.servers[host] = dataclasses.replace(self.servers[host], state=state, launched_ms=born)
-                self.do(node.members(now, EndpointListForm.DELTA, (self.servers[host],)))
+                self.do(node.update_endpoints(now, EndpointListForm.DELTA, (self.servers[host],)))
             case ("cordon", at, out):
-                self.do(node.cordon(now, f"s{at}", out))
+                self.do(node.set_cordon(now, f"s{at}", out))
             case ("pass", by):
                 self.now += by
                 self.do(node.tick(self.now))
 
     def taken(self, service: str) -> tuple[ServiceClass, int, bool]:
-        return KINDS[service], self.node.settings.max_attempts, self.node.bounds.second_copies
+        return KINDS[service], self.node.settings.max_attempts, self.node.limits.hedging_allowed
 
     def leave(self, id: str) -> None:
         """As the relay has it: what is not written whole is withdrawn."""
-        self.do(self.node.client_gone(self.now, id))
-        for attempt in self.node.out(id):
+        self.do(self.node.client_disconnected(self.now, id))
+        for attempt in self.node.attempts_in_flight(id):
             if id in self.halves:
                 self.out.pop((id, attempt), None)
                 self.results[id, attempt] = AttemptResult.CONNECT_FAILED
-                self.do(self.node.ended(self.now, id, attempt, AttemptResult.CONNECT_FAILED))
+                self.do(self.node.attempt_finished(self.now, id, attempt, AttemptResult.CONNECT_FAILED))
 
     def finish(self) -> None:
         """Whatever is still half read ends with its caller, and all deadlines pass."""
@@ -175,7 +176,7 @@
             if key in self.out:
                 del self.out[key]
                 self.results[key] = AttemptResult.RESET
-                self.do(self.node.ended(self.now, *key, AttemptResult.RESET))
+                self.do(self.node.attempt_finished(self.now, *key, AttemptResult.RESET))
 
 
 @given(st.lists(STEP, max_size=60), st.booleans(), st.booleans())
@@ -188,8 +189,8 @@
     world.finish()
     for id, answers in world.answers.items():
         assert len(answers) == (0 if id in world.left else 1), id
-    assert world.node.active == 0
-    assert not world.node.open
+    assert world.node.active_requests == 0
+    assert not world.node.requests
     assert not world.node.balancer.jobs
     assert all(peer.load == 0.0 and not peer.out for peer in world.node.balancer.peers.values())
 
@@ -232,5 +233,5 @@
         world.finish()
     for id, answers in world.answers.items():
         assert len(answers) == (0 if id in world.left else 1), id
-    assert world.node.active == 0
-    assert not world.node.open
+    assert world.node.active_requests == 0
+    assert not world.node.requests
--- a/tests/node/test_incomplete_requests.py
+++ b/tests/node/test_incomplete_requests.py
@@ -4,8 +4,9 @@
 
 import pytest
 
-from rosewheel.node.core import SERVED, Abort, Answer, Dispatch, Node
-from rosewheel.node.limits import Bounds
+from rosewheel.node.core import Node
+from rosewheel.node.effects import AbortAttempt, ResponseStatus, SendResponse, StartAttempt
+from rosewheel.node.limits import Limits
 from rosewheel.policy.actions import ForwardRequest, RejectRequest
 from rosewheel.policy.events import (
     AttemptFinished,
@@ -70,52 +71,52 @@
     assert (peer.load, len(bed.balancer.jobs)) == (0.0, 0)
 
 
-def box(**bounds: int) -> Node:
-    made = Node(settings(), Bounds(**bounds), seed=1, now=0.0)
-    made.members(0.0, EndpointListForm.SNAPSHOT, (Server("s", zone="a"), Server("t", zone="a")))
+def box(**limits: int) -> Node:
+    made = Node(settings(), Limits(**limits), seed=1, now=0.0)
+    made.update_endpoints(0.0, EndpointListForm.SNAPSHOT, (Server("s", zone="a"), Server("t", zone="a")))
     return made
 
 
 def test_the_node_has_no_deadline_before_the_end_has_come():
     made = box()
-    made.request(1.0, RequestReceived("r", "post", 1001.0, complete=False))
+    made.receive_request(1.0, RequestReceived("r", "post", 1001.0, complete=False))
     assert made.tick(50_000.0) == []
-    assert made.arrived(50_000.0, "r", 51_000.0) == []
-    assert made.arrived(50_000.0, "r", 99_000.0) == [], "told once"
+    assert made.request_completed(50_000.0, "r", 51_000.0) == []
+    assert made.request_completed(50_000.0, "r", 99_000.0) == [], "told once"
     effects = made.tick(51_000.0)
-    assert [type(effect) for effect in effects] == [Abort, Answer]
+    assert [type(effect) for effect in effects] == [AbortAttempt, SendResponse]
 
 
 def test_what_is_no_longer_held_is_not_sent_again():
     made = box()
-    made.request(1.0, RequestReceived("r", "post", 1001.0, complete=False))
-    made.spent("r")
-    effects = made.ended(5.0, "r", 0, AttemptResult.CONNECT_FAILED)
-    assert not any(isinstance(effect, Dispatch) for effect in effects)
-    assert [effect.status for effect in effects if isinstance(effect, Answer)] == [503], "it never ran"
+    made.receive_request(1.0, RequestReceived("r", "post", 1001.0, complete=False))
+    made.request_body_discarded("r")
+    effects = made.attempt_finished(5.0, "r", 0, AttemptResult.CONNECT_FAILED)
+    assert not any(isinstance(effect, StartAttempt) for effect in effects)
+    assert [effect.status for effect in effects if isinstance(effect, SendResponse)] == [503], "it never ran"
 
 
 def test_an_answer_that_is_passed_on_has_no_deadline_and_no_second_attempt():
     made = box()
-    made.request(1.0, RequestReceived("r", "read", 1001.0))
-    assert made.began(5.0, "r", 0) == []
-    assert made.began(5.0, "r", 0) is None, "it begins once"
-    assert not any(isinstance(effect, Abort | Answer) for effect in made.tick(60_000.0))
-    effects = made.ended(60_000.0, "r", 0, AttemptResult.RESET)
-    assert [effect.status for effect in effects if isinstance(effect, Answer)] == [500]
-    assert not any(isinstance(effect, Dispatch) for effect in effects)
-    assert made.active == 0
+    made.receive_request(1.0, RequestReceived("r", "read", 1001.0))
+    assert made.response_started(5.0, "r", 0) == []
+    assert made.response_started(5.0, "r", 0) is None, "it begins once"
+    assert not any(isinstance(effect, AbortAttempt | SendResponse) for effect in made.tick(60_000.0))
+    effects = made.attempt_finished(60_000.0, "r", 0, AttemptResult.RESET)
+    assert [effect.status for effect in effects if isinstance(effect, SendResponse)] == [500]
+    assert not any(isinstance(effect, StartAttempt) for effect in effects)
+    assert made.active_requests == 0
 
 
 def test_the_latency_of_a_long_answer_is_that_of_its_first_bytes():
     heard: list[Event] = []
     made = box()
-    made.request(1.0, RequestReceived("r", "read", 1001.0))
+    made.receive_request(1.0, RequestReceived("r", "read", 1001.0))
     handle = made.balancer.handle
     made.balancer.handle = lambda now, event: heard.append(event) or handle(now, event)  # type: ignore[assignment,func-returns-value]
-    made.began(101.0, "r", 0)
-    effects = made.ended(60_000.0, "r", 0, AttemptResult.OK)
-    assert [effect.status for effect in effects if isinstance(effect, Answer)] == [SERVED]
+    made.response_started(101.0, "r", 0)
+    effects = made.attempt_finished(60_000.0, "r", 0, AttemptResult.OK)
+    assert [effect.status for effect in effects if isinstance(effect, SendResponse)] == [ResponseStatus.OK]
     outcome = heard[-1]
     assert isinstance(outcome, AttemptFinished)
     assert (outcome.latency_ms, outcome.request_ended) == (100.0, True)
@@ -123,7 +124,7 @@
 
 def test_a_caller_that_leaves_a_long_answer_ends_its_attempt():
     made = box()
-    made.request(1.0, RequestReceived("r", "read", 1001.0))
-    made.began(5.0, "r", 0)
-    assert made.client_gone(9.0, "r") == [Abort("r", 0)]
-    assert (made.active, made.open, made.balancer.jobs) == (0, {}, {})
+    made.receive_request(1.0, RequestReceived("r", "read", 1001.0))
+    made.response_started(5.0, "r", 0)
+    assert made.client_disconnected(9.0, "r") == [AbortAttempt("r", 0)]
+    assert (made.active_requests, made.requests, made.balancer.jobs) == (0, {}, {})
--- a/tests/policy/test_learned_state.py
+++ b/tests/policy/test_learned_state.py
@@ -241,7 +241,7 @@
             async with node(hosts, state=str(tmp_path)) as new:
                 assert 0.0 < new.node.balancer.peers["s"].errs <= 0.5
                 assert new.node.balancer.base == 0.125
-                assert new.upstream.idle_timeout.usable_s == old.upstream.idle_timeout.usable_s
+                assert new.upstream.idle_timeout.stale_limit_s == old.upstream.idle_timeout.stale_limit_s
             # Where nothing outlives a process, nothing is read or written.
             async with node(hosts) as bare:
                 assert bare.node.balancer.base is None
--- a/tests/policy/test_settings_change.py
+++ b/tests/policy/test_settings_change.py
@@ -10,9 +10,10 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from rosewheel.node.core import Abort, Answer, Dispatch, Node
-from rosewheel.node.limits import Bounds
-from rosewheel.node.statistics import GONE, Ended, Figures
+from rosewheel.node.core import Node
+from rosewheel.node.effects import AbortAttempt, SendResponse, StartAttempt
+from rosewheel.node.limits import Limits
+from rosewheel.node.statistics import MAX_REMOVED_CLASSES, RequestOutcome, Statistics
 from rosewheel.policy import balancer
 from rosewheel.policy.actions import Action, ForwardRequest, StartTimer, WatchEndpoints
 from rosewheel.policy.balancer import START_MS, Balancer
@@ -56,7 +57,7 @@
     "poll_discovery": st.booleans(),
     "tenants": st.sampled_from([(), (Tenant("t", 5.0),), (Tenant("t", 0.0), Tenant("u", 9.0))]),
 }
-LIMITS = {"second_copies": st.booleans(), "max_open": st.sampled_from([1, 3, 20000])}
+LIMITS = {"hedging_allowed": st.booleans(), "max_open_requests": st.sampled_from([1, 3, 20000])}
 CONFIGURE = st.tuples(
     st.just("configure"),
     st.fixed_dictionaries({}, optional=CHANGES),
@@ -71,17 +72,17 @@
         match step:
             case ("configure", changes, limits):
                 cfg = dataclasses.replace(self.node.settings, **changes)
-                self.do(self.node.configure(self.now, cfg, dataclasses.replace(self.node.bounds, **limits)))
+                self.do(self.node.configure(self.now, cfg, dataclasses.replace(self.node.limits, **limits)))
                 assert self.node.settings is cfg
             case ("ask", service, _):
-                if service in self.node.classes:  # callers of another class are turned away before
+                if service in self.node.service_names:  # callers of another class are turned away before
                     super().step(step)
             case _:
                 super().step(step)
 
     def taken(self, service: str) -> tuple[ServiceClass, int, bool]:
         kind = next(kind for kind in self.node.settings.classes if kind.name == service)
-        return kind, self.node.settings.max_attempts, self.node.bounds.second_copies
+        return kind, self.node.settings.max_attempts, self.node.limits.hedging_allowed
 
 
 @given(st.lists(st.one_of(STEP, CONFIGURE), max_size=60), st.booleans(), st.booleans())
@@ -94,8 +95,8 @@
     world.finish()
     for id, answers in world.answers.items():
         assert len(answers) == (0 if id in world.left else 1), id
-    assert world.node.active == 0
-    assert not world.node.open
+    assert world.node.active_requests == 0
+    assert not world.node.requests
     balancer = world.node.balancer
     assert not balancer.jobs
     assert all(peer.load == 0.0 and not peer.out for peer in balancer.peers.values())
@@ -112,7 +113,7 @@
         if at % every == 0:
             same = dataclasses.replace(told.node.settings)
             before = dict(vars(told.node.balancer))
-            assert told.node.configure(told.now, same, dataclasses.replace(told.node.bounds)) == []
+            assert told.node.configure(told.now, same, dataclasses.replace(told.node.limits)) == []
             assert all(value is before[key] for key, value in vars(told.node.balancer).items())
     for world in (plain, told):
         world.finish()
@@ -169,12 +170,12 @@
                     with pytest.raises(
                         ValueError, match=why if isinstance(why, str) else "settings: .*FaultError"
                     ):
-                        node.configure(told.now, cfg, Bounds(max_open=1, second_copies=False))
+                        node.configure(told.now, cfg, Limits(max_open_requests=1, hedging_allowed=False))
     for world in (plain, told):
         world.finish()
     assert told.log == plain.log
     assert told.node.settings == plain.node.settings
-    assert told.node.bounds == plain.node.bounds
+    assert told.node.limits == plain.node.limits
     ours, theirs = vars(told.node.balancer), vars(plain.node.balancer)
     assert ours["rng"].getstate() == theirs["rng"].getstate()
     for key in (
@@ -211,14 +212,16 @@
 # ------------------------------------------------------------ what is in flight
 
 
-def made(bounds: Bounds | None = None, **changes: Any) -> Node:
-    node = Node(settings(warm_up_ms=0.0, **changes), bounds or Bounds(), seed=7, now=0.0)
-    node.members(0.0, EndpointListForm.SNAPSHOT, tuple(Server(f"s{at}", zone="a") for at in range(4)))
+def made(bounds: Limits | None = None, **changes: Any) -> Node:
+    node = Node(settings(warm_up_ms=0.0, **changes), bounds or Limits(), seed=7, now=0.0)
+    node.update_endpoints(
+        0.0, EndpointListForm.SNAPSHOT, tuple(Server(f"s{at}", zone="a") for at in range(4))
+    )
     return node
 
 
 def change(node: Node, now: float, **changes: Any) -> list[Any]:
-    return node.configure(now, dataclasses.replace(node.settings, **changes), node.bounds)
+    return node.configure(now, dataclasses.replace(node.settings, **changes), node.limits)
 
 
 def only(effects: list[Any], kind: type) -> Any:
@@ -229,14 +232,14 @@
 
 def test_a_class_that_is_removed_serves_what_it_has_taken():
     node = made()
-    only(node.request(1.0, RequestReceived("r", "read", 2500.0)), Dispatch)
+    only(node.receive_request(1.0, RequestReceived("r", "read", 2500.0)), StartAttempt)
     change(node, 2.0, classes=(UNSAFE,))
-    assert node.classes == {"post"}
+    assert node.service_names == {"post"}
     again = only(
-        node.ended(3.0, "r", 0, AttemptResult.RESET), Dispatch
+        node.attempt_finished(3.0, "r", 0, AttemptResult.RESET), StartAttempt
     )  # it may be repeated, as when it was taken
-    assert only(node.ended(4.0, "r", again.attempt, AttemptResult.OK), Answer).status == 200
-    assert node.figures.classes["read"].ok == 1
+    assert only(node.attempt_finished(4.0, "r", again.attempt, AttemptResult.OK), SendResponse).status == 200
+    assert node.statistics.classes["read"].ok == 1
     with pytest.raises(ValueError, match="service: 'read'"):
         node.balancer.handle(5.0, RequestReceived("q", "read", 2500.0))
     assert "read" not in node.balancer.class_ms
@@ -244,72 +247,73 @@
 
 def test_work_that_was_unsafe_when_it_was_taken_is_not_run_twice():
     node = made()
-    only(node.request(1.0, RequestReceived("r", "post", 2500.0)), Dispatch)
+    only(node.receive_request(1.0, RequestReceived("r", "post", 2500.0)), StartAttempt)
     change(node, 2.0, classes=(dataclasses.replace(UNSAFE, idempotency=Idempotency.IDEMPOTENT),))
-    assert only(node.ended(3.0, "r", 0, AttemptResult.RESET), Answer).status == 502
+    assert only(node.attempt_finished(3.0, "r", 0, AttemptResult.RESET), SendResponse).status == 502
 
 
 def test_a_deadline_that_is_shortened_holds_for_what_comes_later():
     node = made()
-    first = only(node.request(1.0, RequestReceived("r", "read", 2500.0)), Dispatch)
+    first = only(node.receive_request(1.0, RequestReceived("r", "read", 2500.0)), StartAttempt)
     change(node, 2.0, classes=(dataclasses.replace(SAFE, latency_objective_ms=100.0, deadline_ms=200.0),))
-    second = only(node.request(3.0, RequestReceived("q", "read", 203.0)), Dispatch)
+    second = only(node.receive_request(3.0, RequestReceived("q", "read", 203.0)), StartAttempt)
     assert first.timeout_ms > 900.0
     assert second.timeout_ms < 100.0
     assert not [effect for effect in node.tick(101.0 + 3.0) if effect.id == "r"]  # type: ignore[union-attr]
-    assert only(node.ended(900.0, "r", 0, AttemptResult.OK), Answer).status == 200
+    assert only(node.attempt_finished(900.0, "r", 0, AttemptResult.OK), SendResponse).status == 200
 
 
 def test_a_stop_waits_for_what_was_taken_under_a_longer_patience():
     node = made()
-    node.request(0.0, RequestReceived("r", "read", 5000.0))
+    node.receive_request(0.0, RequestReceived("r", "read", 5000.0))
     change(node, 1.0, classes=(dataclasses.replace(SAFE, latency_objective_ms=100.0, deadline_ms=200.0),))
-    assert node.longest_ms(1000.0) == 4000.0
-    node.ended(1000.0, "r", 0, AttemptResult.OK)
-    assert node.longest_ms(1000.0) == 200.0
+    assert node.longest_remaining_deadline_ms(1000.0) == 4000.0
+    node.attempt_finished(1000.0, "r", 0, AttemptResult.OK)
+    assert node.longest_remaining_deadline_ms(1000.0) == 200.0
 
 
 def test_fewer_attempts_hold_for_what_comes_later():
     """Also where an open request has used more than are allowed by now."""
     node = made()
-    node.request(1.0, RequestReceived("r", "read", 2500.0))
-    only(node.ended(2.0, "r", 0, AttemptResult.OVERLOADED), Dispatch)
+    node.receive_request(1.0, RequestReceived("r", "read", 2500.0))
+    only(node.attempt_finished(2.0, "r", 0, AttemptResult.OVERLOADED), StartAttempt)
     change(node, 3.0, max_attempts=1)
-    only(node.ended(4.0, "r", 1, AttemptResult.OVERLOADED), Dispatch)  # its third, and last
-    assert only(node.ended(5.0, "r", 2, AttemptResult.OVERLOADED), Answer).status == 503
-    node.request(6.0, RequestReceived("q", "read", 2500.0))
-    assert only(node.ended(7.0, "q", 0, AttemptResult.OVERLOADED), Answer).status == 503
+    only(node.attempt_finished(4.0, "r", 1, AttemptResult.OVERLOADED), StartAttempt)  # its third, and last
+    assert only(node.attempt_finished(5.0, "r", 2, AttemptResult.OVERLOADED), SendResponse).status == 503
+    node.receive_request(6.0, RequestReceived("q", "read", 2500.0))
+    assert only(node.attempt_finished(7.0, "q", 0, AttemptResult.OVERLOADED), SendResponse).status == 503
 
 
 @pytest.mark.parametrize("before", [True, False])
 def test_whether_an_attempt_may_be_taken_back_holds_as_when_it_was_taken(before: bool):
     node = made(may_cancel=before)
-    node.request(1.0, RequestReceived("r", "read", 2500.0))
+    node.receive_request(1.0, RequestReceived("r", "read", 2500.0))
     change(node, 2.0, may_cancel=not before)
-    gone = [effect for effect in node.client_gone(3.0, "r") if isinstance(effect, Abort)]
+    gone = [effect for effect in node.client_disconnected(3.0, "r") if isinstance(effect, AbortAttempt)]
     assert bool(gone) is before
 
 
 @pytest.mark.parametrize("before", [True, False])
 def test_whether_attempts_may_overlap_holds_as_when_it_was_taken(before: bool):
-    node = made(Bounds(second_copies=before))
-    node.request(1.0, RequestReceived("r", "read", 2500.0))
-    node.configure(2.0, node.settings, Bounds(second_copies=not before))
+    node = made(Limits(hedging_allowed=before))
+    node.receive_request(1.0, RequestReceived("r", "read", 2500.0))
+    node.configure(2.0, node.settings, Limits(hedging_allowed=not before))
     node._act(3.0, ForwardRequest("r", "s3"))  # what a module with second copies may decide
     assert (
-        bool([effect for effect in node.tick(3.0) + node._run(3.0) if isinstance(effect, Dispatch)]) is before
+        bool([effect for effect in node.tick(3.0) + node._run(3.0) if isinstance(effect, StartAttempt)])
+        is before
     )
 
 
 def test_more_that_are_open_than_are_allowed_by_now_go_on():
     node = made()
     for id in ("a", "b"):
-        node.request(1.0, RequestReceived(id, "read", 2500.0))
-    node.configure(2.0, node.settings, Bounds(max_open=1))
-    assert only(node.request(3.0, RequestReceived("c", "read", 2500.0)), Answer).status == 503
+        node.receive_request(1.0, RequestReceived(id, "read", 2500.0))
+    node.configure(2.0, node.settings, Limits(max_open_requests=1))
+    assert only(node.receive_request(3.0, RequestReceived("c", "read", 2500.0)), SendResponse).status == 503
     for id in ("a", "b"):
-        assert only(node.ended(4.0, id, 0, AttemptResult.OK), Answer).status == 200
-    only(node.request(5.0, RequestReceived("d", "read", 2500.0)), Dispatch)
+        assert only(node.attempt_finished(4.0, id, 0, AttemptResult.OK), SendResponse).status == 200
+    only(node.receive_request(5.0, RequestReceived("d", "read", 2500.0)), StartAttempt)
 
 
 # --------------------------------------------------------------- what is learned
@@ -489,19 +493,23 @@
 
 
 def test_a_class_that_is_gone_is_counted_to_its_end_and_goes_on_where_it_comes_back():
-    figures = Figures(["read", "post"])
-    figures.ended("read", Ended.OK)
+    figures = Statistics(["read", "post"])
+    figures.count_request("read", RequestOutcome.OK)
     figures.configure(["post", "new"])
     assert list(figures.classes) == ["post", "new", "read"]
-    figures.ended("read", Ended.OK)
+    figures.count_request("read", RequestOutcome.OK)
     figures.configure(["read"])
     assert figures.classes["read"].ok == 2
 
 
 def test_names_that_change_all_the_time_do_not_fill_the_memory():
-    figures = Figures(["read"])
-    for at in range(5 * GONE):
+    figures = Statistics(["read"])
+    for at in range(5 * MAX_REMOVED_CLASSES):
         figures.configure([f"class-{at}", "read"])
-        figures.keep(f"adopted-{at}")
-    assert len(figures.classes) == GONE + 2
-    assert {"read", f"class-{5 * GONE - 1}", f"adopted-{5 * GONE - 1}"} <= figures.classes.keys()
+        figures.track_class(f"adopted-{at}")
+    assert len(figures.classes) == MAX_REMOVED_CLASSES + 2
+    assert {
+        "read",
+        f"class-{5 * MAX_REMOVED_CLASSES - 1}",
+        f"adopted-{5 * MAX_REMOVED_CLASSES - 1}",
+    } <= figures.classes.keys()
--- a/tests/proxy/test_cordon.py
+++ b/tests/proxy/test_cordon.py
@@ -9,8 +9,9 @@
 
 import pytest
 
-from rosewheel.node.core import Dispatch, Node
-from rosewheel.node.limits import Bounds
+from rosewheel.node.core import Node
+from rosewheel.node.effects import StartAttempt
+from rosewheel.node.limits import Limits
 from rosewheel.policy.actions import RejectRequest
 from rosewheel.policy.events import (
     AttemptResult,
@@ -79,17 +80,17 @@
 
 
 def test_nothing_is_sent_to_one_that_is_out_even_if_the_module_errs():
-    box = Node(settings(), Bounds(), seed=1, now=0.0)
-    box.members(0.0, EndpointListForm.SNAPSHOT, (Server("s", zone="a"),))
-    assert not box.knows("nobody")
-    box.cordon(0.0, "s", out=True)
+    box = Node(settings(), Limits(), seed=1, now=0.0)
+    box.update_endpoints(0.0, EndpointListForm.SNAPSHOT, (Server("s", zone="a"),))
+    assert not box.is_known_server("nobody")
+    box.set_cordon(0.0, "s", cordoned=True)
     box.balancer.pool.cordoned.clear()  # a module that forgets
     box.balancer.pool.settle(box.balancer.peers["s"], 0.0)
-    effects = box.request(1.0, RequestReceived("r", "read", 2000.0))
-    assert not any(isinstance(effect, Dispatch) for effect in effects)
-    assert (box.can_serve, box.avoided) == (False, 1)
-    box.members(2.0, EndpointListForm.DELTA, (Server("s", state=ServerState.REMOVED),))
-    assert box.knows("s"), "it can be called back also while the list does not name it"
+    effects = box.receive_request(1.0, RequestReceived("r", "read", 2000.0))
+    assert not any(isinstance(effect, StartAttempt) for effect in effects)
+    assert (box.can_serve, box.cordoned_endpoint_count) == (False, 1)
+    box.update_endpoints(2.0, EndpointListForm.DELTA, (Server("s", state=ServerState.REMOVED),))
+    assert box.is_known_server("s"), "it can be called back also while the list does not name it"
 
 
 def test_no_connection_that_is_coming_up_is_used_after_the_yes():
@@ -112,7 +113,7 @@
                 assert out.got == []
                 assert await relay.cordon("out")
                 assert not await relay.cordon("nobody")
-                assert relay.figures()["pool_ejected"] == 1
+                assert relay.statistics()["pool_ejected"] == 1
                 relay.upstream.loop = relay.loop
                 assert await relay.uncordon("out")
                 assert status(await client.ask("post")) == 200
@@ -147,7 +148,7 @@
                     shared["inherited"] = os.dup(held.fileno())
                     async with node(known, **shared) as new, Client(new) as client:
                         await until(lambda: (old.process_count, new.process_count) == (2, 2))
-                        assert old.max_descriptors < new.config.bounds.sockets // 2
+                        assert old.max_descriptors < new.config.bounds.max_sockets // 2
                         for _ in range(10):
                             assert status(await client.ask()) == 200
                         assert (len(one.got), len(two.got)) == (0, 10)
--- a/tests/proxy/test_reconfiguration.py
+++ b/tests/proxy/test_reconfiguration.py
@@ -14,10 +14,10 @@
 import orjson
 import pytest
 
-from rosewheel.admin.server import reply_to
+from rosewheel.admin.server import respond_to
 from rosewheel.config.platform import ConfigError
 from rosewheel.discovery.watch_client import SILENCE_TIMEOUT_S
-from rosewheel.node.limits import Bounds
+from rosewheel.node.limits import Limits
 from rosewheel.policy.settings import Settings
 from rosewheel.proxy.cordons import Cordons
 from rosewheel.proxy.proxy import Proxy
@@ -109,13 +109,13 @@
                 before,
                 discovery=("127.0.0.1", 2),
                 settings=other(relay, tier=1, classes=(SAFE,)),
-                bounds=Bounds(sockets=64, memory_mb=33.0),
+                bounds=Limits(max_sockets=64, memory_limit_mb=33.0),
             )
             with pytest.raises(ConfigError, match=r"^tier: 1 would need a new start of this node$"):
                 relay.reload(bad)
             assert relay.config is before
             assert relay.upstream.bounds is before.bounds
-            assert relay.node.bounds is before.bounds
+            assert relay.node.limits is before.bounds
             assert relay.discovery.address == before.discovery
             assert all(value is kept[key] for key, value in vars(relay.node.balancer).items())
             assert status(await client.ask("post")) == 200
@@ -147,19 +147,21 @@
 def test_other_bounds_reach_all_that_keeps_to_them():
     async def main() -> None:
         async with node([]) as relay:
-            relay.upstream.idle_timeout.kept_s = 3.0
-            bounds = Bounds(conn_idle_ms=500.0, connect_timeout_ms=7.0, sockets=200, memory_mb=40.0)
+            relay.upstream.idle_timeout.refusal_limit_s = 3.0
+            bounds = Limits(
+                idle_timeout_ms=500.0, connect_timeout_ms=7.0, max_sockets=200, memory_limit_mb=40.0
+            )
             relay.configure(other(relay, balancer_count=100), bounds)
-            assert (relay.upstream.bounds, relay.node.bounds) == (bounds, bounds)
-            assert relay.upstream.idle_timeout.reusable_s == pytest.approx(0.4)
-            assert relay.upstream.idle_timeout.crowds
-            assert relay.upstream.idle_timeout.kept_s == 3.0
+            assert (relay.upstream.bounds, relay.node.limits) == (bounds, bounds)
+            assert relay.upstream.idle_timeout.reusable_for_s == pytest.approx(0.4)
+            assert relay.upstream.idle_timeout.large_fleet
+            assert relay.upstream.idle_timeout.refusal_limit_s == 3.0
             assert relay.budget.limit_bytes == 6 << 20
             assert relay.max_descriptors < 200
             assert relay.server.max_connections < relay.max_descriptors
             relay.configure(other(relay, balancer_count=1), bounds)
-            assert not relay.upstream.idle_timeout.crowds
-            assert relay.upstream.idle_timeout.kept_s == math.inf
+            assert not relay.upstream.idle_timeout.large_fleet
+            assert relay.upstream.idle_timeout.refusal_limit_s == math.inf
 
     run(main())
 
@@ -175,10 +177,14 @@
                 await until(lambda: len(server.got) == 6 and len(relay.server.connections) == 40)
                 for caller in relay.server.connections:
                     caller.last_activity_s -= 10.0  # none of them is new, so each may be closed
-                relay.configure(relay.config.settings, dataclasses.replace(relay.config.bounds, sockets=64))
+                relay.configure(
+                    relay.config.settings, dataclasses.replace(relay.config.bounds, max_sockets=64)
+                )
                 assert relay.max_descriptors < 46
                 assert relay.descriptors <= relay.max_descriptors
-                relay.configure(relay.config.settings, dataclasses.replace(relay.config.bounds, sockets=32))
+                relay.configure(
+                    relay.config.settings, dataclasses.replace(relay.config.bounds, max_sockets=32)
+                )
                 assert relay.max_descriptors < 12  # 6 callers and 6 equipos' connections are in use
                 await until(lambda: len(relay.server.connections) == 6)
                 free.set()
@@ -227,9 +233,9 @@
                 return timeout(delay)
 
             monkeypatch.setattr("rosewheel.http.upstream_pool.asyncio.timeout", noted)
-            relay.configure(relay.config.settings, Bounds(connect_timeout_ms=100.0))
+            relay.configure(relay.config.settings, Limits(connect_timeout_ms=100.0))
             relay.upstream.start_attempt("r", 0, "s", b"")
-            relay.configure(relay.config.settings, Bounds(connect_timeout_ms=5000.0))
+            relay.configure(relay.config.settings, Limits(connect_timeout_ms=5000.0))
             await until(lambda: 0.1 in waits or 5.0 in waits)
             assert 5.0 not in waits
 
@@ -284,9 +290,9 @@
                 for _ in range(5):
                     assert status(await client.ask()) == 200
                 assert len(one.got) == 0
-                got = await reply_to(relay, "POST", "/admin/uncordon?member=one")
+                got = await respond_to(relay, "POST", "/admin/uncordon?member=one")
                 assert got.body == {"member": "one", "cordoned": True, "by": "fleet"}
-                assert relay.figures()["pool_ejected"] == 1
+                assert relay.statistics()["pool_ejected"] == 1
                 assert status(await client.ask()) == 200
                 assert len(one.got) == 0
                 # One that the list names only now is out from its first moment.
@@ -297,7 +303,7 @@
                 relay.set_fleet_cordons(frozenset())
                 assert relay.node.cordoned == {"two"}
                 assert status(await client.ask()) == 200
-                got = await reply_to(relay, "POST", "/admin/uncordon?member=two")
+                got = await respond_to(relay, "POST", "/admin/uncordon?member=two")
                 assert got.body == {"member": "two", "cordoned": False}
                 # What outlives the process is what was said by hand.
                 relay.set_fleet_cordons(frozenset({"one"}))
@@ -332,8 +338,8 @@
                 gate.set()
                 async with asyncio.timeout(WAIT_S):
                     assert await read_long(client.reader) == LONG
-                assert new.figures()["responses"]["read"]["ok"] == 1
-                assert new.node.classes == {"post"}
+                assert new.statistics()["responses"]["read"]["ok"] == 1
+                assert new.node.service_names == {"post"}
                 assert status(await client.ask(id="small-1")) == 400
                 await client.__aexit__()
 
--- a/tests/proxy/test_shutdown.py
+++ b/tests/proxy/test_shutdown.py
@@ -102,7 +102,9 @@
                 async with Client(relay) as fresh:
                     fresh.send("post", timeout=timeout_ms)
                     await until(
-                        lambda: relay.node.active + relay.server.rejected_count >= 3 or not relay.calls
+                        lambda: (
+                            relay.node.active_requests + relay.server.rejected_count >= 3 or not relay.calls
+                        )
                     )
                     free.set()
                     for client in (flying, there, fresh):
--- a/tests/support/sockets.py
+++ b/tests/support/sockets.py
@@ -13,7 +13,7 @@
 import uvloop
 
 from rosewheel.config.platform import Config
-from rosewheel.node.limits import Bounds
+from rosewheel.node.limits import Limits
 from rosewheel.proxy.proxy import Proxy
 from tests.support.balancers import settings
 
@@ -151,7 +151,7 @@
 def config(
     servers: list[dict[str, Any]],
     discovery: FakeDiscovery | None = None,
-    bounds: Bounds | None = None,
+    bounds: Limits | None = None,
     state: str | None = None,
     inherited: int | None = None,
     **changes: Any,
@@ -163,7 +163,7 @@
         seed=7,
         settings=settings(poll_discovery=discovery is not None, **changes),
         # A connect takes what it takes on a busy machine: no test here waits for it to be given up.
-        bounds=bounds or Bounds(connect_timeout_ms=WAIT_S * 1000.0),
+        bounds=bounds or Limits(connect_timeout_ms=WAIT_S * 1000.0),
         known={"seq": 5, "whole": True, "hosts": servers},
         inherited=inherited,
         state=state,
