--- a/rosewheel/cli/lab.py
+++ b/rosewheel/cli/lab.py
@@ -23,7 +23,8 @@
 from rosewheel.lab import scenario as scenarios
 from rosewheel.lab.emulator import Emulator
 from rosewheel.lab.load import LoadGenerator
-from rosewheel.lab.node_process import NodeProcess, platform_settings
+from rosewheel.lab.node_process import NodeProcess
+from rosewheel.lab.node_settings import platform_settings
 from rosewheel.lab.plan import Plan
 from rosewheel.lab.records import RecordWriter
 from rosewheel.lab.run import RunError, interrupt_to_cancel
@@ -119,7 +120,7 @@
     live: asyncio.Task[None] | None = None
     try:
         await emulator.start()
-        agent = emulator.add_agent("n0")
+        agent = emulator.fleet.add_agent("n0")
         discovery = await agent.start()
         limits = {"memory_mb": plan.scenario.nodes.memory_mb, "sockets": plan.scenario.nodes.sockets}
         config = {
@@ -127,12 +128,12 @@
             "known": agent.snapshot_record(),
             "settings": platform_settings(plan, 0, 1),
         }
-        node = NodeProcess("n0", folder, discovery, config, ops=True)
+        node = NodeProcess("n0", folder, discovery, config, admin=True)
         if not await node.wait_healthy():
             raise RunError(f"the node did not start: {node.last_log_line()}")
         host, port = node.listen_address
         service = plan.scenario.classes[0].name
-        click.echo(f"node      http://{host}:{port}   {len(emulator.hosts)} equipos behind it")
+        click.echo(f"node      http://{host}:{port}   {len(emulator.fleet.hosts)} equipos behind it")
         if node.admin_address is not None:
             click.echo(f"operators http://{node.admin_address[0]}:{node.admin_address[1]}/admin/stats")
         click.echo(
@@ -164,7 +165,7 @@
         await asyncio.sleep(1.0)
         asked = sum(counts["asked"] for counts in load.counts.values())
         good = sum(counts["in_time"] for counts in load.counts.values())
-        queues = " ".join(f"{host.model.in_progress:2}" for host in emulator.hosts.values())
+        queues = " ".join(f"{host.model.in_progress:2}" for host in emulator.fleet.hosts.values())
         elapsed, open_count = time.monotonic() - began, len(load.open_operations)
         line = f"{elapsed:5.0f} s  asked {asked:6}  in time {good:6}  open {open_count:3}"
         click.echo(f"{line}  at each equipo {queues}")
@@ -197,14 +198,14 @@
         await emulator.start()
         agents = {}
         for number in range(plan.scenario.nodes.count):
-            host, port = await emulator.add_agent(f"n{number}").start()
+            host, port = await emulator.fleet.add_agent(f"n{number}").start()
             agents[f"n{number}"] = f"{host}:{port}"
         json_line({"discovery": agents, "settings": platform_settings(plan, 0, plan.scenario.nodes.count)})
         sys.stdout.flush()
         emulator.start_clock(now_ms())
         await asyncio.sleep(plan.scenario.seconds)
     finally:
-        figures = emulator.statistics()
+        figures = msgspec.to_builtins(emulator.statistics())
         emulator.close()
         records.close()
     json_line({"ok": True, **figures})
--- a/rosewheel/lab/emulator_process.py
+++ b/rosewheel/lab/emulator_process.py
@@ -1,7 +1,7 @@
 """The emulator as a process of its own: `python -m rosewheel.lab.emulator_process SCENARIO.json SEED FOLDER`.
 
-It says once, in one line, where its nodes find discovery; then it waits for the moment at which the plan begins. It
-ends when its standard input ends, so that it never outlives the run that started it.
+It writes one line with the addresses of discovery; then it waits for the moment at which the plan begins. It ends when
+its standard input ends, so that it never outlives the run that started it.
 """
 
 from __future__ import annotations
@@ -15,34 +15,33 @@
 import uvloop
 
 from rosewheel.lab import plan as plans
+from rosewheel.lab.emulated_fleet import NodeStartError
 from rosewheel.lab.emulator import Emulator
+from rosewheel.lab.emulator_child import EmulatorReady, StartClock
+from rosewheel.lab.garbage_collection import tune_garbage_collector
+from rosewheel.lab.record_types import RecordFile
 from rosewheel.lab.records import RecordWriter
-from rosewheel.lab.run import tune_garbage_collector
 from rosewheel.lab.scenario import Scenario
 
 
 async def serve(scenario: Scenario, seed: int, folder: Path) -> int:
+    """Run the emulator until standard input ends; returns the exit status."""
     loop = asyncio.get_running_loop()
-    told = asyncio.StreamReader()
-    await loop.connect_read_pipe(lambda: asyncio.StreamReaderProtocol(told), sys.stdin)
-    plan = plans.make(scenario, seed)
-    records = RecordWriter(folder / "equipos.jsonl")
-    emulator = Emulator(plan, folder, records)
+    commands = asyncio.StreamReader()
+    await loop.connect_read_pipe(lambda: asyncio.StreamReaderProtocol(commands), sys.stdin)
+    records = RecordWriter(folder / f"{RecordFile.SERVERS}.jsonl")
+    emulator = Emulator(plans.make(scenario, seed), folder, records)
     try:
         await emulator.start()
-        agents = {}
-        for number in range(scenario.nodes.count):
-            agent = emulator.add_agent(f"n{number}")
-            agents[agent.node] = await agent.start()
-            known = agent.snapshot_record()
-        sys.stdout.buffer.write(msgspec.json.encode({"agents": agents, "known": known}) + b"\n")
+        ready = await _start_agents(emulator, scenario.nodes.count)
+        sys.stdout.buffer.write(msgspec.json.encode(ready) + b"\n")
         sys.stdout.buffer.flush()
         tune_garbage_collector()
-        line = await told.readline()
+        line = await commands.readline()
         if line:
-            emulator.start_clock(msgspec.json.decode(line)["t0"])
-            await told.read()
-    except RuntimeError as error:
+            emulator.start_clock(msgspec.json.decode(line, type=StartClock).start_ms)
+            await commands.read()
+    except NodeStartError as error:
         print(error, file=sys.stderr)
         return 1
     finally:
@@ -51,8 +50,18 @@
     return 0
 
 
+async def _start_agents(emulator: Emulator, count: int) -> EmulatorReady:
+    agents, known = {}, {}
+    for number in range(count):
+        agent = emulator.fleet.add_agent(f"n{number}")
+        agents[agent.node] = await agent.start()
+        known = agent.snapshot_record()
+    return EmulatorReady(agents, known)
+
+
 def main() -> int:
-    # Ctrl-C reaches the whole group; the run that started this one ends it in order.
+    """Run the emulator by the arguments of the command line."""
+    # Ctrl-C reaches the whole process group; the run that started this process ends it in order.
     signal.signal(signal.SIGINT, signal.SIG_IGN)
     path, seed, folder = sys.argv[1:4]
     scenario = msgspec.json.decode(Path(path).read_bytes(), type=Scenario)
--- /dev/null
+++ b/rosewheel/lab/garbage_collection.py
@@ -0,0 +1,14 @@
+"""Settings of the garbage collector for a run."""
+
+from __future__ import annotations
+
+import gc
+
+GENERATION_THRESHOLDS = (50_000, 50, 100)
+
+
+def tune_garbage_collector() -> None:
+    """Keep the collector from delaying timers: what exists now lives as long as the run."""
+    gc.collect()
+    gc.freeze()
+    gc.set_threshold(*GENERATION_THRESHOLDS)
--- a/rosewheel/lab/invariant_checker.py
+++ b/rosewheel/lab/invariant_checker.py
@@ -1,9 +1,7 @@
-"""The rules, read off a run's records: one final answer, nothing unsafe twice, drains kept, nothing cold tipped or
-sent more than the settings allow.
+"""Checks the records of a run against its rules: one final response, no second execution, drains, slow start.
 
-Records of clients and of equipos are joined by request id and by the identity of what a client wished. A ledger takes
-one record at a time, in whatever order the two sides come, and keeps of each only what a later one may need; it decides
-nothing while a run is on.
+Records of clients and servers are joined by request id and by operation. The checker takes one record at a time, in
+whatever order the two sides come, and keeps of each only what a later one may need; it decides when the run is over.
 """
 
 from __future__ import annotations
@@ -11,177 +9,217 @@
 from collections import defaultdict
 from dataclasses import dataclass, field
 from pathlib import Path
-from typing import Any
 
-from rosewheel.lab.records import read_records
+import msgspec
+
+from rosewheel.lab.outcomes import AttemptFailure
+from rosewheel.lab.record_types import (
+    AfterDrainRecord,
+    AttemptRecord,
+    ClientsRecord,
+    JobRecord,
+    NodeKilledRecord,
+    OperationRecord,
+    Record,
+    RecordFile,
+    ServerCollapsedRecord,
+    ServerStartRecord,
+)
+from rosewheel.lab.records import load_records
 from rosewheel.lab.retry import REJECTION_STATUSES, RESPONSE_SLACK_MS
 from rosewheel.lab.scenario import Scenario
-from rosewheel.lab.slow_start import Overload, ServerStart
+from rosewheel.lab.slow_start import Overload, ServerArrival, ServerStart
 from rosewheel.policy.settings import DedupScope, Idempotency
 
-INFORMED_SHARE_LIMIT = (
-    2.0 / 3.0
-)  # of the load that tipped a cold equipo, from those who knew: then the nodes did it
-MAX_LISTED = 20  # of each kind
+# Nodes are to blame for an overload where more than this share of the load came from informed ones.
+INFORMED_SHARE_LIMIT = 2.0 / 3.0
+SUM_ROUNDING = 1e-9
+MAX_LISTED = 20  # violations of each kind in a record
+KILL_SLACK_MS = 1.0  # between the clocks of a killed node and of its client
 
 
 @dataclass(slots=True)
 class Violations:
-    """Every breach by kind; an empty one means that all rules held."""
-
-    unanswered: list[str] = field(default_factory=list)  # a request that a living node left without an answer
-    surplus_answers: int = 0  # answers that nobody had asked for
-    foreign: list[str] = field(default_factory=list)  # served with what no equipo made for it
-    executed_twice: list[str] = field(default_factory=list)  # unsafe work that ran twice
-    outside_dedup_scope: list[str] = field(
-        default_factory=list
-    )  # a keyed repeat outside the grupo of the first
-    after_drain: list[dict[str, Any]] = field(default_factory=list)  # new work to an equipo that drains
-    collapsed: list[str] = field(default_factory=list)  # a cold equipo pushed over by those who knew
-    # the first overload of a cold equipo by those who knew, by `slow_start.py`
-    overloaded: list[dict[str, Any]] = field(default_factory=list)
+    """Every violation by rule; all rules held where it is empty.
+
+    Attributes:
+        unanswered: request ids that a living node left without a response.
+        surplus_answers: responses that no client had asked for.
+        foreign: request ids that got a response which no server made for them.
+        executed_twice: operations of non-idempotent work that was executed twice.
+        outside_dedup_scope: request ids that were repeated with a key outside the cell of the first execution.
+        after_drain: new requests to a draining server.
+        collapsed: warming servers that failed under load from informed nodes.
+        overloaded: the first overload of each warming server by informed nodes; see `slow_start`.
+    """
+
+    unanswered: list[str] = field(default_factory=list)
+    surplus_answers: int = 0
+    foreign: list[str] = field(default_factory=list)
+    executed_twice: list[str] = field(default_factory=list)
+    outside_dedup_scope: list[str] = field(default_factory=list)
+    after_drain: list[AfterDrainRecord] = field(default_factory=list)
+    collapsed: list[str] = field(default_factory=list)
+    overloaded: list[Overload] = field(default_factory=list)
 
     def count(self) -> int:
-        lists = (
-            self.unanswered,
-            self.foreign,
-            self.executed_twice,
-            self.outside_dedup_scope,
-            self.after_drain,
-            self.collapsed,
+        """The number of all violations."""
+        return self.surplus_answers + sum(
+            len(violations)
+            for violations in (
+                self.unanswered,
+                self.foreign,
+                self.executed_twice,
+                self.outside_dedup_scope,
+                self.after_drain,
+                self.collapsed,
+                self.overloaded,
+            )
         )
-        return self.surplus_answers + sum(len(item) for item in (*lists, self.overloaded))
 
-    def as_record(self) -> dict[str, Any]:
+    def as_record(self) -> dict[str, object]:
+        """The first violations of each rule by the keys of a summary."""
         return {
             "unanswered": self.unanswered[:MAX_LISTED],
             "double": self.surplus_answers,
             "foreign": self.foreign[:MAX_LISTED],
             "twice": self.executed_twice[:MAX_LISTED],
             "strayed": self.outside_dedup_scope[:MAX_LISTED],
-            "late": self.after_drain[:MAX_LISTED],
+            "late": [msgspec.to_builtins(record) for record in self.after_drain[:MAX_LISTED]],
             "tipped": self.collapsed[:MAX_LISTED],
-            "overloaded": self.overloaded[:MAX_LISTED],
+            "overloaded": [overload.as_record() for overload in self.overloaded[:MAX_LISTED]],
         }
 
 
-@dataclass(slots=True)
-class _UnansweredAttempt:
-    """A try that ended without an answer: excused if its node was killed just then."""
-
-    rid: str
-    node: str
-    sent: float
-    ended: float
+class InvariantChecker:
+    """Checks the records of one run.
 
+    Attributes:
+        collapses: warming servers that failed under load, from any nodes.
+        overloads: overloads of warming servers, by any nodes.
+        max_bound_share: the largest part of its bound that a warming server was sent.
+    """
 
-class InvariantChecker:
     def __init__(self, scenario: Scenario) -> None:
         self.rules = scenario.rules
-        self.effects = {row.name: row.idempotency for row in scenario.classes}
-        self.narrow = any(
+        self.collapses = 0
+        self.overloads: list[Overload] = []
+        self.max_bound_share = 0.0
+        self._idempotency = {row.name: row.idempotency for row in scenario.classes}
+        self._checks_cells = any(
             row.idempotency is Idempotency.IDEMPOTENT_WITH_KEY and row.dedup_scope is DedupScope.CELL
             for row in scenario.classes
         )
-        self.collapses = 0  # cold equipos pushed over, by whomever
-        self.overloads: list[Overload] = []  # of cold equipos, by whomever
-        self.max_bound_share = 0.0  # the largest part of its bound that any cold equipo was sent
-        self._starts: dict[str, list[ServerStart]] = {}
-        self._means: dict[str, float] = {}  # ms of work of a mean request, where a start was recorded
-        self._broken = Violations()
-        self._silent: list[_UnansweredAttempt] = []
-        self._killed: dict[str, list[float]] = defaultdict(list)
-        self._resent: set[str] = set()  # rids that a client itself sent once more
-        self._refused: set[str] = set()  # rids of clients that were refused
-        self._ran: dict[str, list[str]] = {}  # unsafe: by wish, the rids under which its work began
-        self._cells: dict[str, int] = {}  # keyed: by rid, the grupo where its work began
-        self._astray: dict[str, None] = {}
-
-    def observe(self, row: dict[str, Any]) -> None:
-        match row.get("e"):
-            case "op":
-                for item in row["tries"]:
-                    self._answers(item)
-            case "started":
-                start = ServerStart(row["equipo"], row["t"], row["work_per_ms"] / row["mean_ms"])
-                self._starts.setdefault(row["equipo"], []).append(start)
-                self._means[row["equipo"]] = row["mean_ms"]
-            case "job":
-                if row["ran"]:
-                    self._job(row)
-                starts = self._starts.get(row.get("equipo", ""))
-                if starts and row["came"] >= starts[-1].started_ms:
-                    size = row["work"] / self._means[row["equipo"]]
-                    starts[-1].arrivals.append((row["came"], size, row["told"]))
-            case "killed":
-                # A node that was killed owes nothing; what it had taken is its clients' to repeat.
-                self._killed[row["node"]].append(row["t"])
-            case "clients":
-                self._broken.surplus_answers += row["surplus"]
-            case "late":
-                self._broken.after_drain.append(row)
-            case "fell":
+        self._violations = Violations()
+        self._starts: dict[str, list[ServerStart]] = {}  # by server
+        self._without_response: list[AttemptRecord] = []
+        self._kills_ms: dict[str, list[float]] = defaultdict(list)  # by node
+        self._resent: set[str] = set()  # request ids
+        self._rejected: set[str] = set()  # request ids
+        self._executions: dict[str, list[str]] = {}  # request ids by operation, of non-idempotent work
+        self._cells: dict[str, int] = {}  # first cell of execution by request id, of work with a key
+        self._outside_first_cell: dict[str, None] = {}  # request ids
+
+    def observe(self, record: Record) -> None:
+        """Take a record."""
+        match record:
+            case JobRecord():
+                self._observe_job(record)
+            case OperationRecord():
+                for attempt in record.attempts:
+                    self._observe_attempt(attempt)
+            case ServerStartRecord():
+                capacity_per_ms = record.capacity / record.mean_request_ms
+                start = ServerStart(record.server, record.at_ms, capacity_per_ms, record.mean_request_ms)
+                self._starts.setdefault(record.server, []).append(start)
+            case NodeKilledRecord():
+                # A killed node owes no response; its clients repeat what it had accepted.
+                self._kills_ms[record.node].append(record.at_ms)
+            case ClientsRecord():
+                self._violations.surplus_answers += record.surplus_responses
+            case AfterDrainRecord():
+                self._violations.after_drain.append(record)
+            case ServerCollapsedRecord():
                 self.collapses += 1
-                if row["told_share"] >= INFORMED_SHARE_LIMIT:
-                    self._broken.collapsed.append(row["equipo"])
+                if record.informed_share >= INFORMED_SHARE_LIMIT:
+                    self._violations.collapsed.append(record.server)
+            case _:
+                pass  # of no rule
 
     def finish(self) -> Violations:
-        """What all that was taken says of the rules."""
-        for one in self._silent:
-            if not any(one.sent - 1.0 <= at <= one.ended + 1.0 for at in self._killed.get(one.node, ())):
-                self._broken.unanswered.append(one.rid)
-        for op, rids in self._ran.items():
-            if len(rids) > 1 and not self._by_the_client(rids):
-                self._broken.executed_twice.append(op)
-        # What a client sent once more itself, because its node was killed with it, no node can have kept together.
-        if self.narrow:
-            self._broken.outside_dedup_scope = [rid for rid in self._astray if rid not in self._resent]
-        for start in (start for starts in self._starts.values() for start in starts):
-            found, most = start.overloads(self.rules)
-            self.overloads += found
-            self.max_bound_share = max(self.max_bound_share, most)
-            if found and found[0].informed_share > INFORMED_SHARE_LIMIT + 1e-9:  # of sums of floats
-                self._broken.overloaded.append(found[0].as_record())
+        """All violations of the records so far."""
+        violations = self._violations
+        for attempt in self._without_response:
+            if not self._node_was_killed(attempt):
+                violations.unanswered.append(attempt.request_id)
+        for operation_id, request_ids in self._executions.items():
+            if len(request_ids) > 1 and not self._repeated_by_client(request_ids):
+                violations.executed_twice.append(operation_id)
+        if self._checks_cells:
+            # What a client sent once more itself, since its node was killed, no node can have kept in one cell.
+            violations.outside_dedup_scope = [
+                request_id for request_id in self._outside_first_cell if request_id not in self._resent
+            ]
+        self._check_slow_start()
         self._starts.clear()
-        self._silent.clear()
-        self._ran.clear()
-        return self._broken
-
-    def _job(self, row: dict[str, Any]) -> None:
-        effect, rid = self.effects[row["class"]], row["rid"]
-        if effect is Idempotency.NON_IDEMPOTENT:
-            self._ran.setdefault(row["op"], []).append(rid)
-        elif (
-            effect is Idempotency.IDEMPOTENT_WITH_KEY
-            and self.narrow
-            and self._cells.setdefault(rid, row["cell"]) != row["cell"]
-        ):
-            self._astray[rid] = None
-
-    def _answers(self, item: dict[str, Any]) -> None:
-        if item.get("foreign"):
-            self._broken.foreign.append(item["rid"])
-        if item.get("resent"):
-            self._resent.add(item["rid"])
-        if item["status"] in REJECTION_STATUSES:
-            self._refused.add(item["rid"])
-        if item["status"]:
-            if item["ended"] - item["sent"] > item["patience"] + RESPONSE_SLACK_MS:
-                self._broken.unanswered.append(item["rid"])
-        elif item.get("why") != "unreachable":
-            self._silent.append(_UnansweredAttempt(item["rid"], item["node"], item["sent"], item["ended"]))
-
-    def _by_the_client(self, rids: list[str]) -> bool:
-        """Whether the client itself repeated it where no refusal had said that this was harmless."""
-        if len(set(rids)) < len(rids):  # one try ran twice
-            return any(rid in self._resent for rid in rids)
-        return not any(rid in self._refused for rid in rids)
+        self._without_response.clear()
+        self._executions.clear()
+        return violations
+
+    def _observe_job(self, record: JobRecord) -> None:
+        if record.started:
+            self._observe_execution(record)
+        starts = self._starts.get(record.server)
+        if starts and record.received_ms >= starts[-1].started_ms:
+            requests = record.work_ms / starts[-1].mean_request_ms
+            starts[-1].arrivals.append(ServerArrival(record.received_ms, requests, record.sender_informed))
+
+    def _observe_execution(self, record: JobRecord) -> None:
+        idempotency = self._idempotency[record.class_name]
+        if idempotency is Idempotency.NON_IDEMPOTENT:
+            self._executions.setdefault(record.operation_id, []).append(record.request_id)
+        elif idempotency is Idempotency.IDEMPOTENT_WITH_KEY and self._checks_cells:
+            first_cell = self._cells.setdefault(record.request_id, record.cell)
+            if first_cell != record.cell:
+                self._outside_first_cell[record.request_id] = None
+
+    def _observe_attempt(self, attempt: AttemptRecord) -> None:
+        request_id = attempt.request_id
+        if attempt.foreign_response:
+            self._violations.foreign.append(request_id)
+        if attempt.resent:
+            self._resent.add(request_id)
+        if attempt.status in REJECTION_STATUSES:
+            self._rejected.add(request_id)
+        if attempt.status:
+            if attempt.ended_ms - attempt.sent_ms > attempt.timeout_ms + RESPONSE_SLACK_MS:
+                self._violations.unanswered.append(request_id)
+        elif attempt.failure != AttemptFailure.UNREACHABLE:
+            self._without_response.append(attempt)
+
+    def _node_was_killed(self, attempt: AttemptRecord) -> bool:
+        first_ms, last_ms = attempt.sent_ms - KILL_SLACK_MS, attempt.ended_ms + KILL_SLACK_MS
+        return any(first_ms <= at_ms <= last_ms for at_ms in self._kills_ms.get(attempt.node, ()))
+
+    def _repeated_by_client(self, request_ids: list[str]) -> bool:
+        """Whether the client repeated the work itself, where no rejection had said that this was harmless."""
+        if len(set(request_ids)) < len(request_ids):  # one attempt was executed twice
+            return any(request_id in self._resent for request_id in request_ids)
+        return not any(request_id in self._rejected for request_id in request_ids)
+
+    def _check_slow_start(self) -> None:
+        for start in (start for starts in self._starts.values() for start in starts):
+            overloads, max_bound_share = start.overloads(self.rules)
+            self.overloads += overloads
+            self.max_bound_share = max(self.max_bound_share, max_bound_share)
+            if overloads and overloads[0].informed_share > INFORMED_SHARE_LIMIT + SUM_ROUNDING:
+                self._violations.overloaded.append(overloads[0])
 
 
 def check_records(scenario: Scenario, folder: Path) -> Violations:
-    """What the records of a run say of the rules."""
-    ledger = InvariantChecker(scenario)
-    for name in ("run", "load", "equipos"):
-        for row in read_records(folder / f"{name}.jsonl"):
-            ledger.observe(row)
-    return ledger.finish()
+    """All violations of the records in this folder."""
+    checker = InvariantChecker(scenario)
+    for name in (RecordFile.RUN, RecordFile.LOAD, RecordFile.SERVERS):
+        for record in load_records(folder, name):
+            checker.observe(record)
+    return checker.finish()
--- a/rosewheel/lab/records.py
+++ b/rosewheel/lab/records.py
@@ -1,4 +1,4 @@
-"""Records of a run: one JSON object a line, readable up to the last whole line whatever ended the writer."""
+"""Files of records: one JSON object a line, readable up to the last complete line whatever ended the writer."""
 
 from __future__ import annotations
 
@@ -8,50 +8,76 @@
 
 import msgspec
 
+from rosewheel.lab.record_types import Record, RecordFile
+
 FLUSH_BYTES = 1 << 16
 
 
 class RecordWriter:
-    """Lines are kept until there are some, or until `flush`; a run flushes twice a second."""
+    """Writes records to a file. Lines are buffered up to `FLUSH_BYTES`, or until `flush`."""
 
     def __init__(self, path: Path) -> None:
-        self.file = path.open("wb")
-        self.encode = msgspec.json.Encoder().encode
-        self.held: list[bytes] = []
-        self.bytes = 0
-
-    def write(self, row: dict[str, Any]) -> None:
-        self.put(self.encode(row))
-
-    def put(self, line: bytes) -> None:
-        """A record that is encoded already."""
-        self.held.append(line)
-        self.bytes += len(line)
-        if self.bytes > FLUSH_BYTES:
+        self._file = path.open("wb")
+        self._encode = msgspec.json.Encoder().encode
+        self._lines: list[bytes] = []
+        self._buffered_bytes = 0
+
+    def write(self, record: Record) -> None:
+        """Write a record."""
+        self.write_line(self._encode(record))
+
+    def write_line(self, line: bytes) -> None:
+        """Write a record that is already encoded."""
+        self._lines.append(line)
+        self._buffered_bytes += len(line)
+        if self._buffered_bytes > FLUSH_BYTES:
             self.flush()
 
     def flush(self) -> None:
-        if self.held:
-            self.file.write(b"\n".join(self.held) + b"\n")
-            self.file.flush()
-            self.held, self.bytes = [], 0
+        """Pass buffered lines to the system."""
+        if self._lines:
+            self._file.write(b"\n".join(self._lines) + b"\n")
+            self._file.flush()
+            self._lines, self._buffered_bytes = [], 0
 
     def close(self) -> None:
+        """Flush and close the file."""
         self.flush()
-        self.file.close()
+        self._file.close()
 
 
 def read_records(path: Path) -> Iterator[dict[str, Any]]:
-    """Every whole line; what a crash left of the last one is passed over."""
+    """Every complete line as a plain object by the keys of the stored form; nothing where there is no file."""
     decode = msgspec.json.Decoder(dict[str, Any]).decode
+    for line in _lines(path):
+        try:
+            record = decode(line)
+        except msgspec.DecodeError:  # the torn last line of a writer that was killed
+            continue
+        yield record
+
+
+def load_records(folder: Path, name: RecordFile) -> Iterator[Record]:
+    """Every record of one file of a run.
+
+    Raises:
+        msgspec.ValidationError: a complete line is no record.
+    """
+    decode = msgspec.json.Decoder(Record).decode
+    for line in _lines(folder / f"{name}.jsonl"):
+        try:
+            record = decode(line)
+        except msgspec.ValidationError:
+            raise
+        except msgspec.DecodeError:  # the torn last line of a writer that was killed
+            continue
+        yield record
+
+
+def _lines(path: Path) -> Iterator[bytes]:
     try:
         file = path.open("rb")
     except FileNotFoundError:
         return
     with file:
-        for line in file:
-            try:
-                row = decode(line)
-            except msgspec.DecodeError:
-                continue
-            yield row
+        yield from file
--- a/rosewheel/lab/simulation/clients.py
+++ b/rosewheel/lab/simulation/clients.py
@@ -1,163 +1,232 @@
-"""Open-loop clients of a simulated run, and the front that deals them out among the nodes."""
+"""Open-loop clients of a simulated run, and the dispatcher that assigns them to nodes."""
 
 from __future__ import annotations
 
 from collections.abc import Callable
-from typing import Any
+from typing import Protocol
 
+from rosewheel.lab.outcomes import AttemptFailure, AttemptOutcome
 from rosewheel.lab.plan import Plan
 from rosewheel.lab.plan_arrivals import Arrival
 from rosewheel.lab.random_streams import random_stream, weighted_choice
-from rosewheel.lab.retry import RESPONSE_SLACK_MS, AttemptOutcome, retry_delay_ms
+from rosewheel.lab.record_types import AttemptRecord, OperationRecord
+from rosewheel.lab.retry import RESPONSE_SLACK_MS, retry_delay_ms
 from rosewheel.lab.simulation.events import EventQueue, ScheduledEvent
-from rosewheel.lab.simulation.node import NodeRequest, SimulatedNode
+from rosewheel.lab.simulation.network import NodeRequest
+from rosewheel.lab.simulation.node import SimulatedNode
 from rosewheel.lab.tables import ClassTable
 
-Write = Callable[[dict[str, Any]], None]
+HTTP_OK = 200
 
 
 class SimulatedDispatcher:
-    """The layer that deals clients out, and learns late which nodes are dead."""
+    """The layer before the nodes; it learns late which nodes are dead.
+
+    Attributes:
+        allowed_nodes: an injected fault; the nodes that get all clients, any node where it is empty.
+    """
 
     def __init__(self, queue: EventQueue, nodes: dict[str, SimulatedNode], notice_ms: float) -> None:
         self.queue, self.nodes, self.notice_ms = queue, nodes, notice_ms
         self.up = dict.fromkeys(nodes, True)
-        self.allowed_nodes: tuple[
-            str, ...
-        ] = ()  # if any: those that all clients are dealt to, as a trouble wants it
-        self._choices: list[str] = []
+        self.allowed_nodes: tuple[str, ...] = ()
+        self._candidates: list[str] = []
         self.refresh()
 
     def refresh(self) -> None:
-        wanted = list(self.allowed_nodes or self.nodes)
-        self._choices = [name for name in wanted if self.up[name]] or wanted
+        """Recompute the candidates: all allowed nodes, where all of them seem dead."""
+        allowed = list(self.allowed_nodes or self.nodes)
+        self._candidates = [name for name in allowed if self.up[name]] or allowed
 
     def candidates(self) -> list[str]:
-        return self._choices
+        """The nodes to which clients are assigned."""
+        return self._candidates
 
     def node_changed(self, name: str) -> None:
-        """A node has died or come back: the one is noticed late, the other at once."""
-        well = not self.nodes[name].dead
-        self.queue.call_later(0.0 if well else self.notice_ms, self._noticed, name, well)
+        """A node has died or is back: the first is noticed late, the second at once."""
+        alive = not self.nodes[name].dead
+        self.queue.call_later(0.0 if alive else self.notice_ms, self._noticed, name, alive)
 
-    def _noticed(self, name: str, well: bool) -> None:
-        if self.nodes[name].dead is not well:
-            self.up[name] = well
+    def _noticed(self, name: str, alive: bool) -> None:
+        if self.nodes[name].dead is not alive:
+            self.up[name] = alive
             self.refresh()
 
 
-class SimulatedOperation:
-    """One client's wish and its tries."""
+class OperationOwner(Protocol):
+    """What an operation needs of the clients."""
+
+    plan: Plan
+    queue: EventQueue
+    dispatcher: SimulatedDispatcher
+
+    def pick_node(self) -> str:
+        """Draw a node."""
 
-    __slots__ = ("arrival", "attempts", "clients", "node", "request", "table", "timer")
+    def retry_delay_ms(self, operation: SimulatedOperation, outcome: AttemptOutcome) -> float | None:
+        """Time until the next attempt; None where the client gives up."""
 
-    def __init__(self, clients: SimulatedClients, arrival: Arrival, table: ClassTable) -> None:
-        self.clients, self.arrival, self.table = clients, arrival, table
-        self.attempts: list[dict[str, Any]] = []
+    def operation_finished(self, operation: SimulatedOperation) -> None:
+        """The operation has its final outcome."""
+
+
+class SimulatedOperation:
+    """One operation of a client and its attempts.
+
+    Attributes:
+        attempts: the attempts that have ended.
+        request: the attempt in flight.
+    """
+
+    __slots__ = (
+        "arrival",
+        "attempts",
+        "owner",
+        "request",
+        "sent_ms",
+        "table",
+        "target",
+        "timeout_ms",
+        "timer",
+    )
+
+    def __init__(self, owner: OperationOwner, arrival: Arrival, table: ClassTable) -> None:
+        self.owner, self.arrival, self.table = owner, arrival, table
+        self.attempts: list[AttemptRecord] = []
         self.request: NodeRequest | None = None
-        self.node: SimulatedNode | None = None
+        self.target: SimulatedNode | None = None
+        self.sent_ms = 0.0
+        self.timeout_ms = table.deadline_ms * owner.plan.attempt_timeout_share
         self.timer: ScheduledEvent | None = None
 
     def start_attempt(self) -> None:
-        clients, table = self.clients, self.table
-        name = clients.pick_node()
-        rid = f"{self.arrival.operation_id}.{len(self.attempts)}"
-        now, patience = clients.queue.now, table.deadline_ms * clients.plan.attempt_timeout_share
-        self.attempts.append(
-            {"rid": rid, "node": name, "sent": round(now, 1), "patience": round(patience, 1)}
-        )
+        """Send the request once more."""
+        owner, arrival = self.owner, self.arrival
+        node = owner.dispatcher.nodes[owner.pick_node()]
+        self.sent_ms = owner.queue.now
+        self.target = node
         self.request = NodeRequest(
-            rid,
-            table.name,
-            self.arrival.operation_id,
-            self.arrival.work_ms,
-            self.arrival.operation_id,
-            patience,
-            self._answered,
+            request_id=f"{arrival.operation_id}.{len(self.attempts)}",
+            class_name=self.table.name,
+            operation_id=arrival.operation_id,
+            work_ms=arrival.work_ms,
+            dedup_key=arrival.operation_id,
+            timeout_ms=self.timeout_ms,
+            on_done=self._answered,
         )
-        self.timer = clients.queue.call_later(patience + RESPONSE_SLACK_MS, self._give_up)
-        self.node = clients.dispatcher.nodes[name]
-        self.node.submit(self.request)
-
-    def _give_up(self) -> None:
-        if self.request is not None and self.node is not None:
-            self.node.abandon(self.request)
-        self._answered(AttemptOutcome(failure="no answer"))
-
-    def _answered(self, verdict: AttemptOutcome) -> None:
-        clients, row = self.clients, self.attempts[-1]
-        if "ended" in row:  # it had been given up when this came
+        self.timer = owner.queue.call_later(self.timeout_ms + RESPONSE_SLACK_MS, self._abandon)
+        node.submit(self.request)
+
+    def _abandon(self) -> None:
+        if self.request is not None and self.target is not None:
+            self.target.abandon(self.request)
+        self._answered(AttemptOutcome(failure=AttemptFailure.NO_ANSWER))
+
+    def _answered(self, outcome: AttemptOutcome) -> None:
+        request, target = self.request, self.target
+        if request is None or target is None:  # the attempt had been abandoned
             return
         if self.timer is not None:
-            clients.queue.cancel(self.timer)
-        self.request = None
-        row["ended"], row["status"] = round(clients.queue.now, 1), verdict.status
-        if verdict.failure:
-            row["why"] = verdict.failure
-        if verdict.status == 200 or not self._schedule_retry(verdict):
-            clients.operation_finished(self)
-
-    def _schedule_retry(self, verdict: AttemptOutcome) -> bool:
-        clients = self.clients
-        spent = clients.queue.now - self.arrival.at_ms
-        tries = len(self.attempts)
-        wait = retry_delay_ms(
-            clients.plan, self.table, verdict, tries, spent, clients.random, clients.extra_retries
+            self.owner.queue.cancel(self.timer)
+        self.request = self.target = None
+        self.attempts.append(
+            AttemptRecord(
+                request_id=request.request_id,
+                node=target.name,
+                sent_ms=round(self.sent_ms, 1),
+                timeout_ms=round(self.timeout_ms, 1),
+                ended_ms=round(self.owner.queue.now, 1),
+                status=outcome.status,
+                failure=outcome.failure.value,
+            )
         )
-        if wait is None:
+        if outcome.status == HTTP_OK or not self._schedule_retry(outcome):
+            self.owner.operation_finished(self)
+
+    def _schedule_retry(self, outcome: AttemptOutcome) -> bool:
+        delay_ms = self.owner.retry_delay_ms(self, outcome)
+        if delay_ms is None:
             return False
-        clients.queue.call_later(wait, self.start_attempt)
+        self.owner.queue.call_later(delay_ms, self.start_attempt)
         return True
 
 
 class SimulatedClients:
+    """All clients of a plan.
+
+    Attributes:
+        on_finished: called with each finished operation and whether it was served in time.
+        open_operations: operations without a final outcome.
+        extra_retries: an injected fault; retries above the usual number.
+    """
+
     def __init__(
         self,
         plan: Plan,
         queue: EventQueue,
-        front: SimulatedDispatcher,
-        write: Write,
-        wish: Callable[[SimulatedOperation, bool], None],
+        dispatcher: SimulatedDispatcher,
+        record: Callable[[OperationRecord], None],
+        on_finished: Callable[[SimulatedOperation, bool], None],
     ) -> None:
-        self.plan, self.queue, self.dispatcher, self.write = plan, queue, front, write
-        self.on_finished = wish  # told of each wish that is over, and whether it was served in time
-        self.random = random_stream(plan.seed, "run", "clients")
+        self.plan, self.queue, self.dispatcher = plan, queue, dispatcher
+        self.on_finished = on_finished
         self.classes = {row.name: row for row in plan.scenario.classes}
         self.open_operations = 0
-        self.extra_retries = 0  # tries more than usual, while a retry storm lasts
-        self._at = 0
+        self.extra_retries = 0
+        self._record = record
+        self._random = random_stream(plan.seed, "run", "clients")
+        self._next_arrival = 0
         if plan.arrivals:
-            queue.call_at(plan.arrivals[0].at_ms, self._next)
+            queue.call_at(plan.arrivals[0].at_ms, self._start_next)
 
     @property
     def done(self) -> bool:
-        return self._at >= len(self.plan.arrivals) and self.open_operations == 0
+        """Whether every operation of the plan has its final outcome."""
+        return self._next_arrival >= len(self.plan.arrivals) and self.open_operations == 0
 
     def pick_node(self) -> str:
+        """Draw a node."""
         nodes = self.plan.scenario.nodes
-        return weighted_choice(
-            self.random, self.dispatcher.candidates(), nodes.client_share if nodes.client_shares else None
+        weight = nodes.client_share if nodes.client_shares else None
+        return weighted_choice(self._random, self.dispatcher.candidates(), weight)
+
+    def retry_delay_ms(self, operation: SimulatedOperation, outcome: AttemptOutcome) -> float | None:
+        """Time until the next attempt; None where the client gives up."""
+        elapsed_ms = self.queue.now - operation.arrival.at_ms
+        return retry_delay_ms(
+            self.plan,
+            operation.table,
+            outcome,
+            len(operation.attempts),
+            elapsed_ms,
+            self._random,
+            self.extra_retries,
         )
 
-    def _next(self) -> None:
-        arrival = self.plan.arrivals[self._at]
-        self._at += 1
+    def _start_next(self) -> None:
+        arrivals = self.plan.arrivals
+        arrival = arrivals[self._next_arrival]
+        self._next_arrival += 1
         self.open_operations += 1
-        if self._at < len(self.plan.arrivals):
-            self.queue.call_at(self.plan.arrivals[self._at].at_ms, self._next)
+        if self._next_arrival < len(arrivals):
+            self.queue.call_at(arrivals[self._next_arrival].at_ms, self._start_next)
         SimulatedOperation(self, arrival, self.classes[arrival.class_name]).start_attempt()
 
-    def operation_finished(self, op: SimulatedOperation) -> None:
-        last, table, arrival = op.attempts[-1], op.table, op.arrival
-        took = last["ended"] - arrival.at_ms
-        in_time = last["status"] == 200 and took <= table.latency_objective_ms
-        row = {
-            "e": "op",
-            "op": arrival.operation_id,
-            "class": table.name,
-            "at": arrival.at_ms,
-            "work": arrival.work_ms,
-        }
-        self.write({**row, "in_time": in_time, "took": round(took, 1), "tries": op.attempts})
+    def operation_finished(self, operation: SimulatedOperation) -> None:
+        """Record a finished operation."""
+        last, table, arrival = operation.attempts[-1], operation.table, operation.arrival
+        duration_ms = last.ended_ms - arrival.at_ms
+        in_time = last.status == HTTP_OK and duration_ms <= table.latency_objective_ms
+        self._record(
+            OperationRecord(
+                operation_id=arrival.operation_id,
+                class_name=table.name,
+                planned_ms=arrival.at_ms,
+                work_ms=arrival.work_ms,
+                in_time=in_time,
+                duration_ms=round(duration_ms, 1),
+                attempts=operation.attempts,
+            )
+        )
         self.open_operations -= 1
-        self.on_finished(op, in_time)
+        self.on_finished(operation, in_time)
--- /dev/null
+++ b/rosewheel/lab/simulation/connection_pools.py
@@ -0,0 +1,159 @@
+"""The connections of a simulated node to the servers of its tier.
+
+What the program's HTTP side does is done here in the same order and with the same limits: the connection used last is
+used first, idle connections time out, and a limit of sockets holds.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Iterable
+from dataclasses import dataclass, field
+
+from rosewheel.http.upstream_pool import MAX_IDLE_DIVISOR, REUSE_QUIET_PERIOD_S
+from rosewheel.lab.simulation.events import EventQueue
+from rosewheel.lab.simulation.network import Connection
+from rosewheel.node.idle_timeout import IdleTimeout
+from rosewheel.node.limits import Limits
+from rosewheel.policy.balancer import FEW
+from rosewheel.policy.events import EndpointListForm, Server, ServerState
+from rosewheel.proxy.proxy import RESERVED_DESCRIPTORS
+
+MIN_CONNECTIONS = 8
+MIN_IDLE_PER_SERVER = 2
+
+
+@dataclass(slots=True, eq=False)
+class ConnectionPool:
+    """Connections to one server.
+
+    Attributes:
+        accepts_requests: the server is up by the endpoint list.
+        idle: the connection used last is at the end.
+    """
+
+    accepts_requests: bool
+    launched_ms: float | None
+    last_response_ms: float = float("-inf")
+    idle: list[Connection] = field(default_factory=list)
+
+
+class ConnectionPools:
+    """All connections of one node.
+
+    Attributes:
+        by_server: the pool of each server of the endpoint list.
+        idle: idle connections of all pools, the longest idle first.
+        open: all open connections.
+        connecting: connections that are being opened.
+    """
+
+    def __init__(self, queue: EventQueue, bounds: Limits, balancer_count: int) -> None:
+        self.queue = queue
+        self.by_server: dict[str, ConnectionPool] = {}
+        self.idle: dict[Connection, None] = {}
+        self.open: dict[Connection, None] = {}
+        self.connecting = 0
+        self.max_connections = max(MIN_CONNECTIONS, bounds.max_sockets - RESERVED_DESCRIPTORS)
+        self.max_idle_per_server = max(MIN_IDLE_PER_SERVER, bounds.max_sockets // MAX_IDLE_DIVISOR)
+        self.idle_timeout = IdleTimeout(bounds.idle_timeout_ms / 1000.0, balancer_count > FEW)
+
+    def update(self, form: EndpointListForm, servers: Iterable[Server]) -> None:
+        """Follow the endpoint list: close connections to servers that drain, are gone, or were started again."""
+        if form is not EndpointListForm.DELTA:
+            listed = {server.address for server in servers}
+            for address in [address for address in self.by_server if address not in listed]:
+                self.retire(self.by_server.pop(address))
+        for server in servers:
+            if server.state is ServerState.REMOVED:
+                self._remove(server.address)
+            else:
+                self._update_server(server)
+
+    def _remove(self, address: str) -> None:
+        pool = self.by_server.pop(address, None)
+        if pool is not None:
+            pool.accepts_requests = False
+            self.retire(pool)
+
+    def _update_server(self, server: Server) -> None:
+        up = server.state is ServerState.UP
+        pool = self.by_server.get(server.address)
+        if pool is None:
+            self.by_server[server.address] = ConnectionPool(up, server.launched_ms)
+            return
+        if not up or pool.launched_ms != server.launched_ms:
+            self.retire(pool)
+        pool.accepts_requests, pool.launched_ms = up, server.launched_ms
+
+    def take_idle(self, pool: ConnectionPool | None) -> Connection | None:
+        """The connection used last among those that have settled since their last response."""
+        if pool is None or not pool.accepts_requests:
+            return None
+        settled_ms = self.queue.now - REUSE_QUIET_PERIOD_S * 1000.0
+        for connection in reversed(pool.idle):
+            if connection.idle_since <= settled_ms:
+                pool.idle.remove(connection)
+                del self.idle[connection]
+                return connection
+        return None
+
+    def make_room(self) -> bool:
+        """Whether one more connection may be opened; closes the longest idle one where the limit is reached."""
+        if len(self.open) + self.connecting < self.max_connections:
+            return True
+        longest_idle = next(iter(self.idle), None)
+        if longest_idle is None:
+            return False
+        self.by_server[longest_idle.host.spec.name].idle.remove(longest_idle)
+        self.close(longest_idle)
+        return True
+
+    def release(self, connection: Connection, keep_open: bool) -> None:
+        """A response has been received: keep the connection for later, or close it."""
+        pool = self.by_server.get(connection.host.spec.name)
+        if pool is not None:
+            pool.last_response_ms = self.queue.now
+        if not keep_open or connection.reset_by_host or pool is None or not pool.accepts_requests:
+            self.close(connection)
+            return
+        connection.idle_since = self.queue.now
+        pool.idle.append(connection)
+        self.idle[connection] = None
+        if len(pool.idle) > self.max_idle_per_server:
+            self.close(pool.idle.pop(0))
+
+    def discard(self, connection: Connection) -> None:
+        """Close a connection that the server has reset."""
+        pool = self.by_server.get(connection.host.spec.name)
+        if pool is not None and connection in pool.idle:
+            pool.idle.remove(connection)
+        self.close(connection)
+
+    def close(self, connection: Connection) -> None:
+        """Close a connection; the server learns of it one delay later."""
+        if connection.closed_by_node:
+            return
+        connection.closed_by_node = True
+        self.idle.pop(connection, None)
+        del self.open[connection]
+        if not connection.reset_by_host:
+            self.queue.call_later(connection.one_way_ms, connection.host.connection_closed, connection)
+
+    def retire(self, pool: ConnectionPool) -> None:
+        """Close the idle connections of a pool."""
+        idle, pool.idle = pool.idle, []
+        for connection in idle:
+            self.close(connection)
+
+    def sweep(self) -> None:
+        """Close connections that have been idle for too long."""
+        self.idle_timeout.relax(self.queue.now / 1000.0)
+        oldest_ms = self.queue.now - self.idle_timeout.close_after_s * 1000.0
+        while self.idle and (connection := next(iter(self.idle))).idle_since <= oldest_ms:
+            self.by_server[connection.host.spec.name].idle.remove(connection)
+            self.close(connection)
+
+    def close_all(self) -> None:
+        """Close every connection."""
+        for connection in list(self.open):
+            self.close(connection)
--- a/rosewheel/lab/simulation/events.py
+++ b/rosewheel/lab/simulation/events.py
@@ -1,6 +1,6 @@
 """The queue of events: one clock for all parts of a simulated run.
 
-What falls due at one moment happens in the order in which it was asked for, so a run depends on nothing else.
+Events of one moment happen in the order in which they were scheduled, so a run depends on nothing else.
 """
 
 from __future__ import annotations
@@ -9,53 +9,71 @@
 from collections.abc import Callable
 from typing import Any
 
-ScheduledEvent = list[Any]  # due, order, what, its arguments; `what` is None once it was called off
+MIN_CANCELLED_TO_COMPACT = 1024
+
+
+class ScheduledEvent:
+    """A callback in the queue; the handle for `EventQueue.cancel`."""
+
+    __slots__ = ("args", "callback")
+
+    def __init__(self, callback: Callable[..., None], args: tuple[Any, ...]) -> None:
+        self.callback: Callable[..., None] | None = callback  # None once it has happened or was cancelled
+        self.args = args
 
 
 class EventQueue:
+    """Events in order of time.
+
+    Attributes:
+        now: ms of the plan's clock; below zero before the plan begins.
+        processed: events so far.
+    """
+
     def __init__(self, now: float) -> None:
-        self.now = now  # milliseconds of the plan's clock; below zero before it begins
-        self.processed = 0  # events so far
-        self._rows: list[ScheduledEvent] = []
-        self._order = 0
-        self._off = 0  # rows that were called off and are still here
+        self.now = now
+        self.processed = 0
+        self._heap: list[tuple[float, int, ScheduledEvent]] = []  # due, sequence, event
+        self._sequence = 0
+        self._cancelled = 0  # events in the heap that were cancelled
 
     def __len__(self) -> int:
-        return len(self._rows) - self._off
+        return len(self._heap) - self._cancelled
 
-    def call_at(self, due: float, what: Callable[..., None], *args: Any) -> ScheduledEvent:
-        """Call this at that moment, or now if it is past. What is returned is for `off`."""
-        self._order += 1
-        row = [due if due > self.now else self.now, self._order, what, args]
-        heapq.heappush(self._rows, row)
-        return row
+    def call_at(self, due: float, callback: Callable[..., None], *args: Any) -> ScheduledEvent:
+        """Schedule a callback for this moment, or for now where it has passed."""
+        self._sequence += 1
+        event = ScheduledEvent(callback, args)
+        heapq.heappush(self._heap, (due if due > self.now else self.now, self._sequence, event))
+        return event
 
-    def call_later(self, wait: float, what: Callable[..., None], *args: Any) -> ScheduledEvent:
-        return self.call_at(self.now + wait, what, *args)
+    def call_later(self, delay_ms: float, callback: Callable[..., None], *args: Any) -> ScheduledEvent:
+        """Schedule a callback for after this delay."""
+        return self.call_at(self.now + delay_ms, callback, *args)
 
-    def cancel(self, row: ScheduledEvent) -> None:
-        """Call it off, if it has not happened yet."""
-        if row[2] is None:
+    def cancel(self, event: ScheduledEvent) -> None:
+        """Cancel an event; nothing where it has happened."""
+        if event.callback is None:
             return
-        row[2], row[3] = None, ()
-        self._off += 1
-        if self._off > 1024 and self._off * 2 > len(self._rows):
-            # Guards memory: time-outs are called off long before they are due. In place: `run` holds the list.
-            self._rows[:] = [one for one in self._rows if one[2] is not None]
-            heapq.heapify(self._rows)
-            self._off = 0
+        event.callback, event.args = None, ()
+        self._cancelled += 1
+        if self._cancelled > MIN_CANCELLED_TO_COMPACT and self._cancelled * 2 > len(self._heap):
+            # Guards memory: timeouts are cancelled long before they are due. In place: `run` holds the list.
+            self._heap[:] = [entry for entry in self._heap if entry[2].callback is not None]
+            heapq.heapify(self._heap)
+            self._cancelled = 0
 
     def run(self, until: float) -> None:
-        """Everything up to this moment, that moment included."""
-        rows = self._rows
-        while rows and rows[0][0] <= until:
-            row = heapq.heappop(rows)
-            what, args = row[2], row[3]
-            if what is None:
-                self._off -= 1
+        """Process every event up to this moment, that moment included."""
+        heap = self._heap
+        while heap and heap[0][0] <= until:
+            due, _, event = heapq.heappop(heap)
+            callback = event.callback
+            if callback is None:
+                self._cancelled -= 1
                 continue
-            row[2] = None  # it has happened: calling it off later means nothing
-            self.now = row[0]
+            event.callback = None
+            self.now = due
             self.processed += 1
-            what(*args)
+            callback(*event.args)
         self.now = max(self.now, until)
--- a/rosewheel/lab/simulation/host.py
+++ b/rosewheel/lab/simulation/host.py
@@ -1,4 +1,4 @@
-"""An equipo of a simulated run: the model of `equipo.py` with its connections and faults, without a socket."""
+"""A server of a simulated run: the model of `server_model` with its connections and faults, without a socket."""
 
 from __future__ import annotations
 
@@ -8,236 +8,256 @@
 
 import numpy as np
 
-from rosewheel.lab import server_model as model
-from rosewheel.lab.server_host import ConnectionFault
+from rosewheel.lab.connection_faults import ConnectionFault, ConnectionFaults
+from rosewheel.lab.fault_table import ConnectionFaultKind
+from rosewheel.lab.server_model import Action, DedupTable, EmulatedServer, Job, JobResult, ServerSpec
 from rosewheel.lab.simulation.events import EventQueue
-from rosewheel.lab.simulation.network import Attempt, Connection
+from rosewheel.lab.simulation.network import Attempt, Connection, LoadReport
 from rosewheel.policy.events import AttemptResult
 
-Report = dict[str, float]
+ATTEMPT_RESULTS = {
+    JobResult.SERVED: AttemptResult.OK,
+    JobResult.ERROR: AttemptResult.ERROR,
+    JobResult.REJECTED: AttemptResult.OVERLOADED,
+}
+BROKEN_RESPONSES = (ConnectionFaultKind.TRUNCATED_RESPONSE, ConnectionFaultKind.GARBLED_RESPONSE)
 
 
 @dataclass(slots=True, eq=False)
 class SimulatedWork:
-    """A request that an equipo works on."""
+    """A request that a server works on.
+
+    Attributes:
+        client_connected: False once its node has closed the connection.
+        call_targets: the tiers that it calls, in order of the calls.
+    """
 
     host: SimulatedServerHost
     connection: Connection
     attempt: Attempt
-    job: model.Job
+    job: Job
     received_ms: float
     deadline_ms: float
-    client_connected: bool = True  # False: whoever asked has gone
-    call_targets: tuple[int, ...] = ()  # the tiers that it calls, one call after the other
+    client_connected: bool = True
+    call_targets: tuple[int, ...] = ()
 
 
 class HostOwner(Protocol):
-    """What a host needs of its world."""
-
-    queue: EventQueue
+    """What hosts need of the rest of the simulation."""
 
     def accept_request(
-        self, host: SimulatedServerHost, link: Connection, exchange: Attempt
-    ) -> SimulatedWork: ...
-    def apply_actions(self, host: SimulatedServerHost, acts: list[model.Action]) -> None: ...
+        self, host: SimulatedServerHost, connection: Connection, attempt: Attempt
+    ) -> SimulatedWork:
+        """The work of a request."""
+
+    def apply_actions(self, host: SimulatedServerHost, actions: list[Action]) -> None:
+        """Carry out what the model of the host returned."""
 
 
 class SimulatedServerHost:
+    """One server.
+
+    Attributes:
+        reports: whether responses carry the load report.
+        listening: whether connections are accepted.
+        isolated: the machine is cut off from the network.
+        connections: in order of their opening, with the request in progress on each.
+        work: requests in progress by job.
+    """
+
     def __init__(
         self,
         owner: HostOwner,
-        spec: model.ServerSpec,
-        memory: model.DedupTable,
+        queue: EventQueue,
+        spec: ServerSpec,
+        dedup_table: DedupTable,
         rng: np.random.Generator,
-        cold: bool,
+        warming_up: bool,
         reports: bool,
     ) -> None:
-        self.owner, self.spec, self.dedup_table, self.rng, self.reports = owner, spec, memory, rng, reports
-        self.queue = owner.queue
-        self.model = model.EmulatedServer(spec, memory, rng, self.queue.now, cold)
+        self.owner, self.queue, self.spec = owner, queue, spec
+        self.dedup_table, self.rng, self.reports = dedup_table, rng, reports
+        self.model = EmulatedServer(spec, dedup_table, rng, queue.now, warming_up)
         self.listening = False
         self.isolated = False
-        self.connections: dict[Connection, None] = {}  # in the order in which they came
+        self.connections: dict[Connection, SimulatedWork | None] = {}
         self.work: dict[int, SimulatedWork] = {}
-        self.faults: dict[int, ConnectionFault] = {}  # by trouble
-        self.since_ms = self.queue.now  # when it was last started,
-        self.up_ms = 0.0  # and for how long it had run before
-        self.worked = 0.0  # work done by the models before this one
-        self._armed = math.inf  # when the queue wakes it
-        self._due = self.model.next_due_ms()  # the model's next moment, as of its last event
+        self._faults = ConnectionFaults()
+        self._started_ms = queue.now
+        self._earlier_uptime_ms = 0.0
+        self._earlier_work_ms = 0.0  # of the processes before this one
+        self._armed_ms = math.inf  # when the queue calls `_tick`
+        self._due_ms = self.model.next_due_ms()  # as of the model's last event
 
     # ----------------------------------------------------------- connections
 
-    def connection_opened(self, link: Connection) -> None:
-        self.connections[link] = None
-        link.silent = self.isolated
-        for fault in self.faults.values():
-            self._befall(link, fault)
-        self.catch_up()
+    def connection_opened(self, connection: Connection) -> None:
+        """A node has opened a connection."""
+        self.connections[connection] = None
+        connection.silent = self.isolated
+        self._faults.affect_new(connection)
+        self.catch_up(self.queue.now)
         self.model.connect(self.queue.now)
         self.arm()
 
-    def connection_closed(self, link: Connection) -> None:
-        """Its node has closed it, or is gone."""
-        if link not in self.connections:
+    def connection_closed(self, connection: Connection) -> None:
+        """A node has closed a connection, or is gone. A cancelled request or one past its timeout stops no work."""
+        if connection not in self.connections:
             return
-        del self.connections[link]
-        if link.work is not None:
-            link.work.client_connected = False  # a cancel or a time-out stops no work
-        self.catch_up()
+        self._remove(connection)
+        self.catch_up(self.queue.now)
         self.model.disconnect(self.queue.now)
         self.arm()
 
-    def receive(self, link: Connection, exchange: Attempt) -> None:
-        if link.reset_by_host or link.silent or link not in self.connections:
+    def _remove(self, connection: Connection) -> None:
+        work = self.connections.pop(connection)
+        if work is not None:
+            work.client_connected = False
+
+    def receive(self, connection: Connection, attempt: Attempt) -> None:
+        """An attempt has been received."""
+        if connection.reset_by_host or connection.silent or connection not in self.connections:
             return
-        if link.fault is not None and link.fault.kind == "reset":
-            self.reset_connection(link)
+        if connection.fault is not None and connection.fault.kind is ConnectionFaultKind.RESET:
+            self.reset_connection(connection)
             return
         if self.model.connection_count > self.spec.max_connections:
-            self._answer(link, exchange, AttemptResult.OVERLOADED, keep=False)
+            self._answer(connection, attempt, AttemptResult.OVERLOADED, keep_open=False)
             return
-        work = self.owner.accept_request(self, link, exchange)
-        link.work = self.work[work.job.id] = work
-        self.catch_up()
+        work = self.owner.accept_request(self, connection, attempt)
+        self.connections[connection] = self.work[work.job.id] = work
+        self.catch_up(self.queue.now)
         self.owner.apply_actions(self, self.model.arrive(self.queue.now, work.job))
         self.arm()
 
-    def reply(self, work: SimulatedWork, verdict: model.JobResult) -> None:
-        """Answer a request, through whatever fault its connection has."""
-        link = work.connection
-        if link.work is work:
-            link.work = None
-        if not work.client_connected or link.reset_by_host or link.silent:
+    def reply(self, work: SimulatedWork, result: JobResult) -> None:
+        """Send the response of a request, as the fault of its connection has it."""
+        connection = work.connection
+        if self.connections.get(connection) is work:
+            self.connections[connection] = None
+        if not work.client_connected or connection.reset_by_host or connection.silent:
             return
-        result = {
-            model.JobResult.SERVED: AttemptResult.OK,
-            model.JobResult.ERROR: AttemptResult.ERROR,
-            model.JobResult.REJECTED: AttemptResult.OVERLOADED,
-        }[verdict]
-        how = link.fault.kind if link.fault is not None else ""
-        if how == "delay" and link.fault is not None:
-            self.queue.call_later(link.fault.delay_ms, self._answer, link, work.attempt, result)
-        elif how in ("half", "spoilt"):
-            self._answer(link, work.attempt, AttemptResult.RESET, keep=False)
+        fault, attempt_result = connection.fault, ATTEMPT_RESULTS[result]
+        if fault is not None and fault.kind is ConnectionFaultKind.DELAY:
+            self.queue.call_later(fault.delay_ms, self._answer, connection, work.attempt, attempt_result)
+        elif fault is not None and fault.kind in BROKEN_RESPONSES:
+            self._answer(connection, work.attempt, AttemptResult.RESET, keep_open=False)
         else:
-            self._answer(link, work.attempt, result)
+            self._answer(connection, work.attempt, attempt_result)
 
-    def _answer(self, link: Connection, exchange: Attempt, result: AttemptResult, keep: bool = True) -> None:
-        if link.reset_by_host or link.silent:
+    def _answer(
+        self, connection: Connection, attempt: Attempt, result: AttemptResult, keep_open: bool = True
+    ) -> None:
+        if connection.reset_by_host or connection.silent:
             return
-        told = result is not AttemptResult.RESET and self.reports
-        report = {"queue": round(self.model.reported_queue(self.queue.now), 3)} if told else None
-        self.queue.call_later(link.one_way_ms, link.node.attempt_answered, exchange, result, report, keep)
-
-    def check_health(self) -> tuple[AttemptResult, Report | None]:
-        """A health call: nothing vanished answers one, nor what does not listen."""
-        self.catch_up()
+        report = None if result is AttemptResult.RESET else self._load_report()
+        node = connection.node
+        self.queue.call_later(
+            connection.one_way_ms, node.attempt_answered, attempt, result, report, keep_open
+        )
+
+    def check_health(self) -> tuple[AttemptResult, LoadReport | None]:
+        """The result of a health check."""
+        self.catch_up(self.queue.now)
         up = self.model.check_health(self.queue.now)
         self.arm()
-        report = {"queue": round(self.model.reported_queue(self.queue.now), 3)} if self.reports else None
-        return (AttemptResult.OK if up else AttemptResult.ERROR), report
+        return (AttemptResult.OK if up else AttemptResult.ERROR), self._load_report()
 
-    def reset_connection(self, link: Connection) -> None:
+    def _load_report(self) -> LoadReport | None:
+        if not self.reports:
+            return None
+        return {"queue": round(self.model.reported_queue(self.queue.now), 3)}
+
+    def reset_connection(self, connection: Connection) -> None:
         """Reset a connection."""
-        if link not in self.connections:
+        if connection not in self.connections:
             return
-        del self.connections[link]
-        link.reset_by_host = True
-        if link.work is not None:
-            link.work.client_connected = False
+        self._remove(connection)
+        connection.reset_by_host = True
         self.model.disconnect(self.queue.now)
-        self.queue.call_later(link.one_way_ms, link.node.connection_reset, link)
+        self.queue.call_later(connection.one_way_ms, connection.node.connection_reset, connection)
 
-    # --------------------------------------------------------------- troubles
+    # ----------------------------------------------------------------- faults
 
     def begin_fault(self, number: int, fault: ConnectionFault) -> None:
-        """From now on this befalls its share of the connections, those that are open included."""
-        self.faults[number] = fault
-        for link in self.connections:
-            self._befall(link, fault)
+        """Affect a share of the connections from now on, the open ones included."""
+        self._faults.begin(number, fault, self.connections)
 
     def end_fault(self, number: int) -> None:
-        """New connections are well again; those that it befell stay as they are until they are closed."""
-        self.faults.pop(number, None)
-
-    @staticmethod
-    def _befall(link: Connection, fault: ConnectionFault) -> None:
-        if link.fault is None and fault.rng.random() < fault.share:
-            link.fault = fault
-            link.silent = fault.kind == "silence"
+        """Affect new connections no longer."""
+        self._faults.end(number)
 
     def isolate(self) -> None:
-        """The machine is cut off: what is open says nothing any more, what is new never comes up."""
+        """Cut the machine off: open connections fall silent, new ones never open."""
         self.isolated = True
-        for link in self.connections:
-            link.silent = True
+        for connection in self.connections:
+            connection.silent = True
 
     def rejoin(self) -> None:
-        """It is back: connections from before are reset."""
+        """End the isolation; connections from before it are reset."""
         self.isolated = False
-        for link in list(self.connections):
-            link.silent = False
-            self.reset_connection(link)
+        for connection in list(self.connections):
+            connection.silent = False
+            self.reset_connection(connection)
 
     def lose_machine(self) -> None:
-        """The machine is lost with all it held: as cut off, but nothing goes on there."""
+        """Lose the machine with all its work: as `isolate`, but nothing goes on there."""
         self.isolate()
-        self.model.stop(self.queue.now)
-        if self.listening:
-            self.up_ms += self.queue.now - self.since_ms
-        self.listening = False
-        self.work.clear()
+        self._stop()
 
-    def set_partitioned(self, silent: bool, links: list[Connection]) -> None:
-        """A cut of the network that these connections cross begins, or is over: then they are reset."""
-        for link in links:
-            link.silent = silent or self.isolated
-            if not link.silent:
-                self.reset_connection(link)
+    def set_partitioned(self, partitioned: bool, connections: list[Connection]) -> None:
+        """Begin or end a network partition that these connections cross; at its end they are reset."""
+        for connection in connections:
+            connection.silent = partitioned or self.isolated
+            if not connection.silent:
+                self.reset_connection(connection)
 
     def terminate(self) -> None:
-        """The process is gone: connections reset, new ones refused, and all it held with it."""
+        """End the process: connections are reset, new ones refused, and all its work is lost."""
+        self._stop()
+        for connection in list(self.connections):
+            self.reset_connection(connection)
+
+    def _stop(self) -> None:
         self.model.stop(self.queue.now)
         if self.listening:
-            self.up_ms += self.queue.now - self.since_ms
+            self._earlier_uptime_ms += self.queue.now - self._started_ms
         self.listening = False
         self.work.clear()
-        for link in list(self.connections):
-            self.reset_connection(link)
 
     def restart(self) -> None:
-        """A new process under the same name, cold."""
-        self.worked += self.model.work_done_ms
-        self.model = model.EmulatedServer(self.spec, self.dedup_table, self.rng, self.queue.now, cold=True)
-        self.listening, self.isolated, self.since_ms = True, False, self.queue.now
-        self._armed = math.inf
+        """Start a new process under the same name, which warms up."""
+        self._earlier_work_ms += self.model.work_done_ms
+        now = self.queue.now
+        self.model = EmulatedServer(self.spec, self.dedup_table, self.rng, now, warming_up=True)
+        self.listening, self.isolated, self._started_ms = True, False, now
+        self._armed_ms = math.inf
         self.arm()
 
     def utilization(self, now: float) -> float:
-        """The work it has done so far, as a share of what all its cores could have, warm and by themselves."""
-        up = self.up_ms + (now - self.since_ms if self.listening else 0.0)
-        worked = self.worked + self.model.work_done_ms
-        return worked / (up * self.spec.cores * self.spec.speed) if up > 0.0 else 0.0
+        """The work done so far, as a share of what all cores could have done while it was up."""
+        uptime_ms = self._earlier_uptime_ms + (now - self._started_ms if self.listening else 0.0)
+        work_ms = self._earlier_work_ms + self.model.work_done_ms
+        return work_ms / (uptime_ms * self.spec.cores * self.spec.speed) if uptime_ms > 0.0 else 0.0
 
     # ------------------------------------------------------------------ timer
 
     def arm(self) -> None:
-        """After each event: one event of the queue, at the model's next moment or earlier."""
-        self._due = due = self.model.next_due_ms()
-        if due < self._armed:
-            self._armed = due
-            self.queue.call_at(due, self._tick, due)
-
-    def catch_up(self) -> None:
-        """What is due before whatever has just come."""
-        if self._due <= self.queue.now:
-            self.owner.apply_actions(self, self.model.tick(self.queue.now))
-            self._due = self.model.next_due_ms()
-
-    def _tick(self, meant: float) -> None:
-        if meant != self._armed:  # an earlier one has been set since
+        """After each event: schedule the model's next moment, unless an earlier one is scheduled."""
+        self._due_ms = due_ms = self.model.next_due_ms()
+        if due_ms < self._armed_ms:
+            self._armed_ms = due_ms
+            self.queue.call_at(due_ms, self._tick, due_ms)
+
+    def catch_up(self, now: float) -> None:
+        """Do what was due before an event that has just happened."""
+        if self._due_ms <= now:
+            self.owner.apply_actions(self, self.model.tick(now))
+            self._due_ms = self.model.next_due_ms()
+
+    def _tick(self, due_ms: float) -> None:
+        if due_ms != self._armed_ms:  # an earlier one has been scheduled since
             return
-        self._armed = math.inf
-        self.catch_up()
+        self._armed_ms = math.inf
+        self.catch_up(self.queue.now)
         self.arm()
--- a/rosewheel/lab/simulation/network.py
+++ b/rosewheel/lab/simulation/network.py
@@ -1,58 +1,108 @@
-"""What lies between the parts of a simulated run: connections, and how long a way takes.
+"""Connections, attempts and requests of a simulated run, as the parts hand them to each other.
 
-A connection is held by a node to an equipo. Its node knows what it sends and hears; its host knows whether it still
-stands. Either may end it, and the other learns of that one way later.
+A connection is opened by a node to a server. The node knows what it sends and receives, the server's host whether the
+connection still stands. Either may end it, and the other learns of that one delay later.
 """
 
 from __future__ import annotations
 
-from dataclasses import dataclass, field
-from typing import TYPE_CHECKING
+from collections.abc import Callable
+from dataclasses import dataclass
+from typing import Protocol
 
-if TYPE_CHECKING:
-    from rosewheel.lab.server_host import ConnectionFault
-    from rosewheel.lab.simulation.host import SimulatedServerHost, SimulatedWork
-    from rosewheel.lab.simulation.node import NodeRequest, SimulatedNode
+from rosewheel.lab.connection_faults import ConnectionFault
+from rosewheel.lab.outcomes import AttemptOutcome
+from rosewheel.lab.server_model import ServerSpec
+from rosewheel.lab.simulation.topology import ONE_WAY_MS
+from rosewheel.policy.events import AttemptResult
 
-# One way, with the work of both its ends: a request through an idle node on loopback takes under a millisecond more
-# than at the equipo alone, there and back over two links.
-ONE_WAY_MS = 0.2
+LoadReport = dict[str, float]
+
+
+@dataclass(slots=True, eq=False)
+class NodeRequest:
+    """A request at a node.
+
+    Attributes:
+        operation_id: identity of the client's operation, or of the call of a server.
+        timeout_ms: how long the sender waits.
+        on_done: called with the outcome.
+        abandoned: the sender has closed its connection.
+    """
+
+    request_id: str
+    class_name: str
+    operation_id: str
+    work_ms: float
+    dedup_key: str
+    timeout_ms: float
+    on_done: Callable[[AttemptOutcome], None]
+    abandoned: bool = False
+
+
+class ConnectionHost(Protocol):
+    """The server's end of a connection."""
+
+    spec: ServerSpec
+
+    def receive(self, connection: Connection, attempt: Attempt) -> None:
+        """An attempt has been received."""
+
+    def connection_closed(self, connection: Connection) -> None:
+        """The node has closed the connection."""
+
+
+class ConnectionNode(Protocol):
+    """The node's end of a connection."""
+
+    name: str
+    zone: str
+
+    def attempt_answered(
+        self, attempt: Attempt, result: AttemptResult, report: LoadReport | None, keep_open: bool
+    ) -> None:
+        """A response has been received, or the connection has ended in its place."""
+
+    def connection_reset(self, connection: Connection) -> None:
+        """The server has reset the connection."""
 
 
 @dataclass(slots=True, eq=False)
 class Connection:
-    """An open connection."""
+    """An open connection.
+
+    Attributes:
+        idle_since: when its last response was received.
+        silent: a fault: whatever is sent, nothing is answered.
+        use_count: requests so far.
+        one_way_ms: delay from one end to the other.
+        attempt: the attempt in flight on it.
+    """
 
-    host: SimulatedServerHost
-    node: SimulatedNode
+    host: ConnectionHost
+    node: ConnectionNode
     idle_since: float = 0.0
-    closed_by_node: bool = False  # by its node
-    reset_by_host: bool = False  # by its host
-    silent: bool = False  # a fault: whatever is sent, nothing is said
+    closed_by_node: bool = False
+    reset_by_host: bool = False
+    silent: bool = False
     fault: ConnectionFault | None = None
-    use_count: int = 0  # requests so far
-    one_way_ms: float = ONE_WAY_MS  # from one end to the other
-    work: SimulatedWork | None = None  # what the host works on for it
+    use_count: int = 0
+    one_way_ms: float = ONE_WAY_MS
     attempt: Attempt | None = None
 
 
 @dataclass(slots=True, eq=False)
 class Attempt:
-    """An attempt on its way."""
+    """An attempt of a node in flight.
+
+    Attributes:
+        connection: None while the connection is being opened.
+        finished: it has ended, or its node has abandoned it.
+    """
 
     request: NodeRequest
     number: int
     timeout_ms: float
     started_ms: float
     connection: Connection | None = None
-    finished: bool = False  # given up by its node, or settled
-
-
-@dataclass(slots=True, eq=False)
-class ConnectionPool:
-    """What a node holds towards one equipo."""
-
-    accepts_requests: bool
-    launched_ms: float | None
-    last_response_ms: float = float("-inf")  # when it last said anything
-    idle: list[Connection] = field(default_factory=list)  # the one used last at the end
+    finished: bool = False
--- /dev/null
+++ b/rosewheel/lab/simulation/node_restarts.py
@@ -0,0 +1,59 @@
+"""Crashes and upgrades of the nodes that clients reach in a simulated run."""
+
+from __future__ import annotations
+
+from rosewheel.lab.record_types import NodeBackRecord, NodeKilledRecord, RecordFile
+from rosewheel.lab.simulation.clients import SimulatedDispatcher
+from rosewheel.lab.simulation.fleet import PROCESS_START_MS, SimulatedFleet
+from rosewheel.lab.simulation.node import SimulatedNode
+from rosewheel.policy.learned_state import Learned
+
+UPGRADE_OVERLAP_MS = 800.0  # two processes of one node side by side, until the old one accepts nothing new
+
+
+class NodeRestarts:
+    """Restarts nodes, with or without the learned state of the process before."""
+
+    def __init__(self, fleet: SimulatedFleet, dispatcher: SimulatedDispatcher) -> None:
+        self.fleet, self.dispatcher = fleet, dispatcher
+        self.queue = fleet.queue
+        self.keep_learned_state = fleet.plan.scenario.nodes.keep_learned_state
+
+    def crash(self, name: str, down_ms: float) -> None:
+        """Kill a node and start it again after this time; nothing where it is dead already."""
+        node = self.fleet.nodes[name]
+        if node.dead:
+            return
+        self.fleet.record(RecordFile.RUN, NodeKilledRecord(self.fleet.plan_time(), name))
+        learned = node.node.learned_state(self.queue.now) if self.keep_learned_state else None
+        node.kill()
+        self.fleet.registries[0].remove_agent(node)
+        self.dispatcher.node_changed(name)
+        self.queue.call_later(down_ms + PROCESS_START_MS, self._restart, name, learned, self.queue.now)
+
+    def _restart(self, name: str, learned: Learned | None, killed_ms: float) -> None:
+        self.fleet.start_client_node(name)
+        if learned is not None:
+            self.fleet.nodes[name].restore(learned, self.queue.now - killed_ms)
+        self.fleet.record(RecordFile.RUN, NodeBackRecord(self.fleet.plan_time(), name))
+        self.dispatcher.node_changed(name)
+
+    def upgrade(self, name: str) -> None:
+        """Start a new process beside the old one, which accepts nothing new once the new one serves."""
+        old = self.fleet.nodes[name]
+        if old.dead:
+            return
+        new = self.fleet.new_client_node(name)
+        if self.keep_learned_state:
+            new.restore(old.node.learned_state(self.queue.now), 0.0)
+        for process in (old, new):
+            process.apply(process.node.process_count_changed(self.queue.now, 2))
+        self.queue.call_later(UPGRADE_OVERLAP_MS, self._upgraded, name, old, new)
+
+    def _upgraded(self, name: str, old: SimulatedNode, new: SimulatedNode) -> None:
+        if old.dead:  # it was killed meanwhile, and another process has taken its place
+            new.kill()
+            return
+        self.fleet.nodes[name] = new
+        new.apply(new.node.process_count_changed(self.queue.now, 1))
+        self.fleet.record(RecordFile.RUN, NodeBackRecord(self.fleet.plan_time(), name))
--- a/rosewheel/lab/simulation/outages.py
+++ b/rosewheel/lab/simulation/outages.py
@@ -1,76 +1,75 @@
-"""Troubles of a whole zone or region in a simulated run: lost and back, or cut off for a while."""
+"""Faults of a zone or region in a simulated run: everything in it is lost, or it is cut off for a time."""
 
 from __future__ import annotations
 
-from typing import TYPE_CHECKING
-
 from rosewheel.lab.discovery_delays import DiscoveryChange
 from rosewheel.lab.plan_faults import FaultStep, zones_of
 from rosewheel.lab.server_model import LifecycleState
-from rosewheel.lab.simulation.clients import SimulatedDispatcher
+from rosewheel.lab.simulation.fleet import SimulatedFleet
 from rosewheel.lab.simulation.host import SimulatedServerHost
 from rosewheel.lab.simulation.network import Connection
-from rosewheel.policy.events import ServerState
-
-if TYPE_CHECKING:
-    from rosewheel.lab.simulation.fleet import SimulatedFleet
+from rosewheel.lab.simulation.node_restarts import NodeRestarts
 
 
 class ZoneOutages:
-    def __init__(self, world: SimulatedFleet) -> None:
-        self.world = world
-        self._lost: dict[int, list[SimulatedServerHost]] = {}  # by trouble
+    """Outages of zones and regions."""
+
+    def __init__(self, fleet: SimulatedFleet, node_restarts: NodeRestarts) -> None:
+        self.fleet, self.node_restarts = fleet, node_restarts
+        self._lost: dict[int, list[SimulatedServerHost]] = {}  # by fault
 
-    def loss(self, step: FaultStep, front: SimulatedDispatcher, begins: bool) -> None:
-        """All that runs there is lost in silence, nodes of the front too; later it starts anew, cold."""
-        world, zones = self.world, self._zones(step)
-        if not begins:
-            for host in self._lost.pop(step.fault, ()):
-                world.gone(host, DiscoveryChange.SERVER_DIED)
-                world.launch(host)
-            return
-        up = [host for host in world.hosts.values() if host.spec.zone in zones and host.listening]
-        self._lost[step.fault] = up
-        for host in up:
-            host.catch_up()
-            for work in host.work.values():
-                world.record(work, "lost")
+    def lose(self, step: FaultStep) -> None:
+        """All machines of the zones are lost at one moment, those of nodes too."""
+        fleet, zones = self.fleet, self._zones(step)
+        lost = [host for host in fleet.hosts.values() if host.spec.zone in zones and host.listening]
+        self._lost[step.fault] = lost
+        for host in lost:
+            host.catch_up(fleet.queue.now)
+            fleet.requests.lose_work(host)
             host.lose_machine()
-            world.end_companions(host.spec)
-            world.registries[host.spec.tier].set_state(
-                host.spec.name, ServerState.REMOVED, DiscoveryChange.SERVER_DIED
-            )
-        for name, node in list(world.nodes.items()):
+            fleet.stop_local_nodes(host.spec)
+            fleet.remove_endpoint(host, DiscoveryChange.SERVER_DIED)
+        for name, node in list(fleet.nodes.items()):
             if node.zone in zones:
-                world.node_dies(name, front, world.length_ms(step))
+                self.node_restarts.crash(name, fleet.plan.fault_duration_ms(step))
 
-    def cut(self, step: FaultStep, begins: bool) -> None:
-        """Nothing gets in or out, but for what clients ask the front's nodes there."""
-        world, zones = self.world, self._zones(step)
-        before = {host: self._crossing(host) for host in world.hosts.values()}
-        if begins:
-            world.topology.isolate(step.fault, zones)
+    def restore(self, step: FaultStep) -> None:
+        """Start the lost servers again; they warm up."""
+        for host in self._lost.pop(step.fault, ()):
+            self.fleet.stop(host, DiscoveryChange.SERVER_DIED)
+            self.fleet.launch(host)
+
+    def set_partitioned(self, step: FaultStep, partitioned: bool) -> None:
+        """Begin or end a partition of the zones: only clients still reach the nodes there."""
+        fleet, zones = self.fleet, self._zones(step)
+        separated_before = {host: self._separated_connections(host) for host in fleet.hosts.values()}
+        if partitioned:
+            fleet.topology.isolate(step.fault, zones)
         else:
-            world.topology.heal(step.fault)
-        for host, links in before.items():
-            now = self._crossing(host)
-            host.catch_up()
-            host.set_partitioned(begins, now if begins else [link for link in links if link not in now])
+            fleet.topology.heal(step.fault)
+        for host, before in separated_before.items():
+            after = self._separated_connections(host)
+            changed = after if partitioned else [link for link in before if link not in after]
+            host.catch_up(fleet.queue.now)
+            host.set_partitioned(partitioned, changed)
             host.arm()
-        there = [host for host in world.hosts.values() if host.spec.zone in zones and not host.isolated]
-        for tier, registry in enumerate(world.registries):
-            if begins:
+        inside = [host for host in fleet.hosts.values() if host.spec.zone in zones and not host.isolated]
+        for tier, registry in enumerate(fleet.registries):
+            if partitioned:
                 registry.isolate(zones)
             else:
-                up = (host for host in there if host.listening and host.model.state is LifecycleState.UP)
-                registry.heal(zones, [world.entry(host) for host in up if host.spec.tier == tier])
+                running = [fleet.endpoint(host) for host in inside if self._is_running(host, tier)]
+                registry.heal(zones, running)
+
+    @staticmethod
+    def _is_running(host: SimulatedServerHost, tier: int) -> bool:
+        return host.spec.tier == tier and host.listening and host.model.state is LifecycleState.UP
 
     def _zones(self, step: FaultStep) -> frozenset[str]:
-        scenario = self.world.plan.scenario
+        scenario = self.fleet.plan.scenario
         return frozenset(zones_of(scenario, scenario.faults[step.fault]))
 
-    def _crossing(self, host: SimulatedServerHost) -> list[Connection]:
-        """Its connections to nodes that nothing gets to."""
-        return [
-            link for link in host.connections if self.world.topology.separated(link.node.zone, host.spec.zone)
-        ]
+    def _separated_connections(self, host: SimulatedServerHost) -> list[Connection]:
+        """Connections of a host to nodes beyond a partition."""
+        topology, zone = self.fleet.topology, host.spec.zone
+        return [link for link in host.connections if topology.separated(link.node.zone, zone)]
--- a/rosewheel/lab/simulation/simulate.py
+++ b/rosewheel/lab/simulation/simulate.py
@@ -1,4 +1,4 @@
-"""One simulated run of a plan: records, their digest, and what they say."""
+"""One simulated run of a plan: records, their digest, and a summary."""
 
 from __future__ import annotations
 
@@ -11,153 +11,175 @@
 import msgspec
 
 from rosewheel.config.checked import Problem, ProblemsError
+from rosewheel.lab.fault_table import FaultKind
 from rosewheel.lab.invariant_checker import InvariantChecker
 from rosewheel.lab.plan import Plan
 from rosewheel.lab.plan_codec import plan_digest
+from rosewheel.lab.plan_faults import FaultPhase
+from rosewheel.lab.record_types import NodeBackRecord, OperationRecord, Record, RecordFile
 from rosewheel.lab.records import RecordWriter
 from rosewheel.lab.scenario import Scenario
 from rosewheel.lab.simulation.clients import SimulatedClients, SimulatedDispatcher
 from rosewheel.lab.simulation.events import EventQueue
+from rosewheel.lab.simulation.fault_injector import SimulatedFaultInjector
 from rosewheel.lab.simulation.fleet import SimulatedFleet
 from rosewheel.lab.simulation.statistics import RunStatistics, tier_statistics
 
-LEAD_MS = 500.0  # between the start of the last node and the plan's beginning
-SLICE_MS = 100.0
+START_DELAY_MS = 500.0  # between the start of the last node and the beginning of the plan
+SLICE_MS = 100.0  # of virtual time, between two calls of the progress function
 AFTER_RESTART_MS = 10_000.0
-MAX_TAIL_MS = 120_000.0  # after the last arrival nobody waits for longer
-RECORD_FILES = ("run", "load", "equipos")
+MAX_TAIL_MS = 120_000.0  # after the last arrival no client waits for longer
+DIGEST_BYTES = 8
 
 Progress = Callable[[float, int, float], None]  # seconds simulated, events, seconds of wall clock
 
 
 class Recorder:
-    """Every record in the order in which it was made: into a digest, the ledger, and files if there is a folder."""
-
-    def __init__(self, ledger: InvariantChecker, folder: Path | None) -> None:
-        self.ledger = ledger
-        self.backs: list[float] = []
-        self.rows = 0
-        self._hash = hashlib.blake2b(digest_size=8)
+    """Passes every record in order into the digest, the checker, and files if there is a folder.
+
+    Attributes:
+        restarts_ms: when nodes were back.
+        record_count: records so far.
+    """
+
+    def __init__(self, checker: InvariantChecker, folder: Path | None) -> None:
+        self.checker = checker
+        self.restarts_ms: list[float] = []
+        self.record_count = 0
+        self._hash = hashlib.blake2b(digest_size=DIGEST_BYTES)
         self._encode = msgspec.json.Encoder().encode
-        self._files = (
-            {} if folder is None else {name: RecordWriter(folder / f"{name}.jsonl") for name in RECORD_FILES}
-        )
-
-    def write(self, name: str, row: dict[str, Any]) -> None:
-        self.rows += 1
-        line = self._encode(row)
+        self._files: dict[RecordFile, RecordWriter] = {}
+        if folder is not None:
+            self._files = {name: RecordWriter(folder / f"{name}.jsonl") for name in RecordFile}
+
+    def write(self, name: RecordFile, record: Record) -> None:
+        """Take a record."""
+        self.record_count += 1
+        line = self._encode(record)
         self._hash.update(line)
-        self.ledger.observe(row)
-        if row["e"] == "back":
-            self.backs.append(row["t"])
+        self.checker.observe(record)
+        if isinstance(record, NodeBackRecord):
+            self.restarts_ms.append(record.at_ms)
         if self._files:
-            self._files[name].put(line)
+            self._files[name].write_line(line)
 
     def close(self) -> str:
+        """Close the files; returns the digest of all records."""
         for file in self._files.values():
             file.close()
         return self._hash.hexdigest()
 
 
 def check_simulated(scenario: Scenario) -> None:
-    """ProblemsError where a scenario wants what is not simulated."""
-    for at, trouble in enumerate(scenario.faults):
-        if trouble.killed_process:
+    """Check that a scenario can be simulated.
+
+    Raises:
+        ProblemsError: it needs what only real processes do.
+    """
+    for index, fault in enumerate(scenario.faults):
+        if fault.killed_process:
             why = "a process that is killed in the middle of an upgrade is not simulated"
-            raise ProblemsError(scenario.name, [Problem(f"trouble[{at}].kills", None, why)])
+            raise ProblemsError(scenario.name, [Problem(f"trouble[{index}].kills", None, why)])
 
 
 class Simulation:
-    """One run of a plan. `world` and `clients` are there to be looked at once it is over."""
+    """One run of a plan.
+
+    Attributes:
+        clients: None until all nodes have started.
+    """
 
     def __init__(self, plan: Plan, folder: Path | None = None) -> None:
         self.plan = plan
         spread_ms = plan.scenario.nodes.start_spread_s * 1000.0
         self.checker = InvariantChecker(plan.scenario)
         self.recorder = Recorder(self.checker, folder)
-        self.queue = EventQueue(-(spread_ms + LEAD_MS))
+        self.queue = EventQueue(-(spread_ms + START_DELAY_MS))
         self.fleet = SimulatedFleet(plan, self.queue, self.recorder.write)
         self.statistics = RunStatistics(plan)
         self.clients: SimulatedClients | None = None
         self.fleet.start(self._begin)
 
     def _begin(self) -> None:
-        """All nodes are up: clients and troubles take their places."""
+        """All nodes have started: schedule clients and faults."""
         plan, queue = self.plan, self.queue
-        front = SimulatedDispatcher(queue, self.fleet.nodes, plan.node_notice_ms)
-        self.clients = SimulatedClients(
-            plan, queue, front, lambda row: self.recorder.write("load", row), self.statistics.record
+        dispatcher = SimulatedDispatcher(queue, self.fleet.nodes, plan.node_notice_ms)
+        self.clients = clients = SimulatedClients(
+            plan, queue, dispatcher, self._record_operation, self.statistics.record
         )
+        injector = SimulatedFaultInjector(self.fleet, dispatcher)
         for step in plan.steps:
-            if plan.scenario.faults[step.fault].kind == "retry-storm":
-                queue.call_at(step.at_ms, self._storm, round(step.size) if step.phase == "begin" else 0)
+            if plan.scenario.faults[step.fault].kind is FaultKind.RETRY_STORM:
+                extra_retries = round(step.size) if step.phase is FaultPhase.BEGIN else 0
+                queue.call_at(step.at_ms, self._set_extra_retries, clients, extra_retries)
             else:
-                queue.call_at(step.at_ms, self.fleet.inject, step, front)
+                queue.call_at(step.at_ms, injector.inject, step)
+
+    def _record_operation(self, record: OperationRecord) -> None:
+        self.recorder.write(RecordFile.LOAD, record)
 
-    def _storm(self, tries: int) -> None:
-        assert self.clients is not None
-        self.clients.extra_retries = tries
+    @staticmethod
+    def _set_extra_retries(clients: SimulatedClients, extra_retries: int) -> None:
+        clients.extra_retries = extra_retries
 
     @property
     def finished(self) -> bool:
-        """The plan's time is up and every client has its answer, or has waited longer than any can."""
-        end = self.plan.scenario.seconds * 1000.0
-        if self.clients is None or self.queue.now < end:
+        """Whether the plan's time is up and every operation has its outcome, or has waited longer than any can."""
+        end_ms = self.plan.scenario.seconds * 1000.0
+        if self.clients is None or self.queue.now < end_ms:
             return False
-        return self.clients.done or self.queue.now >= end + MAX_TAIL_MS
+        return self.clients.done or self.queue.now >= end_ms + MAX_TAIL_MS
 
     def run(self, progress: Progress | None = None) -> dict[str, Any]:
-        """Play it to its end and say what came of it."""
-        began = time.monotonic()
+        """Run to the end; returns the summary."""
+        started_s = time.monotonic()
         while not self.finished:
             self.queue.run(self.queue.now + SLICE_MS)
             if progress is not None:
-                progress(self.queue.now / 1000.0, self.queue.processed, time.monotonic() - began)
-        for name, histogram in self.statistics.latency.items():
-            quantiles = {f"p{q:g}": histogram.get_value_at_percentile(q) for q in (50.0, 90.0, 99.0, 99.9)}
-            row = {"e": "latency", "class": name, **self.statistics.counts[name], **quantiles}
-            self.recorder.write("load", row)
-        return {**self._summary(), "wall_s": round(time.monotonic() - began, 1)}
+                progress(self.queue.now / 1000.0, self.queue.processed, time.monotonic() - started_s)
+        for record in self.statistics.latency_records():
+            self.recorder.write(RecordFile.LOAD, record)
+        return {**self._summary(), "wall_s": round(time.monotonic() - started_s, 1)}
 
     def _summary(self) -> dict[str, Any]:
-        scenario, tally = self.plan.scenario, self.statistics
-        digest, broken, swing = self.recorder.close(), self.checker.finish(), tally.rejection_variation()
-        windows = [
-            tally.service(back, back + AFTER_RESTART_MS)
-            for back in self.recorder.backs
-            if 0.0 <= back < scenario.seconds * 1000.0
-        ]
+        """The summary, which has keys in common with that of an experiment."""
+        statistics, checker = self.statistics, self.checker
+        digest, violations = self.recorder.close(), checker.finish()
+        variation = statistics.rejection_variation()
         return {
-            "ok": broken.count() == 0 and self.clients is not None and self.clients.done,
-            "scenario": scenario.name,
+            "ok": violations.count() == 0 and self.clients is not None and self.clients.done,
+            "scenario": self.plan.scenario.name,
             "seed": self.plan.seed,
             "plan": plan_digest(self.plan),
             "digest": digest,
-            "service": round(tally.service(*tally.measured_span), 4),
-            "worst_10_s": round(tally.worst_window(), 4),
-            "after_restarts": round(sum(windows) / len(windows), 4) if windows else None,
+            "service": round(statistics.service(*statistics.measured_span), 4),
+            "worst_10_s": round(statistics.worst_window(), 4),
+            "after_restarts": self._service_after_restarts(),
             "void": False,
-            "classes": {
-                name: {
-                    **tally.counts[name],
-                    "p50_ms": tally.latency[name].get_value_at_percentile(50.0),
-                    "p99_ms": tally.latency[name].get_value_at_percentile(99.0),
-                }
-                for name in tally.counts
-            },
-            "tries": tally.attempts,
-            "swing": None if swing is None else round(swing, 3),
-            "fell": self.checker.collapses,
-            "overloads": len(self.checker.overloads),
-            "cold_most": round(self.checker.max_bound_share, 3),
+            "classes": statistics.class_summaries(),
+            "tries": statistics.attempts,
+            "swing": None if variation is None else round(variation, 3),
+            "fell": checker.collapses,
+            "overloads": len(checker.overloads),
+            "cold_most": round(checker.max_bound_share, 3),
             "tiers": tier_statistics(self.fleet),
-            "rules": broken.as_record(),
+            "rules": violations.as_record(),
             "crashed": [],
             "events": self.queue.processed,
-            "records": self.recorder.rows,
+            "records": self.recorder.record_count,
         }
 
+    def _service_after_restarts(self) -> float | None:
+        """Mean service in the time after each restart of a node; None without one."""
+        end_ms = self.plan.scenario.seconds * 1000.0
+        windows = [
+            self.statistics.service(at_ms, at_ms + AFTER_RESTART_MS)
+            for at_ms in self.recorder.restarts_ms
+            if 0.0 <= at_ms < end_ms
+        ]
+        return round(sum(windows) / len(windows), 4) if windows else None
+
 
 def simulate(plan: Plan, folder: Path | None = None, progress: Progress | None = None) -> dict[str, Any]:
-    """Play the plan once; the same plan gives the same records byte for byte."""
+    """Run a plan once; the same plan gives the same records byte for byte."""
     return Simulation(plan, folder).run(progress)
--- a/rosewheel/lab/simulation/statistics.py
+++ b/rosewheel/lab/simulation/statistics.py
@@ -1,56 +1,87 @@
-"""What a simulated run says of itself: service over time, latencies, attempts, how evenly equipos were used."""
+"""Statistics of a simulated run: service over time, latencies, attempts, and how evenly servers were used."""
 
 from __future__ import annotations
 
 import statistics
-from typing import Any
+from dataclasses import dataclass
 
 from hdrh.histogram import HdrHistogram
 
 from rosewheel.lab.plan import Plan
-from rosewheel.lab.simulation.clients import SimulatedOperation
+from rosewheel.lab.record_types import LatencyRecord
+from rosewheel.lab.simulation.clients import HTTP_OK, SimulatedOperation
 from rosewheel.lab.simulation.fleet import SimulatedFleet
+from rosewheel.lab.simulation.host import SimulatedServerHost
 from rosewheel.policy.events import AttemptResult
 
 BIN_MS = 100.0
+BINS_PER_SECOND = 10
 WORST_WINDOW_MS = 10_000.0
+WORST_STEP_MS = 1000
+REJECTED_STATUS = 503
+MIN_REJECTIONS_PER_S = 10.0  # below that the variation of rejections says nothing
+MAX_LATENCY_MS = 60_000
+LATENCY_DIGITS = 3
+
+
+@dataclass(slots=True)
+class OperationCounts:
+    """Operations of one class."""
+
+    asked: int = 0
+    served: int = 0
+    in_time: int = 0
+
+    def as_record(self) -> dict[str, int]:
+        """The counts by the keys of a summary."""
+        return {"asked": self.asked, "served": self.served, "in_time": self.in_time}
 
 
 class RunStatistics:
-    """Takes each wish as it ends."""
+    """Counts finished operations.
+
+    Attributes:
+        offered_weight: priority weight times work, by bins of the planned moment; `earned_weight` likewise.
+        rejections: rejected attempts, by bins of their end.
+        attempts: attempts of all operations.
+    """
 
     def __init__(self, plan: Plan) -> None:
         self.plan = plan
         bins = int(plan.scenario.seconds * 1000.0 / BIN_MS) + 1
-        self.offered_weight, self.earned_weight = [0.0] * bins, [0.0] * bins  # worth, by planned moment
-        self.rejections = [0] * bins  # tries, by when they were refused
+        self.offered_weight, self.earned_weight = [0.0] * bins, [0.0] * bins
+        self.rejections = [0] * bins
         names = [row.name for row in plan.scenario.classes]
-        self.latency = {name: HdrHistogram(1, 60_000, 3) for name in names}
-        self.counts = {name: {"asked": 0, "served": 0, "in_time": 0} for name in names}
+        self.latency = {name: HdrHistogram(1, MAX_LATENCY_MS, LATENCY_DIGITS) for name in names}
+        self.counts = {name: OperationCounts() for name in names}
         self.attempts = 0
 
-    def record(self, op: SimulatedOperation, in_time: bool) -> None:
-        arrival, last = op.arrival, op.attempts[-1]
-        served = last["status"] == 200
+    def record(self, operation: SimulatedOperation, in_time: bool) -> None:
+        """Count a finished operation."""
+        arrival, last = operation.arrival, operation.attempts[-1]
+        served = last.status == HTTP_OK
         counts = self.counts[arrival.class_name]
-        counts["asked"] += 1
-        counts["served"] += served
-        counts["in_time"] += in_time
-        worth, at = op.table.priority_weight * arrival.work_ms, int(arrival.at_ms / BIN_MS)
-        self.offered_weight[at] += worth
-        self.earned_weight[at] += worth * in_time
+        counts.asked += 1
+        counts.served += served
+        counts.in_time += in_time
+        weight = operation.table.priority_weight * arrival.work_ms
+        planned_bin = int(arrival.at_ms / BIN_MS)
+        self.offered_weight[planned_bin] += weight
+        self.earned_weight[planned_bin] += weight * in_time
         if served:
-            self.latency[arrival.class_name].record_value(max(1, round(last["ended"] - arrival.at_ms)))
-        self.attempts += len(op.attempts)
-        for item in op.attempts:
-            if item["status"] == 503 and (when := int(item["ended"] / BIN_MS)) < len(self.rejections):
-                self.rejections[when] += 1
+            latency_ms = max(1, round(last.ended_ms - arrival.at_ms))
+            self.latency[arrival.class_name].record_value(latency_ms)
+        self.attempts += len(operation.attempts)
+        for attempt in operation.attempts:
+            end_bin = int(attempt.ended_ms / BIN_MS)
+            if attempt.status == REJECTED_STATUS and end_bin < len(self.rejections):
+                self.rejections[end_bin] += 1
 
     def service(self, begin_ms: float, end_ms: float) -> float:
-        """Worth answered in time over worth asked for, of what was planned between these moments, to 100 ms."""
+        """Weight served in time over weight offered, of what was planned between these moments, to 100 ms."""
         first, last = round(begin_ms / BIN_MS), round(end_ms / BIN_MS)
-        asked = sum(self.offered_weight[first:last])
-        return sum(self.earned_weight[first:last]) / asked if asked else 1.0
+        offered = sum(self.offered_weight[first:last])
+        return sum(self.earned_weight[first:last]) / offered if offered else 1.0
 
     @property
     def measured_span(self) -> tuple[float, float]:
@@ -59,41 +90,72 @@
         return scenario.warm_up_s * 1000.0, scenario.seconds * 1000.0 + BIN_MS
 
     def worst_window(self) -> float:
-        """Service in the worst 10 s, or in all where that is shorter."""
+        """Service in the worst `WORST_WINDOW_MS`, or of the whole span where that is shorter."""
         begin, end = self.measured_span
-        starts = range(round(begin), round(end - BIN_MS - WORST_WINDOW_MS) + 1, 1000)
-        return min(
-            (self.service(at, at + WORST_WINDOW_MS) for at in starts), default=self.service(begin, end)
-        )
+        starts = range(round(begin), round(end - BIN_MS - WORST_WINDOW_MS) + 1, WORST_STEP_MS)
+        windows = (self.service(start, start + WORST_WINDOW_MS) for start in starts)
+        return min(windows, default=self.service(begin, end))
 
     def rejection_variation(self) -> float | None:
-        """How much refusals come and go: the standard deviation of their number in each second over its mean.
-        None where there were fewer than ten a second."""
+        """The coefficient of variation of the rejections of each second; None where there are too few."""
         first = round(self.measured_span[0] / BIN_MS)
-        seconds = [sum(self.rejections[at : at + 10]) for at in range(first, len(self.rejections) - 10, 10)]
-        if not seconds or statistics.fmean(seconds) < 10.0:
+        last = len(self.rejections) - BINS_PER_SECOND
+        per_second = [
+            sum(self.rejections[start : start + BINS_PER_SECOND])
+            for start in range(first, last, BINS_PER_SECOND)
+        ]
+        if not per_second or statistics.fmean(per_second) < MIN_REJECTIONS_PER_S:
             return None
-        return statistics.pstdev(seconds) / statistics.fmean(seconds)
+        return statistics.pstdev(per_second) / statistics.fmean(per_second)
 
+    def latency_records(self) -> list[LatencyRecord]:
+        """Counts and quantiles of each class."""
+        records = []
+        for name, histogram in self.latency.items():
+            quantiles = [histogram.get_value_at_percentile(q) for q in (50.0, 90.0, 99.0, 99.9)]
+            counts = self.counts[name]
+            records.append(LatencyRecord(name, counts.asked, counts.served, counts.in_time, *quantiles))
+        return records
 
-def tier_statistics(world: SimulatedFleet) -> dict[str, dict[str, Any]]:
-    """By tier: attempts for each request served there, attempts by how they ended, and the most used equipo's share
-    of its capacity over the mean."""
-    found: dict[str, dict[str, Any]] = {}
-    for at, tier in enumerate(world.plan.scenario.tiers):
-        hosts = [host for host in world.hosts.values() if host.spec.tier == at]
-        shares = [
-            share for host in hosts if host.listening and (share := host.utilization(world.queue.now)) > 0.0
-        ]
-        results = world.results[at]
-        attempts = sum(results.values())
-        found[tier.name] = {
-            "equipos": len(hosts),
-            "attempts": attempts,
-            "wasted": round(1.0 - results[AttemptResult.OK] / attempts, 4) if attempts else 0.0,
-            "results": {result.value: results[result] for result in AttemptResult if results[result]},
-            "used": round(statistics.fmean(shares), 4) if shares else 0.0,
-            "balance": round(max(shares) / statistics.fmean(shares), 3) if shares else None,
-            "slowed": sum(host.model.slowed_since_ms is not None for host in hosts),
+    def class_summaries(self) -> dict[str, dict[str, object]]:
+        """Counts and quantiles of each class by the keys of a summary."""
+        return {
+            name: {
+                **counts.as_record(),
+                "p50_ms": self.latency[name].get_value_at_percentile(50.0),
+                "p99_ms": self.latency[name].get_value_at_percentile(99.0),
+            }
+            for name, counts in self.counts.items()
         }
-    return found
+
+
+def tier_statistics(fleet: SimulatedFleet) -> dict[str, dict[str, object]]:
+    """Attempts and use of servers of each tier, by the keys of a summary."""
+    return {
+        tier.name: _tier_statistics(
+            [host for host in fleet.hosts.values() if host.spec.tier == index],
+            fleet.attempt_results[index],
+            fleet.queue.now,
+        )
+        for index, tier in enumerate(fleet.plan.scenario.tiers)
+    }
+
+
+def _tier_statistics(
+    hosts: list[SimulatedServerHost], results: dict[AttemptResult, int], now: float
+) -> dict[str, object]:
+    utilizations = [
+        utilization for host in hosts if host.listening and (utilization := host.utilization(now)) > 0.0
+    ]
+    attempts = sum(results.values())
+    succeeded = results.get(AttemptResult.OK, 0)
+    mean = statistics.fmean(utilizations) if utilizations else 0.0
+    return {
+        "equipos": len(hosts),
+        "attempts": attempts,
+        "wasted": round(1.0 - succeeded / attempts, 4) if attempts else 0.0,
+        "results": {result.value: results[result] for result in AttemptResult if results.get(result)},
+        "used": round(mean, 4),
+        "balance": round(max(utilizations) / mean, 3) if utilizations else None,
+        "slowed": sum(host.model.slowed_since_ms is not None for host in hosts),
+    }
--- a/rosewheel/lab/wire.py
+++ b/rosewheel/lab/wire.py
@@ -16,6 +16,8 @@
 
 import httptools
 
+from rosewheel.lab.outcomes import AttemptFailure
+
 Address = tuple[str, int]
 STALE_CONNECTION_MS = (
     20.0  # a kept connection that ends this soon after a request had been closed before it came
@@ -158,7 +160,7 @@
     status: int  # 0: no answer
     body: bytes = b""
     retry_after_s: float | None = None
-    failure: str = ""  # without an answer: `unreachable` (nothing was taken), `broken`
+    failure: AttemptFailure = AttemptFailure.NONE
 
 
 @dataclass(slots=True, eq=False)
@@ -226,7 +228,7 @@
             self.parser.feed_data(data)
         except httptools.HttpParserError:
             if not self._complete:
-                self._end(HttpResponse(0, failure="broken"), keep=False)
+                self._end(HttpResponse(0, failure=AttemptFailure.BROKEN), keep=False)
                 return
             self.client.surplus_answers += 1
             self._keep = False
@@ -281,7 +283,7 @@
             asking.resent = True
             self.client.dispatch(asking, fresh=True)
         else:
-            asking.finish(HttpResponse(0, failure="broken"))
+            asking.finish(HttpResponse(0, failure=AttemptFailure.BROKEN))
 
 
 class HttpClient:
@@ -316,7 +318,7 @@
         try:
             await self.loop.create_connection(lambda: connection, *self.address)
         except OSError:
-            asking.finish(HttpResponse(0, failure="unreachable"))
+            asking.finish(HttpResponse(0, failure=AttemptFailure.UNREACHABLE))
             return
         self.open.add(connection)
         if asking.finished:
--- a/tests/lab/test_emulator.py
+++ b/tests/lab/test_emulator.py
@@ -19,14 +19,16 @@
 
 from rosewheel.config.checked import parse
 from rosewheel.lab import plan as plans
+from rosewheel.lab.connection_faults import ConnectionFault
 from rosewheel.lab.discovery import DiscoveryEntry, DiscoveryRegistry
 from rosewheel.lab.discovery_delays import DiscoveryChange
 from rosewheel.lab.emulator import Emulator
+from rosewheel.lab.fault_table import ConnectionFaultKind
 from rosewheel.lab.random_streams import random_stream
 from rosewheel.lab.records import RecordWriter, read_records
 from rosewheel.lab.request_codec import ClientRequest
 from rosewheel.lab.scenario import Scenario
-from rosewheel.lab.server_host import ConnectionFault, EmulatedServerHost
+from rosewheel.lab.server_host import EmulatedServerHost
 from rosewheel.lab.wire import now_ms
 from rosewheel.policy.settings import Idempotency
 from tests.support.sockets import Message, read_message, run, status, until
@@ -82,7 +84,7 @@
 
 
 def first(emulator: Emulator) -> EmulatedServerHost:
-    return next(iter(emulator.hosts.values()))
+    return next(iter(emulator.fleet.hosts.values()))
 
 
 class Plain:
@@ -170,7 +172,7 @@
 def test_a_repeat_at_another_equipo_of_the_grupo_is_dropped(tmp_path: Path):
     async def main() -> None:
         async with emulated(tmp_path) as emulator:
-            one, two = emulator.hosts.values()
+            one, two = emulator.fleet.hosts.values()
             async with Plain(one) as a, Plain(two) as b:
                 a.send("r1", service="points", work=80.0, key="k")
                 await until(lambda: one.model.arrived == 1)
@@ -189,7 +191,7 @@
             async with Plain(host) as client:
                 await until(lambda: len(host.connections) == 1)
                 host.begin_fault(
-                    0, ConnectionFault(how, 1.0, 1.0, random_stream(1, "fault"))
+                    0, ConnectionFault(ConnectionFaultKind(how), 1.0, 1.0, random_stream(1, "fault"))
                 )  # also of what is open
                 client.send("r1")
                 if how == "reset":
@@ -263,12 +265,12 @@
             async with Plain(host) as client:
                 client.send("r1", work=1e6)
                 await until(lambda: host.model.arrived == 1)
-                emulator._crash(host)
+                emulator.fleet.crash(host)
                 with pytest.raises(ConnectionResetError):
                     await client.reader.read()
             with pytest.raises(ConnectionRefusedError):
                 await asyncio.open_connection(*host.address)
-            await emulator._revive(host)
+            await emulator.fleet.revive(host)
             assert host.model.warm_up_share(now_ms()) < 1.0
             async with Plain(host) as client:
                 assert status(await client.ask("r2")) == 200
@@ -285,16 +287,16 @@
     async def main() -> None:
         async with emulated(tmp_path) as emulator:
             host = first(emulator)
-            before = emulator._t()
+            before = emulator.fleet.clock.plan_time()
             monkeypatch.setattr("time.time", lambda: wall() + 3600.0)
-            emulator._crash(host)
-            await emulator._revive(host)
-            born = emulator.registries[0].current[host.spec.name].launched_ms
+            emulator.fleet.crash(host)
+            await emulator.fleet.revive(host)
+            born = emulator.fleet.registries[0].current[host.spec.name].launched_ms
             assert born < (wall() + 1800.0) * 1000.0, (
                 "an hour ahead: it would look as if it had not started yet"
             )
             assert born > (wall() - 1800.0) * 1000.0
-            assert before <= emulator._t() < 1800e3
+            assert before <= emulator.fleet.clock.plan_time() < 1800e3
 
     run(main())
 
@@ -398,7 +400,7 @@
         async with emulated(tmp_path) as emulator:
             for _ in range(100):
                 first(emulator)._tick(now_ms() - 40.0)
-            assert emulator.statistics()["lag_p99_ms"] >= 40.0
+            assert emulator.statistics().lag_p99_ms >= 40.0
 
     run(main())
 
--- a/tests/lab/test_graph.py
+++ b/tests/lab/test_graph.py
@@ -19,9 +19,8 @@
 from rosewheel.lab.scenario import Scenario
 from rosewheel.lab.service_graph import CallCycleError
 from rosewheel.lab.simulation.host import SimulatedServerHost
-from rosewheel.lab.simulation.network import ONE_WAY_MS
 from rosewheel.lab.simulation.simulate import Simulation, simulate
-from rosewheel.lab.simulation.topology import Topology
+from rosewheel.lab.simulation.topology import ONE_WAY_MS, Topology
 
 SHORT = settings(max_examples=25, deadline=None, derandomize=True)
 
--- a/tests/lab/test_lab.py
+++ b/tests/lab/test_lab.py
@@ -163,7 +163,27 @@
 
 
 def job(op: str, rid: str, service: str = "subir-foto", ran: bool = True, cell: int = 0) -> dict[str, Any]:
-    return {"e": "job", "op": op, "rid": rid, "class": service, "ran": ran, "cell": cell}
+    return {
+        "e": "job",
+        "t": 10.0,
+        "tier": 0,
+        "equipo": "e",
+        "cell": cell,
+        "node": "n0",
+        "class": service,
+        "op": op,
+        "rid": rid,
+        "came": 1.0,
+        "verdict": "served",
+        "work": 20.0,
+        "told": True,
+        "ran": ran,
+        "wanted": True,
+        "over": False,
+    }
+
+
+LATE = {"e": "late", "t": 9.0, "node": "n0", "equipo": "e", "health": "leaving", "over_ms": 3.0, "op": "a"}
 
 
 def op(name: str, *statuses: int, **more: Any) -> dict[str, Any]:
@@ -179,7 +199,16 @@
         }
         for at, status in enumerate(statuses)
     ]
-    return {"e": "op", "op": name, "tries": tries}
+    return {
+        "e": "op",
+        "op": name,
+        "class": "subir-foto",
+        "at": 0.0,
+        "work": 20.0,
+        "in_time": True,
+        "took": 5.0,
+        "tries": tries,
+    }
 
 
 @pytest.mark.parametrize(
@@ -199,9 +228,9 @@
             [job("k", "k.0", "comentario", cell=0), job("k", "k.0", "comentario", cell=1)],
             {},
         ),
-        ([], [{"e": "late", "over_ms": 3}], {"late": [{"e": "late", "over_ms": 3}]}),
-        ([], [{"e": "fell", "equipo": "e", "told_share": 0.9}], {"tipped": ["e"]}),
-        ([], [{"e": "fell", "equipo": "e", "told_share": 0.5}], {}),
+        ([], [LATE], {"late": [LATE]}),
+        ([], [{"e": "fell", "t": 1.0, "equipo": "e", "told_share": 0.9}], {"tipped": ["e"]}),
+        ([], [{"e": "fell", "t": 1.0, "equipo": "e", "told_share": 0.5}], {}),
         ([op("a", 0, why="no answer")], [], {"unanswered": ["a.0"]}),
         ([op("a", 0, why="unreachable")], [], {}),
         ([op("a", 0, why="broken", node="n1")], [], {}),  # that one was killed meanwhile
--- a/tests/lab/test_server_model.py
+++ b/tests/lab/test_server_model.py
@@ -139,7 +139,7 @@
         if hasattr(self, "equipo"):
             assert self.sent == set(self.replies) | set(self.equipo.jobs)
             assert not set(self.replies) & set(self.equipo.jobs)
-            working = sum(1 for _, _, job in self.equipo.running if job is not None)
+            working = sum(1 for running in self.equipo.processor.running if running.job is not None)
             assert working + self.equipo.awaiting_calls <= self.equipo.spec.concurrency_limit
             assert len(self.equipo.queued) <= self.equipo.spec.queue_limit
 
--- a/tests/lab/test_simulation.py
+++ b/tests/lab/test_simulation.py
@@ -19,7 +19,7 @@
 from rosewheel.lab import invariant_checker, plan, scenario
 from rosewheel.lab.discovery_delays import DiscoveryChange
 from rosewheel.lab.fault_table import ZONE_FAULT_KINDS, FaultKind
-from rosewheel.lab.retry import AttemptOutcome
+from rosewheel.lab.outcomes import AttemptOutcome
 from rosewheel.lab.scenario import Scenario
 from rosewheel.lab.simulation.clients import SimulatedOperation
 from rosewheel.lab.simulation.discovery import SimulatedRegistry
@@ -188,7 +188,7 @@
         assert node.node.active_requests == 0
         assert not node.requests
         assert not node.attempts
-        assert len(node.connections) <= node.max_connections
+        assert len(node.pools.open) <= node.pools.max_connections
     for host in run.fleet.hosts.values():
         assert host.model.connection_count == len(host.connections)
 
@@ -221,7 +221,7 @@
     monkeypatch.setattr(
         SimulatedNode,
         "receive_endpoint_list",
-        lambda self, form, servers: None if self.pools else plain(self, form, servers),
+        lambda self, form, servers: None if self.pools.by_server else plain(self, form, servers),
     )
     deploy = {"kind": "deploy", "at_s": 1.0, "for_s": 2.0, "size": 0.5, "part": 0.5}
     assert simulate(plan.make(made([deploy], 60.0)))["rules"]["late"]
--- a/tests/policy/test_slow_start.py
+++ b/tests/policy/test_slow_start.py
@@ -16,13 +16,14 @@
 from rosewheel.lab import plan
 from rosewheel.lab.invariant_checker import InvariantChecker, Violations
 from rosewheel.lab.random_streams import random_stream, weighted_choice
+from rosewheel.lab.record_types import JobRecord, Record, ServerStartRecord
 from rosewheel.lab.scenario import RulesTable, Scenario, load
 from rosewheel.lab.server_model import ServerSpec
 from rosewheel.lab.simulation.discovery import SimulatedRegistry
 from rosewheel.lab.simulation.events import EventQueue
 from rosewheel.lab.simulation.node import SimulatedNode
 from rosewheel.lab.simulation.simulate import Simulation, simulate
-from rosewheel.lab.slow_start import ServerStart, allowed_work_ms
+from rosewheel.lab.slow_start import ServerArrival, ServerStart, allowed_work_ms
 from rosewheel.policy.events import EndpointListForm, EndpointListUpdate, Server, ServerState
 from rosewheel.policy.settings import Settings
 from tests.support.balancers import Bed, sent
@@ -48,6 +49,10 @@
     return ServerStart("e", 1000.0, able)
 
 
+def arrivals(*items: tuple[float, float, bool]) -> list[ServerArrival]:
+    return [ServerArrival(*item) for item in items]
+
+
 def bound(age: float, able: float = 0.01) -> float:
     allowed = able * allowed_work_ms(RULES, age - 1500.0, age)
     return allowed + 2.0 * math.sqrt(allowed) + 2.0
@@ -55,9 +60,9 @@
 
 def test_a_known_overload_is_counted_and_a_bound_just_met_is_not() -> None:
     one = start()
-    one.arrivals = [(1000.0 + 5000.0, bound(5000.0), True)]
+    one.arrivals = arrivals((1000.0 + 5000.0, bound(5000.0), True))
     assert one.overloads(RULES) == ([], 1.0)
-    one.arrivals = [(1000.0 + 5000.0, bound(5000.0) * 1.001, True)]
+    one.arrivals = arrivals((1000.0 + 5000.0, bound(5000.0) * 1.001, True))
     [found], most = one.overloads(RULES)
     assert (found.server, found.at_ms, found.informed_share) == ("e", 6000.0, 1.0)
     assert found.allowed == pytest.approx(0.01 * allowed_work_ms(RULES, 3500.0, 5000.0))
@@ -67,44 +72,60 @@
 def test_the_parts_of_a_window_add_up_in_the_order_in_which_they_came_and_no_longer() -> None:
     half = bound(5000.0) * 0.55
     one = start()
-    one.arrivals = [(6000.0, half, True), (4600.0, half, False)]  # as their jobs ended
+    one.arrivals = arrivals((6000.0, half, True), (4600.0, half, False))  # as their jobs ended
     [found], _ = one.overloads(RULES)
     assert found.received == pytest.approx(2.0 * half)
     assert found.informed_share == pytest.approx(0.5)
-    one.arrivals = [(6000.0, half, True), (4500.0, half, False)]  # a whole window apart
+    one.arrivals = arrivals((6000.0, half, True), (4500.0, half, False))  # a whole window apart
     assert one.overloads(RULES)[0] == []
 
 
 def test_nothing_is_allowed_before_the_start_and_all_once_warm() -> None:
     one = start()
-    one.arrivals = [(1000.0, 2.1, True)]
+    one.arrivals = arrivals((1000.0, 2.1, True))
     assert len(one.overloads(RULES)[0]) == 1
-    one.arrivals = [(1000.0 + RULES.warm_up_s * 1000.0, 500.0, True), (999.0, 500.0, True)]
+    one.arrivals = arrivals((1000.0 + RULES.warm_up_s * 1000.0, 500.0, True), (999.0, 500.0, True))
     assert one.overloads(RULES) == ([], 0.0)
 
 
 def test_many_small_ones_count_as_few_large_ones() -> None:
     one = start()
-    one.arrivals = [(6000.0 + at, bound(5000.0) / 100.0, True) for at in range(120)]
+    requests = bound(5000.0) / 100.0
+    one.arrivals = arrivals(*[(6000.0 + at, requests, True) for at in range(120)])
     assert len(one.overloads(RULES)[0]) == 1
     one.arrivals = one.arrivals[:99]
     assert one.overloads(RULES)[0] == []
 
 
-def read(*rows: dict[str, Any]) -> tuple[InvariantChecker, Violations]:
+def read(*records: Record) -> tuple[InvariantChecker, Violations]:
     ledger = InvariantChecker(load("quiet"))
-    for row in rows:
-        ledger.observe(row)
+    for record in records:
+        ledger.observe(record)
     return ledger, ledger.finish()
 
 
-def started(t: float) -> dict[str, Any]:
-    return {"e": "started", "t": t, "equipo": "e", "work_per_ms": 2.0, "mean_ms": 200.0}
-
-
-def job(came: float, told: bool, work: float = 200.0) -> dict[str, Any]:
-    row = {"e": "job", "equipo": "e", "cell": 0, "class": "subir-foto", "op": f"o{came}", "rid": f"o{came}.0"}
-    return {**row, "came": came, "work": work, "told": told, "ran": False}
+def started(t: float) -> Record:
+    return ServerStartRecord(t, "e", capacity=2.0, mean_request_ms=200.0)
+
+
+def job(came: float, told: bool, work: float = 200.0) -> Record:
+    return JobRecord(
+        at_ms=came,
+        tier=0,
+        server="e",
+        cell=0,
+        sender="n0",
+        class_name="subir-foto",
+        operation_id=f"o{came}",
+        request_id=f"o{came}.0",
+        received_ms=came,
+        outcome="served",
+        work_ms=work,
+        sender_informed=told,
+        started=False,
+        client_connected=True,
+        past_deadline=False,
+    )
 
 
 @pytest.mark.parametrize(("known", "broken"), [(30, True), (21, True), (20, False), (0, False)])
@@ -126,7 +147,7 @@
     assert len(ledger.overloads) == 2
     assert found.overloaded == []
     ledger, found = read(started(0.0), *unknown, started(4000.0), *known)
-    assert [row["t"] for row in found.overloaded] == [5000.0]
+    assert [overload.at_ms for overload in found.overloaded] == [5000.0]
 
 
 def test_clients_are_dealt_out_by_the_shares_of_nodes_and_evenly_without() -> None:
