--- a/benchmarks/balance.py
+++ b/benchmarks/balance.py
@@ -16,7 +16,7 @@
 from random import Random
 from typing import Any
 
-from rosewheel.policy import balancer, pool
+from rosewheel.policy import admission, pool
 from rosewheel.policy.actions import ForwardRequest
 from rosewheel.policy.balancer import Balancer
 from rosewheel.policy.events import (
@@ -35,12 +35,12 @@
 
 def play(servers: int, load: float, seconds: float, nodes: int, seed: int, whole: bool) -> dict[str, Any]:
     """One run; `whole`: every server is looked at for each request, whatever the size of the pool."""
-    kept = pool.WHOLE
-    pool.WHOLE = balancer.WHOLE = 10**9 if whole else kept
+    kept = pool.SMALL_POOL_SIZE
+    pool.SMALL_POOL_SIZE = admission.SMALL_POOL_SIZE = 10**9 if whole else kept
     try:
         return _play(servers, load, seconds, nodes, Random(seed), seed)
     finally:
-        pool.WHOLE = balancer.WHOLE = kept
+        pool.SMALL_POOL_SIZE = admission.SMALL_POOL_SIZE = kept
 
 
 def _play(servers: int, load: float, seconds: float, nodes: int, rng: Random, seed: int) -> dict[str, Any]:
--- a/benchmarks/snapshot.py
+++ b/benchmarks/snapshot.py
@@ -50,7 +50,7 @@
         )
         decisions.append(time.perf_counter() - began)
     with tempfile.TemporaryDirectory() as folder:
-        snapshots = SnapshotWriter(folder, "n0", lambda: (balancer.learned(now), 1.0))
+        snapshots = SnapshotWriter(folder, "n0", lambda: (balancer.capture_learned_state(now), 1.0))
         costs = []
         for _ in range(repeat):
             snapshots.write()
--- a/rosewheel/discovery/watch_client.py
+++ b/rosewheel/discovery/watch_client.py
@@ -23,9 +23,9 @@
 #     max(SILENCE_S + w, FIRST_S + w, apart) + SETTLE_S, and the way there and back
 #
 # where `apart` is the longest time from one try's beginning to the next one's, and `w` the longest wait after a try
-# that took longer than that: 4.0 and 0.2 where lists are asked for (`policy/balancer.py`), 2.0 and 0 where they are
-# pushed (`proxy/proxy.py`). A try includes its connection. Where the first try behind a silent watch comes to nothing
-# as well, SILENCE_S + w + FIRST_S + w and twice SETTLE_S are 5.44 s, under the same 6 s from the silence on.
+# that took longer than that: 4.0 and 0.2 where lists are asked for (`policy/discovery_polling.py`), 2.0 and 0 where
+# they are pushed (`proxy/proxy.py`). A try includes its connection. Where the first try behind a silent watch comes to
+# nothing as well, SILENCE_S + w + FIRST_S + w and twice SETTLE_S are 5.44 s, under the same 6 s from the silence on.
 SILENCE_TIMEOUT_S = 2.8
 CONNECT_TIMEOUT_S = 1.5  # the system tries again after 1 s
 FIRST_LINE_TIMEOUT_S = 2.2  # from the start, connecting included: the agent answers at once, then every 2 s
--- a/rosewheel/lab/simulation/connection_pools.py
+++ b/rosewheel/lab/simulation/connection_pools.py
@@ -14,7 +14,6 @@
 from rosewheel.lab.simulation.network import Connection
 from rosewheel.node.idle_timeout import IdleTimeout
 from rosewheel.node.limits import Limits
-from rosewheel.policy.balancer import FEW
 from rosewheel.policy.events import EndpointListForm, Server, ServerState
 from rosewheel.proxy.proxy import RESERVED_DESCRIPTORS
 
@@ -47,7 +46,7 @@
         connecting: connections that are being opened.
     """
 
-    def __init__(self, queue: EventQueue, bounds: Limits, balancer_count: int) -> None:
+    def __init__(self, queue: EventQueue, bounds: Limits, large_fleet: bool) -> None:
         self.queue = queue
         self.by_server: dict[str, ConnectionPool] = {}
         self.idle: dict[Connection, None] = {}
@@ -55,7 +54,7 @@
         self.connecting = 0
         self.max_connections = max(MIN_CONNECTIONS, bounds.max_sockets - RESERVED_DESCRIPTORS)
         self.max_idle_per_server = max(MIN_IDLE_PER_SERVER, bounds.max_sockets // MAX_IDLE_DIVISOR)
-        self.idle_timeout = IdleTimeout(bounds.idle_timeout_ms / 1000.0, balancer_count > FEW)
+        self.idle_timeout = IdleTimeout(bounds.idle_timeout_ms / 1000.0, large_fleet)
 
     def update(self, form: EndpointListForm, servers: Iterable[Server]) -> None:
         """Follow the endpoint list: close connections to servers that drain, are gone, or were started again."""
--- a/rosewheel/lab/simulation/node.py
+++ b/rosewheel/lab/simulation/node.py
@@ -24,8 +24,9 @@
 )
 from rosewheel.node.limits import Limits
 from rosewheel.policy.events import AttemptResult, EndpointListForm, RequestReceived, Server
-from rosewheel.policy.learned_state import Learned
+from rosewheel.policy.learned_state import LearnedState
 from rosewheel.policy.settings import Settings
+from rosewheel.policy.shared_state import is_large_fleet
 from rosewheel.proxy.proxy import DEADLINE_MARGIN_MS
 
 
@@ -68,7 +69,7 @@
         self.node = Node(settings, bounds, seed, self.queue.now)
         self.requests: dict[str, NodeRequest] = {}
         self.attempts: dict[tuple[str, int], Attempt] = {}
-        self.pools = ConnectionPools(self.queue, bounds, settings.balancer_count)
+        self.pools = ConnectionPools(self.queue, bounds, is_large_fleet(settings))
         self.dead = False
         self._armed_ms = math.inf
         self.queue.call_later(SWEEP_INTERVAL_S * 1000.0, self._sweep)
@@ -291,7 +292,7 @@
 
     # ------------------------------------------------------------ life and end
 
-    def restore(self, learned: Learned, age_ms: float) -> None:
+    def restore(self, learned: LearnedState, age_ms: float) -> None:
         """Restore the learned state of an earlier process."""
         self.node.restore_learned_state(self.queue.now, learned, age_ms)
 
--- a/rosewheel/lab/simulation/node_restarts.py
+++ b/rosewheel/lab/simulation/node_restarts.py
@@ -6,7 +6,7 @@
 from rosewheel.lab.simulation.clients import SimulatedDispatcher
 from rosewheel.lab.simulation.fleet import PROCESS_START_MS, SimulatedFleet
 from rosewheel.lab.simulation.node import SimulatedNode
-from rosewheel.policy.learned_state import Learned
+from rosewheel.policy.learned_state import LearnedState
 
 UPGRADE_OVERLAP_MS = 800.0  # two processes of one node side by side, until the old one accepts nothing new
 
@@ -31,7 +31,7 @@
         self.dispatcher.node_changed(name)
         self.queue.call_later(down_ms + PROCESS_START_MS, self._restart, name, learned, self.queue.now)
 
-    def _restart(self, name: str, learned: Learned | None, killed_ms: float) -> None:
+    def _restart(self, name: str, learned: LearnedState | None, killed_ms: float) -> None:
         self.fleet.start_client_node(name)
         if learned is not None:
             self.fleet.nodes[name].restore(learned, self.queue.now - killed_ms)
--- a/rosewheel/node/core.py
+++ b/rosewheel/node/core.py
@@ -55,7 +55,7 @@
     SiblingProcessLoad,
     TimerFired,
 )
-from rosewheel.policy.learned_state import Learned
+from rosewheel.policy.learned_state import LearnedState
 from rosewheel.policy.settings import Settings
 
 log = logging.getLogger("rosewheel.node")
@@ -265,17 +265,17 @@
         (self.cordoned.add if cordoned else self.cordoned.discard)(server)
         return self._run(now, CordonChanged(server, cordoned))
 
-    def learned_state(self, now: float) -> Learned:
-        return self.balancer.learned(now)
+    def learned_state(self, now: float) -> LearnedState:
+        return self.balancer.capture_learned_state(now)
 
-    def restore_learned_state(self, now: float, state: Learned, age_ms: float) -> int:
+    def restore_learned_state(self, now: float, state: LearnedState, age_ms: float) -> int:
         """What an earlier process of this node had learned; returns how many of the servers it knew."""
-        return self.balancer.recall(now, state, age_ms)
+        return self.balancer.restore_learned_state(now, state, age_ms)
 
     @property
     def server_loads(self) -> dict[str, float]:
         """Calls in flight from here, by weight, at each server that has any."""
-        return self.balancer.loads()
+        return self.balancer.loads_by_server()
 
     def sibling_process_load(self, now: float, loads: dict[str, float]) -> list[NodeEffect]:
         """The same of another process of this node."""
--- a/rosewheel/policy/learned_state.py
+++ b/rosewheel/policy/learned_state.py
@@ -1,138 +1,83 @@
-"""What a decision module has learned, as a value that outlives its process, and how much of it still counts.
+"""What a balancer has learned, as a value for a later process.
 
-Pure: ages come in, weights go out. A part counts the less the older it is, each at a pace of its own, and
-past `OLDEST_MS` nothing counts. Clocks differ between processes, so a value holds ages and never moments.
+Clocks differ between processes, so the value holds ages, not moments.
 """
 
 from __future__ import annotations
 
-import dataclasses
 import math
 from dataclasses import dataclass, field
-from typing import Any
-
-VERSION = 1
-OLDEST_MS = 600_000.0  # past this age a fleet is another one
-POOL_MS = (
-    120_000.0  # pace of the quiet baseline and of what classes take: they change with releases, not with load
-)
-CURSOR_MS = 3_000.0  # pace of the cursor: it answers to the load of this moment
-RATE_MS = 15_000.0  # pace of rates
-SERVER_MS = 8_000.0  # pace of what is known of one server
-OTHER_AIM = 100.0  # an aim that changed by more than so many times is that of another class
-SAME_START_MS = 1_000.0  # two processes read one start time on clocks that they compare each for itself
-CLOCKS_AGREE_MS = (
-    5_000.0  # two clocks that tell ages this far apart: one of them was set, or the machine started anew
-)
+
+from rosewheel.policy.parts import Parts
+from rosewheel.policy.server_stats import ServerStats
 
 
 @dataclass(slots=True, frozen=True)
 class LearnedServer:
-    """One server, its times as ages in ms at the moment of saving; None: never."""
+    """Statistics of one server, as in `ServerStats`; ages in ms when the state was captured, None for never."""
 
     started_ago_ms: float | None  # None: long ago
-    slow: float | None = None
-    errs: float = 0.0
-    heard_ago_ms: float | None = None
-    queue: float = 0.0
-    told_ago_ms: float | None = None
-    util: float | None = None
+    relative_latency: float | None = None
+    error_rate: float = 0.0
+    last_outcome_ago_ms: float | None = None
+    reported_queue: float = 0.0
+    last_report_ago_ms: float | None = None
+    utilisation: float | None = None
     credit: float = 0.0
-    returned_ago_ms: float | None = None
+    uncordoned_ago_ms: float | None = None
 
 
 @dataclass(slots=True, frozen=True)
-class Learned:
-    """All of it, as it was when it was saved."""
+class LearnedState:
+    """All learned state, as in `PoolLoad` and `Throughput`; rates are those of the whole pool."""
 
     servers: dict[str, LearnedServer] = field(default_factory=dict)
-    class_ms: dict[str, float] = field(default_factory=dict)
-    aims: dict[str, float] = field(default_factory=dict)  # of the classes, in ms; empty: those of today
-    base: float | None = None
-    level: float = 0.0
-    outcomes: int = 0  # that the baseline rests on
+    class_latency_ms: dict[str, float] = field(default_factory=dict)
+    objectives_ms: dict[str, float] = field(default_factory=dict)  # by class; empty: those of the reader
+    baseline_ratio: float | None = None
+    smoothed_ratio: float = 0.0
+    baseline_outcomes: int = 0
     cursor: int = 0
-    rate: float = 0.0
-    peak: float = 0.0
-    asked_rate: float = 0.0
-    erring: float = 0.0
-    usual: float = 0.0
-
-
-def weight(age_ms: float, pace_ms: float) -> float:
-    """The share with which something of this age still counts: 1 when new, 0 past `OLDEST_MS`."""
-    return 0.0 if not 0.0 <= age_ms <= OLDEST_MS else math.exp(-age_ms / pace_ms)
-
-
-def stretch(was: dict[str, float], now: dict[str, float]) -> float | None:
-    """By how much larger a share of its aim an answer takes, classes having had other aims; None where what
-    was learned as such shares means nothing any more. Where aims changed unlike, the most of them: a baseline
-    that is too high falls within seconds, one that is too low has a node shed for minutes."""
-    most = max((was[name] / aim for name, aim in now.items() if name in was), default=0.0)
-    return most if 1.0 / OTHER_AIM <= most <= OTHER_AIM else None
-
-
-def same_start(saved_ago_ms: float | None, age_ms: float, now_ago_ms: float | None) -> bool:
-    """Whether a server is the process that it was: saved and seen now, it started at one moment."""
-    if saved_ago_ms is None or now_ago_ms is None:
-        return saved_ago_ms is now_ago_ms
-    return abs(saved_ago_ms + age_ms - now_ago_ms) <= SAME_START_MS
-
-
-def age(saved: tuple[float, float], now: tuple[float, float]) -> float | None:
-    """How old a value is, in ms, by (monotonic, time of day) then and now; None where neither clock can tell.
-    The monotonic clock is believed where the other agrees; a machine that started anew began it again."""
-    monotonic, wall = now[0] - saved[0], now[1] - saved[1]
-    if monotonic >= 0.0 and abs(monotonic - wall) <= CLOCKS_AGREE_MS:
-        return monotonic
-    return wall if wall >= 0.0 and monotonic < 0.0 else None
-
-
-# --------------------------------------------------------------- from a file
-
-
-def learned_from(row: Any) -> Learned:
-    """A value that was written somewhere; ValueError where it is none. Figures that no module can have are
-    refused: an absurd one would make its server always best or never used."""
-    if not isinstance(row, dict):
-        raise ValueError("not an object")
-    servers = row.get("servers")
-    if not isinstance(servers, dict):
-        raise ValueError("servers is not an object")
-    figures = _figures(row, Learned, {"servers", "class_ms", "aims"})
-    return Learned(
-        servers={
-            str(name): LearnedServer(**_figures(one, LearnedServer, set())) for name, one in servers.items()
-        },
-        class_ms=_by_class("class_ms", row.get("class_ms")),
-        aims=_by_class("aims", row.get("aims", {})),
-        **figures,
+    completion_rate: float = 0.0
+    peak_completion_rate: float = 0.0
+    request_rate: float = 0.0
+    smoothed_error_share: float = 0.0
+    baseline_error_share: float = 0.0
+
+
+def ago_ms(now: float, moment: float | None) -> float | None:
+    """Age of a moment; None for never."""
+    return None if moment is None or moment == -math.inf else max(0.0, now - moment)
+
+
+def capture(parts: Parts, now: float) -> LearnedState:
+    """The learned state of a balancer."""
+    shared, load, throughput = parts.shared, parts.pool_load, parts.throughput
+    return LearnedState(
+        servers={address: _capture_server(server, now) for address, server in shared.pool.servers.items()},
+        class_latency_ms=dict(shared.class_latency_ms),
+        objectives_ms=shared.objectives_ms(),
+        baseline_ratio=load.baseline_ratio,
+        smoothed_ratio=load.smoothed_ratio,
+        baseline_outcomes=load.baseline_outcomes,
+        cursor=parts.table.cursor,
+        completion_rate=throughput.completion_rate * throughput.pool_capacity,
+        peak_completion_rate=throughput.peak_completion_rate * throughput.pool_capacity,
+        request_rate=throughput.request_rate,
+        smoothed_error_share=load.smoothed_error_share,
+        baseline_error_share=load.baseline_error_share,
     )
 
 
-def _by_class(key: str, row: Any) -> dict[str, float]:
-    if not isinstance(row, dict):
-        raise ValueError(f"{key} is not an object")
-    return {str(name): _figure(name, value) for name, value in row.items()}
-
-
-def _figures(row: Any, kind: type[Learned] | type[LearnedServer], apart: set[str]) -> dict[str, Any]:
-    if not isinstance(row, dict):
-        raise ValueError("not an object")
-    figures: dict[str, Any] = {}
-    for item in dataclasses.fields(kind):
-        if item.name in apart or item.name not in row:
-            continue
-        value = row[item.name]
-        if value is None and "None" in str(item.type):
-            figures[item.name] = None
-        else:
-            figure = _figure(item.name, value)
-            figures[item.name] = int(figure) if item.type == "int" else figure
-    return figures
-
-
-def _figure(name: str, value: Any) -> float:
-    if isinstance(value, bool) or not isinstance(value, int | float) or not 0.0 <= value < 1e12:
-        raise ValueError(f"{name}: {value!r} is no figure")
-    return float(value)
+def _capture_server(server: ServerStats, now: float) -> LearnedServer:
+    return LearnedServer(
+        started_ago_ms=ago_ms(now, server.endpoint.launched_ms),
+        relative_latency=server.relative_latency,
+        error_rate=server.error_rate,
+        last_outcome_ago_ms=ago_ms(now, server.last_outcome_ms),
+        reported_queue=server.reported_queue,
+        last_report_ago_ms=ago_ms(now, server.last_report_ms),
+        utilisation=server.utilisation,
+        credit=max(0.0, server.credit),
+        uncordoned_ago_ms=ago_ms(now, server.uncordoned_ms),
+    )
--- /dev/null
+++ b/rosewheel/policy/learned_state_restore.py
@@ -0,0 +1,89 @@
+"""Restoration of learned state: a part counts less the older it is, each at its own pace."""
+
+import math
+
+from rosewheel.policy.learned_state import LearnedServer, LearnedState, ago_ms
+from rosewheel.policy.parts import Parts
+from rosewheel.policy.pool_load import BASELINE_LEARNING_OUTCOMES
+from rosewheel.policy.server_stats import ServerStats
+
+OLDEST_MS = 600_000.0  # past this age a fleet is another one
+# Paces: after this age a part counts 1/e.
+BASELINE_FADE_MS = 120_000.0  # latencies without load: they change with releases
+CURSOR_FADE_MS = 3_000.0  # the cursor follows the present load
+RATE_FADE_MS = 15_000.0
+SERVER_FADE_MS = 8_000.0
+LEAST_BASELINE_SHARE = 0.1  # below it a baseline is not taken over
+LARGEST_OBJECTIVE_RATIO = 100.0  # an objective that changed by more is that of another class
+SAME_START_MS = 1_000.0  # two processes read one start time, each by its own clock
+
+
+def retained_share(age_ms: float, fade_ms: float) -> float:
+    """The share with which something of this age still counts: 1 when new, 0 past `OLDEST_MS`."""
+    return 0.0 if not 0.0 <= age_ms <= OLDEST_MS else math.exp(-age_ms / fade_ms)
+
+
+def objective_ratio(old: dict[str, float], new: dict[str, float]) -> float | None:
+    """Old objectives over new ones, the largest of all classes; None where no class has both."""
+    # The largest: a baseline too high falls within seconds, by one too low a balancer sheds for minutes.
+    ratio = max((old[name] / objective for name, objective in new.items() if name in old), default=0.0)
+    return ratio if 1.0 / LARGEST_OBJECTIVE_RATIO <= ratio <= LARGEST_OBJECTIVE_RATIO else None
+
+
+def is_same_start(saved_ago_ms: float | None, age_ms: float, now_ago_ms: float | None) -> bool:
+    """Whether a server has not restarted since it was saved."""
+    if saved_ago_ms is None or now_ago_ms is None:
+        return saved_ago_ms is now_ago_ms
+    return abs(saved_ago_ms + age_ms - now_ago_ms) <= SAME_START_MS
+
+
+def restore(parts: Parts, now: float, learned: LearnedState, age_ms: float) -> int:
+    """Take learned state over, each part as far as its age allows; returns how many servers it knew."""
+    known, throughput, load = 0, parts.throughput, parts.pool_load
+    for address, saved in learned.servers.items():
+        server = parts.shared.pool.servers.get(address)
+        if server is not None and server.last_outcome_ms == -math.inf:
+            started_ago_ms = ago_ms(now, server.endpoint.launched_ms)
+            if is_same_start(saved.started_ago_ms, age_ms, started_ago_ms):
+                known += 1
+                _restore_server(server, saved, now, age_ms)
+    _restore_baseline(parts, learned, age_ms)
+    parts.table.place(int(learned.cursor * retained_share(age_ms, CURSOR_FADE_MS)))
+    share = retained_share(age_ms, RATE_FADE_MS)
+    throughput.completion_rate = learned.completion_rate * share / throughput.pool_capacity
+    throughput.peak_completion_rate = learned.peak_completion_rate * share / throughput.pool_capacity
+    throughput.request_rate = learned.request_rate * share
+    if learned.completion_rate > 0.0:
+        throughput.restart_smoothing(share)
+    load.smoothed_error_share = learned.smoothed_error_share * share
+    load.baseline_error_share = min(1.0, learned.baseline_error_share) * share
+    return known
+
+
+def _restore_server(server: ServerStats, saved: LearnedServer, now: float, age_ms: float) -> None:
+    saved_ms = now - age_ms
+    server.error_rate = min(1.0, saved.error_rate) * retained_share(age_ms, SERVER_FADE_MS)
+    server.credit = min(server.credit, saved.credit)  # the old process may still use what it had
+    if saved.relative_latency is not None and saved.last_outcome_ago_ms is not None:
+        server.relative_latency = saved.relative_latency  # its rank fades by the age of the outcome
+        server.last_outcome_ms = saved_ms - saved.last_outcome_ago_ms
+    if saved.last_report_ago_ms is not None:
+        server.reported_queue, server.utilisation = saved.reported_queue, saved.utilisation
+        server.last_report_ms = saved_ms - saved.last_report_ago_ms
+    if saved.uncordoned_ago_ms is not None:
+        server.uncordoned_ms = saved_ms - saved.uncordoned_ago_ms
+
+
+def _restore_baseline(parts: Parts, learned: LearnedState, age_ms: float) -> None:
+    shared, load, share = parts.shared, parts.pool_load, retained_share(age_ms, BASELINE_FADE_MS)
+    old_objectives_ms, baseline = learned.objectives_ms, learned.baseline_ratio
+    ratio = objective_ratio(old_objectives_ms, shared.objectives_ms()) if old_objectives_ms else 1.0
+    if baseline is None or load.baseline_ratio is not None or share <= LEAST_BASELINE_SHARE or ratio is None:
+        return
+    load.baseline_ratio = load.smoothed_ratio = baseline * ratio
+    # The fewer outcomes it seems to rest on, the sooner new ones replace it.
+    load.baseline_outcomes = int(min(BASELINE_LEARNING_OUTCOMES, learned.baseline_outcomes) * share)
+    latencies_ms = learned.class_latency_ms.items()
+    shared.class_latency_ms = {name: ms for name, ms in latencies_ms if name in shared.classes and ms > 0.0}
+    excess = (learned.smoothed_ratio - baseline) * ratio
+    load.smoothed_ratio += excess * retained_share(age_ms, CURSOR_FADE_MS)
--- /dev/null
+++ b/rosewheel/policy/membership.py
@@ -0,0 +1,78 @@
+"""Which servers there are: endpoint lists, cordons and other processes of this node."""
+
+import math
+
+from rosewheel.policy import events
+from rosewheel.policy.server_stats import ServerStats
+from rosewheel.policy.shared_state import SharedState
+from rosewheel.policy.slow_start import SlowStart
+from rosewheel.policy.throughput import Throughput
+
+BALANCERS_WITH_FULL_CREDIT = 4.0  # that may send a server its first request as soon as its cordon ends
+
+
+class Membership:
+    """Keeps the pool's servers as endpoint lists and operators say."""
+
+    def __init__(self, shared: SharedState, slow_start: SlowStart, throughput: Throughput) -> None:
+        self.shared, self.slow_start, self.throughput = shared, slow_start, throughput
+        self._sibling_loaded: set[str] = set()  # servers with load from other processes of this node
+
+    def take_list(self, now: float, update: events.EndpointListUpdate) -> None:
+        """Take the servers of an endpoint list or of its changes."""
+        pool = self.shared.pool
+        if update.form is not events.EndpointListForm.DELTA:
+            pool.retain({endpoint.address for endpoint in update.servers})
+        for endpoint in update.servers:
+            known = pool.servers.get(endpoint.address)
+            if endpoint.state is events.ServerState.REMOVED:
+                pool.remove(endpoint.address)
+            elif known is None or known.endpoint.launched_ms != endpoint.launched_ms:  # new, or restarted
+                credit = self.shared.draw_first_credit()
+                pool.add(ServerStats(endpoint, credit=credit, credit_updated_ms=now), now)
+            else:
+                pool.update(known, endpoint, now)
+        if self.shared.in_large_fleet:  # at once, not at the end of the period
+            self.throughput.pool_capacity = self.slow_start.pool_capacity(now)
+
+    def take_cordon(self, now: float, change: events.CordonChanged) -> None:
+        """Withdraw a server, or return it to the pool as one that warms up."""
+        pool, rng = self.shared.pool, self.shared.rng
+        known = pool.servers.get(change.server)
+        if change.cordoned:
+            pool.cordoned_since_ms.setdefault(change.server, now)
+            if known is not None:
+                pool.refresh_readiness(known, now)
+            return
+        since_ms = pool.cordoned_since_ms.pop(change.server, None)
+        if since_ms is None or known is None:
+            return
+        # Guard: it was most likely cordoned for a restart, which the list shows seconds late; with its full
+        # share it would be overloaded. Where the list has shown a start since, that is the true one. Harm: a
+        # server that was not restarted gets as little as a warming one.
+        launched_ms = known.endpoint.launched_ms
+        restart_listed = launched_ms is not None and launched_ms >= since_ms
+        # Guard: with little traffic a drawn credit left it idle for seconds after its return. It gets its
+        # first request at once, but not from many balancers together.
+        at_once = rng.random() * self.shared.settings.balancer_count < BALANCERS_WITH_FULL_CREDIT
+        credit = 1.0 if at_once else rng.random()
+        returned = ServerStats(known.endpoint, credit=credit, credit_updated_ms=now)
+        returned.uncordoned_ms = -math.inf if restart_listed else now
+        pool.add(returned, now)
+
+    def take_process_count(self, change: events.ProcessCountChanged) -> None:
+        """Share the credit of warming servers out among more processes."""
+        # Guard: to the servers the processes of one node are one. The credit that they have is divided; what
+        # they earn later follows the requests of each process.
+        old_count = self.shared.process_count
+        if change.processes > old_count:
+            for server in self.shared.pool.servers.values():
+                server.credit *= old_count / change.processes
+        self.shared.process_count = max(1, change.processes)
+
+    def take_sibling_load(self, change: events.SiblingProcessLoad) -> None:
+        """Take the weight in flight from other processes of this node."""
+        servers = self.shared.pool.servers
+        for address in servers.keys() & (self._sibling_loaded | change.loads.keys()):
+            servers[address].sibling_load = change.loads.get(address, 0.0)
+        self._sibling_loaded = set(change.loads)
--- a/rosewheel/policy/pool.py
+++ b/rosewheel/policy/pool.py
@@ -1,264 +1,207 @@
 """The servers of a balancer, kept so that a choice among thousands costs no more than one among ten.
 
-A small pool is looked at as a whole. Of a large one a request sees a sample: warm servers drawn at random, of
-its own zone first, and cold ones that have credit. Cold ones without credit wait in a heap by the moment at
-which they should have it. A repeat that is bound to a group sees a sample of that group. So the best of the
-sample is picked, and not the best of all, and no herd runs to one server.
+Of a small pool all servers are candidates. Of a large one a request sees a sample: warm servers drawn at
+random, of its own zone first, and warming ones with credit. Those without credit wait in a heap, by when they
+should have it. The best of a sample is chosen, so that balancers do not all choose one server.
 """
 
-from __future__ import annotations
-
 import heapq
-import math
-from collections.abc import Callable, Iterable
-from dataclasses import dataclass, field
+from collections.abc import Callable
 from random import Random
 
 from rosewheel.policy.events import Server, ServerState
-
-WHOLE = 64  # a pool of no more than this is looked at as a whole
-SAMPLE = 12  # warm servers that a request sees of a larger one, half of them of its own zone,
-COLD = 6  # cold ones with credit,
-LOOKS = 48  # and of a group, at most; the first SAMPLE that may be sent to are enough
-DUE = 8  # cold servers that are looked after with each request
-SOON_MS = 500.0  # and at the latest after this, since credit comes faster when more is asked
-
-
-@dataclass(slots=True, eq=False)
-class Peer:
-    """What this balancer knows of one server."""
-
-    info: Server
-    slow: float | None = None  # smoothed latency over its class's mean
-    errs: float = 0.0  # smoothed share of failed attempts
-    heard_ms: float = -math.inf
-    load: float = 0.0  # calls in flight from here, by weight
-    beside: float = 0.0  # the same of other processes of this node
-    queue: float = 0.0  # reported calls of other balancers there
-    told_ms: float = -math.inf
-    util: float | None = None
-    out: dict[tuple[str, int], float] = field(default_factory=dict)  # attempts out, oldest first
-    credit: float = 0.0  # calls, by weight, that it may be sent while cold
-    paced_ms: float = -math.inf
-    returned_ms: float = -math.inf  # when operators let it serve again, with no word of its start since
-    turned: int = 0  # attempts in a row that never ran there: turned away, or no connection
-    shy_ms: float = -math.inf  # until when others go before it for that
-    ready: bool = False  # it may be sent to
-    due: bool = False  # it waits in the heap of cold ones
-
-    def cold_until(self, cold_ms: float) -> float:
-        launched = self.info.launched_ms
-        return max(-math.inf if launched is None else launched, self.returned_ms) + cold_ms
-
-
-Paced = Callable[[float, Peer], bool]  # whether a cold one has credit by now
-
-
-class Bag:
-    """Peers of which one is put in, taken out or drawn at the same cost, however many there are."""
-
-    def __init__(self) -> None:
-        self.items: list[Peer] = []
-        self._place: dict[Peer, int] = {}
-
-    def __len__(self) -> int:
-        return len(self.items)
-
-    def __contains__(self, peer: object) -> bool:
-        return peer in self._place
-
-    def add(self, peer: Peer) -> None:
-        if peer not in self._place:
-            self._place[peer] = len(self.items)
-            self.items.append(peer)
-
-    def discard(self, peer: Peer) -> None:
-        place = self._place.pop(peer, None)
-        if place is None:
-            return
-        last = self.items.pop()
-        if last is not peer:
-            self.items[place] = last
-            self._place[last] = place
-
-    def sample(self, rng: Random, count: int) -> list[Peer]:
-        """So many of them, each at most once; all where there are no more."""
-        if len(self.items) <= count:
-            return list(self.items)
-        size = len(self.items)
-        return [self.items[at] for at in {int(rng.random() * size) for _ in range(count)}]
-
-
-class Pool:
-    def __init__(self, zone: str, cold_ms: float) -> None:
-        self.zone, self.cold_ms = zone, cold_ms
-        self.peers: dict[str, Peer] = {}
-        self.cordoned: dict[str, float] = {}  # those that operators have taken out, and when
-        self.load = 0.0  # calls in flight from here at those that may be sent to, by weight
-        self.earn = 0.0  # credit per ms that a warm server would earn, as last told
-        self._ready = Bag()
-        self._groups: dict[tuple[str, int], Bag] = {}  # ready ones by zone and cell, and by zone alone (-1)
-        self._warm, self._near = Bag(), Bag()  # ready and warm; of them, those of this zone
-        self._payable = Bag()  # ready and cold, with credit for a call when last looked at
-        self._due: list[tuple[float, int, Peer]] = []  # ready and cold: when to look at it again
-        self._order = 0
-        self._listed: list[Peer] | None = None
-
-    # ------------------------------------------------------------ membership
+from rosewheel.policy.indexed_set import IndexedSet
+from rosewheel.policy.server_stats import ServerStats
+
+# Sizes are servers. They bound the cost of a request: benchmarks/decisions.py measures it by the pool's size.
+SMALL_POOL_SIZE = 64  # of a pool up to this size all servers are candidates
+WARM_SAMPLE = 12  # warm candidates of a larger pool, half of them of its own zone
+WARMING_SAMPLE = 6  # warming candidates with credit
+GROUP_SAMPLE = 48  # candidates of a group that shares a memory of keys
+CREDIT_CHECKS_PER_REQUEST = 8  # warming servers
+LONGEST_CREDIT_CHECK_DELAY_MS = 500.0  # credit is earned sooner when the request rate rises
+ANY_CELL = -1  # in a group's key: all cells of its zone
+
+Group = tuple[str, int]  # zone and cell
+HasCredit = Callable[[float, ServerStats], bool]  # now, server: whether it may be sent a request
+
+
+class ServerPool:
+    """Servers by address, and those that are ready in sets by zone, cell and warm-up."""
+
+    def __init__(self, zone: str, warm_up_ms: float) -> None:
+        self.zone, self.warm_up_ms = zone, warm_up_ms
+        self.servers: dict[str, ServerStats] = {}  # all that are listed, in the list's order
+        self.cordoned_since_ms: dict[str, float] = {}  # listed or not
+        self.is_large = False  # candidates are a sample
+        self.load = 0.0  # weight in flight from this process at ready servers
+        self.credit_rate = 0.0  # credit per ms that a warm server would earn
+        self._ready = IndexedSet()
+        self._groups: dict[Group, IndexedSet] = {}  # ready ones by zone and cell, and by zone and ANY_CELL
+        self._warm, self._warm_in_zone = IndexedSet(), IndexedSet()  # ready ones
+        self._with_credit = IndexedSet()  # ready and warming, with credit when last checked
+        self._credit_checks: list[tuple[float, int, ServerStats]] = []  # heap: when, number, server
+        self._check_count = 0
+        self._ready_in_list_order: list[ServerStats] | None = None
 
     @property
-    def ready(self) -> list[Peer]:
-        """Those that may be sent to; of a small pool in the order in which the list named them."""
-        if len(self.peers) > WHOLE:
+    def ready(self) -> list[ServerStats]:
+        """Servers that may be sent to; of a small pool in the order of the list."""
+        if self.is_large:
             return self._ready.items
-        if self._listed is None:
-            self._listed = [peer for peer in self.peers.values() if peer.ready]
-        return self._listed
+        if self._ready_in_list_order is None:
+            self._ready_in_list_order = [server for server in self.servers.values() if server.ready]
+        return self._ready_in_list_order
 
-    def put(self, peer: Peer, now: float) -> None:
-        """A new peer, or a fresh one in the place of an old one."""
-        old = self.peers.get(peer.info.address)
+    def add(self, server: ServerStats, now: float) -> None:
+        """Add a server, or replace the one of its address."""
+        old = self.servers.get(server.endpoint.address)
         if old is not None:
-            self._out(old)
-        self.peers[peer.info.address] = peer
-        self._listed = None
-        self.settle(peer, now)
-
-    def drop(self, address: str) -> None:
-        peer = self.peers.pop(address, None)
-        if peer is not None:
-            self._out(peer)
-        self._listed = None
-
-    def keep(self, named: set[str]) -> None:
-        """Those alone, of all that there are."""
-        for address in [address for address in self.peers if address not in named]:
-            self.drop(address)
-
-    def update(self, peer: Peer, info: Server, now: float) -> None:
-        """The list says something else of it, though it has not restarted."""
-        if peer.info != info:
-            self._out(peer)
-            peer.info = info
-            self.settle(peer, now)
-
-    def settle(self, peer: Peer, now: float) -> None:
-        """Put it where it belongs by its state."""
-        up = peer.info.state is ServerState.UP and peer.info.address not in self.cordoned
-        if up is peer.ready:
+            self._withdraw(old)
+        self.servers[server.endpoint.address] = server
+        self.is_large = len(self.servers) > SMALL_POOL_SIZE
+        self._ready_in_list_order = None
+        self.refresh_readiness(server, now)
+
+    def remove(self, address: str) -> None:
+        """Remove the server of this address, if there is one."""
+        server = self.servers.pop(address, None)
+        self.is_large = len(self.servers) > SMALL_POOL_SIZE
+        if server is not None:
+            self._withdraw(server)
+        self._ready_in_list_order = None
+
+    def retain(self, addresses: set[str]) -> None:
+        """Remove all other servers."""
+        for address in [address for address in self.servers if address not in addresses]:
+            self.remove(address)
+
+    def update(self, server: ServerStats, endpoint: Server, now: float) -> None:
+        """Take a changed entry of the list for a server that has not restarted."""
+        if server.endpoint != endpoint:
+            self._withdraw(server)
+            server.endpoint = endpoint
+            self.refresh_readiness(server, now)
+
+    def refresh_readiness(self, server: ServerStats, now: float) -> None:
+        """Put a server into the sets where its state belongs."""
+        cordoned = server.endpoint.address in self.cordoned_since_ms
+        ready = server.endpoint.state is ServerState.UP and not cordoned
+        if ready is server.ready:
             return
-        self._listed = None
-        if not up:
-            self._out(peer)
+        self._ready_in_list_order = None
+        if not ready:
+            self._withdraw(server)
             return
-        peer.ready = True
-        self.load += peer.load
-        self._ready.add(peer)
-        for key in self._keys(peer):
-            self._groups.setdefault(key, Bag()).add(peer)
-        if peer.cold_until(self.cold_ms) <= now:
-            self._thawed(peer)
+        server.ready = True
+        self.load += server.load
+        self._ready.add(server)
+        for key in self._group_keys(server):
+            self._groups.setdefault(key, IndexedSet()).add(server)
+        if server.warm_at_ms(self.warm_up_ms) <= now:
+            self._mark_warm(server)
         else:
-            self._look_again(peer, now)
-
-    def recool(self, cold_ms: float, now: float, first: Callable[[], float]) -> None:
-        """Servers are cold for another time from now on. One that is so again begins with a first credit,
-        like a new one: what it was sent while warm is no debt."""
-        was, peers = self.cold_ms, self.peers.values()
-        credits = {peer: first() for peer in peers if peer.cold_until(was) <= now < peer.cold_until(cold_ms)}
-        self.cold_ms = cold_ms
-        for peer in peers:
-            if peer in credits:
-                peer.credit, peer.paced_ms = credits[peer], now
-            if peer.ready:
-                self._out(peer)
-                self.settle(peer, now)
-
-    def _out(self, peer: Peer) -> None:
-        if not peer.ready:
+            self._schedule_credit_check(server, now)
+
+    def restart_slow_start(self, warm_up_ms: float, now: float, draw_credit: Callable[[], float]) -> None:
+        """Change the warm-up time. Servers that become warming ones draw a first credit, as new ones do."""
+        old_ms, servers = self.warm_up_ms, self.servers.values()
+        warming = (each for each in servers if each.warm_at_ms(old_ms) <= now < each.warm_at_ms(warm_up_ms))
+        credits = {server: draw_credit() for server in warming}
+        self.warm_up_ms = warm_up_ms
+        for server in servers:
+            if server in credits:
+                server.credit, server.credit_updated_ms = credits[server], now
+            if server.ready:
+                self._withdraw(server)
+                self.refresh_readiness(server, now)
+
+    def _withdraw(self, server: ServerStats) -> None:
+        if not server.ready:
             return
-        peer.ready = False
-        self._listed = None
-        self.load -= peer.load
-        for bag in (self._ready, self._warm, self._near, self._payable):
-            bag.discard(peer)
-        for key in self._keys(peer):
-            bag = self._groups[key]
-            bag.discard(peer)
-            if not bag:
+        server.ready = False
+        self._ready_in_list_order = None
+        self.load -= server.load
+        for servers in (self._ready, self._warm, self._warm_in_zone, self._with_credit):
+            servers.discard(server)
+        for key in self._group_keys(server):
+            group = self._groups[key]
+            group.discard(server)
+            if not group:
                 del self._groups[key]
 
     @staticmethod
-    def _keys(peer: Peer) -> tuple[tuple[str, int], tuple[str, int]]:
-        return (peer.info.zone, peer.info.cell), (peer.info.zone, -1)
-
-    def _thawed(self, peer: Peer) -> None:
-        self._payable.discard(peer)
-        self._warm.add(peer)
-        if peer.info.zone == self.zone:
-            self._near.add(peer)
-
-    # ---------------------------------------------------------------- choice
-
-    def charge(self, peer: Peer, units: float) -> None:
-        """So much more is in flight there, or less."""
-        peer.load = max(0.0, peer.load + units)
-        if peer.ready:
-            self.load = max(0.0, self.load + units)
-
-    def unpaid(self, peer: Peer, now: float) -> None:
-        """It may have no credit for a call: it has just been sent one, or was found so."""
-        if peer.ready and peer.credit < 1.0 and peer.cold_until(self.cold_ms) > now:
-            for bag in (self._warm, self._near, self._payable):
-                bag.discard(peer)
-            self._look_again(peer, now)
-
-    def _look_again(self, peer: Peer, now: float) -> None:
-        """When it should have credit for a call, if as much is asked as just now."""
-        if peer.due:
+    def _group_keys(server: ServerStats) -> tuple[Group, Group]:
+        return (server.endpoint.zone, server.endpoint.cell), (server.endpoint.zone, ANY_CELL)
+
+    def _mark_warm(self, server: ServerStats) -> None:
+        self._with_credit.discard(server)
+        self._warm.add(server)
+        if server.endpoint.zone == self.zone:
+            self._warm_in_zone.add(server)
+
+    def add_load(self, server: ServerStats, weight: float) -> None:
+        """Count this weight in flight at a server; a negative one ends it."""
+        server.load = max(0.0, server.load + weight)
+        if server.ready:
+            self.load = max(0.0, self.load + weight)
+
+    def recheck_credit(self, server: ServerStats, now: float) -> None:
+        """Remove a warming server from the candidates where it has no credit, until a check finds some."""
+        if server.ready and server.credit < 1.0 and server.warm_at_ms(self.warm_up_ms) > now:
+            for servers in (self._warm, self._warm_in_zone, self._with_credit):
+                servers.discard(server)
+            self._schedule_credit_check(server, now)
+
+    def _schedule_credit_check(self, server: ServerStats, now: float) -> None:
+        """Check it when it should have credit at the present rate."""
+        if server.credit_check_scheduled:
             return
-        peer.due = True
-        if (
-            len(self._due) > 2 * len(self.peers) + WHOLE
-        ):  # Guard: of servers that are gone, whoever replaces them
-            self._due = [row for row in self._due if self.peers.get(row[2].info.address) is row[2]]
-            heapq.heapify(self._due)
-        share = max(0.01, 1.0 - (peer.cold_until(self.cold_ms) - now) / self.cold_ms) if self.cold_ms else 1.0
-        wait = (1.0 - peer.credit) / (self.earn * share) if self.earn > 0.0 else SOON_MS
-        self._order += 1
-        heapq.heappush(self._due, (now + min(SOON_MS, max(1.0, wait)), self._order, peer))
-
-    def _look_after(self, now: float, paced: Paced) -> None:
-        for _ in range(DUE):
-            if not self._due or self._due[0][0] > now:
+        server.credit_check_scheduled = True
+        if len(self._credit_checks) > 2 * len(self.servers) + SMALL_POOL_SIZE:
+            # Guard: checks of servers that were replaced would fill the memory.
+            servers = self.servers
+            current = [row for row in self._credit_checks if servers.get(row[2].endpoint.address) is row[2]]
+            self._credit_checks = current
+            heapq.heapify(self._credit_checks)
+        capacity_share = 1.0
+        if self.warm_up_ms:
+            left_ms = server.warm_at_ms(self.warm_up_ms) - now
+            capacity_share = max(0.01, 1.0 - left_ms / self.warm_up_ms)
+        wait_ms = LONGEST_CREDIT_CHECK_DELAY_MS
+        if self.credit_rate > 0.0:
+            wait_ms = min(wait_ms, max(1.0, (1.0 - server.credit) / (self.credit_rate * capacity_share)))
+        self._check_count += 1
+        heapq.heappush(self._credit_checks, (now + wait_ms, self._check_count, server))
+
+    def _check_credits(self, now: float, has_credit: HasCredit) -> None:
+        for _ in range(CREDIT_CHECKS_PER_REQUEST):
+            if not self._credit_checks or self._credit_checks[0][0] > now:
                 return
-            peer = heapq.heappop(self._due)[2]
-            peer.due = False
-            if not peer.ready or peer in self._warm or peer in self._payable:
+            server = heapq.heappop(self._credit_checks)[2]
+            server.credit_check_scheduled = False
+            if not server.ready or server in self._warm or server in self._with_credit:
                 continue
-            if not paced(now, peer):
-                self._look_again(peer, now)
-            elif peer.cold_until(self.cold_ms) <= now:
-                self._thawed(peer)
+            if not has_credit(now, server):
+                self._schedule_credit_check(server, now)
+            elif server.warm_at_ms(self.warm_up_ms) <= now:
+                self._mark_warm(server)
             else:
-                self._payable.add(peer)
+                self._with_credit.add(server)
 
-    def look(self, rng: Random, count: int) -> list[Peer]:
-        """So many of those that may be sent to, drawn; of a small pool all."""
-        return self.ready if len(self.peers) <= WHOLE else self._ready.sample(rng, count)
+    def sample(self, rng: Random, count: int) -> list[ServerStats]:
+        """Ready servers: all of a small pool, at most `count` drawn ones of a large pool."""
+        return self._ready.sample(rng, count) if self.is_large else self.ready
 
-    def candidates(
-        self, now: float, rng: Random, group: tuple[str, int] | None, paced: Paced
-    ) -> Iterable[Peer]:
-        """Of a large pool, those among which a request's server is picked: of this group if one is given,
-        where a cell of -1 stands for all of the zone."""
-        self._look_after(now, paced)
+    def candidates(self, now: float, rng: Random, group: Group | None, paced: HasCredit) -> list[ServerStats]:
+        """Candidates of a large pool for one request, of this group alone if one is given."""
+        self._check_credits(now, paced)
         if group is not None:
-            bag = self._groups.get(group)
-            return [] if bag is None else bag.sample(rng, LOOKS)
-        seen = self._near.sample(rng, SAMPLE // 2) + self._warm.sample(rng, SAMPLE // 2)
-        for peer in self._payable.sample(rng, COLD):
-            if peer.cold_until(self.cold_ms) <= now:
-                self._thawed(peer)
-            seen.append(peer)
-        return dict.fromkeys(seen)
+            members = self._groups.get(group)
+            return [] if members is None else members.sample(rng, GROUP_SAMPLE)
+        found = self._warm_in_zone.sample(rng, WARM_SAMPLE // 2) + self._warm.sample(rng, WARM_SAMPLE // 2)
+        for server in self._with_credit.sample(rng, WARMING_SAMPLE):
+            if server.warm_at_ms(self.warm_up_ms) <= now:
+                self._mark_warm(server)
+            found.append(server)
+        return list(dict.fromkeys(found))
--- /dev/null
+++ b/rosewheel/policy/ranking.py
@@ -0,0 +1,94 @@
+"""Choice of the server for an attempt."""
+
+import math
+
+from rosewheel.policy.pool import ANY_CELL, Group
+from rosewheel.policy.request_state import RequestState
+from rosewheel.policy.server_stats import ServerStats
+from rosewheel.policy.settings import DedupScope, Idempotency, ServiceClass
+from rosewheel.policy.shared_state import SharedState
+from rosewheel.policy.slow_start import SlowStart
+
+LATENCY_FADE_MS = 8000.0  # a server without outcomes drifts back to the mean at this pace
+QUEUE_FADE_MS = 500.0  # a reported queue counts for about this long
+# In a large pool, where many balancers choose whichever server last reported a short queue, for less.
+QUEUE_FADE_IN_LARGE_POOL_MS = 200.0
+BACKOFF_FACTOR = 100.0  # of the rank during a backoff
+HIGHEST_ERROR_RATE = 0.9  # that the rank is divided by
+LOWEST_JITTER, JITTER_RANGE = 0.95, 1.05 - 0.95  # factor drawn for each rank: equal servers take turns
+
+
+def dedup_group(service_class: ServiceClass, server: ServerStats) -> Group | None:
+    """The servers that drop repeats of a request with a key that this one has seen; None for all servers."""
+    scope, endpoint = service_class.dedup_scope, server.endpoint
+    if scope is DedupScope.ALL:
+        return None
+    return endpoint.zone, endpoint.cell if scope is DedupScope.CELL else ANY_CELL
+
+
+class Ranking:
+    """Ranks the candidates for an attempt; the lowest rank is the best."""
+
+    def __init__(self, shared: SharedState, slow_start: SlowStart) -> None:
+        self.shared, self.slow_start = shared, slow_start
+
+    def choose(self, now: float, state: RequestState) -> ServerStats | None:
+        """The server for the next attempt of a request; None where there is none or a retry is unsafe."""
+        group: Group | None = None
+        executed = state.possibly_executed()
+        if executed:
+            if not self._may_repeat(now, state, executed[0].sent_ms):
+                return None
+            if state.service_class.idempotency is Idempotency.IDEMPOTENT_WITH_KEY:
+                group = dedup_group(state.service_class, executed[0].server)
+        # By address: a server that left the list and came back has new statistics.
+        tried = [attempt.server.endpoint.address for attempt in state.attempts]
+        pool, has_credit = self.shared.pool, self.slow_start.has_credit
+        large, rng = pool.is_large, self.shared.rng
+        candidates = pool.candidates(now, rng, group, has_credit) if large else pool.ready
+        best, best_rank = None, math.inf
+        for server in candidates:
+            if tried and server.endpoint.address in tried:
+                continue
+            if group is not None and group != dedup_group(state.service_class, server):
+                continue
+            rank = self.rank(now, server)
+            if rank < best_rank:
+                if has_credit(now, server):
+                    best, best_rank = server, rank
+                elif large:
+                    pool.recheck_credit(server, now)
+        return best
+
+    def _may_repeat(self, now: float, state: RequestState, first_sent_ms: float) -> bool:
+        """Whether a request may be sent again that a server may have executed."""
+        idempotency = state.service_class.idempotency
+        if idempotency is not Idempotency.IDEMPOTENT_WITH_KEY:
+            return idempotency is Idempotency.IDEMPOTENT
+        # Guard: a repeat counts when its first byte is sent, up to a connection's time from now.
+        sent_after_ms = now - first_sent_ms + self.shared.settings.connect_timeout_ms
+        return not sent_after_ms >= state.service_class.dedup_window_ms
+
+    def rank(self, now: float, server: ServerStats) -> float:
+        """Smoothed latency times (queue + 1); without outcomes the latency drifts to the mean, which is 1."""
+        shared, latency, error_rate = self.shared, 1.0, server.error_rate
+        if server.relative_latency is not None:
+            fade = math.exp((server.last_outcome_ms - now) / LATENCY_FADE_MS)
+            latency += (server.relative_latency - 1.0) * fade
+        for (request_id, _), sent_ms in server.in_flight.items():  # the oldest attempt
+            if server.last_outcome_ms <= sent_ms:
+                # Guard: a server that hangs shows in its oldest attempt long before a timeout.
+                mean_ms = shared.class_latency_ms.get(shared.requests[request_id].service_class.name)
+                latency = max(latency, (now - sent_ms) / mean_ms) if mean_ms else latency
+            break
+        # A server's report contains, a little late, what other processes of this node sent it.
+        queue = server.sibling_load
+        if server.reported_queue:
+            fade_ms = QUEUE_FADE_IN_LARGE_POOL_MS if shared.pool.is_large else QUEUE_FADE_MS
+            queue = max(queue, server.reported_queue * math.exp((server.last_report_ms - now) / fade_ms))
+        crossing = shared.cross_zone_penalty if server.endpoint.zone != shared.settings.zone else 0.0
+        rank = latency * (server.load + queue + 1.0 + crossing)
+        if now < server.backoff_until_ms:
+            rank *= BACKOFF_FACTOR
+        success_rate = 1.0 - (error_rate if error_rate < HIGHEST_ERROR_RATE else HIGHEST_ERROR_RATE)
+        return rank / success_rate * (LOWEST_JITTER + JITTER_RANGE * shared.rng.random())
--- a/rosewheel/proxy/proxy.py
+++ b/rosewheel/proxy/proxy.py
@@ -38,10 +38,10 @@
 from rosewheel.node.errors import DuplicateRequestError
 from rosewheel.node.limits import Limits
 from rosewheel.node.statistics import RequestOutcome
-from rosewheel.policy.balancer import FEW
 from rosewheel.policy.events import AttemptResult, EndpointListForm, RequestReceived
-from rosewheel.policy.learned_state import Learned
+from rosewheel.policy.learned_state import LearnedState
 from rosewheel.policy.settings import Settings
+from rosewheel.policy.shared_state import is_large_fleet
 from rosewheel.proxy.cordons import Cordons
 from rosewheel.proxy.headers import DECIMAL, WHOLE, figure
 from rosewheel.proxy.snapshots import SnapshotWriter
@@ -101,7 +101,7 @@
             self._probed,
             self._began,
             self.node.statistics.count_attempt,
-            large_fleet=config.settings.balancer_count > FEW,
+            large_fleet=is_large_fleet(config.settings),
         )
         self.budget = BufferBudget(0)
         self.server = DownstreamServer(
@@ -179,7 +179,7 @@
             log.info("what was learned %.1f s ago is taken back, of %d equipos", kept.age_ms / 1e3, known)
         self.snapshots.start()
 
-    def _learned(self) -> tuple[Learned, float]:
+    def _learned(self) -> tuple[LearnedState, float]:
         return self.node.learned_state(now_ms()), self.upstream.idle_timeout.stale_limit_s
 
     def reload(self, config: Config) -> None:
@@ -210,7 +210,7 @@
             return
         effects = self.node.configure(now_ms(), settings, bounds)  # before anything else: it alone may refuse
         self.config = dataclasses.replace(was, settings=settings, bounds=bounds)
-        self.upstream.configure(bounds, large_fleet=settings.balancer_count > FEW)
+        self.upstream.configure(bounds, large_fleet=is_large_fleet(settings))
         self._share(bounds.max_sockets)
         self._shrink()
         self.apply(effects)
--- a/rosewheel/proxy/snapshots.py
+++ b/rosewheel/proxy/snapshots.py
@@ -20,7 +20,13 @@
 
 import orjson
 
-from rosewheel.policy.learned_state import VERSION, Learned, age, learned_from
+from rosewheel.policy.learned_state import LearnedState
+from rosewheel.policy.learned_state_codec import (
+    FORMAT_VERSION,
+    learned_state_from_json,
+    learned_state_to_json,
+    snapshot_age_ms,
+)
 
 log = logging.getLogger("rosewheel.snapshots")
 
@@ -35,12 +41,12 @@
 class Snapshot:
     """What a file holds: the module's part, and how long connections to equipos may rest."""
 
-    learned: Learned
+    learned: LearnedState
     age_ms: float
     rest_s: float = math.inf
 
 
-Taken = Callable[[], tuple[Learned, float]]
+Taken = Callable[[], tuple[LearnedState, float]]
 
 
 def read_clocks() -> tuple[float, float]:
@@ -48,16 +54,16 @@
     return time.monotonic() * 1000.0, time.time() * 1000.0
 
 
-def encode_snapshot(node: str, learned: Learned, rest_s: float, now: tuple[float, float]) -> bytes:
+def encode_snapshot(node: str, learned: LearnedState, rest_s: float, now: tuple[float, float]) -> bytes:
     row = {
         "node": node,
         "monotonic_ms": now[0],
         "wall_ms": now[1],
         "rest_s": rest_s if math.isfinite(rest_s) else None,
-        "learned": learned,  # orjson writes dataclasses as they are, without a copy
+        "learned": learned_state_to_json(learned),
     }
     body = orjson.dumps(row)
-    return b"%b %d %08x %d\n" % (MAGIC, VERSION, zlib.crc32(body), len(body)) + body
+    return b"%b %d %08x %d\n" % (MAGIC, FORMAT_VERSION, zlib.crc32(body), len(body)) + body
 
 
 def decode_snapshot(data: bytes, node: str, now: tuple[float, float]) -> Snapshot:
@@ -66,8 +72,8 @@
     parts = head.split(b" ")
     if not newline or len(parts) != 4 or parts[0] != MAGIC:
         raise ValueError("not a snapshot")
-    if parts[1] != b"%d" % VERSION:
-        raise ValueError(f"of version {parts[1].decode('ascii', 'replace')}, not {VERSION}")
+    if parts[1] != b"%d" % FORMAT_VERSION:
+        raise ValueError(f"of version {parts[1].decode('ascii', 'replace')}, not {FORMAT_VERSION}")
     if parts[3] != b"%d" % len(body):
         raise ValueError("not whole")
     if parts[2] != b"%08x" % zlib.crc32(body):
@@ -76,13 +82,13 @@
     if row.get("node") != node:
         raise ValueError(f"of another node, {row.get('node')!r}")
     saved = float(row["monotonic_ms"]), float(row["wall_ms"])
-    old = age(saved, now)
+    old = snapshot_age_ms(saved, now)
     if old is None:
         raise ValueError("from the future, by both clocks")
     rest = row.get("rest_s")
     if rest is not None and not (isinstance(rest, float | int) and 0.0 < rest < 1e6):
         raise ValueError("rest_s is no figure")
-    return Snapshot(learned_from(row["learned"]), old, math.inf if rest is None else float(rest))
+    return Snapshot(learned_state_from_json(row["learned"]), old, math.inf if rest is None else float(rest))
 
 
 class SnapshotWriter:
--- a/tests/cli/test_run.py
+++ b/tests/cli/test_run.py
@@ -93,7 +93,7 @@
     config = {key: value for key, value in CONFIG.items() if key != "siblings"} | row
     settings = settings_from(config)
     assert settings.balancer_count == 1
-    assert not Balancer(settings, 1, 0.0).many
+    assert not Balancer(settings, 1, 0.0).parts.shared.in_large_fleet
 
 
 REFUSING = """
--- a/tests/discovery/test_long_lists.py
+++ b/tests/discovery/test_long_lists.py
@@ -108,7 +108,7 @@
             wanted = {row["host"] for row in part}
             assert set(relay.node.servers) == wanted, "what a whole list does not name is gone"
             assert set(relay.upstream.endpoints) == wanted
-            assert set(relay.node.balancer.peers) == wanted
+            assert set(relay.node.balancer.parts.shared.pool.servers) == wanted
         relay.discovery.endpoint_list.close()
 
     run(main())
--- a/tests/discovery/test_watch_backoff.py
+++ b/tests/discovery/test_watch_backoff.py
@@ -16,7 +16,7 @@
 
 from rosewheel.discovery import backoff, watch_client
 from rosewheel.node.limits import Limits
-from rosewheel.policy import balancer
+from rosewheel.policy import discovery_polling
 from rosewheel.policy.actions import StartTimer, WatchEndpoints
 from rosewheel.policy.events import EndpointListForm, EndpointListUpdate, TimerFired
 from rosewheel.proxy import proxy as relay_module
@@ -169,7 +169,10 @@
 
 
 def test_the_sum_of_the_longest_times_is_what_the_page_of_constants_says():
-    rewatch_s, apart_s = balancer.WATCH_LEAST_MS / 1000.0, balancer.WATCH_MAX_MS / 1000.0
+    rewatch_s, apart_s = (
+        discovery_polling.SHORTEST_WAIT_MS / 1000.0,
+        discovery_polling.LONGEST_INTERVAL_MS / 1000.0,
+    )
     for wait_s, longest_s in ((rewatch_s, apart_s), (0.0, backoff.MAX_DELAY_S)):
         assert (
             backoff.MAX_DELAY_S <= watch_client.FIRST_LINE_TIMEOUT_S
@@ -248,8 +251,8 @@
     """On sockets, with all times a fortieth: silent, dead, dying within a line, silent within one, and back."""
     for name in ("SILENCE_TIMEOUT_S", "CONNECT_TIMEOUT_S", "FIRST_LINE_TIMEOUT_S"):
         monkeypatch.setattr(watch_client, name, getattr(watch_client, name) / 40.0)
-    for name in ("WATCH_MS", "WATCH_MAX_MS", "WATCH_LEAST_MS"):
-        monkeypatch.setattr(balancer, name, getattr(balancer, name) / 40.0)
+    for name in ("FIRST_INTERVAL_MS", "LONGEST_INTERVAL_MS", "SHORTEST_WAIT_MS"):
+        monkeypatch.setattr(discovery_polling, name, getattr(discovery_polling, name) / 40.0)
 
     async def main() -> None:
         async with returning() as discovery:
--- a/tests/hot_restart/test_hot_restart.py
+++ b/tests/hot_restart/test_hot_restart.py
@@ -708,17 +708,17 @@
         async with bench([entry("s", 1)], tmp_path) as node:
             relay = await node.next()
             relay._process_count_changed(2)
-            assert relay.node.balancer.processes == 2
+            assert relay.node.balancer.parts.shared.process_count == 2
             half = relay.max_descriptors
             relay.predecessor_leaves(5)
-            assert relay.node.balancer.processes == 1
+            assert relay.node.balancer.parts.shared.process_count == 1
             assert relay.max_descriptors > half, "what the old one gives up is this one's"
             relay._process_count_changed(2)
-            assert relay.node.balancer.processes == 1
+            assert relay.node.balancer.parts.shared.process_count == 1
             await node.next()
             assert relay.predecessor_descriptors is None
             relay._process_count_changed(2)
-            assert relay.node.balancer.processes == 2
+            assert relay.node.balancer.parts.shared.process_count == 2
             assert relay.max_descriptors == half
 
     run(main())
--- a/tests/http/test_client_disconnects.py
+++ b/tests/http/test_client_disconnects.py
@@ -194,7 +194,7 @@
             await until(lambda: not relay.calls and not relay.node.requests and not relay.upstream.exchanges)
             await until(lambda: relay.upstream.open_count == 0)
             assert relay.node.active_requests == 0
-            assert relay.node.balancer.pool.load == 0.0
+            assert relay.node.balancer.parts.shared.pool.load == 0.0
             free.set()
             for client in clients:
                 client.writer.close()
--- a/tests/http/test_large_messages.py
+++ b/tests/http/test_large_messages.py
@@ -192,7 +192,7 @@
                 await until(lambda: relay.statistics()["active"] == 0)
                 assert relay.node.statistics.classes["post"].ok == 1
                 assert not relay.node.requests
-                assert not relay.node.balancer.jobs
+                assert not relay.node.balancer.parts.shared.requests
 
     run(main())
 
@@ -313,7 +313,7 @@
             await until(lambda: not relay.upstream.exchanges and not relay.node.requests)
             await until(lambda: relay.upstream.open_count == 0)
             assert relay.statistics()["active"] == 0
-            assert not relay.node.balancer.jobs
+            assert not relay.node.balancer.parts.shared.requests
 
     run(main())
 
--- a/tests/http/test_sockets.py
+++ b/tests/http/test_sockets.py
@@ -347,7 +347,7 @@
     async def main() -> None:
         changes = {"retry_after": True, "max_retry_after_ms": 1500.0}
         async with node([entry("down", closed_port())], **changes) as relay, Client(relay) as client:
-            relay.node.balancer.cursor = 4
+            relay.node.balancer.parts.table.cursor = 4
             got = await client.ask("post")
             assert (status(got), got.headers["retry-after"]) == (503, "0.600")
 
@@ -761,7 +761,9 @@
                 await until(lambda: bool(old.writers))
                 old.tell(8)
                 await until(lambda: relay.discovery.revision == 8)
-                relay.node.balancer.watch_failures = 9  # as if it had failed for long: 4 s to the next try
+                relay.node.balancer.parts.polling.failures = (
+                    9  # as if it had failed for long: 4 s to the next try
+                )
                 for discovery in (new, newer):  # twice in a row
                     before = relay.loop.time()
                     relay.reload(moved_to(relay, discovery))
@@ -772,7 +774,7 @@
                     writer.transport.abort()
                 newer.tell(9, entry("s", 1))
                 await until(lambda: relay.node.can_serve)
-                assert relay.node.balancer.watch_failures == 0
+                assert relay.node.balancer.parts.polling.failures == 0
                 assert (len(old.asked), len(new.asked), len(newer.asked)) == (1, 1, 1)
 
     run(main())
@@ -786,7 +788,7 @@
             async with node([], old) as relay:
                 await until(lambda: bool(old.writers))
                 old.writers[-1].transport.abort()
-                await until(lambda: relay.node.balancer.watch_due)
+                await until(lambda: relay.node.balancer.parts.polling.timer_is_set)
                 relay.reload(moved_to(relay, new))
                 await until(lambda: bool(new.writers))
                 relay.apply(relay.node.tick(relay.node._timers[-1][0] + 5000.0))
@@ -1195,10 +1197,10 @@
 async def cursors(relay: Proxy, client: Client, periods: int) -> list[int]:
     """Ask one after another for so many of the module's periods; where the cursor stood at each answer."""
     balancer, seen = relay.node.balancer, []
-    until_period = balancer.periods + periods
-    while balancer.periods < until_period:
+    until_period = balancer.parts.throughput.period_count + periods
+    while balancer.parts.throughput.period_count < until_period:
         await client.ask("read")
-        seen.append(balancer.cursor)
+        seen.append(balancer.parts.table.cursor)
     return seen
 
 
--- a/tests/lab/test_simulation.py
+++ b/tests/lab/test_simulation.py
@@ -28,9 +28,9 @@
 from rosewheel.lab.simulation.simulate import Simulation, check_simulated, simulate
 from rosewheel.node.effects import NodeEffect, StartAttempt
 from rosewheel.node.idle_timeout import IdleTimeout
-from rosewheel.policy import balancer
-from rosewheel.policy.balancer import Balancer
+from rosewheel.policy import pool_load, ranking
 from rosewheel.policy.events import Server
+from rosewheel.policy.slow_start import SlowStart
 
 SHORT = settings(max_examples=25, deadline=None, derandomize=True)
 
@@ -247,7 +247,7 @@
 ) -> None:
     plans = [plan.make(replaced(), seed) for seed in (1, 2, 3)]
     assert [simulate(one)["fell"] for one in plans] == [0, 0, 0]
-    monkeypatch.setattr(Balancer, "_paced", lambda *_: True)
+    monkeypatch.setattr(SlowStart, "has_credit", lambda *_: True)
     unpaced = [simulate(one) for one in plans]
     assert sum(one["fell"] for one in unpaced) > 0
     assert any(one["rules"]["tipped"] for one in unpaced)
@@ -266,8 +266,8 @@
     remedy in the same run, so that the figure can fail."""
     one = plan.make(scenario.load("fleet-disco", {"seconds": 13}))
     now = simulate(one)["service"]
-    monkeypatch.setattr(balancer, "SHY", 1.0)
-    monkeypatch.setattr(balancer, "SHY_MS", 0.0)
+    monkeypatch.setattr(ranking, "BACKOFF_FACTOR", 1.0)
+    monkeypatch.setattr(pool_load, "BACKOFF_MS", 0.0)
     assert now > simulate(one)["service"] + 0.01
 
 
--- a/tests/node/test_event_orders.py
+++ b/tests/node/test_event_orders.py
@@ -191,8 +191,11 @@
         assert len(answers) == (0 if id in world.left else 1), id
     assert world.node.active_requests == 0
     assert not world.node.requests
-    assert not world.node.balancer.jobs
-    assert all(peer.load == 0.0 and not peer.out for peer in world.node.balancer.peers.values())
+    assert not world.node.balancer.parts.shared.requests
+    assert all(
+        peer.load == 0.0 and not peer.in_flight
+        for peer in world.node.balancer.parts.shared.pool.servers.values()
+    )
 
 
 @given(st.lists(STEP, min_size=10, max_size=60), st.integers(0, 2**32), st.booleans())
--- a/tests/node/test_incomplete_requests.py
+++ b/tests/node/test_incomplete_requests.py
@@ -30,13 +30,13 @@
     """Guards other requests: slow callers would have them refused, and their servers shunned."""
     bed = Bed(1)
     name, _ = begun(bed)
-    peer = bed.balancer.peers["s0"]
+    peer = bed.servers["s0"]
     bed.now += 60_000.0
-    assert (peer.load, len(peer.out)) == (0.0, 0)
+    assert (peer.load, len(peer.in_flight)) == (0.0, 0)
     bed.give(RequestCompleted(name, bed.now + 2000.0))
-    assert (peer.load, len(peer.out)) == (1.0, 1)
+    assert (peer.load, len(peer.in_flight)) == (1.0, 1)
     bed.end(name, "s0", AttemptResult.OK)
-    assert (peer.load, len(peer.out), len(bed.balancer.jobs)) == (0.0, 0, 0)
+    assert (peer.load, len(peer.in_flight), len(bed.parts.shared.requests)) == (0.0, 0, 0)
 
 
 def test_its_time_counts_from_its_end():
@@ -63,12 +63,12 @@
 def test_a_long_answer_is_no_load_while_its_client_takes_it():
     bed = Bed(1)
     name, _ = bed.ask("post")
-    peer = bed.balancer.peers["s0"]
+    peer = bed.servers["s0"]
     assert peer.load == 1.0
     bed.give(ResponseStarted(name, 0))
-    assert (peer.load, len(peer.out)) == (0.0, 0)
+    assert (peer.load, len(peer.in_flight)) == (0.0, 0)
     bed.end(name, "s0", AttemptResult.OK, latency=50.0)
-    assert (peer.load, len(bed.balancer.jobs)) == (0.0, 0)
+    assert (peer.load, len(bed.parts.shared.requests)) == (0.0, 0)
 
 
 def box(**limits: int) -> Node:
@@ -127,4 +127,4 @@
     made.receive_request(1.0, RequestReceived("r", "read", 1001.0))
     made.response_started(5.0, "r", 0)
     assert made.client_disconnected(9.0, "r") == [AbortAttempt("r", 0)]
-    assert (made.active_requests, made.requests, made.balancer.jobs) == (0, {}, {})
+    assert (made.active_requests, made.requests, made.balancer.parts.shared.requests) == (0, {}, {})
--- a/tests/node/test_node.py
+++ b/tests/node/test_node.py
@@ -148,9 +148,9 @@
     period = node.balancer.period_ms
     node.tick(period)
     node.tick(2 * period)
-    assert (calls, node.balancer.periods) == (2, 1)
+    assert (calls, node.balancer.parts.throughput.period_count) == (2, 1)
     node.tick(3 * period)
-    assert node.balancer.periods == 2
+    assert node.balancer.parts.throughput.period_count == 2
 
 
 def test_timers_of_what_is_over_do_not_pile_up():
--- a/tests/policy/test_guards.py
+++ b/tests/policy/test_guards.py
@@ -110,7 +110,7 @@
     assert kinds(acts) == [CancelAttempt]
     assert bed.end(name, server, AttemptResult.CANCELLED, done=True) == []
     assert bed.give(ClientDisconnected(name)) == []
-    assert bed.balancer.jobs == {}
+    assert bed.parts.shared.requests == {}
 
 
 def test_a_timeout_at_the_deadline_gets_its_answer_at_once():
@@ -239,7 +239,7 @@
             name, acts = bed.ask("post")
             bed.end(name, sent(acts)[0].server, AttemptResult.ERROR, 5.0)
         bed.period()
-        cursors.append(bed.balancer.cursor)
+        cursors.append(bed.parts.table.cursor)
     assert cursors == [1, 0]
 
 
@@ -249,11 +249,11 @@
     for _ in range(6):
         bed.serve(latency=50.0, report={"util": 1.0})
     bed.period()
-    assert bed.balancer.cursor == 1
+    assert bed.parts.table.cursor == 1
     bed.now += 5000.0
     for _ in range(10):
         bed.period()
-    assert bed.balancer.cursor == 0
+    assert bed.parts.table.cursor == 0
 
 
 # ----------------------------------------------------------------- membership
@@ -274,7 +274,7 @@
 
 def test_discovery_is_watched_at_once_and_again_after_failures_with_growing_waits():
     bed = Bed(count=0, poll_discovery=True)
-    first = type(bed.balancer)(bed.balancer.cfg, 1, 0.0).handle(
+    first = type(bed.balancer)(bed.parts.shared.settings, 1, 0.0).handle(
         0.0, EndpointListUpdate(EndpointListForm.CACHED)
     )
     assert WatchEndpoints in kinds(first)
@@ -298,8 +298,8 @@
     for _ in range(6):
         bed.serve()
     bed.give(EndpointListUpdate(EndpointListForm.DELTA, (Server("s0", "a", launched_ms=bed.now),)))
-    assert bed.balancer.peers["s0"].slow is None
-    assert bed.balancer.peers["s1"].slow is not None
+    assert bed.servers["s0"].relative_latency is None
+    assert bed.servers["s1"].relative_latency is not None
 
 
 # ----------------------------------------------------------------------- cold
@@ -362,7 +362,7 @@
 def test_a_thin_tier_below_the_front_hardly_refuses():
     """Guard: a refusal below the front wasted what had been done above it."""
     below, front = (Bed(balancer_count=100, tier=tier).balancer for tier in (1, 0))
-    assert below.threshold(1.0, 40) >= 40.0 > front.threshold(1.0, 40)
+    assert below.parts.admission.threshold(1.0, 40) >= 40.0 > front.parts.admission.threshold(1.0, 40)
 
 
 @pytest.mark.parametrize(("connect_ms", "again"), [(0.0, True), (150.0, False)])
--- a/tests/policy/test_many_balancers.py
+++ b/tests/policy/test_many_balancers.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from rosewheel.policy import balancer
+from rosewheel.policy import pool_load
 from rosewheel.policy.events import AttemptResult, EndpointListForm, EndpointListUpdate, Server
 from tests.support.balancers import Bed, sent, servers
 
@@ -31,36 +31,36 @@
 def test_what_is_let_in_falls_at_once_with_a_pool_that_is_replaced(siblings: int, tier: int, falls: bool):
     """Guard: latency told of it seconds later, when the servers that were still warm had begun to choke."""
     bed = learned(siblings, tier, calls=6)
-    before = bed.balancer.threshold(1.0, 10)
-    assert bed.balancer.cursor == 0
+    before = bed.parts.admission.threshold(1.0, 10)
+    assert bed.parts.table.cursor == 0
     replace(bed, 6)
-    after = bed.balancer.threshold(1.0, 10)
+    after = bed.parts.admission.threshold(1.0, 10)
     assert after < 0.8 * before if falls else after > 0.9 * before
 
 
 def test_what_was_sent_to_a_stronger_pool_does_not_count_as_done_by_the_weaker_one():
     """Guard: answers that come just after a loss made each server that was left look twice as able."""
     bed = learned(10)
-    before = bed.balancer.peak
+    before = bed.parts.throughput.peak_completion_rate
     names = [bed.ask()[0:2] for _ in range(6)]
     replace(bed, 6)
     for name, acts in names:
         for act in sent(acts):
             bed.end(name, act.server, AttemptResult.OK, 100.0)
     bed.period()
-    assert bed.balancer.peak < 1.5 * before
+    assert bed.parts.throughput.peak_completion_rate < 1.5 * before
 
 
 def test_a_server_that_fails_is_no_strength():
     bed = learned(10)
-    strength = bed.balancer.strength
+    strength = bed.parts.throughput.pool_capacity
     for _ in range(40):
         name, acts = bed.ask("post")
         for act in sent(acts):
             result = AttemptResult.ERROR if act.server == "s3" else AttemptResult.OK
             bed.end(name, act.server, result, 100.0)
     bed.period()
-    assert bed.balancer.strength < strength - 0.15
+    assert bed.parts.throughput.pool_capacity < strength - 0.15
 
 
 def test_a_node_of_many_knows_its_rate_when_its_first_seconds_are_over():
@@ -70,14 +70,14 @@
         for _ in range(3):
             bed.serve(latency=bed.balancer.period_ms / 3)
         bed.period(0.0)
-    assert bed.balancer.peak * 10 > 0.9 * 3 / bed.balancer.period_ms
+    assert bed.parts.throughput.peak_completion_rate * 10 > 0.9 * 3 / bed.balancer.period_ms
 
 
 def test_of_many_nodes_low_worth_is_refused_before_high():
     """Guard: rows less than a call apart shed both classes alike."""
     bed = learned(10, calls=6)
     replace(bed, 6)
-    high, low = (bed.balancer.threshold(worth, 10) for worth in (1.0, 3.0 / 8.0))
+    high, low = (bed.parts.admission.threshold(worth, 10) for worth in (1.0, 3.0 / 8.0))
     assert high - low > 1.5
 
 
@@ -105,7 +105,7 @@
 @pytest.mark.parametrize("siblings", [10, 30])
 def test_of_many_nodes_a_cold_server_gets_more_than_the_least_that_it_can_do(siblings: int):
     """The same, by what the settings state."""
-    cfg = Bed().balancer.cfg
+    cfg = Bed().balancer.parts.shared.settings
     share = (
         cfg.warm_up_initial_share + (1.0 - cfg.warm_up_initial_share) * 1000.0 / cfg.warm_up_ms
     )  # as stated, over the 2 s on average
@@ -162,14 +162,14 @@
             attempt += 1
         if at % 3 == 2:
             bed.period(0.0)
-        assert bed.balancer.cursor <= 1
+        assert bed.parts.table.cursor <= 1
     assert 0 < tries < 18  # a tenth of them would be its even part
 
 
 def test_a_refusal_is_not_read_as_a_failure_of_its_server():
     """Guards a server at its limit of connections: it turns away and serves what it has."""
     bed = learned(10)
-    peer = bed.balancer.peers["s3"]
+    peer = bed.servers["s3"]
     for _ in range(30):
         name, acts = bed.ask("post")
         server = sent(acts)[0].server
@@ -180,21 +180,21 @@
             1.0,
             done=server != "s3",
         )
-    assert peer.turned == 1
-    assert peer.errs == 0.0
+    assert peer.refusals_in_row == 1
+    assert peer.error_rate == 0.0
 
 
 def test_a_server_that_was_full_is_passed_over_for_a_while_and_then_used_as_before():
     bed = learned(10, calls=6)
-    peer = bed.balancer.peers["s3"]
-    peer.turned, peer.shy_ms = 5, bed.now + 3000.0
+    peer = bed.servers["s3"]
+    peer.refusals_in_row, peer.backoff_until_ms = 5, bed.now + 3000.0
     held = [sent(bed.ask()[1])[0].server for _ in range(9)]
     assert "s3" not in held
     bed.now += 3000.0
     name, acts = bed.ask()
     assert sent(acts)[0].server == "s3"  # the only one with nothing in flight
     bed.end(name, "s3", AttemptResult.OK)
-    assert peer.turned == 0
+    assert peer.refusals_in_row == 0
 
 
 def test_a_node_of_many_takes_a_pool_into_use_that_is_all_cold():
@@ -224,7 +224,7 @@
                 result = AttemptResult.ERROR if at < 2 else AttemptResult.OK
                 bed.end(name, act.server, result, bed.balancer.period_ms / 6)
         bed.period(0.0)
-        cursors.append(bed.balancer.cursor)
+        cursors.append(bed.parts.table.cursor)
     assert max(cursors) >= 3, "errors may be a tier below that refuses: at first they count"
     assert (cursors[-1] > 6) is goes_on
 
@@ -234,26 +234,26 @@
     old = learned(10, calls=6)
     new = Bed(count=10, balancer_count=10)
     new.now = old.now
-    new.balancer.recall(new.now, old.balancer.learned(old.now), 50.0)
-    before = new.balancer.rate
+    new.balancer.restore_learned_state(new.now, old.balancer.capture_learned_state(old.now), 50.0)
+    before = new.balancer.parts.throughput.completion_rate
     new.serve(latency=100.0)
     new.period()
-    assert before * 0.7 < new.balancer.rate <= before
+    assert before * 0.7 < new.balancer.parts.throughput.completion_rate <= before
 
 
 @pytest.mark.parametrize(("siblings", "locked"), [(10, False), (4, True)])
 def test_a_node_of_many_does_not_shed_nearly_all_for_a_latency_that_others_bear(siblings: int, locked: bool):
     """Guard: of nodes that see one latency, whoever had the lowest baseline shed for all of them, and for good."""
     bed = learned(siblings, calls=6)
-    base = bed.balancer.base
+    base = bed.parts.pool_load.baseline_ratio
     assert base is not None
-    target = base + balancer.SLACK * (1.0 - base)
-    aim = bed.balancer.mean_aim
+    target = base + pool_load.LATENCY_SLACK * (1.0 - base)
+    aim = bed.parts.pool_load.mean_objective_ms
     for _ in range(60):
         for _ in range(6):
             name, acts = bed.ask("post")
             for act in sent(acts):
                 bed.end(name, act.server, AttemptResult.OK, 1.5 * target * aim)
         bed.period()
-    assert bed.balancer.cursor > balancer.FLAT
-    assert (bed.balancer.cursor == len(bed.balancer.shape) - 1) is locked
+    assert bed.parts.table.cursor > pool_load.FLAT_SLOTS
+    assert (bed.parts.table.cursor == len(bed.parts.table.shape) - 1) is locked
--- a/tests/policy/test_mechanism.py
+++ b/tests/policy/test_mechanism.py
@@ -18,6 +18,7 @@
     ServerState,
     TimerFired,
 )
+from rosewheel.policy.request_state import Attempt, RequestState
 from rosewheel.policy.settings import ServiceClass, Settings, Tenant
 from tests.support.balancers import SAFE, Bed, kinds, sent
 
@@ -33,34 +34,34 @@
 def test_cursor_moves_one_step_a_period_and_back():
     bed = Bed()
     load_period(bed, 200.0)
-    assert bed.balancer.cursor == 0
+    assert bed.parts.table.cursor == 0
     seen = []
     for _ in range(4):
         load_period(bed, 950.0)
-        seen.append(bed.balancer.cursor)
+        seen.append(bed.parts.table.cursor)
     assert seen == [1, 2, 3, 4]
     for _ in range(8):
         load_period(bed, 100.0)
-    assert bed.balancer.cursor == 0
+    assert bed.parts.table.cursor == 0
 
 
 def test_table_is_flat_then_falls_and_never_to_nothing():
     balancer = Bed().balancer
     entries = []
-    for cursor in range(len(balancer.shape)):
-        balancer.cursor = cursor
-        entries.append(balancer.threshold(1.0, 20))
+    for cursor in range(len(balancer.parts.table.shape)):
+        balancer.parts.table.cursor = cursor
+        entries.append(balancer.parts.admission.threshold(1.0, 20))
     assert entries[0] == entries[1]
     assert all(left > right for left, right in pairwise(entries[1:]))
-    balancer.cursor = len(balancer.shape) - 1
-    assert 0.0 < balancer.threshold(1e-9, 1) < 1.0
+    balancer.parts.table.cursor = len(balancer.parts.table.shape) - 1
+    assert 0.0 < balancer.parts.admission.threshold(1e-9, 1) < 1.0
 
 
 def test_an_entry_between_two_counts_is_met_in_proportion():
     """Guard: with a call or two in flight, whole entries refused all or nothing."""
     bed = Bed(balancer_count=100)
-    bed.balancer.cursor = len(bed.balancer.shape) - 1
-    entry = bed.balancer.threshold(1 / 12, 4)
+    bed.parts.table.cursor = len(bed.parts.table.shape) - 1
+    entry = bed.parts.admission.threshold(1 / 12, 4)
     assert 0.1 < entry < 0.9
     admitted = 0
     for _ in range(1000):
@@ -73,10 +74,13 @@
 
 def test_low_worth_is_shed_first_and_bends_further():
     balancer = Bed().balancer
-    high, low = balancer.threshold(1.0, 20), balancer.threshold(1 / 12, 20)
+    high, low = balancer.parts.admission.threshold(1.0, 20), balancer.parts.admission.threshold(1 / 12, 20)
     assert low < high
-    balancer.cursor = len(balancer.shape) - 1
-    assert balancer.threshold(1 / 12, 20) / low < balancer.threshold(1.0, 20) / high
+    balancer.parts.table.cursor = len(balancer.parts.table.shape) - 1
+    assert (
+        balancer.parts.admission.threshold(1 / 12, 20) / low
+        < balancer.parts.admission.threshold(1.0, 20) / high
+    )
 
 
 def test_a_call_at_the_threshold_is_refused_at_once_low_rows_first():
@@ -87,7 +91,7 @@
             _, acts = bed.ask(service)
             if not sent(acts):
                 break
-        outcome[service] = sum(peer.load for peer in bed.balancer.peers.values())
+        outcome[service] = sum(peer.load for peer in bed.servers.values())
         assert kinds(acts) == [RejectRequest]
     assert outcome["post"] < outcome["read"]
 
@@ -95,27 +99,33 @@
 def test_marked_retries_and_over_quota_tenants_fall_to_lower_rows():
     bed = Bed(tenants=(Tenant("t", 4.0),), over_quota_weight=0.2)
     fresh = RequestReceived("a", "read", 9e9)
-    worth = bed.balancer._worth(bed.now, fresh, SAFE)
-    assert bed.balancer._worth(bed.now, RequestReceived("b", "read", 9e9, is_retry=True), SAFE) < worth
+    worth = bed.parts.admission.priority(bed.now, fresh, SAFE)
+    assert (
+        bed.parts.admission.priority(bed.now, RequestReceived("b", "read", 9e9, is_retry=True), SAFE) < worth
+    )
     tenant = [
-        bed.balancer._worth(bed.now, RequestReceived("c", "read", 9e9, tenant="t"), SAFE) for _ in range(4)
+        bed.parts.admission.priority(bed.now, RequestReceived("c", "read", 9e9, tenant="t"), SAFE)
+        for _ in range(4)
     ]
     assert tenant[:2] == [worth, worth]  # 4 a second over 2 siblings
     assert tenant[2] == tenant[3] == pytest.approx(0.2 * worth)
-    assert bed.balancer._worth(bed.now + 1000, RequestReceived("d", "read", 9e9, tenant="t"), SAFE) == worth
+    assert (
+        bed.parts.admission.priority(bed.now + 1000, RequestReceived("d", "read", 9e9, tenant="t"), SAFE)
+        == worth
+    )
 
 
 def test_over_quota_counts_at_the_front_only():
     bed = Bed(tenants=(Tenant("t", 0.0),), over_quota_weight=0.2, tier=1)
-    assert bed.balancer._worth(bed.now, RequestReceived("c", "read", 9e9, tenant="t"), SAFE) == 1.0
+    assert bed.parts.admission.priority(bed.now, RequestReceived("c", "read", 9e9, tenant="t"), SAFE) == 1.0
 
 
 def test_threshold_grows_with_the_completion_rate():
     bed = Bed()
-    before = bed.balancer.threshold(1.0, 4)
+    before = bed.parts.admission.threshold(1.0, 4)
     for _ in range(20):
         load_period(bed, 100.0)
-    assert bed.balancer.threshold(1.0, 4) > before
+    assert bed.parts.admission.threshold(1.0, 4) > before
 
 
 def test_calls_spread_by_queue_and_prefer_the_faster_server():
@@ -125,18 +135,16 @@
     bed = Bed(count=2)
     for _ in range(30):
         for server, latency in (("s0", 300.0), ("s1", 100.0)):
-            bed.balancer._judge(bed.now, *judged(bed, server, latency))
+            bed.parts.pool_load.record_outcome(bed.now, *judged(bed, server, latency))
     took = [bed.serve() for _ in range(10)]
     assert took.count("s1") == 10
 
 
 def judged(bed: Bed, server: str, latency: float):
-    from rosewheel.policy.balancer import _Job, _Try
-
     request = RequestReceived("x", "read", 9e9)
-    attempt = _Try(bed.balancer.peers[server], bed.now - latency)
-    job = _Job(request, SAFE, bed.balancer.cfg, bed.now, 1.0, [attempt])
-    return job, attempt, AttemptFinished("x", 0, server, AttemptResult.OK, latency, True)
+    attempt = Attempt(bed.servers[server], bed.now - latency)
+    job = RequestState(request, SAFE, bed.parts.shared.settings, bed.now, 1.0, [attempt])
+    return job, AttemptFinished("x", 0, server, AttemptResult.OK, latency, True)
 
 
 def test_a_crossing_costs_rank_where_it_has_a_price():
@@ -171,7 +179,7 @@
     for _ in range(12):
         bed.serve(latency=50.0, report={"util": 1.0})
     bed.period()
-    assert bed.balancer.cursor == 1
+    assert bed.parts.table.cursor == 1
 
 
 def test_answers_refused_as_full_move_the_cursor():
@@ -179,7 +187,7 @@
     name, acts = bed.ask()
     bed.end(name, sent(acts)[0].server, AttemptResult.OVERLOADED, 1.0)
     bed.period()
-    assert bed.balancer.cursor == 1
+    assert bed.parts.table.cursor == 1
 
 
 def test_few_outcomes_of_a_period_do_not_move_the_cursor():
@@ -188,7 +196,7 @@
     for _ in range(3):
         load_period(bed, 200.0)
     load_period(bed, 900.0, count=1)
-    assert bed.balancer.cursor == 0
+    assert bed.parts.table.cursor == 0
 
 
 def test_the_cursor_turns_back_soon_where_few_calls_are_left_in_flight():
@@ -201,7 +209,7 @@
         load_period(bed, 900.0)
     for _ in range(6):
         load_period(bed, 200.0, count=2)
-    assert bed.balancer.cursor <= 5  # 3 and 6 more it was, at the end of these
+    assert bed.parts.table.cursor <= 5  # 3 and 6 more it was, at the end of these
 
 
 def test_start_does_not_refuse_an_ordinary_load():
@@ -214,7 +222,7 @@
     bed = Bed(weight_by_work=True)
     bed.ask(cost_hint_ms=10.0)
     bed.ask(cost_hint_ms=100.0)
-    loads = sorted(peer.load for peer in bed.balancer.peers.values())
+    loads = sorted(peer.load for peer in bed.servers.values())
     assert loads[-1] > loads[-2] > 0
 
 
@@ -226,7 +234,7 @@
 def test_refusals_carry_a_wait_at_the_front_only():
     for tier, expected in ((0, True), (1, False)):
         bed = Bed(count=0, tier=tier, retry_after=True, max_retry_after_ms=1000.0)
-        bed.balancer.cursor = 3
+        bed.parts.table.cursor = 3
         refusal = bed.ask()[1][-1]
         assert isinstance(refusal, RejectRequest)
         assert (refusal.retry_after_ms > 0) is expected
@@ -264,14 +272,14 @@
     load_period(bed, 200.0)
     for _ in range(3):
         load_period(bed, 950.0)
-    before = bed.balancer.cursor
+    before = bed.parts.table.cursor
     assert before > 0
     for _ in range(4):
         bed.period()
-    assert bed.balancer.cursor == before
+    assert bed.parts.table.cursor == before
     for _ in range(20):
         bed.period()
-    assert bed.balancer.cursor == 0
+    assert bed.parts.table.cursor == 0
 
 
 @pytest.mark.parametrize(
@@ -283,12 +291,12 @@
         one.give(RequestReceived("held", "read", one.now + 1000.0))
     with pytest.raises(ValueError, match=field):
         bed.give(RequestReceived(name, service, bed.now + 1000.0))
-    assert list(bed.balancer.jobs) == ["held"]
+    assert list(bed.parts.shared.requests) == ["held"]
     assert bed.ask("read") == twin.ask("read")
 
 
 def test_a_first_event_that_is_refused_does_not_lose_the_first_timer():
-    fresh = Balancer(Bed().balancer.cfg, 1, 0.0)
+    fresh = Balancer(Bed().balancer.parts.shared.settings, 1, 0.0)
     with pytest.raises(ValueError, match="service"):
         fresh.handle(0.0, RequestReceived("x", "unheard of", 1000.0))
     assert StartTimer in kinds(fresh.handle(0.0, TimerFired("other")))
@@ -303,7 +311,7 @@
     bed.now += 2_000_000.0
     assert {act.server for _ in range(4) for act in sent(bed.ask()[1])} == {"s0", "s1"}
     bed.period()
-    assert bed.balancer.cursor in (0, 1)
+    assert bed.parts.table.cursor in (0, 1)
 
 
 def test_recovery_as_soon_as_a_server_is_listed():
@@ -320,7 +328,7 @@
     bed = Bed()
     load_period(bed, 50.0, count=2)
     load_period(bed, 500.0, count=6)
-    assert bed.balancer.cursor == 0
+    assert bed.parts.table.cursor == 0
 
 
 def test_a_node_that_has_shed_much_stands_more_latency_than_one_that_has_not():
@@ -333,12 +341,12 @@
             for _ in range(5):
                 bed.serve(latency=200.0)
             bed.period(0.0)
-        balancer.cursor = start
+        balancer.parts.table.cursor = start
         for _ in range(60):
             for _ in range(5):
                 bed.serve(latency=320.0)  # 1.14 of the target at the left end, 0.9 at the right one
             bed.period(0.0)
-        return balancer.cursor
+        return balancer.parts.table.cursor
 
     assert settles_at(14) == settles_at(0)
     assert 2 <= settles_at(0) <= 9
--- a/tests/policy/test_pool.py
+++ b/tests/policy/test_pool.py
@@ -9,7 +9,6 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
 
-from rosewheel.policy import balancer
 from rosewheel.policy.actions import ForwardRequest, RejectRequest, StartTimer
 from rosewheel.policy.balancer import Balancer
 from rosewheel.policy.events import (
@@ -23,12 +22,20 @@
     ServerState,
     TimerFired,
 )
-from rosewheel.policy.pool import COLD, LOOKS, SAMPLE, WHOLE, Pool
+from rosewheel.policy.pool import (
+    GROUP_SAMPLE,
+    SMALL_POOL_SIZE,
+    WARM_SAMPLE,
+    WARMING_SAMPLE,
+    ServerPool,
+)
+from rosewheel.policy.ranking import Ranking
+from rosewheel.policy.server_stats import ServerStats
 from rosewheel.policy.settings import DedupScope, Idempotency, ServiceClass
 from tests.support.balancers import KEYED, Bed, sent, settings
 
 MANY = 1000
-NAMES = st.sampled_from([f"s{at}" for at in range(WHOLE + 12)])
+NAMES = st.sampled_from([f"s{at}" for at in range(SMALL_POOL_SIZE + 12)])
 
 
 def _server(name: str, launched: float | None, state: ServerState) -> Server:
@@ -47,7 +54,7 @@
         self.balancer = Balancer(given, seed=3, now_ms=self.now)
         self.open: list[ForwardRequest] = []
         self.number = 0
-        everything = [_server(f"s{at}", None, ServerState.UP) for at in range(WHOLE + 6)]
+        everything = [_server(f"s{at}", None, ServerState.UP) for at in range(SMALL_POOL_SIZE + 6)]
         self._list(EndpointListForm.SNAPSHOT, everything)
 
     def _list(self, form: EndpointListForm, rows: list[Server]) -> None:
@@ -57,7 +64,7 @@
     def change(self, name: str, state: ServerState, ago: float | None) -> None:
         self._list(EndpointListForm.DELTA, [_server(name, None if ago is None else self.now - ago, state)])
 
-    @rule(names=st.sets(NAMES, max_size=WHOLE + 12))
+    @rule(names=st.sets(NAMES, max_size=SMALL_POOL_SIZE + 12))
     def whole(self, names: set[str]) -> None:
         self._list(EndpointListForm.SNAPSHOT, [_server(name, None, ServerState.UP) for name in sorted(names)])
 
@@ -67,7 +74,11 @@
 
     @rule(count=st.integers(1, 12))
     def ask(self, count: int) -> None:
-        may = {peer.info.address for peer in self.balancer.peers.values() if self._may(peer)}
+        may = {
+            peer.endpoint.address
+            for peer in self.balancer.parts.shared.pool.servers.values()
+            if self._may(peer)
+        }
         for _ in range(count):
             self.number += 1
             request = RequestReceived(f"r{self.number}", "points", self.now + 5000.0)
@@ -83,17 +94,17 @@
         if not self.open:
             return
         one = self.open.pop(at % len(self.open))
-        job = self.balancer.jobs[one.id]
-        attempt = len(job.tries) - 1
-        first = job.tries[0].peer
+        job = self.balancer.parts.shared.requests[one.id]
+        attempt = len(job.attempts) - 1
+        first = job.attempts[0].server
         done = result is AttemptResult.OK
         again = sent(
             self.balancer.handle(self.now, AttemptFinished(one.id, attempt, one.server, result, 90.0, done))
         )
         assert not {item.server for item in again} & {
-            item.peer.info.address for item in job.tries[: attempt + 1]
+            item.server.endpoint.address for item in job.attempts[: attempt + 1]
         }
-        assert first.info.address in one.server or attempt > 0
+        assert first.endpoint.address in one.server or attempt > 0
         self.open += again
 
     @rule(passed=st.floats(1.0, 3000.0))
@@ -102,25 +113,32 @@
         self.balancer.handle(self.now, TimerFired("period"))
 
     def _may(self, peer: Any) -> bool:
-        return peer.info.state is ServerState.UP and peer.info.address not in self.balancer.pool.cordoned
+        return (
+            peer.endpoint.state is ServerState.UP
+            and peer.endpoint.address not in self.balancer.parts.shared.pool.cordoned_since_ms
+        )
 
     @invariant()
     def kept_as_it_is(self) -> None:
-        pool: Pool = self.balancer.pool
-        ready = [peer for peer in pool.peers.values() if self._may(peer)]
+        pool: ServerPool = self.balancer.parts.shared.pool
+        ready = [peer for peer in pool.servers.values() if self._may(peer)]
         assert set(pool.ready) == set(ready)
         assert len(pool.ready) == len(ready)
-        if len(pool.peers) <= WHOLE:
+        if len(pool.servers) <= SMALL_POOL_SIZE:
             assert pool.ready == ready, "a small pool keeps the order of its list"
         assert pool.load == pytest.approx(sum(peer.load for peer in ready), abs=1e-6)
         for key, bag in pool._groups.items():
             assert bag.items
-            members = {peer for peer in ready if key in Pool._keys(peer)}
+            members = {peer for peer in ready if key in ServerPool._group_keys(peer)}
             assert set(bag.items) == members
         for peer in ready:
             cold = peer not in pool._warm
-            assert not cold or peer in pool._payable or peer.due, "a cold one that nobody would look at again"
-        assert len(pool._due) <= 2 * max(len(pool.peers), WHOLE + 12) + WHOLE + 1
+            assert not cold or peer in pool._with_credit or peer.credit_check_scheduled, (
+                "a cold one that nobody would look at again"
+            )
+        assert (
+            len(pool._credit_checks) <= 2 * max(len(pool.servers), SMALL_POOL_SIZE + 12) + SMALL_POOL_SIZE + 1
+        )
 
 
 PoolMachine.TestCase.settings = hypothesis_settings(max_examples=40, stateful_step_count=40, deadline=None)
@@ -138,13 +156,13 @@
 
 def _counted(monkeypatch: pytest.MonkeyPatch) -> list[int]:
     looks = [0]
-    rank = Balancer._rank
+    rank = Ranking.rank
 
-    def counting(self: Balancer, now: float, peer: Any) -> float:
+    def counting(self: Ranking, now: float, server: ServerStats) -> float:
         looks[0] += 1
-        return rank(self, now, peer)
+        return rank(self, now, server)
 
-    monkeypatch.setattr(balancer.Balancer, "_rank", counting)
+    monkeypatch.setattr(Ranking, "rank", counting)
     return looks
 
 
@@ -170,7 +188,7 @@
     bed = Bed(0, warm_up_initial_share=0.001, warm_up_ms=1e9)
     bed.give(EndpointListUpdate(EndpointListForm.SNAPSHOT, tuple(_few(why, bed.now))))
     if why == "cold":
-        for peer in bed.balancer.peers.values():
+        for peer in bed.servers.values():
             peer.credit = min(peer.credit, 0.5)
     if why == "cordoned":
         for at in range(3, MANY):
@@ -179,18 +197,18 @@
     for at in range(200):
         looks[0] = 0
         assert bed.serve() in ("s0", "s1", "s2"), at
-        assert looks[0] <= SAMPLE + COLD
+        assert looks[0] <= WARM_SAMPLE + WARMING_SAMPLE
 
 
 def test_where_none_of_a_thousand_may_be_picked_the_answer_comes_at_once(monkeypatch: pytest.MonkeyPatch):
     bed = Bed(0, warm_up_initial_share=0.001, warm_up_ms=1e9)
     bed.give(EndpointListUpdate(EndpointListForm.SNAPSHOT, tuple(_few("cold", bed.now)[3:])))
-    for peer in bed.balancer.peers.values():
+    for peer in bed.servers.values():
         peer.credit = 0.0
     looks = _counted(monkeypatch)
     _, acts = bed.ask()
     assert [type(act) for act in acts if not isinstance(act, StartTimer)] == [RejectRequest]
-    assert looks[0] <= SAMPLE + COLD
+    assert looks[0] <= WARM_SAMPLE + WARMING_SAMPLE
 
 
 def test_a_keyed_repeat_finds_its_small_group_among_a_thousand(monkeypatch: pytest.MonkeyPatch):
@@ -214,7 +232,7 @@
         again = sent(bed.end(name, first, AttemptResult.RESET))
         assert [int(one.server[1:]) // 3 for one in again] == [int(first[1:]) // 3]
         assert again[0].server != first
-        assert looks[0] <= LOOKS
+        assert looks[0] <= GROUP_SAMPLE
         bed.end(name, again[0].server, AttemptResult.OK, attempt=1)
 
 
--- a/tests/policy/test_request_rules.py
+++ b/tests/policy/test_request_rules.py
@@ -236,7 +236,7 @@
         referee.now += 1.0
         referee.outcome(0, AttemptResult.TIMEOUT, False)
     assert all(call.ended for call in referee.calls.values())
-    assert referee.balancer.jobs == {}
+    assert referee.balancer.parts.shared.requests == {}
 
 
 @settings(derandomize=True, max_examples=60, deadline=None)
--- a/tests/policy/test_settings_change.py
+++ b/tests/policy/test_settings_change.py
@@ -14,9 +14,10 @@
 from rosewheel.node.effects import AbortAttempt, SendResponse, StartAttempt
 from rosewheel.node.limits import Limits
 from rosewheel.node.statistics import MAX_REMOVED_CLASSES, RequestOutcome, Statistics
-from rosewheel.policy import balancer
+from rosewheel.policy import settings_change
 from rosewheel.policy.actions import Action, ForwardRequest, StartTimer, WatchEndpoints
-from rosewheel.policy.balancer import START_MS, Balancer
+from rosewheel.policy.admission import START_UP_MS
+from rosewheel.policy.balancer import Balancer
 from rosewheel.policy.events import (
     AttemptResult,
     EndpointListForm,
@@ -26,9 +27,14 @@
     SettingsChanged,
     TimerFired,
 )
-from rosewheel.policy.learned_state import Learned
-from rosewheel.policy.pool import WHOLE
+from rosewheel.policy.learned_state import LearnedState
+from rosewheel.policy.pool import SMALL_POOL_SIZE, ServerPool
+from rosewheel.policy.pool_load import PoolLoad
+from rosewheel.policy.quotas import Quotas
 from rosewheel.policy.settings import DedupScope, Idempotency, ServiceClass, Settings, Tenant
+from rosewheel.policy.shared_state import SharedState
+from rosewheel.policy.slow_start import CAPACITY_SAMPLE, SlowStart
+from rosewheel.policy.throughput import Throughput
 from tests.node.test_event_orders import KINDS, STEP, World
 from tests.support.balancers import KEYED, SAFE, UNSAFE, Bed, kinds, sent, servers, settings
 
@@ -98,9 +104,11 @@
     assert world.node.active_requests == 0
     assert not world.node.requests
     balancer = world.node.balancer
-    assert not balancer.jobs
-    assert all(peer.load == 0.0 and not peer.out for peer in balancer.peers.values())
-    assert balancer.class_ms.keys() <= balancer.kinds.keys()
+    assert not balancer.parts.shared.requests
+    assert all(
+        peer.load == 0.0 and not peer.in_flight for peer in balancer.parts.shared.pool.servers.values()
+    )
+    assert balancer.parts.shared.class_latency_ms.keys() <= balancer.parts.shared.classes.keys()
 
 
 @given(st.lists(st.one_of(STEP, CONFIGURE), max_size=40), st.integers(1, 5))
@@ -112,9 +120,11 @@
         told.step(step)
         if at % every == 0:
             same = dataclasses.replace(told.node.settings)
-            before = dict(vars(told.node.balancer))
+            parts = vars(told.node.balancer.parts)
+            before = {name: dict(vars(part)) for name, part in parts.items()}
             assert told.node.configure(told.now, same, dataclasses.replace(told.node.limits)) == []
-            assert all(value is before[key] for key, value in vars(told.node.balancer).items())
+            for name, part in parts.items():
+                assert all(value is before[name][key] for key, value in vars(part).items())
     for world in (plain, told):
         world.finish()
     assert told.log == plain.log
@@ -129,13 +139,13 @@
 
 
 STAGES: list[tuple[object, str]] = [
-    (balancer, "_buckets"),
-    (balancer, "stretch"),
-    (Balancer, "_aims"),
-    (Balancer, "_rescale"),
-    (Balancer, "_strength"),
-    (Balancer, "_count_periods"),
-    (balancer.Pool, "recool"),
+    (Quotas, "take_settings"),
+    (settings_change, "objective_ratio"),
+    (SharedState, "objectives_ms"),
+    (PoolLoad, "rescale"),
+    (SlowStart, "pool_capacity"),
+    (Throughput, "restart_smoothing"),
+    (ServerPool, "restart_slow_start"),
 ]
 # Whatever can follow from settings follows from these.
 OTHER = settings(
@@ -158,14 +168,16 @@
         told.step(step)
         if at % every == 0:
             node = told.node
-            cfg = dataclasses.replace(OTHER, balancer_count=30 if not node.balancer.many else 1)
+            cfg = dataclasses.replace(
+                OTHER, balancer_count=30 if not node.balancer.parts.shared.in_large_fleet else 1
+            )
             if isinstance(why, str):
                 cfg = dataclasses.replace(cfg, **{why: {"zone": "b", "tier": 1}[why]})
             with pytest.MonkeyPatch.context() as patch:
                 if not isinstance(why, str):
                     patch.setattr(*why, fault)
                 # A strength is looked at only where there come to be many nodes.
-                skipped = why == (Balancer, "_strength") and node.balancer.many
+                skipped = why == (SlowStart, "pool_capacity") and node.balancer.parts.shared.in_large_fleet
                 if not skipped and not _same_cold(why, cfg, node):
                     with pytest.raises(
                         ValueError, match=why if isinstance(why, str) else "settings: .*FaultError"
@@ -176,37 +188,37 @@
     assert told.log == plain.log
     assert told.node.settings == plain.node.settings
     assert told.node.limits == plain.node.limits
-    ours, theirs = vars(told.node.balancer), vars(plain.node.balancer)
-    assert ours["rng"].getstate() == theirs["rng"].getstate()
-    for key in (
-        "period_ms",
-        "next_period_ms",
-        "strength",
-        "rate",
-        "peak",
-        "base",
-        "level",
-        "class_ms",
-        "buckets",
-    ):
-        assert ours[key] == theirs[key], key
+    ours, theirs = told.node.balancer.parts, plain.node.balancer.parts
+    assert ours.shared.rng.getstate() == theirs.shared.rng.getstate()
+    for part, names in APPLIED.items():
+        for name in names:
+            assert getattr(getattr(ours, part), name) == getattr(getattr(theirs, part), name), name
+
+
+# Attributes that a change of settings may replace, by part.
+APPLIED = {
+    "shared": ("configured_period_ms", "class_latency_ms"),
+    "throughput": ("period_ms", "pool_capacity", "completion_rate", "peak_completion_rate"),
+    "pool_load": ("baseline_ratio", "smoothed_ratio"),
+    "quotas": ("buckets",),
+}
 
 
 def _same_cold(why: object, cfg: Settings, node: Node) -> bool:
-    return why == (balancer.Pool, "recool") and cfg.warm_up_ms == node.settings.warm_up_ms
+    return why == (ServerPool, "restart_slow_start") and cfg.warm_up_ms == node.settings.warm_up_ms
 
 
 def test_what_was_drawn_for_a_change_that_failed_is_given_back():
     """Of a large pool, whose strength is that of some drawn servers."""
     bed = Bed(0, balancer_count=1)
-    bed.give(EndpointListUpdate(EndpointListForm.SNAPSHOT, servers(2 * balancer.REPORTS)))
-    before = bed.balancer.rng.getstate()
+    bed.give(EndpointListUpdate(EndpointListForm.SNAPSHOT, servers(2 * CAPACITY_SAMPLE)))
+    before = bed.parts.shared.rng.getstate()
     with pytest.MonkeyPatch.context() as patch:
-        patch.setattr(Balancer, "_count_periods", fault)
+        patch.setattr(Throughput, "restart_smoothing", fault)
         with pytest.raises(FaultError):
             configure(bed, balancer_count=30)
-    assert bed.balancer.rng.getstate() == before
-    assert not bed.balancer.many
+    assert bed.parts.shared.rng.getstate() == before
+    assert not bed.parts.shared.in_large_fleet
 
 
 # ------------------------------------------------------------ what is in flight
@@ -242,7 +254,7 @@
     assert node.statistics.classes["read"].ok == 1
     with pytest.raises(ValueError, match="service: 'read'"):
         node.balancer.handle(5.0, RequestReceived("q", "read", 2500.0))
-    assert "read" not in node.balancer.class_ms
+    assert "read" not in node.balancer.parts.shared.class_latency_ms
 
 
 def test_work_that_was_unsafe_when_it_was_taken_is_not_run_twice():
@@ -335,19 +347,19 @@
 
 
 def configure(bed: Bed, **changes: Any) -> list[Action]:
-    return bed.give(SettingsChanged(dataclasses.replace(bed.balancer.cfg, **changes)))
+    return bed.give(SettingsChanged(dataclasses.replace(bed.parts.shared.settings, **changes)))
 
 
 def test_a_shorter_aim_is_no_overload():
     """Guards against a baseline that stays behind: with half the aim the same answers take twice the share of it."""
     bed = Bed(4, classes=(SAFE,), warm_up_ms=0.0)
     quiet(bed, 30, latency=200.0)
-    assert bed.balancer.base == pytest.approx(0.2, rel=0.01)
+    assert bed.parts.pool_load.baseline_ratio == pytest.approx(0.2, rel=0.01)
     configure(bed, classes=(dataclasses.replace(SAFE, latency_objective_ms=500.0),))
-    assert bed.balancer.base == pytest.approx(0.4, rel=0.01)
+    assert bed.parts.pool_load.baseline_ratio == pytest.approx(0.4, rel=0.01)
     for _ in range(30):
         quiet(bed, 1, latency=200.0)
-        assert bed.balancer.cursor == 0
+        assert bed.parts.table.cursor == 0
 
 
 def test_what_was_taken_under_the_old_aim_teaches_by_the_new_one():
@@ -356,7 +368,7 @@
     name, acts = bed.ask()
     configure(bed, classes=(dataclasses.replace(SAFE, latency_objective_ms=500.0),))
     bed.end(name, sent(acts)[0].server, AttemptResult.OK, 200.0)
-    assert bed.balancer.ratios == [pytest.approx(0.4)]
+    assert bed.parts.pool_load.latency_ratios == [pytest.approx(0.4)]
 
 
 def test_no_class_in_common_begins_anew():
@@ -364,8 +376,14 @@
     quiet(bed, 30, latency=200.0)
     configure(bed, classes=(dataclasses.replace(SAFE, name="other", latency_objective_ms=300.0),))
     one = bed.balancer
-    assert (one.base, one.level, one.learned_from, one.class_ms, one.mean_aim) == (None, 0.0, 0, {}, 300.0)
-    assert one.peak > 0.0  # the pool is the same
+    assert (
+        one.parts.pool_load.baseline_ratio,
+        one.parts.pool_load.smoothed_ratio,
+        one.parts.pool_load.baseline_outcomes,
+        one.parts.shared.class_latency_ms,
+        one.parts.pool_load.mean_objective_ms,
+    ) == (None, 0.0, 0, {}, 300.0)
+    assert one.parts.throughput.peak_completion_rate > 0.0  # the pool is the same
 
 
 def test_a_shorter_period_begins_when_the_one_that_runs_has_ended():
@@ -373,36 +391,41 @@
     slow = dataclasses.replace(SAFE, latency_objective_ms=10000.0, deadline_ms=20000.0)
     bed = Bed(4, classes=(slow,), warm_up_ms=0.0)
     quiet(bed, 10, latency=200.0)
-    peak = bed.balancer.peak
+    peak = bed.parts.throughput.peak_completion_rate
     for _ in range(4):
         bed.serve(latency=0.0)
     configure(bed, classes=(dataclasses.replace(SAFE, latency_objective_ms=100.0, deadline_ms=200.0),))
     acts = bed.period()
-    assert bed.balancer.peak <= peak * 1.05
+    assert bed.parts.throughput.peak_completion_rate <= peak * 1.05
     assert [act.delay_ms for act in acts if isinstance(act, StartTimer)] == [15.0]
-    assert bed.balancer.periods * bed.balancer.period_ms >= START_MS  # it does not start anew
+    assert bed.parts.throughput.period_count * bed.balancer.period_ms >= START_UP_MS  # it does not start anew
+
+
+def rates(bed: Bed) -> tuple[float, float, float | None]:
+    """Smoothed and highest completion rate, and the baseline."""
+    throughput = bed.parts.throughput
+    return throughput.completion_rate, throughput.peak_completion_rate, bed.parts.pool_load.baseline_ratio
 
 
 def test_one_node_of_thirty_and_back_knows_what_the_pool_does():
     bed = Bed(4, balancer_count=1, warm_up_ms=0.0)
     quiet(bed, 30, latency=200.0)
-    before = (bed.balancer.rate, bed.balancer.peak, bed.balancer.base)
+    before = rates(bed)
     configure(bed, balancer_count=30)
-    here = bed.balancer
-    assert here.many
-    assert here.strength == pytest.approx(4.0)
-    assert here.rate * here.strength == pytest.approx(before[0])
+    shared, throughput = bed.parts.shared, bed.parts.throughput
+    assert shared.in_large_fleet
+    assert throughput.pool_capacity == pytest.approx(4.0)
+    assert throughput.completion_rate * throughput.pool_capacity == pytest.approx(before[0])
     quiet(bed, 3, latency=200.0, each=1)
     configure(bed, balancer_count=1)
-    assert not here.many
-    assert here.strength == 1.0
-    assert here.peak == pytest.approx(before[1], rel=0.5)
+    assert not shared.in_large_fleet
+    assert throughput.pool_capacity == 1.0
+    assert throughput.peak_completion_rate == pytest.approx(before[1], rel=0.5)
     twice = Bed(4, balancer_count=1, warm_up_ms=0.0)
     quiet(twice, 30, latency=200.0)
     configure(twice, balancer_count=30)
     configure(twice, balancer_count=1)
-    now = (twice.balancer.rate, twice.balancer.peak, twice.balancer.base)
-    assert now == pytest.approx(before)
+    assert rates(twice) == pytest.approx(before)
 
 
 def test_a_server_that_many_nodes_shun_is_not_shunned_by_one_for_good():
@@ -410,42 +433,42 @@
     for _ in range(3):
         name, acts = bed.ask()
         bed.end(name, sent(acts)[0].server, AttemptResult.OVERLOADED, done=True)
-    assert bed.balancer.peers["s0"].turned == 3
+    assert bed.servers["s0"].refusals_in_row == 3
     configure(bed, balancer_count=1)
-    peer = bed.balancer.peers["s0"]
-    assert (peer.turned, peer.shy_ms) == (0, -math.inf)
+    peer = bed.servers["s0"]
+    assert (peer.refusals_in_row, peer.backoff_until_ms) == (0, -math.inf)
 
 
 def test_a_tenants_share_follows_and_what_is_left_of_it_stays():
     bed = Bed(4, balancer_count=1, tenants=(Tenant("t", 4.0),), warm_up_ms=0.0)
     for _ in range(3):
         bed.ask(tenant="t")
-    assert bed.balancer.buckets["t"].tokens == 1.0
+    assert bed.parts.quotas.buckets["t"].tokens == 1.0
     configure(bed, tenants=(Tenant("t", 8.0), Tenant("u", 2.0)))
-    assert {name: one.tokens for name, one in bed.balancer.buckets.items()} == {"t": 1.0, "u": 2.0}
+    assert {name: one.tokens for name, one in bed.parts.quotas.buckets.items()} == {"t": 1.0, "u": 2.0}
     configure(bed, balancer_count=16)
-    assert {name: one.tokens for name, one in bed.balancer.buckets.items()} == {"t": 0.5, "u": 0.125}
+    assert {name: one.tokens for name, one in bed.parts.quotas.buckets.items()} == {"t": 0.5, "u": 0.125}
     configure(bed, tenants=())
-    assert bed.balancer.buckets == {}
+    assert bed.parts.quotas.buckets == {}
 
 
-@pytest.mark.parametrize("count", [4, WHOLE + 6])
+@pytest.mark.parametrize("count", [4, SMALL_POOL_SIZE + 6])
 def test_servers_that_are_cold_for_longer_owe_nothing_for_their_time_as_warm_ones(count: int):
     bed = Bed(0, warm_up_ms=1000.0, balancer_count=1)
     bed.give(EndpointListUpdate(EndpointListForm.SNAPSHOT, servers(count, launched_ms=bed.now)))
     bed.now += 2000.0
     for _ in range(20):
         quiet(bed, 1, latency=10.0, each=3 * count)
-    peers = bed.balancer.peers.values()
+    peers = bed.servers.values()
     assert all(peer.credit < -1.0 for peer in peers)
     configure(bed, warm_up_ms=60000.0)
     assert all(0.0 <= peer.credit <= 1.0 for peer in peers)
-    assert len(bed.balancer.pool._warm) == 0
+    assert len(bed.parts.shared.pool._warm) == 0
     got = sum(len(sent(bed.ask()[1])) for _ in range(count))
     assert got < count  # paced by now
     assert quiet(bed, 20, latency=10.0, each=count) > count  # but not shut out
     configure(bed, warm_up_ms=0.0)
-    assert len(bed.balancer.pool._warm) == count
+    assert len(bed.parts.shared.pool._warm) == count
     assert all(sent(bed.ask()[1]) for _ in range(count))
 
 
@@ -462,15 +485,18 @@
     """Guards an upgrade that comes with other settings; a file from before aims were kept counts as it is."""
     old = Bed(4, classes=(SAFE,), warm_up_ms=0.0)
     quiet(old, 30, latency=200.0)
-    learned = old.balancer.learned(old.now)
-    for aim, kept, base in [(500.0, learned, 0.4), (500.0, dataclasses.replace(learned, aims={}), 0.2)]:
+    learned = old.balancer.capture_learned_state(old.now)
+    for aim, kept, base in [
+        (500.0, learned, 0.4),
+        (500.0, dataclasses.replace(learned, objectives_ms={}), 0.2),
+    ]:
         new = Bed(4, classes=(dataclasses.replace(SAFE, latency_objective_ms=aim),), warm_up_ms=0.0)
-        new.balancer.recall(new.now, kept, 0.0)
-        assert new.balancer.base == pytest.approx(base, rel=0.01)
+        new.balancer.restore_learned_state(new.now, kept, 0.0)
+        assert new.balancer.parts.pool_load.baseline_ratio == pytest.approx(base, rel=0.01)
     strange = Bed(4, classes=(dataclasses.replace(SAFE, name="other"),), warm_up_ms=0.0)
-    strange.balancer.recall(strange.now, learned, 0.0)
-    assert strange.balancer.base is None
-    assert Learned().aims == {}
+    strange.balancer.restore_learned_state(strange.now, learned, 0.0)
+    assert strange.balancer.parts.pool_load.baseline_ratio is None
+    assert LearnedState().objectives_ms == {}
 
 
 def test_whether_discovery_is_asked_may_change():
--- a/tests/policy/test_slow_start.py
+++ b/tests/policy/test_slow_start.py
@@ -276,7 +276,7 @@
             sends += sum(act.server == "cold" for act in sent(bed.ask("post")[1]))
     # Of what is completed for all thirty a warm server does a tenth; what it may be sent while it is as old as this is
     # the budget of the settings.
-    cfg, age = beds[0].balancer.cfg, beds[0].now - cold.launched_ms
+    cfg, age = beds[0].balancer.parts.shared.settings, beds[0].now - cold.launched_ms
     rules = RulesTable(
         warm_up_initial_share=cfg.warm_up_initial_share,
         warm_up_s=cfg.warm_up_ms / 1000.0,
@@ -297,11 +297,14 @@
     for bed in beds:
         cold = Server("cold", "a", launched_ms=bed.now)
         bed.give(EndpointListUpdate(EndpointListForm.DELTA, (cold,)))
-        bed.balancer.peak = rate
-        peer = bed.balancer.peers["cold"]
+        bed.parts.throughput.peak_completion_rate = rate
+        peer = bed.servers["cold"]
         peer.credit = peer.credit % 1.0
-        ready += bed.balancer._paced(bed.now + away, peer) and away < bed.balancer.cfg.warm_up_ms
+        ready += (
+            bed.parts.slow_start.has_credit(bed.now + away, peer)
+            and away < bed.parts.shared.settings.warm_up_ms
+        )
         assert peer.credit < 2.0
-        pace = bed.balancer._warmth(bed.now + away, peer) * bed.balancer._pace()
-        kept += min(1.0, pace * bed.balancer.cfg.overload_window_ms / 2.0)
+        pace = bed.parts.slow_start.capacity_share(bed.now + away, peer) * bed.parts.slow_start.credit_rate()
+        kept += min(1.0, pace * bed.parts.shared.settings.overload_window_ms / 2.0)
     assert ready <= kept + 4.0 * math.sqrt(kept) + 2.0, "four deviations of what is drawn"
--- a/tests/proxy/test_cordon.py
+++ b/tests/proxy/test_cordon.py
@@ -84,8 +84,8 @@
     box.update_endpoints(0.0, EndpointListForm.SNAPSHOT, (Server("s", zone="a"),))
     assert not box.is_known_server("nobody")
     box.set_cordon(0.0, "s", cordoned=True)
-    box.balancer.pool.cordoned.clear()  # a module that forgets
-    box.balancer.pool.settle(box.balancer.peers["s"], 0.0)
+    box.balancer.parts.shared.pool.cordoned_since_ms.clear()  # a module that forgets
+    box.balancer.parts.shared.pool.refresh_readiness(box.balancer.parts.shared.pool.servers["s"], 0.0)
     effects = box.receive_request(1.0, RequestReceived("r", "read", 2000.0))
     assert not any(isinstance(effect, StartAttempt) for effect in effects)
     assert (box.can_serve, box.cordoned_endpoint_count) == (False, 1)
--- a/tests/support/balancers.py
+++ b/tests/support/balancers.py
@@ -16,6 +16,8 @@
     Server,
     TimerFired,
 )
+from rosewheel.policy.parts import Parts
+from rosewheel.policy.server_stats import ServerStats
 from rosewheel.policy.settings import DedupScope, Idempotency, ServiceClass, Settings
 
 SAFE = ServiceClass(
@@ -70,6 +72,16 @@
         self.names = 0
         self.give(EndpointListUpdate(EndpointListForm.CACHED, servers(count)))
 
+    @property
+    def parts(self) -> Parts:
+        """The parts of its decisions."""
+        return self.balancer.parts
+
+    @property
+    def servers(self) -> dict[str, ServerStats]:
+        """Statistics of the listed servers."""
+        return self.parts.shared.pool.servers
+
     def give(self, event: Event, after: float = 0.0) -> list[Action]:
         self.now += after
         return self.balancer.handle(self.now, event)
--- a/tests/test_adapter.py
+++ b/tests/test_adapter.py
@@ -144,9 +144,9 @@
     rows = [row for event in (catalog(), *start(), request("q")) for row in bench.event(event)]
     server = of(rows, "ISSUE")[0]["server"]
     bench.event(returned("q", server, 0, True, telemetry=[3, None]))
-    peer = bench.nodes[0].balancer.peers[server]
-    assert peer.queue == 3
-    assert peer.util is None
+    peer = bench.nodes[0].balancer.parts.shared.pool.servers[server]
+    assert peer.reported_queue == 3
+    assert peer.utilisation is None
 
 
 def test_a_catalog_number_is_reused_by_event_order():
@@ -154,7 +154,7 @@
     bench.now = 1000.0
     for event in (catalog(0, 2), *start(0), catalog(0, 5), *start(1)):
         bench.event(event)
-    assert [len(bench.nodes[node].balancer.peers) for node in (0, 1)] == [2, 5]
+    assert [len(bench.nodes[node].balancer.parts.shared.pool.servers) for node in (0, 1)] == [2, 5]
 
 
 def test_a_stop_and_a_start_within_a_batch_leave_nothing_behind():
@@ -162,7 +162,7 @@
     bench.now = 1000.0
     for event in (catalog(), *start(), request("q"), {"kind": "STOP", "node": 0}, *start()):
         bench.event(event)
-    assert bench.nodes[0].balancer.jobs == {}
+    assert bench.nodes[0].balancer.parts.shared.requests == {}
 
 
 def test_membership_forms():
@@ -174,10 +174,10 @@
     assert [row["kind"] for row in failed] == ["SLEEP"]
     bench.event(catalog(1, 1, stageState="removed"))
     bench.event({"kind": "MEMBERSHIP", "node": 0, "form": "delta", "generation": 3, "ref": 1})
-    assert len(bench.nodes[0].balancer.peers) == 2
+    assert len(bench.nodes[0].balancer.parts.shared.pool.servers) == 2
     bench.event(catalog(2, 1))
     bench.event({"kind": "MEMBERSHIP", "node": 0, "form": "full", "generation": 4, "ref": 2})
-    assert list(bench.nodes[0].balancer.peers) == ["10.0.0.0:1"]
+    assert list(bench.nodes[0].balancer.parts.shared.pool.servers) == ["10.0.0.0:1"]
 
 
 def test_other_events_are_taken():
@@ -206,7 +206,7 @@
         {"kind": "ALARM", "node": 0, "name": "not ours"},
     ]
     assert [bench.event(event) for event in quiet] == [[], [], [], []]
-    assert bench.nodes[0].balancer.peers["10.0.0.1:1"].queue == 4
+    assert bench.nodes[0].balancer.parts.shared.pool.servers["10.0.0.1:1"].reported_queue == 4
 
 
 def test_absent_settings_take_their_defaults():
