--- a/rosewheel/lab/experiment.py
+++ b/rosewheel/lab/experiment.py
@@ -1,4 +1,4 @@
-"""Several runs of scenarios and their variants, one after another, and what they say together."""
+"""Several runs of scenarios and their variants, one after another, and their results together."""
 
 from __future__ import annotations
 
@@ -18,6 +18,8 @@
 from rosewheel.lab.scenario import Scenario
 from rosewheel.lab.tables import NetworkTable
 
+CONFIDENCE = 0.95
+
 
 @dataclass(slots=True, frozen=True)
 class Variant:
@@ -28,58 +30,71 @@
 
 
 def variants(names: Sequence[str], vary: Sequence[tuple[str, Sequence[object]]]) -> list[Variant]:
-    """Every scenario under every combination of the changes; ProblemsError where one of them can't be used."""
+    """Every scenario under every combination of the changes.
+
+    Args:
+        vary: keys of the scenario file, each with its values.
+
+    Raises:
+        ProblemsError: a scenario or a change is invalid.
+    """
     found: list[Variant] = []
     for name in names:
         for values in itertools.product(*(options for _, options in vary)):
             changes = dict(zip((key for key, _ in vary), values, strict=True))
-            told = scenarios.load(name, changes)
+            scenario = scenarios.load(name, changes)
             label = " ".join(f"{key}={value}" for key, value in changes.items())
-            found.append(Variant(f"{told.name} {label}".strip(), told))
+            found.append(Variant(f"{scenario.name} {label}".strip(), scenario))
     return found
 
 
 def check_emulated(scenario: Scenario) -> None:
-    """ProblemsError where a scenario wants what is not emulated on sockets."""
-    wanted = {
+    """Check that a scenario can be emulated on sockets.
+
+    Raises:
+        ProblemsError: it needs what only the simulation has.
+    """
+    simulated_only = {
         "service": bool(scenario.services),
         "region": bool(scenario.regions),
         "network": scenario.network != NetworkTable(),
     }
-    for at, trouble in enumerate(scenario.faults):
-        wanted[f"trouble[{at}].kind"] = trouble.kind in ZONE_FAULT_KINDS
-    for key, there in wanted.items():
-        if there:
+    for index, fault in enumerate(scenario.faults):
+        simulated_only[f"trouble[{index}].kind"] = fault.kind in ZONE_FAULT_KINDS
+    for key, present in simulated_only.items():
+        if present:
             why = "services, regions and ways between them are not emulated on sockets: `simulate` plays them"
             raise ProblemsError(scenario.name, [Problem(key, None, why)])
 
 
 def parse_value(text: str) -> object:
-    """A value on the command line: a number, true or false, or else text."""
+    """A value of the command line: a number, true or false, or else text."""
     try:
-        parsed: object = msgspec.json.decode(text)
+        value: object = msgspec.json.decode(text)
     except msgspec.DecodeError:
         return text
-    return parsed
+    return value
 
 
 @dataclass(slots=True, frozen=True)
 class PlannedRun:
+    """One run of a variant, with its seed and the folder of its records."""
+
     variant: Variant
     seed: int
     folder: Path
 
 
 def plan_runs(found: Sequence[Variant], seed: int | None, repeat: int, out: Path) -> Iterator[PlannedRun]:
-    """Every run there is to make. Repeats take the seeds that follow, the same for each variant: they are paired."""
+    """Every run. Repeats take the seeds that follow, the same for each variant, so that runs are paired."""
     for number in range(repeat):
-        for at, variant in enumerate(found):
+        for index, variant in enumerate(found):
             first = variant.scenario.seed if seed is None else seed
-            yield PlannedRun(variant, first + number, out / f"v{at}-s{first + number}")
+            yield PlannedRun(variant, first + number, out / f"v{index}-s{first + number}")
 
 
 async def play_run(item: PlannedRun) -> dict[str, Any]:
-    """One run; its records are in `item.folder`, its summary is returned."""
+    """Carry out one run; its records are in `item.folder`, its summary is returned."""
     item.folder.mkdir(parents=True, exist_ok=True)
     plan = plans.make(item.variant.scenario, item.seed)
     summary = await ExperimentRun(plan, item.folder).execute()
@@ -88,50 +103,62 @@
 
 @dataclass(slots=True, frozen=True)
 class VariantRow:
-    """A variant's service over its runs: mean and the half-width of its 95% confidence interval."""
+    """The results of a variant over its runs.
+
+    Attributes:
+        service: mean service; void runs are left out of it.
+        half_width: half the width of its confidence interval; None where one run has none.
+        p99_ms: mean 99th percentile of the latency, by class.
+        violated_runs: runs in which a rule was violated.
+        after_restarts: mean service after restarts of nodes, and its interval likewise.
+    """
 
     variant: str
     runs: int
     void_runs: int
     service: float
-    half_width: float | None  # None: one run says nothing of chance
+    half_width: float | None
     p99_ms: dict[str, float]
     violated_runs: int
-    after_restarts: float | None = None  # service in the 10 s after restarts of nodes, and its interval
+    after_restarts: float | None = None
     after_restarts_half_width: float | None = None
 
 
 def summarize(summaries: Sequence[dict[str, Any]]) -> list[VariantRow]:
-    """One row a variant; runs that are void are counted and left out."""
-    rows: list[VariantRow] = []
-    for name in dict.fromkeys(one["variant"] for one in summaries):
-        mine = [one for one in summaries if one["variant"] == name]
-        good = [one for one in mine if not one["void"]]
-        services = [one["service"] for one in good]
-        mean = sum(services) / len(services) if services else float("nan")
-        classes = good[0]["classes"] if good else {}
-        after = [one["after_restarts"] for one in good if one.get("after_restarts") is not None]
-        rows.append(
-            VariantRow(
-                variant=name,
-                runs=len(mine),
-                void_runs=len(mine) - len(good),
-                service=mean,
-                half_width=_half_width(services),
-                p99_ms={
-                    key: sum(one["classes"][key]["p99_ms"] for one in good) / len(good) for key in classes
-                },
-                violated_runs=sum(not one["ok"] for one in mine),
-                after_restarts=sum(after) / len(after) if after else None,
-                after_restarts_half_width=_half_width(after),
-            )
-        )
-    return rows
+    """One row for each variant; void runs are counted and left out of the means."""
+    names = dict.fromkeys(summary["variant"] for summary in summaries)
+    return [_row(name, [one for one in summaries if one["variant"] == name]) for name in names]
+
+
+def _row(name: str, summaries: list[dict[str, Any]]) -> VariantRow:
+    valid = [summary for summary in summaries if not summary["void"]]
+    services = [summary["service"] for summary in valid]
+    classes = valid[0]["classes"] if valid else {}
+    after_restarts = [
+        summary["after_restarts"] for summary in valid if summary.get("after_restarts") is not None
+    ]
+    return VariantRow(
+        variant=name,
+        runs=len(summaries),
+        void_runs=len(summaries) - len(valid),
+        service=_mean(services) if services else float("nan"),
+        half_width=_half_width(services),
+        p99_ms={key: _mean([summary["classes"][key]["p99_ms"] for summary in valid]) for key in classes},
+        violated_runs=sum(not summary["ok"] for summary in summaries),
+        after_restarts=_mean(after_restarts) if after_restarts else None,
+        after_restarts_half_width=_half_width(after_restarts),
+    )
+
+
+def _mean(values: Sequence[float]) -> float:
+    return sum(values) / len(values)
 
 
 def _half_width(values: Sequence[float]) -> float | None:
+    """Half the width of the mean's confidence interval, by Student's t."""
     if len(values) < 2:
         return None
     from scipy import stats
 
-    return float(stats.sem(values) * stats.t.ppf(0.975, len(values) - 1))
+    quantile = (1.0 + CONFIDENCE) / 2.0
+    return float(stats.sem(values) * stats.t.ppf(quantile, len(values) - 1))
--- a/rosewheel/lab/record_types.py
+++ b/rosewheel/lab/record_types.py
@@ -363,6 +363,14 @@
     descriptors: int
 
 
+NODE_RECORDS = (
+    NodeKilledRecord,
+    NodeBackRecord,
+    NodeCrashRecord,
+    NodeLossRecord,
+    NodeUpgradeRecord,
+    NodeProcessRecord,
+)
 NodeFaultRecord = NodeCrashRecord | NodeLossRecord | NodeUpgradeRecord
 Record = (
     JobRecord
@@ -381,3 +389,8 @@
     | NodeFaultRecord
     | NodeProcessRecord
 )
+
+
+def record_tag(record: Record) -> str:
+    """The kind of a record by the word of its stored form."""
+    return str(record.__struct_config__.tag)
--- a/rosewheel/lab/report.py
+++ b/rosewheel/lab/report.py
@@ -1,11 +1,12 @@
-"""What runs say together: a table for the terminal, and a page with plots."""
+"""The results of runs: a table for the terminal, and a page with plots."""
 
 from __future__ import annotations
 
 import base64
 import io
 from collections import defaultdict
-from collections.abc import Sequence
+from collections.abc import Iterable, Sequence
+from dataclasses import dataclass
 from pathlib import Path
 from typing import Any
 
@@ -14,7 +15,17 @@
 import numpy as np
 
 from rosewheel.lab.experiment import VariantRow
-from rosewheel.lab.records import read_records
+from rosewheel.lab.plan_faults import FaultPhase
+from rosewheel.lab.record_types import (
+    NODE_RECORDS,
+    FaultStepRecord,
+    OperationRecord,
+    Record,
+    RecordFile,
+    ServerSampleRecord,
+    record_tag,
+)
+from rosewheel.lab.records import load_records
 
 mpl.use("Agg")
 
@@ -22,37 +33,56 @@
 from matplotlib.axes import Axes
 from matplotlib.figure import Figure
 
+HTTP_OK = 200
 WINDOW_S = 1.0  # of the curves over time
 SPAN_COLOURS = ("#f4c7c3", "#c9daf8", "#d9ead3", "#fff2cc", "#ead1dc")
+MIN_SPAN_S = 0.2  # so that a moment is visible
+QUANTILES = (50, 90, 99)
+
+
+@dataclass(slots=True, frozen=True)
+class FaultMoment:
+    """A step of a fault of a kind; `phase` is the value of a `FaultPhase`, or empty for a single moment."""
+
+    kind: str
+    phase: str
+    at_ms: float
+
+
+@dataclass(slots=True, frozen=True)
+class FaultSpan:
+    """The time from the first moment of a kind of fault to the last."""
+
+    kind: str
+    begin_s: float
+    end_s: float
 
 
 def text_table(rows: Sequence[VariantRow]) -> str:
-    """The table, one line a variant."""
+    """The table, one line for each variant."""
     width = max(8, *(len(row.variant) for row in rows))
     lines = [f"{'variant':{width}}  runs  void  service  +/- 95%  rules  p99 ms"]
     for row in rows:
-        half = "      -" if row.half_width is None else f"{row.half_width:7.3f}"
+        half_width = "      -" if row.half_width is None else f"{row.half_width:7.3f}"
         rules = "kept  " if not row.violated_runs else f"{row.violated_runs} bad "
-        p99 = "  ".join(f"{name} {value:.0f}" for name, value in row.p99_ms.items())
+        last = "  ".join(f"{name} {value:.0f}" for name, value in row.p99_ms.items())
         if row.after_restarts is not None:
-            p99 += f"  after restarts {row.after_restarts:.3f}"
-            p99 += (
-                "" if row.after_restarts_half_width is None else f" +/- {row.after_restarts_half_width:.3f}"
-            )
-        lines.append(
-            f"{row.variant:{width}}  {row.runs:4}  {row.void_runs:4}  {row.service:7.3f}  {half}  {rules} {p99}"
-        )
+            last += f"  after restarts {row.after_restarts:.3f}"
+        if row.after_restarts_half_width is not None:
+            last += f" +/- {row.after_restarts_half_width:.3f}"
+        counts = f"{row.runs:4}  {row.void_runs:4}"
+        lines.append(f"{row.variant:{width}}  {counts}  {row.service:7.3f}  {half_width}  {rules} {last}")
     return "\n".join(lines)
 
 
 def write_report(folder: Path, summaries: Sequence[dict[str, Any]], rows: Sequence[VariantRow]) -> Path:
-    """`report.html` in this folder: the table, and the plots of each variant's first run."""
-    shown: dict[str, dict[str, Any]] = {}
-    for one in summaries:
-        shown.setdefault(one["variant"], one)
+    """Write `report.html` in this folder: the table, and the plots of each variant's first run."""
+    first_runs: dict[str, dict[str, Any]] = {}
+    for summary in summaries:
+        first_runs.setdefault(summary["variant"], summary)
     pages = [
-        {"summary": one, "plots": [_encoded(figure) for figure in _plots(folder / one["folder"])]}
-        for one in shown.values()
+        {"summary": summary, "plots": [_encoded(figure) for figure in _plots(folder / summary["folder"])]}
+        for summary in first_runs.values()
     ]
     source = (Path(__file__).parent / "report.html").read_text(encoding="utf-8")
     template = jinja2.Environment(autoescape=True).from_string(source)
@@ -72,46 +102,59 @@
 
 
 def _plots(folder: Path) -> list[Figure]:
-    ops = [row for row in read_records(folder / "load.jsonl") if row["e"] == "op"]
-    samples: dict[str, list[dict[str, Any]]] = defaultdict(list)
-    steps: list[dict[str, Any]] = []
-    for row in read_records(folder / "equipos.jsonl"):
-        if row["e"] == "sample":
-            samples[row["equipo"]].append(row)
-        elif row["e"] == "step":
-            steps.append(row)
-    steps += [row | {"kind": row["e"], "what": "moment"} for row in read_records(folder / "run.jsonl")]
-    end = max((op["at"] for op in ops), default=0.0) / 1000.0
-    spans = fault_spans(steps, end)
+    operations = [
+        record for record in load_records(folder, RecordFile.LOAD) if isinstance(record, OperationRecord)
+    ]
+    samples: dict[str, list[ServerSampleRecord]] = defaultdict(list)
+    moments: list[FaultMoment] = []
+    for record in load_records(folder, RecordFile.SERVERS):
+        if isinstance(record, ServerSampleRecord):
+            samples[record.server].append(record)
+        elif isinstance(record, FaultStepRecord):
+            moments.append(FaultMoment(record.kind, record.phase, record.at_ms))
+    moments += _node_moments(load_records(folder, RecordFile.RUN))
+    end_s = max((operation.planned_ms for operation in operations), default=0.0) / 1000.0
+    spans = fault_spans(moments, end_s)
     figures = []
-    if ops:
-        figures += [_service(ops, spans), _latency(ops, spans)]
+    if operations:
+        figures += [_service_plot(operations, spans), _latency_plot(operations, spans)]
     if samples:
-        figures += [_equipos(samples, spans, "queue", "waiting"), _equipos(samples, spans, "speed", "speed")]
+        figures += [_queue_plot(samples, spans), _speed_plot(samples, spans)]
     return figures
 
 
-def fault_spans(steps: Sequence[dict[str, Any]], end_s: float) -> list[tuple[str, float, float]]:
-    """The troubles as (kind, from s, to s), each from its first moment to its last."""
-    first: dict[str, float] = {}
-    last: dict[str, float] = {}
-    running: dict[str, int] = defaultdict(int)
-    for step in sorted(steps, key=lambda row: float(row["t"])):
-        kind, at = step["kind"], step["t"] / 1000.0
-        first.setdefault(kind, at)
-        last[kind] = at
-        running[kind] += {"begin": 1, "end": -1}.get(step["what"], 0)
+def _node_moments(records: Iterable[Record]) -> list[FaultMoment]:
+    """The records of nodes as moments, by their tags."""
     return [
-        (kind, first[kind], end_s if running[kind] > 0 and last[kind] == first[kind] else last[kind])
-        for kind in first
+        FaultMoment(record_tag(record), "", record.at_ms)
+        for record in records
+        if isinstance(record, NODE_RECORDS)
     ]
 
 
-def _axes(spans: Sequence[tuple[str, float, float]], height: float) -> tuple[Figure, Axes]:
+def fault_spans(moments: Sequence[FaultMoment], end_s: float) -> list[FaultSpan]:
+    """The faults by kind; one that has not ended lasts until `end_s`."""
+    first_s: dict[str, float] = {}
+    last_s: dict[str, float] = {}
+    active: dict[str, int] = defaultdict(int)
+    for moment in sorted(moments, key=lambda moment: moment.at_ms):
+        at_s = moment.at_ms / 1000.0
+        first_s.setdefault(moment.kind, at_s)
+        last_s[moment.kind] = at_s
+        active[moment.kind] += {FaultPhase.BEGIN.value: 1, FaultPhase.END.value: -1}.get(moment.phase, 0)
+    spans = []
+    for kind, begin_s in first_s.items():
+        open_ended = active[kind] > 0 and last_s[kind] == begin_s
+        spans.append(FaultSpan(kind, begin_s, end_s if open_ended else last_s[kind]))
+    return spans
+
+
+def _axes(spans: Sequence[FaultSpan], height: float) -> tuple[Figure, Axes]:
     figure, axes = plt.subplots(figsize=(11, height))
-    for number, (kind, begin, end) in enumerate(spans):
+    for number, span in enumerate(spans):
         colour = SPAN_COLOURS[number % len(SPAN_COLOURS)]
-        axes.axvspan(begin, max(end, begin + 0.2), color=colour, alpha=0.6, lw=0, label=kind)
+        end_s = max(span.end_s, span.begin_s + MIN_SPAN_S)
+        axes.axvspan(span.begin_s, end_s, color=colour, alpha=0.6, lw=0, label=span.kind)
     axes.set_xlabel("s")
     return figure, axes
 
@@ -120,63 +163,78 @@
     axes.legend(loc="upper left", bbox_to_anchor=(1.01, 1.0), fontsize=8)
 
 
-def _service(ops: Sequence[dict[str, Any]], spans: Sequence[tuple[str, float, float]]) -> Figure:
-    """Work answered in time over work asked for, by class and second."""
+def _service_plot(operations: Sequence[OperationRecord], spans: Sequence[FaultSpan]) -> Figure:
+    """Work served in time over work offered, by class and second."""
     figure, axes = _axes(spans, 3.0)
-    for name in sorted({op["class"] for op in ops}):
-        mine = [op for op in ops if op["class"] == name]
-        slots = np.array([int(op["at"] / 1000.0 / WINDOW_S) for op in mine])
-        work = np.array([op["work"] for op in mine])
-        good = work * np.array([op["in_time"] for op in mine])
-        asked, served = np.bincount(slots, work), np.bincount(slots, good)
-        there = asked > 0
-        axes.plot((np.nonzero(there)[0] + 0.5) * WINDOW_S, served[there] / asked[there], lw=1.3, label=name)
+    for name in sorted({operation.class_name for operation in operations}):
+        of_class = [operation for operation in operations if operation.class_name == name]
+        bins = np.array([int(operation.planned_ms / 1000.0 / WINDOW_S) for operation in of_class])
+        work = np.array([operation.work_ms for operation in of_class])
+        in_time = np.array([operation.in_time for operation in of_class])
+        offered, served = np.bincount(bins, work), np.bincount(bins, work * in_time)
+        used = offered > 0
+        axes.plot((np.nonzero(used)[0] + 0.5) * WINDOW_S, served[used] / offered[used], lw=1.3, label=name)
     axes.set_ylim(-0.02, 1.05)
     axes.set_title("service by class")
     _legend(axes)
     return figure
 
 
-def _latency(ops: Sequence[dict[str, Any]], spans: Sequence[tuple[str, float, float]]) -> Figure:
-    """Percentiles of the time to the answer, from the moment at which it was wanted."""
+def _latency_plot(operations: Sequence[OperationRecord], spans: Sequence[FaultSpan]) -> Figure:
+    """Percentiles of the latency of served operations, from their planned moments."""
     figure, axes = _axes(spans, 3.0)
-    by: dict[int, list[float]] = defaultdict(list)
-    for op in ops:
-        if op["tries"] and op["tries"][-1]["status"] == 200:
-            by[int(op["at"] / 1000.0 / WINDOW_S)].append(op["took"])
-    times = sorted(by)
-    for quantile in (50, 90, 99):
-        values = [float(np.percentile(by[time], quantile)) for time in times]
-        axes.plot([(time + 0.5) * WINDOW_S for time in times], values, lw=1.1, label=f"p{quantile}")
+    latencies: dict[int, list[float]] = defaultdict(list)
+    for operation in operations:
+        if operation.attempts and operation.attempts[-1].status == HTTP_OK:
+            latencies[int(operation.planned_ms / 1000.0 / WINDOW_S)].append(operation.duration_ms)
+    bins = sorted(latencies)
+    for quantile in QUANTILES:
+        values = [float(np.percentile(latencies[index], quantile)) for index in bins]
+        axes.plot([(index + 0.5) * WINDOW_S for index in bins], values, lw=1.1, label=f"p{quantile}")
     axes.set_yscale("log")
     axes.set_title("time to the answer, ms")
     _legend(axes)
     return figure
 
 
-def _equipos(
-    samples: dict[str, list[dict[str, Any]]], spans: Sequence[tuple[str, float, float]], key: str, title: str
+def _queue_plot(samples: dict[str, list[ServerSampleRecord]], spans: Sequence[FaultSpan]) -> Figure:
+    values = {
+        name: [(sample, float(sample.queue_length)) for sample in records]
+        for name, records in samples.items()
+    }
+    return _server_plot(values, spans, "waiting at each equipo", "magma_r", None)
+
+
+def _speed_plot(samples: dict[str, list[ServerSampleRecord]], spans: Sequence[FaultSpan]) -> Figure:
+    values = {name: [(sample, sample.speed_share) for sample in records] for name, records in samples.items()}
+    return _server_plot(values, spans, "speed at each equipo (share of its own)", "RdYlGn", 1.0)
+
+
+def _server_plot(
+    samples: dict[str, list[tuple[ServerSampleRecord, float]]],
+    spans: Sequence[FaultSpan],
+    title: str,
+    colours: str,
+    maximum: float | None,
 ) -> Figure:
-    """One line of the picture an equipo, time to the right: what waits there, or how fast it works."""
+    """A picture with one line for each server, time to the right."""
     names = list(samples)
-    step = 1.0
-    end = max(rows[-1]["t"] for rows in samples.values()) / 1000.0
-    picture = np.full((len(names), max(1, int(end / step) + 1)), np.nan)
-    for at, name in enumerate(names):
-        for row in samples[name]:
-            if row["t"] >= 0.0 and row["state"] != "down":
-                picture[at, int(row["t"] / 1000.0 / step)] = row[key]
+    end_s = max(records[-1][0].at_ms for records in samples.values()) / 1000.0
+    picture = np.full((len(names), max(1, int(end_s / WINDOW_S) + 1)), np.nan)
+    for line, name in enumerate(names):
+        for sample, value in samples[name]:
+            if sample.at_ms >= 0.0 and sample.state != "down":
+                picture[line, int(sample.at_ms / 1000.0 / WINDOW_S)] = value
     figure, axes = plt.subplots(figsize=(11, 1.2 + 0.16 * len(names)))
-    top = 1.0 if key == "speed" else max(4.0, float(np.nanpercentile(picture, 99)))
-    colours = "RdYlGn" if key == "speed" else "magma_r"
+    top = maximum if maximum is not None else max(4.0, float(np.nanpercentile(picture, 99)))
     image = axes.imshow(
-        picture, aspect="auto", extent=(0, end, len(names), 0), cmap=colours, vmin=0, vmax=top
+        picture, aspect="auto", extent=(0, end_s, len(names), 0), cmap=colours, vmin=0, vmax=top
     )
-    for _, begin, finish in spans:
-        axes.axvline(begin, color="#444", lw=0.8, ls=":")
-        axes.axvline(finish, color="#444", lw=0.8, ls=":")
+    for span in spans:
+        axes.axvline(span.begin_s, color="#444", lw=0.8, ls=":")
+        axes.axvline(span.end_s, color="#444", lw=0.8, ls=":")
     axes.set_yticks(np.arange(len(names)) + 0.5, names, fontsize=6)
     axes.set_xlabel("s")
-    axes.set_title(f"{title} at each equipo" + (" (share of its own)" if key == "speed" else ""))
+    axes.set_title(title)
     figure.colorbar(image, ax=axes, pad=0.01)
     return figure
--- a/tests/lab/test_lab.py
+++ b/tests/lab/test_lab.py
@@ -18,7 +18,7 @@
 from rosewheel.lab.load import LoadGenerator
 from rosewheel.lab.plan_codec import plan_digest
 from rosewheel.lab.records import RecordWriter, read_records
-from rosewheel.lab.report import fault_spans
+from rosewheel.lab.report import FaultMoment, FaultSpan, fault_spans
 from rosewheel.lab.wire import now_ms
 from tests.support.sockets import FakeServer, Message, answer, run
 
@@ -310,9 +310,9 @@
 
 
 def test_troubles_become_spans():
-    steps = [
-        {"t": 1000.0, "kind": "slow", "what": "begin"},
-        {"t": 4000.0, "kind": "slow", "what": "end"},
-        {"t": 2000.0, "kind": "faults", "what": "begin"},
+    moments = [
+        FaultMoment("slow", "begin", 1000.0),
+        FaultMoment("slow", "end", 4000.0),
+        FaultMoment("faults", "begin", 2000.0),
     ]
-    assert fault_spans(steps, 9.0) == [("slow", 1.0, 4.0), ("faults", 2.0, 9.0)]
+    assert fault_spans(moments, 9.0) == [FaultSpan("slow", 1.0, 4.0), FaultSpan("faults", 2.0, 9.0)]
