--- a/rosewheel/control/http_client.py
+++ b/rosewheel/control/http_client.py
@@ -19,7 +19,7 @@
 JsonBody = Mapping[str, Any]
 
 
-class JsonResponse(NamedTuple):
+class JsonAnswer(NamedTuple):
     """Answer to a call.
 
     Attributes:
@@ -45,7 +45,7 @@
 
     async def call(
         self, method: str, target: str, body: JsonBody | None = None, timeout_s: float = DEFAULT_TIMEOUT_S
-    ) -> JsonResponse:
+    ) -> JsonAnswer:
         """Make one call.
 
         Args:
@@ -77,7 +77,7 @@
         head = f"{method} {target} HTTP/1.1\r\nHost: {host}:{port}\r\nContent-Length: {len(content)}\r\n\r\n"
         return head.encode() + content
 
-    async def _exchange_with_retry(self, request: bytes) -> JsonResponse:
+    async def _exchange_with_retry(self, request: bytes) -> JsonAnswer:
         reused = self._connection is not None and self._connection.usable
         try:
             return await self._exchange(request)
@@ -87,13 +87,13 @@
             # The server closed the idle connection just as the request was written, so it was not read.
             return await self._exchange(request)
 
-    async def _exchange(self, request: bytes) -> JsonResponse:
+    async def _exchange(self, request: bytes) -> JsonAnswer:
         loop = asyncio.get_running_loop()
         if self._connection is None or not self._connection.usable:
             async with asyncio.timeout(CONNECT_TIMEOUT_S):
                 _, self._connection = await loop.create_connection(_Connection, *self.address)
         status, content = await self._connection.exchange(request)
-        return JsonResponse(status, orjson.loads(content))
+        return JsonAnswer(status, orjson.loads(content))
 
     def close(self) -> None:
         """Close the connection; a later call opens another one."""
--- a/rosewheel/control/machine_api.py
+++ b/rosewheel/control/machine_api.py
@@ -66,7 +66,7 @@
         self._process_id = process_id
         self._settings, self._store, self._nodes = parts.settings, parts.store, parts.nodes
         self._watches, self._peers, self._clock = parts.watches, parts.peers, parts.clock
-        self._callers: dict[JsonConnection, None] = {}
+        self._connections: dict[JsonConnection, None] = {}
         self._status_reporter = StatusReporter(parts)
         self._promotion = Promotion(parts)
         self._routes = {
@@ -83,51 +83,51 @@
 
     def close(self) -> None:
         """Close all connections."""
-        for caller in list(self._callers):
-            caller.abort()
+        for connection in list(self._connections):
+            connection.abort()
 
     # -------------------------------------------------------------------- connections
 
-    def connection_opened(self, caller: JsonConnection) -> None:
+    def connection_opened(self, connection: JsonConnection) -> None:
         """A connection was opened."""
-        self._callers[caller] = None
+        self._connections[connection] = None
 
-    def connection_closed(self, caller: JsonConnection) -> None:
+    def connection_closed(self, connection: JsonConnection) -> None:
         """A connection has ended."""
-        self._callers.pop(caller, None)
-        node = self._watches.closed(caller)
+        self._connections.pop(connection, None)
+        node = self._watches.closed(connection)
         if node:
             self._nodes.disconnected(node, self._settings.name, self._clock.time())
 
-    async def handle(self, call: JsonRequest, caller: JsonConnection) -> JsonResponse | None:
+    async def handle(self, request: JsonRequest, connection: JsonConnection) -> JsonResponse | None:
         """Return the answer to a call; None where the connection has become a watch."""
-        path, _, query_text = call.target.partition("?")
+        path, _, query_text = request.target.partition("?")
         route = self._routes.get(path)
         if route is None:
-            return _error_reply(404, "no such call; there are " + ", ".join(self._routes))
-        if call.method != route.method:
+            return _error_response(404, "no such call; there are " + ", ".join(self._routes))
+        if request.method != route.method:
             error = ErrorAnswer(f"{path} takes {route.method}")
             return JsonResponse(405, codec.encode_error(error), allow=route.method)
         query = {key: values[-1] for key, values in parse_qs(query_text, keep_blank_values=True).items()}
         try:
             if path == paths.CONFIG_PATH and is_watch_query(query):
-                return await self._open_watch(decode_watch_request(query), caller)
-            return await route.handler(query if call.method == "GET" else _json_object(call.body))
+                return await self._open_watch(decode_watch_request(query), connection)
+            return await route.handler(query if request.method == "GET" else _json_object(request.body))
         except UnknownRevisionError as error:
-            return _error_reply(404, str(error))
+            return _error_response(404, str(error))
         except NotLeaderError as error:
-            return self._not_leader_reply(error)
+            return self._not_leader_response(error)
         except (RevisionConflictError, NotPromotableError) as error:
-            return _error_reply(409, str(error), self._store.replica.last.number)
+            return _error_response(409, str(error), self._store.replica.last.number)
         except (WriteUnavailableError, NotReplicatedError) as error:
-            return _error_reply(503, str(error), self._store.replica.last.number)
+            return _error_response(503, str(error), self._store.replica.last.number)
         except ValueError as error:  # the request's own fault: malformed, or an invalid document
-            return _error_reply(400, str(error))
+            return _error_response(400, str(error))
         except OSError as error:
             log.error("call failed: %s, path=%s", error, path)
-            return _error_reply(500, f"{self._settings.name} can't keep it: {error}")
+            return _error_response(500, f"{self._settings.name} can't keep it: {error}")
 
-    def _not_leader_reply(self, error: NotLeaderError) -> JsonResponse:
+    def _not_leader_response(self, error: NotLeaderError) -> JsonResponse:
         leader = self._store.replica.highest_epoch_seen.leader
         address = ""
         if leader in self._settings.peers:
@@ -136,17 +136,17 @@
 
     # ------------------------------------------------------------------- nodes, machines
 
-    async def _open_watch(self, request: WatchRequest, caller: JsonConnection) -> JsonResponse | None:
+    async def _open_watch(self, request: WatchRequest, connection: JsonConnection) -> JsonResponse | None:
         if request.peer not in self._settings.peers and not request.node:
-            return _error_reply(400, "who follows? node=NAME")
-        # A caller that has seen a later epoch makes it known here.
+            return _error_response(400, "who follows? node=NAME")
+        # A node or follower that has seen a later epoch makes it known here.
         await self._store.observe_epoch(request.received.epoch)
-        if caller.transport is None:
+        if connection.transport is None:
             return None  # it has disconnected meanwhile
         if not request.peer:
             self._note_connected(request)
         node = "" if request.peer else request.node
-        self._watches.open(Watch(caller, request.received, request.service, node, request.peer))
+        self._watches.open(Watch(connection, request.received, request.service, node, request.peer))
         return None
 
     def _note_connected(self, request: WatchRequest) -> None:
@@ -209,12 +209,12 @@
     async def _put(self, row: JsonObject) -> JsonResponse:
         request = codec.decode_put(row)
         validate_patch(request.patch)
-        return await self._change_reply(await self._store.put(request))
+        return await self._change_response(await self._store.put(request))
 
     async def _rollback(self, row: JsonObject) -> JsonResponse:
-        return await self._change_reply(await self._store.rollback(codec.decode_rollback(row)))
+        return await self._change_response(await self._store.rollback(codec.decode_rollback(row)))
 
-    async def _change_reply(self, change: Change | None) -> JsonResponse:
+    async def _change_response(self, change: Change | None) -> JsonResponse:
         if change is None:
             answer = ChangeAnswer(self._store.replica.last, changed=False)
         else:
@@ -249,5 +249,5 @@
     return row
 
 
-def _error_reply(status: int, text: str, current: int | None = None) -> JsonResponse:
+def _error_response(status: int, text: str, current: int | None = None) -> JsonResponse:
     return JsonResponse(status, codec.encode_error(ErrorAnswer(text, current=current)))
--- a/rosewheel/control/watches.py
+++ b/rosewheel/control/watches.py
@@ -25,7 +25,7 @@
     """One open watch.
 
     Attributes:
-        caller: Its connection.
+        connection: The HTTP connection that carries it.
         sent: The last revision that it has been sent.
         service: The node's service.
         node: The node; empty for a machine.
@@ -33,7 +33,7 @@
         is_queued: It waits for its start.
     """
 
-    caller: JsonConnection
+    connection: JsonConnection
     sent: Revision
     service: str = ""
     node: str = ""
@@ -92,13 +92,13 @@
 
     def open(self, watch: Watch) -> None:
         """Begin the answer at once, and its content when the pacer allows: many nodes may connect at once."""
-        caller = watch.caller
-        self.watches[caller] = watch
+        connection = watch.connection
+        self.watches[connection] = watch
         if watch.node:
-            self.connection_by_node[watch.node] = caller
-        caller.start_stream()
-        caller.set_acknowledgement_timeout(TCP_USER_TIMEOUT_S)
-        caller.write(KEEPALIVE)
+            self.connection_by_node[watch.node] = connection
+        connection.start_stream()
+        connection.set_acknowledgement_timeout(TCP_USER_TIMEOUT_S)
+        connection.write(KEEPALIVE)
         wait_s = 0.0 if watch.peer else self._pacer.reserve(self._loop.time())
         if wait_s > 0.0:
             self._loop.call_later(wait_s, self._start, watch)
@@ -109,14 +109,14 @@
         watch.is_queued = False
         self._send(watch)
 
-    def closed(self, caller: JsonConnection) -> str:
+    def closed(self, connection: JsonConnection) -> str:
         """A connection has ended.
 
         Returns:
             The node whose newest watch it was; empty for any other connection.
         """
-        watch = self.watches.pop(caller, None)
-        if watch is None or self.connection_by_node.get(watch.node) is not caller:
+        watch = self.watches.pop(connection, None)
+        if watch is None or self.connection_by_node.get(watch.node) is not connection:
             return ""
         del self.connection_by_node[watch.node]
         return watch.node
@@ -124,8 +124,8 @@
     def close(self) -> None:
         """Close all watches."""
         self._timer.cancel()
-        for caller in list(self.watches):
-            caller.abort()
+        for connection in list(self.watches):
+            connection.abort()
 
     def publish(self) -> None:
         """Send new revisions to all watches that have started."""
@@ -139,19 +139,19 @@
             return
         committed = self._replica.committed
         if watch.sent < committed:
-            watch.caller.write(self._encoder.line(watch.service, watch.sent))
+            watch.connection.write(self._encoder.line(watch.service, watch.sent))
             watch.sent = committed
 
     def _send_suffix(self, watch: Watch) -> None:
         suffix = self._replica.log_suffix(watch.sent)
         if suffix is not None:
-            watch.caller.write(encode_chunk(encode_log_suffix(suffix) + b"\n"))
+            watch.connection.write(encode_chunk(encode_log_suffix(suffix) + b"\n"))
             watch.sent = suffix.last
 
     def _send_keepalives(self) -> None:
         self._timer = self._loop.call_later(KEEPALIVE_INTERVAL_S, self._send_keepalives)
-        for caller in list(self.watches):
-            if caller.unsent_bytes > MAX_UNSENT_BYTES:
-                caller.abort()
+        for connection in list(self.watches):
+            if connection.unsent_bytes > MAX_UNSENT_BYTES:
+                connection.abort()
             else:
-                caller.write(KEEPALIVE)
+                connection.write(KEEPALIVE)
--- a/tests/control/test_machine.py
+++ b/tests/control/test_machine.py
@@ -74,11 +74,11 @@
             code, body = await cluster.put("c1", patch, by="ana")
             assert (code, body["version"]) == (200, 1)
             await until(lambda: applied_numbers(cluster) == {1})
-            for caller in (
-                caller for machine in cluster.machines.values() for caller in machine.watches.watches
+            for connection in (
+                connection for machine in cluster.machines.values() for connection in machine.watches.watches
             ):
-                assert caller.transport is not None
-                sock = caller.transport.get_extra_info("socket")
+                assert connection.transport is not None
+                sock = connection.transport.get_extra_info("socket")
                 timeout_ms = sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT)
                 assert timeout_ms == 10000, (
                     "a node whose machine is lost does not look connected for a quarter of an hour"
