--- a/rosewheel/discovery/backoff.py
+++ b/rosewheel/discovery/backoff.py
@@ -1,38 +1,49 @@
-"""How long to wait before the next watch where the last one has ended: where lists are pushed nobody is asked."""
+"""The backoff between two watches, for a node to which the endpoint list is pushed."""
 
 from __future__ import annotations
 
 import random
 
-# Where lists are pushed the module never asks, and asking the agent is free. What discovery has at its return counts
-# as told at once, so a watch has to be open then: one follows the other at no more than these parts of the time that
-# a drain allows, the second part once several have come to nothing. One that lasted longer is followed at once.
+# A watch has to be open when discovery returns, since a change counts from then on. So the next one follows after at
+# most these parts of the time that a drain allows: the first after one failure, the second after several. A watch that
+# lasted longer is followed at once.
 INITIAL_DELAY_DIVISOR, MAX_DELAY_DIVISOR = 8.0, 3.0
-MAX_DELAY_S = (
-    2.0  # and no more than this from one's beginning to the next one's (see discovery/watch_client.py)
-)
-MIN_DELAY_S = 0.02  # Guards the processor, whatever a drain allows
+MAX_DELAY_S = 2.0  # between the starts of two watches; see the sum in discovery/watch_client.py
+MIN_DELAY_S = 0.02  # guards the processor, whatever a drain allows
+MAX_DOUBLINGS = 8
+JITTER_RANGE = (
+    0.6,
+    1.0,
+)  # share of the delay, drawn so that the nodes of a service do not return at one moment
 
 
 class WatchBackoff:
-    """The waits of one node, in seconds, drawn by its own generator."""
+    """The delays of one node.
+
+    Attributes:
+        random: The node's own generator.
+        failed_watches: Watches that ended since one last received anything.
+    """
 
     def __init__(self, rng: random.Random) -> None:
         self.random = rng
-        self.failed_watches = 0  # watches that ended since one last had something to tell
+        self.failed_watches = 0
 
     def reset(self) -> None:
-        """A watch is open on a discovery that works, though it may have no change to tell."""
+        """A watch has received something, if only an empty line: discovery works."""
         self.failed_watches = 0
 
     def next_delay_s(self, watch_duration_s: float, drain_grace_s: float) -> float:
-        """A watch that lasted so long has ended: seconds until the next one. `grace_s` is what a drain allows."""
-        wait = min(
+        """Seconds until the next watch is started; each call counts as a failure.
+
+        Args:
+            watch_duration_s: How long the watch lasted that has ended.
+            drain_grace_s: How soon a drain has to be known.
+        """
+        delay_s = min(
             drain_grace_s / MAX_DELAY_DIVISOR,
             drain_grace_s / INITIAL_DELAY_DIVISOR * 2.0**self.failed_watches,
         )
-        self.failed_watches = min(8, self.failed_watches + 1)
-        # Drawn, so that the nodes of a service do not all come back to it at one moment.
-        return max(
-            0.0, max(min(wait, MAX_DELAY_S), MIN_DELAY_S) * self.random.uniform(0.6, 1.0) - watch_duration_s
-        )
+        self.failed_watches = min(MAX_DOUBLINGS, self.failed_watches + 1)
+        bounded_s = max(min(delay_s, MAX_DELAY_S), MIN_DELAY_S)
+        return max(0.0, bounded_s * self.random.uniform(*JITTER_RANGE) - watch_duration_s)
--- a/rosewheel/discovery/endpoint_list.py
+++ b/rosewheel/discovery/endpoint_list.py
@@ -1,4 +1,4 @@
-"""The watch on discovery: its lines tell which servers there are."""
+"""The list of endpoints: its entries, its updates, and the watch on it."""
 
 from __future__ import annotations
 
@@ -15,129 +15,158 @@
 
 log = logging.getLogger("rosewheel.discovery")
 
-MAX_ENTRIES_PER_TURN = (
-    250  # entries that are taken at a time: a longer list must not hold up the requests meanwhile
-)
+MAX_ENTRIES_PER_TURN = 250  # entries handled at a time, so that a longer list does not hold up requests
 
+# The words of the discovery protocol.
 SERVER_STATES = {"active": ServerState.UP, "leaving": ServerState.DRAINING, "left": ServerState.REMOVED}
-MONOTONIC_OFFSET_MS = (
-    time.monotonic() * 1000.0 - time.time() * 1000.0
-)  # taken once, so that a start time stays equal
+NO_ADDRESS: Address = ("", 0)  # of a server that was removed
 
-Endpoint = tuple[Server, Address]
+# From wall-clock to monotonic milliseconds; read once, so that the same start time is always mapped to the same value.
+MONOTONIC_OFFSET_MS = time.monotonic() * 1000.0 - time.time() * 1000.0
+
+Endpoint = tuple[Server, Address]  # a server, and where to connect
 EndpointListCallback = Callable[[EndpointListForm, list[Endpoint]], None]
 
 
 def parse_endpoints(rows: object) -> list[Endpoint]:
-    """The entries of a list; a malformed one is left out with a log line, not with the rest of the list."""
-    entries: list[Endpoint] = []
+    """Parse the entries of a list.
+
+    Args:
+        rows: The `hosts` of a message; anything but a list counts as empty.
+
+    Returns:
+        The valid entries. Malformed ones are logged.
+    """
+    endpoints: list[Endpoint] = []
     for row in rows if isinstance(rows, list) else ():
         try:
-            entries.append(_parse_endpoint(row))
+            endpoints.append(_parse_endpoint(row))
         except (KeyError, TypeError, ValueError, OverflowError, AttributeError) as error:
-            log.warning("entry left out: %s: %.200r", error, row)
-    return entries
+            log.warning("endpoint ignored: reason=%s, entry=%.200r", error, row)
+    return endpoints
 
 
 def _parse_endpoint(row: dict[str, Any]) -> Endpoint:
-    host, state, born = row["host"], SERVER_STATES[row["health"]], row.get("born_ms") or 0
+    host, state, born_ms = row["host"], SERVER_STATES[row["health"]], row.get("born_ms") or 0
     if not isinstance(host, str) or not host:
         raise ValueError("host is not a name")
-    # A server that has left may come without its address, which nobody needs any more.
-    dial = ("", 0) if state is ServerState.REMOVED and not row.get("dial") else parse_address(row["dial"])
-    launched = float(born) + MONOTONIC_OFFSET_MS if born else None
-    return Server(host, str(row.get("site") or ""), int(row.get("block") or 0), state, launched), dial
+    # A server that was removed may be listed without its address.
+    is_removed = state is ServerState.REMOVED and not row.get("dial")
+    address = NO_ADDRESS if is_removed else parse_address(row["dial"])
+    launched_ms = float(born_ms) + MONOTONIC_OFFSET_MS if born_ms else None
+    zone, block = str(row.get("site") or ""), int(row.get("block") or 0)
+    return Server(host, zone, block, state, launched_ms), address
 
 
 class EndpointList:
-    """Makes of long lists what has changed by them, a slice at a time.
+    """Reduces long lists to what has changed, a part at a time.
+
+    Lists of up to `MAX_ENTRIES_PER_TURN` entries are passed on as received, until a longer one is received. From then
+    on each is compared with the entries known so far and passed on as changes: the cost of an update goes by the number
+    of changes, and no turn of the loop handles more than a part.
 
-    Lists of up to `SLICE` rows are passed on as they came, until a longer one has come. From then on each whole one is
-    compared with what was told, row by row, and passed on as changes: what it costs behind here goes by what has
-    changed, and no turn of the loop takes more than a slice.
+    Attributes:
+        on_update: Called with each update, or part of one.
+        rows: Entries by host, as last received; None for a host of which only the name is known.
+        is_long: A long list was received.
     """
 
     def __init__(self, on_update: EndpointListCallback, known_hosts: Iterable[str] = ()) -> None:
         self.on_update = on_update
-        self.rows: dict[str, Any] = dict.fromkeys(
-            known_hosts
-        )  # as last told, or None where just the host is known
-        self.is_long = False  # a long list has come
+        self.rows: dict[str, Any] = dict.fromkeys(known_hosts)
+        self.is_long = False
         self._pending_updates: deque[Iterator[None]] = deque()
         self._next_turn: asyncio.Handle | None = None
 
     def apply(self, is_snapshot: bool, rows: object) -> None:
+        """Apply an update.
+
+        Args:
+            is_snapshot: Hosts that are missing were removed.
+            rows: The entries; anything but a list counts as empty.
+        """
         listed = rows if isinstance(rows, list) else []
         if not self.is_long and len(listed) <= MAX_ENTRIES_PER_TURN:
-            if is_snapshot:
-                self.rows.clear()
-            for row in listed:
-                if isinstance(row, dict) and isinstance(row.get("host"), str):
-                    self.rows[row["host"]] = row
-            self.on_update(
-                EndpointListForm.SNAPSHOT if is_snapshot else EndpointListForm.DELTA, parse_endpoints(listed)
-            )
+            self._apply_at_once(is_snapshot, listed)
             return
         self.is_long = True
         self._pending_updates.append(self._apply_in_parts(is_snapshot, listed))
-        if self._next_turn is None:  # not at once: to make rows of its text took a turn's time already
+        if self._next_turn is None:  # not at once: parsing the text took one turn's time already
             self._next_turn = asyncio.get_running_loop().call_soon(self._process_pending)
 
     def close(self) -> None:
+        """Drop the pending parts of updates."""
         if self._next_turn is not None:
             self._next_turn.cancel()
             self._next_turn = None
         self._pending_updates.clear()
 
+    def _apply_at_once(self, is_snapshot: bool, rows: list[Any]) -> None:
+        if is_snapshot:
+            self.rows.clear()
+        for row in rows:
+            if isinstance(row, dict) and isinstance(row.get("host"), str):
+                self.rows[row["host"]] = row
+        form = EndpointListForm.SNAPSHOT if is_snapshot else EndpointListForm.DELTA
+        self.on_update(form, parse_endpoints(rows))
+
     def _process_pending(self) -> None:
         self._next_turn = None
         while self._pending_updates:
-            if next(self._pending_updates[0], self) is self:  # this list is done
+            is_finished = next(self._pending_updates[0], self) is self
+            if is_finished:
                 self._pending_updates.popleft()
             else:
                 self._next_turn = asyncio.get_running_loop().call_soon(self._process_pending)
                 return
 
-    def _apply_in_parts(self, whole: bool, rows: list[Any]) -> Iterator[None]:
-        told = self.rows
-        named: set[str] = set()
-        for at in range(0, max(1, len(rows)), MAX_ENTRIES_PER_TURN):
-            changed = []
-            for row in rows[at : at + MAX_ENTRIES_PER_TURN]:
-                host = row.get("host") if isinstance(row, dict) else None
-                if isinstance(host, str):
-                    named.add(host)
-                    if told.get(host) == row:
-                        continue
-                    told[host] = row
-                changed.append(row)
-            if changed or not at:
+    def _apply_in_parts(self, is_snapshot: bool, rows: list[Any]) -> Iterator[None]:
+        """Pass on the changed entries; each step handles a part."""
+        listed_hosts: set[str] = set()
+        for start in range(0, max(1, len(rows)), MAX_ENTRIES_PER_TURN):
+            part = rows[start : start + MAX_ENTRIES_PER_TURN]
+            changed = [row for row in part if self._record(row, listed_hosts)]
+            if changed or not start:
                 self.on_update(EndpointListForm.DELTA, parse_endpoints(changed))
             yield
-        if whole:
-            yield from self._remove_missing(told, named)
-
-    def _remove_missing(self, told: dict[str, Any], named: set[str]) -> Iterator[None]:
-        gone = [host for host in told if host not in named]
-        for at in range(0, len(gone), MAX_ENTRIES_PER_TURN):
-            part = gone[at : at + MAX_ENTRIES_PER_TURN]
+        if is_snapshot:
+            yield from self._remove_missing(listed_hosts)
+
+    def _record(self, row: Any, listed_hosts: set[str]) -> bool:
+        """Remember an entry; whether it is new or has changed. Malformed ones count as changed."""
+        host = row.get("host") if isinstance(row, dict) else None
+        if not isinstance(host, str):
+            return True
+        listed_hosts.add(host)
+        if self.rows.get(host) == row:
+            return False
+        self.rows[host] = row
+        return True
+
+    def _remove_missing(self, listed_hosts: set[str]) -> Iterator[None]:
+        missing = [host for host in self.rows if host not in listed_hosts]
+        for start in range(0, len(missing), MAX_ENTRIES_PER_TURN):
+            part = missing[start : start + MAX_ENTRIES_PER_TURN]
             for host in part:
-                del told[host]
-            self.on_update(
-                EndpointListForm.DELTA, [(Server(host, state=ServerState.REMOVED), ("", 0)) for host in part]
-            )
+                del self.rows[host]
+            removed = [(Server(host, state=ServerState.REMOVED), NO_ADDRESS) for host in part]
+            self.on_update(EndpointListForm.DELTA, removed)
             yield
 
 
-def _hosts_field(row: dict[str, Any]) -> list[Any]:
-    rows = row["hosts"]
+def _hosts_field(message: dict[str, Any]) -> list[Any]:
+    rows = message["hosts"]
     if not isinstance(rows, list):
         raise TypeError("hosts is not a list")
     return rows
 
 
 class DiscoveryWatch(WatchClient[list[Any]]):
-    """The watch on the list of equipos. `known` are the hosts of the list with which its owner begins."""
+    """The watch on the list of endpoints.
+
+    Attributes:
+        endpoint_list: The entries received so far.
+    """
 
     def __init__(
         self,
@@ -148,15 +177,26 @@
         silence_timeout_s: float | None = None,
         on_first_line: Callable[[], None] = lambda: None,
     ) -> None:
+        """Create a watch that is not open yet.
+
+        Args:
+            address: Of discovery.
+            revision: Of the list that is known so far; 0 for none.
+            on_update: Called with each update, and with `EndpointListForm.FAILED` once a watch has ended.
+            known_hosts: Of that list.
+            silence_timeout_s: How long a watch may receive nothing.
+            on_first_line: Called once for each watch that receives a valid line.
+        """
         self.endpoint_list = EndpointList(on_update, known_hosts)
         super().__init__(
             address,
             revision,
-            path_for=lambda revision: f"/catalog/members?follow=1&since={revision}",
+            path_for=lambda since: f"/catalog/members?follow=1&since={since}",
             parse=_hosts_field,
             on_update=self.endpoint_list.apply,
             on_failure=lambda: on_update(EndpointListForm.FAILED, []),
             log=log,
+            subject="endpoint list",
             silence_timeout_s=silence_timeout_s,
             on_first_line=on_first_line,
         )
--- a/rosewheel/discovery/watch_client.py
+++ b/rosewheel/discovery/watch_client.py
@@ -1,6 +1,7 @@
-"""A watch: one open HTTP/1.1 answer of a JSON object a line, opened anew from where the last one made sense.
+"""A client of watches: one open HTTP/1.1 response with a JSON object in each line.
 
-It says nothing of what the objects hold: the list of equipos (`catalog.py`) is one user of it.
+A watch that ended is opened again from the last revision that was valid. What the objects contain is up to the user of
+the client: the endpoint list (`endpoint_list.py`), and the configuration of control.
 """
 
 from __future__ import annotations
@@ -9,6 +10,7 @@
 import logging
 import re
 from collections.abc import Callable, Sized
+from dataclasses import dataclass
 from typing import Any, Generic, TypeVar, cast
 
 import httptools
@@ -16,37 +18,55 @@
 
 from rosewheel.config.platform import Address
 
-# All in seconds. An empty line comes every 2 s. A change counts as told 6 s after discovery had it and could be
-# reached, whatever failed until then. At that moment a watch is open and silent, is being tried, or waits for the
-# next try; whichever it is, the node has heard after no more than
+# An empty line is received every 2 s. A change has to be known 6 s after discovery had it and could be reached,
+# whatever failed until then. At that moment a watch is open and silent, is being opened, or its backoff runs. In each
+# case the change is known after at most
 #
-#     max(SILENCE_S + w, FIRST_S + w, apart) + SETTLE_S, and the way there and back
+#     max(SILENCE_TIMEOUT_S + w, FIRST_LINE_TIMEOUT_S + w, apart) + SILENCE_RECHECK_S, and a round trip
 #
-# where `apart` is the longest time from one try's beginning to the next one's, and `w` the longest wait after a try
-# that took longer than that: 4.0 and 0.2 where lists are asked for (`policy/discovery_polling.py`), 2.0 and 0 where
-# they are pushed (`proxy/proxy.py`). A try includes its connection. Where the first try behind a silent watch comes to
-# nothing as well, SILENCE_S + w + FIRST_S + w and twice SETTLE_S are 5.44 s, under the same 6 s from the silence on.
+# where `apart` is the longest time between the starts of two watches, and `w` the longest backoff after a watch that
+# took longer than that: 4.0 and 0.2 where the list is polled (`policy/balancer.py`), 2.0 and 0 where it is pushed
+# (`proxy/proxy.py`). Opening includes the connection. If the first watch after a silent one fails as well,
+# SILENCE_TIMEOUT_S + w + FIRST_LINE_TIMEOUT_S + w and twice SILENCE_RECHECK_S are 5.44 s, under the same 6 s.
 SILENCE_TIMEOUT_S = 2.8
-CONNECT_TIMEOUT_S = 1.5  # the system tries again after 1 s
+CONNECT_TIMEOUT_S = 1.5  # the operating system sends again after 1 s
 FIRST_LINE_TIMEOUT_S = 2.2  # from the start, connecting included: the agent answers at once, then every 2 s
 SILENCE_RECHECK_S = (
-    0.02  # what has come while this process was held up is read before a watch is called silent
+    0.02  # what was received while the process was held up is read before a watch counts as silent
 )
-MAX_LINE_BYTES = 4 << 20  # Guards memory against a line that never ends
+TIMER_TOLERANCE_S = 0.01  # a silence that ends this soon has ended
+MAX_LINE_BYTES = 4 << 20  # guards memory against a line without end
+MAX_LOGGED_BYTES = 200  # of an invalid line
 
 JSON_STRING = re.compile(rb'"(?:[^"\\]|\\.)*"')
 
 Update = TypeVar("Update", bound=Sized)
 
 
-class WatchClient(Generic[Update]):
-    """Opens a watch when told to; each one ends in exactly one `failed`, unless a newer one replaces it.
+@dataclass(slots=True, frozen=True)
+class _Message(Generic[Update]):
+    """One object of a watch."""
+
+    revision: int
+    is_snapshot: bool
+    update: Update
 
-    `path` gives what is asked for, by the count of the last object that made sense. `read` makes of an object what
-    `take` is then given, with whether it is the whole; it raises KeyError, TypeError, ValueError or OverflowError for
-    one that is none. `spoke` hears of each watch's first line that makes sense, also of an empty one, which tells
-    no more than that there is someone. In seconds: `silence_s` is how long a watch may say nothing, `connect_s` how
-    long a connection may take, `first_s` how long a try may take in all, to the first line.
+
+class WatchClient(Generic[Update]):
+    """Opens watches, one at a time.
+
+    Each watch ends in exactly one call of `on_failure`, unless it is closed or replaced by a newer one.
+
+    Attributes:
+        address: Of the service.
+        revision: Of the last valid object; the next watch begins behind it.
+        path_for: The target of a watch that begins behind a revision.
+        log: Where updates and failures are logged.
+        subject: What is watched, for the log.
+        silence_timeout_s: How long a watch may receive nothing.
+        connect_timeout_s: How long a connection may take.
+        first_line_timeout_s: How long a watch may take to its first line, connecting included.
+        started_s: When the last watch was started, on the loop's clock.
     """
 
     def __init__(
@@ -58,125 +78,181 @@
         on_update: Callable[[bool, Update], None],
         on_failure: Callable[[], None],
         log: logging.Logger,
+        subject: str = "configuration",
         silence_timeout_s: float | None = None,
         connect_timeout_s: float | None = None,
         first_line_timeout_s: float | None = None,
         on_first_line: Callable[[], None] = lambda: None,
     ) -> None:
-        self.address, self.revision, self.path_for, self.log = address, revision, path_for, log
+        """Create a client without a watch.
+
+        Args:
+            address: See the attributes, as for the others that are not listed here.
+            revision: Of what is known so far; 0 for nothing.
+            path_for: See the attributes.
+            parse: Makes an update of an object. It raises KeyError, TypeError, ValueError or OverflowError if that is
+                invalid.
+            on_update: Called with whether it is a snapshot, and the update.
+            on_failure: Called once when a watch has ended.
+            log: See the attributes.
+            subject: See the attributes.
+            silence_timeout_s: See the attributes; None for the default, as for the next two.
+            connect_timeout_s: See the attributes.
+            first_line_timeout_s: See the attributes.
+            on_first_line: Called for the first valid line of each watch, which may be empty.
+        """
+        self.address, self.revision = address, revision
+        self.path_for, self.log, self.subject = path_for, log, subject
         self.silence_timeout_s = SILENCE_TIMEOUT_S if silence_timeout_s is None else silence_timeout_s
         self.connect_timeout_s = CONNECT_TIMEOUT_S if connect_timeout_s is None else connect_timeout_s
         self.first_line_timeout_s = (
             FIRST_LINE_TIMEOUT_S if first_line_timeout_s is None else first_line_timeout_s
         )
-        self.started_s = 0.0  # when the last watch was begun
-        self._parse, self._on_update, self._on_failure, self._on_first_line = (
-            parse,
-            on_update,
-            on_failure,
-            on_first_line,
-        )
-        self._last_failure = ""  # why the last one ended, if nothing was heard since
+        self.started_s = 0.0
+        self._parse = parse
+        self._on_update = on_update
+        self._on_failure = on_failure
+        self._on_first_line = on_first_line
+        self._last_failure = ""  # reason, until an update is received
         self._connection: _WatchConnection | None = None
-        self._task: asyncio.Task[None] | None = None
+        self._connect_task: asyncio.Task[None] | None = None
 
     def start(self) -> None:
+        """Open a watch, in place of the one that is open."""
         self.close()
-        self.started_s = asyncio.get_running_loop().time()
-        self._connection = watch = _WatchConnection(self)
-        self._task = asyncio.get_running_loop().create_task(self._connect(watch))
+        loop = asyncio.get_running_loop()
+        self.started_s = loop.time()
+        self._connection = connection = _WatchConnection(self)
+        self._connect_task = loop.create_task(self._connect(connection))
 
     def change_address(self, address: Address) -> None:
-        """Another address of the same service from now on: it counts changes alike, so the next watch goes on
-        from here. Nothing more is heard of the one on the old address."""
+        """Use another address of the same service, with the same revisions; the watch is closed."""
         self.close()
         self.address = address
 
     def close(self) -> None:
-        watch, self._connection = self._connection, None
-        if self._task is not None:
-            self._task.cancel()
-        if watch is not None:
-            watch.close()
+        """Close the watch; nothing more is reported of it."""
+        connection, self._connection = self._connection, None
+        if self._connect_task is not None:
+            self._connect_task.cancel()
+        if connection is not None:
+            connection.close()
 
     @property
     def is_open(self) -> bool:
+        """Whether a watch is open, or being opened."""
         return self._connection is not None
 
-    def is_current(self, watch: _WatchConnection) -> bool:
-        return watch is self._connection
+    # ----------------------------------------------------------------------------------- reports of the connection
 
-    async def _connect(self, watch: _WatchConnection) -> None:
-        loop = asyncio.get_running_loop()
-        try:
-            async with asyncio.timeout(self.connect_timeout_s):
-                await loop.create_connection(lambda: watch, *self.address)
-        except (OSError, TimeoutError) as error:
-            self.connection_failed(watch, f"no connection: {error or 'timed out'}")
-
-    def connection_failed(self, watch: _WatchConnection, why: str) -> None:
-        if watch is self._connection:
-            self._connection = None
-            watch.close()
-            if (
-                why != self._last_failure
-            ):  # Guards the log: while there is no discovery a try follows the other
-                self.log.info("the watch ended: %s", why)
-            self._last_failure = why
-            self._on_failure()
-
-    def line_received(self, watch: _WatchConnection, text: bytes) -> None:
-        if watch is not self._connection:
+    def is_current(self, connection: _WatchConnection) -> bool:
+        """Whether this is the connection of the open watch."""
+        return connection is self._connection
+
+    def connection_failed(self, connection: _WatchConnection, reason: str) -> None:
+        """End the watch, if it is the current one."""
+        if connection is not self._connection:
             return
-        if watch.partial_lines:
-            # An object may be indented, and so go over several lines; it is whole where its brackets are.
-            watch.partial_bytes += len(text)
-            if not text.strip() or watch.partial_bytes > MAX_LINE_BYTES:
-                self.connection_failed(watch, f"cut short: {watch.partial_lines[0][:200]!r}")
-                return
-            watch.partial_lines.append(text)
-            if (opens := _unclosed_brackets(text)) is not None and watch.unclosed_brackets + opens > 0:
-                watch.unclosed_brackets += opens
+        self._connection = None
+        connection.close()
+        if (
+            reason != self._last_failure
+        ):  # guards the log: while there is no discovery, one failure follows the other
+            self.log.info("%s watch ended: reason=%s", self.subject, reason)
+        self._last_failure = reason
+        self._on_failure()
+
+    def line_received(self, connection: _WatchConnection, text: bytes) -> None:
+        """Process a line of the current watch."""
+        if connection is not self._connection:
+            return
+        if connection.partial_lines:
+            joined = self._join_partial(connection, text)
+            if joined is None:
                 return
-            # Not before: a long list would be read again from its beginning at each of its lines.
-            text, watch.partial_lines = b"\n".join(watch.partial_lines), []
+            text = joined
         elif not text.strip():
-            self._first_line_received(watch)
+            self._first_line_received(connection)
+            return
+        message = self._parse_line(connection, text)
+        if message is None:
             return
+        self._first_line_received(connection)
+        if message.revision < self.revision and not message.is_snapshot:
+            # Guards against a service that counts from the start again: what it left out is not known.
+            self.revision = 0
+            self.connection_failed(connection, f"it counts from {message.revision}")
+            return
+        self._apply(connection, message)
+
+    def _join_partial(self, connection: _WatchConnection, text: bytes) -> bytes | None:
+        """The object whose lines were received so far; None if it is incomplete, or the watch has failed.
+
+        An object may be indented, and so have several lines. It is complete once its brackets are closed.
+        """
+        connection.partial_bytes += len(text)
+        if not text.strip() or connection.partial_bytes > MAX_LINE_BYTES:
+            beginning = connection.partial_lines[0][:MAX_LOGGED_BYTES]
+            self.connection_failed(connection, f"cut short: {beginning!r}")
+            return None
+        connection.partial_lines.append(text)
+        unclosed = _unclosed_brackets(text)
+        if unclosed is not None and connection.unclosed_brackets + unclosed > 0:
+            connection.unclosed_brackets += unclosed
+            return None
+        # Parsed only now: a long list would be parsed again from its beginning with each of its lines.
+        lines, connection.partial_lines = connection.partial_lines, []
+        return b"\n".join(lines)
+
+    def _parse_line(self, connection: _WatchConnection, text: bytes) -> _Message[Update] | None:
+        """The object of a line; None if it continues in the next one, or the watch has failed."""
         try:
             row = orjson.loads(text)
             if not isinstance(row, dict):
                 raise TypeError("not an object")
-            seq, whole, told = int(row["seq"]), bool(row.get("whole")), self._parse(row)
+            return _Message(int(row["seq"]), bool(row.get("whole")), self._parse(row))
         except (ValueError, KeyError, TypeError, OverflowError) as error:
-            opens = _unclosed_brackets(text) if text.lstrip().startswith(b"{") else None
-            if isinstance(error, orjson.JSONDecodeError) and opens is not None and opens > 0:
-                watch.partial_lines, watch.unclosed_brackets, watch.partial_bytes = [text], opens, len(text)
-                return
-            # What was changed is not known, so the next watch has to begin where this one still made sense.
-            self.connection_failed(watch, f"not what was asked for: {error}: {text[:200]!r}")
-            return
-        self._first_line_received(watch)
-        if seq < self.revision and not whole:
-            # Guards against a service that has begun to count anew: what it left out is not known.
-            self.revision = 0
-            self.connection_failed(watch, f"it counts from {seq}")
-            return
-        if not watch.update_received:
-            watch.update_received = True
-            form = "whole" if whole else "changes"
-            self.log.info("told from %d to %d: %s, %d entries", self.revision, seq, form, len(told))
-        self.revision, self._last_failure = seq, ""
-        self._on_update(whole, told)
-
-    def _first_line_received(self, watch: _WatchConnection) -> None:
-        if not watch.first_line_seen:
-            watch.first_line_seen = True
+            unclosed = _unclosed_brackets(text) if text.lstrip().startswith(b"{") else None
+            if isinstance(error, orjson.JSONDecodeError) and unclosed is not None and unclosed > 0:
+                connection.partial_lines = [text]
+                connection.unclosed_brackets, connection.partial_bytes = unclosed, len(text)
+                return None
+            # What was changed is unknown, so the next watch has to begin behind the last valid object.
+            self.connection_failed(
+                connection, f"not what was asked for: {error}: {text[:MAX_LOGGED_BYTES]!r}"
+            )
+            return None
+
+    def _apply(self, connection: _WatchConnection, message: _Message[Update]) -> None:
+        if not connection.update_received:
+            connection.update_received = True
+            self.log.info(
+                "%s updated: revision %d -> %d, form=%s, entries=%d",
+                self.subject,
+                self.revision,
+                message.revision,
+                "snapshot" if message.is_snapshot else "delta",
+                len(message.update),
+            )
+        self.revision, self._last_failure = message.revision, ""
+        self._on_update(message.is_snapshot, message.update)
+
+    def _first_line_received(self, connection: _WatchConnection) -> None:
+        if not connection.first_line_seen:
+            connection.first_line_seen = True
             self._on_first_line()
 
+    async def _connect(self, connection: _WatchConnection) -> None:
+        loop = asyncio.get_running_loop()
+        try:
+            async with asyncio.timeout(self.connect_timeout_s):
+                await loop.create_connection(lambda: connection, *self.address)
+        except (OSError, TimeoutError) as error:
+            self.connection_failed(connection, f"no connection: {error or 'timed out'}")
+
 
 def _unclosed_brackets(text: bytes) -> int | None:
-    """How many more brackets this opens than it closes; None where a string is cut: no line's end stands within one."""
+    """How many brackets a line opens more than it closes; None if a string is cut off, which no line end may do."""
     bare = JSON_STRING.sub(b"", text)
     if b'"' in bare:
         return None
@@ -184,27 +260,37 @@
 
 
 class _WatchConnection(asyncio.Protocol):
+    """The connection of one watch.
+
+    Attributes:
+        partial_lines: Lines received of an object that has several.
+        unclosed_brackets: Of these lines.
+        partial_bytes: Size of these lines.
+        update_received: A valid object was received.
+        first_line_seen: A valid line was received.
+        rechecking: The silence timeout has passed, and what was received meanwhile is being read.
+        silence_limit_s: How long it may receive nothing.
+        last_received_s: When something was last received, on the loop's clock.
+    """
+
     def __init__(self, owner: WatchClient[Any]) -> None:
         self.owner = owner
         self.parser = httptools.HttpResponseParser(self)
         self.transport: asyncio.Transport | None = None
-        self.buffer = b""
-        self.partial_lines: list[
-            bytes
-        ] = []  # of an object that goes over several lines, those that have come,
-        self.unclosed_brackets = self.partial_bytes = (
-            0  # the brackets that are open behind them, and their bytes
-        )
+        self.buffer = b""  # of an incomplete line
+        self.partial_lines: list[bytes] = []
+        self.unclosed_brackets = self.partial_bytes = 0
         self.update_received = self.first_line_seen = self.rechecking = False
         self.loop = asyncio.get_running_loop()
-        self.silence_limit_s = owner.first_line_timeout_s  # how long it may be silent
+        self.silence_limit_s = owner.first_line_timeout_s
         self._silence_timer = self.loop.call_later(self.silence_limit_s, self._check_silence)
-        self.last_received_s = self.loop.time()  # the last thing that counts as a sign of life
+        self.last_received_s = self.loop.time()
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        # A cast: the transports of uvloop are none of asyncio's classes.
+        """Send the request."""
+        # A cast: the transports of uvloop do not derive from asyncio's classes.
         self.transport = transport = cast(asyncio.Transport, transport)
-        if not self.owner.is_current(self):  # it was replaced while the connection came up
+        if not self.owner.is_current(self):  # it was replaced while the connection was being opened
             transport.abort()
             return
         host, port = self.owner.address
@@ -212,20 +298,23 @@
         transport.write(f"GET {path} HTTP/1.1\r\nHost: {host}:{port}\r\n\r\n".encode())
 
     def data_received(self, data: bytes) -> None:
+        """Parse what was received."""
         try:
             self.parser.feed_data(data)
         except httptools.HttpParserError as error:
             self.owner.connection_failed(self, f"not HTTP: {error}")
 
     def on_headers_complete(self) -> None:
+        """Callback of the parser."""
         status = self.parser.get_status_code()
         if status != 200:
             self.owner.connection_failed(self, f"answered {status}")
 
     def on_body(self, data: bytes) -> None:
+        """Callback of the parser: split the body into lines."""
         self.last_received_s = self.loop.time()
         *lines, self.buffer = (self.buffer + data).split(b"\n")
-        if lines:  # half a line is no sign that more will come
+        if lines:  # a part of a line does not show that more will follow
             self.silence_limit_s = self.owner.silence_timeout_s
         for line in lines:
             self.owner.line_received(self, line)
@@ -233,28 +322,33 @@
             self.owner.connection_failed(self, "a line without end")
 
     def on_message_complete(self) -> None:
+        """Callback of the parser: a watch never ends by itself."""
         self.owner.line_received(self, self.buffer)
         self.owner.connection_failed(self, "the answer ended")
 
     def connection_lost(self, exc: Exception | None) -> None:
+        """End the watch."""
         self._silence_timer.cancel()
         self.owner.connection_failed(self, str(exc or "closed"))
         self.transport = None
-        # Guards memory: the parser and this object hold one another, and the collector comes seldom.
+        # Guards memory: the parser and this object refer to one another, and the collector runs rarely.
         del self.parser
 
     def _check_silence(self) -> None:
-        left = self.last_received_s + self.silence_limit_s - self.loop.time()
-        if left > 0.01:
+        left_s = self.last_received_s + self.silence_limit_s - self.loop.time()
+        if left_s > TIMER_TOLERANCE_S:
             self.rechecking = False
-            self._silence_timer = self.loop.call_later(left, self._check_silence)
-        elif not self.rechecking:  # Guards a busy machine: timers run before what has come meanwhile is read
+            self._silence_timer = self.loop.call_later(left_s, self._check_silence)
+        elif (
+            not self.rechecking
+        ):  # guards a busy machine: timers run before what was received meanwhile is read
             self.rechecking = True
             self._silence_timer = self.loop.call_later(SILENCE_RECHECK_S, self._check_silence)
         else:
             self.owner.connection_failed(self, f"silent for {self.silence_limit_s:g} s")
 
     def close(self) -> None:
+        """Close the connection at once."""
         self._silence_timer.cancel()
         if self.transport is not None:
             self.transport.abort()
