--- a/tests/discovery/test_endpoint_list_races.py
+++ b/tests/discovery/test_endpoint_list_races.py
@@ -6,7 +6,6 @@
 import contextlib
 import dataclasses
 from collections.abc import AsyncIterator
-from dataclasses import dataclass, field
 
 import pytest
 from hypothesis import given
@@ -20,9 +19,10 @@
 from rosewheel.proxy import proxy as relay_module
 from rosewheel.proxy.proxy import Proxy
 from tests.support.balancers import settings
-from tests.support.sockets import FakeServer, answer, config, entry, read_message, run, until
+from tests.support.loops import PatchedLoop
+from tests.support.scripted_discovery import STREAM_HEAD, ScriptedDiscovery, encode_chunk
+from tests.support.sockets import FakeServer, answer, config, entry, run, until
 
-HEAD = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 EMPTY = b'{"seq":5,"whole":false,"hosts":[]}\n'
 ONE = b'{"seq":7,"whole":true,"hosts":[{"host":"s","dial":"127.0.0.1:9","health":"active"}]}'
 INDENTED = b"""{
@@ -38,46 +38,8 @@
 }"""
 
 
-def chunk(data: bytes) -> bytes:
-    return b"%x\r\n%b\r\n" % (len(data), data)
-
-
-@dataclass
-class Agent:
-    """Says to the n-th watch what its script has for it, and holds each open; no script: it is silent."""
-
-    scripts: dict[int, bytes] = field(default_factory=dict)
-    asked: list[str] = field(default_factory=list)
-    ended: int = 0
-    writers: list[asyncio.StreamWriter] = field(default_factory=list)
-    port: int = 0
-
-    async def _take(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        message = await read_message(reader)
-        if message is None:
-            return
-        self.asked.append(message.first)
-        self.writers.append(writer)
-        if (script := self.scripts.get(len(self.asked))) is not None:
-            writer.write(script)
-        with contextlib.suppress(ConnectionError):
-            await reader.read()
-        self.ended += 1
-
-    @contextlib.asynccontextmanager
-    async def up(self) -> AsyncIterator[Agent]:
-        server = await asyncio.start_server(self._take, "127.0.0.1", 0)
-        self.port = server.sockets[0].getsockname()[1]
-        try:
-            yield self
-        finally:
-            server.close()
-            for writer in self.writers:
-                writer.close()
-
-
 @contextlib.asynccontextmanager
-async def pushed(agent: Agent, known: list[dict[str, object]]) -> AsyncIterator[Proxy]:
+async def pushed(agent: ScriptedDiscovery, known: list[dict[str, object]]) -> AsyncIterator[Proxy]:
     """A node whose lists are pushed; its start is left to the test."""
     told = dataclasses.replace(config(known), discovery=("127.0.0.1", agent.port))
     relay = Proxy(dataclasses.replace(told, settings=settings(poll_discovery=False)))
@@ -95,13 +57,13 @@
     monkeypatch.setattr(relay_module, "PUSHED_LIST_WAIT_S", 60.0)
 
     async def main() -> None:
-        async with Agent().up() as agent, FakeServer().up() as server:
+        async with ScriptedDiscovery().up() as agent, FakeServer().up() as server:
             async with pushed(agent, [entry("s", server.port)]) as relay:
                 starting = asyncio.ensure_future(relay.start())
                 await until(lambda: len(agent.asked) == 1)
                 assert not relay.server.listening
                 gone = b'{"seq":9,"whole":false,"hosts":[{"host":"s","dial":"127.0.0.1:9","health":"leaving"}]}\n'
-                agent.writers[0].write(HEAD + chunk(gone))
+                agent.writers[0].write(STREAM_HEAD + encode_chunk(gone))
                 await starting
                 assert relay.server.listening
                 assert not relay.node.can_serve
@@ -113,7 +75,7 @@
     monkeypatch.setattr(relay_module, "PUSHED_LIST_WAIT_S", 0.0)
 
     async def main() -> None:
-        async with Agent().up() as agent, FakeServer().up() as server:
+        async with ScriptedDiscovery().up() as agent, FakeServer().up() as server:
             async with pushed(agent, [entry("s", server.port)]) as relay:
                 await relay.start()
                 assert relay.server.listening
@@ -126,9 +88,9 @@
     "said",
     [
         pytest.param(b"", id="at open"),
-        pytest.param(HEAD, id="after its head"),
-        pytest.param(HEAD + chunk(EMPTY[:9]), id="mid-line"),
-        pytest.param(HEAD + chunk(EMPTY) + chunk(b"\n") * 5, id="after many lines"),
+        pytest.param(STREAM_HEAD, id="after its head"),
+        pytest.param(STREAM_HEAD + encode_chunk(EMPTY[:9]), id="mid-line"),
+        pytest.param(STREAM_HEAD + encode_chunk(EMPTY) + encode_chunk(b"\n") * 5, id="after many lines"),
     ],
 )
 def test_a_watch_that_falls_silent_is_followed_at_once_wherever_it_did(
@@ -141,7 +103,7 @@
     waits: list[float] = []
 
     async def main() -> None:
-        async with Agent(scripts=dict.fromkeys(range(1, 9), said)).up() as agent:
+        async with ScriptedDiscovery(scripts=dict.fromkeys(range(1, 9), said)).up() as agent:
             async with pushed(agent, []) as relay:
                 later = relay.loop.call_later
 
@@ -151,7 +113,7 @@
                     return later(wait, call, *args)  # type: ignore[arg-type]
 
                 monkeypatch.setattr(relay_module, "PUSHED_LIST_WAIT_S", 0.0)
-                relay.loop = _Loop(relay.loop, noted)  # type: ignore[assignment]
+                relay.loop = PatchedLoop(relay.loop, call_later=noted)  # type: ignore[assignment]
                 relay.config = _grace(relay.config, 1.0)  # by which one of 50 ms has lasted long
                 await relay.start()
                 await until(lambda: len(agent.asked) >= 4)
@@ -165,9 +127,9 @@
     """Of several in a row; the time in which one was open counts as waited."""
 
     async def main() -> None:
-        async with Agent().up() as agent, pushed(agent, []) as relay:
+        async with ScriptedDiscovery().up() as agent, pushed(agent, []) as relay:
             waits: list[float] = []
-            relay.loop = _Loop(relay.loop, lambda wait, *_: waits.append(wait))  # type: ignore[assignment]
+            relay.loop = PatchedLoop(relay.loop, call_later=lambda wait, *_: waits.append(wait))  # type: ignore[assignment]
             for grace_ms in (50.0, 400.0, 3000.0):
                 relay.config = _grace(relay.config, grace_ms)
                 relay.watch_backoff.failed_watches = 0
@@ -196,14 +158,6 @@
     return dataclasses.replace(config, bounds=Limits(drain_notice_ms=grace_ms))  # type: ignore[type-var]
 
 
-class _Loop:
-    def __init__(self, loop: object, call_later: object) -> None:
-        self._loop, self.call_later = loop, call_later
-
-    def __getattr__(self, name: str) -> object:
-        return getattr(self._loop, name)
-
-
 # ------------------------------------------------------------------- what comes
 
 
@@ -215,8 +169,8 @@
     asked: list[str] = []
 
     async def main() -> None:
-        script = HEAD + b"".join(chunk(piece) for piece in pieces)
-        async with Agent(scripts={1: script}).up() as agent:
+        script = STREAM_HEAD + b"".join(encode_chunk(piece) for piece in pieces)
+        async with ScriptedDiscovery(scripts={1: script}).up() as agent:
             done = asyncio.Event()
 
             def took(form: EndpointListForm, entries: list[Endpoint]) -> None:
@@ -286,7 +240,7 @@
 
 def test_answers_of_another_status_end_the_watch():
     async def main() -> None:
-        async with Agent(scripts={1: answer(503, b"")}).up() as agent, pushed(agent, []) as relay:
+        async with ScriptedDiscovery(scripts={1: answer(503, b"")}).up() as agent, pushed(agent, []) as relay:
             relay.discovery.start()
             await until(lambda: len(agent.asked) == 2)
 
--- a/tests/discovery/test_watch_backoff.py
+++ b/tests/discovery/test_watch_backoff.py
@@ -3,12 +3,10 @@
 from __future__ import annotations
 
 import asyncio
-import contextlib
 import dataclasses
-from collections.abc import AsyncIterator, Callable
+from collections.abc import Callable
 from unittest import mock
 
-import orjson
 import pytest
 from hypothesis import given
 from hypothesis import settings as hypothesis_settings
@@ -22,7 +20,8 @@
 from rosewheel.proxy import proxy as relay_module
 from rosewheel.proxy.proxy import Proxy
 from tests.support.balancers import Bed, settings
-from tests.support.sockets import Message, config, entry, node, read_message, run, until
+from tests.support.scripted_discovery import restartable_discovery
+from tests.support.sockets import config, entry, node, run, until
 from tests.support.virtual_discovery import Net, VirtualLoop
 
 HEARD_S = 5.5  # from when discovery has a change and can be reached; it counts as told 0.5 s later
@@ -196,54 +195,6 @@
 # ---------------------------------------------------------------- on loopback
 
 
-class Returning:
-    """A discovery on one port that dies and comes back, each time with other manners."""
-
-    def __init__(self) -> None:
-        self.manners, self.host, self.dial = "served", "new", "127.0.0.1:9"
-        self.asked = self.port = 0
-        self.writers: list[asyncio.StreamWriter] = []
-        self.server: asyncio.Server | None = None
-
-    async def begin(self, manners: str) -> None:
-        self.manners, self.asked = manners, 0
-        if self.server is None:
-            self.server = await asyncio.start_server(self._take, "127.0.0.1", self.port)
-            self.port = self.server.sockets[0].getsockname()[1]
-
-    def end(self) -> None:
-        if self.server is not None:
-            self.server.close()
-            self.server = None
-        while self.writers:
-            self.writers.pop().transport.abort()
-
-    async def _take(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        message: Message | None = await read_message(reader)
-        if message is None:
-            return
-        self.writers.append(writer)
-        self.asked += 1
-        if self.manners != "mute":
-            row = {"host": self.host, "dial": self.dial, "health": "active"}
-            line = orjson.dumps({"seq": 9, "whole": True, "hosts": [row]}) + b"\n"
-            writer.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n%x\r\n" % len(line))
-            writer.write(line + b"\r\n" if self.manners == "served" else line[:30])
-        if self.manners == "dies":
-            await writer.drain()
-            writer.transport.abort()
-
-
-@contextlib.asynccontextmanager
-async def returning() -> AsyncIterator[Returning]:
-    discovery = Returning()
-    await discovery.begin("mute")
-    try:
-        yield discovery
-    finally:
-        discovery.end()
-
-
 @pytest.mark.parametrize("asks", [False, True], ids=["pushed", "asked"])
 def test_a_node_outlives_every_manner_of_outage_and_hears_what_came_of_it(
     asks: bool, monkeypatch: pytest.MonkeyPatch
@@ -255,7 +206,7 @@
         monkeypatch.setattr(discovery_polling, name, getattr(discovery_polling, name) / 40.0)
 
     async def main() -> None:
-        async with returning() as discovery:
+        async with restartable_discovery() as discovery:
             given = {"discovery" if asks else "pushed": discovery}
             async with node([entry("old", 9)], **given) as relay:  # type: ignore[arg-type]
                 for manners in ("mute", "dies", "half", "mute"):
--- a/tests/discovery/test_watch_client.py
+++ b/tests/discovery/test_watch_client.py
@@ -13,7 +13,7 @@
 
 from rosewheel.discovery import watch_client
 from rosewheel.discovery.watch_client import WatchClient
-from tests.discovery.test_endpoint_list_races import HEAD, Agent, chunk
+from tests.support.scripted_discovery import STREAM_HEAD, ScriptedDiscovery, encode_chunk
 from tests.support.sockets import run, until
 
 LOG = logging.getLogger("rosewheel.test")
@@ -35,7 +35,9 @@
         took: list[tuple[bool, dict[str, Any]]] = []
         ended = asyncio.Event()
         first = b'{"seq":8,"whole":true,\n"pairs":{"a":1}}\n'
-        async with Agent(scripts={1: HEAD + chunk(b"\n") + chunk(first) + chunk(second)}).up() as agent:
+        async with ScriptedDiscovery(
+            scripts={1: STREAM_HEAD + encode_chunk(b"\n") + encode_chunk(first) + encode_chunk(second)}
+        ).up() as agent:
             watcher = WatchClient(
                 ("127.0.0.1", agent.port),
                 3,
@@ -72,7 +74,9 @@
 
     async def main() -> None:
         text = json.dumps(given, indent=2).encode() + b"\n"
-        async with Agent(scripts={1: HEAD + chunk(text) + chunk(text)}).up() as agent:
+        async with ScriptedDiscovery(
+            scripts={1: STREAM_HEAD + encode_chunk(text) + encode_chunk(text)}
+        ).up() as agent:
             took: list[dict[str, Any]] = []
             failed: list[None] = []
             watcher = WatchClient(
--- a/tests/http/test_client_disconnects.py
+++ b/tests/http/test_client_disconnects.py
@@ -19,17 +19,19 @@
 from rosewheel.policy.actions import ForwardRequest
 from rosewheel.proxy.proxy import Proxy, now_ms
 from tests.support.balancers import KEYED, SAFE, UNSAFE
-from tests.support.sockets import Client, FakeServer, Message, answer, entry, node, run, status, until
-
-
-def held_back() -> tuple[asyncio.Event, object]:
-    free = asyncio.Event()
-
-    async def handler(message: Message, writer: asyncio.StreamWriter) -> None:
-        await free.wait()
-        writer.write(answer())
-
-    return free, handler
+from tests.support.loops import PatchedLoop
+from tests.support.sockets import (
+    Client,
+    FakeServer,
+    Message,
+    answer,
+    entry,
+    gated_handler,
+    node,
+    run,
+    status,
+    until,
+)
 
 
 def leave(client: Client, how: str) -> None:
@@ -58,7 +60,7 @@
                 await up.wait()
                 return await connect(*args)  # type: ignore[arg-type]
 
-            relay.upstream.loop = _Loop(relay.loop, late)  # type: ignore[assignment]
+            relay.upstream.loop = PatchedLoop(relay.loop, create_connection=late)  # type: ignore[assignment]
             async with Client(relay) as client:
                 client.send("post")
                 await reached.wait()
@@ -102,7 +104,7 @@
     answer before it had come, however long the caller had been gone."""
 
     async def main() -> None:
-        free, slow = held_back()
+        free, slow = gated_handler()
         patient = dataclasses.replace(
             UNSAFE, latency_objective_ms=60000, deadline_ms=60000
         )  # no deadline ends the first one
@@ -164,7 +166,7 @@
     """The loop closes such a connection when all that was written has gone out, and tells of it only then."""
 
     async def main() -> None:
-        free, slow = held_back()
+        free, slow = gated_handler()
         async with FakeServer(slow).up() as server, node([entry("s", server.port)]) as relay:  # type: ignore[arg-type]
             async with Client(relay) as client:
                 client.send("post")
@@ -180,7 +182,7 @@
 
 def test_a_burst_of_leavers_leaves_nothing_behind():
     async def main() -> None:
-        free, slow = held_back()
+        free, slow = gated_handler()
         async with FakeServer(slow).up() as server, node([entry("s", server.port)]) as relay:  # type: ignore[arg-type]
             clients = [Client(relay) for _ in range(40)]
             for client in clients:
@@ -311,7 +313,7 @@
 @pytest.mark.parametrize("how", ["close", "reset", "half"])
 def test_no_second_copy(how: str):
     async def main() -> None:
-        free, slow = held_back()
+        free, slow = gated_handler()
         async with FakeServer(slow).up() as one, FakeServer(slow).up() as two:  # type: ignore[arg-type]
             entries = [entry("one", one.port), entry("two", two.port)]
             async with node(entries, classes=PATIENT) as relay, Client(relay) as client:
@@ -450,11 +452,3 @@
                 assert relay.budget.used_bytes == 0
 
     run(main())
-
-
-class _Loop:
-    def __init__(self, loop: object, create_connection: object) -> None:
-        self._loop, self.create_connection = loop, create_connection
-
-    def __getattr__(self, name: str) -> object:
-        return getattr(self._loop, name)
--- /dev/null
+++ b/tests/http/test_connection_memory.py
@@ -0,0 +1,59 @@
+"""Memory of closed connections."""
+
+from __future__ import annotations
+
+import dataclasses
+import gc
+import weakref
+
+from rosewheel.config.platform import Config
+from rosewheel.proxy.proxy import Proxy
+from tests.support.sockets import (
+    Client,
+    FakeDiscovery,
+    FakeServer,
+    entry,
+    node,
+    run,
+    status,
+    until,
+)
+
+
+def moved_to(relay: Proxy, discovery: FakeDiscovery) -> Config:
+    """The configuration after its file has been changed to another discovery."""
+    return dataclasses.replace(relay.config, discovery=("127.0.0.1", discovery.port))
+
+
+def test_closed_connections_leave_no_reference_cycles():
+    """Guards memory on a long day: connections are ever new, and the collector comes seldom."""
+
+    async def main() -> None:
+        async with FakeDiscovery().up() as discovery, FakeServer().up() as server:
+            async with node([entry("s", server.port)], discovery) as relay:
+                await until(lambda: bool(discovery.writers))
+                async with Client(relay) as client:
+                    assert status(await client.ask()) == 200
+                    async with Client(relay) as bad:
+                        bad.writer.write(b"noise\r\n\r\n")
+                        assert status(await bad.answer()) == 400
+                    caller = next(iter(relay.server.connections))
+                    left = [
+                        weakref.ref(one)
+                        for one in (caller, relay.upstream.endpoints["s"].idle_connections[0])
+                    ]
+                    left.append(weakref.ref(relay.discovery._connection))
+                    del caller
+                gc.collect()
+                gc.disable()
+                try:
+                    relay.upstream.close_longest_idle()
+                    relay.reload(moved_to(relay, discovery))
+                    discovery.writers[0].transport.abort()
+                    relay.discovery.close()
+                    await until(lambda: not relay.server.connections and relay.upstream.open_count == 0)
+                    await until(lambda: not any(ref() for ref in left))
+                finally:
+                    gc.enable()
+
+    run(main())
--- a/tests/http/test_descriptor_limit.py
+++ b/tests/http/test_descriptor_limit.py
@@ -13,7 +13,7 @@
 import pytest
 
 from tests.cli.test_run import ROOT, free_port, good
-from tests.discovery.test_watch_backoff import Returning
+from tests.support.scripted_discovery import RestartableDiscovery
 from tests.support.sockets import Client, FakeServer, Message, entry, read_message, run, status, until
 from tests.test_adapter import CONFIG
 
@@ -88,7 +88,7 @@
     async def main() -> None:
         async with FakeServer().up() as one, FakeServer().up() as two, contextlib.AsyncExitStack() as stack:
             port, door = free_port(), free_port()
-            discovery = Returning()
+            discovery = RestartableDiscovery()
             await discovery.begin("mute")
             stack.callback(discovery.end)
             row = good(
--- /dev/null
+++ b/tests/http/test_request_validation.py
@@ -0,0 +1,148 @@
+"""Requests that are malformed, ambiguous or endless."""
+
+from __future__ import annotations
+
+import contextlib
+
+import pytest
+
+from tests.support.sockets import (
+    POST_HEAD,
+    TIMED_POST_HEAD,
+    Client,
+    FakeServer,
+    entry,
+    never_respond,
+    node,
+    run,
+    status,
+    until,
+)
+
+
+@pytest.mark.parametrize(
+    ("raw", "code"),
+    [
+        (b"no HTTP\r\n\r\n", 400),
+        (b"GET /x HTTP/1.1\r\nHost: a\r\n\r\n", 400),
+        (b"GET /x HTTP/1.1\r\nRequest-Id: a\r\nRequest-Class: read\r\n\r\n", 400),
+        (b"GET /x HTTP/1.1\r\nRequest-Id: a\r\nRequest-Class: odd\r\nRequest-Timeout-Ms: 9\r\n\r\n", 400),
+        (b"GET /x HTTP/1.1\r\nRequest-Id: a\r\nRequest-Class: read\r\nRequest-Timeout-Ms: nan\r\n\r\n", 400),
+        (b"GET /x HTTP/1.1\r\nRequest-Id: a\r\nRequest-Class: read\r\nRequest-Timeout-Ms: x\r\n\r\n", 400),
+        (b"PUT /x HTTP/1.1\r\nRequest-Id: a\r\nContent-Length: 0\r\n\r\n", 405),
+        (b"POST /x HTTP/1.1\r\nContent-Length: x\r\n\r\n", 400),
+        (b"POST /x HTTP/1.1\r\nContent-Length: 33554433\r\n\r\n" + b"a" * 65537, 413),
+        (b"GET /x HTTP/1.1\r\nX: " + b"a" * 20000 + b"\r\n\r\n", 431),
+        (b"GET /x HTTP/1.1\r\nConnection: Upgrade\r\nUpgrade: h2c\r\n\r\n", 400),
+    ],
+)
+def test_invalid_request_gets_an_error_response(raw: bytes, code: int):
+    """Guards against a traceback, or the promise of a 429 or 503, for a request that can't be read."""
+
+    async def main() -> None:
+        async with FakeServer().up() as server, node([entry("s", server.port)]) as relay:
+            async with Client(relay) as client:
+                client.writer.write(raw)
+                assert status(await client.answer()) == code
+            async with Client(relay) as client:
+                assert status(await client.ask()) == 200
+            assert len(server.got) == 1
+
+    run(main())
+
+
+CHUNKED = b"Transfer-Encoding: chunked\r\n"
+
+
+HIDDEN = b"GET /y HTTP/1.1\r\nRequest-Id: b\r\nRequest-Class: read\r\nRequest-Timeout-Ms: 900\r\n\r\n"
+
+
+@pytest.mark.parametrize(
+    "raw",
+    [
+        TIMED_POST_HEAD + CHUNKED + b"Content-Length: 5\r\n\r\n0\r\n\r\n" + HIDDEN,
+        TIMED_POST_HEAD + b"Content-Length: 5\r\n" + CHUNKED + b"\r\n0\r\n\r\n" + HIDDEN,
+        TIMED_POST_HEAD + b"Content-Length: 0\r\nContent-Length: 0\r\n\r\n" + HIDDEN,
+        TIMED_POST_HEAD + b"Content-Length: -4\r\n\r\nabcd" + HIDDEN,
+        TIMED_POST_HEAD + b"Content-Length: +4\r\n\r\nabcd" + HIDDEN,
+        TIMED_POST_HEAD + b"Transfer-Encoding: gzip, chunked\r\n\r\n0\r\n\r\n" + HIDDEN,
+        TIMED_POST_HEAD + b"Transfer-Encoding : chunked\r\n\r\n0\r\n\r\n" + HIDDEN,
+        TIMED_POST_HEAD + CHUNKED + b"\r\nzz\r\nabcd\r\n0\r\n\r\n" + HIDDEN,
+        TIMED_POST_HEAD + CHUNKED + b"\r\n4\nabcd\n0\n\n" + HIDDEN,
+        TIMED_POST_HEAD.replace(b"1.1", b"1.0", 1) + CHUNKED + b"\r\n0\r\n\r\n" + HIDDEN,
+        TIMED_POST_HEAD.replace(b"1.1", b"2.0", 1) + b"Content-Length: 0\r\n\r\n" + HIDDEN,
+        TIMED_POST_HEAD.replace(b"\r\n", b"\n") + b"Content-Length: 0\n\n" + HIDDEN,
+        TIMED_POST_HEAD + b"Request-Id: c\r\nContent-Length: 0\r\n\r\n" + HIDDEN,
+        TIMED_POST_HEAD + b"Content-Length: 60000000\r\n\r\n" + b"a" * 1000,
+        POST_HEAD + b"Request-Timeout-Ms: 1_0\r\n\r\n" + HIDDEN,
+        POST_HEAD + b"Request-Timeout-Ms: 1e3\r\n\r\n" + HIDDEN,
+        POST_HEAD + b"Request-Timeout-Ms: 99999999999\r\n\r\n" + HIDDEN,
+        TIMED_POST_HEAD + b"Work-Hint: inf\r\n\r\n" + HIDDEN,
+        TIMED_POST_HEAD + b"Content-Length: 0\r\n\r\n" * 1 + b"\x00\xff noise\r\n\r\n",
+        b"".join(
+            TIMED_POST_HEAD.replace(b"Id: a", b"Id: %d" % at) + b"Content-Length: 0\r\n\r\n"
+            for at in range(300)
+        ),
+    ],
+)
+def test_ambiguous_request_is_rejected(raw: bytes):
+    """Guards against hidden requests: one error, a close, and nothing of it reaches a server. That holds for
+    all that came with it too."""
+
+    async def main() -> None:
+        async with FakeServer().up() as server, node([entry("s", server.port)]) as relay:
+            async with Client(relay) as client:
+                client.writer.write(raw)
+                assert 400 <= status(await client.answer()) < 500
+                assert await client.reader.read() == b""
+            assert not server.got
+            assert not relay.node.requests
+            await until(lambda: not relay.server.connections)
+
+    run(main())
+
+
+def test_invalid_bytes_after_a_pending_request_end_it():
+    """Guards against a caller that hides behind its first request: its attempt ends too."""
+
+    async def main() -> None:
+        async with FakeServer(never_respond).up() as server, node([entry("s", server.port)]) as relay:
+            async with Client(relay) as client:
+                client.send("post")
+                await until(lambda: len(server.got) == 1)
+                client.writer.write(b"\x00 noise\r\n\r\n")
+                assert status(await client.answer()) == 400
+                assert await client.reader.read() == b""
+                await until(lambda: server.closed == 1)
+                assert not relay.node.requests
+
+    run(main())
+
+
+@pytest.mark.parametrize(
+    "raw",
+    [
+        b"GET /x HTTP/1.1\r\nX: ",  # one header without end
+        b"GET /",  # a path without end
+        TIMED_POST_HEAD + CHUNKED + b"\r\n4;a=",  # a chunk's extension without end
+        b"",  # white space and nothing else
+    ],
+)
+def test_endless_head_is_rejected(raw: bytes):
+    """Guards memory: the parser hands a header over only once it is whole."""
+
+    async def main() -> None:
+        async with FakeServer().up() as server, node([entry("s", server.port)]) as relay:
+            async with Client(relay) as client:
+                client.writer.write(raw)
+                with contextlib.suppress(ConnectionError):
+                    for _ in range(400):
+                        client.writer.write((b"a" if raw else b"\r\n") * 4096)
+                        await client.writer.drain()
+                        if client.reader.at_eof():
+                            break
+                if raw:
+                    assert status(await client.answer()) in (413, 431)
+                await until(lambda: not relay.server.connections)
+
+    run(main())
--- a/tests/http/test_slow_clients.py
+++ b/tests/http/test_slow_clients.py
@@ -9,6 +9,7 @@
 from rosewheel.discovery import backoff as rewatch
 from rosewheel.discovery import watch_client as watch_module
 from rosewheel.node.limits import Limits
+from tests.support.loops import PatchedLoop
 from tests.support.sockets import Client, FakeDiscovery, FakeServer, entry, node, run, status, until
 
 HEAD = b"GET /x HTTP/1.1\r\nRequest-Id: a\r\nRequest-Class: read\r\nRequest-Timeout-Ms: 900\r\n\r\n"
@@ -86,7 +87,7 @@
                         wait = 0.0
                     return later(wait, call, *args)  # type: ignore[arg-type]
 
-                relay.loop = _Loop(relay.loop, noted)  # type: ignore[assignment]
+                relay.loop = PatchedLoop(relay.loop, call_later=noted)  # type: ignore[assignment]
                 await until(lambda: len(discovery.asked) == 7)
                 assert status(await client.ask()) == 200  # by the list as it was held
                 discovery.tell(9, entry("s", server.port), whole=True)
@@ -107,11 +108,3 @@
             await until(lambda: len(discovery.asked) >= 2)
 
     run(main())
-
-
-class _Loop:
-    def __init__(self, loop: object, call_later: object) -> None:
-        self._loop, self.call_later = loop, call_later
-
-    def __getattr__(self, name: str) -> object:
-        return getattr(self._loop, name)
--- a/tests/node/test_statistics.py
+++ b/tests/node/test_statistics.py
@@ -6,9 +6,8 @@
 from rosewheel.node.limits import Limits
 from rosewheel.node.statistics import RequestOutcome, Statistics
 from rosewheel.policy.events import AttemptResult, EndpointListForm, RequestReceived, Server
-from tests.http.test_sockets import held_back
 from tests.support.balancers import settings
-from tests.support.sockets import Client, FakeServer, entry, node, run, status, until
+from tests.support.sockets import Client, FakeServer, entry, gated_handler, node, run, status, until
 
 
 def counts(figures: Statistics) -> dict[str, tuple[int, int, int]]:
@@ -50,7 +49,7 @@
     """Guards operators against figures that drift from what clients saw and servers got."""
 
     async def main() -> None:
-        free, slow = held_back()
+        free, slow = gated_handler()
         async with FakeServer(slow).up() as server, node([entry("s", server.port)]) as relay:
             async with Client(relay) as one, Client(relay) as two:
                 one.send("post")
--- a/tests/proxy/test_reconfiguration.py
+++ b/tests/proxy/test_reconfiguration.py
@@ -24,9 +24,19 @@
 from rosewheel.proxy.state import SharedState
 from tests.cli.test_run import connect, free_port, good, start
 from tests.hot_restart.test_hot_restart import LONG, bench, read_long, send_long, slow_client
-from tests.http.test_sockets import held_back
 from tests.support.balancers import SAFE, UNSAFE
-from tests.support.sockets import WAIT_S, Client, FakeDiscovery, FakeServer, entry, node, run, status, until
+from tests.support.sockets import (
+    WAIT_S,
+    Client,
+    FakeDiscovery,
+    FakeServer,
+    entry,
+    gated_handler,
+    node,
+    run,
+    status,
+    until,
+)
 from tests.test_adapter import CONFIG
 
 
@@ -44,7 +54,7 @@
     the new one is served, the removed one refused, and a file that can't be applied changes nothing."""
 
     async def main() -> None:
-        free, slow = held_back()
+        free, slow = gated_handler()
         port = free_port()
         async with FakeServer(slow).up() as server:
             row = good(
@@ -168,7 +178,7 @@
 
 def test_fewer_sockets_than_are_open_close_what_is_idle_and_leave_what_is_in_use():
     async def main() -> None:
-        free, slow = held_back()
+        free, slow = gated_handler()
         async with FakeServer(slow).up() as server, node([entry("s", server.port)]) as relay:
             async with contextlib.AsyncExitStack() as stack:
                 clients = [await stack.enter_async_context(Client(relay)) for _ in range(40)]
--- /dev/null
+++ b/tests/support/scripted_discovery.py
@@ -0,0 +1,108 @@
+"""Discovery services on loopback that follow a script, or end and come back."""
+
+from __future__ import annotations
+
+import asyncio
+import contextlib
+from collections.abc import AsyncIterator
+from dataclasses import dataclass, field
+
+import orjson
+
+from tests.support.sockets import Message, read_message
+
+STREAM_HEAD = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
+
+
+def encode_chunk(data: bytes) -> bytes:
+    """Data as one chunk of a body."""
+    return b"%x\r\n%b\r\n" % (len(data), data)
+
+
+@dataclass
+class ScriptedDiscovery:
+    """Writes to the n-th watch what its script has for it, and holds each open; without a script it is silent."""
+
+    scripts: dict[int, bytes] = field(default_factory=dict)
+    asked: list[str] = field(default_factory=list)
+    ended: int = 0
+    writers: list[asyncio.StreamWriter] = field(default_factory=list)
+    port: int = 0
+
+    async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        message = await read_message(reader)
+        if message is None:
+            return
+        self.asked.append(message.first)
+        self.writers.append(writer)
+        if (script := self.scripts.get(len(self.asked))) is not None:
+            writer.write(script)
+        with contextlib.suppress(ConnectionError):
+            await reader.read()
+        self.ended += 1
+
+    @contextlib.asynccontextmanager
+    async def up(self) -> AsyncIterator[ScriptedDiscovery]:
+        """Listen on a free port."""
+        server = await asyncio.start_server(self._serve, "127.0.0.1", 0)
+        self.port = server.sockets[0].getsockname()[1]
+        try:
+            yield self
+        finally:
+            server.close()
+            for writer in self.writers:
+                writer.close()
+
+
+class RestartableDiscovery:
+    """A discovery on one port that ends and comes back, each time with another behaviour.
+
+    `served`: a snapshot is written; `mute`: nothing; `half`: a part of a line; `dies`: that, and a reset.
+    """
+
+    def __init__(self) -> None:
+        self.behaviour, self.host, self.dial = "served", "new", "127.0.0.1:9"
+        self.asked = self.port = 0
+        self.writers: list[asyncio.StreamWriter] = []
+        self.server: asyncio.Server | None = None
+
+    async def begin(self, behaviour: str) -> None:
+        """Listen, on the same port as before."""
+        self.behaviour, self.asked = behaviour, 0
+        if self.server is None:
+            self.server = await asyncio.start_server(self._serve, "127.0.0.1", self.port)
+            self.port = self.server.sockets[0].getsockname()[1]
+
+    def end(self) -> None:
+        """Stop listening, and reset all connections."""
+        if self.server is not None:
+            self.server.close()
+            self.server = None
+        while self.writers:
+            self.writers.pop().transport.abort()
+
+    async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        message: Message | None = await read_message(reader)
+        if message is None:
+            return
+        self.writers.append(writer)
+        self.asked += 1
+        if self.behaviour != "mute":
+            row = {"host": self.host, "dial": self.dial, "health": "active"}
+            line = orjson.dumps({"seq": 9, "whole": True, "hosts": [row]}) + b"\n"
+            writer.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n%x\r\n" % len(line))
+            writer.write(line + b"\r\n" if self.behaviour == "served" else line[:30])
+        if self.behaviour == "dies":
+            await writer.drain()
+            writer.transport.abort()
+
+
+@contextlib.asynccontextmanager
+async def restartable_discovery() -> AsyncIterator[RestartableDiscovery]:
+    """A mute discovery that ends with the test."""
+    discovery = RestartableDiscovery()
+    await discovery.begin("mute")
+    try:
+        yield discovery
+    finally:
+        discovery.end()
--- a/tests/support/sockets.py
+++ b/tests/support/sockets.py
@@ -5,6 +5,7 @@
 import asyncio
 import contextlib
 import dataclasses
+import socket
 from collections.abc import AsyncIterator, Awaitable, Callable, Coroutine
 from dataclasses import dataclass, field
 from typing import Any
@@ -19,6 +20,10 @@
 
 WAIT_S = 20.0  # a test that waits this long has failed; a good one never gets near it
 
+# Unfinished heads of requests, to be written to a socket.
+POST_HEAD = b"POST /x HTTP/1.1\r\nRequest-Id: a\r\nRequest-Class: post\r\n"
+TIMED_POST_HEAD = POST_HEAD + b"Request-Timeout-Ms: 900\r\n"
+
 
 def run(main: Coroutine[Any, Any, None]) -> None:
     async def bounded() -> None:
@@ -68,6 +73,28 @@
     writer.write(answer())
 
 
+def closed_port() -> int:
+    """A port on which nothing listens."""
+    with socket.socket() as free:
+        free.bind(("127.0.0.1", 0))
+        return int(free.getsockname()[1])
+
+
+async def never_respond(_message: Message, _writer: asyncio.StreamWriter) -> None:
+    """A handler that receives a request and does not respond."""
+
+
+def gated_handler() -> tuple[asyncio.Event, Handler]:
+    """A handler that responds once the event is set."""
+    gate = asyncio.Event()
+
+    async def respond(_message: Message, writer: asyncio.StreamWriter) -> None:
+        await gate.wait()
+        writer.write(answer())
+
+    return gate, respond
+
+
 @dataclass
 class FakeServer:
     handler: Handler = serve_ok
