--- a/rosewheel/lab/node_process.py
+++ b/rosewheel/lab/node_process.py
@@ -24,8 +24,8 @@
 _PR_SET_PDEATHSIG = 1
 
 
-def _die_with_parent() -> None:
-    """In the child, before it becomes a node: whatever ends this process ends the node too (Linux)."""
+def kill_with_parent() -> None:
+    """In a new child, before it executes its program: end it when its parent ends (Linux)."""
     ctypes.CDLL(None).prctl(_PR_SET_PDEATHSIG, signal.SIGKILL)
 
 
@@ -118,7 +118,7 @@
                 stdout=log,
                 stderr=log,
                 pass_fds=descriptors,
-                preexec_fn=_die_with_parent,
+                preexec_fn=kill_with_parent,
             )
 
     @property
--- a/rosewheel/lab/scale/daemon.py
+++ b/rosewheel/lab/scale/daemon.py
@@ -2,19 +2,12 @@
 
 from __future__ import annotations
 
-import ctypes
-import signal
 import subprocess
 import sys
 from collections.abc import Mapping
 from pathlib import Path
 
-_PR_SET_PDEATHSIG = 1  # prctl(2)
-
-
-def kill_with_parent() -> None:
-    """In a new child, before it executes its program: end it when its parent ends (Linux)."""
-    ctypes.CDLL(None).prctl(_PR_SET_PDEATHSIG, signal.SIGKILL)
+from rosewheel.lab.node_process import kill_with_parent
 
 
 class Daemon:
--- a/rosewheel/lab/scale/worker.py
+++ b/rosewheel/lab/scale/worker.py
@@ -12,7 +12,7 @@
 import msgspec
 import uvloop
 
-from rosewheel.lab.scale.daemon import kill_with_parent
+from rosewheel.lab.node_process import kill_with_parent
 from rosewheel.lab.scale.errors import ProcessError
 
 REPLY_TIMEOUT_S = 30.0  # far more than a reply needs on a busy machine
