--- a/benchmarks/added_time.py
+++ b/benchmarks/added_time.py
@@ -103,7 +103,7 @@
     """`python -m rosewheel` with its collections and its writes of what it learned noted in this file."""
     from rosewheel.proxy.snapshots import SnapshotWriter
 
-    began, plain = [0.0], SnapshotWriter._put
+    began, plain = [0.0], SnapshotWriter._replace_file
     with Path(path).open("w", buffering=1) as file:
 
         def note(phase: str, info: dict[str, int]) -> None:
@@ -120,11 +120,11 @@
 
         def due(self: SnapshotWriter) -> None:
             self.write()
-            self._later()
+            self._schedule()
 
-        SnapshotWriter._put = put
+        SnapshotWriter._replace_file = put
         if name == "on-loop":
-            SnapshotWriter._due = due
+            SnapshotWriter._write_scheduled = due
         gc.callbacks.append(note)
         if name == "gc-off":
             gc.disable()
--- a/rosewheel/hot_restart/service.py
+++ b/rosewheel/hot_restart/service.py
@@ -163,7 +163,7 @@
             link.close()
             return
         self._versions[link] = version
-        self.moves.relay.shared_state.follow_now()
+        self.moves.relay.shared_state.follow()
         log.info("in touch with process %s of this node, version %d", message.get("pid"), version)
         if link is self.predecessor and fds:
             self.receiver = Receiver(link, self.moves, fds[0])
--- a/rosewheel/proxy/process.py
+++ b/rosewheel/proxy/process.py
@@ -1,4 +1,4 @@
-"""One node from its start to its end: signals, the loop, and the exit code."""
+"""Runs one node from its start to its end: the event loop, signals, and the exit code."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 import sys
 import time
 from collections.abc import Callable
-from typing import TYPE_CHECKING
+from typing import TYPE_CHECKING, Protocol
 
 import uvloop
 
@@ -21,60 +21,83 @@
 
 log = logging.getLogger("rosewheel")
 
-Load = Callable[[bool], Config]  # True: it is read again, while the node runs
+EXIT_OK = 0
+EXIT_BAD_CONFIGURATION = 2
+# Of the garbage collector, while the node serves: collections are seldom, since each one delays responses.
+GC_THRESHOLDS = (20000, 20, 50)
 
+LoadConfig = Callable[[bool], Config]
+"""Reads the configuration; the argument says whether it is read again, while the node runs."""
 
-def _joined(relay: Proxy, config: Config) -> FleetConfiguration | None:
-    """What joins the node to the fleet's configuration, where its file says so. Imported only then: it needs more than
-    the platform's `run` has."""
-    if config.control is None:
-        return None
-    from rosewheel.proxy.reconfiguration import FleetConfiguration
 
-    return FleetConfiguration(relay, config, config.control)
+class Reloadable(Protocol):
+    """What takes over a configuration that was read again."""
+
+    def reload(self, config: Config) -> None:
+        """Raises ConfigError, and changes nothing, where the configuration can't be applied."""
 
 
-def _reload(relay: Proxy, load: Load, joined: FleetConfiguration | None) -> None:
-    """Read the configuration again; with a bad one the node goes on as it is."""
+def run(load: LoadConfig) -> int:
+    """Serves until SIGTERM or SIGINT.
+
+    Args:
+        load: Reads the configuration, at the start and at each SIGHUP.
+
+    Returns:
+        The exit code: 0, or 2 after one line on standard error where the configuration is bad.
+    """
+    # An early SIGHUP must not end a node that is still starting. It asks for nothing: the file is read after this.
+    signal.signal(signal.SIGHUP, signal.SIG_IGN)
     try:
-        config = load(True)
-        relay.reload(config if joined is None else joined.over(config))
-        if joined is not None:
-            joined.took(config)
+        uvloop.run(_serve(load(False), load))
     except ConfigError as error:
-        log.error("the configuration stays as it was: %s", error)
+        print(f"rosewheel: {error}", file=sys.stderr)
+        return EXIT_BAD_CONFIGURATION
+    return EXIT_OK
 
 
-async def _serve(config: Config, load: Load) -> None:
+async def _serve(config: Config, load: LoadConfig) -> None:
     stop = asyncio.Event()
     loop = asyncio.get_running_loop()
     for name in (signal.SIGTERM, signal.SIGINT):
         loop.add_signal_handler(name, stop.set)
-    relay = Proxy(config)
-    joined = _joined(relay, config)
-    loop.add_signal_handler(signal.SIGHUP, _reload, relay, load, joined)
-    if joined is not None:
-        joined.start()
-    await relay.start()
-    # Guards the tail of the latencies: what lives as long as the node is not looked through again.
-    gc.collect()
-    gc.freeze()
-    gc.set_threshold(20000, 20, 50)
-    gc.enable()
+    proxy = Proxy(config)
+    fleet = _fleet_configuration(proxy, config)
+    loop.add_signal_handler(signal.SIGHUP, _reload, fleet or proxy, load)
+    if fleet is not None:
+        fleet.start()
+    await proxy.start()
+    _tune_garbage_collector()
     log.info("%s serves, %.0f ms of CPU", config.name, time.process_time() * 1e3)
     await stop.wait()
-    if joined is not None:
-        joined.close()
-    await relay.drain()
+    if fleet is not None:
+        fleet.close()
+    await proxy.drain()
 
 
-def run(load: Load) -> int:
-    """Serve until SIGTERM or SIGINT: 0, or 2 with one plain line where the configuration is bad."""
-    # Guards a node that is still starting: the file is read after this, so an early SIGHUP asks for nothing.
-    signal.signal(signal.SIGHUP, signal.SIG_IGN)
+def _fleet_configuration(proxy: Proxy, config: Config) -> FleetConfiguration | None:
+    """Connects the node to the fleet's configuration where its file says so.
+
+    Imported only then: it needs more libraries than `run` on the platform has.
+    """
+    if config.control is None:
+        return None
+    from rosewheel.proxy.reconfiguration import FleetConfiguration
+
+    return FleetConfiguration(proxy, config, config.control)
+
+
+def _reload(target: Reloadable, load: LoadConfig) -> None:
+    """Reads and applies the configuration again; the node goes on as it is where that fails."""
     try:
-        uvloop.run(_serve(load(False), load))
+        target.reload(load(True))
     except ConfigError as error:
-        print(f"rosewheel: {error}", file=sys.stderr)
-        return 2
-    return 0
+        log.error("configuration not reloaded: error=%s", error)
+
+
+def _tune_garbage_collector() -> None:
+    """Starts to collect, and exempts what lives as long as the node: that keeps pauses short."""
+    gc.collect()
+    gc.freeze()
+    gc.set_threshold(*GC_THRESHOLDS)
+    gc.enable()
--- a/rosewheel/proxy/proxy.py
+++ b/rosewheel/proxy/proxy.py
@@ -40,13 +40,13 @@
 from rosewheel.node.limits import Limits
 from rosewheel.node.statistics import RequestOutcome
 from rosewheel.policy.events import AttemptResult, EndpointListForm, RequestReceived
-from rosewheel.policy.learned_state import LearnedState
 from rosewheel.policy.settings import Settings
 from rosewheel.policy.shared_state import is_large_fleet
 from rosewheel.proxy.cordons import Cordons
 from rosewheel.proxy.headers import DECIMAL, WHOLE, figure
+from rosewheel.proxy.shared_state import SharedState
+from rosewheel.proxy.snapshot_codec import LearnedValues
 from rosewheel.proxy.snapshots import SnapshotWriter
-from rosewheel.proxy.state import SharedState
 
 if TYPE_CHECKING:
     from rosewheel.admin.server import AdminServer
@@ -92,7 +92,10 @@
         self.shares_listener = config.inherited is not None  # callers come by a socket that another has too
         self.cordons = Cordons(self._cordon)
         self.shared_state = SharedState(
-            config.state, self.cordons.hand, self._process_count_changed, config.inherited is not None
+            config.state,
+            self.cordons.set_by_operator,
+            self._process_count_changed,
+            config.inherited is not None,
         )
         self.node = Node(config.settings, config.bounds, config.seed, now_ms())
         self.upstream = UpstreamPool(
@@ -176,12 +179,12 @@
         kept = self.snapshots.read()
         if kept is not None:
             known = self.node.restore_learned_state(now_ms(), kept.learned, kept.age_ms)
-            self.upstream.restore_idle_limit(kept.rest_s)
-            log.info("what was learned %.1f s ago is taken back, of %d equipos", kept.age_ms / 1e3, known)
+            self.upstream.restore_idle_limit(kept.idle_timeout_s)
+            log.info("learned state restored: age_s=%.1f, servers=%d", kept.age_ms / 1e3, known)
         self.snapshots.start()
 
-    def _learned(self) -> tuple[LearnedState, float]:
-        return self.node.learned_state(now_ms()), self.upstream.idle_timeout.stale_limit_s
+    def _learned(self) -> LearnedValues:
+        return LearnedValues(self.node.learned_state(now_ms()), self.upstream.idle_timeout.stale_limit_s)
 
     def reload(self, config: Config) -> None:
         """Take over what may change while the node runs: the address of discovery, settings and bounds. Raises
@@ -192,10 +195,10 @@
             raise ConfigError(str(error)) from error
         fixed = [key for key in FIXED if getattr(config, key) != getattr(self.config, key)]
         if fixed:
-            log.warning("%s: only a new start of this node takes that over", ", ".join(fixed))
+            log.warning("configuration keys ignored until a restart: keys=%s", ", ".join(fixed))
         moved = config.discovery != self.config.discovery
         self.config = dataclasses.replace(self.config, discovery=config.discovery)
-        log.info("the configuration was read again, discovery at %s:%d", *config.discovery)
+        log.info("configuration reloaded: discovery=%s:%d", *config.discovery)
         if not moved or self.stopped:
             return
         self.discovery.change_address(config.discovery)
@@ -215,7 +218,7 @@
         self._share(bounds.max_sockets)
         self._shrink()
         self.apply(effects)
-        log.info("another configuration holds from now on, %d classes", len(settings.classes))
+        log.info("configuration applied: classes=%d", len(settings.classes))
         pushed = was.settings.poll_discovery and not settings.poll_discovery
         if pushed and not self.discovery.is_open and not self.stopped:  # the module asks no more
             self.discovery.start()
@@ -311,7 +314,7 @@
 
     def set_fleet_cordons(self, members: frozenset[str]) -> None:
         """The fleet has taken these out, and no others. What is out by hand stays so, whatever the fleet says."""
-        self.cordons.fleet(members)
+        self.cordons.set_by_fleet(members)
 
     def cordoned_by_fleet(self, member: str) -> bool:
         return member in self.cordons.by_fleet
@@ -325,7 +328,7 @@
     async def _by_hand(self, member: str, out: bool) -> bool:
         if not self.node.is_known_server(member):
             return False
-        await self.cordons.put(member, out, self.shared_state)
+        await self.cordons.change_by_operator(member, out, self.shared_state)
         return True
 
     def _cordon(self, member: str, out: bool) -> None:
--- a/rosewheel/proxy/reconfiguration.py
+++ b/rosewheel/proxy/reconfiguration.py
@@ -1,6 +1,6 @@
-"""Joins a node to the fleet's configuration: what control says is put in force over the node's own file.
+"""Applies the fleet's configuration to a node, on top of the node's own file.
 
-Imported only where the operator's file has a table `control`; `run` on the platform never does.
+Imported only where the operator's file has a table `control`: `run` on the platform never needs it.
 """
 
 from __future__ import annotations
@@ -16,55 +16,69 @@
 from rosewheel.node.limits import Limits
 from rosewheel.policy.settings import Settings
 
-COPY = "control.copy"
+CACHE_NAME = "control.copy"
 
 
-class Node(Protocol):
-    """What is configured."""
+class ConfigurableNode(Protocol):
+    """The node to which a configuration is applied."""
 
     def configure(self, settings: Settings, bounds: Limits) -> None:
-        """ValueError: all stays as it was."""
+        """Applies settings and limits; raises ValueError, and changes nothing, where they can't hold."""
 
-    def set_fleet_cordons(self, members: frozenset[str]) -> None: ...
+    def set_fleet_cordons(self, servers: frozenset[str]) -> None:
+        """Replaces the set of servers that the fleet has cordoned."""
+
+    def reload(self, config: Config) -> None:
+        """Applies a configuration that was read again; raises ConfigError, and changes nothing, where it can't."""
 
 
 class FleetConfiguration:
-    def __init__(self, node: Node, config: Config, control: Control) -> None:
-        self.node, self.control = node, control
-        self.document: Document = {}  # in force
-        copy = Path(config.state) / COPY if config.state else None
-        self.follower = ConfigurationSubscriber(
-            config.name, control.service, control.machines, config.seed, copy, self._apply
+    """Keeps a node at the newest configuration of the fleet.
+
+    Args:
+        node: The node to configure.
+        config: The node's own configuration; its state folder holds the cached copy of the fleet's.
+        control: The service and the control machines that the configuration comes from.
+    """
+
+    def __init__(self, node: ConfigurableNode, config: Config, control: Control) -> None:
+        self._node = node
+        self._control = control
+        self._applied: Document = {}
+        cache = Path(config.state) / CACHE_NAME if config.state else None
+        self._subscriber = ConfigurationSubscriber(
+            config.name, control.service, control.machines, config.seed, cache, self._apply
         )
 
     def start(self) -> None:
-        """With the copy, if there is one; no machine is waited for."""
-        self.follower.start()
+        """Applies the cached copy, if there is one, and connects to control; waits for no machine."""
+        self._subscriber.start()
 
     def close(self) -> None:
-        self.follower.close()
+        """Disconnects from control."""
+        self._subscriber.close()
 
-    def _apply(self, document: Document) -> None:
-        out = cordons(document)
-        self.node.configure(*tuned(self.control.own, document))
-        self.node.set_fleet_cordons(out)
-        self.document = document
+    def reload(self, config: Config) -> None:
+        """Applies the node's own file, read again, below the fleet's configuration.
 
-    def over(self, config: Config) -> Config:
-        """The node's own file, read again, under what control says. ConfigError where the two do not go together."""
+        Raises:
+            ConfigError: The file names another control or service, or the two do not fit together; nothing changed.
+        """
         control = config.control
         if control is None or (control.machines, control.service) != (
-            self.control.machines,
-            self.control.service,
+            self._control.machines,
+            self._control.service,
         ):
             raise ConfigError("control: changes only with a restart")
         try:
-            settings, bounds = tuned(control.own, self.document)
+            settings, bounds = tuned(control.own, self._applied)
         except ValueError as error:
             raise ConfigError(f"with what control says: {error}") from error
-        return dataclasses.replace(config, settings=settings, bounds=bounds)
+        self._node.reload(dataclasses.replace(config, settings=settings, bounds=bounds))
+        self._control = control
 
-    def took(self, config: Config) -> None:
-        """The file that was read again is in force."""
-        assert config.control is not None
-        self.control = config.control
+    def _apply(self, document: Document) -> None:
+        servers = cordons(document)
+        self._node.configure(*tuned(self._control.own, document))
+        self._node.set_fleet_cordons(servers)
+        self._applied = document
--- /dev/null
+++ b/rosewheel/proxy/snapshot_codec.py
@@ -0,0 +1,136 @@
+"""A snapshot as bytes: a line with format, version, checksum and length, then JSON."""
+
+from __future__ import annotations
+
+import math
+import time
+import zlib
+from dataclasses import dataclass
+from typing import Any, NamedTuple
+
+import orjson
+
+from rosewheel.policy.learned_state import LearnedState
+from rosewheel.policy.learned_state_codec import (
+    FORMAT_VERSION,
+    learned_state_from_json,
+    learned_state_to_json,
+    snapshot_age_ms,
+)
+from rosewheel.proxy.errors import SnapshotDamagedError, SnapshotMismatchError
+
+MAGIC = b"rosewheel-learned"
+MAX_FILE_BYTES = 16 << 20  # a larger file was not written by a node; bounds the memory that reading one takes
+MAX_IDLE_TIMEOUT_S = 1e6
+
+
+class ClockReading(NamedTuple):
+    """Both clocks at one moment, in milliseconds: neither alone tells an age across processes."""
+
+    monotonic_ms: float
+    wall_ms: float
+
+
+class LearnedValues(NamedTuple):
+    """What one process has learned.
+
+    Attributes:
+        learned: The learned state of the balancing policy.
+        idle_timeout_s: How long connections to servers may stay idle before they go stale.
+    """
+
+    learned: LearnedState
+    idle_timeout_s: float
+
+
+@dataclass(slots=True, frozen=True)
+class Snapshot:
+    """LearnedState values of an earlier process.
+
+    Attributes:
+        learned: The learned state of the balancing policy.
+        age_ms: The time since the snapshot was taken.
+        idle_timeout_s: How long connections to servers may stay idle; infinite where nothing was learned of that.
+    """
+
+    learned: LearnedState
+    age_ms: float
+    idle_timeout_s: float = math.inf
+
+
+def read_clocks() -> ClockReading:
+    """Returns the monotonic clock and the time of day."""
+    return ClockReading(time.monotonic() * 1000.0, time.time() * 1000.0)
+
+
+def encode_snapshot(node: str, learned: LearnedState, idle_timeout_s: float, now: ClockReading) -> bytes:
+    """Returns the content of a snapshot file of this node."""
+    content = {
+        "node": node,
+        "monotonic_ms": now.monotonic_ms,
+        "wall_ms": now.wall_ms,
+        "rest_s": idle_timeout_s if math.isfinite(idle_timeout_s) else None,
+        "learned": learned_state_to_json(learned),
+    }
+    body = orjson.dumps(content)
+    return b"%b %d %08x %d\n" % (MAGIC, FORMAT_VERSION, zlib.crc32(body), len(body)) + body
+
+
+def decode_snapshot(data: bytes, node: str, now: ClockReading) -> Snapshot:
+    """Returns the snapshot that a file holds for this node.
+
+    Args:
+        data: The content of the file.
+        node: The name of this node; a snapshot of another one is refused.
+        now: Both clocks, as `read_clocks` returns them.
+
+    Raises:
+        SnapshotDamagedError: The file is no complete snapshot.
+        SnapshotMismatchError: The snapshot is of another version or node, or lies in the future.
+    """
+    content = _checked_content(data)
+    try:
+        return _snapshot_from(content, node, now)
+    except (KeyError, TypeError, ValueError, AttributeError) as error:
+        raise SnapshotDamagedError(f"{type(error).__name__}: {error}") from error
+
+
+def _checked_content(data: bytes) -> Any:
+    """Returns the JSON behind a header line that fits it."""
+    if len(data) > MAX_FILE_BYTES:
+        raise SnapshotDamagedError("too long")
+    header, newline, body = data.partition(b"\n")
+    fields = header.split(b" ")
+    if not newline or len(fields) != 4 or fields[0] != MAGIC:
+        raise SnapshotDamagedError("not a snapshot")
+    _, version, checksum, length = fields
+    if version != b"%d" % FORMAT_VERSION:
+        raise SnapshotMismatchError(f"of version {version.decode('ascii', 'replace')}, not {FORMAT_VERSION}")
+    if length != b"%d" % len(body):
+        raise SnapshotDamagedError("incomplete")
+    if checksum != b"%08x" % zlib.crc32(body):
+        raise SnapshotDamagedError("damaged")
+    try:
+        return orjson.loads(body)
+    except orjson.JSONDecodeError as error:
+        raise SnapshotDamagedError(str(error)) from error
+
+
+def _snapshot_from(content: Any, node: str, now: ClockReading) -> Snapshot:
+    if content.get("node") != node:
+        raise SnapshotMismatchError(f"of another node, {content.get('node')!r}")
+    saved = ClockReading(float(content["monotonic_ms"]), float(content["wall_ms"]))
+    age_ms = snapshot_age_ms(saved, now)
+    if age_ms is None:
+        raise SnapshotMismatchError("from the future, by both clocks")
+    return Snapshot(
+        learned_state_from_json(content["learned"]), age_ms, _idle_timeout_from(content.get("rest_s"))
+    )
+
+
+def _idle_timeout_from(value: Any) -> float:
+    if value is None:
+        return math.inf
+    if not (isinstance(value, float | int) and 0.0 < value < MAX_IDLE_TIMEOUT_S):
+        raise ValueError("rest_s is not a number in range")
+    return float(value)
--- a/rosewheel/proxy/snapshots.py
+++ b/rosewheel/proxy/snapshots.py
@@ -1,8 +1,7 @@
-"""What a node has learned, written down now and then so that the next process need not begin as if it knew nothing.
+"""Writes what a node has learned to a file at intervals, and reads it when the next process starts.
 
-One file in the folder that outlives a process: a line with the format, a checksum and the length, then JSON. It is
-replaced as a whole, so that a reader finds the old one or the new one. What can't be used is set aside under another
-name, with a line in the log: it may be wanted to find out why, and must not be read again at every start.
+The file lies in the folder that outlives a process, and is replaced in one step: a reader finds the old version or the
+new one. A file that can't be used is renamed and logged, so that it can be examined and is not read again.
 """
 
 from __future__ import annotations
@@ -10,150 +9,100 @@
 import asyncio
 import contextlib
 import logging
-import math
 import os
 import time
-import zlib
 from collections.abc import Callable
-from dataclasses import dataclass
-from typing import Any
 
-import orjson
-
-from rosewheel.policy.learned_state import LearnedState
-from rosewheel.policy.learned_state_codec import (
-    FORMAT_VERSION,
-    learned_state_from_json,
-    learned_state_to_json,
-    snapshot_age_ms,
+from rosewheel.proxy.errors import SnapshotError
+from rosewheel.proxy.snapshot_codec import (
+    MAX_FILE_BYTES,
+    LearnedValues,
+    Snapshot,
+    decode_snapshot,
+    encode_snapshot,
+    read_clocks,
 )
 
 log = logging.getLogger("rosewheel.snapshots")
 
-SNAPSHOT_NAME, REJECTED_NAME = "learned.snap", "learned.aside"
-MAGIC = b"rosewheel-learned"
-PERIOD_S = 1.0  # how often one is written,
-MAX_TIME_SHARE = 0.005  # or so seldom that taking and writing it stays under this share of the time
-FILE_BYTES = 16 << 20  # Guards memory: a longer file was not written here
-
-
-@dataclass(slots=True, frozen=True)
-class Snapshot:
-    """What a file holds: the module's part, and how long connections to equipos may rest."""
-
-    learned: LearnedState
-    age_ms: float
-    rest_s: float = math.inf
-
-
-Taken = Callable[[], tuple[LearnedState, float]]
-
-
-def read_clocks() -> tuple[float, float]:
-    """Milliseconds of the monotonic clock, and of the time of day."""
-    return time.monotonic() * 1000.0, time.time() * 1000.0
-
-
-def encode_snapshot(node: str, learned: LearnedState, rest_s: float, now: tuple[float, float]) -> bytes:
-    row = {
-        "node": node,
-        "monotonic_ms": now[0],
-        "wall_ms": now[1],
-        "rest_s": rest_s if math.isfinite(rest_s) else None,
-        "learned": learned_state_to_json(learned),
-    }
-    body = orjson.dumps(row)
-    return b"%b %d %08x %d\n" % (MAGIC, FORMAT_VERSION, zlib.crc32(body), len(body)) + body
-
-
-def decode_snapshot(data: bytes, node: str, now: tuple[float, float]) -> Snapshot:
-    """What such a file holds for this node; ValueError with the reason where it is of no use."""
-    head, newline, body = data.partition(b"\n")
-    parts = head.split(b" ")
-    if not newline or len(parts) != 4 or parts[0] != MAGIC:
-        raise ValueError("not a snapshot")
-    if parts[1] != b"%d" % FORMAT_VERSION:
-        raise ValueError(f"of version {parts[1].decode('ascii', 'replace')}, not {FORMAT_VERSION}")
-    if parts[3] != b"%d" % len(body):
-        raise ValueError("not whole")
-    if parts[2] != b"%08x" % zlib.crc32(body):
-        raise ValueError("damaged")
-    row: Any = orjson.loads(body)
-    if row.get("node") != node:
-        raise ValueError(f"of another node, {row.get('node')!r}")
-    saved = float(row["monotonic_ms"]), float(row["wall_ms"])
-    old = snapshot_age_ms(saved, now)
-    if old is None:
-        raise ValueError("from the future, by both clocks")
-    rest = row.get("rest_s")
-    if rest is not None and not (isinstance(rest, float | int) and 0.0 < rest < 1e6):
-        raise ValueError("rest_s is no figure")
-    return Snapshot(learned_state_from_json(row["learned"]), old, math.inf if rest is None else float(rest))
+SNAPSHOT_NAME = "learned.snap"
+REJECTED_NAME = "learned.aside"
+PERIOD_S = 1.0  # the shortest time between two snapshots
+MAX_TIME_SHARE = 0.005  # of the process's time for snapshots: an expensive one is taken less often
 
+TakeValues = Callable[[], LearnedValues]
 
-class SnapshotWriter:
-    """Writes one now and then from `start` on, until `close`. Without a folder it does nothing. `on_disk`: a write may
-    take tens of milliseconds on a busy disk, so a thread does it; elsewhere the folder is memory and costs no wait."""
 
-    def __init__(self, folder: str | None, node: str, take: Taken, on_disk: bool = False) -> None:
-        self.path = os.path.join(folder, SNAPSHOT_NAME) if folder else None
-        self.node, self.take = node, take
-        self.last_cost_s = 0.0  # of the last one
+class SnapshotWriter:
+    """Writes snapshots from `start` until `close`. Without a folder it does nothing.
+
+    Args:
+        folder: The folder that outlives a process.
+        node: The name of this node: only snapshots of the same one are read.
+        take: Returns what this process has learned.
+        on_disk: Whether the folder lies on a disk, where a write may take tens of milliseconds: then a thread
+            does it. Elsewhere the folder is in memory, and a write does not block the loop.
+
+    Attributes:
+        last_cost_s: How long the last snapshot took to take and write.
+        failing: Whether the last write failed.
+    """
+
+    def __init__(self, folder: str | None, node: str, take: TakeValues, on_disk: bool = False) -> None:
+        self.last_cost_s = 0.0
         self.failing = False
-        self.on_disk = on_disk
+        self._path = os.path.join(folder, SNAPSHOT_NAME) if folder else None
+        self._node = node
+        self._take = take
+        self._on_disk = on_disk
         self._timer: asyncio.TimerHandle | None = None
         self._closed = False
 
     def read(self) -> Snapshot | None:
-        """What an earlier process left, if it is of use."""
-        if self.path is None:
+        """Returns the snapshot of an earlier process; None where there is none, or where it can't be used."""
+        if self._path is None:
             return None
         try:
-            with open(self.path, "rb") as file:
-                data = file.read(FILE_BYTES + 1)
-            if len(data) > FILE_BYTES:
-                raise ValueError("too long")
-            return decode_snapshot(data, self.node, read_clocks())
+            with open(self._path, "rb") as file:
+                data = file.read(MAX_FILE_BYTES + 1)
+            return decode_snapshot(data, self._node, read_clocks())
         except FileNotFoundError:
             return None
-        except (OSError, ValueError, KeyError, TypeError, AttributeError) as error:
-            log.warning("what was learned before is not used: %s", error)
-            self._set_aside()
+        except (OSError, SnapshotError) as error:
+            log.warning("snapshot rejected: error=%s", error)
+            _rename_rejected(self._path)
             return None
 
-    def _set_aside(self) -> None:
-        assert self.path is not None
-        try:
-            os.replace(self.path, os.path.join(os.path.dirname(self.path), REJECTED_NAME))
-        except OSError as error:
-            log.warning("it could not be set aside: %s", error)
-
     def start(self) -> None:
-        if self.path is not None:
-            self._later()
+        """Writes the first snapshot after one period, and others from then on."""
+        if self._path is not None:
+            self._schedule()
 
     def close(self) -> None:
-        """No more of them. What is there stays: the process that follows has written its own since."""
+        """Writes no more. The file stays: a successor may have replaced it with its own by now."""
         self._closed = True
         if self._timer is not None:
             self._timer.cancel()
             self._timer = None
 
     def write(self) -> None:
-        """One now. A folder that is full or gone costs a line in the log, the first time, and nothing else."""
-        if self.path is not None:
-            began = time.perf_counter()
-            self._written(
-                began, self._put(self.path, encode_snapshot(self.node, *self.take(), read_clocks()))
-            )
-
-    def _put(self, path: str, data: bytes) -> OSError | None:
-        """Replace the file, or say why not."""
+        """Writes one snapshot now. A failure is logged once, until a write succeeds again."""
+        if self._path is not None:
+            started = time.perf_counter()
+            self._written(started, self._replace_file(self._path, self._encode()))
+
+    def _encode(self) -> bytes:
+        learned, idle_timeout_s = self._take()
+        return encode_snapshot(self._node, learned, idle_timeout_s, read_clocks())
+
+    def _replace_file(self, path: str, data: bytes) -> OSError | None:
+        """Replaces the file, or returns why it could not. Runs in a thread where the folder lies on a disk."""
         part = os.path.join(os.path.dirname(path), f"learned.{os.getpid()}.part")
         try:
             with open(part, "wb") as file:
                 file.write(data)
-            # Guards what the process that follows has written; should it do so right here, its next one mends it.
+            # A write that was delayed past `close` must not replace the file of the successor. Where `close`
+            # happens between this check and the replacement, the successor's next snapshot restores its file.
             if self._closed:
                 os.unlink(part)
             else:
@@ -164,29 +113,36 @@
             return error
         return None
 
-    def _written(self, began: float, error: OSError | None) -> None:
+    def _written(self, started: float, error: OSError | None) -> None:
         if error is not None and not self.failing:
-            log.error("what is learned is not kept: %s", error)
+            log.error("snapshot not written: error=%s", error)
         self.failing = error is not None
-        self.last_cost_s = time.perf_counter() - began
+        self.last_cost_s = time.perf_counter() - started
 
-    def _later(self) -> None:
-        wait = max(PERIOD_S, self.last_cost_s / MAX_TIME_SHARE)
-        self._timer = asyncio.get_running_loop().call_later(wait, self._due)
+    def _schedule(self) -> None:
+        wait_s = max(PERIOD_S, self.last_cost_s / MAX_TIME_SHARE)
+        self._timer = asyncio.get_running_loop().call_later(wait_s, self._write_scheduled)
 
-    def _due(self) -> None:
-        if not self.on_disk:
+    def _write_scheduled(self) -> None:
+        if not self._on_disk or self._path is None:
             self.write()
-            self._later()
+            self._schedule()
             return
-        assert self.path is not None
-        began, loop = time.perf_counter(), asyncio.get_running_loop()
-        data = encode_snapshot(self.node, *self.take(), read_clocks())
+        started, loop = time.perf_counter(), asyncio.get_running_loop()
 
-        def ended(done: asyncio.Future[OSError | None]) -> None:
+        def finished(done: asyncio.Future[OSError | None]) -> None:
             if not done.cancelled():
-                self._written(began, done.result())
+                self._written(started, done.result())
             if not self._closed:
-                self._later()
+                self._schedule()
+
+        writing = loop.run_in_executor(None, self._replace_file, self._path, self._encode())
+        writing.add_done_callback(finished)
+
 
-        loop.run_in_executor(None, self._put, self.path, data).add_done_callback(ended)
+def _rename_rejected(path: str) -> None:
+    """Moves a file aside that can't be used."""
+    try:
+        os.replace(path, os.path.join(os.path.dirname(path), REJECTED_NAME))
+    except OSError as error:
+        log.warning("rejected snapshot not renamed: error=%s", error)
--- /dev/null
+++ b/rosewheel/proxy/state_codec.py
@@ -0,0 +1,48 @@
+"""The file of cordons as bytes: JSON with a version and the ids of the cordoned servers."""
+
+from __future__ import annotations
+
+from dataclasses import dataclass
+
+import orjson
+
+from rosewheel.proxy.errors import StateFileError
+
+VERSION = 1
+MAX_FILE_BYTES = 1 << 20  # a larger file was not written by a node; bounds the memory that reading one takes
+
+
+@dataclass(slots=True, frozen=True)
+class StateRecord:
+    """The content of the state file.
+
+    Attributes:
+        cordoned: Ids of the servers that operators have cordoned by hand.
+    """
+
+    cordoned: frozenset[str]
+
+
+def encode_state(record: StateRecord) -> bytes:
+    """Returns the content of a state file."""
+    return orjson.dumps({"version": VERSION, "cordoned": sorted(record.cordoned)})
+
+
+def decode_state(data: bytes) -> StateRecord:
+    """Returns the record that a state file holds.
+
+    Raises:
+        StateFileError: The bytes are no state file of this version.
+    """
+    if len(data) > MAX_FILE_BYTES:
+        raise StateFileError("it is too long")
+    try:
+        content = orjson.loads(data)
+    except orjson.JSONDecodeError as error:
+        raise StateFileError(str(error)) from error
+    if not isinstance(content, dict) or content.get("version") != VERSION:
+        raise StateFileError(f"not a state of version {VERSION}")
+    servers = content.get("cordoned")
+    if not isinstance(servers, list) or not all(isinstance(server, str) for server in servers):
+        raise StateFileError("cordoned is not a list of ids")
+    return StateRecord(frozenset(servers))
--- /dev/null
+++ b/rosewheel/proxy/state_file.py
@@ -0,0 +1,124 @@
+"""The file of cordons on disk, and the two locks with which the processes of one node share its folder."""
+
+from __future__ import annotations
+
+import contextlib
+import fcntl
+import os
+from collections.abc import Iterator
+from typing import NamedTuple
+
+from rosewheel.proxy.state_codec import MAX_FILE_BYTES, StateRecord, decode_state, encode_state
+
+STATE_NAME = "state.json"
+CHANGE_LOCK_NAME = "state.lock"
+PRESENCE_LOCK_NAME = "present.lock"
+LOCK_FLAGS = os.O_RDWR | os.O_CREAT | os.O_CLOEXEC
+LOCK_MODE = 0o600
+
+
+class FileVersion(NamedTuple):
+    """Tells one version of a file from the next: each change replaces the file."""
+
+    inode: int
+    modified_ns: int
+    size: int
+
+
+class StateFile:
+    """The state file of one folder."""
+
+    def __init__(self, folder: str) -> None:
+        self._folder = folder
+        self._path = os.path.join(folder, STATE_NAME)
+
+    def version(self) -> FileVersion | None:
+        """Returns the version that is in place, or None where there is no file."""
+        try:
+            found = os.stat(self._path)
+        except OSError:
+            return None
+        return FileVersion(found.st_ino, found.st_mtime_ns, found.st_size)
+
+    def read(self) -> StateRecord | None:
+        """Returns the content, or None where there is no file.
+
+        Raises:
+            StateFileError: The file is damaged or of another version.
+            OSError: The file can't be read.
+        """
+        try:
+            with open(self._path, "rb") as file:
+                return decode_state(file.read(MAX_FILE_BYTES + 1))
+        except FileNotFoundError:
+            return None
+
+    def replace(self, record: StateRecord) -> None:
+        """Replaces the file in one step, so that a reader sees the old content or the new one.
+
+        Raises:
+            OSError: The file can't be written; the old one stays in place.
+        """
+        part = os.path.join(self._folder, f"state.{os.getpid()}.part")
+        try:
+            with open(part, "wb") as file:
+                file.write(encode_state(record))
+            os.replace(part, self._path)
+        except OSError:
+            with contextlib.suppress(FileNotFoundError):
+                os.unlink(part)
+            raise
+
+    @contextlib.contextmanager
+    def locked(self) -> Iterator[None]:
+        """Holds the lock that guards a read and the replacement based on it against the other process.
+
+        Raises:
+            BlockingIOError: The other process holds the lock.
+            OSError: The lock file can't be opened.
+        """
+        descriptor = os.open(os.path.join(self._folder, CHANGE_LOCK_NAME), LOCK_FLAGS, LOCK_MODE)
+        try:
+            fcntl.flock(descriptor, fcntl.LOCK_EX | fcntl.LOCK_NB)
+            yield
+        finally:
+            os.close(descriptor)
+
+
+class PresenceLock:
+    """A lock that all processes of a node hold together: the one that can get it exclusively is alone.
+
+    The kernel releases it for a process that was killed.
+    """
+
+    def __init__(self, folder: str) -> None:
+        self._path = os.path.join(folder, PRESENCE_LOCK_NAME)
+        self._descriptor: int | None = None
+
+    def acquire(self) -> None:
+        """Announces this process.
+
+        Raises:
+            OSError: The lock file can't be opened or locked.
+        """
+        self._descriptor = os.open(self._path, LOCK_FLAGS, LOCK_MODE)
+        fcntl.flock(self._descriptor, fcntl.LOCK_SH | fcntl.LOCK_NB)
+
+    def has_others(self) -> bool | None:
+        """Returns whether another process of this node lives, or None where this one holds no lock."""
+        if self._descriptor is None:
+            return None
+        try:
+            fcntl.flock(self._descriptor, fcntl.LOCK_EX | fcntl.LOCK_NB)
+            others = False
+        except OSError:
+            others = True
+        with contextlib.suppress(OSError):
+            fcntl.flock(self._descriptor, fcntl.LOCK_SH | fcntl.LOCK_NB)
+        return others
+
+    def release(self) -> None:
+        """Leaves; a second call does nothing."""
+        if self._descriptor is not None:
+            os.close(self._descriptor)
+            self._descriptor = None
--- a/tests/cli/test_run.py
+++ b/tests/cli/test_run.py
@@ -172,10 +172,10 @@
             process.send_signal(signal.SIGHUP)
             assert process.stderr is not None
             lines = iter(process.stderr.readline, "")
-            assert any("the configuration stays as it was: LB_CONFIG" in line for line in lines)
+            assert any("configuration not reloaded: error=LB_CONFIG" in line for line in lines)
             path.write_bytes(orjson.dumps({**row, "settings": CONFIG | {"siblings": "many"}}))
             process.send_signal(signal.SIGHUP)
-            assert any("the configuration stays as it was: " in line and "siblings" in line for line in lines)
+            assert any("configuration not reloaded: error=" in line and "siblings" in line for line in lines)
             path.write_bytes(orjson.dumps({**row, "discovery": second}))
             process.send_signal(signal.SIGHUP)
             assert asked(new).startswith("GET /catalog/members?follow=1&since=1 ")
--- a/tests/policy/test_learned_state.py
+++ b/tests/policy/test_learned_state.py
@@ -38,7 +38,15 @@
 from rosewheel.policy.learned_state_restore import OLDEST_MS, is_same_start, retained_share
 from rosewheel.policy.pool_load import BASELINE_LEARNING_OUTCOMES
 from rosewheel.proxy import snapshots
-from rosewheel.proxy.snapshots import SnapshotWriter, decode_snapshot, encode_snapshot, read_clocks
+from rosewheel.proxy.errors import SnapshotError
+from rosewheel.proxy.snapshot_codec import (
+    ClockReading,
+    Snapshot,
+    decode_snapshot,
+    encode_snapshot,
+    read_clocks,
+)
+from rosewheel.proxy.snapshots import SnapshotWriter
 from tests.support.balancers import Bed, sent, settings
 from tests.support.sockets import FakeServer, entry, node, run
 
@@ -188,8 +196,9 @@
 def test_what_is_written_is_read_back_the_same():
     bed = taught()
     learned = bed.balancer.capture_learned_state(bed.now)
-    kept = decode_snapshot(encode_snapshot("n0", learned, math.inf, (5.0, 7.0)), "n0", (6.0, 8.0))
-    assert kept == snapshots.Snapshot(learned, 1.0, math.inf)
+    data = encode_snapshot("n0", learned, math.inf, ClockReading(5.0, 7.0))
+    kept = decode_snapshot(data, "n0", ClockReading(6.0, 8.0))
+    assert kept == Snapshot(learned, 1.0, math.inf)
 
 
 @given(st.data())
@@ -201,7 +210,7 @@
         broken = whole[:at]  # half written
     else:
         broken = whole[:at] + bytes([whole[at] ^ data.draw(st.integers(1, 255))]) + whole[at + 1 :]
-    with pytest.raises(ValueError, match=r"."):
+    with pytest.raises(SnapshotError, match=r"."):
         decode_snapshot(broken, "n0", read_clocks())
 
 
@@ -223,9 +232,9 @@
         (b"", "not a snapshot"),
         (b"something else\n{}", "not a snapshot"),
         (GOOD.replace(b"learned 1 ", b"learned 2 ", 1), "of version 2, not 1"),
-        (GOOD[:-20], "not whole"),
+        (GOOD[:-20], "incomplete"),
         (encode_snapshot("n7", LearnedState(), 1.0, read_clocks()), "of another node, 'n7'"),
-        (encode_snapshot("n0", LearnedState(), 1.0, (1e15, 1e15)), "from the future"),
+        (encode_snapshot("n0", LearnedState(), 1.0, ClockReading(1e15, 1e15)), "from the future"),
     ],
 )
 def test_what_is_of_no_use_is_logged_and_set_aside(
@@ -243,7 +252,7 @@
     assert kept.read() is None
     kept.write()
     kept.write()
-    assert caplog.text.count("what is learned is not kept") == 1
+    assert caplog.text.count("snapshot not written") == 1
 
 
 def test_a_node_begins_with_what_the_one_before_it_had_learned(tmp_path: Path):
@@ -437,4 +446,4 @@
         kept.close()
 
     asyncio.run(main())
-    assert caplog.text.count("what is learned is not kept") == 1
+    assert caplog.text.count("snapshot not written") == 1
--- a/tests/proxy/test_process_state.py
+++ b/tests/proxy/test_process_state.py
@@ -9,7 +9,7 @@
 import orjson
 import pytest
 
-from rosewheel.proxy.state import SharedState
+from rosewheel.proxy.shared_state import SharedState
 from tests.support.sockets import run, until
 
 
@@ -24,10 +24,10 @@
     async def main() -> None:
         first = Reader(tmp_path)
         first.state.start()
-        await first.state.put("s1", True)
-        await first.state.put("s2", True)
-        await first.state.put("s2", True)
-        await first.state.put("s2", False)
+        await first.state.set_cordon("s1", True)
+        await first.state.set_cordon("s2", True)
+        await first.state.set_cordon("s2", True)
+        await first.state.set_cordon("s2", False)
         first.state.close()
         second = Reader(tmp_path)
         second.state.start()  # at once, before anything can be sent
@@ -46,10 +46,10 @@
         old.state.start()
         new.state.start()
         await until(lambda: old.company == [2] and new.company == [2])
-        await old.state.put("s1", True)
+        await old.state.set_cordon("s1", True)
         assert new.sets[-1] == frozenset({"s1"}), "the yes comes once the other one knows"
-        await new.state.put("s2", True)
-        await new.state.put("s1", False)
+        await new.state.set_cordon("s2", True)
+        await new.state.set_cordon("s1", False)
         assert old.sets[-1] == frozenset({"s2"})
         old.state.close()
         await until(lambda: new.company == [2, 1])
@@ -63,7 +63,7 @@
         readers = [Reader(tmp_path), Reader(tmp_path)]
         for reader in readers:
             reader.state.start()
-        await asyncio.gather(*(readers[at % 2].state.put(f"s{at}", True) for at in range(10)))
+        await asyncio.gather(*(readers[at % 2].state.set_cordon(f"s{at}", True) for at in range(10)))
         held = orjson.loads((tmp_path / "state.json").read_bytes())
         assert held == {"version": 1, "cordoned": sorted(f"s{at}" for at in range(10))}
         for reader in readers:
@@ -94,8 +94,8 @@
         reader = Reader(tmp_path)
         reader.state.start()
         assert reader.sets == []
-        assert "the state file is left as it is" in caplog.text
-        await reader.state.put("s1", True)
+        assert "state file ignored, left in place" in caplog.text
+        await reader.state.set_cordon("s1", True)
         reader.state.close()
         following = Reader(tmp_path)
         following.state.start()
@@ -109,12 +109,12 @@
     async def main() -> None:
         reader = Reader(tmp_path)
         reader.state.start()
-        await reader.state.put("s1", True)
+        await reader.state.set_cordon("s1", True)
         (tmp_path / "state.json").write_bytes(b"{")
-        polls = reader.state._polls
-        await until(lambda: reader.state._polls > polls + 1)
+        polls = reader.state._poll_count
+        await until(lambda: reader.state._poll_count > polls + 1)
         assert reader.sets == []
-        await reader.state.put("s2", True)
+        await reader.state.set_cordon("s2", True)
         held = orjson.loads((tmp_path / "state.json").read_bytes())
         assert held["cordoned"] == ["s1", "s2"]
         reader.state.close()
@@ -126,12 +126,12 @@
     async def main() -> None:
         reader = Reader(None)
         reader.state.start()
-        await reader.state.put("s1", True)
+        await reader.state.set_cordon("s1", True)
         reader.state.close()
         missing = Reader(tmp_path / "nowhere")
         missing.state.start()
         with pytest.raises(OSError, match="nowhere"):
-            await missing.state.put("s1", True)
+            await missing.state.set_cordon("s1", True)
         missing.state.close()
 
     run(main())
--- a/tests/proxy/test_reconfiguration.py
+++ b/tests/proxy/test_reconfiguration.py
@@ -21,7 +21,7 @@
 from rosewheel.policy.settings import Settings
 from rosewheel.proxy.cordons import Cordons
 from rosewheel.proxy.proxy import Proxy
-from rosewheel.proxy.state import SharedState
+from rosewheel.proxy.shared_state import SharedState
 from tests.cli.test_run import connect, free_port, good, start
 from tests.hot_restart.test_hot_restart import LONG, bench, read_long, send_long, slow_client
 from tests.support.balancers import SAFE, UNSAFE
@@ -85,9 +85,9 @@
                         process.send_signal(signal.SIGHUP)
                         assert await asyncio.to_thread(lambda: any(line in one for one in lines))
 
-                    await told(wanted | {"locality": "b"}, "the configuration stays as it was: zone: 'b'")
+                    await told(wanted | {"locality": "b"}, "configuration not reloaded: error=zone: 'b'")
                     assert await refused("late")
-                    await told(wanted, "another configuration holds from now on, 3 classes")
+                    await told(wanted, "configuration applied: classes=3")
                     assert await refused("post")
                     new.send("late")
                     await until(lambda: len(server.got) == 2)
@@ -149,7 +149,7 @@
     async def main() -> None:
         async with node([]) as relay:
             relay.reload(dataclasses.replace(relay.config, listen=("127.0.0.1", 9), name="x"))
-            assert "name, listen: only a new start of this node takes that over" in caplog.text
+            assert "configuration keys ignored until a restart: keys=name, listen" in caplog.text
 
     run(main())
 
@@ -268,22 +268,22 @@
 
 def test_what_either_holds_is_out():
     box = Outs()
-    box.cordons.hand(frozenset("ab"))
-    box.cordons.fleet(frozenset("bc"))
+    box.cordons.set_by_operator(frozenset("ab"))
+    box.cordons.set_by_fleet(frozenset("bc"))
     assert box.now == set("abc")
-    box.cordons.hand(frozenset())
+    box.cordons.set_by_operator(frozenset())
     assert box.now == set("bc")
-    box.cordons.hand(frozenset("c"))
-    box.cordons.fleet(frozenset())
-    assert box.now == set("c") == box.cordons.out
+    box.cordons.set_by_operator(frozenset("c"))
+    box.cordons.set_by_fleet(frozenset())
+    assert box.now == set("c") == box.cordons.cordoned
 
 
 def test_a_cordon_that_can_not_be_kept_holds_here_all_the_same(tmp_path: Path):
     async def main() -> None:
         box = Outs()
-        state = SharedState(str(tmp_path / "gone"), box.cordons.hand, lambda _: None)
+        state = SharedState(str(tmp_path / "gone"), box.cordons.set_by_operator, lambda _: None)
         with pytest.raises(OSError, match="gone"):
-            await box.cordons.put("a", True, state)
+            await box.cordons.change_by_operator("a", True, state)
         assert box.now == {"a"}
 
     run(main())
@@ -319,7 +319,7 @@
                 relay.set_fleet_cordons(frozenset({"one"}))
                 assert await relay.cordon("two")
                 assert orjson.loads((tmp_path / "state.json").read_bytes())["cordoned"] == ["two"]
-                relay.cordons.hand(frozenset())  # as another process of this node was told
+                relay.cordons.set_by_operator(frozenset())  # as another process of this node was told
                 assert relay.node.cordoned == {"one"}
 
     run(main())
