--- a/rosewheel/hot_restart/__init__.py
+++ b/rosewheel/hot_restart/__init__.py
@@ -1,1 +1,1 @@
-"""What is open goes from an old process of a node to the new one."""
+"""Hot restart: a new process of a node takes over the open connections of the old one."""
--- a/rosewheel/hot_restart/sender.py
+++ b/rosewheel/hot_restart/sender.py
@@ -1,4 +1,4 @@
-"""The old process's side: offers what is open, one thing after the other, and takes back what nobody took."""
+"""The predecessor's side of a migration: offers connections, and takes back those that are not accepted."""
 
 from __future__ import annotations
 
@@ -6,87 +6,125 @@
 import contextlib
 import logging
 import os
+from collections import Counter
+from collections.abc import Callable
 
-from rosewheel.hot_restart.channel import Channel, close_descriptors
+from rosewheel.hot_restart.channel import Channel
+from rosewheel.hot_restart.messages import ConnectionKind, Offer
 from rosewheel.hot_restart.migration import MigratedConnection, Migration
 from rosewheel.hot_restart.transfers import TransferLedger
+from rosewheel.hot_restart.unix_socket import close_descriptors
 
 log = logging.getLogger("rosewheel.hot_restart")
 
 
 class Sender:
-    """Over one link. `flag` is a pipe of which the new process has the reading end: a byte in it says that what had
-    no receipt by then stays here."""
+    """Offers the connections of this process over one channel.
 
-    def __init__(self, link: Channel, moves: Migration, flag: int) -> None:
-        self.link, self.moves, self.flag = link, moves, flag
+    Args:
+        channel: The channel to the successor.
+        migration: The connections of this process.
+        revocation_pipe: The writing end of a pipe whose reading end the successor has. A byte in it says that
+            whatever had no receipt by then stays here.
+        count_descriptors: Returns how many descriptors this process holds.
+
+    Attributes:
+        transfers: The offers and their receipts.
+        migrated: How many connections of each kind the successor has taken.
+        ended: Whether the channel is closed, or is being closed.
+    """
+
+    def __init__(
+        self,
+        channel: Channel,
+        migration: Migration,
+        revocation_pipe: int,
+        count_descriptors: Callable[[], int],
+    ) -> None:
         self.transfers: TransferLedger[MigratedConnection] = TransferLedger()
-        self.loop = asyncio.get_running_loop()
-        self.lifting = 0  # on their way off the loop
-        self.over = False  # the link is no more, or is just being ended
-        self.migrated: dict[str, int] = {}
+        self.migrated: Counter[ConnectionKind] = Counter()
+        self.ended = False
+        self._channel = channel
+        self._migration = migration
+        self._revocation_pipe = revocation_pipe
+        self._count_descriptors = count_descriptors
+        self._loop = asyncio.get_running_loop()
+        self._detaching_count = 0
 
     @property
-    def busy(self) -> bool:
-        return bool(self.lifting or self.transfers.pending_count)
+    def is_busy(self) -> bool:
+        """Whether connections are being detached, or wait for their receipts."""
+        return bool(self._detaching_count or self.transfers.pending_count)
 
     def offer_next(self) -> bool:
-        """Do what can be done by now; whether the link still serves."""
-        if self.over:
+        """Offers as many connections as may be pending at a time.
+
+        Returns:
+            Whether the channel still works.
+        """
+        if self.ended:
             return False
-        if self.transfers.overdue(self.loop.time()):
-            log.warning("the new process does not take what it is given: the rest stays here")
+        if self.transfers.is_overdue(self._loop.time()):
+            log.warning("migration stopped: reason=the successor does not answer offers")
             self.revoke()
-        while not self.over and self.transfers.pending_count + self.lifting < self.transfers.window:
-            self.lifting += 1
-            if not self.moves.detach_next(self._lifted):
-                self.lifting -= 1
+        while not self.ended and self._may_offer():
+            self._detaching_count += 1
+            if not self._migration.detach_next(self._detached):
+                self._detaching_count -= 1
                 break
-        return not self.over
+        return not self.ended
 
-    def _lifted(self, item: MigratedConnection | None) -> None:
-        self.lifting -= 1
-        if item is None:
+    def _may_offer(self) -> bool:
+        return self.transfers.pending_count + self._detaching_count < self.transfers.max_pending
+
+    def _detached(self, connection: MigratedConnection | None) -> None:
+        self._detaching_count -= 1
+        if connection is None:
+            return
+        if self.ended:
+            self._migration.resume(connection, returned=True)
             return
-        if self.over:
-            self.moves.resume(item, kept=True)
+        number = self.transfers.offer(connection, self._loop.time())
+        offer = Offer(number, connection.kind, connection.state, self._count_descriptors())
+        self._channel.send(offer, connection.pending_bytes, tuple(connection.descriptors))
+
+    def accepted(self, number: int) -> None:
+        """The successor owns the connection of this offer."""
+        connection = self.transfers.accept(number)
+        if connection is None:
             return
-        number = self.transfers.offer(item, self.loop.time())
-        held = self.moves.relay.descriptors
-        self.link.send({**item.message(number), "held": held}, item.held, tuple(item.fds))
-
-    def took(self, number: object) -> None:
-        item = self.transfers.accept(number) if isinstance(number, int) else None
-        if item is not None:
-            close_descriptors(item.fds)
-            self.migrated[item.kind] = self.migrated.get(item.kind, 0) + 1
-            if not self.over:
-                self.offer_next()
-
-    def refused(self, number: object, why: object) -> None:
-        item = self.transfers.reject(number) if isinstance(number, int) else None
-        if item is None:
+        close_descriptors(connection.descriptors)
+        self.migrated[connection.kind] += 1
+        if not self.ended:
+            self.offer_next()
+
+    def rejected(self, number: int, reason: str) -> None:
+        """The successor does not take the connection of this offer."""
+        connection = self.transfers.reject(number)
+        if connection is None:
             return
-        log.debug("%s stays: %s", item.kind, why)
-        if item.kind == "equipo":  # of no use there, and none here any more
-            close_descriptors(item.fds)
+        log.debug("connection rejected by successor: kind=%s, reason=%s", connection.kind.label, reason)
+        if connection.kind is ConnectionKind.UPSTREAM:  # neither process can use it any more
+            close_descriptors(connection.descriptors)
         else:
-            self.moves.resume(item, kept=True)
-        if not self.over:
+            self._migration.resume(connection, returned=True)
+        if not self.ended:
             self.offer_next()
 
     def revoke(self) -> None:
-        """From now on nothing is taken any more. In this order: the word, the end of receipts, a look at those that
-        had been sent. What has none then is this process's."""
-        self.over = True
+        """Ends the migration: whatever has no receipt by now stays here.
+
+        The order matters: the successor is told, can't send receipts any more, and those that it had sent are read.
+        """
+        self.ended = True
         with contextlib.suppress(OSError):
-            os.write(self.flag, b"1")
-        self.link.silence()
-        self.link.close()
-
-    def lost(self) -> None:
-        """The link has ended, and all that the other side had said has been heard. Called once."""
-        self.over = True
-        close_descriptors([self.flag])
-        for item in self.transfers.take_back():
-            self.moves.resume(item, kept=True)
+            os.write(self._revocation_pipe, b"1")
+        self._channel.stop_receiving()
+        self._channel.close()
+
+    def channel_closed(self) -> None:
+        """The channel is closed, and all that the successor had sent has been handled. Called once."""
+        self.ended = True
+        close_descriptors([self._revocation_pipe])
+        for connection in self.transfers.take_back():
+            self._migration.resume(connection, returned=True)
--- a/rosewheel/hot_restart/transfers.py
+++ b/rosewheel/hot_restart/transfers.py
@@ -1,66 +1,89 @@
-"""Who owns a connection while it goes from one process to another: a ledger without I/O.
+"""Who owns a connection while it is passed from one process to another: a ledger without I/O.
 
-Rule: until its receipt is there an item belongs to the giver, who leaves it alone meanwhile; from the receipt on, to
-the taker. The taker sends the receipt before it touches the item. A giver that waits no longer first revokes the
-link, so that no receipt can be sent any more, and then looks at those that had been sent: what is left is its own.
+Until its receipt is there an offered connection belongs to the sender, which does not use it meanwhile; from the
+receipt on it belongs to the receiver. The receiver sends the receipt before it uses the connection. A sender that
+waits no longer makes the receiver unable to send first, and then reads the receipts that had been sent: whatever is
+pending after that is its own again.
 """
 
 from __future__ import annotations
 
+from dataclasses import dataclass
 from typing import Generic, TypeVar
 
-T = TypeVar("T")
-TRANSFER_WINDOW = 16  # items under way at a time: each holds descriptors twice for the while
-RECEIPT_TIMEOUT_S = 0.6  # a taker that says nothing for so long about an item hangs
+MAX_PENDING_OFFERS = 16  # each holds its descriptors twice while it is pending
+RECEIPT_TIMEOUT_S = 0.6  # a receiver that does not answer an offer for this long hangs
 
+Connection = TypeVar("Connection")
 
-class TransferLedger(Generic[T]):
-    """Of one giver. Times are seconds of one clock."""
 
-    def __init__(self, window: int = TRANSFER_WINDOW, patience_s: float = RECEIPT_TIMEOUT_S) -> None:
-        self.window, self.patience_s = window, patience_s
-        self.accepted_count = self.returned_count = 0  # items that were taken, and that came back
-        self._under_way: dict[int, tuple[T, float]] = {}
-        self._number = 0
+@dataclass(slots=True, frozen=True)
+class _PendingOffer(Generic[Connection]):
+    connection: Connection
+    offered_at_s: float
+
+
+class TransferLedger(Generic[Connection]):
+    """The offers of one sender. Times are seconds of one clock.
+
+    Attributes:
+        accepted_count: Connections that the receiver has taken.
+        returned_count: Connections that are the sender's again.
+    """
+
+    def __init__(
+        self, max_pending: int = MAX_PENDING_OFFERS, receipt_timeout_s: float = RECEIPT_TIMEOUT_S
+    ) -> None:
+        self.max_pending = max_pending
+        self.accepted_count = 0
+        self.returned_count = 0
+        self._receipt_timeout_s = receipt_timeout_s
+        self._pending: dict[int, _PendingOffer[Connection]] = {}
+        self._last_number = 0
 
     @property
     def has_room(self) -> bool:
-        return len(self._under_way) < self.window
+        """Whether another offer may be made now."""
+        return len(self._pending) < self.max_pending
 
     @property
     def pending_count(self) -> int:
-        return len(self._under_way)
-
-    def offer(self, item: T, now: float) -> int:
-        """The number under which it goes."""
-        self._number += 1
-        self._under_way[self._number] = item, now
-        return self._number
-
-    def accept(self, number: int) -> T | None:
-        """The receipt. None for what is not under way: settled before, or never offered."""
-        row = self._under_way.pop(number, None)
-        if row is None:
+        """The number of offers without a receipt."""
+        return len(self._pending)
+
+    def offer(self, connection: Connection, now_s: float) -> int:
+        """Records an offer, and returns its number."""
+        self._last_number += 1
+        self._pending[self._last_number] = _PendingOffer(connection, now_s)
+        return self._last_number
+
+    def accept(self, number: int) -> Connection | None:
+        """Records a receipt, and returns the connection; None where no such offer is pending."""
+        pending = self._pending.pop(number, None)
+        if pending is None:
             return None
         self.accepted_count += 1
-        return row[0]
+        return pending.connection
 
-    def reject(self, number: int) -> T | None:
-        """The taker does not want it: it is the giver's again."""
-        row = self._under_way.pop(number, None)
-        if row is None:
+    def reject(self, number: int) -> Connection | None:
+        """Records a rejection: the connection, which this returns, is the sender's again."""
+        pending = self._pending.pop(number, None)
+        if pending is None:
             return None
         self.returned_count += 1
-        return row[0]
-
-    def overdue(self, now: float) -> bool:
-        """Whether the oldest has waited too long."""
-        first = next(iter(self._under_way.values()), None)
-        return first is not None and now - first[1] >= self.patience_s
-
-    def take_back(self) -> list[T]:
-        """The link has ended, and every receipt that was sent has been seen: the rest is the giver's again."""
-        items = [item for item, _ in self._under_way.values()]
-        self.returned_count += len(items)
-        self._under_way.clear()
-        return items
+        return pending.connection
+
+    def is_overdue(self, now_s: float) -> bool:
+        """Whether the oldest offer has waited for its receipt for too long."""
+        oldest = next(iter(self._pending.values()), None)
+        return oldest is not None and now_s - oldest.offered_at_s >= self._receipt_timeout_s
+
+    def take_back(self) -> list[Connection]:
+        """Returns all pending connections: they are the sender's again.
+
+        To be called once no receipt can come any more, and all that were sent have been read.
+        """
+        connections = [pending.connection for pending in self._pending.values()]
+        self.returned_count += len(connections)
+        self._pending.clear()
+        return connections
--- a/rosewheel/proxy/proxy.py
+++ b/rosewheel/proxy/proxy.py
@@ -9,8 +9,9 @@
 import logging
 import math
 import random
+import socket
 import time
-from collections.abc import Callable
+from collections.abc import Callable, Mapping
 from typing import TYPE_CHECKING, Any
 
 from rosewheel.config.platform import Config, ConfigError
@@ -18,7 +19,7 @@
 from rosewheel.discovery.endpoint_list import DiscoveryWatch, Endpoint, parse_endpoints
 from rosewheel.hot_restart.migration import Migration
 from rosewheel.hot_restart.service import HotRestart
-from rosewheel.hot_restart.transfers import TRANSFER_WINDOW
+from rosewheel.hot_restart.transfers import MAX_PENDING_OFFERS
 from rosewheel.http.body import BufferBudget
 from rosewheel.http.downstream_server import DownstreamServer
 from rosewheel.http.errors import BadRequestError
@@ -125,7 +126,9 @@
         self.random = random.Random(config.seed)
         self.watch_backoff = WatchBackoff(self.random)
         self.migration = Migration(self)
-        self.hot_restart = HotRestart(config.state if config.handover else None, config.name, self.migration)
+        self.hot_restart = HotRestart(
+            config.state if config.handover else None, config.name, self, self.migration
+        )
         self._list_received = asyncio.Event()  # discovery has said something
         since = config.known.get("seq")
         known = [server.address for server, _ in parse_endpoints(config.known.get("hosts"))]
@@ -166,7 +169,7 @@
                 async with asyncio.timeout(first_s):
                     await self._list_received.wait()
         await self.server.start(sock)
-        self.hot_restart.serve()
+        self.hot_restart.start_serving()
 
     def _list_wait_s(self) -> float:
         """How long callers wait for the first word of discovery."""
@@ -244,46 +247,64 @@
     def _give(self) -> bool:
         """Hand over what can be by now; whether that goes on."""
         going = self.hot_restart.migrate_next()
-        return self.migration.busy or (
+        return self.migration.arriving_count > 0 or (
             going and (bool(self.server.connections) or not self.hot_restart.migration_finished)
         )
 
     # -------------------------------------------------- another process of the node
 
     @property
-    def descriptors(self) -> int:
+    def descriptor_count(self) -> int:
         """Those of callers and servers."""
         return len(self.server.connections) + self.upstream.descriptor_count
 
-    def room_for(self, count: int, idle: bool) -> bool:
+    def can_hold(self, descriptors: int, idle: bool) -> bool:
         """Whether this process may hold so many more; an idle connection to a server makes no other one give way."""
         if len(self.server.connections) >= self.server.max_connections and not idle:
             return False
-        return self.descriptors + self.migration.arriving + count <= self.max_descriptors or (
-            not idle and self._make_room()
+        return (
+            self.descriptor_count + self.migration.arriving_count + descriptors <= self.max_descriptors
+            or (not idle and self._make_room())
         )
 
-    def predecessor_holds(self, held: object) -> None:
-        """An old process gives up what it has: what it no longer holds is this one's to use."""
-        if isinstance(held, int) and held >= 0:
-            self.predecessor_descriptors = held
+    @property
+    def loads_in_flight(self) -> dict[str, float]:
+        """The weight of the requests in flight from here, at each server that has any."""
+        return self.node.server_loads
+
+    @property
+    def listening_sockets(self) -> list[socket.socket]:
+        """The sockets on which this process listens, for a successor to listen on as well."""
+        admin = self.admin.listening_socket if self.admin is not None else None
+        return [sock for sock in (self.server.listening_socket, admin) if sock is not None]
+
+    def sibling_connected(self) -> None:
+        """Another process of this node exists."""
+        self.shared_state.follow()
+
+    def successor_connected(self) -> None:
+        """A successor has connected: what an earlier predecessor held no longer counts."""
+        self.predecessor_descriptors = None
+
+    def predecessor_holds(self, descriptors: int | None) -> None:
+        """The predecessor gives up its connections: what it no longer holds is this process's to use."""
+        if descriptors is not None:
+            self.predecessor_descriptors = descriptors
             self._share(self.config.bounds.max_sockets)
 
-    def predecessor_leaves(self, held: object) -> None:
-        """It takes nothing new from now on, so this one paces servers by itself."""
-        self.predecessor_holds(held)
+    def predecessor_leaves(self, descriptors: int | None) -> None:
+        """The predecessor starts no requests from now on, so this process paces servers by itself."""
+        self.predecessor_holds(descriptors)
         self.apply(self.node.process_count_changed(now_ms(), 1))
 
-    def sibling_loads(self, loads: object) -> None:
-        """What the other process has in flight, by server."""
-        if isinstance(loads, dict):
-            good = {name: float(load) for name, load in loads.items() if isinstance(load, int | float)}
-            self.apply(self.node.sibling_process_load(now_ms(), good))
+    def sibling_loads_changed(self, loads: Mapping[str, float]) -> None:
+        """The other process has these requests in flight, by server."""
+        self.apply(self.node.sibling_process_load(now_ms(), dict(loads)))
 
     def _share(self, sockets: int) -> None:
         half = sockets // self.process_count
         if self.process_count > 1 and self.predecessor_descriptors is not None:
-            half = max(half, sockets - self.predecessor_descriptors - 2 * TRANSFER_WINDOW)
+            half = max(half, sockets - self.predecessor_descriptors - 2 * MAX_PENDING_OFFERS)
         sockets = half
         self.budget.limit_bytes = (
             int(self.config.bounds.memory_limit_mb / self.process_count * BODIES_PART) << 20
@@ -297,7 +318,7 @@
 
     def _make_room(self) -> bool:
         """Room for the descriptor that has come or is about to, if need be that of an idle connection."""
-        if self.descriptors < self.max_descriptors:
+        if self.descriptor_count < self.max_descriptors:
             return True
         # Callers first: they connect again at no cost, while a new connection costs a server work.
         return self.server.close_longest_idle() or self.upstream.close_longest_idle()
@@ -351,7 +372,7 @@
 
     def _shrink(self) -> None:
         """Give up what is idle past what this process may hold; what is in use stays until it is not."""
-        while self.descriptors > self.max_descriptors:
+        while self.descriptor_count > self.max_descriptors:
             if not (self.server.close_longest_idle() or self.upstream.close_longest_idle()):
                 break
 
