--- a/rosewheel/hot_restart/host.py
+++ b/rosewheel/hot_restart/host.py
@@ -69,7 +69,3 @@
 
     def predecessor_leaves(self, descriptors: int | None) -> None:
         """The predecessor starts no new requests from now on."""
-
-
-class HotRestartHost(MigrationHost, SiblingHost, Protocol):
-    """All that hot restart needs of its process."""
--- a/rosewheel/hot_restart/service.py
+++ b/rosewheel/hot_restart/service.py
@@ -10,7 +10,7 @@
 
 from rosewheel.config.platform import Address
 from rosewheel.hot_restart.channel import Channel, ReceivedMessage
-from rosewheel.hot_restart.host import HotRestartHost
+from rosewheel.hot_restart.host import SiblingHost
 from rosewheel.hot_restart.messages import (
     PROTOCOL_VERSIONS,
     Accepted,
@@ -54,7 +54,7 @@
         successor_ready: Whether the successor accepts clients.
     """
 
-    def __init__(self, folder: str | None, node: str, host: HotRestartHost, migration: Migration) -> None:
+    def __init__(self, folder: str | None, node: str, host: SiblingHost, migration: Migration) -> None:
         self.predecessor: Channel | None = None
         self.successor: Channel | None = None
         self.sender: Sender | None = None
--- a/rosewheel/lab/simulation/connection_pools.py
+++ b/rosewheel/lab/simulation/connection_pools.py
@@ -15,7 +15,7 @@
 from rosewheel.node.idle_timeout import IdleTimeout
 from rosewheel.node.limits import Limits
 from rosewheel.policy.events import EndpointListForm, Server, ServerState
-from rosewheel.proxy.proxy import RESERVED_DESCRIPTORS
+from rosewheel.proxy.resources import RESERVED_DESCRIPTORS
 
 MIN_CONNECTIONS = 8
 MIN_IDLE_PER_SERVER = 2
--- a/rosewheel/lab/simulation/node.py
+++ b/rosewheel/lab/simulation/node.py
@@ -27,7 +27,7 @@
 from rosewheel.policy.learned_state import LearnedState
 from rosewheel.policy.settings import Settings
 from rosewheel.policy.shared_state import is_large_fleet
-from rosewheel.proxy.proxy import DEADLINE_MARGIN_MS
+from rosewheel.proxy.requests import DEADLINE_MARGIN_MS
 
 
 class NodeEnvironment(Protocol):
--- /dev/null
+++ b/rosewheel/proxy/clock.py
@@ -0,0 +1,10 @@
+"""The clock of a node. Modules call `clock.now_ms()`, so that a test can replace it in one place."""
+
+from __future__ import annotations
+
+import time
+
+
+def now_ms() -> float:
+    """Returns milliseconds of a clock that only advances."""
+    return time.monotonic() * 1000.0
--- /dev/null
+++ b/rosewheel/proxy/effects.py
@@ -0,0 +1,109 @@
+"""Carries out what the node decides, and wakes it when one of its timers is due."""
+
+from __future__ import annotations
+
+import asyncio
+import logging
+import math
+from collections.abc import Callable
+
+from rosewheel.node.effects import (
+    AbortAttempt,
+    NodeEffect,
+    OpenEndpointWatch,
+    ResponseStatus,
+    SendResponse,
+    StartAttempt,
+    StartHealthCheck,
+)
+from rosewheel.policy.events import AttemptResult
+from rosewheel.proxy import clock
+from rosewheel.proxy.parts import ProxyParts
+
+log = logging.getLogger("rosewheel.proxy")
+
+AttemptHandler = Callable[[str, int, AttemptResult, dict[str, float] | None, bytes], None]
+
+
+class EffectRunner:
+    """Carries out the effects of one node.
+
+    Args:
+        parts: The sockets on which effects act.
+        on_attempt_finished: Called where an attempt ends before it is sent.
+    """
+
+    def __init__(self, parts: ProxyParts, on_attempt_finished: AttemptHandler) -> None:
+        self._parts = parts
+        self._on_attempt_finished = on_attempt_finished
+        self._timer: asyncio.TimerHandle | None = None
+        self._timer_due_ms = 0.0
+
+    def apply(self, effects: list[NodeEffect]) -> None:
+        """Carries out effects in order."""
+        for effect in effects:
+            try:
+                self._carry_out(effect)
+            except Exception:  # a fault in one request must not end the others
+                log.exception("effect failed: type=%s", type(effect).__name__)
+        self._start_timer()
+
+    def close(self) -> None:
+        """Stops the timer."""
+        if self._timer is not None:
+            self._timer.cancel()
+
+    def _carry_out(self, effect: NodeEffect) -> None:
+        match effect:
+            case StartAttempt():
+                self._start_attempt(effect)
+            case AbortAttempt():
+                self._parts.upstream.abort_attempt(effect.id, effect.attempt)
+            case SendResponse():
+                self._send_response(effect)
+            case OpenEndpointWatch():
+                self._parts.discovery.start()
+            case StartHealthCheck():
+                self._parts.upstream.check_health(effect.server)
+
+    def _start_attempt(self, effect: StartAttempt) -> None:
+        request = self._parts.calls.get(effect.id)
+        # Checked at each attempt: a loop that is late reads the end of a client after that of an attempt.
+        if request is None or request.connection.close_if_disconnected():
+            self._parts.loop.call_soon(
+                self._on_attempt_finished, effect.id, effect.attempt, AttemptResult.CANCELLED, None, b""
+            )
+            return
+        head, chunked = request.upstream_head(effect.timeout_ms)
+        wanted = request.connection.is_connected
+        self._parts.upstream.start_attempt(
+            effect.id, effect.attempt, effect.server, head, request.body, chunked, wanted
+        )
+
+    def _send_response(self, effect: SendResponse) -> None:
+        request = self._parts.calls.pop(effect.id, None)
+        if request is None:
+            return
+        connection = request.connection
+        if not request.response_started:
+            connection.respond(request, effect.status, effect.body, effect.retry_after_ms)
+        elif effect.status == ResponseStatus.OK:
+            connection.finish_response(request)
+        else:
+            connection.abort_response(request)
+
+    def _start_timer(self) -> None:
+        """Starts the one timer of the event loop that stands for all timers of the node."""
+        due_ms = self._parts.node.next_timer_ms()
+        if due_ms is None or (self._timer is not None and self._timer_due_ms <= due_ms):
+            return
+        if self._timer is not None:
+            self._timer.cancel()
+        self._timer_due_ms = due_ms
+        # Rounded up to the loop's whole milliseconds: a timer that fires early would have to be started again.
+        delay_ms = max(0, math.ceil(due_ms - clock.now_ms()))
+        self._timer = self._parts.loop.call_later(delay_ms / 1000.0, self._timer_fired)
+
+    def _timer_fired(self) -> None:
+        self._timer = None
+        self.apply(self._parts.node.tick(clock.now_ms()))
--- a/tests/discovery/test_endpoint_list_races.py
+++ b/tests/discovery/test_endpoint_list_races.py
@@ -16,7 +16,7 @@
 from rosewheel.discovery.endpoint_list import DiscoveryWatch, Endpoint
 from rosewheel.node.limits import Limits
 from rosewheel.policy.events import EndpointListForm
-from rosewheel.proxy import proxy as relay_module
+from rosewheel.proxy import endpoints as endpoints_module
 from rosewheel.proxy.proxy import Proxy
 from tests.support.balancers import settings
 from tests.support.loops import PatchedLoop
@@ -54,7 +54,7 @@
 
 def test_a_new_process_takes_callers_only_once_the_agent_has_spoken(monkeypatch: pytest.MonkeyPatch):
     """What the agent has counts as told from the first moment: by an old list it would send to who drains."""
-    monkeypatch.setattr(relay_module, "PUSHED_LIST_WAIT_S", 60.0)
+    monkeypatch.setattr(endpoints_module, "PUSHED_LIST_WAIT_S", 60.0)
 
     async def main() -> None:
         async with ScriptedDiscovery().up() as agent, FakeServer().up() as server:
@@ -72,7 +72,7 @@
 
 
 def test_a_silent_agent_does_not_keep_a_new_process_from_serving(monkeypatch: pytest.MonkeyPatch):
-    monkeypatch.setattr(relay_module, "PUSHED_LIST_WAIT_S", 0.0)
+    monkeypatch.setattr(endpoints_module, "PUSHED_LIST_WAIT_S", 0.0)
 
     async def main() -> None:
         async with ScriptedDiscovery().up() as agent, FakeServer().up() as server:
@@ -108,11 +108,11 @@
                 later = relay.loop.call_later
 
                 def noted(wait: float, call: object, *args: object) -> object:
-                    if call == relay._reopen_watch:
+                    if call == relay.endpoints.reopen_watch:
                         waits.append(wait)
                     return later(wait, call, *args)  # type: ignore[arg-type]
 
-                monkeypatch.setattr(relay_module, "PUSHED_LIST_WAIT_S", 0.0)
+                monkeypatch.setattr(endpoints_module, "PUSHED_LIST_WAIT_S", 0.0)
                 relay.loop = PatchedLoop(relay.loop, call_later=noted)  # type: ignore[assignment]
                 relay.config = _grace(relay.config, 1.0)  # by which one of 50 ms has lasted long
                 await relay.start()
@@ -132,15 +132,15 @@
             relay.loop = PatchedLoop(relay.loop, call_later=lambda wait, *_: waits.append(wait))  # type: ignore[assignment]
             for grace_ms in (50.0, 400.0, 3000.0):
                 relay.config = _grace(relay.config, grace_ms)
-                relay.watch_backoff.failed_watches = 0
+                relay.endpoints.backoff.failed_watches = 0
                 waits.clear()
                 for _ in range(12):
                     relay.discovery.started_s = relay.loop.time()
-                    relay._endpoint_list_updated(EndpointListForm.FAILED, [])
+                    relay.endpoints.list_updated(EndpointListForm.FAILED, [])
                 assert 0.0 < waits[0] <= max(rewatch.MIN_DELAY_S, grace_ms / 1000.0 / 8)
                 assert max(waits) <= max(rewatch.MIN_DELAY_S, grace_ms / 1000.0 / 3)
                 relay.discovery.started_s = relay.loop.time() - 3.0
-                relay._endpoint_list_updated(EndpointListForm.FAILED, [])
+                relay.endpoints.list_updated(EndpointListForm.FAILED, [])
                 assert waits[-1] == 0.0
 
     run(main())
--- a/tests/discovery/test_endpoint_updates.py
+++ b/tests/discovery/test_endpoint_updates.py
@@ -74,7 +74,7 @@
             def leaving(*args: object) -> None:
                 start(*args)  # type: ignore[arg-type]
                 relay.loop.call_soon(
-                    relay._endpoint_list_updated,
+                    relay.endpoints.list_updated,
                     EndpointListForm.DELTA,
                     [(Server("s", "a", 0, ServerState.DRAINING), ("127.0.0.1", server.port))],
                 )
--- a/tests/discovery/test_watch_backoff.py
+++ b/tests/discovery/test_watch_backoff.py
@@ -17,7 +17,7 @@
 from rosewheel.policy import discovery_polling
 from rosewheel.policy.actions import StartTimer, WatchEndpoints
 from rosewheel.policy.events import EndpointListForm, EndpointListUpdate, TimerFired
-from rosewheel.proxy import proxy as relay_module
+from rosewheel.proxy import clock
 from rosewheel.proxy.proxy import Proxy
 from tests.support.balancers import Bed, settings
 from tests.support.scripted_discovery import restartable_discovery
@@ -44,7 +44,7 @@
     async def main() -> Proxy:
         told = dataclasses.replace(config([]), seed=seed, settings=settings(poll_discovery=asks))
         relay = Proxy(dataclasses.replace(told, bounds=Limits(drain_notice_ms=grace_ms)))
-        relay._endpoint_list_updated(EndpointListForm.CACHED, [])
+        relay.endpoints.list_updated(EndpointListForm.CACHED, [])
         if not asks:
             relay.discovery.start()
         await asyncio.sleep(until_s)
@@ -56,7 +56,7 @@
     loop = VirtualLoop()
     net = loop.net = Net(loop, **script)  # type: ignore[arg-type]
     net.begin()
-    with mock.patch.object(relay_module, "now_ms", new=_clock(loop)):
+    with mock.patch.object(clock, "now_ms", new=_clock(loop)):
         try:
             return net, loop.run_until_complete(main())
         finally:
--- a/tests/hot_restart/test_hot_restart.py
+++ b/tests/hot_restart/test_hot_restart.py
@@ -78,7 +78,7 @@
 
 def process(known: list[dict[str, Any]], folder: Path, inherited: int | None, **changes: Any) -> Proxy:
     relay = Proxy(config(known, inherited=inherited, state=str(folder), **changes))
-    relay.discovery.start = relay._list_received.set  # type: ignore[method-assign]
+    relay.discovery.start = relay.endpoints.list_received.set  # type: ignore[method-assign]
     return relay
 
 
@@ -631,7 +631,7 @@
         async with newcomer(tmp_path) as (old, new, held, client):
             changes: dict[str, Any] = {}
             if case == "no room":
-                new.predecessor_holds = lambda held: None  # type: ignore[method-assign]
+                new.siblings.predecessor_holds = lambda held: None  # type: ignore[method-assign]
                 new.server.max_connections = 0
             if case == "it stops too":
                 new.server.draining = True
@@ -660,7 +660,7 @@
                     assert status(await client.ask(id="a")) == 200
                     new = await node.next()
                     new.server.max_connections = 0
-                    new.predecessor_holds = lambda held: None  # type: ignore[method-assign]
+                    new.siblings.predecessor_holds = lambda held: None  # type: ignore[method-assign]
                     stop = asyncio.ensure_future(old.drain())
                     await until(
                         lambda: (
@@ -706,7 +706,7 @@
             await old.start()
             address = ("127.0.0.1", old.server.port)
             new = Proxy(dataclasses.replace(config(known, state=str(tmp_path)), listen=address))
-            new.discovery.start = new._list_received.set  # type: ignore[method-assign]
+            new.discovery.start = new.endpoints.list_received.set  # type: ignore[method-assign]
             async with Client(port=address[1]) as client:
                 assert status(await client.ask(id="a")) == 200
                 await new.start()
@@ -728,19 +728,19 @@
     async def main() -> None:
         async with bench([entry("s", 1)], tmp_path) as node:
             relay = await node.next()
-            relay._process_count_changed(2)
+            relay.siblings.process_count_changed(2)
             assert relay.node.balancer.parts.shared.process_count == 2
-            half = relay.max_descriptors
-            relay.predecessor_leaves(5)
+            half = relay.resources.max_descriptors
+            relay.siblings.predecessor_leaves(5)
             assert relay.node.balancer.parts.shared.process_count == 1
-            assert relay.max_descriptors > half, "what the old one gives up is this one's"
-            relay._process_count_changed(2)
+            assert relay.resources.max_descriptors > half, "what the old one gives up is this one's"
+            relay.siblings.process_count_changed(2)
             assert relay.node.balancer.parts.shared.process_count == 1
             await node.next()
-            assert relay.predecessor_descriptors is None
-            relay._process_count_changed(2)
+            assert relay.resources.predecessor_descriptors is None
+            relay.siblings.process_count_changed(2)
             assert relay.node.balancer.parts.shared.process_count == 2
-            assert relay.max_descriptors == half
+            assert relay.resources.max_descriptors == half
 
     run(main())
 
--- a/tests/http/test_client_disconnects.py
+++ b/tests/http/test_client_disconnects.py
@@ -17,7 +17,8 @@
 from rosewheel.http.downstream_server import PAUSED_CHECK_INTERVAL_S
 from rosewheel.http.request_reader import MAX_PIPELINED_REQUESTS
 from rosewheel.policy.actions import ForwardRequest
-from rosewheel.proxy.proxy import Proxy, now_ms
+from rosewheel.proxy.clock import now_ms
+from rosewheel.proxy.proxy import Proxy
 from tests.support.balancers import KEYED, SAFE, UNSAFE
 from tests.support.loops import PatchedLoop
 from tests.support.sockets import (
--- a/tests/http/test_connection_limits.py
+++ b/tests/http/test_connection_limits.py
@@ -23,7 +23,7 @@
     async def main() -> None:
         free, slow = gated_handler()
         async with FakeServer(slow).up() as server, node([entry("s", server.port)]) as relay:
-            relay.max_descriptors = 4
+            relay.resources.max_descriptors = 4
             async with Client(relay) as one, Client(relay) as two, Client(relay):
                 one.send("post")
                 await until(lambda: len(server.got) == 1)
--- a/tests/http/test_connection_reuse.py
+++ b/tests/http/test_connection_reuse.py
@@ -104,7 +104,7 @@
         async with FakeServer(slow).up() as server, node([entry("s", server.port)]) as relay:
 
             def told(state: ServerState) -> None:
-                relay._endpoint_list_updated(
+                relay.endpoints.list_updated(
                     EndpointListForm.DELTA, [(Server("s", "a", 0, state), ("127.0.0.1", server.port))]
                 )
 
@@ -137,7 +137,7 @@
 
             def told(state: ServerState, launched_ms: float | None) -> None:
                 named = Server("s", "a", 0, state, launched_ms)
-                relay._endpoint_list_updated(EndpointListForm.DELTA, [(named, ("127.0.0.1", server.port))])
+                relay.endpoints.list_updated(EndpointListForm.DELTA, [(named, ("127.0.0.1", server.port))])
 
             async with Client(relay) as client:
                 first_ms = relay.upstream.endpoints["s"].launched_ms
--- a/tests/http/test_idle_connections.py
+++ b/tests/http/test_idle_connections.py
@@ -197,7 +197,7 @@
                 node([entry(f"s{at}", server.port) for at in range(100)]) as relay,
                 Client(relay) as client,
             ):
-                relay.max_descriptors = 9
+                relay.resources.max_descriptors = 9
                 upstream = relay.upstream
 
                 def agrees() -> bool:
@@ -208,7 +208,7 @@
                 for _ in range(60):
                     assert status(await client.ask()) == 200
                     assert agrees()
-                    assert relay.descriptor_count <= relay.max_descriptors
+                    assert relay.resources.descriptor_count <= relay.resources.max_descriptors
                 assert len(upstream.idle_connections) > 1
                 out = next(iter(upstream.idle_connections)).endpoint.host
                 upstream.set_cordoned(out, True)
--- a/tests/http/test_large_messages.py
+++ b/tests/http/test_large_messages.py
@@ -133,7 +133,7 @@
                 got = await client.answer()  # at once: the rest of the request is still to come
                 assert status(got) == 503
                 client.writer.write(pattern(900_000))
-                relay._endpoint_list_updated(
+                relay.endpoints.list_updated(
                     EndpointListForm.SNAPSHOT, discovery.parse_endpoints([entry("s2", two.port)])
                 )
                 assert status(await client.ask("post")) == 200  # the rest was read past
--- a/tests/http/test_slow_clients.py
+++ b/tests/http/test_slow_clients.py
@@ -63,10 +63,13 @@
     async def main() -> None:
         async with node([], bounds=Limits(max_sockets=sockets)) as relay:
             for processes in (1, 2):
-                relay.process_count = processes
-                relay._share(sockets)
-                assert relay.server.max_connections < relay.max_descriptors
-                assert processes * (relay.max_descriptors + relay.server.max_over_limit + 12) <= sockets
+                relay.resources.process_count = processes
+                relay.resources.divide(sockets)
+                assert relay.server.max_connections < relay.resources.max_descriptors
+                assert (
+                    processes * (relay.resources.max_descriptors + relay.server.max_over_limit + 12)
+                    <= sockets
+                )
 
     run(main())
 
@@ -82,7 +85,7 @@
                 later = relay.loop.call_later
 
                 def noted(wait: float, call: object, *args: object) -> object:
-                    if call == relay._reopen_watch:
+                    if call == relay.endpoints.reopen_watch:
                         waits.append(wait)
                         wait = 0.0
                     return later(wait, call, *args)  # type: ignore[arg-type]
@@ -91,7 +94,7 @@
                 await until(lambda: len(discovery.asked) == 7)
                 assert status(await client.ask()) == 200  # by the list as it was held
                 discovery.tell(9, entry("s", server.port), whole=True)
-                await until(lambda: relay.watch_backoff.failed_watches == 0)
+                await until(lambda: relay.endpoints.backoff.failed_watches == 0)
 
     run(main())
     grace_s = Limits().drain_notice_ms / 1000.0
--- a/tests/proxy/test_cordon.py
+++ b/tests/proxy/test_cordon.py
@@ -135,7 +135,7 @@
 
 def test_a_cordon_holds_over_an_upgrade(tmp_path: Path, monkeypatch: pytest.MonkeyPatch):
     monkeypatch.setattr(
-        "rosewheel.proxy.proxy.TAKEOVER_LIST_WAIT_S", 0.0
+        "rosewheel.proxy.endpoints.TAKEOVER_LIST_WAIT_S", 0.0
     )  # no discovery is there to wait for
 
     async def main() -> None:
@@ -147,8 +147,10 @@
                     assert await old.cordon("one")
                     shared["inherited"] = os.dup(held.fileno())
                     async with node(known, **shared) as new, Client(new) as client:
-                        await until(lambda: (old.process_count, new.process_count) == (2, 2))
-                        assert old.max_descriptors < new.config.bounds.max_sockets // 2
+                        await until(
+                            lambda: (old.resources.process_count, new.resources.process_count) == (2, 2)
+                        )
+                        assert old.resources.max_descriptors < new.config.bounds.max_sockets // 2
                         for _ in range(10):
                             assert status(await client.ask()) == 200
                         assert (len(one.got), len(two.got)) == (0, 10)
--- a/tests/proxy/test_listener.py
+++ b/tests/proxy/test_listener.py
@@ -53,7 +53,7 @@
                 old = Proxy(config(known, inherited=os.dup(held.fileno())))
                 new = Proxy(config(known, inherited=os.dup(held.fileno())))
                 for relay in (old, new):
-                    relay.discovery.start = relay._list_received.set  # type: ignore[method-assign]
+                    relay.discovery.start = relay.endpoints.list_received.set  # type: ignore[method-assign]
                 await old.start()
                 async with Client(port=port) as early, Client(port=port) as quiet:
                     assert status(await early.ask()) == 200
--- a/tests/proxy/test_reconfiguration.py
+++ b/tests/proxy/test_reconfiguration.py
@@ -167,8 +167,8 @@
             assert relay.upstream.idle_timeout.large_fleet
             assert relay.upstream.idle_timeout.refusal_limit_s == 3.0
             assert relay.budget.limit_bytes == 6 << 20
-            assert relay.max_descriptors < 200
-            assert relay.server.max_connections < relay.max_descriptors
+            assert relay.resources.max_descriptors < 200
+            assert relay.server.max_connections < relay.resources.max_descriptors
             relay.configure(other(relay, balancer_count=1), bounds)
             assert not relay.upstream.idle_timeout.large_fleet
             assert relay.upstream.idle_timeout.refusal_limit_s == math.inf
@@ -190,12 +190,12 @@
                 relay.configure(
                     relay.config.settings, dataclasses.replace(relay.config.bounds, max_sockets=64)
                 )
-                assert relay.max_descriptors < 46
-                assert relay.descriptor_count <= relay.max_descriptors
+                assert relay.resources.max_descriptors < 46
+                assert relay.resources.descriptor_count <= relay.resources.max_descriptors
                 relay.configure(
                     relay.config.settings, dataclasses.replace(relay.config.bounds, max_sockets=32)
                 )
-                assert relay.max_descriptors < 12  # 6 callers and 6 equipos' connections are in use
+                assert relay.resources.max_descriptors < 12  # 6 callers and 6 equipos' connections are in use
                 await until(lambda: len(relay.server.connections) == 6)
                 free.set()
                 for client in clients[:6]:
@@ -219,10 +219,10 @@
             assert relay.discovery.silence_timeout_s == SILENCE_TIMEOUT_S
             await until(lambda: len(discovery.writers) == 3)
             watch = relay.discovery._connection
-            relay._reopen_watch()  # the look that was set: it must not break off what the module has asked for
+            relay.endpoints.reopen_watch()  # the look that was set: it must not break off what the module has asked for
             assert relay.discovery._connection is watch
             relay.discovery.close()
-            relay._reopen_watch()
+            relay.endpoints.reopen_watch()
             assert not relay.discovery.is_open, "where lists are asked for the module says when"
 
     run(main())
--- a/tests/support/sockets.py
+++ b/tests/support/sockets.py
@@ -210,7 +210,7 @@
         told = dataclasses.replace(told, settings=settings(poll_discovery=False))
     relay = Proxy(told)
     if pushed is not None:  # it speaks when the test says so, and that may be after the start
-        relay._list_wait_s = lambda: 0.0  # type: ignore[method-assign]
+        relay.endpoints.list_wait_s = lambda _: 0.0  # type: ignore[method-assign]
     if discovery is None and pushed is None:  # nothing listens there, and nothing is to be asked
         relay.discovery.start = lambda: None  # type: ignore[method-assign]
     await relay.start()
