--- a/tests/control/test_control_processes.py
+++ b/tests/control/test_control_processes.py
@@ -190,7 +190,7 @@
         # SIGHUP: the node's own file is read again under the configuration.
         path.write_text(own.replace("cold_from = 0.2", "cold_from = 0.3") + control)
         node.send_signal(signal.SIGHUP)
-        assert any("was read again" in line for line in lines)
+        assert any("configuration reloaded: " in line for line in lines)
         path.write_text(own)
         node.send_signal(signal.SIGHUP)
         assert any("control: changes only with a restart" in line for line in lines)
