--- a/rosewheel/proxy/headers.py
+++ b/rosewheel/proxy/headers.py
@@ -1,4 +1,4 @@
-"""Figures in the headers of a request."""
+"""Numbers in the headers of a request."""
 
 from __future__ import annotations
 
@@ -6,13 +6,21 @@
 
 from rosewheel.http.errors import BadRequestError
 
-WHOLE = re.compile("[0-9]{1,7}")  # in ms: some hours, far past every class's patience
-DECIMAL = re.compile(r"[0-9]{1,9}(\.[0-9]{1,9})?")
+WHOLE_NUMBER = re.compile("[0-9]{1,7}")  # in milliseconds: some hours, far past every class's deadline
+DECIMAL_NUMBER = re.compile(r"[0-9]{1,9}(\.[0-9]{1,9})?")
 
 
-def figure(text: str | None, name: str, form: re.Pattern[str]) -> float | None:
-    """A header's figure; BadRequestError where it is none. Not all that `float` takes is one: `1_0`, `nan`, `1e9` or
-    other scripts' digits."""
+def parse_number(text: str | None, name: str, form: re.Pattern[str]) -> float | None:
+    """Returns the number in a header, or None where the header is missing.
+
+    Args:
+        text: The value of the header.
+        name: Its name, for the error.
+        form: What the value must match: `float` alone takes `1_0`, `nan`, `1e9` and digits of other scripts too.
+
+    Raises:
+        BadRequestError: The value is no number of this form.
+    """
     if text is None:
         return None
     if not form.fullmatch(text):
--- a/rosewheel/proxy/requests.py
+++ b/rosewheel/proxy/requests.py
@@ -12,7 +12,7 @@
 from rosewheel.node.statistics import RequestOutcome
 from rosewheel.policy.events import AttemptResult, RequestReceived
 from rosewheel.proxy import clock
-from rosewheel.proxy.headers import DECIMAL, WHOLE, figure
+from rosewheel.proxy.headers import DECIMAL_NUMBER, WHOLE_NUMBER, parse_number
 from rosewheel.proxy.parts import ProxyParts
 
 METHODS = (b"GET", b"POST")
@@ -119,12 +119,12 @@
             raise BadRequestError(400, "Request-Id is missing or too long")
         if service not in self._parts.node.service_names:
             raise BadRequestError(400, "Request-Class is missing or unknown")
-        timeout_ms = figure(call.header(b"request-timeout-ms"), "Request-Timeout-Ms", WHOLE)
+        timeout_ms = parse_number(call.header(b"request-timeout-ms"), "Request-Timeout-Ms", WHOLE_NUMBER)
         if timeout_ms is None or timeout_ms <= 0:
             raise BadRequestError(400, "Request-Timeout-Ms is missing or not positive")
         self._check_time_left(service, timeout_ms)
         call.timeout_ms = timeout_ms
-        hint = figure(call.header(b"work-hint"), "Work-Hint", DECIMAL)
+        hint = parse_number(call.header(b"work-hint"), "Work-Hint", DECIMAL_NUMBER)
         return RequestReceived(
             id=id,
             service=service,
--- a/tests/lab/test_lab.py
+++ b/tests/lab/test_lab.py
@@ -283,7 +283,9 @@
         assert summary["plan"] == plan_digest(plans.make(_variant(path, folder)))
         assert 0.0 < summary["after_restarts"] <= 1.0
         learned = [path.read_text() for path in (out / folder / "nodes").glob("n[01]/log")]
-        assert all("learned state restored: age_s=" in text for text in learned), "an upgrade begins with what was learned"
+        assert all("learned state restored: age_s=" in text for text in learned), (
+            "an upgrade begins with what was learned"
+        )
         assert {row["e"] for row in read_records(out / folder / "equipos.jsonl")} >= {
             "job",
             "sample",
