--- a/rosewheel/discovery/watch_client.py
+++ b/rosewheel/discovery/watch_client.py
@@ -84,21 +84,16 @@
         first_line_timeout_s: float | None = None,
         on_first_line: Callable[[], None] = lambda: None,
     ) -> None:
-        """Create a client without a watch.
+        """Create a client without a watch. Timeouts that are None have their defaults; for the others see above.
 
         Args:
-            address: See the attributes, as for the others that are not listed here.
+            address: Of the service.
             revision: Of what is known so far; 0 for nothing.
-            path_for: See the attributes.
+            path_for: The target of a watch that begins behind a revision.
             parse: Makes an update of an object. It raises KeyError, TypeError, ValueError or OverflowError if that is
                 invalid.
             on_update: Called with whether it is a snapshot, and the update.
             on_failure: Called once when a watch has ended.
-            log: See the attributes.
-            subject: See the attributes.
-            silence_timeout_s: See the attributes; None for the default, as for the next two.
-            connect_timeout_s: See the attributes.
-            first_line_timeout_s: See the attributes.
             on_first_line: Called for the first valid line of each watch, which may be empty.
         """
         self.address, self.revision = address, revision
@@ -109,10 +104,8 @@
             FIRST_LINE_TIMEOUT_S if first_line_timeout_s is None else first_line_timeout_s
         )
         self.started_s = 0.0
-        self._parse = parse
-        self._on_update = on_update
-        self._on_failure = on_failure
-        self._on_first_line = on_first_line
+        self._parse, self._on_update = parse, on_update
+        self._on_failure, self._on_first_line = on_failure, on_first_line
         self._last_failure = ""  # reason, until an update is received
         self._connection: _WatchConnection | None = None
         self._connect_task: asyncio.Task[None] | None = None
--- a/rosewheel/http/downstream_server.py
+++ b/rosewheel/http/downstream_server.py
@@ -209,8 +209,8 @@
         self.connections[connection] = None
         self.idle_connections[connection] = None
         # Guards the descriptors, and the servers' share of them.
-        is_crowded = len(self.connections) > self.max_connections and not self.close_longest_idle()
-        connection.over_limit = is_crowded or not self.descriptor_available()
+        is_full = len(self.connections) > self.max_connections and not self.close_longest_idle()
+        connection.over_limit = is_full or not self.descriptor_available()
         if connection.over_limit:
             self.over_limit_count += 1
             # Guards the process: past its own limit of descriptors the system accepts nothing for it.
--- a/rosewheel/http/upstream_pool.py
+++ b/rosewheel/http/upstream_pool.py
@@ -3,6 +3,7 @@
 from __future__ import annotations
 
 import asyncio
+import functools
 import logging
 import socket
 from collections.abc import Callable
@@ -117,22 +118,12 @@
             is_wanted: Whether the client is still there; asked right before the first byte, if a connection has to be
                 opened.
         """
-
-        def on_done(result: AttemptResult, report: LoadReport | None, response_body: bytes) -> None:
-            if self.exchanges.pop((id, attempt), None) is not None:
-                self.on_attempt_ended(id, attempt, result, report, response_body)
-
-        def on_response_started(
-            content_length: int | None, resume: Callable[[], None]
-        ) -> ResponseSink | None:
-            return self.on_response_started(id, attempt, content_length, resume)
-
         exchange = Exchange(
             head,
-            on_done,
+            functools.partial(self._attempt_done, id, attempt),
             self.loop.time(),
             self.on_request_sent,
-            on_response_started,
+            functools.partial(self.on_response_started, id, attempt),
             is_wanted,
             body,
             chunked,
@@ -140,6 +131,12 @@
         self.exchanges[id, attempt] = exchange
         self._send_or_connect(host, exchange)
 
+    def _attempt_done(
+        self, id: str, attempt: int, result: AttemptResult, report: LoadReport | None, body: bytes
+    ) -> None:
+        if self.exchanges.pop((id, attempt), None) is not None:
+            self.on_attempt_ended(id, attempt, result, report, body)
+
     def abort_attempt(self, id: str, attempt: int) -> None:
         """Give an attempt up by closing its connection; nothing more is reported of it."""
         exchange = self.exchanges.pop((id, attempt), None)
--- a/tests/discovery/test_endpoint_list_races.py
+++ b/tests/discovery/test_endpoint_list_races.py
@@ -52,7 +52,7 @@
         relay.server.close()
 
 
-def test_a_new_process_takes_callers_only_once_the_agent_has_spoken(monkeypatch: pytest.MonkeyPatch):
+def test_new_process_accepts_clients_only_after_the_first_update(monkeypatch: pytest.MonkeyPatch):
     """What the agent has counts as told from the first moment: by an old list it would send to who drains."""
     monkeypatch.setattr(relay_module, "PUSHED_LIST_WAIT_S", 60.0)
 
@@ -71,7 +71,7 @@
     run(main())
 
 
-def test_a_silent_agent_does_not_keep_a_new_process_from_serving(monkeypatch: pytest.MonkeyPatch):
+def test_silent_discovery_does_not_prevent_a_start(monkeypatch: pytest.MonkeyPatch):
     monkeypatch.setattr(relay_module, "PUSHED_LIST_WAIT_S", 0.0)
 
     async def main() -> None:
@@ -93,9 +93,7 @@
         pytest.param(STREAM_HEAD + encode_chunk(EMPTY) + encode_chunk(b"\n") * 5, id="after many lines"),
     ],
 )
-def test_a_watch_that_falls_silent_is_followed_at_once_wherever_it_did(
-    monkeypatch: pytest.MonkeyPatch, said: bytes
-):
+def test_silent_watch_is_reopened_at_once(monkeypatch: pytest.MonkeyPatch, said: bytes):
     """What discovery has at its return counts as told at once: no wait may lie between one watch and the next.
     Seen: a wait of up to a second, in which a return went unheard for 0.45 s of the 0.4 that a drain allows."""
     monkeypatch.setattr(watch_client, "FIRST_LINE_TIMEOUT_S", 0.05)
@@ -123,7 +121,7 @@
     assert max(waits) == 0.0
 
 
-def test_waits_between_watches_that_break_off_fit_into_what_a_drain_allows():
+def test_backoff_between_failing_watches_fits_the_drain_notice():
     """Of several in a row; the time in which one was open counts as waited."""
 
     async def main() -> None:
@@ -146,7 +144,7 @@
     run(main())
 
 
-def test_the_times_of_a_silent_watch_fit_under_the_six_seconds():
+def test_timeouts_of_a_silent_watch_fit_six_seconds():
     """Of a watch that falls silent, and of the next one that is silent too: noticed, opened, and heard."""
     assert watch_client.SILENCE_TIMEOUT_S > 2.5  # an empty line comes every 2 s, and may be late
     assert (
@@ -193,7 +191,7 @@
 
 @pytest.mark.parametrize("text", [ONE, b"   " + ONE, INDENTED, INDENTED.replace(b"\n", b"\r\n")])
 @pytest.mark.parametrize("at", [0, 1, 30])
-def test_a_list_is_read_however_it_is_indented_and_cut_into_pieces(text: bytes, at: int):
+def test_list_is_parsed_however_it_is_indented_and_split(text: bytes, at: int):
     """Guards every drain: a list over several lines was taken for a bad one, and asked for anew for ever."""
     heard, _ = heard_of([b"\n", text[:at] or b"\n", text[at:] + b"\n"])
     assert [form for form, _ in heard] == [EndpointListForm.SNAPSHOT]
@@ -212,7 +210,7 @@
         pytest.param([b'{"seq":3,"whole":false,"hosts":[]}\n'], id="changes from before"),
     ],
 )
-def test_a_line_that_is_none_ends_the_watch_and_the_next_begins_where_this_made_sense(pieces: list[bytes]):
+def test_invalid_line_ends_the_watch_and_the_next_continues_from_the_last_valid_one(pieces: list[bytes]):
     heard, asked = heard_of(pieces)
     assert [form for form, _ in heard] == [EndpointListForm.FAILED]
     since = 0 if b'"seq":3' in pieces[0] else 5
@@ -220,7 +218,7 @@
 
 
 @given(st.binary(max_size=80), st.binary(max_size=80))
-def test_whatever_lines_hold_nothing_escapes(first: bytes, second: bytes):
+def test_no_line_raises_an_exception(first: bytes, second: bytes):
     """Guards the node: an exception here would end the watch without a word, and no other would follow."""
 
     class Watch:
@@ -238,7 +236,7 @@
     assert ends.count(EndpointListForm.FAILED) <= 1
 
 
-def test_answers_of_another_status_end_the_watch():
+def test_other_status_codes_end_the_watch():
     async def main() -> None:
         async with ScriptedDiscovery(scripts={1: answer(503, b"")}).up() as agent, pushed(agent, []) as relay:
             relay.discovery.start()
--- a/tests/discovery/test_long_lists.py
+++ b/tests/discovery/test_long_lists.py
@@ -1,4 +1,4 @@
-"""Long lists of equipos: taken a slice at a time, and with the same end as taken whole."""
+"""Long lists of servers: taken a slice at a time, and with the same end as taken whole."""
 
 from __future__ import annotations
 
@@ -42,7 +42,7 @@
 
 @given(TOLD, ROWS)
 @hypothesis_settings(suppress_health_check=[HealthCheck.function_scoped_fixture], deadline=None)
-def test_slices_end_where_whole_lists_do(
+def test_updates_in_parts_equal_whole_lists(
     told: list[tuple[bool, list[dict[str, Any]]]], known: list[dict[str, Any]]
 ):
     """Whatever comes in whichever order, also while an earlier list is not done yet."""
@@ -77,7 +77,7 @@
     assert most[0] <= 3
 
 
-def test_a_long_list_that_says_the_same_again_costs_nothing_behind_it():
+def test_unchanged_long_list_is_not_passed_on():
     async def main() -> None:
         heard: list[int] = []
         lists = EndpointList(lambda form, entries: heard.append(len(entries)))
@@ -94,7 +94,7 @@
 
 
 @pytest.mark.parametrize("count", [3, 2000])
-def test_a_node_follows_lists_of_any_length(count: int):
+def test_node_follows_lists_of_any_length(count: int):
     async def main() -> None:
         relay = Proxy(config([entry("old", 9000)]))
         relay.discovery.start = lambda: None  # type: ignore[method-assign]
--- a/tests/discovery/test_watch_backoff.py
+++ b/tests/discovery/test_watch_backoff.py
@@ -80,7 +80,7 @@
     seed=st.integers(0, 1 << 30),
 )
 @hypothesis_settings(max_examples=60, deadline=None)
-def test_a_change_is_heard_in_time_from_whenever_discovery_has_it_and_can_be_reached(
+def test_change_is_known_in_time_once_discovery_is_reachable(
     asks: bool,
     phases: list[tuple[float, str]],
     change: float,
@@ -105,9 +105,7 @@
 @pytest.mark.parametrize("asks", [False, True], ids=["pushed", "asked"])
 @pytest.mark.parametrize("kind", ["mute", "hang", "refuse", "head", "half"])
 @pytest.mark.parametrize("seed", range(4))
-def test_a_silent_watch_whose_first_try_fails_as_well_is_still_replaced_in_time(
-    asks: bool, kind: str, seed: int
-):
+def test_silent_watch_is_replaced_in_time_after_a_failed_attempt(asks: bool, kind: str, seed: int):
     """Seen from when it fell silent: noticed, a call that comes to nothing, and one that is answered."""
     net, _ = play(asks, seed, 40.0, phases=[(20.5, "up"), (19.5, "mute")], change_s=90.0, eager=False)
     (first, second, *_) = [at for at in net.calls if at > 20.5]
@@ -120,14 +118,14 @@
 
 @pytest.mark.parametrize("asks", [False, True], ids=["pushed", "asked"])
 @pytest.mark.parametrize("eager", [False, True])
-def test_while_discovery_works_it_is_asked_once(asks: bool, eager: bool):
+def test_working_discovery_is_asked_once(asks: bool, eager: bool):
     """Lines that are late by a good part of a second, by a busy machine or network, cost no call."""
     net, _ = play(asks, 3, 600.0, phases=[], change_s=300.0, eager=eager, late_s=0.15, lag_s=0.7)
     assert len(net.calls) == 1
 
 
 @pytest.mark.parametrize("kind", ["refuse", "hang", "mute"])
-def test_the_one_service_is_asked_seldom_while_it_is_down(kind: str):
+def test_unavailable_service_is_asked_rarely(kind: str):
     """Where lists are asked for: nodes by the hundred must not keep it down, nor come all at one moment."""
     at: list[float] = []
     for seed in range(20):
@@ -137,7 +135,7 @@
     assert len({round(one, 2) for one in at}) > 15
 
 
-def test_a_service_that_cuts_quiet_watches_off_is_not_taken_for_one_that_is_down():
+def test_closing_quiet_watches_does_not_count_as_unavailable():
     """Found: only a list reset the count of failures, so that after some quiet watches the next wait was of 4 s."""
     phases = [part for _ in range(8) for part in ((9.0, "up"), (0.01, "refuse"))]
     net, _ = play(True, 5, 100.0, phases=phases, change_s=99.0, eager=False, back="reset")
@@ -146,7 +144,7 @@
         assert min(at for at in net.calls if at > end - 0.005) - end < 1.1
 
 
-def test_an_outage_of_hours_ends_in_no_fault():
+def test_outage_of_hours_causes_no_error():
     """Found: the wait was 2.0 to the power of the failures in a row, which is no number after 1024 of them."""
     bed = Bed(count=0, poll_discovery=True)
     for _ in range(3000):
@@ -156,7 +154,7 @@
 
 
 @given(st.lists(st.floats(0.0, 60.0), min_size=1, max_size=20), st.integers(0, 1 << 30))
-def test_from_one_call_to_the_next_no_more_than_the_longest_wait_passes(lasted: list[float], seed: int):
+def test_time_between_attempts_is_bounded(lasted: list[float], seed: int):
     """By the module itself: a call that took long is followed soon, one refused at once after growing waits."""
     bed = Bed(count=0, seed=seed, poll_discovery=True)
     bed.give(EndpointListUpdate(EndpointListForm.CACHED))
@@ -167,7 +165,7 @@
         bed.give(TimerFired("watch"), after=wake.delay_ms)
 
 
-def test_the_sum_of_the_longest_times_is_what_the_page_of_constants_says():
+def test_sum_of_timeouts_matches_the_documented_one():
     rewatch_s, apart_s = (
         discovery_polling.SHORTEST_WAIT_MS / 1000.0,
         discovery_polling.LONGEST_INTERVAL_MS / 1000.0,
@@ -196,9 +194,7 @@
 
 
 @pytest.mark.parametrize("asks", [False, True], ids=["pushed", "asked"])
-def test_a_node_outlives_every_manner_of_outage_and_hears_what_came_of_it(
-    asks: bool, monkeypatch: pytest.MonkeyPatch
-):
+def test_node_recovers_from_every_kind_of_outage(asks: bool, monkeypatch: pytest.MonkeyPatch):
     """On sockets, with all times a fortieth: silent, dead, dying within a line, silent within one, and back."""
     for name in ("SILENCE_TIMEOUT_S", "CONNECT_TIMEOUT_S", "FIRST_LINE_TIMEOUT_S"):
         monkeypatch.setattr(watch_client, name, getattr(watch_client, name) / 40.0)
--- a/tests/discovery/test_watch_client.py
+++ b/tests/discovery/test_watch_client.py
@@ -28,7 +28,7 @@
 @pytest.mark.parametrize(
     "second", [b'{"seq":9,"pairs":[]}\n', b'{"seq":9}\n', b"[]\n", b'"pairs"\n', b"\xff\n"]
 )
-def test_objects_of_any_kind_are_followed_and_a_bad_one_is_not_taken(second: bytes):
+def test_objects_of_any_kind_are_applied_and_invalid_ones_rejected(second: bytes):
     """The path is made anew for each watch, by the count of what made sense last."""
 
     async def main() -> None:
@@ -59,7 +59,7 @@
     run(main())
 
 
-def test_a_long_object_over_many_lines_is_read_a_fixed_number_of_times(monkeypatch: pytest.MonkeyPatch):
+def test_long_object_is_parsed_a_fixed_number_of_times(monkeypatch: pytest.MonkeyPatch):
     """Guards every request meanwhile. Found: read anew at each line, a list of 500 held the node up for 6 s."""
     reads: list[int] = []
 
--- a/tests/http/test_body.py
+++ b/tests/http/test_body.py
@@ -16,7 +16,7 @@
     return pieces, at
 
 
-def test_a_small_body_can_be_read_again():
+def test_buffered_body_can_be_replayed():
     budget = BufferBudget(1000)
     item = RequestBody(budget, lambda: None)
     for piece in (b"a", b"b", b"c"):
@@ -31,7 +31,7 @@
 
 
 @pytest.mark.parametrize(("hold", "share"), [(4, 1000), (1000, 4)])
-def test_past_either_bound_a_body_passes_through(monkeypatch: pytest.MonkeyPatch, hold: int, share: int):
+def test_body_over_either_limit_is_streamed(monkeypatch: pytest.MonkeyPatch, hold: int, share: int):
     """Guards memory: what has been passed on is let go of, and its writer is told that there is room."""
     monkeypatch.setattr(body, "MAX_BUFFERED_BODY_BYTES", hold)
     eased: list[int] = []
@@ -49,7 +49,7 @@
     assert read_from(item, at) == ([b"g"], 3)
 
 
-def test_its_reader_hears_of_more_and_of_the_end():
+def test_reader_is_notified_of_data_and_end():
     heard: list[tuple[int, bool]] = []
     item = RequestBody(BufferBudget(1000), lambda: None)
     item.on_data = lambda: heard.append((item.received_bytes, item.complete))
@@ -58,7 +58,7 @@
     assert heard == [(2, False), (2, True)]
 
 
-def test_what_nobody_wants_is_counted_and_not_kept():
+def test_released_body_is_counted_and_not_kept():
     """Guards memory after an early answer: the rest of the request still comes, and is read past."""
     budget = BufferBudget(1000)
     item = RequestBody(budget, lambda: None)
@@ -68,8 +68,8 @@
     assert (item.received_bytes, item.buffered_bytes, budget.used_bytes, list(item.segments)) == (4, 0, 0, [])
 
 
-def test_a_body_whose_reader_is_gone_is_read_up_to_its_share_again():
-    """Guards the news of a caller's end, which stands behind its body, while the next attempt's connection comes up;
+def test_body_without_reader_is_buffered_up_to_its_share_again():
+    """Guards the news of a client's end, which stands behind its body, while the next attempt's connection comes up;
     and memory: what has been dropped does not come back, and who is not there any more is not asked for more."""
     eased: list[int] = []
     body = RequestBody(BufferBudget(1 << 20), lambda: eased.append(1))
@@ -90,5 +90,5 @@
     assert not body.replayable
 
 
-def test_no_body_holds_more_than_a_part_of_what_all_may():
+def test_connection_share_is_a_part_of_the_budget():
     assert 0 < BufferBudget(64 << 20).connection_share_bytes <= (64 << 20) // 4
--- a/tests/http/test_client_disconnects.py
+++ b/tests/http/test_client_disconnects.py
@@ -1,4 +1,4 @@
-"""Callers that leave while their request waits: nothing of it is sent on later, wherever it waited."""
+"""Clients that leave while their request waits: nothing of it is sent on later, wherever it waited."""
 
 from __future__ import annotations
 
@@ -47,7 +47,7 @@
 
 @pytest.mark.parametrize("how", ["close", "reset", "half"])
 @pytest.mark.parametrize("cancel", [True, False])
-def test_not_sent_on_once_its_connection_comes_up(how: str, cancel: bool):
+def test_request_of_disconnected_client_is_not_sent_on_a_new_connection(how: str, cancel: bool):
     """Seen by reading: where the settings allow no cancel, an attempt went out when its connection was up at last."""
 
     async def main() -> None:
@@ -80,7 +80,7 @@
 
 
 @pytest.mark.parametrize("cancel", [True, False])
-def test_half_a_body_ends_its_attempt_with_its_caller(cancel: bool):
+def test_incomplete_body_ends_its_attempt_when_the_client_disconnects(cancel: bool):
     """No deadline runs before a request's last byte, so that nothing else would ever end it."""
 
     async def main() -> None:
@@ -99,9 +99,9 @@
 
 
 @pytest.mark.parametrize("how", ["close", "reset", "half"])
-def test_not_sent_on_when_it_waited_behind_another_and_nothing_was_read(how: str):
+def test_queued_request_of_disconnected_client_is_not_forwarded(how: str):
     """While its connection is not read the loop does not hear of its end: what waits there went out when the
-    answer before it had come, however long the caller had been gone."""
+    answer before it had come, however long the client had been gone."""
 
     async def main() -> None:
         free, slow = gated_handler()
@@ -117,8 +117,8 @@
                 for at in range(3):
                     client.send("post", id=f"r{at}", body=b"x" * 9000, timeout=60000)
                 await until(lambda: len(server.got) == 1)
-                caller = next(iter(relay.server.connections))
-                await until(lambda: caller.reading_paused)
+                connection = next(iter(relay.server.connections))
+                await until(lambda: connection.reading_paused)
                 leave(client, how)
                 await until(lambda: not relay.server.connections)  # while its first request is still out
                 assert not relay.calls
@@ -133,7 +133,7 @@
     run(main())
 
 
-def test_one_that_has_left_is_not_asked_though_the_loop_has_not_read_so(monkeypatch: pytest.MonkeyPatch):
+def test_disconnect_is_seen_before_the_loop_reads_it(monkeypatch: pytest.MonkeyPatch):
     """A request and the end of its connection may lie side by side before a loop that is late."""
     monkeypatch.setattr("rosewheel.http.idle_connections.REUSE_QUIET_PERIOD_S", -1.0)
 
@@ -144,7 +144,9 @@
             await until(lambda: not relay.server.connections)
             came: list[DownstreamConnection] = []
             joined = relay.server.connection_opened
-            relay.server.connection_opened = lambda caller: (came.append(caller), joined(caller))[1]  # type: ignore[method-assign]
+            relay.server.connection_opened = lambda connection: (came.append(connection), joined(connection))[
+                1
+            ]  # type: ignore[method-assign]
             for ends in range(3):
                 with socket.create_connection(
                     ("127.0.0.1", relay.server.port)
@@ -162,7 +164,7 @@
     run(main())
 
 
-def test_an_end_of_sending_counts_at_once_whatever_is_still_to_be_written():
+def test_half_close_counts_at_once_with_unsent_data():
     """The loop closes such a connection when all that was written has gone out, and tells of it only then."""
 
     async def main() -> None:
@@ -171,8 +173,8 @@
             async with Client(relay) as client:
                 client.send("post")
                 await until(lambda: len(server.got) == 1)
-                caller = next(iter(relay.server.connections))
-                assert not caller.eof_received()  # so that the loop closes it
+                connection = next(iter(relay.server.connections))
+                assert not connection.eof_received()  # so that the loop closes it
                 assert not relay.calls
                 assert not relay.node.requests
             free.set()
@@ -180,7 +182,7 @@
     run(main())
 
 
-def test_a_burst_of_leavers_leaves_nothing_behind():
+def test_many_disconnects_leave_nothing_behind():
     async def main() -> None:
         free, slow = gated_handler()
         async with FakeServer(slow).up() as server, node([entry("s", server.port)]) as relay:  # type: ignore[arg-type]
@@ -204,7 +206,7 @@
     run(main())
 
 
-def test_leaving_is_noticed_well_within_what_a_request_may_wait():
+def test_disconnect_is_noticed_within_request_timeouts():
     assert PAUSED_CHECK_INTERVAL_S * 2 < 0.3
 
 
@@ -225,11 +227,11 @@
 
 async def unread(relay: Proxy, client: Client) -> DownstreamConnection:
     """Requests ahead of the answer that is due, until their connection is not read any more."""
-    (caller,) = relay.server.connections
+    (connection,) = relay.server.connections
     for at in range(MAX_PIPELINED_REQUESTS):
         client.send("post", id=f"ahead-{at}", timeout=60000)
-    await until(lambda: caller.reading_paused)
-    return caller
+    await until(lambda: connection.reading_paused)
+    return connection
 
 
 async def fail(server: FakeServer, how: str) -> None:
@@ -243,8 +245,8 @@
 @pytest.mark.usefixtures("unasked")
 @pytest.mark.parametrize("how", ["close", "reset", "half"])
 @pytest.mark.parametrize(("service", "end"), [("post", "full"), ("read", "cut"), ("points", "cut")])
-def test_no_further_attempt_after_one_that_failed(how: str, service: str, end: str):
-    """A retry, or the repeat of a keyed request: nobody had asked whether its caller was still there."""
+def test_no_retry_for_a_disconnected_client(how: str, service: str, end: str):
+    """A retry, or the repeat of a keyed request: nobody had asked whether its client was still there."""
 
     async def main() -> None:
         async def silent(message: Message, writer: asyncio.StreamWriter) -> None:
@@ -272,10 +274,8 @@
 
 
 @pytest.mark.parametrize("cancel", [True, False])
-def test_no_further_attempt_where_a_late_loop_reads_the_failure_first(
-    cancel: bool, monkeypatch: pytest.MonkeyPatch
-):
-    """The end of the caller and that of the attempt lie side by side, the attempt's before."""
+def test_no_retry_if_a_late_loop_reads_the_failure_first(cancel: bool, monkeypatch: pytest.MonkeyPatch):
+    """The end of the client and that of the attempt lie side by side, the attempt's before."""
     monkeypatch.setattr("rosewheel.http.idle_connections.REUSE_QUIET_PERIOD_S", -1.0)
 
     async def main() -> None:
@@ -311,7 +311,7 @@
 
 @pytest.mark.usefixtures("unasked")
 @pytest.mark.parametrize("how", ["close", "reset", "half"])
-def test_no_second_copy(how: str):
+def test_no_hedge_for_a_disconnected_client(how: str):
     async def main() -> None:
         free, slow = gated_handler()
         async with FakeServer(slow).up() as one, FakeServer(slow).up() as two:  # type: ignore[arg-type]
@@ -361,7 +361,7 @@
 
 @pytest.mark.parametrize("cancel", [True, False])
 @pytest.mark.parametrize("how", ["close", "reset", "half"])
-def test_a_connection_that_is_late_is_given_up_with_its_caller(how: str, cancel: bool):
+def test_slow_connect_is_aborted_with_its_client(how: str, cancel: bool):
     async def main() -> None:
         with crowded() as (listener, _):
             port = listener.getsockname()[1]
@@ -382,8 +382,8 @@
 
 @pytest.mark.usefixtures("unasked")
 @pytest.mark.parametrize("how", ["close", "reset", "half"])
-def test_nothing_goes_out_on_a_connection_that_comes_up_late(how: str):
-    """It comes up a second after the caller has left, and nobody has heard of that."""
+def test_nothing_is_sent_on_a_connection_that_opens_late(how: str):
+    """It comes up a second after the client has left, and nobody has heard of that."""
 
     async def main() -> None:
         with crowded() as (listener, _):
@@ -401,7 +401,7 @@
     run(main())
 
 
-async def push(sock: socket.socket, data: bytes, caller: DownstreamConnection) -> None:
+async def push(sock: socket.socket, data: bytes, connection: DownstreamConnection) -> None:
     """Hand all of it to the system, or as much as it takes while the node does not read."""
     sock.setblocking(False)
     view = memoryview(data)
@@ -411,13 +411,13 @@
             view = view[sock.send(view) :]
             full = 0
         except BlockingIOError:
-            full += caller.reading_paused
+            full += connection.reading_paused
             await asyncio.sleep(0.002)
 
 
 @pytest.mark.parametrize("way", ["body", "ahead"])
-def test_an_end_behind_much_that_was_sent_is_heard(way: str):
-    """The end of a connection stands behind all that its caller has sent: while that is not read, not even the
+def test_disconnect_behind_much_unread_data_is_seen(way: str):
+    """The end of a connection stands behind all that its client has sent: while that is not read, not even the
     system of this machine has been told of it."""
 
     async def main() -> None:
@@ -438,12 +438,12 @@
                     more = head + b"Request-Id: %d\r\nContent-Length: 900000\r\n\r\n" + bytes(900_000)
                     rest = b"".join(more.replace(b"%d", b"%d" % at) for at in range(4))
                 await until(lambda: bool(relay.server.connections))
-                (caller,) = relay.server.connections
-                await push(sock, start, caller)
+                (connection,) = relay.server.connections
+                await push(sock, start, connection)
                 await until(lambda: relay.upstream.connecting_count == 1)
-                await push(sock, rest, caller)
+                await push(sock, rest, connection)
                 sock.close()
-                await until(lambda: relay.upstream.connecting_count == 0 or caller.reading_paused)
+                await until(lambda: relay.upstream.connecting_count == 0 or connection.reading_paused)
                 listener.accept()[0].close()
                 await until(lambda: not relay.node.requests and not relay.server.connections)
                 await until(lambda: relay.upstream.connecting_count == relay.upstream.open_count == 0)
--- a/tests/http/test_connection_limits.py
+++ b/tests/http/test_connection_limits.py
@@ -37,8 +37,8 @@
                     assert got.headers["connection"] == "close"
                 free.set()
                 assert status(await one.answer()) == 200
-                for caller in relay.server.connections:
-                    caller.last_activity_s -= 5.0  # as if they had been idle that long
+                for connection in relay.server.connections:
+                    connection.last_activity_s -= 5.0  # as if they had been idle that long
                 async with Client(relay) as later:
                     assert status(await later.ask("post")) == 200
                     assert status(await later.ask("post")) == 200
@@ -59,15 +59,15 @@
                 client = await stack.enter_async_context(Client(relay))
                 got = await client.ask("post")
                 assert (status(got), got.headers.get("connection")) == (200, None)
-                for caller in relay.server.connections:
-                    caller.last_activity_s -= 0.1  # as if they came ten a second
+                for connection in relay.server.connections:
+                    connection.last_activity_s -= 0.1  # as if they came ten a second
             assert len(relay.server.connections) <= 4
 
     run(main())
 
 
 def test_silent_and_partial_clients_are_closed_and_active_ones_kept():
-    """Guards the descriptors: within 3 s a silent caller is closed and half a request is answered 408."""
+    """Guards the descriptors: within 3 s a silent client is closed and half a request is answered 408."""
 
     async def main() -> None:
         async with FakeServer().up() as server, node([entry("s", server.port)]) as relay:
@@ -80,15 +80,15 @@
                 assert await half.reader.read() == b""
                 assert relay.loop.time() - began < 2.9
                 assert status(await used.ask()) == 200
-                for caller in relay.server.connections:
-                    caller.last_activity_s -= 5.0  # as if it had asked that long ago
+                for connection in relay.server.connections:
+                    connection.last_activity_s -= 5.0  # as if it had asked that long ago
                 assert await used.reader.read() == b""
 
     run(main())
 
 
 def test_silent_clients_do_not_exclude_others():
-    """Guards small nodes: idle callers make room for new ones, and past their share one more is closed."""
+    """Guards small nodes: idle clients make room for new ones, and past their share one more is closed."""
 
     async def main() -> None:
         async with contextlib.AsyncExitStack() as stack:
@@ -98,8 +98,8 @@
             kept = [await stack.enter_async_context(Client(relay)) for _ in range(4)]
             for client in kept:
                 assert status(await client.ask()) == 200
-            for caller in relay.server.connections:
-                caller.last_activity_s -= 1.5
+            for connection in relay.server.connections:
+                connection.last_activity_s -= 1.5
             async with Client(relay) as fresh:
                 assert status(await fresh.ask()) == 200
                 assert await kept[0].reader.read() == b""
--- a/tests/http/test_connection_memory.py
+++ b/tests/http/test_connection_memory.py
@@ -37,13 +37,13 @@
                     async with Client(relay) as bad:
                         bad.writer.write(b"noise\r\n\r\n")
                         assert status(await bad.answer()) == 400
-                    caller = next(iter(relay.server.connections))
+                    connection = next(iter(relay.server.connections))
                     left = [
                         weakref.ref(one)
-                        for one in (caller, relay.upstream.endpoints["s"].idle_connections[0])
+                        for one in (connection, relay.upstream.endpoints["s"].idle_connections[0])
                     ]
                     left.append(weakref.ref(relay.discovery._connection))
-                    del caller
+                    del connection
                 gc.collect()
                 gc.disable()
                 try:
--- a/tests/http/test_connection_reuse.py
+++ b/tests/http/test_connection_reuse.py
@@ -1,4 +1,4 @@
-"""Connections to equipos between two requests: when they may carry the next one."""
+"""Connections to servers between two requests: when they may carry the next one."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 from tests.support.sockets import Client, FakeServer, Message, answer, entry, node, run, status, until
 
 
-def test_a_second_answer_that_comes_late_is_nobodys(monkeypatch: pytest.MonkeyPatch):
+def test_late_second_response_is_discarded(monkeypatch: pytest.MonkeyPatch):
     """Seen in join-brink by seed 13: one of 14 such answers, up to 4 ms late, crossed the next request on its
     connection. The server here holds it until the next request has come."""
 
@@ -37,11 +37,11 @@
     run(main())
 
 
-def test_a_connection_rests_for_longer_than_second_answers_are_late():
+def test_quiet_period_exceeds_the_delay_of_second_responses():
     assert idle_connections.REUSE_QUIET_PERIOD_S >= 5 * 0.004
 
 
-def test_bytes_that_come_while_it_rests_end_a_connection():
+def test_data_within_the_quiet_period_closes_the_connection():
     async def main() -> None:
         async with FakeServer().up() as server, node([entry("s", server.port)]) as relay:
             async with Client(relay) as client:
@@ -56,7 +56,7 @@
 
 @pytest.mark.usefixtures("settled")
 @pytest.mark.parametrize("rested_s", [0.0, 45.0])
-def test_one_that_its_server_may_have_closed_by_now_is_not_used(rested_s: float):
+def test_connection_past_its_idle_timeout_is_not_used(rested_s: float):
     """Where servers close soon, those too old were swept away half a second later, and used until then: what was
     written to them ended as a reset, and an unsafe request with it. 50 s are stated, of which 40 are used."""
 
@@ -79,7 +79,7 @@
     monkeypatch.setattr(idle_connections, "REUSE_QUIET_PERIOD_S", -1.0)
 
 
-def test_what_may_be_used_never_outlasts_what_is_stated():
+def test_reuse_limit_never_exceeds_the_configured_timeout():
     rest = IdleTimeout(0.5, large_fleet=True)
     assert rest.reusable_for_s == rest.configured_s < 0.5
     rest.new_connection_refused(1.0)
@@ -91,7 +91,7 @@
 
 
 @pytest.mark.usefixtures("settled")
-def test_an_answer_of_the_one_before_brings_no_connection_to_the_one_that_came_back():
+def test_response_of_a_restarted_server_returns_no_connection():
     """At the same address stands another process by now: what its predecessor had open is of no use to it."""
 
     async def main() -> None:
@@ -123,8 +123,8 @@
 
 @pytest.mark.usefixtures("settled")
 @pytest.mark.parametrize("again_ms", [None, 2000.0])
-def test_a_connection_in_use_is_dropped_by_the_start_it_was_opened_under(again_ms: float | None):
-    """Its equipo drained while it answered, and came up again under a new start."""
+def test_active_connection_is_closed_by_the_start_it_was_opened_under(again_ms: float | None):
+    """Its server drained while it answered, and came up again under a new start."""
 
     async def main() -> None:
         free = asyncio.Event()
--- a/tests/http/test_descriptor_limit.py
+++ b/tests/http/test_descriptor_limit.py
@@ -84,7 +84,9 @@
 
 @pytest.mark.parametrize("most", [64, 128])
 @pytest.mark.parametrize("mode", ["push", "ask"])
-def test_a_crowd_keeps_neither_discovery_nor_equipos_nor_operators_out(tmp_path: Path, most: int, mode: str):
+def test_many_clients_exclude_neither_discovery_nor_servers_nor_operators(
+    tmp_path: Path, most: int, mode: str
+):
     async def main() -> None:
         async with FakeServer().up() as one, FakeServer().up() as two, contextlib.AsyncExitStack() as stack:
             port, door = free_port(), free_port()
@@ -120,7 +122,7 @@
             crowding = asyncio.ensure_future(crowd())
             await until(lambda: len(held) >= CROWD)
             descriptors = Path(f"/proc/{process.pid}/fd")
-            assert len(list(descriptors.iterdir())) > most / 3  # those that are for callers are full
+            assert len(list(descriptors.iterdir())) > most / 3  # those that are for clients are full
             for _ in range(2):  # while it is stopped they all come up, and so are accepted in one turn
                 process.send_signal(signal.SIGSTOP)
                 burst = [await asyncio.open_connection("127.0.0.1", port) for _ in range(CROWD)]
@@ -142,7 +144,7 @@
             await discovery.begin("served")
             await until(lambda: discovery.asked > 0)
             before = len(two.got)
-            while len(two.got) == before:  # a connection to a new equipo finds one too
+            while len(two.got) == before:  # a connection to a new server finds one too
                 await served(port)
             assert status(await asks(door, "/admin/stats")) == 200
             stopped.set()
--- a/tests/http/test_drain.py
+++ b/tests/http/test_drain.py
@@ -49,7 +49,7 @@
 
 
 def test_drain_accepts_only_what_it_can_answer(monkeypatch: pytest.MonkeyPatch):
-    """Guards requests against the end of the process: until then callers go on asking, however patient, but
+    """Guards requests against the end of the process: until then clients go on asking, however patient, but
     with less time than they would have, and with too little they are refused and nothing is sent."""
     monkeypatch.setattr("rosewheel.http.downstream_server.KEEP_OPEN_DURING_DRAIN_S", 60.0)
 
--- a/tests/http/test_forwarding.py
+++ b/tests/http/test_forwarding.py
@@ -182,13 +182,13 @@
                 for at in range(3):
                     client.send("post", id=f"r{at}", body=b"x" * 9000)
                 await until(lambda: len(server.got) == 1)
-                caller = next(iter(relay.server.connections))
-                await until(lambda: caller.reading_paused)
+                connection = next(iter(relay.server.connections))
+                await until(lambda: connection.reading_paused)
                 free.set()
                 for _ in range(3):
                     assert status(await client.answer()) == 200
                 assert [message.headers["request-id"] for message in server.got] == ["r0", "r1", "r2"]
-                assert not caller.reading_paused
+                assert not connection.reading_paused
                 assert status(await client.ask("post")) == 200
 
     run(main())
--- a/tests/http/test_large_messages.py
+++ b/tests/http/test_large_messages.py
@@ -56,7 +56,7 @@
 
 
 @pytest.mark.parametrize("chunked", [False, True])
-def test_a_body_far_larger_than_what_is_held_arrives_unchanged(chunked: bool):
+def test_body_larger_than_the_buffer_arrives_unchanged(chunked: bool):
     """Guards memory and the body: never more held than the bound of one connection, every byte passed on."""
     got: list[tuple[str, bytes]] = []
     most = 0
@@ -70,7 +70,7 @@
     async def main() -> None:
         nonlocal most
         async with RawServer(taking).up() as server, node([entry("s", server.port)]) as relay:
-            # What one connection may hold while that to the equipo comes up.
+            # What one connection may hold while that to the server comes up.
             relay.budget.limit_bytes = (
                 body_module.CONNECTION_SHARE_DIVISOR * body_module.MAX_BUFFERED_BODY_BYTES
             )
@@ -97,8 +97,8 @@
     run(main())
 
 
-def test_the_time_of_a_slow_body_counts_from_its_last_byte(monkeypatch: pytest.MonkeyPatch):
-    """Guards slow callers: a body that takes longer than the caller's patience for the answer is no late one,
+def test_timeout_of_a_slow_body_starts_at_its_last_byte(monkeypatch: pytest.MonkeyPatch):
+    """Guards slow clients: a body that takes longer than the client's patience for the answer is no late one,
     whether it is held or passes through."""
 
     async def main() -> None:
@@ -117,7 +117,7 @@
     run(main())
 
 
-def test_an_unsafe_request_cut_off_on_its_way_never_ran_and_is_refused(monkeypatch: pytest.MonkeyPatch):
+def test_interrupted_non_idempotent_request_is_rejected_as_not_executed(monkeypatch: pytest.MonkeyPatch):
     """Guards against a second sending of what is no longer here, and against a failure that is none."""
     monkeypatch.setattr(body_module, "MAX_BUFFERED_BODY_BYTES", 1000)
 
@@ -146,7 +146,7 @@
     run(main())
 
 
-def test_a_held_body_goes_elsewhere_when_it_never_ran():
+def test_buffered_body_is_retried_elsewhere_if_not_executed():
     async def breaking(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         await reader.readuntil(b"\r\n\r\n")
         writer.write(answer(503, b"", Not_Started="1", Connection="close"))
@@ -167,7 +167,7 @@
     return b"HTTP/1.1 200 OK\r\n" + framing.encode() + b"\r\n\r\n" + data
 
 
-def test_a_long_answer_begins_before_its_end_has_come_and_has_no_deadline():
+def test_long_response_is_streamed_without_deadline():
     """Guards the first bytes, and what comes behind them: neither aim nor patience cuts it off."""
     free = asyncio.Event()
     data = pattern(200_000)
@@ -198,7 +198,7 @@
 
 
 @pytest.mark.parametrize("framing", ["Transfer-Encoding: chunked", "Connection: close"])
-def test_a_long_answer_of_no_known_length_goes_in_chunks(framing: str):
+def test_long_response_without_length_is_chunked(framing: str):
     data = pattern(300_000)
 
     async def giving(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -228,7 +228,7 @@
 
 
 @pytest.mark.parametrize("framing", ["Content-Length: 300000", "Transfer-Encoding: chunked"])
-def test_a_long_answer_that_breaks_ends_so_that_its_caller_can_tell(framing: str):
+def test_interrupted_streamed_response_is_recognizable(framing: str):
     async def giving(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         await reader.readuntil(b"\r\n\r\n")
         part = pattern(100_000)
@@ -257,8 +257,8 @@
     run(main())
 
 
-def test_a_slow_reader_holds_back_its_own_answer_and_no_other():
-    """Guards memory and the others: the equipo is read no faster than the caller reads."""
+def test_slow_client_delays_only_its_own_response():
+    """Guards memory and the others: the server is read no faster than the client reads."""
     written = 0
     data = pattern(24 << 20)
 
@@ -297,7 +297,7 @@
     run(main())
 
 
-def test_a_caller_that_leaves_a_long_answer_ends_it_at_its_server():
+def test_disconnect_within_a_streamed_response_ends_it_at_the_server():
     async def giving(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         await reader.readuntil(b"\r\n\r\n")
         writer.write(long_answer("Content-Length: 20000000", b""))
@@ -318,7 +318,7 @@
     run(main())
 
 
-def test_a_caller_that_reads_nothing_at_all_is_let_go_of(monkeypatch: pytest.MonkeyPatch):
+def test_client_that_does_not_read_is_disconnected(monkeypatch: pytest.MonkeyPatch):
     monkeypatch.setattr(server_module, "SEND_STALL_TIMEOUT_S", 0.3)
 
     async def giving(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -335,7 +335,7 @@
     run(main())
 
 
-def test_a_server_that_stalls_in_a_long_answer_is_given_up_in_the_end(monkeypatch: pytest.MonkeyPatch):
+def test_stalled_streamed_response_is_aborted(monkeypatch: pytest.MonkeyPatch):
     monkeypatch.setattr(connection_module, "STREAM_PAUSE_TIMEOUT_S", 0.2)
     monkeypatch.setattr(connection_module, "RESPONSE_PAUSE_TIMEOUT_S", 0.1)
 
@@ -355,8 +355,8 @@
 
 
 @pytest.mark.parametrize("length", [b"Content-Length: 2\r\n", b"Transfer-Encoding: chunked\r\n"])
-def test_who_waits_for_a_word_before_the_body_gets_it(length: bytes):
-    """Guards callers that send `Expect: 100-continue`, and would wait for long without it."""
+def test_expect_continue_is_answered(length: bytes):
+    """Guards clients that send `Expect: 100-continue`, and would wait for long without it."""
 
     async def main() -> None:
         async with FakeServer().up() as server, node([entry("s", server.port)]) as relay:
@@ -373,7 +373,7 @@
     run(main())
 
 
-def test_an_offer_of_another_protocol_is_not_taken_up_and_hides_nothing():
+def test_upgrade_is_declined_and_hides_no_request():
     """Guards against a request in the body of one that offers an upgrade: the body goes on as a body."""
     hidden = (
         b"GET /api/hidden HTTP/1.1\r\nRequest-Id: h\r\nRequest-Class: read\r\nRequest-Timeout-Ms: 900\r\n\r\n"
@@ -396,7 +396,7 @@
     run(main())
 
 
-def test_a_target_in_absolute_form_goes_on_as_its_server_knows_it():
+def test_absolute_target_is_forwarded_in_origin_form():
     async def main() -> None:
         async with FakeServer().up() as server, node([entry("s", server.port)]) as relay:
             async with Client(relay) as client:
@@ -409,7 +409,7 @@
     run(main())
 
 
-def test_a_body_that_stops_on_its_way_is_told_so(monkeypatch: pytest.MonkeyPatch):
+def test_stalled_body_is_answered_408(monkeypatch: pytest.MonkeyPatch):
     monkeypatch.setattr(server_module, "RECEIVE_TIMEOUT_S", 0.1)
     monkeypatch.setattr(body_module, "MAX_BUFFERED_BODY_BYTES", 10)
 
@@ -427,7 +427,7 @@
     run(main())
 
 
-def test_long_answers_to_what_was_pipelined_come_in_order():
+def test_streamed_responses_to_pipelined_requests_keep_their_order():
     data = pattern(100_000)
 
     async def giving(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -448,7 +448,7 @@
     run(main())
 
 
-def test_a_trailer_is_no_header_of_this_request_nor_of_the_next():
+def test_trailer_is_not_a_header():
     async def main() -> None:
         async with FakeServer().up() as server, node([entry("s", server.port)]) as relay:
             async with Client(relay) as client:
@@ -463,8 +463,8 @@
     run(main())
 
 
-def test_a_server_that_reads_nothing_of_a_body_is_given_up(monkeypatch: pytest.MonkeyPatch):
-    """Guards callers: before the last byte no deadline runs, so nothing else would end this."""
+def test_server_that_does_not_read_a_body_is_abandoned(monkeypatch: pytest.MonkeyPatch):
+    """Guards clients: before the last byte no deadline runs, so nothing else would end this."""
     monkeypatch.setattr(connection_module, "WRITE_STALL_TIMEOUT_S", 0.2)
     monkeypatch.setattr(upstream_module, "SWEEP_INTERVAL_S", 0.05)
 
@@ -490,7 +490,7 @@
         await writer.drain()
 
 
-def test_a_request_that_has_its_answer_gets_no_second_one(monkeypatch: pytest.MonkeyPatch):
+def test_answered_request_gets_no_second_response(monkeypatch: pytest.MonkeyPatch):
     """Guards the order of answers: the rest of a refused body stops on its way, and that is all."""
     monkeypatch.setattr(server_module, "RECEIVE_TIMEOUT_S", 0.1)
     monkeypatch.setattr(body_module, "MAX_BUFFERED_BODY_BYTES", 10)
--- a/tests/http/test_request_validation.py
+++ b/tests/http/test_request_validation.py
@@ -103,7 +103,7 @@
 
 
 def test_invalid_bytes_after_a_pending_request_end_it():
-    """Guards against a caller that hides behind its first request: its attempt ends too."""
+    """Guards against a client that hides behind its first request: its attempt ends too."""
 
     async def main() -> None:
         async with FakeServer(never_respond).up() as server, node([entry("s", server.port)]) as relay:
--- a/tests/http/test_slow_clients.py
+++ b/tests/http/test_slow_clients.py
@@ -1,4 +1,4 @@
-"""Crowds of callers that never finish a request, and a discovery that breaks off: who asks is served."""
+"""Crowds of clients that never finish a request, and a discovery that breaks off: who asks is served."""
 
 from __future__ import annotations
 
@@ -15,8 +15,8 @@
 HEAD = b"GET /x HTTP/1.1\r\nRequest-Id: a\r\nRequest-Class: read\r\nRequest-Timeout-Ms: 900\r\n\r\n"
 
 
-def test_the_longest_silent_half_makes_room_and_a_slow_caller_is_served():
-    """Guards callers that write slowly: under a crowd the oldest is not the one to go."""
+def test_longest_silent_partial_request_is_closed_and_a_slow_client_served():
+    """Guards clients that write slowly: under a crowd the oldest is not the one to go."""
 
     async def main() -> None:
         async with FakeServer().up() as server, node([entry("s", server.port)]) as relay:
@@ -26,28 +26,30 @@
                 await until(lambda: len(relay.server.partial_connections) == 1)
                 (true,) = relay.server.partial_connections
                 for at in range(1, len(HEAD)):
-                    for caller in relay.server.partial_connections:
-                        caller.last_received_s -= 1.0  # as if the pieces came one a second
+                    for connection in relay.server.partial_connections:
+                        connection.last_received_s -= 1.0  # as if the pieces came one a second
                     slow.writer.write(HEAD[at : at + 1])
                     await until(lambda at=at: true.raw_bytes in (at + 1, 0))
                     if at % 4 == 0:
                         one = await stack.enter_async_context(Client(relay))
                         one.writer.write(HEAD[:20])
-                        await until(lambda: all(caller.raw_bytes > 0 for caller in relay.server.connections))
+                        await until(
+                            lambda: all(connection.raw_bytes > 0 for connection in relay.server.connections)
+                        )
                 assert status(await slow.answer()) == 200
                 assert len(relay.server.connections) <= 5
 
     run(main())
 
 
-def test_a_half_that_makes_room_is_told_so():
+def test_closed_partial_request_gets_a_response():
     async def main() -> None:
         async with FakeServer().up() as server, node([entry("s", server.port)]) as relay:
             async with Client(relay) as half:
                 half.writer.write(HEAD[:20])
                 await until(lambda: len(relay.server.partial_connections) == 1)
-                (caller,) = relay.server.partial_connections
-                caller.last_received_s -= 1.0
+                (connection,) = relay.server.partial_connections
+                connection.last_received_s -= 1.0
                 relay.server.max_connections = 1
                 async with Client(relay) as other:
                     assert status(await other.ask()) == 200
@@ -57,7 +59,7 @@
 
 
 @pytest.mark.parametrize("sockets", [64, 192, 384, 1024])
-def test_what_a_node_may_hold_stays_within_its_descriptors(sockets: int):
+def test_connection_limits_stay_within_the_descriptors(sockets: int):
     """Guards the limit also while a crowd is told that there is no room, and operators call."""
 
     async def main() -> None:
@@ -71,7 +73,7 @@
     run(main())
 
 
-def test_a_discovery_that_keeps_breaking_off_is_asked_again_with_growing_waits(
+def test_failing_discovery_is_retried_with_growing_backoff(
     monkeypatch: pytest.MonkeyPatch,
 ):
     waits: list[float] = []
@@ -100,7 +102,7 @@
     assert max(waits) <= grace_s / rewatch.MAX_DELAY_DIVISOR
 
 
-def test_a_watch_that_is_never_answered_is_given_up_soon(monkeypatch: pytest.MonkeyPatch):
+def test_watch_without_response_fails_soon(monkeypatch: pytest.MonkeyPatch):
     monkeypatch.setattr(watch_module, "FIRST_LINE_TIMEOUT_S", 0.05)
 
     async def main() -> None:
