--- a/tests/discovery/test_watch_backoff.py
+++ b/tests/discovery/test_watch_backoff.py
@@ -22,7 +22,7 @@
 from tests.support.balancers import Bed, settings
 from tests.support.scripted_discovery import restartable_discovery
 from tests.support.sockets import config, entry, node, run, until
-from tests.support.virtual_discovery import Net, VirtualLoop
+from tests.support.virtual_discovery import VirtualLoop, VirtualNetwork
 
 HEARD_S = 5.5  # from when discovery has a change and can be reached; it counts as told 0.5 s later
 
@@ -38,7 +38,7 @@
 
 def play(
     asks: bool, seed: int, until_s: float, grace_ms: float = 400.0, **script: object
-) -> tuple[Net, Proxy]:
+) -> tuple[VirtualNetwork, Proxy]:
     """A node by its discovery up to this time; what it sends and takes is none of this."""
 
     async def main() -> Proxy:
@@ -54,8 +54,8 @@
         return relay
 
     loop = VirtualLoop()
-    net = loop.net = Net(loop, **script)  # type: ignore[arg-type]
-    net.begin()
+    net = loop.net = VirtualNetwork(loop, **script)  # type: ignore[arg-type]
+    net.start()
     with mock.patch.object(relay_module, "now_ms", new=_clock(loop)):
         try:
             return net, loop.run_until_complete(main())
@@ -72,10 +72,10 @@
     change=st.floats(0.0, 1.0),
     after=st.floats(0.0, 4.0) | st.just(0.0),
     cut=st.none() | st.floats(0.0, 30.0),
-    back=st.sampled_from(["served", "silent", "reset"]),
-    eager=st.booleans(),
+    on_recovery=st.sampled_from(["served", "silent", "reset"]),
+    always_sends_object=st.booleans(),
     late=st.floats(0.0, 0.15),
-    recount=st.booleans(),
+    revisions_restart=st.booleans(),
     grace=st.sampled_from([50.0, 400.0, 3000.0, 30000.0]),
     seed=st.integers(0, 1 << 30),
 )
@@ -86,19 +86,33 @@
     change: float,
     after: float,
     cut: float | None,
-    back: str,
-    eager: bool,
+    on_recovery: str,
+    always_sends_object: bool,
     late: float,
-    recount: bool,
+    revisions_restart: bool,
     grace: float,
     seed: int,
 ):
     up_s = sum(length for length, _ in phases)
     change_s = change * up_s + after
-    cut_s = None if cut is None else up_s + cut
+    connections_lost_at_s = None if cut is None else up_s + cut
     heard_by = max(change_s, up_s) + HEARD_S
-    script = {"phases": phases, "change_s": change_s, "back": back, "eager": eager, "late_s": late}
-    net, relay = play(asks, seed, heard_by, grace, **script, cut_s=cut_s, recount=recount)
+    script = {
+        "phases": phases,
+        "change_s": change_s,
+        "on_recovery": on_recovery,
+        "always_sends_object": always_sends_object,
+        "first_heartbeat_delay_s": late,
+    }
+    net, relay = play(
+        asks,
+        seed,
+        heard_by,
+        grace,
+        **script,
+        connections_lost_at_s=connections_lost_at_s,
+        revisions_restart=revisions_restart,
+    )
     assert relay.node.is_known_server("new"), f"tried at {net.calls}"
 
 
@@ -107,21 +121,32 @@
 @pytest.mark.parametrize("seed", range(4))
 def test_silent_watch_is_replaced_in_time_after_a_failed_attempt(asks: bool, kind: str, seed: int):
     """Seen from when it fell silent: noticed, a call that comes to nothing, and one that is answered."""
-    net, _ = play(asks, seed, 40.0, phases=[(20.5, "up"), (19.5, "mute")], change_s=90.0, eager=False)
-    (first, second, *_) = [at for at in net.calls if at > 20.5]
+    net, _ = play(
+        asks, seed, 40.0, phases=[(20.5, "up"), (19.5, "mute")], change_s=90.0, always_sends_object=False
+    )
+    (first, second, *_) = [at for at in net.connect_times_s if at > 20.5]
     fell_s = 20.0  # its last line
     phases = [(20.5, "up"), (first - 20.5 - 0.1, "mute"), (0.2, kind)]
-    net, relay = play(asks, seed, fell_s + HEARD_S, phases=phases, change_s=21.0, eager=False)
+    net, relay = play(asks, seed, fell_s + HEARD_S, phases=phases, change_s=21.0, always_sends_object=False)
     assert relay.node.is_known_server("new"), f"tried at {net.calls}"
     assert second <= fell_s + HEARD_S
 
 
 @pytest.mark.parametrize("asks", [False, True], ids=["pushed", "asked"])
-@pytest.mark.parametrize("eager", [False, True])
-def test_working_discovery_is_asked_once(asks: bool, eager: bool):
+@pytest.mark.parametrize("always_sends_object", [False, True])
+def test_working_discovery_is_asked_once(asks: bool, always_sends_object: bool):
     """Lines that are late by a good part of a second, by a busy machine or network, cost no call."""
-    net, _ = play(asks, 3, 600.0, phases=[], change_s=300.0, eager=eager, late_s=0.15, lag_s=0.7)
-    assert len(net.calls) == 1
+    net, _ = play(
+        asks,
+        3,
+        600.0,
+        phases=[],
+        change_s=300.0,
+        always_sends_object=always_sends_object,
+        first_heartbeat_delay_s=0.15,
+        heartbeat_delay_s=0.7,
+    )
+    assert len(net.connect_times_s) == 1
 
 
 @pytest.mark.parametrize("kind", ["refuse", "hang", "mute"])
@@ -130,18 +155,20 @@
     at: list[float] = []
     for seed in range(20):
         net, _ = play(True, seed, 600.0, phases=[(600.0, kind)], change_s=900.0)
-        assert 600.0 / 4.0 <= len(net.calls) <= 600.0 / 2.0
-        at.append(net.calls[-1])
+        assert 600.0 / 4.0 <= len(net.connect_times_s) <= 600.0 / 2.0
+        at.append(net.connect_times_s[-1])
     assert len({round(one, 2) for one in at}) > 15
 
 
 def test_closing_quiet_watches_does_not_count_as_unavailable():
     """Found: only a list reset the count of failures, so that after some quiet watches the next wait was of 4 s."""
     phases = [part for _ in range(8) for part in ((9.0, "up"), (0.01, "refuse"))]
-    net, _ = play(True, 5, 100.0, phases=phases, change_s=99.0, eager=False, back="reset")
+    net, _ = play(
+        True, 5, 100.0, phases=phases, change_s=99.0, always_sends_object=False, on_recovery="reset"
+    )
     ends = [sum(length for length, _ in phases[: 2 * turn + 2]) for turn in range(8)]
     for end in ends:
-        assert min(at for at in net.calls if at > end - 0.005) - end < 1.1
+        assert min(at for at in net.connect_times_s if at > end - 0.005) - end < 1.1
 
 
 def test_outage_of_hours_causes_no_error():
