--- a/rosewheel/http/request_reader.py
+++ b/rosewheel/http/request_reader.py
@@ -34,6 +34,10 @@
     REJECTED = auto()  # nothing: what was received is not a request, and what follows is ignored
 
 
+# Names of the module, since in Python 3.11 an attribute of an Enum class costs a call, and these are read per header.
+IDLE, HEAD, BODY, REJECTED = RequestPhase
+
+
 class RequestOwner(Protocol):
     """What reading requests needs of the server."""
 
@@ -74,7 +78,7 @@
         self.server = server
         self.transport: asyncio.Transport | None = None
         self.parser = httptools.HttpRequestParser(self)
-        self.phase = RequestPhase.IDLE
+        self.phase: RequestPhase = IDLE
         self.queued_requests: deque[DownstreamRequest] = deque()
         self.queued_bytes = 0
         self.active_request: DownstreamRequest | None = None
@@ -95,7 +99,8 @@
     @property
     def is_receiving(self) -> bool:
         """Whether a request has begun and is incomplete."""
-        return self.phase is RequestPhase.HEAD or self.phase is RequestPhase.BODY
+        phase = self.phase
+        return phase is BODY or phase is HEAD
 
     # ------------------------------------------------------------------------------------------------- subclasses
 
@@ -126,7 +131,7 @@
     def data_received(self, data: bytes) -> None:
         """Parse what was received."""
         phase = self.phase
-        if phase is RequestPhase.REJECTED:
+        if phase is REJECTED:
             return
         self.raw_bytes += len(data)
         self.last_received_s = self.server.loop.time()
@@ -169,17 +174,17 @@
     def _track_partial_request(self, data: bytes, phase_before: RequestPhase) -> None:
         """Keep the bytes of an incomplete request for another process."""
         partial = self._partial
-        if phase_before is RequestPhase.IDLE or self._messages_ended:
+        if phase_before is IDLE or self._messages_ended:
             is_alone = self._messages_begun == 1 and not self._messages_ended
-            partial.start(data if phase_before is RequestPhase.IDLE and is_alone else None)
-        elif phase_before is RequestPhase.HEAD:
+            partial.start(data if phase_before is IDLE and is_alone else None)
+        elif phase_before is HEAD:
             partial.extend_head(data)
-        if self.phase is RequestPhase.BODY and self.incoming_request is not None:
+        if self.phase is BODY and self.incoming_request is not None:
             partial.extend_body(data, self.incoming_request)
 
     def _check_raw_size(self) -> None:
         """Guards memory and CPU against heads without end, and chunked bodies that are mostly framing."""
-        if self.phase is RequestPhase.HEAD:
+        if self.phase is HEAD:
             if self.raw_bytes > MAX_HEAD_BYTES:
                 raise BadRequestError(431, "a request without end")
             return
@@ -194,7 +199,7 @@
         if self.upgrade_framing:
             return
         self._messages_begun += 1
-        self.phase = RequestPhase.HEAD
+        self.phase = HEAD
         if self.active_request is None and not self.queued_requests:
             self._on_request_started()
             self.last_activity_s = self.server.loop.time()
@@ -208,7 +213,7 @@
 
     def on_header(self, name: bytes, value: bytes) -> None:
         """A header was received. Trailers, and the framing that is fed again after an offer, are ignored."""
-        if self.phase is RequestPhase.BODY:
+        if self.phase is BODY:
             return
         self.headers.append((name.lower(), value))
 
@@ -217,7 +222,7 @@
         if self.upgrade_framing:
             self.upgrade_framing = b""
             return
-        self.phase, self.raw_bytes = RequestPhase.BODY, 0
+        self.phase, self.raw_bytes = BODY, 0
         version, method = self.parser.get_http_version(), self.parser.get_method()
         self._check_head(version, method)
         content_length = self._read_framing(version)
@@ -279,7 +284,7 @@
         if self.upgrade_framing:
             return  # the parser reports the end already after the head
         self._messages_ended += 1
-        self.phase, self.has_sent_request = RequestPhase.IDLE, True
+        self.phase, self.has_sent_request = IDLE, True
         self.raw_bytes, self.expects_continue = 0, False
         request, self.incoming_request = self.incoming_request, None
         if request is None:
--- a/rosewheel/http/response_reader.py
+++ b/rosewheel/http/response_reader.py
@@ -30,6 +30,10 @@
     COMPLETE = auto()  # nothing
 
 
+# Names of the module, since in Python 3.11 an attribute of an Enum class costs a call, and these are read per header.
+HEAD, BODY, COMPLETE = ResponsePhase
+
+
 class ResponseReader(asyncio.Protocol):
     """Parses the response to one request after the other. Subclasses send the requests.
 
@@ -61,7 +65,7 @@
 
     def _reset_response(self) -> None:
         """Prepare for the response after an interim one."""
-        self.phase = ResponsePhase.HEAD
+        self.phase: ResponsePhase = HEAD
         self.response_body = bytearray()
         self.response_bytes = 0
         self.content_length: int | None = None
@@ -96,23 +100,23 @@
             HttpParserError: It is not HTTP.
             InvalidResponseError: It is not a valid response.
         """
-        if self.phase is ResponsePhase.HEAD:
+        if self.phase is HEAD:
             self.head_bytes += len(data)
         try:
             self.parser.feed_data(data)
-            if self.phase is ResponsePhase.HEAD and self.head_bytes > MAX_RESPONSE_HEAD_BYTES:
+            if self.phase is HEAD and self.head_bytes > MAX_RESPONSE_HEAD_BYTES:
                 raise InvalidResponseError("a head without end")
         except (httptools.HttpParserError, httptools.HttpParserUpgrade, InvalidResponseError):
-            if self.phase is not ResponsePhase.COMPLETE:
+            if self.phase is not COMPLETE:
                 raise
             return True
         return False
 
     def _track_chunks(self, data: bytes, phase_before: ResponsePhase) -> None:
         """Follow the position in a chunked body, in case another process has to continue with it."""
-        if phase_before is ResponsePhase.HEAD:
+        if phase_before is HEAD:
             self._head_buffer += data
-            if self.phase is ResponsePhase.HEAD:
+            if self.phase is HEAD:
                 return
             data, self._head_buffer = bytes(self._head_buffer), bytearray()
             if self.has_framing and self.content_length is None:
@@ -141,7 +145,7 @@
         self._restoring = True
         self.parser.feed_data(head)
         self._restoring = False
-        self._track_chunks(head, ResponsePhase.HEAD)
+        self._track_chunks(head, HEAD)
         self.head_bytes, self.response_bytes = 1, received_bytes
         if self.content_length is not None:
             self.content_length += received_bytes  # of the whole response
@@ -150,7 +154,7 @@
 
     def on_header(self, name: bytes, value: bytes) -> None:
         """A header was received; trailers are ignored."""
-        if self.phase is not ResponsePhase.HEAD:
+        if self.phase is not HEAD:
             return
         name = name.lower()
         if name == b"server-load":
@@ -171,7 +175,7 @@
         """Begin to stream the response if it is long. An interim response counts as a part of the head."""
         status = self.parser.get_status_code()
         if status >= 200:
-            self.phase = ResponsePhase.BODY
+            self.phase = BODY
         if status != 200 or self._restoring:
             return
         if self.content_length is not None and self.content_length > STREAM_THRESHOLD_BYTES:
@@ -201,7 +205,7 @@
 
     def on_message_begin(self) -> None:
         """A response begins."""
-        if self.phase is ResponsePhase.COMPLETE:
+        if self.phase is COMPLETE:
             raise InvalidResponseError("a second answer")
 
     def on_message_complete(self) -> None:
@@ -210,4 +214,4 @@
             self._reset_response()
         else:
             # Once the parser has returned it has forgotten the response, and always says no.
-            self.phase, self.keep_alive = ResponsePhase.COMPLETE, self.parser.should_keep_alive()
+            self.phase, self.keep_alive = COMPLETE, self.parser.should_keep_alive()
