--- a/rosewheel/discovery/endpoint_list.py
+++ b/rosewheel/discovery/endpoint_list.py
@@ -62,8 +62,8 @@
     """Reduces long lists to what has changed, a part at a time.
 
     Lists of up to `MAX_ENTRIES_PER_TURN` entries are passed on as received, until a longer one is received. From then
-    on each is compared with the entries known so far and passed on as changes: the cost of an update goes by the number
-    of changes, and no turn of the loop handles more than a part.
+    on each is compared with the entries known so far and passed on as changes: the cost of an update depends on the
+    number of changes, and no turn of the loop handles more than a part.
 
     Attributes:
         on_update: Called with each update, or part of one.
--- a/rosewheel/discovery/watch_client.py
+++ b/rosewheel/discovery/watch_client.py
@@ -35,7 +35,7 @@
     0.02  # what was received while the process was held up is read before a watch counts as silent
 )
 TIMER_TOLERANCE_S = 0.01  # a silence that ends this soon has ended
-MAX_LINE_BYTES = 4 << 20  # guards memory against a line without end
+MAX_LINE_BYTES = 4 << 20  # guards memory
 MAX_LOGGED_BYTES = 200  # of an invalid line
 
 JSON_STRING = re.compile(rb'"(?:[^"\\]|\\.)*"')
@@ -174,7 +174,7 @@
         if message.revision < self.revision and not message.is_snapshot:
             # Guards against a service that counts from the start again: what it left out is not known.
             self.revision = 0
-            self.connection_failed(connection, f"it counts from {message.revision}")
+            self.connection_failed(connection, f"revision went back to {message.revision}")
             return
         self._apply(connection, message)
 
@@ -186,7 +186,7 @@
         connection.partial_bytes += len(text)
         if not text.strip() or connection.partial_bytes > MAX_LINE_BYTES:
             beginning = connection.partial_lines[0][:MAX_LOGGED_BYTES]
-            self.connection_failed(connection, f"cut short: {beginning!r}")
+            self.connection_failed(connection, f"incomplete object: {beginning!r}")
             return None
         connection.partial_lines.append(text)
         unclosed = _unclosed_brackets(text)
@@ -211,9 +211,7 @@
                 connection.unclosed_brackets, connection.partial_bytes = unclosed, len(text)
                 return None
             # What was changed is unknown, so the next watch has to begin behind the last valid object.
-            self.connection_failed(
-                connection, f"not what was asked for: {error}: {text[:MAX_LOGGED_BYTES]!r}"
-            )
+            self.connection_failed(connection, f"invalid object: {error}: {text[:MAX_LOGGED_BYTES]!r}")
             return None
 
     def _apply(self, connection: _WatchConnection, message: _Message[Update]) -> None:
@@ -301,7 +299,7 @@
         """Callback of the parser."""
         status = self.parser.get_status_code()
         if status != 200:
-            self.owner.connection_failed(self, f"answered {status}")
+            self.owner.connection_failed(self, f"status {status}")
 
     def on_body(self, data: bytes) -> None:
         """Callback of the parser: split the body into lines."""
@@ -312,12 +310,12 @@
         for line in lines:
             self.owner.line_received(self, line)
         if len(self.buffer) > MAX_LINE_BYTES:
-            self.owner.connection_failed(self, "a line without end")
+            self.owner.connection_failed(self, "line too long")
 
     def on_message_complete(self) -> None:
         """Callback of the parser: a watch never ends by itself."""
         self.owner.line_received(self, self.buffer)
-        self.owner.connection_failed(self, "the answer ended")
+        self.owner.connection_failed(self, "response ended")
 
     def connection_lost(self, exc: Exception | None) -> None:
         """End the watch."""
--- a/rosewheel/http/__init__.py
+++ b/rosewheel/http/__init__.py
@@ -1,1 +1,1 @@
-"""HTTP/1.1: callers on one side, equipos on the other."""
+"""HTTP/1.1: connections of clients (downstream) and to servers (upstream)."""
--- a/rosewheel/http/chunk_tracker.py
+++ b/rosewheel/http/chunk_tracker.py
@@ -1,7 +1,7 @@
 """The position in a chunked body, so that another parser can continue from there (RFC 9112, section 7.1).
 
 The parser in use reports the bytes of a body, but not how many are still to come of the current chunk. The tracker
-reads the same bytes beside it and tells with which ones a new parser gets to the same position.
+reads the same bytes beside it and provides those with which a new parser reaches the same position.
 """
 
 from __future__ import annotations
--- a/rosewheel/http/downstream_connection.py
+++ b/rosewheel/http/downstream_connection.py
@@ -175,7 +175,7 @@
 
         Guards memory against a client that sends ahead of its responses, sends and does not read, or sends a streamed
         body faster than the server takes it. Up to the connection's share everything is read, so that the end of the
-        connection, which comes behind it, is seen while an attempt may still begin.
+        connection, which is behind it, is seen while an attempt may still begin.
         """
         pause = self._must_pause_reading()
         if self.transport is None or self.transport.is_closing() or pause is self.reading_paused:
--- a/rosewheel/http/downstream_server.py
+++ b/rosewheel/http/downstream_server.py
@@ -48,7 +48,7 @@
         idle_connections: Those without a request, the longest idle first.
         partial_connections: Those with only a part of a head, the longest silent first.
         max_connections: How many clients may be connected.
-        max_over_limit: How many more are told so by a response; further ones are only closed.
+        max_over_limit: How many more get a response that says so; further ones are only closed.
         over_limit_count: Connections over the limit.
         rejected_count: Invalid requests since the last log line.
         last_rejection: The last of them.
@@ -258,12 +258,12 @@
                 MIN_IDLE_BEFORE_RECLAIM_S if connection.has_sent_request else MIN_SILENCE_BEFORE_RECLAIM_S
             )
             if connection.close_if_idle(min_idle_s):
-                # No longer counted, although the loop closes it later: the next caller must not count on it again.
+                # Not counted from now on, although the loop closes it later, so that it is not closed twice.
                 self.connection_closed(connection)
                 return True
             if self.loop.time() - connection.last_activity_s < MIN_SILENCE_BEFORE_RECLAIM_S:
                 break
-        # A slow client continues to send; one that is silent within a head is one of many, or gone.
+        # A slow client continues to send; one that is silent within a head is one of many, or has disconnected.
         partial = next(iter(self.partial_connections), None)
         if partial is not None and self.loop.time() - partial.last_received_s >= MIN_SILENCE_BEFORE_RECLAIM_S:
             partial.reject_incomplete_request()
--- a/rosewheel/http/half_close.py
+++ b/rosewheel/http/half_close.py
@@ -30,7 +30,7 @@
     """Close a connection on which the peer is still sending.
 
     Closing it with unread bytes would reset it, and the peer might lose the response. So the sending side is closed
-    now, and the rest after a moment in which nothing is read.
+    now, and the connection after `LINGERING_CLOSE_S`; nothing is read meanwhile.
     """
     transport.write_eof()
     transport.pause_reading()
--- a/rosewheel/http/partial_request.py
+++ b/rosewheel/http/partial_request.py
@@ -10,7 +10,7 @@
 class PartialRequest:
     """What has been received of the current request.
 
-    The parser does not tell where in its input a message begins. If one read contained more than one message, the
+    The parser does not report where in its input a message begins. If one read contained more than one message, the
     head of the last is therefore unknown, and the connection can't be detached until the request is complete.
 
     Attributes:
--- a/rosewheel/http/request.py
+++ b/rosewheel/http/request.py
@@ -109,7 +109,7 @@
         """The head with which this request is forwarded, and whether its body is sent in chunks.
 
         Args:
-            timeout_ms: What the server is told as Request-Timeout-Ms.
+            timeout_ms: The value of Request-Timeout-Ms for the server.
         """
         target, authority = origin_form(self.target)
         parts = [b"%b %b HTTP/1.1\r\n" % (self.method, target)]
--- a/rosewheel/http/response_reader.py
+++ b/rosewheel/http/response_reader.py
@@ -15,7 +15,7 @@
 
 log = logging.getLogger("rosewheel.upstream")
 
-MAX_RESPONSE_BYTES = 32 << 20  # guards clients against a server that sends without end
+MAX_RESPONSE_BYTES = 32 << 20  # guards clients against a server that does not stop sending
 STREAM_THRESHOLD_BYTES = 64 * 1024  # a longer response is streamed
 MAX_RESPONSE_HEAD_BYTES = 16 * 1024  # interim responses before it included
 
@@ -46,7 +46,7 @@
         sink: Where the body is streamed to.
         load_report: The server's report on its load, if any.
         not_started: The server states that it has not executed the request.
-        has_framing: The head tells where the body ends; otherwise the end of the connection does.
+        has_framing: The head states where the body ends; otherwise the end of the connection is its end.
         keep_alive: The connection may be used again; known once the response is complete.
         chunk_tracker: Position in a streamed chunked body; None otherwise, or if it is unknown.
     """
@@ -105,7 +105,7 @@
         try:
             self.parser.feed_data(data)
             if self.phase is HEAD and self.head_bytes > MAX_RESPONSE_HEAD_BYTES:
-                raise InvalidResponseError("a head without end")
+                raise InvalidResponseError("head too long")
         except (httptools.HttpParserError, httptools.HttpParserUpgrade, InvalidResponseError):
             if self.phase is not COMPLETE:
                 raise
@@ -148,7 +148,7 @@
         self._track_chunks(head, HEAD)
         self.head_bytes, self.response_bytes = 1, received_bytes
         if self.content_length is not None:
-            self.content_length += received_bytes  # of the whole response
+            self.content_length += received_bytes  # of the complete response
 
     # ------------------------------------------------------------------------------------- callbacks of the parser
 
@@ -165,11 +165,11 @@
             self.has_framing = True
             self.content_length = int(value)
             if self.content_length > MAX_RESPONSE_BYTES:
-                raise InvalidResponseError("an answer too long")
+                raise InvalidResponseError("response too long")
         elif name == b"transfer-encoding":
             self.has_framing = True
             if value.strip().lower() != b"chunked":
-                raise InvalidResponseError("an unknown framing")
+                raise InvalidResponseError("unknown transfer encoding")
 
     def on_headers_complete(self) -> None:
         """Begin to stream the response if it is long. An interim response counts as a part of the head."""
@@ -187,7 +187,7 @@
             return
         self.response_bytes += len(data)
         if self.response_bytes > MAX_RESPONSE_BYTES:
-            raise InvalidResponseError("an answer without end")
+            raise InvalidResponseError("response too long")
         if self.sink is not None:
             if not self.sink(data):
                 self.pause_response()
@@ -206,7 +206,7 @@
     def on_message_begin(self) -> None:
         """A response begins."""
         if self.phase is COMPLETE:
-            raise InvalidResponseError("a second answer")
+            raise InvalidResponseError("second response")
 
     def on_message_complete(self) -> None:
         """The response is complete, or the interim one before it."""
--- a/rosewheel/http/response_sender.py
+++ b/rosewheel/http/response_sender.py
@@ -151,7 +151,7 @@
             self._continue_after_response()
 
     def abort_response(self, request: DownstreamRequest) -> None:
-        """Reset the connection, since the rest of the streamed response is lost."""
+        """Reset the connection, since the streamed response can't be completed."""
         if self.active_request is not request or self.transport is None:
             return
         self.active_request, self._on_writable = None, None
--- a/rosewheel/http/upstream_connection.py
+++ b/rosewheel/http/upstream_connection.py
@@ -86,8 +86,8 @@
     def is_usable(self) -> bool:
         """Whether it is open and nothing was received.
 
-        The operating system is asked, since the loop may not have read yet that the server has closed the connection:
-        a request that is written after that is lost.
+        The operating system is queried, since the loop may not have read yet that the server has closed the
+        connection: a request that is written after that is lost.
         """
         if self.transport is None or self.transport.is_closing():
             return False
@@ -255,12 +255,12 @@
     def _open_sink(self) -> ResponseSink:
         exchange = self.exchange
         if exchange is None or exchange.on_response_started is None:
-            raise InvalidResponseError("a long answer that nobody asked for")
+            raise InvalidResponseError("unexpected long response")
         if not exchange.request_sent:
-            raise InvalidResponseError("an answer to half a request")
+            raise InvalidResponseError("response before the end of the request")
         sink = exchange.on_response_started(self.content_length, self.resume_response)
         if sink is None:
-            raise InvalidResponseError("an answer that came too late")
+            raise InvalidResponseError("response no longer expected")
         return sink
 
     def _start_pause_timer(self, delay_s: float) -> None:
@@ -283,7 +283,7 @@
         if left_s > PAUSE_CHECK_TOLERANCE_S:
             self._start_pause_timer(left_s)
         elif self.is_usable():
-            self._fail_invalid_response("an answer that does not end")
+            self._fail_invalid_response("response stalled")
         else:  # there is more to read, so this node is late
             self._start_pause_timer(RESPONSE_PAUSE_TIMEOUT_S / 4)
 
--- a/rosewheel/http/upstream_pool.py
+++ b/rosewheel/http/upstream_pool.py
@@ -24,7 +24,9 @@
 
 SWEEP_INTERVAL_S = 0.5  # between two looks for stalled requests and expired connections
 START_TIME_TOLERANCE_MS = 1000.0  # two processes compute a server's start from the list to within this
-UNRESPONSIVE_AFTER_S = 0.5  # a server that sends nothing for so long while an attempt is pending may be gone
+UNRESPONSIVE_AFTER_S = (
+    0.5  # a server that sends nothing for so long while an attempt is pending may have failed
+)
 
 AttemptEndedCallback = Callable[[str, int, AttemptResult, LoadReport | None, bytes], None]
 # Called with the declared length, if any, and a function that resumes the response. Returns the sink, or None if the
@@ -152,7 +154,7 @@
         endpoint = connection.endpoint
         # Not `<`: the loop's clock has whole milliseconds, and the two may fall into one.
         if endpoint.last_received_s <= exchange.started_s <= self.loop.time() - UNRESPONSIVE_AFTER_S:
-            # Guards against a machine that is gone: its connections stay open and lose requests, which may then
+            # Guards against a machine that has failed: its connections stay open and lose requests, which may then
             # have been executed. A new connection is never opened, so that they were not.
             self.close_idle_of(endpoint)
 
@@ -292,7 +294,7 @@
     def detach_idle(self, on_detached: DetachCallback) -> bool:
         """Detach an idle connection, the last used first; False if there is none.
 
-        How long it has been idle goes with it, so that the other process waits before it is used again.
+        Its state contains how long it has been idle, so that the other process applies the quiet period too.
         """
         connection = self.take_detachable_idle(self.loop.time())
         if connection is None:
--- a/rosewheel/http/write_buffer.py
+++ b/rosewheel/http/write_buffer.py
@@ -8,7 +8,7 @@
 class UnsentWrites:
     """The last writes to a transport, at least those that the operating system has not taken.
 
-    A transport tells how many bytes are unsent, but not which.
+    A transport reports how many bytes are unsent, but not which.
     """
 
     __slots__ = ("_writes", "size")
