--- /dev/null
+++ b/tests/http/test_streamed_responses.py
@@ -0,0 +1,227 @@
+"""Responses that are streamed, at the pace of the slower side."""
+
+from __future__ import annotations
+
+import asyncio
+import hashlib
+
+import pytest
+
+from rosewheel.http import downstream_connection as server_module
+from rosewheel.http import upstream_connection as connection_module
+from tests.support.raw_messages import (
+    RawServer,
+    byte_pattern,
+    encode_raw_response,
+    encode_request_head,
+    read_chunked_body,
+)
+from tests.support.sockets import Client, answer, entry, node, read_message, run, status, until
+
+
+def test_long_response_is_streamed_without_deadline():
+    """Guards the first bytes, and what comes behind them: neither aim nor patience cuts it off."""
+    free = asyncio.Event()
+    data = byte_pattern(200_000)
+
+    async def giving(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        await reader.readuntil(b"\r\n\r\n")
+        writer.write(encode_raw_response(f"Content-Length: {len(data)}", data[:10_000]))
+        await free.wait()
+        writer.write(data[10_000:])
+
+    async def main() -> None:
+        async with RawServer(giving).up() as server, node([entry("s", server.port)]) as relay:
+            async with Client(relay) as client:
+                client.send("post", timeout=300)
+                head = await client.reader.readuntil(b"\r\n\r\n")
+                assert b"Content-Length: 200000" in head
+                assert await client.reader.readexactly(10_000) == data[:10_000]
+                assert relay.statistics()["active"] == 1
+                await asyncio.sleep(0.4)  # past the deadline
+                free.set()
+                assert await client.reader.readexactly(190_000) == data[10_000:]
+                await until(lambda: relay.statistics()["active"] == 0)
+                assert relay.node.statistics.classes["post"].ok == 1
+                assert not relay.node.requests
+                assert not relay.node.balancer.parts.shared.requests
+
+    run(main())
+
+
+@pytest.mark.parametrize("framing", ["Transfer-Encoding: chunked", "Connection: close"])
+def test_long_response_without_length_is_chunked(framing: str):
+    data = byte_pattern(300_000)
+
+    async def giving(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        while "chunked" in framing:  # the second request may come on the connection of the first
+            await reader.readuntil(b"\r\n\r\n")
+            pieces = (data[at : at + 7000] for at in range(0, len(data), 7000))
+            body = b"".join(b"%x;a=b\r\n%b\r\n" % (len(piece), piece) for piece in pieces)
+            writer.write(encode_raw_response(framing, body + b"0\r\nX-T: 1\r\n\r\n"))
+        await reader.readuntil(b"\r\n\r\n")
+        writer.write(encode_raw_response(framing, data))
+        writer.close()
+
+    async def main() -> None:
+        async with RawServer(giving).up() as server, node([entry("s", server.port)]) as relay:
+            async with Client(relay) as client:
+                client.send("post")
+                head = await client.reader.readuntil(b"\r\n\r\n")
+                assert b"Transfer-Encoding: chunked" in head
+                assert await read_chunked_body(client.reader) == data
+            async with Client(relay) as old:  # to this one only the connection's end can tell
+                old.writer.write(encode_request_head("Content-Length: 0").replace(b"HTTP/1.1", b"HTTP/1.0"))
+                head = await old.reader.readuntil(b"\r\n\r\n")
+                assert b"hunked" not in head
+                assert await old.reader.read() == data
+
+    run(main())
+
+
+@pytest.mark.parametrize("framing", ["Content-Length: 300000", "Transfer-Encoding: chunked"])
+def test_interrupted_streamed_response_is_recognizable(framing: str):
+    async def giving(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        await reader.readuntil(b"\r\n\r\n")
+        part = byte_pattern(100_000)
+        if "chunked" in framing:
+            part = b"%x\r\n%b\r\n" % (len(part), part)
+        writer.write(encode_raw_response(framing, part))
+        await writer.drain()
+        writer.transport.abort()
+
+    async def main() -> None:
+        async with RawServer(giving).up() as server, node([entry("s", server.port)]) as relay:
+            async with Client(relay) as client:
+                client.send("read")
+                await client.reader.readuntil(b"\r\n\r\n")
+                with pytest.raises((asyncio.IncompleteReadError, ConnectionError, ValueError)):
+                    await (
+                        client.reader.readexactly(300_000)
+                        if "300" in framing
+                        else read_chunked_body(client.reader)
+                    )
+                counts = relay.node.statistics.classes["read"]
+                assert (counts.ok, counts.errors) == (0, 1)
+                assert server.connections == 1, "a safe request too: what was passed on can't be taken back"
+                assert not relay.node.requests
+
+    run(main())
+
+
+def test_slow_client_delays_only_its_own_response():
+    """Guards memory and the others: the server is read no faster than the client reads."""
+    written = 0
+    data = byte_pattern(24 << 20)
+
+    async def giving(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        nonlocal written
+        head = await reader.readuntil(b"\r\n\r\n")
+        if b"slow" not in head:
+            writer.write(answer())
+            return
+        writer.write(encode_raw_response(f"Content-Length: {len(data)}", b""))
+        for at in range(0, len(data), 1 << 16):
+            writer.write(data[at : at + (1 << 16)])
+            await writer.drain()
+            written = at
+
+    async def main() -> None:
+        async with RawServer(giving).up() as server, node([entry("s", server.port)]) as relay:
+            async with Client(relay) as slow, Client(relay) as other:
+                slow.send("post", id="slow")
+                await slow.reader.readuntil(b"\r\n\r\n")
+                await until(lambda: any(c.write_blocked for c in relay.server.connections))
+                assert status(await other.ask("post")) == 200
+                assert written < len(data) - (1 << 20), "the rest waits at its server"
+                (conn,) = [one for one in relay.upstream.exchanges.values()]
+                assert conn.connection is not None
+                assert conn.connection.reading_paused
+                digest = hashlib.sha256()
+                left = len(data)
+                while left:
+                    piece = await slow.reader.read(1 << 20)
+                    assert piece
+                    digest.update(piece)
+                    left -= len(piece)
+                assert digest.digest() == hashlib.sha256(data).digest()
+
+    run(main())
+
+
+def test_disconnect_within_a_streamed_response_ends_it_at_the_server():
+    async def giving(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        await reader.readuntil(b"\r\n\r\n")
+        writer.write(encode_raw_response("Content-Length: 20000000", b""))
+        while True:
+            writer.write(byte_pattern(1 << 16))
+            await writer.drain()
+
+    async def main() -> None:
+        async with RawServer(giving).up() as server, node([entry("s", server.port)]) as relay:
+            async with Client(relay) as client:
+                client.send("post")
+                await client.reader.readuntil(b"\r\n\r\n")
+            await until(lambda: not relay.upstream.exchanges and not relay.node.requests)
+            await until(lambda: relay.upstream.open_count == 0)
+            assert relay.statistics()["active"] == 0
+            assert not relay.node.balancer.parts.shared.requests
+
+    run(main())
+
+
+def test_client_that_does_not_read_is_disconnected(monkeypatch: pytest.MonkeyPatch):
+    monkeypatch.setattr(server_module, "SEND_STALL_TIMEOUT_S", 0.3)
+
+    async def giving(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        await reader.readuntil(b"\r\n\r\n")
+        writer.write(encode_raw_response("Content-Length: 30000000", byte_pattern(30_000_000)))
+
+    async def main() -> None:
+        async with RawServer(giving).up() as server, node([entry("s", server.port)]) as relay:
+            async with Client(relay) as client:
+                client.send("post")
+                await until(lambda: bool(relay.server.connections) and server.connections == 1)
+                await until(lambda: not relay.server.connections and not relay.upstream.exchanges)
+
+    run(main())
+
+
+def test_stalled_streamed_response_is_aborted(monkeypatch: pytest.MonkeyPatch):
+    monkeypatch.setattr(connection_module, "STREAM_PAUSE_TIMEOUT_S", 0.2)
+    monkeypatch.setattr(connection_module, "RESPONSE_PAUSE_TIMEOUT_S", 0.1)
+
+    async def giving(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        await reader.readuntil(b"\r\n\r\n")
+        writer.write(encode_raw_response("Content-Length: 30000000", byte_pattern(1000)))
+
+    async def main() -> None:
+        async with RawServer(giving).up() as server, node([entry("s", server.port)]) as relay:
+            async with Client(relay) as client:
+                client.send("post")
+                await client.reader.readuntil(b"\r\n\r\n")
+                with pytest.raises((asyncio.IncompleteReadError, ConnectionError)):
+                    await client.reader.readexactly(30_000_000)
+
+    run(main())
+
+
+def test_streamed_responses_to_pipelined_requests_keep_their_order():
+    data = byte_pattern(100_000)
+
+    async def giving(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        while True:
+            await reader.readuntil(b"\r\n\r\n")
+            writer.write(encode_raw_response(f"Content-Length: {len(data)}", data))
+
+    async def main() -> None:
+        async with RawServer(giving).up() as server, node([entry("s", server.port)]) as relay:
+            async with Client(relay) as client:
+                client.send("post")
+                client.send("post")
+                for _ in range(2):
+                    got = await read_message(client.reader)
+                    assert got is not None
+                    assert got.body == data
+
+    run(main())
--- /dev/null
+++ b/tests/support/raw_messages.py
@@ -0,0 +1,56 @@
+"""Requests and responses written byte by byte, and a server that reads and writes them."""
+
+from __future__ import annotations
+
+import asyncio
+import contextlib
+from collections.abc import Awaitable, Callable
+
+from tests.support.sockets import FakeServer
+
+Connected = Callable[[asyncio.StreamReader, asyncio.StreamWriter], Awaitable[None]]
+
+
+class RawServer(FakeServer):
+    """A server that passes each connection to a function of the test."""
+
+    def __init__(self, connected: Connected) -> None:
+        super().__init__()
+        self.connected = connected
+
+    async def _take(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        self.connections += 1
+        self.writers.append(writer)
+        with contextlib.suppress(ConnectionError, asyncio.IncompleteReadError):
+            await self.connected(reader, writer)
+
+
+def encode_request_head(framing: str, service: str = "post", **more: str) -> bytes:
+    """The head of a request; `framing` is a header."""
+    lines = ["POST /api/k HTTP/1.1", "Host: a", "Request-Id: big", f"Request-Class: {service}"]
+    lines += ["Request-Timeout-Ms: 2000", framing]
+    lines += [f"{name.replace('_', '-')}: {value}" for name, value in more.items()]
+    return "\r\n".join(lines).encode() + b"\r\n\r\n"
+
+
+def byte_pattern(size: int) -> bytes:
+    """Bytes whose order can be checked."""
+    return (b"0123456789abcdef" * (size // 16 + 1))[:size]
+
+
+async def read_chunked_body(reader: asyncio.StreamReader) -> bytes:
+    """A chunked body."""
+    body = b""
+    while size := int((await reader.readline()).strip() or b"0", 16):
+        body += await reader.readexactly(size)
+        assert await reader.readexactly(2) == b"\r\n"
+    assert await reader.readline() == b"\r\n"
+    return body
+
+
+LARGE_BODY_BYTES = 6 << 20
+
+
+def encode_raw_response(framing: str, data: bytes) -> bytes:
+    """A response with this framing header."""
+    return b"HTTP/1.1 200 OK\r\n" + framing.encode() + b"\r\n\r\n" + data
--- a/tests/support/sockets.py
+++ b/tests/support/sockets.py
@@ -6,6 +6,7 @@
 import contextlib
 import dataclasses
 import socket
+import struct
 from collections.abc import AsyncIterator, Awaitable, Callable, Coroutine
 from dataclasses import dataclass, field
 from typing import Any
@@ -265,3 +266,14 @@
 def status(message: Message | None) -> int:
     assert message is not None, "the connection ended with no answer"
     return int(message.first.split()[1])
+
+
+def disconnect(client: Client, how: str) -> None:
+    """End a connection: `close` it, `reset` it, or close its sending side (`half`)."""
+    sock = client.writer.get_extra_info("socket")
+    if how == "reset":
+        sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
+    if how == "half":
+        client.writer.write_eof()
+    else:
+        client.writer.transport.abort()  # type: ignore[union-attr]
