--- /dev/null
+++ b/tests/http/test_write_buffer.py
@@ -0,0 +1,35 @@
+"""Unsent writes, and peers that do not read."""
+
+from __future__ import annotations
+
+import pytest
+
+from rosewheel.http.write_buffer import UnsentWrites, WriteProgress
+
+
+@pytest.mark.parametrize("unsent", [0, 1, 3, 4, 6])
+def test_unsent_writes_hold_at_least_what_is_unsent(unsent: int):
+    writes = UnsentWrites()
+    writes.append(b"ab", 2)
+    writes.append(b"cdef", unsent)
+    assert writes.tail(unsent) == b"abcdef"[6 - unsent :]
+    assert unsent <= writes.size <= 6
+
+
+def test_sent_writes_are_dropped():
+    writes = UnsentWrites()
+    for _ in range(1000):
+        writes.append(b"a" * 10, 0)
+    assert writes.size == 0
+    assert writes.tail(0) == b""
+
+
+def test_a_stall_is_measured_from_the_last_change():
+    progress = WriteProgress()
+    progress.restart(10.0)
+    assert progress.stalled_s(50, True, 11.0) == 0.0
+    assert progress.stalled_s(50, True, 13.5) == 2.5
+    assert progress.stalled_s(40, True, 14.0) == 0.0
+    assert progress.stalled_s(40, True, 14.5) == 0.5
+    assert progress.stalled_s(40, False, 20.0) == 0.0  # there is nothing to take
+    assert progress.stalled_s(40, True, 21.0) == 1.0
