--- a/rosewheel/discovery/watch_client.py
+++ b/rosewheel/discovery/watch_client.py
@@ -11,6 +11,7 @@
 import re
 from collections.abc import Callable, Sized
 from dataclasses import dataclass
+from enum import Enum, auto
 from typing import Any, Generic, TypeVar, cast
 
 import httptools
@@ -43,6 +44,14 @@
 Update = TypeVar("Update", bound=Sized)
 
 
+class WatchPhase(Enum):
+    """What an open watch has received."""
+
+    OPENING = auto()  # nothing valid
+    ALIVE = auto()  # a valid line, which may have been empty
+    UPDATED = auto()  # a valid object
+
+
 @dataclass(slots=True, frozen=True)
 class _Message(Generic[Update]):
     """One object of a watch."""
@@ -215,8 +224,8 @@
             return None
 
     def _apply(self, connection: _WatchConnection, message: _Message[Update]) -> None:
-        if not connection.update_received:
-            connection.update_received = True
+        if connection.phase is not WatchPhase.UPDATED:
+            connection.phase = WatchPhase.UPDATED
             self.log.info(
                 "%s updated: revision %d -> %d, form=%s, entries=%d",
                 self.subject,
@@ -229,8 +238,8 @@
         self._on_update(message.is_snapshot, message.update)
 
     def _first_line_received(self, connection: _WatchConnection) -> None:
-        if not connection.first_line_seen:
-            connection.first_line_seen = True
+        if connection.phase is WatchPhase.OPENING:
+            connection.phase = WatchPhase.ALIVE
             self._on_first_line()
 
     async def _connect(self, connection: _WatchConnection) -> None:
@@ -257,8 +266,7 @@
         partial_lines: Lines received of an object that has several.
         unclosed_brackets: Of these lines.
         partial_bytes: Size of these lines.
-        update_received: A valid object was received.
-        first_line_seen: A valid line was received.
+        phase: What was received so far.
         rechecking: The silence timeout has passed, and what was received meanwhile is being read.
         silence_limit_s: How long it may receive nothing.
         last_received_s: When something was last received, on the loop's clock.
@@ -271,7 +279,8 @@
         self.buffer = b""  # of an incomplete line
         self.partial_lines: list[bytes] = []
         self.unclosed_brackets = self.partial_bytes = 0
-        self.update_received = self.first_line_seen = self.rechecking = False
+        self.phase = WatchPhase.OPENING
+        self.rechecking = False
         self.loop = asyncio.get_running_loop()
         self.silence_limit_s = owner.first_line_timeout_s
         self._silence_timer = self.loop.call_later(self.silence_limit_s, self._check_silence)
--- a/tests/discovery/test_endpoint_list_races.py
+++ b/tests/discovery/test_endpoint_list_races.py
@@ -14,6 +14,7 @@
 from rosewheel.discovery import backoff as rewatch
 from rosewheel.discovery import watch_client
 from rosewheel.discovery.endpoint_list import DiscoveryWatch, Endpoint
+from rosewheel.discovery.watch_client import WatchPhase
 from rosewheel.node.limits import Limits
 from rosewheel.policy.events import EndpointListForm
 from rosewheel.proxy import proxy as relay_module
@@ -223,7 +224,7 @@
 
     class Watch:
         def __init__(self) -> None:
-            self.update_received = self.first_line_seen = False
+            self.phase = WatchPhase.OPENING
             self.partial_lines: list[bytes] = []
 
         def close(self) -> None: ...
