--- a/rosewheel/discovery/backoff.py
+++ b/rosewheel/discovery/backoff.py
@@ -11,10 +11,8 @@
 MAX_DELAY_S = 2.0  # between the starts of two watches; see the sum in discovery/watch_client.py
 MIN_DELAY_S = 0.02  # guards the processor, whatever a drain allows
 MAX_DOUBLINGS = 8
-JITTER_RANGE = (
-    0.6,
-    1.0,
-)  # share of the delay, drawn so that the nodes of a service do not return at one moment
+# Share of the delay. It is drawn, so that the nodes of a service do not return at one moment.
+JITTER_RANGE = (0.6, 1.0)
 
 
 class WatchBackoff:
--- a/rosewheel/discovery/watch_client.py
+++ b/rosewheel/discovery/watch_client.py
@@ -32,9 +32,7 @@
 SILENCE_TIMEOUT_S = 2.8
 CONNECT_TIMEOUT_S = 1.5  # the operating system sends again after 1 s
 FIRST_LINE_TIMEOUT_S = 2.2  # from the start, connecting included: the agent answers at once, then every 2 s
-SILENCE_RECHECK_S = (
-    0.02  # what was received while the process was held up is read before a watch counts as silent
-)
+SILENCE_RECHECK_S = 0.02  # in it, data received while the process was held up is read before a watch fails
 TIMER_TOLERANCE_S = 0.01  # a silence that ends this soon has ended
 MAX_LINE_BYTES = 4 << 20  # guards memory
 MAX_LOGGED_BYTES = 200  # of an invalid line
--- a/rosewheel/http/downstream_server.py
+++ b/rosewheel/http/downstream_server.py
@@ -17,10 +17,10 @@
 
 SWEEP_INTERVAL_S = 0.25  # between two looks for stalled connections
 PAUSED_CHECK_INTERVAL_S = 0.1  # between two looks for the end of connections that are not being read
-MIN_IDLE_BEFORE_RECLAIM_S = (
-    0.2  # a connection that was used within this time is not closed to free a descriptor,
-)
-MIN_SILENCE_BEFORE_RECLAIM_S = 0.3  # nor one that is new, or has sent a part of a head, within this
+# To free a descriptor, a connection is closed that was not used within the first time; and, if it has sent no request
+# or only a part of a head, one that was silent within the second.
+MIN_IDLE_BEFORE_RECLAIM_S = 0.2
+MIN_SILENCE_BEFORE_RECLAIM_S = 0.3
 ACCEPT_DURING_DRAIN_S = 0.6  # how long after SIGTERM new connections are accepted
 # How long after SIGTERM open connections may bring requests, since other nodes may be starting. It ends before the
 # longest timeout of a request does, by the margin: the drain ends soon after that, with whatever is still open.
--- a/rosewheel/http/upstream_connection.py
+++ b/rosewheel/http/upstream_connection.py
@@ -24,9 +24,7 @@
 RECEIVE_BUFFER_BYTES = 64 * 1024  # of the socket: what the system holds of a response that is not read
 RESPONSE_PAUSE_TIMEOUT_S = 0.8  # for a pause within a response
 STREAM_PAUSE_TIMEOUT_S = 15.0  # the same while it is streamed: aborting that is the last resort
-PAUSE_CHECK_TOLERANCE_S = (
-    0.01  # a pause that ends this soon has ended: the loop's clock has whole milliseconds
-)
+PAUSE_CHECK_TOLERANCE_S = 0.01  # a timeout that ends this soon has ended; the loop's clock has milliseconds
 WRITE_STALL_TIMEOUT_S = 6.0  # how long a server may take nothing at all of a request
 STALE_RESET_WINDOW_S = 0.02  # a reset this soon after a request shows that the idle connection was stale
 
--- a/rosewheel/http/upstream_pool.py
+++ b/rosewheel/http/upstream_pool.py
@@ -24,9 +24,7 @@
 
 SWEEP_INTERVAL_S = 0.5  # between two looks for stalled requests and expired connections
 START_TIME_TOLERANCE_MS = 1000.0  # two processes compute a server's start from the list to within this
-UNRESPONSIVE_AFTER_S = (
-    0.5  # a server that sends nothing for so long while an attempt is pending may have failed
-)
+UNRESPONSIVE_AFTER_S = 0.5  # a server that sends nothing for so long during an attempt may have failed
 
 AttemptEndedCallback = Callable[[str, int, AttemptResult, LoadReport | None, bytes], None]
 # Called with the declared length, if any, and a function that resumes the response. Returns the sink, or None if the
--- a/tests/discovery/test_watch_backoff.py
+++ b/tests/discovery/test_watch_backoff.py
@@ -193,28 +193,15 @@
 
 
 def test_sum_of_timeouts_matches_the_documented_one():
-    rewatch_s, apart_s = (
-        discovery_polling.SHORTEST_WAIT_MS / 1000.0,
-        discovery_polling.LONGEST_INTERVAL_MS / 1000.0,
-    )
-    for wait_s, longest_s in ((rewatch_s, apart_s), (0.0, backoff.MAX_DELAY_S)):
-        assert (
-            backoff.MAX_DELAY_S <= watch_client.FIRST_LINE_TIMEOUT_S
-        )  # so that no wait follows a try that was silent
-        assert (
-            max(
-                watch_client.SILENCE_TIMEOUT_S + wait_s, watch_client.FIRST_LINE_TIMEOUT_S + wait_s, longest_s
-            )
-            + watch_client.SILENCE_RECHECK_S
-            < HEARD_S
-        )
-        assert (
-            watch_client.SILENCE_TIMEOUT_S
-            + watch_client.FIRST_LINE_TIMEOUT_S
-            + 2.0 * (wait_s + watch_client.SILENCE_RECHECK_S)
-            < HEARD_S
-        )
-    assert watch_client.CONNECT_TIMEOUT_S < watch_client.FIRST_LINE_TIMEOUT_S
+    shortest_s = discovery_polling.SHORTEST_WAIT_MS / 1000.0
+    longest_s = discovery_polling.LONGEST_INTERVAL_MS / 1000.0
+    silence_s, first_line_s = watch_client.SILENCE_TIMEOUT_S, watch_client.FIRST_LINE_TIMEOUT_S
+    recheck_s = watch_client.SILENCE_RECHECK_S
+    for wait_s, apart_s in ((shortest_s, longest_s), (0.0, backoff.MAX_DELAY_S)):
+        assert first_line_s >= backoff.MAX_DELAY_S  # so that no backoff follows a watch that was silent
+        assert max(silence_s + wait_s, first_line_s + wait_s, apart_s) + recheck_s < HEARD_S
+        assert silence_s + first_line_s + 2.0 * (wait_s + recheck_s) < HEARD_S
+    assert first_line_s > watch_client.CONNECT_TIMEOUT_S
 
 
 # ---------------------------------------------------------------- on loopback
--- a/tests/support/virtual_discovery.py
+++ b/tests/support/virtual_discovery.py
@@ -11,12 +11,8 @@
 STREAM_HEAD = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 NETWORK_DELAY_S = 0.001
 HEARTBEAT_INTERVAL_S = 2.0  # an empty line comes this often
-CONNECT_RETRY_TIMES_S = (
-    0.0,
-    1.0,
-    3.0,
-    7.0,
-)  # when the system sends for a connection, and again while nothing comes back
+# When the operating system sends for a connection, and again while there is no answer.
+CONNECT_RETRY_TIMES_S = (0.0, 1.0, 3.0, 7.0)
 
 CONNECTING_PHASES = ("up", "mute", "head", "half")  # in these a connection is opened, whatever is sent on it
 
