--- a/rosewheel/discovery/watch_client.py
+++ b/rosewheel/discovery/watch_client.py
@@ -11,6 +11,7 @@
 import re
 from collections.abc import Callable, Sized
 from dataclasses import dataclass
+from enum import Enum, auto
 from typing import Any, Generic, TypeVar, cast
 
 import httptools
@@ -31,11 +32,9 @@
 SILENCE_TIMEOUT_S = 2.8
 CONNECT_TIMEOUT_S = 1.5  # the operating system sends again after 1 s
 FIRST_LINE_TIMEOUT_S = 2.2  # from the start, connecting included: the agent answers at once, then every 2 s
-SILENCE_RECHECK_S = (
-    0.02  # what was received while the process was held up is read before a watch counts as silent
-)
+SILENCE_RECHECK_S = 0.02  # in it, data received while the process was held up is read before a watch fails
 TIMER_TOLERANCE_S = 0.01  # a silence that ends this soon has ended
-MAX_LINE_BYTES = 4 << 20  # guards memory against a line without end
+MAX_LINE_BYTES = 4 << 20  # guards memory
 MAX_LOGGED_BYTES = 200  # of an invalid line
 
 JSON_STRING = re.compile(rb'"(?:[^"\\]|\\.)*"')
@@ -43,6 +42,14 @@
 Update = TypeVar("Update", bound=Sized)
 
 
+class WatchPhase(Enum):
+    """What an open watch has received."""
+
+    OPENING = auto()  # nothing valid
+    ALIVE = auto()  # a valid line, which may have been empty
+    UPDATED = auto()  # a valid object
+
+
 @dataclass(slots=True, frozen=True)
 class _Message(Generic[Update]):
     """One object of a watch."""
@@ -84,21 +91,16 @@
         first_line_timeout_s: float | None = None,
         on_first_line: Callable[[], None] = lambda: None,
     ) -> None:
-        """Create a client without a watch.
+        """Create a client without a watch. Timeouts that are None have their defaults; for the others see above.
 
         Args:
-            address: See the attributes, as for the others that are not listed here.
+            address: Of the service.
             revision: Of what is known so far; 0 for nothing.
-            path_for: See the attributes.
+            path_for: The target of a watch that begins behind a revision.
             parse: Makes an update of an object. It raises KeyError, TypeError, ValueError or OverflowError if that is
                 invalid.
             on_update: Called with whether it is a snapshot, and the update.
             on_failure: Called once when a watch has ended.
-            log: See the attributes.
-            subject: See the attributes.
-            silence_timeout_s: See the attributes; None for the default, as for the next two.
-            connect_timeout_s: See the attributes.
-            first_line_timeout_s: See the attributes.
             on_first_line: Called for the first valid line of each watch, which may be empty.
         """
         self.address, self.revision = address, revision
@@ -109,10 +111,8 @@
             FIRST_LINE_TIMEOUT_S if first_line_timeout_s is None else first_line_timeout_s
         )
         self.started_s = 0.0
-        self._parse = parse
-        self._on_update = on_update
-        self._on_failure = on_failure
-        self._on_first_line = on_first_line
+        self._parse, self._on_update = parse, on_update
+        self._on_failure, self._on_first_line = on_failure, on_first_line
         self._last_failure = ""  # reason, until an update is received
         self._connection: _WatchConnection | None = None
         self._connect_task: asyncio.Task[None] | None = None
@@ -181,7 +181,7 @@
         if message.revision < self.revision and not message.is_snapshot:
             # Guards against a service that counts from the start again: what it left out is not known.
             self.revision = 0
-            self.connection_failed(connection, f"it counts from {message.revision}")
+            self.connection_failed(connection, f"revision went back to {message.revision}")
             return
         self._apply(connection, message)
 
@@ -193,7 +193,7 @@
         connection.partial_bytes += len(text)
         if not text.strip() or connection.partial_bytes > MAX_LINE_BYTES:
             beginning = connection.partial_lines[0][:MAX_LOGGED_BYTES]
-            self.connection_failed(connection, f"cut short: {beginning!r}")
+            self.connection_failed(connection, f"incomplete object: {beginning!r}")
             return None
         connection.partial_lines.append(text)
         unclosed = _unclosed_brackets(text)
@@ -218,14 +218,12 @@
                 connection.unclosed_brackets, connection.partial_bytes = unclosed, len(text)
                 return None
             # What was changed is unknown, so the next watch has to begin behind the last valid object.
-            self.connection_failed(
-                connection, f"not what was asked for: {error}: {text[:MAX_LOGGED_BYTES]!r}"
-            )
+            self.connection_failed(connection, f"invalid object: {error}: {text[:MAX_LOGGED_BYTES]!r}")
             return None
 
     def _apply(self, connection: _WatchConnection, message: _Message[Update]) -> None:
-        if not connection.update_received:
-            connection.update_received = True
+        if connection.phase is not WatchPhase.UPDATED:
+            connection.phase = WatchPhase.UPDATED
             self.log.info(
                 "%s updated: revision %d -> %d, form=%s, entries=%d",
                 self.subject,
@@ -238,8 +236,8 @@
         self._on_update(message.is_snapshot, message.update)
 
     def _first_line_received(self, connection: _WatchConnection) -> None:
-        if not connection.first_line_seen:
-            connection.first_line_seen = True
+        if connection.phase is WatchPhase.OPENING:
+            connection.phase = WatchPhase.ALIVE
             self._on_first_line()
 
     async def _connect(self, connection: _WatchConnection) -> None:
@@ -266,8 +264,7 @@
         partial_lines: Lines received of an object that has several.
         unclosed_brackets: Of these lines.
         partial_bytes: Size of these lines.
-        update_received: A valid object was received.
-        first_line_seen: A valid line was received.
+        phase: What was received so far.
         rechecking: The silence timeout has passed, and what was received meanwhile is being read.
         silence_limit_s: How long it may receive nothing.
         last_received_s: When something was last received, on the loop's clock.
@@ -280,7 +277,8 @@
         self.buffer = b""  # of an incomplete line
         self.partial_lines: list[bytes] = []
         self.unclosed_brackets = self.partial_bytes = 0
-        self.update_received = self.first_line_seen = self.rechecking = False
+        self.phase = WatchPhase.OPENING
+        self.rechecking = False
         self.loop = asyncio.get_running_loop()
         self.silence_limit_s = owner.first_line_timeout_s
         self._silence_timer = self.loop.call_later(self.silence_limit_s, self._check_silence)
@@ -308,7 +306,7 @@
         """Callback of the parser."""
         status = self.parser.get_status_code()
         if status != 200:
-            self.owner.connection_failed(self, f"answered {status}")
+            self.owner.connection_failed(self, f"status {status}")
 
     def on_body(self, data: bytes) -> None:
         """Callback of the parser: split the body into lines."""
@@ -319,12 +317,12 @@
         for line in lines:
             self.owner.line_received(self, line)
         if len(self.buffer) > MAX_LINE_BYTES:
-            self.owner.connection_failed(self, "a line without end")
+            self.owner.connection_failed(self, "line too long")
 
     def on_message_complete(self) -> None:
         """Callback of the parser: a watch never ends by itself."""
         self.owner.line_received(self, self.buffer)
-        self.owner.connection_failed(self, "the answer ended")
+        self.owner.connection_failed(self, "response ended")
 
     def connection_lost(self, exc: Exception | None) -> None:
         """End the watch."""
--- a/rosewheel/http/downstream_server.py
+++ b/rosewheel/http/downstream_server.py
@@ -17,10 +17,10 @@
 
 SWEEP_INTERVAL_S = 0.25  # between two looks for stalled connections
 PAUSED_CHECK_INTERVAL_S = 0.1  # between two looks for the end of connections that are not being read
-MIN_IDLE_BEFORE_RECLAIM_S = (
-    0.2  # a connection that was used within this time is not closed to free a descriptor,
-)
-MIN_SILENCE_BEFORE_RECLAIM_S = 0.3  # nor one that is new, or has sent a part of a head, within this
+# To free a descriptor, a connection is closed that was not used within the first time; and, if it has sent no request
+# or only a part of a head, one that was silent within the second.
+MIN_IDLE_BEFORE_RECLAIM_S = 0.2
+MIN_SILENCE_BEFORE_RECLAIM_S = 0.3
 ACCEPT_DURING_DRAIN_S = 0.6  # how long after SIGTERM new connections are accepted
 # How long after SIGTERM open connections may bring requests, since other nodes may be starting. It ends before the
 # longest timeout of a request does, by the margin: the drain ends soon after that, with whatever is still open.
@@ -48,7 +48,7 @@
         idle_connections: Those without a request, the longest idle first.
         partial_connections: Those with only a part of a head, the longest silent first.
         max_connections: How many clients may be connected.
-        max_over_limit: How many more are told so by a response; further ones are only closed.
+        max_over_limit: How many more get a response that says so; further ones are only closed.
         over_limit_count: Connections over the limit.
         rejected_count: Invalid requests since the last log line.
         last_rejection: The last of them.
@@ -209,8 +209,8 @@
         self.connections[connection] = None
         self.idle_connections[connection] = None
         # Guards the descriptors, and the servers' share of them.
-        is_crowded = len(self.connections) > self.max_connections and not self.close_longest_idle()
-        connection.over_limit = is_crowded or not self.descriptor_available()
+        is_full = len(self.connections) > self.max_connections and not self.close_longest_idle()
+        connection.over_limit = is_full or not self.descriptor_available()
         if connection.over_limit:
             self.over_limit_count += 1
             # Guards the process: past its own limit of descriptors the system accepts nothing for it.
@@ -258,12 +258,12 @@
                 MIN_IDLE_BEFORE_RECLAIM_S if connection.has_sent_request else MIN_SILENCE_BEFORE_RECLAIM_S
             )
             if connection.close_if_idle(min_idle_s):
-                # No longer counted, although the loop closes it later: the next caller must not count on it again.
+                # Not counted from now on, although the loop closes it later, so that it is not closed twice.
                 self.connection_closed(connection)
                 return True
             if self.loop.time() - connection.last_activity_s < MIN_SILENCE_BEFORE_RECLAIM_S:
                 break
-        # A slow client continues to send; one that is silent within a head is one of many, or gone.
+        # A slow client continues to send; one that is silent within a head is one of many, or has disconnected.
         partial = next(iter(self.partial_connections), None)
         if partial is not None and self.loop.time() - partial.last_received_s >= MIN_SILENCE_BEFORE_RECLAIM_S:
             partial.reject_incomplete_request()
--- a/rosewheel/http/response_reader.py
+++ b/rosewheel/http/response_reader.py
@@ -15,7 +15,7 @@
 
 log = logging.getLogger("rosewheel.upstream")
 
-MAX_RESPONSE_BYTES = 32 << 20  # guards clients against a server that sends without end
+MAX_RESPONSE_BYTES = 32 << 20  # guards clients against a server that does not stop sending
 STREAM_THRESHOLD_BYTES = 64 * 1024  # a longer response is streamed
 MAX_RESPONSE_HEAD_BYTES = 16 * 1024  # interim responses before it included
 
@@ -30,6 +30,10 @@
     COMPLETE = auto()  # nothing
 
 
+# Names of the module, since in Python 3.11 an attribute of an Enum class costs a call, and these are read per header.
+HEAD, BODY, COMPLETE = ResponsePhase
+
+
 class ResponseReader(asyncio.Protocol):
     """Parses the response to one request after the other. Subclasses send the requests.
 
@@ -42,7 +46,7 @@
         sink: Where the body is streamed to.
         load_report: The server's report on its load, if any.
         not_started: The server states that it has not executed the request.
-        has_framing: The head tells where the body ends; otherwise the end of the connection does.
+        has_framing: The head states where the body ends; otherwise the end of the connection is its end.
         keep_alive: The connection may be used again; known once the response is complete.
         chunk_tracker: Position in a streamed chunked body; None otherwise, or if it is unknown.
     """
@@ -61,7 +65,7 @@
 
     def _reset_response(self) -> None:
         """Prepare for the response after an interim one."""
-        self.phase = ResponsePhase.HEAD
+        self.phase: ResponsePhase = HEAD
         self.response_body = bytearray()
         self.response_bytes = 0
         self.content_length: int | None = None
@@ -96,23 +100,23 @@
             HttpParserError: It is not HTTP.
             InvalidResponseError: It is not a valid response.
         """
-        if self.phase is ResponsePhase.HEAD:
+        if self.phase is HEAD:
             self.head_bytes += len(data)
         try:
             self.parser.feed_data(data)
-            if self.phase is ResponsePhase.HEAD and self.head_bytes > MAX_RESPONSE_HEAD_BYTES:
-                raise InvalidResponseError("a head without end")
+            if self.phase is HEAD and self.head_bytes > MAX_RESPONSE_HEAD_BYTES:
+                raise InvalidResponseError("head too long")
         except (httptools.HttpParserError, httptools.HttpParserUpgrade, InvalidResponseError):
-            if self.phase is not ResponsePhase.COMPLETE:
+            if self.phase is not COMPLETE:
                 raise
             return True
         return False
 
     def _track_chunks(self, data: bytes, phase_before: ResponsePhase) -> None:
         """Follow the position in a chunked body, in case another process has to continue with it."""
-        if phase_before is ResponsePhase.HEAD:
+        if phase_before is HEAD:
             self._head_buffer += data
-            if self.phase is ResponsePhase.HEAD:
+            if self.phase is HEAD:
                 return
             data, self._head_buffer = bytes(self._head_buffer), bytearray()
             if self.has_framing and self.content_length is None:
@@ -141,16 +145,16 @@
         self._restoring = True
         self.parser.feed_data(head)
         self._restoring = False
-        self._track_chunks(head, ResponsePhase.HEAD)
+        self._track_chunks(head, HEAD)
         self.head_bytes, self.response_bytes = 1, received_bytes
         if self.content_length is not None:
-            self.content_length += received_bytes  # of the whole response
+            self.content_length += received_bytes  # of the complete response
 
     # ------------------------------------------------------------------------------------- callbacks of the parser
 
     def on_header(self, name: bytes, value: bytes) -> None:
         """A header was received; trailers are ignored."""
-        if self.phase is not ResponsePhase.HEAD:
+        if self.phase is not HEAD:
             return
         name = name.lower()
         if name == b"server-load":
@@ -161,17 +165,17 @@
             self.has_framing = True
             self.content_length = int(value)
             if self.content_length > MAX_RESPONSE_BYTES:
-                raise InvalidResponseError("an answer too long")
+                raise InvalidResponseError("response too long")
         elif name == b"transfer-encoding":
             self.has_framing = True
             if value.strip().lower() != b"chunked":
-                raise InvalidResponseError("an unknown framing")
+                raise InvalidResponseError("unknown transfer encoding")
 
     def on_headers_complete(self) -> None:
         """Begin to stream the response if it is long. An interim response counts as a part of the head."""
         status = self.parser.get_status_code()
         if status >= 200:
-            self.phase = ResponsePhase.BODY
+            self.phase = BODY
         if status != 200 or self._restoring:
             return
         if self.content_length is not None and self.content_length > STREAM_THRESHOLD_BYTES:
@@ -183,7 +187,7 @@
             return
         self.response_bytes += len(data)
         if self.response_bytes > MAX_RESPONSE_BYTES:
-            raise InvalidResponseError("an answer without end")
+            raise InvalidResponseError("response too long")
         if self.sink is not None:
             if not self.sink(data):
                 self.pause_response()
@@ -201,8 +205,8 @@
 
     def on_message_begin(self) -> None:
         """A response begins."""
-        if self.phase is ResponsePhase.COMPLETE:
-            raise InvalidResponseError("a second answer")
+        if self.phase is COMPLETE:
+            raise InvalidResponseError("second response")
 
     def on_message_complete(self) -> None:
         """The response is complete, or the interim one before it."""
@@ -210,4 +214,4 @@
             self._reset_response()
         else:
             # Once the parser has returned it has forgotten the response, and always says no.
-            self.phase, self.keep_alive = ResponsePhase.COMPLETE, self.parser.should_keep_alive()
+            self.phase, self.keep_alive = COMPLETE, self.parser.should_keep_alive()
--- a/rosewheel/http/upstream_connection.py
+++ b/rosewheel/http/upstream_connection.py
@@ -24,9 +24,7 @@
 RECEIVE_BUFFER_BYTES = 64 * 1024  # of the socket: what the system holds of a response that is not read
 RESPONSE_PAUSE_TIMEOUT_S = 0.8  # for a pause within a response
 STREAM_PAUSE_TIMEOUT_S = 15.0  # the same while it is streamed: aborting that is the last resort
-PAUSE_CHECK_TOLERANCE_S = (
-    0.01  # a pause that ends this soon has ended: the loop's clock has whole milliseconds
-)
+PAUSE_CHECK_TOLERANCE_S = 0.01  # a timeout that ends this soon has ended; the loop's clock has milliseconds
 WRITE_STALL_TIMEOUT_S = 6.0  # how long a server may take nothing at all of a request
 STALE_RESET_WINDOW_S = 0.02  # a reset this soon after a request shows that the idle connection was stale
 
@@ -86,8 +84,8 @@
     def is_usable(self) -> bool:
         """Whether it is open and nothing was received.
 
-        The operating system is asked, since the loop may not have read yet that the server has closed the connection:
-        a request that is written after that is lost.
+        The operating system is queried, since the loop may not have read yet that the server has closed the
+        connection: a request that is written after that is lost.
         """
         if self.transport is None or self.transport.is_closing():
             return False
@@ -255,12 +253,12 @@
     def _open_sink(self) -> ResponseSink:
         exchange = self.exchange
         if exchange is None or exchange.on_response_started is None:
-            raise InvalidResponseError("a long answer that nobody asked for")
+            raise InvalidResponseError("unexpected long response")
         if not exchange.request_sent:
-            raise InvalidResponseError("an answer to half a request")
+            raise InvalidResponseError("response before the end of the request")
         sink = exchange.on_response_started(self.content_length, self.resume_response)
         if sink is None:
-            raise InvalidResponseError("an answer that came too late")
+            raise InvalidResponseError("response no longer expected")
         return sink
 
     def _start_pause_timer(self, delay_s: float) -> None:
@@ -283,7 +281,7 @@
         if left_s > PAUSE_CHECK_TOLERANCE_S:
             self._start_pause_timer(left_s)
         elif self.is_usable():
-            self._fail_invalid_response("an answer that does not end")
+            self._fail_invalid_response("response stalled")
         else:  # there is more to read, so this node is late
             self._start_pause_timer(RESPONSE_PAUSE_TIMEOUT_S / 4)
 
--- a/rosewheel/http/upstream_pool.py
+++ b/rosewheel/http/upstream_pool.py
@@ -3,6 +3,7 @@
 from __future__ import annotations
 
 import asyncio
+import functools
 import logging
 import socket
 from collections.abc import Callable
@@ -23,7 +24,7 @@
 
 SWEEP_INTERVAL_S = 0.5  # between two looks for stalled requests and expired connections
 START_TIME_TOLERANCE_MS = 1000.0  # two processes compute a server's start from the list to within this
-UNRESPONSIVE_AFTER_S = 0.5  # a server that sends nothing for so long while an attempt is pending may be gone
+UNRESPONSIVE_AFTER_S = 0.5  # a server that sends nothing for so long during an attempt may have failed
 
 AttemptEndedCallback = Callable[[str, int, AttemptResult, LoadReport | None, bytes], None]
 # Called with the declared length, if any, and a function that resumes the response. Returns the sink, or None if the
@@ -117,22 +118,12 @@
             is_wanted: Whether the client is still there; asked right before the first byte, if a connection has to be
                 opened.
         """
-
-        def on_done(result: AttemptResult, report: LoadReport | None, response_body: bytes) -> None:
-            if self.exchanges.pop((id, attempt), None) is not None:
-                self.on_attempt_ended(id, attempt, result, report, response_body)
-
-        def on_response_started(
-            content_length: int | None, resume: Callable[[], None]
-        ) -> ResponseSink | None:
-            return self.on_response_started(id, attempt, content_length, resume)
-
         exchange = Exchange(
             head,
-            on_done,
+            functools.partial(self._attempt_done, id, attempt),
             self.loop.time(),
             self.on_request_sent,
-            on_response_started,
+            functools.partial(self.on_response_started, id, attempt),
             is_wanted,
             body,
             chunked,
@@ -140,6 +131,12 @@
         self.exchanges[id, attempt] = exchange
         self._send_or_connect(host, exchange)
 
+    def _attempt_done(
+        self, id: str, attempt: int, result: AttemptResult, report: LoadReport | None, body: bytes
+    ) -> None:
+        if self.exchanges.pop((id, attempt), None) is not None:
+            self.on_attempt_ended(id, attempt, result, report, body)
+
     def abort_attempt(self, id: str, attempt: int) -> None:
         """Give an attempt up by closing its connection; nothing more is reported of it."""
         exchange = self.exchanges.pop((id, attempt), None)
@@ -155,7 +152,7 @@
         endpoint = connection.endpoint
         # Not `<`: the loop's clock has whole milliseconds, and the two may fall into one.
         if endpoint.last_received_s <= exchange.started_s <= self.loop.time() - UNRESPONSIVE_AFTER_S:
-            # Guards against a machine that is gone: its connections stay open and lose requests, which may then
+            # Guards against a machine that has failed: its connections stay open and lose requests, which may then
             # have been executed. A new connection is never opened, so that they were not.
             self.close_idle_of(endpoint)
 
@@ -295,7 +292,7 @@
     def detach_idle(self, on_detached: DetachCallback) -> bool:
         """Detach an idle connection, the last used first; False if there is none.
 
-        How long it has been idle goes with it, so that the other process waits before it is used again.
+        Its state contains how long it has been idle, so that the other process applies the quiet period too.
         """
         connection = self.take_detachable_idle(self.loop.time())
         if connection is None:
