--- a/tests/proxy/test_startup.py
+++ b/tests/proxy/test_startup.py
@@ -54,8 +54,10 @@
         "rosewheel.config.checked",
         "rosewheel.config.operator",
         "rosewheel.lab",
+        "rosewheel.simulator_codec",
     ),
-    *("rosewheel.admin", "rosewheel.admin.server"),
+    *("rosewheel.admin", "rosewheel.admin.codec", "rosewheel.admin.json_http"),
+    *("rosewheel.admin.messages", "rosewheel.admin.server"),
 }
 
 
--- a/tests/test_adapter.py
+++ b/tests/test_adapter.py
@@ -1,4 +1,4 @@
-"""The wire adapter on transcripts."""
+"""The simulator's adapter on batches of its wire."""
 
 from __future__ import annotations
 
@@ -11,7 +11,9 @@
 import orjson
 import pytest
 
-from rosewheel.adapter import Bench, WireError, run, settings_from
+from rosewheel.adapter import NodeHost, run
+from rosewheel.policy.settings_codec import settings_from
+from rosewheel.simulator_codec import SimulatorWireError
 
 ROOT = Path(__file__).parent.parent
 
@@ -94,7 +96,7 @@
     assert talk(batch(8412.25, 1)) == [{"kind": "READY", "seq": 1}]
 
 
-def test_a_first_batch_subscribes_and_sends():
+def test_a_first_batch_watches_discovery_and_forwards():
     rows = talk(batch(1000.0, 1, catalog(), *start(), request("q1")))
     assert rows[-1] == {"kind": "READY", "seq": 1}
     assert len(of(rows, "OBSERVE")) == 1
@@ -120,71 +122,71 @@
         ("points", 255, "ISSUE"),
     ],
 )
-def test_each_outcome_of_each_kind(lane, rc, answer):
-    bench = Bench()
-    bench.now = 1000.0
-    rows = [row for event in (catalog(), *start(), request("q", lane=lane)) for row in bench.event(event)]
+def test_each_result_of_each_idempotency(lane, rc, answer):
+    host = NodeHost()
+    host.now_ms = 1000.0
+    rows = [row for event in (catalog(), *start(), request("q", lane=lane)) for row in host.handle(event)]
     server = of(rows, "ISSUE")[0]["server"]
-    assert [row["kind"] for row in bench.event(returned("q", server, rc, False))] == [answer]
+    assert [row["kind"] for row in host.handle(returned("q", server, rc, False))] == [answer]
 
 
-def test_an_outcome_of_an_ended_request_and_a_lapse_of_one_are_quiet():
-    bench = Bench()
-    bench.now = 1000.0
-    rows = [row for event in (catalog(), *start(), request("q")) for row in bench.event(event)]
+def test_results_and_disconnects_of_ended_requests_have_no_actions():
+    host = NodeHost()
+    host.now_ms = 1000.0
+    rows = [row for event in (catalog(), *start(), request("q")) for row in host.handle(event)]
     server = of(rows, "ISSUE")[0]["server"]
-    assert [row["kind"] for row in bench.event({"kind": "LAPSED", "node": 0, "txn": "q"})] == ["RETRACT"]
-    assert bench.event({"kind": "LAPSED", "node": 0, "txn": "q"}) == []
-    assert bench.event(returned("q", server, 0, True, telemetry=[3, 0.5])) == []
+    assert [row["kind"] for row in host.handle({"kind": "LAPSED", "node": 0, "txn": "q"})] == ["RETRACT"]
+    assert host.handle({"kind": "LAPSED", "node": 0, "txn": "q"}) == []
+    assert host.handle(returned("q", server, 0, True, telemetry=[3, 0.5])) == []
 
 
-def test_reports_reach_the_module_in_the_order_of_the_settings():
-    bench = Bench()
-    bench.now = 1000.0
-    rows = [row for event in (catalog(), *start(), request("q")) for row in bench.event(event)]
+def test_load_reports_are_named_in_the_order_of_the_settings():
+    host = NodeHost()
+    host.now_ms = 1000.0
+    rows = [row for event in (catalog(), *start(), request("q")) for row in host.handle(event)]
     server = of(rows, "ISSUE")[0]["server"]
-    bench.event(returned("q", server, 0, True, telemetry=[3, None]))
-    peer = bench.nodes[0].balancer.parts.shared.pool.servers[server]
+    host.handle(returned("q", server, 0, True, telemetry=[3, None]))
+    peer = host.nodes[0].balancer.parts.shared.pool.servers[server]
     assert peer.reported_queue == 3
     assert peer.utilisation is None
 
 
-def test_a_catalog_number_is_reused_by_event_order():
-    bench = Bench()
-    bench.now = 1000.0
+def test_a_reused_catalog_number_refers_to_the_latest_catalog():
+    host = NodeHost()
+    host.now_ms = 1000.0
     for event in (catalog(0, 2), *start(0), catalog(0, 5), *start(1)):
-        bench.event(event)
-    assert [len(bench.nodes[node].balancer.parts.shared.pool.servers) for node in (0, 1)] == [2, 5]
+        host.handle(event)
+    assert [len(host.nodes[node].balancer.parts.shared.pool.servers) for node in (0, 1)] == [2, 5]
 
 
-def test_a_stop_and_a_start_within_a_batch_leave_nothing_behind():
-    bench = Bench()
-    bench.now = 1000.0
+def test_a_node_restarted_within_a_batch_has_no_earlier_state():
+    host = NodeHost()
+    host.now_ms = 1000.0
     for event in (catalog(), *start(), request("q"), {"kind": "STOP", "node": 0}, *start()):
-        bench.event(event)
-    assert bench.nodes[0].balancer.parts.shared.requests == {}
+        host.handle(event)
+    assert host.nodes[0].balancer.parts.shared.requests == {}
 
 
-def test_membership_forms():
-    bench = Bench()
-    bench.now = 1000.0
+def test_forms_of_the_endpoint_list():
+    host = NodeHost()
+    host.now_ms = 1000.0
     for event in (catalog(), *start()):
-        bench.event(event)
-    failed = bench.event({"kind": "MEMBERSHIP", "node": 0, "form": "failed", "generation": 2, "ref": None})
+        host.handle(event)
+    failed = host.handle({"kind": "MEMBERSHIP", "node": 0, "form": "failed", "generation": 2, "ref": None})
     assert [row["kind"] for row in failed] == ["SLEEP"]
-    bench.event(catalog(1, 1, stageState="removed"))
-    bench.event({"kind": "MEMBERSHIP", "node": 0, "form": "delta", "generation": 3, "ref": 1})
-    assert len(bench.nodes[0].balancer.parts.shared.pool.servers) == 2
-    bench.event(catalog(2, 1))
-    bench.event({"kind": "MEMBERSHIP", "node": 0, "form": "full", "generation": 4, "ref": 2})
-    assert list(bench.nodes[0].balancer.parts.shared.pool.servers) == ["10.0.0.0:1"]
+    host.handle(catalog(1, 1, stageState="removed"))
+    host.handle({"kind": "MEMBERSHIP", "node": 0, "form": "delta", "generation": 3, "ref": 1})
+    assert len(host.nodes[0].balancer.parts.shared.pool.servers) == 2
+    host.handle(catalog(2, 1))
+    host.handle({"kind": "MEMBERSHIP", "node": 0, "form": "full", "generation": 4, "ref": 2})
+    assert list(host.nodes[0].balancer.parts.shared.pool.servers) == ["10.0.0.0:1"]
 
 
-def test_other_events_are_taken():
-    bench = Bench()
-    bench.now = 1000.0
+def test_other_events_are_handled():
+    host = NodeHost()
+    host.now_ms = 1000.0
     for event in (catalog(), *start()):
-        bench.event(event)
+        host.handle(event)
     quiet = [
         {"kind": "PEER", "node": 0, "by": 1, "contents": "aGk="},
         {
@@ -205,11 +207,11 @@
         },
         {"kind": "ALARM", "node": 0, "name": "not ours"},
     ]
-    assert [bench.event(event) for event in quiet] == [[], [], [], []]
-    assert bench.nodes[0].balancer.parts.shared.pool.servers["10.0.0.1:1"].reported_queue == 4
+    assert [host.handle(event) for event in quiet] == [[], [], [], []]
+    assert host.nodes[0].balancer.parts.shared.pool.servers["10.0.0.1:1"].reported_queue == 4
 
 
-def test_absent_settings_take_their_defaults():
+def test_absent_settings_have_their_defaults():
     settings = settings_from({"categories": CONFIG["categories"][:1]})
     assert settings.balancer_count == 1
     assert settings.tenants == ()
@@ -225,25 +227,25 @@
         {"kind": "NONSENSE", "node": 3},
     ],
 )
-def test_what_goes_wrong_at_a_node_is_its_panic(event, capsys):
-    rows = Bench().event(event)
+def test_an_error_at_a_node_is_reported_as_its_panic(event, capsys):
+    rows = NodeHost().handle(event)
     assert [(row["kind"], row["node"]) for row in rows] == [("PANIC", 3)]
     assert rows[0]["bodyText"]
     assert capsys.readouterr().out == ""
 
 
-def test_unknown_kind_at_a_running_node_is_its_panic():
-    bench = Bench()
+def test_an_unknown_event_at_a_running_node_is_its_panic():
+    host = NodeHost()
     for event in (catalog(), *start()):
-        bench.event(event)
-    assert bench.event({"kind": "NONSENSE", "node": 0})[0]["kind"] == "PANIC"
+        host.handle(event)
+    assert host.handle({"kind": "NONSENSE", "node": 0})[0]["kind"] == "PANIC"
 
 
-def test_a_request_of_an_unknown_class_is_a_panic_not_a_guess():
-    bench = Bench()
+def test_a_request_of_an_unknown_class_is_a_panic():
+    host = NodeHost()
     for event in (catalog(), *start()):
-        bench.event(event)
-    assert bench.event(request("q", lane="unheard of"))[0]["kind"] == "PANIC"
+        host.handle(event)
+    assert host.handle(request("q", lane="unheard of"))[0]["kind"] == "PANIC"
 
 
 @pytest.mark.parametrize(
@@ -259,12 +261,12 @@
         b'{"kind":"FRAME","nowMs":1,"seq":1}\n',
     ],
 )
-def test_bad_input_is_named(lines):
-    with pytest.raises(WireError):
+def test_invalid_input_is_an_error(lines):
+    with pytest.raises(SimulatorWireError):
         run(io.BytesIO(lines), io.BytesIO())
 
 
-def test_the_process_exits_cleanly_at_the_end_and_plainly_on_nonsense():
+def test_exit_status_and_output_of_the_process():
     command = [sys.executable, "-m", "rosewheel.adapter"]
     good = subprocess.run(command, input=batch(1.0, 1), capture_output=True, cwd=ROOT, check=False)
     assert (good.returncode, good.stdout, good.stderr) == (0, b'{"kind":"READY","seq":1}\n', b"")
@@ -275,17 +277,17 @@
     assert b"not a line of JSON" in bad.stderr
 
 
-def test_many_nodes_in_one_process_act_as_in_several():
+def test_nodes_in_one_process_act_as_in_separate_ones():
     def events(node: int) -> list[dict[str, Any]]:
         made = [catalog(), *start(node)]
         made += [request(f"n{node}-{at}", node, ("read", "post", "points")[at % 3]) for at in range(30)]
         return [*made, {"kind": "ALARM", "node": node, "name": "period"}]
 
     def played(nodes: list[int]) -> dict[int, list[dict[str, Any]]]:
-        bench = Bench()
-        bench.now = 1000.0
+        host = NodeHost()
+        host.now_ms = 1000.0
         mixed = [row for rows in zip(*(events(node) for node in nodes), strict=True) for row in rows]
-        acts = [act for event in mixed for act in bench.event(event)]
+        acts = [act for event in mixed for act in host.handle(event)]
         return {node: [act for act in acts if act["node"] == node] for node in nodes}
 
     together = played([0, 1, 2])
