--- a/tests/node/test_event_orders.py
+++ b/tests/node/test_event_orders.py
@@ -1,4 +1,4 @@
-"""The node under events in any order: answers, resets, time-outs, leavers, lists, timers, each at any moment."""
+"""The node under events in any order: responses, resets, timeouts, disconnects, endpoint lists and timers."""
 
 from __future__ import annotations
 
@@ -34,7 +34,9 @@
     st.tuples(st.just("ask"), st.sampled_from(sorted(KINDS)), st.booleans()),
     st.tuples(st.just("arrive"), st.integers(0, 5)),
     st.tuples(st.just("end"), st.integers(0, 9), st.sampled_from(RESULTS)),
-    st.tuples(st.just("again"), st.integers(0, 9), st.sampled_from(RESULTS)),  # of one that has ended already
+    st.tuples(
+        st.just("again"), st.integers(0, 9), st.sampled_from(RESULTS)
+    ),  # of an attempt that has a result
     st.tuples(st.just("leave"), st.integers(0, 5)),
     st.tuples(st.just("list"), st.integers(0, 3), st.sampled_from(STATES), st.booleans()),
     st.tuples(st.just("cordon"), st.integers(0, 3), st.booleans()),
@@ -43,7 +45,7 @@
 
 
 class World:
-    """Carries out what the node decides, and holds it to the rules that can be seen from here."""
+    """Carries out the node's effects, and checks the rules that can be seen from outside."""
 
     def __init__(self, cancel: bool, copies: bool, attempts: int = 3) -> None:
         self.now = 0.0
@@ -59,7 +61,7 @@
         ] = {}  # class, attempts, copies when it was taken
         self.answers: dict[str, list[int]] = {}
         self.left: set[str] = set()
-        self.out: dict[tuple[str, int], str] = {}  # attempts whose sockets have said nothing yet
+        self.out: dict[tuple[str, int], str] = {}  # attempts in flight
         self.ended: list[tuple[str, int]] = []
         self.sent: dict[str, list[tuple[int, str, float]]] = {}
         self.results: dict[tuple[str, int], AttemptResult] = {}
@@ -73,33 +75,35 @@
                 case StartAttempt():
                     self.dispatched(effect)
                 case AbortAttempt():
-                    assert self.out.pop((effect.id, effect.attempt), None), "nothing to give up"
+                    assert self.out.pop((effect.id, effect.attempt), None), "nothing to abort"
                     self.results[effect.id, effect.attempt] = AttemptResult.TIMEOUT  # it may have run
                     self.ended.append((effect.id, effect.attempt))
                 case SendResponse():
                     self.answers[effect.id].append(effect.status)
-                    assert effect.id not in self.left, "an answer for one that has left"
+                    assert effect.id not in self.left, "a response after the client disconnected"
 
     def dispatched(self, effect: StartAttempt) -> None:
         id = effect.id
         kind, most, copies = self.rules[id]
-        assert not self.answers[id], "sent on after its answer"
-        assert id not in self.left, "sent on after its caller has left"
+        assert not self.answers[id], "forwarded after its response"
+        assert id not in self.left, "forwarded after its client disconnected"
         server = self.servers[effect.server]
-        assert server.state is ServerState.UP, "sent to one that leaves"
-        assert server.address not in self.node.cordoned, "sent to one that is out by hand"
+        assert server.state is ServerState.UP, "sent to a draining server"
+        assert server.address not in self.node.cordoned, "sent to a cordoned server"
         earlier = self.sent.setdefault(id, [])
         still_out = any((id, attempt) in self.out for attempt, _, _ in earlier)
-        assert copies or not still_out, "a second copy"
+        assert copies or not still_out, "hedged"
         ran = [
             row for row in earlier if (id, row[0]) in self.out or not self.results[id, row[0]].not_executed
         ]
         if ran and kind.idempotency is Idempotency.NON_IDEMPOTENT:
-            raise AssertionError("unsafe work again, though it may have run")
+            raise AssertionError("non-idempotent work repeated, though it may have run")
         if ran and kind.idempotency is Idempotency.IDEMPOTENT_WITH_KEY:
             if kind.dedup_scope is DedupScope.CELL:
-                assert {self.servers[row[1]].cell for row in ran} == {server.cell}, "outside its group"
-            assert self.now - ran[0][2] < kind.dedup_window_ms, "behind its window"
+                assert {self.servers[row[1]].cell for row in ran} == {server.cell}, (
+                    "outside its deduplication scope"
+                )
+            assert self.now - ran[0][2] < kind.dedup_window_ms, "after its deduplication window"
         earlier.append((effect.attempt, effect.server, self.now))
         assert len(earlier) <= most
         self.out[id, effect.attempt] = effect.server
@@ -125,7 +129,7 @@
                 key = sorted(self.out)[at % len(self.out)]
                 half = key[0] in self.halves
                 if half and not result.not_executed:
-                    result = AttemptResult.CONNECT_FAILED  # no server begins half a request
+                    result = AttemptResult.CONNECT_FAILED  # no server executes an incomplete request
                 del self.out[key]
                 self.results[key] = result
                 self.ended.append(key)
@@ -134,7 +138,7 @@
                 self.do(node.attempt_finished(now, *key, result))
             case ("again", at, result) if self.ended:
                 effects = node.attempt_finished(now, *self.ended[at % len(self.ended)], result)
-                assert not effects, "an attempt that was settled has said something"
+                assert not effects, "a finished attempt had effects"
             case ("leave", at) if self.kinds:
                 id = sorted(self.kinds)[at % len(self.kinds)]
                 if not self.answers[id] and id not in self.left:
@@ -155,7 +159,7 @@
         return KINDS[service], self.node.settings.max_attempts, self.node.limits.hedging_allowed
 
     def leave(self, id: str) -> None:
-        """As the relay has it: what is not written whole is withdrawn."""
+        """As the proxy does it: attempts that were not sent completely are withdrawn."""
         self.do(self.node.client_disconnected(self.now, id))
         for attempt in self.node.attempts_in_flight(id):
             if id in self.halves:
@@ -164,7 +168,7 @@
                 self.do(self.node.attempt_finished(self.now, id, attempt, AttemptResult.CONNECT_FAILED))
 
     def finish(self) -> None:
-        """Whatever is still half read ends with its caller, and all deadlines pass."""
+        """Clients of incomplete requests disconnect, and all deadlines pass."""
         for id in self.halves:
             if not self.answers[id] and id not in self.left:
                 self.left.add(id)
@@ -172,7 +176,7 @@
         for _ in range(40):
             self.now += 100.0
             self.do(self.node.tick(self.now))
-        for key in list(self.out):  # those that the settings do not let the module take back
+        for key in list(self.out):  # those that the settings do not allow to cancel
             if key in self.out:
                 del self.out[key]
                 self.results[key] = AttemptResult.RESET
@@ -180,7 +184,7 @@
 
 
 @given(st.lists(STEP, max_size=60), st.booleans(), st.booleans())
-def test_any_order_leaves_one_answer_no_second_run_and_nothing_open(
+def test_any_order_leaves_one_response_no_second_execution_and_nothing_in_flight(
     steps: list[tuple[Any, ...]], cancel: bool, copies: bool
 ):
     world = World(cancel, copies)
@@ -199,17 +203,17 @@
 
 
 @given(st.lists(STEP, min_size=10, max_size=60), st.integers(0, 2**32), st.booleans())
-def test_a_module_that_decides_anything_breaks_none_of_what_the_node_keeps(
+def test_a_policy_that_decides_at_random_breaks_no_rule_of_the_node(
     steps: list[tuple[Any, ...]], seed: int, copies: bool
 ):
-    """Guards callers against a fault in the decisions: one answer, nothing sent on after it, no second copy where
-    there may be none, no more attempts than are allowed, and nothing to one that leaves."""
+    """Guards clients against a fault in the decisions: one response, nothing forwarded after it, no hedging where
+    it is not allowed, no more attempts than are allowed, and none to a draining server."""
     world, rng = World(cancel=True, copies=copies, attempts=2), Random(seed)
     kinds = {
         name: dataclasses.replace(kind, idempotency=Idempotency.IDEMPOTENT) for name, kind in KINDS.items()
     }
 
-    def whim(_now: float, event: Event) -> list[Action]:
+    def random_actions(_now: float, event: Event) -> list[Action]:
         actions: list[Action] = []
         for _ in range(rng.randrange(4) if not isinstance(event, AttemptFinished) else rng.randrange(2)):
             id = f"r{rng.randrange(len(world.kinds) + 1)}"
@@ -228,9 +232,9 @@
             )
         return actions
 
-    world.node.balancer.handle = whim  # type: ignore[method-assign]
+    world.node.balancer.handle = random_actions  # type: ignore[method-assign]
     with pytest.MonkeyPatch.context() as patch:
-        patch.setitem(globals(), "KINDS", kinds)  # which work may be repeated is the module's to know
+        patch.setitem(globals(), "KINDS", kinds)  # only the policy knows which work may be repeated
         for step in steps:
             world.step(step)
         world.finish()
--- a/tests/node/test_idle_timeout.py
+++ b/tests/node/test_idle_timeout.py
@@ -1,4 +1,4 @@
-"""How long connections may rest: what resets and refusals teach, and how it is forgotten."""
+"""The idle timeout: how stale connections and rejections shorten it, and how it is relaxed."""
 
 from __future__ import annotations
 
@@ -7,34 +7,44 @@
 
 from rosewheel.node.idle_timeout import MIN_REFUSAL_LIMIT_S, MIN_STALE_LIMIT_S, RELAX_INTERVAL_S, IdleTimeout
 
-SAID = st.lists(st.tuples(st.sampled_from(["stale", "refused", "forget"]), st.floats(0.0, 30.0)), max_size=60)
+OBSERVATIONS = st.lists(
+    st.tuples(st.sampled_from(["stale", "refused", "relax"]), st.floats(0.0, 30.0)), max_size=60
+)
 
 
-@given(SAID, st.booleans())
-def test_whatever_is_taught_a_connection_may_rest_for_a_while_and_never_for_too_long(
-    said: list[tuple[str, float]], crowds: bool
+@given(OBSERVATIONS, st.booleans())
+def test_the_limit_stays_in_its_range_and_returns_to_the_configured_one(
+    observations: list[tuple[str, float]], large_fleet: bool
 ):
-    rest, now = IdleTimeout(30.0, crowds), 0.0
-    for what, passed in said:
+    idle_timeout, now = IdleTimeout(30.0, large_fleet), 0.0
+    for observation, passed in observations:
         now += passed
-        before = rest.close_after_s
-        if what == "stale":
-            rest.stale_connection_found(now, passed)
-        elif what == "refused":
-            rest.new_connection_refused(now)
+        before = idle_timeout.close_after_s
+        if observation == "stale":
+            idle_timeout.stale_connection_found(now, passed)
+        elif observation == "refused":
+            idle_timeout.new_connection_refused(now)
         else:
-            rest.relax(now)
-        assert min(MIN_STALE_LIMIT_S, MIN_REFUSAL_LIMIT_S) <= rest.close_after_s <= rest.configured_s
-        assert rest.close_after_s >= before if what == "forget" else rest.close_after_s <= before
+            idle_timeout.relax(now)
+        assert (
+            min(MIN_STALE_LIMIT_S, MIN_REFUSAL_LIMIT_S)
+            <= idle_timeout.close_after_s
+            <= idle_timeout.configured_s
+        )
+        assert (
+            idle_timeout.close_after_s >= before
+            if observation == "relax"
+            else idle_timeout.close_after_s <= before
+        )
     for _ in range(20):
         now += RELAX_INTERVAL_S
-        rest.relax(now)
-    assert rest.close_after_s == rest.configured_s
+        idle_timeout.relax(now)
+    assert idle_timeout.close_after_s == idle_timeout.configured_s
 
 
-def test_refusals_at_one_moment_count_once_and_do_not_spoil_what_may_be_used():
-    rest = IdleTimeout(30.0, large_fleet=True)
+def test_rejections_at_one_moment_count_once_and_do_not_shorten_reuse():
+    idle_timeout = IdleTimeout(30.0, large_fleet=True)
     for at in range(9):
-        rest.new_connection_refused(at * 0.01)
-    assert rest.refusal_limit_s == rest.configured_s / 2.0
-    assert rest.stale_limit_s > rest.configured_s
+        idle_timeout.new_connection_refused(at * 0.01)
+    assert idle_timeout.refusal_limit_s == idle_timeout.configured_s / 2.0
+    assert idle_timeout.stale_limit_s > idle_timeout.configured_s
--- a/tests/node/test_incomplete_requests.py
+++ b/tests/node/test_incomplete_requests.py
@@ -1,4 +1,4 @@
-"""Requests whose end is still to come, and long answers: what the module and the node count, and when."""
+"""Incomplete requests and streamed responses: what the policy and the node count, and when."""
 
 from __future__ import annotations
 
@@ -21,15 +21,15 @@
 from tests.support.balancers import Bed, kinds, sent, settings
 
 
-def begun(bed: Bed, service: str = "post") -> tuple[str, ForwardRequest]:
+def forward_incomplete(bed: Bed, service: str = "post") -> tuple[str, ForwardRequest]:
     name, acts = bed.ask(service, complete=False)
     return name, sent(acts)[0]
 
 
-def test_what_is_not_whole_is_no_work_anywhere():
-    """Guards other requests: slow callers would have them refused, and their servers shunned."""
+def test_an_incomplete_request_is_no_load_on_its_server():
+    """Guards other requests: slow clients would cause their rejection, and backoff from their servers."""
     bed = Bed(1)
-    name, _ = begun(bed)
+    name, _ = forward_incomplete(bed)
     peer = bed.servers["s0"]
     bed.now += 60_000.0
     assert (peer.load, len(peer.in_flight)) == (0.0, 0)
@@ -39,20 +39,20 @@
     assert (peer.load, len(peer.in_flight), len(bed.parts.shared.requests)) == (0.0, 0, 0)
 
 
-def test_its_time_counts_from_its_end():
+def test_the_deadline_counts_from_the_last_byte():
     bed = Bed(2)
-    name, first = begun(bed, "read")
+    name, first = forward_incomplete(bed, "read")
     assert first.timeout_ms == pytest.approx(980.0)
     bed.now += 60_000.0
     bed.give(RequestCompleted(name, bed.now + 2000.0))
     bed.now += 500.0
     again = sent(bed.end(name, first.server, AttemptResult.ERROR))[0]
-    assert again.timeout_ms == pytest.approx(480.0), "what is left to the aim, from its last byte on"
+    assert again.timeout_ms == pytest.approx(480.0), "the rest of the latency objective, from its last byte"
 
 
-def test_one_that_breaks_before_its_end_goes_elsewhere():
+def test_an_incomplete_request_whose_connection_failed_is_retried_elsewhere():
     bed = Bed(2)
-    name, first = begun(bed)
+    name, first = forward_incomplete(bed)
     bed.now += 60_000.0
     again = sent(bed.end(name, first.server, AttemptResult.CONNECT_FAILED))
     assert len(again) == 1
@@ -60,7 +60,7 @@
     assert kinds(bed.end(name, again[0].server, AttemptResult.CONNECT_FAILED, attempt=1)) == [RejectRequest]
 
 
-def test_a_long_answer_is_no_load_while_its_client_takes_it():
+def test_a_streamed_response_is_no_load_on_its_server():
     bed = Bed(1)
     name, _ = bed.ask("post")
     peer = bed.servers["s0"]
@@ -71,60 +71,62 @@
     assert (peer.load, len(bed.parts.shared.requests)) == (0.0, 0)
 
 
-def box(**limits: int) -> Node:
-    made = Node(settings(), Limits(**limits), seed=1, now=0.0)
-    made.update_endpoints(0.0, EndpointListForm.SNAPSHOT, (Server("s", zone="a"), Server("t", zone="a")))
-    return made
+def make_node(**limits: int) -> Node:
+    node = Node(settings(), Limits(**limits), seed=1, now=0.0)
+    node.update_endpoints(0.0, EndpointListForm.SNAPSHOT, (Server("s", zone="a"), Server("t", zone="a")))
+    return node
 
 
-def test_the_node_has_no_deadline_before_the_end_has_come():
-    made = box()
-    made.receive_request(1.0, RequestReceived("r", "post", 1001.0, complete=False))
-    assert made.tick(50_000.0) == []
-    assert made.request_completed(50_000.0, "r", 51_000.0) == []
-    assert made.request_completed(50_000.0, "r", 99_000.0) == [], "told once"
-    effects = made.tick(51_000.0)
+def test_an_incomplete_request_has_no_deadline():
+    node = make_node()
+    node.receive_request(1.0, RequestReceived("r", "post", 1001.0, complete=False))
+    assert node.tick(50_000.0) == []
+    assert node.request_completed(50_000.0, "r", 51_000.0) == []
+    assert node.request_completed(50_000.0, "r", 99_000.0) == [], "reported once"
+    effects = node.tick(51_000.0)
     assert [type(effect) for effect in effects] == [AbortAttempt, SendResponse]
 
 
-def test_what_is_no_longer_held_is_not_sent_again():
-    made = box()
-    made.receive_request(1.0, RequestReceived("r", "post", 1001.0, complete=False))
-    made.request_body_discarded("r")
-    effects = made.attempt_finished(5.0, "r", 0, AttemptResult.CONNECT_FAILED)
+def test_a_request_with_a_discarded_body_is_not_retried():
+    node = make_node()
+    node.receive_request(1.0, RequestReceived("r", "post", 1001.0, complete=False))
+    node.request_body_discarded("r")
+    effects = node.attempt_finished(5.0, "r", 0, AttemptResult.CONNECT_FAILED)
     assert not any(isinstance(effect, StartAttempt) for effect in effects)
-    assert [effect.status for effect in effects if isinstance(effect, SendResponse)] == [503], "it never ran"
-
-
-def test_an_answer_that_is_passed_on_has_no_deadline_and_no_second_attempt():
-    made = box()
-    made.receive_request(1.0, RequestReceived("r", "read", 1001.0))
-    assert made.response_started(5.0, "r", 0) == []
-    assert made.response_started(5.0, "r", 0) is None, "it begins once"
-    assert not any(isinstance(effect, AbortAttempt | SendResponse) for effect in made.tick(60_000.0))
-    effects = made.attempt_finished(60_000.0, "r", 0, AttemptResult.RESET)
+    assert [effect.status for effect in effects if isinstance(effect, SendResponse)] == [503], (
+        "no server executed it"
+    )
+
+
+def test_a_streamed_response_has_no_deadline_and_no_retry():
+    node = make_node()
+    node.receive_request(1.0, RequestReceived("r", "read", 1001.0))
+    assert node.response_started(5.0, "r", 0) == []
+    assert node.response_started(5.0, "r", 0) is None, "it starts once"
+    assert not any(isinstance(effect, AbortAttempt | SendResponse) for effect in node.tick(60_000.0))
+    effects = node.attempt_finished(60_000.0, "r", 0, AttemptResult.RESET)
     assert [effect.status for effect in effects if isinstance(effect, SendResponse)] == [500]
     assert not any(isinstance(effect, StartAttempt) for effect in effects)
-    assert made.active_requests == 0
+    assert node.active_requests == 0
 
 
-def test_the_latency_of_a_long_answer_is_that_of_its_first_bytes():
-    heard: list[Event] = []
-    made = box()
-    made.receive_request(1.0, RequestReceived("r", "read", 1001.0))
-    handle = made.balancer.handle
-    made.balancer.handle = lambda now, event: heard.append(event) or handle(now, event)  # type: ignore[assignment,func-returns-value]
-    made.response_started(101.0, "r", 0)
-    effects = made.attempt_finished(60_000.0, "r", 0, AttemptResult.OK)
+def test_the_latency_of_a_streamed_response_is_that_of_its_first_bytes():
+    events: list[Event] = []
+    node = make_node()
+    node.receive_request(1.0, RequestReceived("r", "read", 1001.0))
+    handle = node.balancer.handle
+    node.balancer.handle = lambda now, event: events.append(event) or handle(now, event)  # type: ignore[assignment,func-returns-value]
+    node.response_started(101.0, "r", 0)
+    effects = node.attempt_finished(60_000.0, "r", 0, AttemptResult.OK)
     assert [effect.status for effect in effects if isinstance(effect, SendResponse)] == [ResponseStatus.OK]
-    outcome = heard[-1]
+    outcome = events[-1]
     assert isinstance(outcome, AttemptFinished)
     assert (outcome.latency_ms, outcome.request_ended) == (100.0, True)
 
 
-def test_a_caller_that_leaves_a_long_answer_ends_its_attempt():
-    made = box()
-    made.receive_request(1.0, RequestReceived("r", "read", 1001.0))
-    made.response_started(5.0, "r", 0)
-    assert made.client_disconnected(9.0, "r") == [AbortAttempt("r", 0)]
-    assert (made.active_requests, made.requests, made.balancer.parts.shared.requests) == (0, {}, {})
+def test_a_client_that_disconnects_from_a_streamed_response_aborts_its_attempt():
+    node = make_node()
+    node.receive_request(1.0, RequestReceived("r", "read", 1001.0))
+    node.response_started(5.0, "r", 0)
+    assert node.client_disconnected(9.0, "r") == [AbortAttempt("r", 0)]
+    assert (node.active_requests, node.requests, node.balancer.parts.shared.requests) == (0, {}, {})
