--- a/rosewheel/node/policy_driver.py
+++ b/rosewheel/node/policy_driver.py
@@ -109,10 +109,10 @@
                 self._policy_delays_ms[name] = delay_ms
                 self.timers.start(now + delay_ms, TimerKind.POLICY, name)
             case WatchEndpoints():
-                self._table.add_effect(OpenEndpointWatch())
+                self._table.effects.append(OpenEndpointWatch())
             case CheckHealth(server=server):
                 if self.limits.health_checks_allowed and server in self._endpoints.servers:
-                    self._table.add_effect(StartHealthCheck(server))
+                    self._table.effects.append(StartHealthCheck(server))
 
     def _failure_status(self, id: str) -> ResponseStatus:
         request = self._table.requests.get(id)
@@ -138,7 +138,7 @@
             return
         if request.complete:
             self.timers.start(now + timeout_ms, TimerKind.ATTEMPT_TIMEOUT, action.id, number)
-        self._table.add_effect(StartAttempt(action.id, number, action.server, timeout_ms))
+        self._table.effects.append(StartAttempt(action.id, number, action.server, timeout_ms))
 
     def _may_forward(self, request: InFlightRequest, server: str) -> bool:
         """Whether another attempt of this request may be sent to this server, whatever the policy decided."""
--- a/rosewheel/node/request_table.py
+++ b/rosewheel/node/request_table.py
@@ -24,15 +24,16 @@
         requests: The requests by id. One stays here until it is finished and none of its attempts is in flight.
         active: Requests that are not finished.
         events: Events that the policy has not handled yet, in order.
+        effects: Effects for the host that were not taken yet, in order.
     """
 
-    __slots__ = ("_effects", "_statistics", "active", "events", "requests")
+    __slots__ = ("_statistics", "active", "effects", "events", "requests")
 
     def __init__(self, statistics: Statistics) -> None:
         self.requests: dict[str, InFlightRequest] = {}
         self.active = 0
         self.events: deque[Event] = deque()
-        self._effects: list[NodeEffect] = []
+        self.effects: list[NodeEffect] = []
         self._statistics = statistics
 
     def add(self, id: str, request: InFlightRequest) -> None:
@@ -45,13 +46,9 @@
         request = self.requests.get(id)
         return None if request is None or request.finished else request
 
-    def add_effect(self, effect: NodeEffect) -> None:
-        """Append an effect for the host."""
-        self._effects.append(effect)
-
     def take_effects(self) -> list[NodeEffect]:
         """The effects since the last call, in order."""
-        effects, self._effects = self._effects, []
+        effects, self.effects = self.effects, []
         return effects
 
     def record_result(
@@ -90,14 +87,14 @@
     def abort_attempt(self, now: float, id: str, number: int, result: AttemptResult) -> None:
         """Record this result of an attempt and abort it, where it is still in flight."""
         if self.record_result(now, id, number, result):
-            self._effects.append(AbortAttempt(id, number))
+            self.effects.append(AbortAttempt(id, number))
 
     def respond(self, response: SendResponse) -> None:
         """Send a final response. Guards the client against a second one: a finished request gets no other."""
         request = self.requests.get(response.id)
         if request is None or request.finished:
             return
-        self._effects.append(response)
+        self.effects.append(response)
         outcome = _OUTCOMES.get(response.status, RequestOutcome.ERRORS)
         self._statistics.count_request(request.service, outcome)
         self.finish(response.id, request)
--- a/rosewheel/node/timers.py
+++ b/rosewheel/node/timers.py
@@ -2,6 +2,7 @@
 
 from __future__ import annotations
 
+import functools
 import heapq
 from collections.abc import Callable, Iterator
 from enum import Enum
@@ -36,6 +37,10 @@
     attempt: int
 
 
+# Makes a timer of a tuple of its fields, in half the time of a call of the class: each request starts two timers.
+_timer_of = functools.partial(tuple.__new__, Timer)
+
+
 class TimerQueue:
     """A heap of timers. Timers are not cancelled: those that are no longer needed are dropped as the heap grows.
 
@@ -65,7 +70,7 @@
     def start(self, due_ms: float, kind: TimerKind, subject: str, attempt: int = 0) -> None:
         """Add a timer."""
         self._order += 1
-        heapq.heappush(self._heap, Timer(due_ms, self._order, kind, subject, attempt))
+        heapq.heappush(self._heap, _timer_of((due_ms, self._order, kind, subject, attempt)))
         if len(self._heap) > self._prune_size:
             self._prune()
 
