--- a/rosewheel/proxy/proxy.py
+++ b/rosewheel/proxy/proxy.py
@@ -6,7 +6,7 @@
 import dataclasses
 import logging
 import random
-from typing import TYPE_CHECKING, Any
+from typing import TYPE_CHECKING
 
 from rosewheel.config.platform import Config, ConfigError
 from rosewheel.discovery.endpoint_list import DiscoveryWatch, parse_endpoints
@@ -20,6 +20,7 @@
 from rosewheel.node.core import Node
 from rosewheel.node.effects import NodeEffect
 from rosewheel.node.limits import Limits
+from rosewheel.node.statistics import StatisticsSnapshot
 from rosewheel.policy.settings import Settings
 from rosewheel.policy.shared_state import is_large_fleet
 from rosewheel.proxy import clock
@@ -237,11 +238,9 @@
         """Whether this process accepts clients and has a server to send to."""
         return self.server.listening and self.node.can_serve
 
-    def statistics(self) -> dict[str, Any]:
-        """Returns the statistics of this process, as the admin API gives them."""
-        return self.node.statistics.report(
-            self.node.active_requests, len(self.node.servers), self.node.cordoned_endpoint_count
-        )
+    def statistics(self) -> StatisticsSnapshot:
+        """The statistics of this process at this moment."""
+        return self.node.statistics_snapshot()
 
     async def cordon(self, server: str) -> bool:
         """Cordons a server by hand, and returns whether it is known.
--- a/tests/http/test_disconnects_between_attempts.py
+++ b/tests/http/test_disconnects_between_attempts.py
@@ -141,8 +141,8 @@
                 await unread(relay, client)
                 disconnect(client, how)
                 await asyncio.sleep(0)
-                relay.node._act(now_ms(), ForwardRequest("first", "two" if one.got else "one", 50000.0))
-                relay.apply(relay.node._run(now_ms()))
+                relay.node.driver.apply(now_ms(), [ForwardRequest("first", "two" if one.got else "one", 50000.0)])
+                relay.apply(relay.node.driver.handle(now_ms()))
                 await until(lambda: not relay.node.requests and not relay.upstream.exchanges)
                 assert relay.upstream.connecting_count == 0
                 assert len(one.got) + len(two.got) == 1
--- a/tests/http/test_streamed_responses.py
+++ b/tests/http/test_streamed_responses.py
@@ -37,11 +37,11 @@
                 head = await client.reader.readuntil(b"\r\n\r\n")
                 assert b"Content-Length: 200000" in head
                 assert await client.reader.readexactly(10_000) == data[:10_000]
-                assert relay.statistics()["active"] == 1
+                assert relay.statistics().active_requests == 1
                 await asyncio.sleep(0.4)  # past the deadline
                 free.set()
                 assert await client.reader.readexactly(190_000) == data[10_000:]
-                await until(lambda: relay.statistics()["active"] == 0)
+                await until(lambda: relay.statistics().active_requests == 0)
                 assert relay.node.statistics.classes["post"].ok == 1
                 assert not relay.node.requests
                 assert not relay.node.balancer.parts.shared.requests
@@ -164,7 +164,7 @@
                 await client.reader.readuntil(b"\r\n\r\n")
             await until(lambda: not relay.upstream.exchanges and not relay.node.requests)
             await until(lambda: relay.upstream.open_count == 0)
-            assert relay.statistics()["active"] == 0
+            assert relay.statistics().active_requests == 0
             assert not relay.node.balancer.parts.shared.requests
 
     run(main())
