--- a/rosewheel/adapter.py
+++ b/rosewheel/adapter.py
@@ -37,7 +37,7 @@
     ServerState,
     TimerFired,
 )
-from rosewheel.policy.settings_codec import settings_from
+from rosewheel.policy.settings_codec import settings_from_json
 
 Row = dict[str, Any]
 
@@ -62,7 +62,7 @@
     """One hosted balancer and the names in which its load reports come."""
 
     def __init__(self, config: Row, seed: int, now_ms: float) -> None:
-        self.settings = settings_from(config)
+        self.settings = settings_from_json(config)
         self.balancer = Balancer(self.settings, seed, now_ms)
 
     def report(self, values: list[object] | None) -> dict[str, float] | None:
--- a/rosewheel/config/platform.py
+++ b/rosewheel/config/platform.py
@@ -12,7 +12,7 @@
 
 from rosewheel.node.limits import Limits
 from rosewheel.policy.settings import Settings
-from rosewheel.policy.settings_codec import flag, settings_from, table
+from rosewheel.policy.settings_codec import optional_flag, optional_object, settings_from_json
 
 Address = tuple[str, int]
 # What the environment says before the file does.
@@ -102,15 +102,19 @@
 
 def _typed(row: dict[str, Any], inherited: int | None, state: str | None) -> Config:
     settings: dict[str, Any] = row["settings"]
-    asked = settings_from(settings)
-    allowed, rules, limits = table(settings, "bounds"), table(settings, "invariants"), table(row, "limits")
+    asked = settings_from_json(settings)
+    allowed, rules, limits = (
+        optional_object(settings, "bounds"),
+        optional_object(settings, "invariants"),
+        optional_object(row, "limits"),
+    )
     given = {
         "idle_timeout_ms": _number(allowed, "connIdleMs"),
         "connect_timeout_ms": _number(allowed, "connectTimeoutMs"),
         "drain_notice_ms": _number(rules, "drainGraceMs"),
         "max_open_requests": _whole(allowed, "maxOpen"),
-        "hedging_allowed": flag(allowed, "secondCopies"),
-        "health_checks_allowed": flag(allowed, "mayProbe"),
+        "hedging_allowed": optional_flag(allowed, "secondCopies"),
+        "health_checks_allowed": optional_flag(allowed, "mayProbe"),
         "memory_limit_mb": _number(limits, "memory_mb"),
         "max_sockets": descriptors(_whole(limits, "sockets") or 1024),
     }
--- a/rosewheel/lab/simulation/fleet.py
+++ b/rosewheel/lab/simulation/fleet.py
@@ -22,7 +22,7 @@
 from rosewheel.node.limits import Limits
 from rosewheel.policy.events import AttemptResult, Server, ServerState
 from rosewheel.policy.settings import Settings
-from rosewheel.policy.settings_codec import settings_from
+from rosewheel.policy.settings_codec import settings_from_json
 
 SAMPLE_PERIOD_MS = 500.0
 PROCESS_START_MS = 500.0  # until a started process serves
@@ -100,7 +100,7 @@
     def _node(self, name: str, tier: int, balancer_count: int, zone: str) -> SimulatedNode:
         settings = self._settings.get((tier, balancer_count, zone))
         if settings is None:
-            settings = settings_from(platform_settings(self.plan, tier, balancer_count, zone))
+            settings = settings_from_json(platform_settings(self.plan, tier, balancer_count, zone))
             self._settings[tier, balancer_count, zone] = settings
         self._process_count += 1
         seed = int(random_stream(self.plan.seed, "node", name, self._process_count).integers(1 << 62))
--- a/rosewheel/policy/settings_codec.py
+++ b/rosewheel/policy/settings_codec.py
@@ -55,27 +55,30 @@
 }
 
 
-def table(row: Row, key: str) -> Row:
+def optional_object(row: Row, key: str) -> Row:
     """The object at this key; an empty one where there is none."""
     return _object(key, row.get(key) or {})
 
 
-def flag(row: Row, key: str) -> bool | None:
+def optional_flag(row: Row, key: str) -> bool | None:
+    """The flag at this key; None where there is none. Raises ValueError where it is something else."""
     value = row.get(key)
     if value is not None and not isinstance(value, bool):
         raise ValueError(f"{key}: {value!r} is neither true nor false")
     return value
 
 
-def text(row: Row, key: str, default: str | None = None) -> str | None:
+def optional_text(row: Row, key: str, default: str | None = None) -> str | None:
+    """The text at this key, or the default. Raises ValueError where it is something else."""
     value = row.get(key, default)
     if value is not None and not isinstance(value, str):
         raise ValueError(f"{key}: {value!r} is no text")
     return value
 
 
-def named(row: Row, key: str) -> str:
-    value = text(row, key)
+def required_text(row: Row, key: str) -> str:
+    """The text at this key. Raises KeyError where there is none, ValueError where it is something else."""
+    value = optional_text(row, key)
     if value is None:
         raise KeyError(key)
     return value
@@ -94,28 +97,28 @@
     return value
 
 
-def settings_from(config: Row) -> Settings:
+def settings_from_json(config: Row) -> Settings:
     """The settings of a node from the platform's JSON; unknown keys are ignored.
 
     Raises:
         ValueError, KeyError: a value is missing or wrong; the text names the key of the JSON.
     """
     _object("settings", config)
-    bounds, rules = table(config, "bounds"), table(config, "invariants")
-    prices, feedback = table(config, "prices"), table(config, "feedback")
+    bounds, rules = optional_object(config, "bounds"), optional_object(config, "invariants")
+    prices, feedback = optional_object(config, "prices"), optional_object(config, "feedback")
     fields = _list(feedback, "fields")
     if not all(isinstance(name, str) for name in fields):
         raise ValueError(f"fields: {fields!r} is not a list of names")
     given: Row = {
-        "zone": text(config, "locality"),
+        "zone": optional_text(config, "locality"),
         "tier": config.get("tier"),
         "balancer_count": config.get("siblings"),
         "poll_discovery": config.get("registryMode") == "ask",
         "weight_by_work": config.get("valueBy") == "work",
         "over_quota_weight": config.get("overShareWorth"),
         "report_fields": tuple(REPORT_FIELDS.get(name, name) for name in fields),
-        "may_cancel": flag(bounds, "cancel"),
-        "retry_after": flag(bounds, "retryAfter"),
+        "may_cancel": optional_flag(bounds, "cancel"),
+        "retry_after": optional_flag(bounds, "retryAfter"),
         "max_retry_after_ms": bounds.get("maxRetryAfterMs"),
         "max_attempts": bounds.get("maxAttempts"),
         "cross_zone_cost": prices.get("crossZone"),
@@ -142,7 +145,7 @@
     """The tenants that have a quota."""
     for row in [_object("accounts", row) for row in _list(config, "accounts")]:
         if row.get("quotaPerS") is not None:
-            yield Tenant(named(row, "name"), row["quotaPerS"])
+            yield Tenant(required_text(row, "name"), row["quotaPerS"])
 
 
 def _service_class(row: Row) -> ServiceClass:
@@ -152,7 +155,7 @@
     if scope not in [item.value for item in DedupScope]:
         raise ValueError(f"categories.keyScope: {scope!r} is not one of all, zone, cell")
     return ServiceClass(
-        name=named(row, "name"),
+        name=required_text(row, "name"),
         latency_objective_ms=row["aimMs"],
         deadline_ms=row["giveUpMs"],
         priority_weight=row.get("credit", 1.0),
@@ -160,5 +163,5 @@
         idempotency=IDEMPOTENCY[effect],
         dedup_scope=DedupScope(scope),
         dedup_window_ms=row.get("memorySpanMs") or 0.0,
-        streaming=flag(row, "stream") or False,
+        streaming=optional_flag(row, "stream") or False,
     )
--- a/tests/cli/test_run.py
+++ b/tests/cli/test_run.py
@@ -21,7 +21,7 @@
 from rosewheel.node.core import Node
 from rosewheel.policy.balancer import Balancer
 from rosewheel.policy.events import EndpointListForm, RequestReceived
-from rosewheel.policy.settings_codec import settings_from
+from rosewheel.policy.settings_codec import settings_from_json
 from tests.support.sockets import entry
 from tests.test_adapter import CONFIG
 
@@ -91,7 +91,7 @@
 @pytest.mark.parametrize("row", [{}, {"siblings": None}])
 def test_without_a_count_of_nodes_a_node_decides_as_one_by_itself(row: dict[str, Any]):
     config = {key: value for key, value in CONFIG.items() if key != "siblings"} | row
-    settings = settings_from(config)
+    settings = settings_from_json(config)
     assert settings.balancer_count == 1
     assert not Balancer(settings, 1, 0.0).parts.shared.in_large_fleet
 
--- a/tests/discovery/test_watch_backoff.py
+++ b/tests/discovery/test_watch_backoff.py
@@ -19,7 +19,7 @@
 from rosewheel.policy.events import EndpointListForm, EndpointListUpdate, TimerFired
 from rosewheel.proxy import proxy as relay_module
 from rosewheel.proxy.proxy import Proxy
-from tests.support.balancers import Bed, settings
+from tests.support.balancers import BalancerHarness, settings
 from tests.support.scripted_discovery import restartable_discovery
 from tests.support.sockets import config, entry, node, run, until
 from tests.support.virtual_discovery import Net, VirtualLoop
@@ -148,23 +148,23 @@
 
 def test_an_outage_of_hours_ends_in_no_fault():
     """Found: the wait was 2.0 to the power of the failures in a row, which is no number after 1024 of them."""
-    bed = Bed(count=0, poll_discovery=True)
+    harness = BalancerHarness(count=0, poll_discovery=True)
     for _ in range(3000):
-        (wake,) = bed.give(EndpointListUpdate(EndpointListForm.FAILED), after=2000.0)
+        (wake,) = harness.handle(EndpointListUpdate(EndpointListForm.FAILED), after=2000.0)
         assert isinstance(wake, StartTimer)
-        assert bed.give(TimerFired("watch"), after=wake.delay_ms) == [WatchEndpoints()]
+        assert harness.handle(TimerFired("watch"), after=wake.delay_ms) == [WatchEndpoints()]
 
 
 @given(st.lists(st.floats(0.0, 60.0), min_size=1, max_size=20), st.integers(0, 1 << 30))
 def test_from_one_call_to_the_next_no_more_than_the_longest_wait_passes(lasted: list[float], seed: int):
     """By the module itself: a call that took long is followed soon, one refused at once after growing waits."""
-    bed = Bed(count=0, seed=seed, poll_discovery=True)
-    bed.give(EndpointListUpdate(EndpointListForm.CACHED))
+    harness = BalancerHarness(count=0, seed=seed, poll_discovery=True)
+    harness.handle(EndpointListUpdate(EndpointListForm.CACHED))
     for took_s in lasted:
-        (wake,) = bed.give(EndpointListUpdate(EndpointListForm.FAILED), after=took_s * 1000.0)
+        (wake,) = harness.handle(EndpointListUpdate(EndpointListForm.FAILED), after=took_s * 1000.0)
         assert isinstance(wake, StartTimer)
         assert 0.0 < wake.delay_ms <= max(4000.0 - took_s * 1000.0, 200.0)
-        bed.give(TimerFired("watch"), after=wake.delay_ms)
+        harness.handle(TimerFired("watch"), after=wake.delay_ms)
 
 
 def test_the_sum_of_the_longest_times_is_what_the_page_of_constants_says():
--- a/tests/node/test_incomplete_requests.py
+++ b/tests/node/test_incomplete_requests.py
@@ -18,57 +18,59 @@
     ResponseStarted,
     Server,
 )
-from tests.support.balancers import Bed, kinds, sent, settings
+from tests.support.balancers import BalancerHarness, action_types, forwarded, settings
 
 
-def begun(bed: Bed, service: str = "post") -> tuple[str, ForwardRequest]:
-    name, acts = bed.ask(service, complete=False)
-    return name, sent(acts)[0]
+def begun(harness: BalancerHarness, service: str = "post") -> tuple[str, ForwardRequest]:
+    name, acts = harness.receive_request(service, complete=False)
+    return name, forwarded(acts)[0]
 
 
 def test_what_is_not_whole_is_no_work_anywhere():
     """Guards other requests: slow callers would have them refused, and their servers shunned."""
-    bed = Bed(1)
-    name, _ = begun(bed)
-    peer = bed.servers["s0"]
-    bed.now += 60_000.0
+    harness = BalancerHarness(1)
+    name, _ = begun(harness)
+    peer = harness.servers["s0"]
+    harness.now += 60_000.0
     assert (peer.load, len(peer.in_flight)) == (0.0, 0)
-    bed.give(RequestCompleted(name, bed.now + 2000.0))
+    harness.handle(RequestCompleted(name, harness.now + 2000.0))
     assert (peer.load, len(peer.in_flight)) == (1.0, 1)
-    bed.end(name, "s0", AttemptResult.OK)
-    assert (peer.load, len(peer.in_flight), len(bed.parts.shared.requests)) == (0.0, 0, 0)
+    harness.finish_attempt(name, "s0", AttemptResult.OK)
+    assert (peer.load, len(peer.in_flight), len(harness.parts.shared.requests)) == (0.0, 0, 0)
 
 
 def test_its_time_counts_from_its_end():
-    bed = Bed(2)
-    name, first = begun(bed, "read")
+    harness = BalancerHarness(2)
+    name, first = begun(harness, "read")
     assert first.timeout_ms == pytest.approx(980.0)
-    bed.now += 60_000.0
-    bed.give(RequestCompleted(name, bed.now + 2000.0))
-    bed.now += 500.0
-    again = sent(bed.end(name, first.server, AttemptResult.ERROR))[0]
+    harness.now += 60_000.0
+    harness.handle(RequestCompleted(name, harness.now + 2000.0))
+    harness.now += 500.0
+    again = forwarded(harness.finish_attempt(name, first.server, AttemptResult.ERROR))[0]
     assert again.timeout_ms == pytest.approx(480.0), "what is left to the aim, from its last byte on"
 
 
 def test_one_that_breaks_before_its_end_goes_elsewhere():
-    bed = Bed(2)
-    name, first = begun(bed)
-    bed.now += 60_000.0
-    again = sent(bed.end(name, first.server, AttemptResult.CONNECT_FAILED))
+    harness = BalancerHarness(2)
+    name, first = begun(harness)
+    harness.now += 60_000.0
+    again = forwarded(harness.finish_attempt(name, first.server, AttemptResult.CONNECT_FAILED))
     assert len(again) == 1
     assert again[0].server != first.server
-    assert kinds(bed.end(name, again[0].server, AttemptResult.CONNECT_FAILED, attempt=1)) == [RejectRequest]
+    assert action_types(
+        harness.finish_attempt(name, again[0].server, AttemptResult.CONNECT_FAILED, attempt=1)
+    ) == [RejectRequest]
 
 
 def test_a_long_answer_is_no_load_while_its_client_takes_it():
-    bed = Bed(1)
-    name, _ = bed.ask("post")
-    peer = bed.servers["s0"]
+    harness = BalancerHarness(1)
+    name, _ = harness.receive_request("post")
+    peer = harness.servers["s0"]
     assert peer.load == 1.0
-    bed.give(ResponseStarted(name, 0))
+    harness.handle(ResponseStarted(name, 0))
     assert (peer.load, len(peer.in_flight)) == (0.0, 0)
-    bed.end(name, "s0", AttemptResult.OK, latency=50.0)
-    assert (peer.load, len(bed.parts.shared.requests)) == (0.0, 0)
+    harness.finish_attempt(name, "s0", AttemptResult.OK, latency=50.0)
+    assert (peer.load, len(harness.parts.shared.requests)) == (0.0, 0)
 
 
 def box(**limits: int) -> Node:
--- a/tests/policy/test_learned_state.py
+++ b/tests/policy/test_learned_state.py
@@ -39,69 +39,69 @@
 from rosewheel.policy.pool_load import BASELINE_LEARNING_OUTCOMES
 from rosewheel.proxy import snapshots
 from rosewheel.proxy.snapshots import SnapshotWriter, decode_snapshot, encode_snapshot, read_clocks
-from tests.support.balancers import Bed, sent, settings
+from tests.support.balancers import BalancerHarness, forwarded, settings
 from tests.support.sockets import FakeServer, entry, node, run
 
 ROOT = Path(__file__).parent.parent.parent
 
 
-def taught(slow: str = "s0") -> Bed:
+def taught(slow: str = "s0") -> BalancerHarness:
     """A module that has learned that one of four servers is slow."""
-    bed = Bed()
+    harness = BalancerHarness()
     for _ in range(120):
-        name, acts = bed.ask()
-        server = sent(acts)[0].server
+        name, acts = harness.receive_request()
+        server = forwarded(acts)[0].server
         latency = 400.0 if server == slow else 50.0
-        bed.now += 20.0
-        bed.end(name, server, AttemptResult.OK, latency)
-        if len(bed.parts.pool_load.latency_ratios) >= 10:
-            bed.period()
-    bed.period()
-    return bed
+        harness.now += 20.0
+        harness.finish_attempt(name, server, AttemptResult.OK, latency)
+        if len(harness.parts.pool_load.latency_ratios) >= 10:
+            harness.end_period()
+    harness.end_period()
+    return harness
 
 
-def heir(learned: LearnedState, age_ms: float, servers: tuple[Server, ...] | None = None) -> Bed:
+def heir(learned: LearnedState, age_ms: float, servers: tuple[Server, ...] | None = None) -> BalancerHarness:
     """A new module that is given this, on a clock of its own."""
-    bed = Bed(count=4)
+    harness = BalancerHarness(count=4)
     if servers is not None:
-        bed.give(EndpointListUpdate(EndpointListForm.SNAPSHOT, servers))
-    bed.balancer.restore_learned_state(bed.now, learned, age_ms)
-    return bed
+        harness.handle(EndpointListUpdate(EndpointListForm.SNAPSHOT, servers))
+    harness.balancer.restore_learned_state(harness.now, learned, age_ms)
+    return harness
 
 
-def share_of(bed: Bed, server: str, asks: int = 200) -> float:
+def share_of(harness: BalancerHarness, server: str, asks: int = 200) -> float:
     """How often it is picked, with nothing else in flight."""
     picked = 0
     for _ in range(asks):
-        name, acts = bed.ask()
-        picked += sent(acts)[0].server == server
-        bed.give(ClientDisconnected(name))
-        bed.end(name, sent(acts)[0].server, AttemptResult.CANCELLED, 1.0, done=True)
+        name, acts = harness.receive_request()
+        picked += forwarded(acts)[0].server == server
+        harness.handle(ClientDisconnected(name))
+        harness.finish_attempt(name, forwarded(acts)[0].server, AttemptResult.CANCELLED, 1.0, done=True)
     return picked / asks
 
 
-def test_a_slow_server_stays_known_as_slow_over_a_restart():
+def test_relative_latency_is_restored():
     learned = taught().balancer.capture_learned_state(taught().now)
     assert share_of(heir(learned, 500.0), "s0") == 0.0
-    assert share_of(Bed(count=4), "s0") > 0.1
+    assert share_of(BalancerHarness(count=4), "s0") > 0.1
 
 
-def test_the_baseline_is_taken_back_and_new_outcomes_replace_it_sooner_the_older_it_is():
-    bed = taught()
-    learned = bed.balancer.capture_learned_state(bed.now)
+def test_baseline_is_restored_with_fewer_outcomes_the_older_it_is():
+    harness = taught()
+    learned = harness.balancer.capture_learned_state(harness.now)
     young, old = heir(learned, 0.0).balancer, heir(learned, 200_000.0).balancer
     assert young.parts.pool_load.baseline_ratio == old.parts.pool_load.baseline_ratio
-    assert old.parts.pool_load.baseline_ratio == bed.parts.pool_load.baseline_ratio
+    assert old.parts.pool_load.baseline_ratio == harness.parts.pool_load.baseline_ratio
     assert young.parts.pool_load.baseline_outcomes == BASELINE_LEARNING_OUTCOMES
     assert old.parts.pool_load.baseline_outcomes < BASELINE_LEARNING_OUTCOMES / 3
 
 
 @given(st.floats(0.0, 2 * OLDEST_MS))
 @hypothesis_settings(deadline=None, max_examples=50)
-def test_nothing_counts_more_as_it_ages(age_ms: float):
-    bed = taught()
+def test_no_restored_value_grows_with_its_age(age_ms: float):
+    harness = taught()
     learned = dataclasses.replace(
-        bed.balancer.capture_learned_state(bed.now), cursor=12, baseline_error_share=0.5
+        harness.balancer.capture_learned_state(harness.now), cursor=12, baseline_error_share=0.5
     )
     here, later = heir(learned, age_ms).balancer, heir(learned, age_ms + 500.0).balancer
     assert here.parts.table.cursor >= later.parts.table.cursor
@@ -112,36 +112,36 @@
     servers, later_servers = here.parts.shared.pool.servers, later.parts.shared.pool.servers
     assert all(servers[name].error_rate >= later_servers[name].error_rate for name in servers)
     if age_ms > OLDEST_MS:
-        fresh = Bed(count=4).servers
+        fresh = BalancerHarness(count=4).servers
         assert (here.parts.pool_load.baseline_ratio, here.parts.table.cursor) == (None, 0)
         assert (here.parts.throughput.peak_completion_rate, here.parts.shared.class_latency_ms) == (0.0, {})
         assert all(server.error_rate == fresh[name].error_rate for name, server in servers.items())
 
 
-def test_a_server_that_restarted_meanwhile_is_fresh_and_one_that_did_not_is_as_cold_as_it_was():
-    bed = Bed(count=0)
-    bed.give(
+def test_only_a_server_that_has_not_restarted_is_restored():
+    harness = BalancerHarness(count=0)
+    harness.handle(
         EndpointListUpdate(
             EndpointListForm.SNAPSHOT, (Server("a", launched_ms=0.0), Server("b", launched_ms=0.0))
         )
     )
     for name in ("a", "b"):
-        bed.servers[name].relative_latency, bed.servers[name].last_outcome_ms = 5.0, bed.now
-    learned = bed.balancer.capture_learned_state(bed.now)  # both started 1000 ms ago
-    new = Bed(count=0)
+        harness.servers[name].relative_latency, harness.servers[name].last_outcome_ms = 5.0, harness.now
+    learned = harness.balancer.capture_learned_state(harness.now)  # both started 1000 ms ago
+    new = BalancerHarness(count=0)
     new.now = 50_000.0  # another clock
     started = new.now - 3_000.0  # 1000 ms, and 2000 ms since then
     servers = (Server("a", launched_ms=started + 100.0), Server("b", launched_ms=started + 1_900.0))
-    new.give(EndpointListUpdate(EndpointListForm.SNAPSHOT, servers))
+    new.handle(EndpointListUpdate(EndpointListForm.SNAPSHOT, servers))
     assert new.balancer.restore_learned_state(new.now, learned, 2_000.0) == 1
     assert new.balancer.parts.shared.pool.servers["a"].relative_latency == 5.0
     assert new.balancer.parts.shared.pool.servers["b"].relative_latency is None
 
 
-def test_a_fleet_that_has_been_replaced_takes_nothing_of_the_old_servers():
-    bed = taught()
+def test_nothing_is_restored_for_replaced_servers():
+    harness = taught()
     replaced = tuple(Server(f"new{at}") for at in range(4))
-    new = heir(bed.balancer.capture_learned_state(bed.now), 599_000.0, replaced).balancer
+    new = heir(harness.balancer.capture_learned_state(harness.now), 599_000.0, replaced).balancer
     assert all(
         peer.relative_latency is None and peer.error_rate == 0.0 and not peer.reported_queue
         for peer in new.parts.shared.pool.servers.values()
@@ -150,17 +150,17 @@
     assert new.parts.pool_load.baseline_ratio is None, "ten minutes old: no better than none"
 
 
-def test_what_was_heard_here_since_is_not_overwritten():
-    bed = taught()
-    learned = bed.balancer.capture_learned_state(bed.now)
-    new = Bed(count=4)
-    server = new.serve()
+def test_newer_statistics_are_not_overwritten():
+    harness = taught()
+    learned = harness.balancer.capture_learned_state(harness.now)
+    new = BalancerHarness(count=4)
+    server = new.serve_request()
     slow = new.balancer.parts.shared.pool.servers[server].relative_latency
     new.balancer.restore_learned_state(new.now, learned, 0.0)
     assert new.balancer.parts.shared.pool.servers[server].relative_latency == slow
 
 
-def test_the_age_is_told_by_the_clock_that_can():
+def test_snapshot_age_by_the_clock_that_is_valid():
     assert snapshot_age_ms((1000.0, 9000.0), (3000.0, 11_000.0)) == 2000.0
     assert snapshot_age_ms((1000.0, 9000.0), (3000.0, 11_900.0)) == 2000.0  # the time of day is set a little
     assert snapshot_age_ms((9e6, 9000.0), (3000.0, 11_000.0)) == 2000.0  # the machine started anew
@@ -168,7 +168,7 @@
     assert snapshot_age_ms((9e6, 9000.0), (3000.0, 8000.0)) is None
 
 
-def test_starts_and_weights():
+def test_start_times_and_retained_shares():
     assert is_same_start(1000.0, 500.0, 1500.0)
     assert not is_same_start(1000.0, 500.0, 300.0)
     assert is_same_start(None, 500.0, None)
@@ -181,20 +181,20 @@
 
 
 def written() -> bytes:
-    bed = taught()
-    return encode_snapshot("n0", bed.balancer.capture_learned_state(bed.now), 0.25, read_clocks())
+    harness = taught()
+    return encode_snapshot("n0", harness.balancer.capture_learned_state(harness.now), 0.25, read_clocks())
 
 
-def test_what_is_written_is_read_back_the_same():
-    bed = taught()
-    learned = bed.balancer.capture_learned_state(bed.now)
+def test_snapshot_round_trip():
+    harness = taught()
+    learned = harness.balancer.capture_learned_state(harness.now)
     kept = decode_snapshot(encode_snapshot("n0", learned, math.inf, (5.0, 7.0)), "n0", (6.0, 8.0))
     assert kept == snapshots.Snapshot(learned, 1.0, math.inf)
 
 
 @given(st.data())
 @hypothesis_settings(deadline=None, max_examples=200)
-def test_no_damage_is_taken_for_good(data: st.DataObject):
+def test_damaged_snapshot_is_rejected(data: st.DataObject):
     whole = GOOD
     at = data.draw(st.integers(0, len(whole) - 1))
     if data.draw(st.booleans()):
@@ -210,7 +210,7 @@
 
 @pytest.mark.parametrize("key", ["errs", "queue", "credit", "heard_ago_ms"])
 @pytest.mark.parametrize("value", [-1.0, 1e300, True, "1", [1]])
-def test_a_figure_that_no_module_can_have_is_refused(key: str, value: Any):
+def test_number_out_of_range_is_rejected(key: str, value: Any):
     row = orjson.loads(orjson.dumps(learned_state_to_json(taught().balancer.capture_learned_state(5000.0))))
     row["servers"]["s0"][key] = value
     with pytest.raises(ValueError, match=key):
@@ -228,7 +228,7 @@
         (encode_snapshot("n0", LearnedState(), 1.0, (1e15, 1e15)), "from the future"),
     ],
 )
-def test_what_is_of_no_use_is_logged_and_set_aside(
+def test_unusable_snapshot_is_logged_and_renamed(
     tmp_path: Path, caplog: pytest.LogCaptureFixture, data: bytes, why: str
 ):
     (tmp_path / snapshots.SNAPSHOT_NAME).write_bytes(data)
@@ -238,7 +238,7 @@
     assert not (tmp_path / snapshots.SNAPSHOT_NAME).exists()
 
 
-def test_a_folder_that_is_gone_costs_one_line_and_no_more(tmp_path: Path, caplog: pytest.LogCaptureFixture):
+def test_missing_folder_is_logged_once(tmp_path: Path, caplog: pytest.LogCaptureFixture):
     kept = SnapshotWriter(str(tmp_path / "gone"), "n0", lambda: (LearnedState(), 1.0))
     assert kept.read() is None
     kept.write()
@@ -246,7 +246,7 @@
     assert caplog.text.count("what is learned is not kept") == 1
 
 
-def test_a_node_begins_with_what_the_one_before_it_had_learned(tmp_path: Path):
+def test_node_restores_the_snapshot_of_the_previous_process(tmp_path: Path):
     async def main() -> None:
         async with FakeServer().up() as server:
             hosts = [entry("s", server.port)]
@@ -279,7 +279,7 @@
 
 
 @pytest.mark.parametrize("writes", [1, 2, 5])
-def test_whatever_kills_the_writer_the_file_is_whole(tmp_path: Path, writes: int):
+def test_snapshot_is_complete_after_its_writer_is_killed(tmp_path: Path, writes: int):
     """Guards against half a file: the writer is killed somewhere within its next write."""
     command = [sys.executable, "-c", WRITER, str(tmp_path)]
     with subprocess.Popen(command, cwd=ROOT, stdout=subprocess.PIPE) as process:
@@ -292,7 +292,7 @@
     assert len(kept.learned.servers) == 2000
 
 
-def test_one_is_written_seldom_where_it_costs_much(tmp_path: Path):
+def test_costly_snapshots_are_written_less_often(tmp_path: Path):
     async def main() -> None:
         kept = SnapshotWriter(str(tmp_path), "n0", lambda: (LearnedState(), 1.0))
         kept.last_cost_s = 0.1
@@ -307,7 +307,7 @@
     asyncio.run(main())
 
 
-def test_recalling_is_a_part_of_the_module_that_reads_no_clock():
+def test_restoration_of_an_empty_state():
     one = Balancer(settings(), seed=1, now_ms=0.0)
     assert one.restore_learned_state(10.0, LearnedState(), 5.0) == 0
 
@@ -315,31 +315,31 @@
 # ------------------------------------------------------------------ two processes
 
 
-def test_the_credit_for_cold_servers_is_shared_out_between_two_processes():
+def test_credit_is_shared_between_two_processes():
     """Both together may send a cold server no more than the one process could before the other came."""
-    bed = Bed(4)
-    for peer in bed.servers.values():
+    harness = BalancerHarness(4)
+    for peer in harness.servers.values():
         peer.credit = 1.6
-    bed.give(ProcessCountChanged(2))
-    assert [peer.credit for peer in bed.servers.values()] == [0.8] * 4
-    bed.give(ProcessCountChanged(2))
-    bed.give(ProcessCountChanged(1))
-    assert [peer.credit for peer in bed.servers.values()] == [0.8] * 4, "none comes from nothing"
+    harness.handle(ProcessCountChanged(2))
+    assert [peer.credit for peer in harness.servers.values()] == [0.8] * 4
+    harness.handle(ProcessCountChanged(2))
+    harness.handle(ProcessCountChanged(1))
+    assert [peer.credit for peer in harness.servers.values()] == [0.8] * 4, "none comes from nothing"
 
 
-def test_what_the_other_process_has_in_flight_counts_once():
+def test_load_of_a_sibling_process_counts_once():
     """It ranks a server down as one's own calls do, and no more where the server's own report has it in it."""
-    bed = Bed(2)
-    bed.give(SiblingProcessLoad({"s0": 6.0}))
-    assert {bed.serve() for _ in range(4)} == {"s1"}
-    first, second = bed.servers["s0"], bed.servers["s1"]
+    harness = BalancerHarness(2)
+    harness.handle(SiblingProcessLoad({"s0": 6.0}))
+    assert {harness.serve_request() for _ in range(4)} == {"s1"}
+    first, second = harness.servers["s0"], harness.servers["s1"]
     first.relative_latency = second.relative_latency = None
     first.load = second.load = 0.0
-    second.reported_queue, second.last_report_ms = 6.0, bed.now
-    first.reported_queue, first.last_report_ms = 6.0, bed.now
-    ratio = bed.parts.ranking.rank(bed.now, first) / bed.parts.ranking.rank(bed.now, second)
+    second.reported_queue, second.last_report_ms = 6.0, harness.now
+    first.reported_queue, first.last_report_ms = 6.0, harness.now
+    ratio = harness.parts.ranking.rank(harness.now, first) / harness.parts.ranking.rank(harness.now, second)
     assert 0.8 < ratio < 1.25
-    bed.give(SiblingProcessLoad({}))
+    harness.handle(SiblingProcessLoad({}))
     assert first.sibling_load == 0.0
 
 
@@ -364,9 +364,7 @@
         await asyncio.sleep(0.001)
 
 
-def test_a_disk_that_holds_a_file_up_does_not_hold_the_loop_up(
-    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
-) -> None:
+def test_slow_disk_does_not_block_the_event_loop(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(snapshots, "PERIOD_S", 0.001)
     disk = HeldDisk(monkeypatch)
 
@@ -386,7 +384,7 @@
     assert SnapshotWriter(str(tmp_path), "n0", lambda: (LearnedState(), 1.0)).read() is not None
 
 
-def test_one_that_a_disk_holds_up_past_the_end_replaces_nothing(
+def test_write_that_ends_after_close_replaces_nothing(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """The process that follows has written its own by then."""
@@ -413,7 +411,7 @@
 
 
 @pytest.mark.parametrize("on_disk", [False, True])
-def test_a_folder_that_goes_under_way_costs_one_line_and_is_written_again_once_back(
+def test_folder_that_disappears_is_logged_once_and_used_again(
     on_disk: bool, tmp_path: Path, monkeypatch: pytest.MonkeyPatch, caplog: pytest.LogCaptureFixture
 ) -> None:
     monkeypatch.setattr(snapshots, "PERIOD_S", 0.001)
--- a/tests/policy/test_mechanism.py
+++ b/tests/policy/test_mechanism.py
@@ -20,33 +20,33 @@
 )
 from rosewheel.policy.request_state import Attempt, RequestState
 from rosewheel.policy.settings import ServiceClass, Settings, Tenant
-from tests.support.balancers import SAFE, Bed, kinds, sent
+from tests.support.balancers import SAFE, BalancerHarness, action_types, forwarded
 
 
-def load_period(bed: Bed, latency: float, count: int = 30) -> None:
+def load_period(harness: BalancerHarness, latency: float, count: int = 30) -> None:
     for _ in range(count):
-        name, acts = bed.ask()
-        if sent(acts):
-            bed.end(name, sent(acts)[0].server, AttemptResult.OK, latency)
-    bed.period()
+        name, acts = harness.receive_request()
+        if forwarded(acts):
+            harness.finish_attempt(name, forwarded(acts)[0].server, AttemptResult.OK, latency)
+    harness.end_period()
 
 
 def test_cursor_moves_one_step_a_period_and_back():
-    bed = Bed()
-    load_period(bed, 200.0)
-    assert bed.parts.table.cursor == 0
+    harness = BalancerHarness()
+    load_period(harness, 200.0)
+    assert harness.parts.table.cursor == 0
     seen = []
     for _ in range(4):
-        load_period(bed, 950.0)
-        seen.append(bed.parts.table.cursor)
+        load_period(harness, 950.0)
+        seen.append(harness.parts.table.cursor)
     assert seen == [1, 2, 3, 4]
     for _ in range(8):
-        load_period(bed, 100.0)
-    assert bed.parts.table.cursor == 0
+        load_period(harness, 100.0)
+    assert harness.parts.table.cursor == 0
 
 
-def test_table_is_flat_then_falls_and_never_to_nothing():
-    balancer = Bed().balancer
+def test_table_is_flat_then_falls_and_stays_positive():
+    balancer = BalancerHarness().balancer
     entries = []
     for cursor in range(len(balancer.parts.table.shape)):
         balancer.parts.table.cursor = cursor
@@ -57,23 +57,23 @@
     assert 0.0 < balancer.parts.admission.threshold(1e-9, 1) < 1.0
 
 
-def test_an_entry_between_two_counts_is_met_in_proportion():
+def test_fractional_threshold_admits_a_proportion():
     """Guard: with a call or two in flight, whole entries refused all or nothing."""
-    bed = Bed(balancer_count=100)
-    bed.parts.table.cursor = len(bed.parts.table.shape) - 1
-    entry = bed.parts.admission.threshold(1 / 12, 4)
+    harness = BalancerHarness(balancer_count=100)
+    harness.parts.table.cursor = len(harness.parts.table.shape) - 1
+    entry = harness.parts.admission.threshold(1 / 12, 4)
     assert 0.1 < entry < 0.9
     admitted = 0
     for _ in range(1000):
-        name, acts = bed.ask("post")
-        for act in sent(acts):
+        name, acts = harness.receive_request("post")
+        for act in forwarded(acts):
             admitted += 1
-            bed.end(name, act.server, AttemptResult.OK)
+            harness.finish_attempt(name, act.server, AttemptResult.OK)
     assert abs(admitted / 1000 - entry) < 0.05
 
 
-def test_low_worth_is_shed_first_and_bends_further():
-    balancer = Bed().balancer
+def test_low_priority_is_shed_first_and_falls_further():
+    balancer = BalancerHarness().balancer
     high, low = balancer.parts.admission.threshold(1.0, 20), balancer.parts.admission.threshold(1 / 12, 20)
     assert low < high
     balancer.parts.table.cursor = len(balancer.parts.table.shape) - 1
@@ -83,159 +83,165 @@
     )
 
 
-def test_a_call_at_the_threshold_is_refused_at_once_low_rows_first():
-    bed = Bed(count=4)
+def test_request_at_the_threshold_is_rejected_at_once():
+    harness = BalancerHarness(count=4)
     outcome = {}
     for service in ("post", "read"):
         for _ in range(40):
-            _, acts = bed.ask(service)
-            if not sent(acts):
+            _, acts = harness.receive_request(service)
+            if not forwarded(acts):
                 break
-        outcome[service] = sum(peer.load for peer in bed.servers.values())
-        assert kinds(acts) == [RejectRequest]
+        outcome[service] = sum(peer.load for peer in harness.servers.values())
+        assert action_types(acts) == [RejectRequest]
     assert outcome["post"] < outcome["read"]
 
 
 def test_marked_retries_and_over_quota_tenants_fall_to_lower_rows():
-    bed = Bed(tenants=(Tenant("t", 4.0),), over_quota_weight=0.2)
+    harness = BalancerHarness(tenants=(Tenant("t", 4.0),), over_quota_weight=0.2)
     fresh = RequestReceived("a", "read", 9e9)
-    worth = bed.parts.admission.priority(bed.now, fresh, SAFE)
+    worth = harness.parts.admission.priority(harness.now, fresh, SAFE)
     assert (
-        bed.parts.admission.priority(bed.now, RequestReceived("b", "read", 9e9, is_retry=True), SAFE) < worth
+        harness.parts.admission.priority(harness.now, RequestReceived("b", "read", 9e9, is_retry=True), SAFE)
+        < worth
     )
     tenant = [
-        bed.parts.admission.priority(bed.now, RequestReceived("c", "read", 9e9, tenant="t"), SAFE)
+        harness.parts.admission.priority(harness.now, RequestReceived("c", "read", 9e9, tenant="t"), SAFE)
         for _ in range(4)
     ]
     assert tenant[:2] == [worth, worth]  # 4 a second over 2 siblings
     assert tenant[2] == tenant[3] == pytest.approx(0.2 * worth)
     assert (
-        bed.parts.admission.priority(bed.now + 1000, RequestReceived("d", "read", 9e9, tenant="t"), SAFE)
+        harness.parts.admission.priority(
+            harness.now + 1000, RequestReceived("d", "read", 9e9, tenant="t"), SAFE
+        )
         == worth
     )
 
 
-def test_over_quota_counts_at_the_front_only():
-    bed = Bed(tenants=(Tenant("t", 0.0),), over_quota_weight=0.2, tier=1)
-    assert bed.parts.admission.priority(bed.now, RequestReceived("c", "read", 9e9, tenant="t"), SAFE) == 1.0
+def test_quotas_count_at_the_first_tier_only():
+    harness = BalancerHarness(tenants=(Tenant("t", 0.0),), over_quota_weight=0.2, tier=1)
+    assert (
+        harness.parts.admission.priority(harness.now, RequestReceived("c", "read", 9e9, tenant="t"), SAFE)
+        == 1.0
+    )
 
 
 def test_threshold_grows_with_the_completion_rate():
-    bed = Bed()
-    before = bed.parts.admission.threshold(1.0, 4)
+    harness = BalancerHarness()
+    before = harness.parts.admission.threshold(1.0, 4)
     for _ in range(20):
-        load_period(bed, 100.0)
-    assert bed.parts.admission.threshold(1.0, 4) > before
+        load_period(harness, 100.0)
+    assert harness.parts.admission.threshold(1.0, 4) > before
 
 
-def test_calls_spread_by_queue_and_prefer_the_faster_server():
-    bed = Bed(count=2)
-    first = {sent(bed.ask()[1])[0].server for _ in range(2)}
+def test_requests_spread_by_queue_and_prefer_the_faster_server():
+    harness = BalancerHarness(count=2)
+    first = {forwarded(harness.receive_request()[1])[0].server for _ in range(2)}
     assert first == {"s0", "s1"}
-    bed = Bed(count=2)
+    harness = BalancerHarness(count=2)
     for _ in range(30):
         for server, latency in (("s0", 300.0), ("s1", 100.0)):
-            bed.parts.pool_load.record_outcome(bed.now, *judged(bed, server, latency))
-    took = [bed.serve() for _ in range(10)]
+            harness.parts.pool_load.record_outcome(harness.now, *judged(harness, server, latency))
+    took = [harness.serve_request() for _ in range(10)]
     assert took.count("s1") == 10
 
 
-def judged(bed: Bed, server: str, latency: float):
+def judged(harness: BalancerHarness, server: str, latency: float):
     request = RequestReceived("x", "read", 9e9)
-    attempt = Attempt(bed.servers[server], bed.now - latency)
-    job = RequestState(request, SAFE, bed.parts.shared.settings, bed.now, 1.0, [attempt])
+    attempt = Attempt(harness.servers[server], harness.now - latency)
+    job = RequestState(request, SAFE, harness.parts.shared.settings, harness.now, 1.0, [attempt])
     return job, AttemptFinished("x", 0, server, AttemptResult.OK, latency, True)
 
 
-def test_a_crossing_costs_rank_where_it_has_a_price():
-    free, priced = Bed(count=2), Bed(count=2, cross_zone_cost=0.1)
-    assert {free.serve() for _ in range(12)} == {"s0", "s1"}
-    assert {priced.serve() for _ in range(12)} == {"s0"}
+def test_crossing_of_zones_worsens_the_rank():
+    free, priced = BalancerHarness(count=2), BalancerHarness(count=2, cross_zone_cost=0.1)
+    assert {free.serve_request() for _ in range(12)} == {"s0", "s1"}
+    assert {priced.serve_request() for _ in range(12)} == {"s0"}
 
 
-def test_a_crowded_zone_spills_over():
-    bed = Bed(count=2, cross_zone_cost=0.03)
+def test_requests_leave_a_busy_zone():
+    harness = BalancerHarness(count=2, cross_zone_cost=0.03)
     took = []
     for _ in range(6):
-        _, acts = bed.ask()
-        took += [act.server for act in sent(acts)]
+        _, acts = harness.receive_request()
+        took += [act.server for act in forwarded(acts)]
     assert took[0] == "s0"
     assert "s1" in took
 
 
-def test_a_reported_queue_counts_and_fades():
-    bed = Bed(count=2)
-    name, acts = bed.ask()
-    server = sent(acts)[0].server
-    bed.end(name, server, AttemptResult.OK, 100.0, report={"queue": 8.0})
+def test_reported_queue_counts_and_fades():
+    harness = BalancerHarness(count=2)
+    name, acts = harness.receive_request()
+    server = forwarded(acts)[0].server
+    harness.finish_attempt(name, server, AttemptResult.OK, 100.0, report={"queue": 8.0})
     other = ({"s0", "s1"} - {server}).pop()
-    assert [bed.serve() for _ in range(5)] == [other] * 5
-    bed.now += 5000
-    assert server in {bed.serve() for _ in range(10)}
+    assert [harness.serve_request() for _ in range(5)] == [other] * 5
+    harness.now += 5000
+    assert server in {harness.serve_request() for _ in range(10)}
 
 
 def test_reported_utilisation_over_target_moves_the_cursor():
-    bed = Bed(count=2)
+    harness = BalancerHarness(count=2)
     for _ in range(12):
-        bed.serve(latency=50.0, report={"util": 1.0})
-    bed.period()
-    assert bed.parts.table.cursor == 1
+        harness.serve_request(latency=50.0, report={"util": 1.0})
+    harness.end_period()
+    assert harness.parts.table.cursor == 1
 
 
-def test_answers_refused_as_full_move_the_cursor():
-    bed = Bed()
-    name, acts = bed.ask()
-    bed.end(name, sent(acts)[0].server, AttemptResult.OVERLOADED, 1.0)
-    bed.period()
-    assert bed.parts.table.cursor == 1
+def test_overloaded_results_move_the_cursor():
+    harness = BalancerHarness()
+    name, acts = harness.receive_request()
+    harness.finish_attempt(name, forwarded(acts)[0].server, AttemptResult.OVERLOADED, 1.0)
+    harness.end_period()
+    assert harness.parts.table.cursor == 1
 
 
 def test_few_outcomes_of_a_period_do_not_move_the_cursor():
     """Guard: on quiet pools a single heavy answer pushed the cursor right and refused calls."""
-    bed = Bed()
+    harness = BalancerHarness()
     for _ in range(3):
-        load_period(bed, 200.0)
-    load_period(bed, 900.0, count=1)
-    assert bed.parts.table.cursor == 0
+        load_period(harness, 200.0)
+    load_period(harness, 900.0, count=1)
+    assert harness.parts.table.cursor == 0
 
 
-def test_the_cursor_turns_back_soon_where_few_calls_are_left_in_flight():
+def test_cursor_returns_soon_where_few_requests_are_left_in_flight():
     """Guard: once calls were shed each period had few outcomes, the smoothed latency stayed over its target
     long after the servers were quick again, and the cursor ran to its end and refused nearly all."""
-    bed = Bed()
+    harness = BalancerHarness()
     for _ in range(3):
-        load_period(bed, 200.0)
+        load_period(harness, 200.0)
     for _ in range(3):
-        load_period(bed, 900.0)
+        load_period(harness, 900.0)
     for _ in range(6):
-        load_period(bed, 200.0, count=2)
-    assert bed.parts.table.cursor <= 5  # 3 and 6 more it was, at the end of these
+        load_period(harness, 200.0, count=2)
+    assert harness.parts.table.cursor <= 5  # 3 and 6 more it was, at the end of these
 
 
-def test_start_does_not_refuse_an_ordinary_load():
+def test_ordinary_load_is_admitted_at_start_up():
     """Guard: a table sized before anything was learned refused a fifth of the first seconds."""
-    bed = Bed(count=10)
-    assert all(sent(bed.ask("post")[1]) for _ in range(8))
+    harness = BalancerHarness(count=10)
+    assert all(forwarded(harness.receive_request("post")[1]) for _ in range(8))
 
 
-def test_work_counts_where_worth_goes_by_work():
-    bed = Bed(weight_by_work=True)
-    bed.ask(cost_hint_ms=10.0)
-    bed.ask(cost_hint_ms=100.0)
-    loads = sorted(peer.load for peer in bed.servers.values())
+def test_estimated_work_weighs_requests():
+    harness = BalancerHarness(weight_by_work=True)
+    harness.receive_request(cost_hint_ms=10.0)
+    harness.receive_request(cost_hint_ms=100.0)
+    loads = sorted(peer.load for peer in harness.servers.values())
     assert loads[-1] > loads[-2] > 0
 
 
-def test_no_server_no_send():
-    bed = Bed(count=0)
-    assert kinds(bed.ask("post")[1]) == [RejectRequest]
+def test_request_is_rejected_without_servers():
+    harness = BalancerHarness(count=0)
+    assert action_types(harness.receive_request("post")[1]) == [RejectRequest]
 
 
-def test_refusals_carry_a_wait_at_the_front_only():
+def test_rejections_have_a_retry_delay_at_the_first_tier_only():
     for tier, expected in ((0, True), (1, False)):
-        bed = Bed(count=0, tier=tier, retry_after=True, max_retry_after_ms=1000.0)
-        bed.parts.table.cursor = 3
-        refusal = bed.ask()[1][-1]
+        harness = BalancerHarness(count=0, tier=tier, retry_after=True, max_retry_after_ms=1000.0)
+        harness.parts.table.cursor = 3
+        refusal = harness.receive_request()[1][-1]
         assert isinstance(refusal, RejectRequest)
         assert (refusal.retry_after_ms > 0) is expected
 
@@ -253,99 +259,107 @@
 
 def test_same_events_same_actions():
     def run() -> list[list[Action]]:
-        bed = Bed(count=6)
+        harness = BalancerHarness(count=6)
         acts = []
         for at in range(60):
-            name, one = bed.ask(("read", "post", "points")[at % 3])
+            name, one = harness.receive_request(("read", "post", "points")[at % 3])
             acts.append(one)
-            if sent(one):
-                acts.append(bed.end(name, sent(one)[0].server, list(AttemptResult)[at % 8], 50.0 + at))
-            acts.append(bed.period(20.0))
+            if forwarded(one):
+                acts.append(
+                    harness.finish_attempt(
+                        name, forwarded(one)[0].server, list(AttemptResult)[at % 8], 50.0 + at
+                    )
+                )
+            acts.append(harness.end_period(20.0))
         return acts
 
     assert run() == run()
 
 
-def test_a_period_without_outcomes_leaves_the_cursor_but_long_silence_brings_it_back():
+def test_cursor_stays_in_a_silent_period_and_returns_after_many():
     """Guard: quiet nodes counted empty periods as load 0 and never shed."""
-    bed = Bed()
-    load_period(bed, 200.0)
+    harness = BalancerHarness()
+    load_period(harness, 200.0)
     for _ in range(3):
-        load_period(bed, 950.0)
-    before = bed.parts.table.cursor
+        load_period(harness, 950.0)
+    before = harness.parts.table.cursor
     assert before > 0
     for _ in range(4):
-        bed.period()
-    assert bed.parts.table.cursor == before
+        harness.end_period()
+    assert harness.parts.table.cursor == before
     for _ in range(20):
-        bed.period()
-    assert bed.parts.table.cursor == 0
+        harness.end_period()
+    assert harness.parts.table.cursor == 0
 
 
 @pytest.mark.parametrize(
     ("service", "name", "field"), [("unheard of", "new", "service"), ("read", "held", "id")]
 )
-def test_a_bad_request_is_named_and_changes_nothing(service, name, field):
-    bed, twin = Bed(), Bed()
-    for one in (bed, twin):
-        one.give(RequestReceived("held", "read", one.now + 1000.0))
+def test_wrong_request_raises_and_changes_nothing(service, name, field):
+    harness, twin = BalancerHarness(), BalancerHarness()
+    for one in (harness, twin):
+        one.handle(RequestReceived("held", "read", one.now + 1000.0))
     with pytest.raises(ValueError, match=field):
-        bed.give(RequestReceived(name, service, bed.now + 1000.0))
-    assert list(bed.parts.shared.requests) == ["held"]
-    assert bed.ask("read") == twin.ask("read")
+        harness.handle(RequestReceived(name, service, harness.now + 1000.0))
+    assert list(harness.parts.shared.requests) == ["held"]
+    assert harness.receive_request("read") == twin.receive_request("read")
 
 
-def test_a_first_event_that_is_refused_does_not_lose_the_first_timer():
-    fresh = Balancer(Bed().balancer.parts.shared.settings, 1, 0.0)
+def test_wrong_first_event_does_not_lose_the_first_timer():
+    fresh = Balancer(BalancerHarness().balancer.parts.shared.settings, 1, 0.0)
     with pytest.raises(ValueError, match="service"):
         fresh.handle(0.0, RequestReceived("x", "unheard of", 1000.0))
-    assert StartTimer in kinds(fresh.handle(0.0, TimerFired("other")))
+    assert StartTimer in action_types(fresh.handle(0.0, TimerFired("other")))
 
 
 @pytest.mark.parametrize("value", [float("nan"), float("inf"), -5.0, 1e300])
-def test_an_absurd_report_does_not_poison_the_rank(value):
+def test_absurd_load_report_is_ignored(value):
     """Guard: a queue that is not a number made a server unusable or always best."""
-    bed = Bed(count=2)
+    harness = BalancerHarness(count=2)
     for _ in range(4):
-        bed.serve(report={"queue": value, "util": value, "unheard of": value})
-    bed.now += 2_000_000.0
-    assert {act.server for _ in range(4) for act in sent(bed.ask()[1])} == {"s0", "s1"}
-    bed.period()
-    assert bed.parts.table.cursor in (0, 1)
-
-
-def test_recovery_as_soon_as_a_server_is_listed():
-    bed = Bed(count=0)
-    assert kinds(bed.ask("post")[1]) == [RejectRequest]
-    bed.give(EndpointListUpdate(EndpointListForm.DELTA, (Server("s0", "a"),)))
-    assert sent(bed.ask("post")[1])
-    bed.give(EndpointListUpdate(EndpointListForm.DELTA, (Server("s0", "a", state=ServerState.DRAINING),)))
-    assert kinds(bed.ask("post")[1]) == [RejectRequest]
+        harness.serve_request(report={"queue": value, "util": value, "unheard of": value})
+    harness.now += 2_000_000.0
+    assert {act.server for _ in range(4) for act in forwarded(harness.receive_request()[1])} == {"s0", "s1"}
+    harness.end_period()
+    assert harness.parts.table.cursor in (0, 1)
+
+
+def test_requests_are_sent_as_soon_as_a_server_is_listed():
+    harness = BalancerHarness(count=0)
+    assert action_types(harness.receive_request("post")[1]) == [RejectRequest]
+    harness.handle(EndpointListUpdate(EndpointListForm.DELTA, (Server("s0", "a"),)))
+    assert forwarded(harness.receive_request("post")[1])
+    harness.handle(
+        EndpointListUpdate(EndpointListForm.DELTA, (Server("s0", "a", state=ServerState.DRAINING),))
+    )
+    assert action_types(harness.receive_request("post")[1]) == [RejectRequest]
 
 
-def test_the_quiet_baseline_is_not_what_the_first_period_happens_to_bring():
+def test_baseline_needs_more_than_one_period():
     """Guard: only fast answers are back after one period; a baseline that low refused half of a day."""
-    bed = Bed()
-    load_period(bed, 50.0, count=2)
-    load_period(bed, 500.0, count=6)
-    assert bed.parts.table.cursor == 0
+    harness = BalancerHarness()
+    load_period(harness, 50.0, count=2)
+    load_period(harness, 500.0, count=6)
+    assert harness.parts.table.cursor == 0
 
 
-def test_a_node_that_has_shed_much_stands_more_latency_than_one_that_has_not():
+def test_cursor_settles_at_the_same_slot_from_both_ends():
     """Guards against one node that sheds for all: others take up what it sheds; its latency stays over."""
 
     def settles_at(start: int) -> int:
-        bed = Bed()
-        balancer = bed.balancer
+        harness = BalancerHarness()
+        balancer = harness.balancer
         for _ in range(12):
             for _ in range(5):
-                bed.serve(latency=200.0)
-            bed.period(0.0)
+                harness.serve_request(latency=200.0)
+            harness.end_period(0.0)
         balancer.parts.table.cursor = start
         for _ in range(60):
             for _ in range(5):
-                bed.serve(latency=320.0)  # 1.14 of the target at the left end, 0.9 at the right one
-            bed.period(0.0)
+                harness.serve_request(
+                    latency=320.0
+                )  # 1.14 of the target at the left end, 0.9 at the right one
+            harness.end_period(0.0)
         return balancer.parts.table.cursor
 
     assert settles_at(14) == settles_at(0)
--- a/tests/policy/test_pool.py
+++ b/tests/policy/test_pool.py
@@ -32,7 +32,7 @@
 from rosewheel.policy.ranking import Ranking
 from rosewheel.policy.server_stats import ServerStats
 from rosewheel.policy.settings import DedupScope, Idempotency, ServiceClass
-from tests.support.balancers import KEYED, Bed, sent, settings
+from tests.support.balancers import KEYED, BalancerHarness, forwarded, settings
 
 MANY = 1000
 NAMES = st.sampled_from([f"s{at}" for at in range(SMALL_POOL_SIZE + 12)])
@@ -82,7 +82,7 @@
         for _ in range(count):
             self.number += 1
             request = RequestReceived(f"r{self.number}", "points", self.now + 5000.0)
-            sends = sent(self.balancer.handle(self.now, request))
+            sends = forwarded(self.balancer.handle(self.now, request))
             assert all(one.server in may for one in sends), "sent to one that is out"
             self.open += sends
 
@@ -98,7 +98,7 @@
         attempt = len(job.attempts) - 1
         first = job.attempts[0].server
         done = result is AttemptResult.OK
-        again = sent(
+        again = forwarded(
             self.balancer.handle(self.now, AttemptFinished(one.id, attempt, one.server, result, 90.0, done))
         )
         assert not {item.server for item in again} & {
@@ -145,7 +145,7 @@
 TestPool = PoolMachine.TestCase
 
 
-def test_one_that_left_the_list_and_came_back_is_not_tried_again():
+def test_server_that_was_listed_again_is_not_retried():
     machine = PoolMachine()
     machine.whole({"s0"})
     machine.ask(1)
@@ -184,34 +184,36 @@
 
 
 @pytest.mark.parametrize("why", ["down", "cold", "cordoned"])
-def test_three_of_a_thousand_are_found_at_a_bounded_cost(why: str, monkeypatch: pytest.MonkeyPatch):
-    bed = Bed(0, warm_up_initial_share=0.001, warm_up_ms=1e9)
-    bed.give(EndpointListUpdate(EndpointListForm.SNAPSHOT, tuple(_few(why, bed.now))))
+def test_few_usable_servers_of_a_thousand_are_found_at_a_bounded_cost(
+    why: str, monkeypatch: pytest.MonkeyPatch
+):
+    harness = BalancerHarness(0, warm_up_initial_share=0.001, warm_up_ms=1e9)
+    harness.handle(EndpointListUpdate(EndpointListForm.SNAPSHOT, tuple(_few(why, harness.now))))
     if why == "cold":
-        for peer in bed.servers.values():
+        for peer in harness.servers.values():
             peer.credit = min(peer.credit, 0.5)
     if why == "cordoned":
         for at in range(3, MANY):
-            bed.give(CordonChanged(f"s{at}", True))
+            harness.handle(CordonChanged(f"s{at}", True))
     looks = _counted(monkeypatch)
     for at in range(200):
         looks[0] = 0
-        assert bed.serve() in ("s0", "s1", "s2"), at
+        assert harness.serve_request() in ("s0", "s1", "s2"), at
         assert looks[0] <= WARM_SAMPLE + WARMING_SAMPLE
 
 
-def test_where_none_of_a_thousand_may_be_picked_the_answer_comes_at_once(monkeypatch: pytest.MonkeyPatch):
-    bed = Bed(0, warm_up_initial_share=0.001, warm_up_ms=1e9)
-    bed.give(EndpointListUpdate(EndpointListForm.SNAPSHOT, tuple(_few("cold", bed.now)[3:])))
-    for peer in bed.servers.values():
+def test_request_is_rejected_at_a_bounded_cost_where_no_server_is_usable(monkeypatch: pytest.MonkeyPatch):
+    harness = BalancerHarness(0, warm_up_initial_share=0.001, warm_up_ms=1e9)
+    harness.handle(EndpointListUpdate(EndpointListForm.SNAPSHOT, tuple(_few("cold", harness.now)[3:])))
+    for peer in harness.servers.values():
         peer.credit = 0.0
     looks = _counted(monkeypatch)
-    _, acts = bed.ask()
+    _, acts = harness.receive_request()
     assert [type(act) for act in acts if not isinstance(act, StartTimer)] == [RejectRequest]
     assert looks[0] <= WARM_SAMPLE + WARMING_SAMPLE
 
 
-def test_a_keyed_repeat_finds_its_small_group_among_a_thousand(monkeypatch: pytest.MonkeyPatch):
+def test_retry_with_key_finds_its_group_among_a_thousand(monkeypatch: pytest.MonkeyPatch):
     """Guards the key: only the three servers of its cell drop the repeat."""
     kind = ServiceClass(
         "points",
@@ -221,37 +223,37 @@
         dedup_scope=DedupScope.CELL,
         dedup_window_ms=9000,
     )
-    bed = Bed(0, classes=(kind,))
+    harness = BalancerHarness(0, classes=(kind,))
     rows = [Server(f"s{at}", zone="a", cell=at // 3) for at in range(MANY)]
-    bed.give(EndpointListUpdate(EndpointListForm.SNAPSHOT, tuple(rows)))
+    harness.handle(EndpointListUpdate(EndpointListForm.SNAPSHOT, tuple(rows)))
     looks = _counted(monkeypatch)
     for _ in range(50):
-        name, acts = bed.ask("points")
-        first = sent(acts)[0].server
+        name, acts = harness.receive_request("points")
+        first = forwarded(acts)[0].server
         looks[0] = 0
-        again = sent(bed.end(name, first, AttemptResult.RESET))
+        again = forwarded(harness.finish_attempt(name, first, AttemptResult.RESET))
         assert [int(one.server[1:]) // 3 for one in again] == [int(first[1:]) // 3]
         assert again[0].server != first
         assert looks[0] <= GROUP_SAMPLE
-        bed.end(name, again[0].server, AttemptResult.OK, attempt=1)
+        harness.finish_attempt(name, again[0].server, AttemptResult.OK, attempt=1)
 
 
-def test_cold_servers_of_a_large_pool_get_their_share_and_no_more():
+def test_warming_servers_of_a_large_pool_get_their_share():
     """Each may be sent what its warmth allows of what one server is asked, and gets some of it soon."""
-    bed = Bed(0, warm_up_initial_share=0.2, warm_up_ms=20_000.0)
-    rows = [Server(f"s{at}", zone="a", launched_ms=bed.now if at < 100 else None) for at in range(500)]
-    bed.give(EndpointListUpdate(EndpointListForm.SNAPSHOT, tuple(rows)))
+    harness = BalancerHarness(0, warm_up_initial_share=0.2, warm_up_ms=20_000.0)
+    rows = [Server(f"s{at}", zone="a", launched_ms=harness.now if at < 100 else None) for at in range(500)]
+    harness.handle(EndpointListUpdate(EndpointListForm.SNAPSHOT, tuple(rows)))
     counts = dict.fromkeys((row.address for row in rows), 0)
-    due = bed.now + bed.balancer.period_ms
+    due = harness.now + harness.balancer.period_ms
     for _ in range(8000):  # two a millisecond, for 4 s
-        name, acts = bed.ask()
-        for one in sent(acts):
+        name, acts = harness.receive_request()
+        for one in forwarded(acts):
             counts[one.server] += 1
-            bed.end(name, one.server, AttemptResult.OK, 50.0)
-        bed.now += 0.5
-        if bed.now >= due:
-            bed.give(TimerFired("period"))
-            due = bed.now + bed.balancer.period_ms
+            harness.finish_attempt(name, one.server, AttemptResult.OK, 50.0)
+        harness.now += 0.5
+        if harness.now >= due:
+            harness.handle(TimerFired("period"))
+            due = harness.now + harness.balancer.period_ms
     cold = [counts[f"s{at}"] for at in range(100)]
     warm = [counts[f"s{at}"] for at in range(100, 500)]
     each = 8000 / 500
--- a/tests/policy/test_request_rules.py
+++ b/tests/policy/test_request_rules.py
@@ -219,7 +219,7 @@
     cancel=st.booleans(),
     moves=st.lists(MOVES, min_size=10, max_size=120),
 )
-def test_the_rules_hold_over_any_legal_sequence(seed, attempts, cancel, moves):
+def test_request_rules_hold_over_any_legal_sequence(seed, attempts, cancel, moves):
     referee = Referee(seed, attempts, cancel)
     rows = tuple(Server(f"s{at}", "ab"[at % 2], at % 3) for at in range(6))
     referee.give(EndpointListUpdate(EndpointListForm.CACHED, rows))
@@ -245,7 +245,7 @@
     gaps=st.lists(st.floats(0.5, 40.0), min_size=200, max_size=400),
     latency=st.floats(5.0, 80.0),
 )
-def test_a_cold_server_never_gets_more_than_its_share(seed, gaps, latency):
+def test_warming_server_never_gets_more_than_its_share(seed, gaps, latency):
     """Whatever the traffic, a cold server stays under its present share of what warm ones get."""
     referee = Referee(seed, 2, True)
     rows = [Server(f"s{at}", "a", 0) for at in range(5)]
--- a/tests/policy/test_settings_change.py
+++ b/tests/policy/test_settings_change.py
@@ -36,7 +36,16 @@
 from rosewheel.policy.slow_start import CAPACITY_SAMPLE, SlowStart
 from rosewheel.policy.throughput import Throughput
 from tests.node.test_event_orders import KINDS, STEP, World
-from tests.support.balancers import KEYED, SAFE, UNSAFE, Bed, kinds, sent, servers, settings
+from tests.support.balancers import (
+    KEYED,
+    SAFE,
+    UNSAFE,
+    BalancerHarness,
+    action_types,
+    forwarded,
+    servers,
+    settings,
+)
 
 CLASSES: list[tuple[ServiceClass, ...]] = [
     tuple(KINDS.values()),
@@ -92,7 +101,7 @@
 
 
 @given(st.lists(st.one_of(STEP, CONFIGURE), max_size=60), st.booleans(), st.booleans())
-def test_any_order_with_other_settings_leaves_one_answer_no_second_run_and_nothing_open(
+def test_request_rules_hold_over_any_order_of_settings_changes(
     steps: list[tuple[Any, ...]], cancel: bool, copies: bool
 ):
     world = Changing(cancel, copies)
@@ -112,7 +121,7 @@
 
 
 @given(st.lists(st.one_of(STEP, CONFIGURE), max_size=40), st.integers(1, 5))
-def test_the_same_settings_again_change_nothing(steps: list[tuple[Any, ...]], every: int):
+def test_equal_settings_change_nothing(steps: list[tuple[Any, ...]], every: int):
     """Guards what was learned against a reload that says nothing new: all that a node does, it does as without it."""
     plain, told = Changing(True, True), Changing(True, True)
     for at, step in enumerate(steps):
@@ -158,7 +167,7 @@
     st.integers(1, 5),
     st.sampled_from([*STAGES, "zone", "tier"]),
 )
-def test_what_can_not_be_applied_leaves_everything_as_it_was(
+def test_failed_settings_change_is_rolled_back(
     steps: list[tuple[Any, ...]], every: int, why: tuple[object, str] | str
 ):
     """Guards against half of a change, also where the module fails in the middle of it."""
@@ -208,17 +217,17 @@
     return why == (ServerPool, "restart_slow_start") and cfg.warm_up_ms == node.settings.warm_up_ms
 
 
-def test_what_was_drawn_for_a_change_that_failed_is_given_back():
+def test_failed_settings_change_restores_the_random_state():
     """Of a large pool, whose strength is that of some drawn servers."""
-    bed = Bed(0, balancer_count=1)
-    bed.give(EndpointListUpdate(EndpointListForm.SNAPSHOT, servers(2 * CAPACITY_SAMPLE)))
-    before = bed.parts.shared.rng.getstate()
+    harness = BalancerHarness(0, balancer_count=1)
+    harness.handle(EndpointListUpdate(EndpointListForm.SNAPSHOT, servers(2 * CAPACITY_SAMPLE)))
+    before = harness.parts.shared.rng.getstate()
     with pytest.MonkeyPatch.context() as patch:
         patch.setattr(Throughput, "restart_smoothing", fault)
         with pytest.raises(FaultError):
-            configure(bed, balancer_count=30)
-    assert bed.parts.shared.rng.getstate() == before
-    assert not bed.parts.shared.in_large_fleet
+            configure(harness, balancer_count=30)
+    assert harness.parts.shared.rng.getstate() == before
+    assert not harness.parts.shared.in_large_fleet
 
 
 # ------------------------------------------------------------ what is in flight
@@ -242,7 +251,7 @@
     return found[0]
 
 
-def test_a_class_that_is_removed_serves_what_it_has_taken():
+def test_requests_of_a_removed_class_are_finished():
     node = made()
     only(node.receive_request(1.0, RequestReceived("r", "read", 2500.0)), StartAttempt)
     change(node, 2.0, classes=(UNSAFE,))
@@ -257,14 +266,14 @@
     assert "read" not in node.balancer.parts.shared.class_latency_ms
 
 
-def test_work_that_was_unsafe_when_it_was_taken_is_not_run_twice():
+def test_idempotency_holds_as_when_the_request_was_received():
     node = made()
     only(node.receive_request(1.0, RequestReceived("r", "post", 2500.0)), StartAttempt)
     change(node, 2.0, classes=(dataclasses.replace(UNSAFE, idempotency=Idempotency.IDEMPOTENT),))
     assert only(node.attempt_finished(3.0, "r", 0, AttemptResult.RESET), SendResponse).status == 502
 
 
-def test_a_deadline_that_is_shortened_holds_for_what_comes_later():
+def test_shorter_deadline_holds_for_later_requests():
     node = made()
     first = only(node.receive_request(1.0, RequestReceived("r", "read", 2500.0)), StartAttempt)
     change(node, 2.0, classes=(dataclasses.replace(SAFE, latency_objective_ms=100.0, deadline_ms=200.0),))
@@ -275,7 +284,7 @@
     assert only(node.attempt_finished(900.0, "r", 0, AttemptResult.OK), SendResponse).status == 200
 
 
-def test_a_stop_waits_for_what_was_taken_under_a_longer_patience():
+def test_shutdown_waits_for_requests_with_a_longer_deadline():
     node = made()
     node.receive_request(0.0, RequestReceived("r", "read", 5000.0))
     change(node, 1.0, classes=(dataclasses.replace(SAFE, latency_objective_ms=100.0, deadline_ms=200.0),))
@@ -284,7 +293,7 @@
     assert node.longest_remaining_deadline_ms(1000.0) == 200.0
 
 
-def test_fewer_attempts_hold_for_what_comes_later():
+def test_lower_max_attempts_holds_for_later_requests():
     """Also where an open request has used more than are allowed by now."""
     node = made()
     node.receive_request(1.0, RequestReceived("r", "read", 2500.0))
@@ -297,7 +306,7 @@
 
 
 @pytest.mark.parametrize("before", [True, False])
-def test_whether_an_attempt_may_be_taken_back_holds_as_when_it_was_taken(before: bool):
+def test_cancellation_setting_holds_as_when_the_request_was_received(before: bool):
     node = made(may_cancel=before)
     node.receive_request(1.0, RequestReceived("r", "read", 2500.0))
     change(node, 2.0, may_cancel=not before)
@@ -306,7 +315,7 @@
 
 
 @pytest.mark.parametrize("before", [True, False])
-def test_whether_attempts_may_overlap_holds_as_when_it_was_taken(before: bool):
+def test_hedging_setting_holds_as_when_the_request_was_received(before: bool):
     node = made(Limits(hedging_allowed=before))
     node.receive_request(1.0, RequestReceived("r", "read", 2500.0))
     node.configure(2.0, node.settings, Limits(hedging_allowed=not before))
@@ -317,7 +326,7 @@
     )
 
 
-def test_more_that_are_open_than_are_allowed_by_now_go_on():
+def test_requests_above_a_lowered_limit_are_finished():
     node = made()
     for id in ("a", "b"):
         node.receive_request(1.0, RequestReceived(id, "read", 2500.0))
@@ -331,51 +340,51 @@
 # --------------------------------------------------------------- what is learned
 
 
-def quiet(bed: Bed, periods: int, latency: float, each: int = 4) -> int:
+def quiet(harness: BalancerHarness, periods: int, latency: float, each: int = 4) -> int:
     """So many periods, in each of which so many requests take so long; how many were sent."""
     count = 0
     for _ in range(periods):
         taken = []
         for _ in range(each):
-            name, acts = bed.ask()
-            taken += [(name, send.server) for send in sent(acts)]
+            name, acts = harness.receive_request()
+            taken += [(name, send.server) for send in forwarded(acts)]
         for name, server in taken:
-            bed.end(name, server, AttemptResult.OK, latency)
+            harness.finish_attempt(name, server, AttemptResult.OK, latency)
         count += len(taken)
-        bed.period()
+        harness.end_period()
     return count
 
 
-def configure(bed: Bed, **changes: Any) -> list[Action]:
-    return bed.give(SettingsChanged(dataclasses.replace(bed.parts.shared.settings, **changes)))
+def configure(harness: BalancerHarness, **changes: Any) -> list[Action]:
+    return harness.handle(SettingsChanged(dataclasses.replace(harness.parts.shared.settings, **changes)))
 
 
-def test_a_shorter_aim_is_no_overload():
+def test_shorter_objective_is_no_overload():
     """Guards against a baseline that stays behind: with half the aim the same answers take twice the share of it."""
-    bed = Bed(4, classes=(SAFE,), warm_up_ms=0.0)
-    quiet(bed, 30, latency=200.0)
-    assert bed.parts.pool_load.baseline_ratio == pytest.approx(0.2, rel=0.01)
-    configure(bed, classes=(dataclasses.replace(SAFE, latency_objective_ms=500.0),))
-    assert bed.parts.pool_load.baseline_ratio == pytest.approx(0.4, rel=0.01)
+    harness = BalancerHarness(4, classes=(SAFE,), warm_up_ms=0.0)
+    quiet(harness, 30, latency=200.0)
+    assert harness.parts.pool_load.baseline_ratio == pytest.approx(0.2, rel=0.01)
+    configure(harness, classes=(dataclasses.replace(SAFE, latency_objective_ms=500.0),))
+    assert harness.parts.pool_load.baseline_ratio == pytest.approx(0.4, rel=0.01)
     for _ in range(30):
-        quiet(bed, 1, latency=200.0)
-        assert bed.parts.table.cursor == 0
+        quiet(harness, 1, latency=200.0)
+        assert harness.parts.table.cursor == 0
 
 
-def test_what_was_taken_under_the_old_aim_teaches_by_the_new_one():
-    bed = Bed(4, classes=(SAFE,), warm_up_ms=0.0)
-    quiet(bed, 30, latency=200.0)
-    name, acts = bed.ask()
-    configure(bed, classes=(dataclasses.replace(SAFE, latency_objective_ms=500.0),))
-    bed.end(name, sent(acts)[0].server, AttemptResult.OK, 200.0)
-    assert bed.parts.pool_load.latency_ratios == [pytest.approx(0.4)]
+def test_latency_counts_by_the_present_objective():
+    harness = BalancerHarness(4, classes=(SAFE,), warm_up_ms=0.0)
+    quiet(harness, 30, latency=200.0)
+    name, acts = harness.receive_request()
+    configure(harness, classes=(dataclasses.replace(SAFE, latency_objective_ms=500.0),))
+    harness.finish_attempt(name, forwarded(acts)[0].server, AttemptResult.OK, 200.0)
+    assert harness.parts.pool_load.latency_ratios == [pytest.approx(0.4)]
 
 
-def test_no_class_in_common_begins_anew():
-    bed = Bed(4, classes=(SAFE,), warm_up_ms=0.0)
-    quiet(bed, 30, latency=200.0)
-    configure(bed, classes=(dataclasses.replace(SAFE, name="other", latency_objective_ms=300.0),))
-    one = bed.balancer
+def test_learning_restarts_without_a_class_in_common():
+    harness = BalancerHarness(4, classes=(SAFE,), warm_up_ms=0.0)
+    quiet(harness, 30, latency=200.0)
+    configure(harness, classes=(dataclasses.replace(SAFE, name="other", latency_objective_ms=300.0),))
+    one = harness.balancer
     assert (
         one.parts.pool_load.baseline_ratio,
         one.parts.pool_load.smoothed_ratio,
@@ -386,139 +395,143 @@
     assert one.parts.throughput.peak_completion_rate > 0.0  # the pool is the same
 
 
-def test_a_shorter_period_begins_when_the_one_that_runs_has_ended():
+def test_shorter_period_begins_at_the_end_of_the_present_one():
     """Guards the rate: what a long period completed is not what a short one does."""
     slow = dataclasses.replace(SAFE, latency_objective_ms=10000.0, deadline_ms=20000.0)
-    bed = Bed(4, classes=(slow,), warm_up_ms=0.0)
-    quiet(bed, 10, latency=200.0)
-    peak = bed.parts.throughput.peak_completion_rate
+    harness = BalancerHarness(4, classes=(slow,), warm_up_ms=0.0)
+    quiet(harness, 10, latency=200.0)
+    peak = harness.parts.throughput.peak_completion_rate
     for _ in range(4):
-        bed.serve(latency=0.0)
-    configure(bed, classes=(dataclasses.replace(SAFE, latency_objective_ms=100.0, deadline_ms=200.0),))
-    acts = bed.period()
-    assert bed.parts.throughput.peak_completion_rate <= peak * 1.05
+        harness.serve_request(latency=0.0)
+    configure(harness, classes=(dataclasses.replace(SAFE, latency_objective_ms=100.0, deadline_ms=200.0),))
+    acts = harness.end_period()
+    assert harness.parts.throughput.peak_completion_rate <= peak * 1.05
     assert [act.delay_ms for act in acts if isinstance(act, StartTimer)] == [15.0]
-    assert bed.parts.throughput.period_count * bed.balancer.period_ms >= START_UP_MS  # it does not start anew
+    assert (
+        harness.parts.throughput.period_count * harness.balancer.period_ms >= START_UP_MS
+    )  # it does not start anew
 
 
-def rates(bed: Bed) -> tuple[float, float, float | None]:
+def rates(harness: BalancerHarness) -> tuple[float, float, float | None]:
     """Smoothed and highest completion rate, and the baseline."""
-    throughput = bed.parts.throughput
-    return throughput.completion_rate, throughput.peak_completion_rate, bed.parts.pool_load.baseline_ratio
+    throughput = harness.parts.throughput
+    return throughput.completion_rate, throughput.peak_completion_rate, harness.parts.pool_load.baseline_ratio
 
 
-def test_one_node_of_thirty_and_back_knows_what_the_pool_does():
-    bed = Bed(4, balancer_count=1, warm_up_ms=0.0)
-    quiet(bed, 30, latency=200.0)
-    before = rates(bed)
-    configure(bed, balancer_count=30)
-    shared, throughput = bed.parts.shared, bed.parts.throughput
+def test_rates_survive_a_change_of_the_fleet_size():
+    harness = BalancerHarness(4, balancer_count=1, warm_up_ms=0.0)
+    quiet(harness, 30, latency=200.0)
+    before = rates(harness)
+    configure(harness, balancer_count=30)
+    shared, throughput = harness.parts.shared, harness.parts.throughput
     assert shared.in_large_fleet
     assert throughput.pool_capacity == pytest.approx(4.0)
     assert throughput.completion_rate * throughput.pool_capacity == pytest.approx(before[0])
-    quiet(bed, 3, latency=200.0, each=1)
-    configure(bed, balancer_count=1)
+    quiet(harness, 3, latency=200.0, each=1)
+    configure(harness, balancer_count=1)
     assert not shared.in_large_fleet
     assert throughput.pool_capacity == 1.0
     assert throughput.peak_completion_rate == pytest.approx(before[1], rel=0.5)
-    twice = Bed(4, balancer_count=1, warm_up_ms=0.0)
+    twice = BalancerHarness(4, balancer_count=1, warm_up_ms=0.0)
     quiet(twice, 30, latency=200.0)
     configure(twice, balancer_count=30)
     configure(twice, balancer_count=1)
     assert rates(twice) == pytest.approx(before)
 
 
-def test_a_server_that_many_nodes_shun_is_not_shunned_by_one_for_good():
-    bed = Bed(1, balancer_count=30, warm_up_ms=0.0)
+def test_backoff_ends_where_the_fleet_becomes_small():
+    harness = BalancerHarness(1, balancer_count=30, warm_up_ms=0.0)
     for _ in range(3):
-        name, acts = bed.ask()
-        bed.end(name, sent(acts)[0].server, AttemptResult.OVERLOADED, done=True)
-    assert bed.servers["s0"].refusals_in_row == 3
-    configure(bed, balancer_count=1)
-    peer = bed.servers["s0"]
+        name, acts = harness.receive_request()
+        harness.finish_attempt(name, forwarded(acts)[0].server, AttemptResult.OVERLOADED, done=True)
+    assert harness.servers["s0"].refusals_in_row == 3
+    configure(harness, balancer_count=1)
+    peer = harness.servers["s0"]
     assert (peer.refusals_in_row, peer.backoff_until_ms) == (0, -math.inf)
 
 
-def test_a_tenants_share_follows_and_what_is_left_of_it_stays():
-    bed = Bed(4, balancer_count=1, tenants=(Tenant("t", 4.0),), warm_up_ms=0.0)
+def test_token_bucket_is_resized_and_keeps_its_tokens():
+    harness = BalancerHarness(4, balancer_count=1, tenants=(Tenant("t", 4.0),), warm_up_ms=0.0)
     for _ in range(3):
-        bed.ask(tenant="t")
-    assert bed.parts.quotas.buckets["t"].tokens == 1.0
-    configure(bed, tenants=(Tenant("t", 8.0), Tenant("u", 2.0)))
-    assert {name: one.tokens for name, one in bed.parts.quotas.buckets.items()} == {"t": 1.0, "u": 2.0}
-    configure(bed, balancer_count=16)
-    assert {name: one.tokens for name, one in bed.parts.quotas.buckets.items()} == {"t": 0.5, "u": 0.125}
-    configure(bed, tenants=())
-    assert bed.parts.quotas.buckets == {}
+        harness.receive_request(tenant="t")
+    assert harness.parts.quotas.buckets["t"].tokens == 1.0
+    configure(harness, tenants=(Tenant("t", 8.0), Tenant("u", 2.0)))
+    assert {name: one.tokens for name, one in harness.parts.quotas.buckets.items()} == {"t": 1.0, "u": 2.0}
+    configure(harness, balancer_count=16)
+    assert {name: one.tokens for name, one in harness.parts.quotas.buckets.items()} == {"t": 0.5, "u": 0.125}
+    configure(harness, tenants=())
+    assert harness.parts.quotas.buckets == {}
 
 
 @pytest.mark.parametrize("count", [4, SMALL_POOL_SIZE + 6])
-def test_servers_that_are_cold_for_longer_owe_nothing_for_their_time_as_warm_ones(count: int):
-    bed = Bed(0, warm_up_ms=1000.0, balancer_count=1)
-    bed.give(EndpointListUpdate(EndpointListForm.SNAPSHOT, servers(count, launched_ms=bed.now)))
-    bed.now += 2000.0
+def test_longer_warm_up_restarts_credit(count: int):
+    harness = BalancerHarness(0, warm_up_ms=1000.0, balancer_count=1)
+    harness.handle(EndpointListUpdate(EndpointListForm.SNAPSHOT, servers(count, launched_ms=harness.now)))
+    harness.now += 2000.0
     for _ in range(20):
-        quiet(bed, 1, latency=10.0, each=3 * count)
-    peers = bed.servers.values()
+        quiet(harness, 1, latency=10.0, each=3 * count)
+    peers = harness.servers.values()
     assert all(peer.credit < -1.0 for peer in peers)
-    configure(bed, warm_up_ms=60000.0)
+    configure(harness, warm_up_ms=60000.0)
     assert all(0.0 <= peer.credit <= 1.0 for peer in peers)
-    assert len(bed.parts.shared.pool._warm) == 0
-    got = sum(len(sent(bed.ask()[1])) for _ in range(count))
+    assert len(harness.parts.shared.pool._warm) == 0
+    got = sum(len(forwarded(harness.receive_request()[1])) for _ in range(count))
     assert got < count  # paced by now
-    assert quiet(bed, 20, latency=10.0, each=count) > count  # but not shut out
-    configure(bed, warm_up_ms=0.0)
-    assert len(bed.parts.shared.pool._warm) == count
-    assert all(sent(bed.ask()[1]) for _ in range(count))
+    assert quiet(harness, 20, latency=10.0, each=count) > count  # but not shut out
+    configure(harness, warm_up_ms=0.0)
+    assert len(harness.parts.shared.pool._warm) == count
+    assert all(forwarded(harness.receive_request()[1]) for _ in range(count))
 
 
 @pytest.mark.parametrize("siblings", [1, 30])
-def test_a_start_that_the_list_puts_ahead_of_the_clock_is_no_fault_without_cold_ones(siblings: int):
+def test_start_time_ahead_of_the_clock_without_warm_up(siblings: int):
     """Guards against a clock that is behind: a time of zero was divided by."""
-    bed = Bed(0, warm_up_ms=0.0, balancer_count=siblings)
-    bed.give(EndpointListUpdate(EndpointListForm.SNAPSHOT, servers(2, launched_ms=bed.now + 500.0)))
-    bed.period()
-    assert sent(bed.ask()[1])
+    harness = BalancerHarness(0, warm_up_ms=0.0, balancer_count=siblings)
+    harness.handle(EndpointListUpdate(EndpointListForm.SNAPSHOT, servers(2, launched_ms=harness.now + 500.0)))
+    harness.end_period()
+    assert forwarded(harness.receive_request()[1])
 
 
-def test_what_a_process_with_other_aims_had_learned_is_scaled():
+def test_learned_state_is_scaled_to_other_objectives():
     """Guards an upgrade that comes with other settings; a file from before aims were kept counts as it is."""
-    old = Bed(4, classes=(SAFE,), warm_up_ms=0.0)
+    old = BalancerHarness(4, classes=(SAFE,), warm_up_ms=0.0)
     quiet(old, 30, latency=200.0)
     learned = old.balancer.capture_learned_state(old.now)
     for aim, kept, base in [
         (500.0, learned, 0.4),
         (500.0, dataclasses.replace(learned, objectives_ms={}), 0.2),
     ]:
-        new = Bed(4, classes=(dataclasses.replace(SAFE, latency_objective_ms=aim),), warm_up_ms=0.0)
+        new = BalancerHarness(
+            4, classes=(dataclasses.replace(SAFE, latency_objective_ms=aim),), warm_up_ms=0.0
+        )
         new.balancer.restore_learned_state(new.now, kept, 0.0)
         assert new.balancer.parts.pool_load.baseline_ratio == pytest.approx(base, rel=0.01)
-    strange = Bed(4, classes=(dataclasses.replace(SAFE, name="other"),), warm_up_ms=0.0)
+    strange = BalancerHarness(4, classes=(dataclasses.replace(SAFE, name="other"),), warm_up_ms=0.0)
     strange.balancer.restore_learned_state(strange.now, learned, 0.0)
     assert strange.balancer.parts.pool_load.baseline_ratio is None
     assert LearnedState().objectives_ms == {}
 
 
-def test_whether_discovery_is_asked_may_change():
-    bed = Bed(2, poll_discovery=False)
-    assert kinds(configure(bed, poll_discovery=True)) == [WatchEndpoints]
-    bed.give(EndpointListUpdate(EndpointListForm.FAILED))
-    assert configure(bed, poll_discovery=False) == []
-    assert bed.give(TimerFired("watch")) == [], "an alarm from before asks where nobody is to be asked"
+def test_polling_of_discovery_can_be_switched():
+    harness = BalancerHarness(2, poll_discovery=False)
+    assert action_types(configure(harness, poll_discovery=True)) == [WatchEndpoints]
+    harness.handle(EndpointListUpdate(EndpointListForm.FAILED))
+    assert configure(harness, poll_discovery=False) == []
+    assert harness.handle(TimerFired("watch")) == [], "an alarm from before asks where nobody is to be asked"
 
 
-def test_settings_before_the_first_event_are_those_it_starts_with():
+def test_settings_change_before_the_first_event():
     one = Balancer(settings(), seed=1, now_ms=0.0)
     assert one.handle(0.0, SettingsChanged(settings(classes=(SAFE,), poll_discovery=True))) == []
     acts = one.handle(1.0, EndpointListUpdate(EndpointListForm.SNAPSHOT, servers(1)))
-    assert kinds(acts) == [StartTimer, WatchEndpoints]
+    assert action_types(acts) == [StartTimer, WatchEndpoints]
     assert acts[0] == StartTimer(150.0, "period")
 
 
 # -------------------------------------------------------------------- figures
 
 
-def test_a_class_that_is_gone_is_counted_to_its_end_and_goes_on_where_it_comes_back():
+def test_statistics_of_a_removed_class_are_kept():
     figures = Statistics(["read", "post"])
     figures.count_request("read", RequestOutcome.OK)
     figures.configure(["post", "new"])
@@ -528,7 +541,7 @@
     assert figures.classes["read"].ok == 2
 
 
-def test_names_that_change_all_the_time_do_not_fill_the_memory():
+def test_statistics_of_removed_classes_are_limited():
     figures = Statistics(["read"])
     for at in range(5 * MAX_REMOVED_CLASSES):
         figures.configure([f"class-{at}", "read"])
--- a/tests/policy/test_slow_start.py
+++ b/tests/policy/test_slow_start.py
@@ -26,7 +26,7 @@
 from rosewheel.lab.slow_start import ServerArrival, ServerStart, allowed_work_ms
 from rosewheel.policy.events import EndpointListForm, EndpointListUpdate, Server, ServerState
 from rosewheel.policy.settings import Settings
-from tests.support.balancers import Bed, sent
+from tests.support.balancers import BalancerHarness, forwarded
 
 RULES = RulesTable(warm_up_initial_share=0.2, warm_up_s=10.0, overload_window_ms=1500.0, overload_factor=3.0)
 SHORT = settings(max_examples=60, deadline=None, derandomize=True)
@@ -36,7 +36,7 @@
 
 @SHORT
 @given(st.floats(0.0, 10_000.0), st.floats(0.0, 3000.0))
-def test_what_is_allowed_is_the_sum_of_the_stated_share(until: float, length: float) -> None:
+def test_allowance_is_the_integral_of_the_stated_share(until: float, length: float) -> None:
     steps = np.linspace(max(0.0, until - length), until, 2001)
     shares = 3.0 * (0.2 + 0.8 * steps / 10_000.0)
     assert allowed_work_ms(RULES, until - length, until) == pytest.approx(
@@ -58,7 +58,7 @@
     return allowed + 2.0 * math.sqrt(allowed) + 2.0
 
 
-def test_a_known_overload_is_counted_and_a_bound_just_met_is_not() -> None:
+def test_overload_is_counted_above_the_bound_only() -> None:
     one = start()
     one.arrivals = arrivals((1000.0 + 5000.0, bound(5000.0), True))
     assert one.overloads(RULES) == ([], 1.0)
@@ -69,7 +69,7 @@
     assert most > 1.0
 
 
-def test_the_parts_of_a_window_add_up_in_the_order_in_which_they_came_and_no_longer() -> None:
+def test_work_adds_up_within_one_window() -> None:
     half = bound(5000.0) * 0.55
     one = start()
     one.arrivals = arrivals((6000.0, half, True), (4600.0, half, False))  # as their jobs ended
@@ -80,7 +80,7 @@
     assert one.overloads(RULES)[0] == []
 
 
-def test_nothing_is_allowed_before_the_start_and_all_once_warm() -> None:
+def test_allowance_before_the_start_and_after_warm_up() -> None:
     one = start()
     one.arrivals = arrivals((1000.0, 2.1, True))
     assert len(one.overloads(RULES)[0]) == 1
@@ -88,7 +88,7 @@
     assert one.overloads(RULES) == ([], 0.0)
 
 
-def test_many_small_ones_count_as_few_large_ones() -> None:
+def test_small_requests_count_by_their_work() -> None:
     one = start()
     requests = bound(5000.0) / 100.0
     one.arrivals = arrivals(*[(6000.0 + at, requests, True) for at in range(120)])
@@ -129,7 +129,7 @@
 
 
 @pytest.mark.parametrize(("known", "broken"), [(30, True), (21, True), (20, False), (0, False)])
-def test_the_rule_is_broken_where_over_two_thirds_came_from_those_who_knew(known: int, broken: bool) -> None:
+def test_overload_is_a_violation_where_most_senders_knew_of_the_start(known: int, broken: bool) -> None:
     """Thirty equal requests, of which the last is the one too many."""
     allowed = 0.01 * allowed_work_ms(load("quiet").rules, 0.0, 130.0)
     each = (allowed + 2.0 * math.sqrt(allowed) + 2.0) / 29.5 * 200.0
@@ -141,7 +141,7 @@
     assert found.count() == len(found.overloaded) == broken
 
 
-def test_only_the_first_overload_of_a_start_is_judged_and_each_start_by_itself() -> None:
+def test_only_the_first_overload_of_each_start_counts() -> None:
     unknown, known = [job(100.0, False, 2000.0)], [job(5000.0, True, 20_000.0)]
     ledger, found = read(started(0.0), *unknown, *known)
     assert len(ledger.overloads) == 2
@@ -150,7 +150,7 @@
     assert [overload.at_ms for overload in found.overloaded] == [5000.0]
 
 
-def test_clients_are_dealt_out_by_the_shares_of_nodes_and_evenly_without() -> None:
+def test_clients_are_distributed_by_node_shares() -> None:
     rng, names = np.random.default_rng(3), ["n0", "n1", "n2"]
     nodes = msgspec.structs.replace(load("quiet").nodes, count=3, client_shares=(6.0,))
     got = [weighted_choice(rng, names, nodes.client_share) for _ in range(4000)]
@@ -202,7 +202,7 @@
     [([REPLACED], []), ([REPLACED, *FORGET], [8.0, 3.0]), ([ZONE], [3.0])],
     ids=["replaced", "uneven-and-forgetful", "zone"],
 )
-def test_all_nodes_together_keep_to_what_the_settings_allow_a_cold_equipo(
+def test_fleet_keeps_to_the_allowance_of_a_warming_server(
     below: bool, nodes: int, trouble: list[dict[str, Any]], shares: list[float]
 ) -> None:
     run = Simulation(plan.make(fleet(nodes, below, trouble, shares), 1))
@@ -215,7 +215,9 @@
 
 
 @pytest.mark.parametrize("nodes", [10, 30])
-def test_nodes_that_prefer_their_own_zone_keep_to_it_too(nodes: int, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_fleet_with_zone_preference_keeps_to_the_allowance(
+    nodes: int, monkeypatch: pytest.MonkeyPatch
+) -> None:
     """Three in ten nodes are in the zone of eight in ten equipos, most of which are replaced."""
     plain = SimulatedNode.__init__
 
@@ -236,7 +238,7 @@
     assert summary["rules"]["tipped"] == []
 
 
-def test_a_node_that_starts_with_a_list_has_been_told_of_all_starts_in_it() -> None:
+def test_starting_node_knows_the_starts_in_its_list() -> None:
     told: list[tuple[str, str]] = []
     queue, one = EventQueue(0.0), plan.make(load("quiet"))
     registry = SimulatedRegistry(
@@ -256,55 +258,58 @@
 # ------------------------------------------------------------------- one node
 
 
-def test_thirty_nodes_save_up_no_calls_for_a_server_that_is_away() -> None:
+def test_no_credit_is_saved_for_a_draining_server() -> None:
     """Guard: each had a call or two ready, and all sent them as it came back."""
-    beds = [Bed(10, seed=seed, balancer_count=30, tier=1) for seed in range(30)]
+    harnesses = [BalancerHarness(10, seed=seed, balancer_count=30, tier=1) for seed in range(30)]
     sends = 0
-    for bed in beds:
+    for harness in harnesses:
         for state in (ServerState.UP, ServerState.DRAINING):
-            cold = Server("cold", "a", state=state, launched_ms=bed.now)
-            bed.give(EndpointListUpdate(EndpointListForm.DELTA, (cold,)))
+            cold = Server("cold", "a", state=state, launched_ms=harness.now)
+            harness.handle(EndpointListUpdate(EndpointListForm.DELTA, (cold,)))
         for _ in range(60):
-            bed.serve(latency=bed.balancer.period_ms / 3)
-            if bed.names % 3 == 0:
-                bed.period(0.0)
-        bed.give(
+            harness.serve_request(latency=harness.balancer.period_ms / 3)
+            if harness.request_count % 3 == 0:
+                harness.end_period(0.0)
+        harness.handle(
             EndpointListUpdate(EndpointListForm.DELTA, (dataclasses.replace(cold, state=ServerState.UP),))
         )
         for _ in range(6):
-            bed.now += 10.0
-            sends += sum(act.server == "cold" for act in sent(bed.ask("post")[1]))
+            harness.now += 10.0
+            sends += sum(act.server == "cold" for act in forwarded(harness.receive_request("post")[1]))
     # Of what is completed for all thirty a warm server does a tenth; what it may be sent while it is as old as this is
     # the budget of the settings.
-    cfg, age = beds[0].balancer.parts.shared.settings, beds[0].now - cold.launched_ms
+    cfg, age = harnesses[0].balancer.parts.shared.settings, harnesses[0].now - cold.launched_ms
     rules = RulesTable(
         warm_up_initial_share=cfg.warm_up_initial_share,
         warm_up_s=cfg.warm_up_ms / 1000.0,
         overload_window_ms=cfg.overload_window_ms,
         overload_factor=cfg.overload_factor,
     )
-    able = len(beds) * 3.0 / beds[0].balancer.period_ms / 10.0
+    able = len(harnesses) * 3.0 / harnesses[0].balancer.period_ms / 10.0
     assert 0 < sends <= able * allowed_work_ms(rules, age - cfg.overload_window_ms, age) / 2.0
 
 
 @SHORT
 @given(st.floats(0.0, 0.01), st.floats(0.0, 60_000.0), st.integers(0, 2**32))
-def test_what_was_earned_for_a_server_that_is_away_lapses(rate: float, away: float, seed: int) -> None:
+def test_unused_credit_lapses(rate: float, away: float, seed: int) -> None:
     """However long it was away: of thirty nodes no more have a call ready than earn one in the time that it is kept,
     and no node has two."""
-    beds = [Bed(4, seed=seed + at, balancer_count=30) for at in range(30)]
+    harnesses = [BalancerHarness(4, seed=seed + at, balancer_count=30) for at in range(30)]
     ready, kept = 0, 0.0
-    for bed in beds:
-        cold = Server("cold", "a", launched_ms=bed.now)
-        bed.give(EndpointListUpdate(EndpointListForm.DELTA, (cold,)))
-        bed.parts.throughput.peak_completion_rate = rate
-        peer = bed.servers["cold"]
+    for harness in harnesses:
+        cold = Server("cold", "a", launched_ms=harness.now)
+        harness.handle(EndpointListUpdate(EndpointListForm.DELTA, (cold,)))
+        harness.parts.throughput.peak_completion_rate = rate
+        peer = harness.servers["cold"]
         peer.credit = peer.credit % 1.0
         ready += (
-            bed.parts.slow_start.has_credit(bed.now + away, peer)
-            and away < bed.parts.shared.settings.warm_up_ms
+            harness.parts.slow_start.has_credit(harness.now + away, peer)
+            and away < harness.parts.shared.settings.warm_up_ms
         )
         assert peer.credit < 2.0
-        pace = bed.parts.slow_start.capacity_share(bed.now + away, peer) * bed.parts.slow_start.credit_rate()
-        kept += min(1.0, pace * bed.parts.shared.settings.overload_window_ms / 2.0)
+        pace = (
+            harness.parts.slow_start.capacity_share(harness.now + away, peer)
+            * harness.parts.slow_start.credit_rate()
+        )
+        kept += min(1.0, pace * harness.parts.shared.settings.overload_window_ms / 2.0)
     assert ready <= kept + 4.0 * math.sqrt(kept) + 2.0, "four deviations of what is drawn"
--- a/tests/proxy/test_cordon.py
+++ b/tests/proxy/test_cordon.py
@@ -22,61 +22,61 @@
     Server,
     ServerState,
 )
-from tests.support.balancers import Bed, kinds, sent, servers, settings
+from tests.support.balancers import BalancerHarness, action_types, forwarded, servers, settings
 from tests.support.sockets import Client, FakeServer, entry, node, run, status, until
 
 
-def picks(bed: Bed, count: int = 30) -> set[str]:
-    return {bed.serve() for _ in range(count)}
+def picks(harness: BalancerHarness, count: int = 30) -> set[str]:
+    return {harness.serve_request() for _ in range(count)}
 
 
 def test_a_cordon_holds_whatever_the_list_says():
-    bed = Bed(3)
+    harness = BalancerHarness(3)
     for _ in range(2):
-        bed.give(CordonChanged("s1", cordoned=True))
-    assert picks(bed) == {"s0", "s2"}
-    bed.give(EndpointListUpdate(EndpointListForm.DELTA, servers(3)))
-    bed.give(EndpointListUpdate(EndpointListForm.DELTA, (Server("s1", state=ServerState.REMOVED),)))
-    bed.give(EndpointListUpdate(EndpointListForm.SNAPSHOT, servers(3, launched_ms=bed.now)))
-    bed.now += 20000.0  # warm, so that only the cordon keeps calls away
-    assert picks(bed) == {"s0", "s2"}
-    bed.give(CordonChanged("s1", cordoned=False))
-    bed.give(CordonChanged("s1", cordoned=False))
-    assert picks(bed) == {"s0", "s1", "s2"}
+        harness.handle(CordonChanged("s1", cordoned=True))
+    assert picks(harness) == {"s0", "s2"}
+    harness.handle(EndpointListUpdate(EndpointListForm.DELTA, servers(3)))
+    harness.handle(EndpointListUpdate(EndpointListForm.DELTA, (Server("s1", state=ServerState.REMOVED),)))
+    harness.handle(EndpointListUpdate(EndpointListForm.SNAPSHOT, servers(3, launched_ms=harness.now)))
+    harness.now += 20000.0  # warm, so that only the cordon keeps calls away
+    assert picks(harness) == {"s0", "s2"}
+    harness.handle(CordonChanged("s1", cordoned=False))
+    harness.handle(CordonChanged("s1", cordoned=False))
+    assert picks(harness) == {"s0", "s1", "s2"}
 
 
 def test_with_all_taken_out_a_call_is_refused_at_once():
-    bed = Bed(1)
-    bed.give(CordonChanged("s0", cordoned=True))
-    assert kinds(bed.ask()[1]) == [RejectRequest]
+    harness = BalancerHarness(1)
+    harness.handle(CordonChanged("s0", cordoned=True))
+    assert action_types(harness.receive_request()[1]) == [RejectRequest]
 
 
 def test_an_attempt_that_is_out_there_goes_on():
-    bed = Bed(1)
-    name, acts = bed.ask()
-    server = sent(acts)[0].server
-    assert bed.give(CordonChanged(server, cordoned=True)) == []
-    assert bed.end(name, server, AttemptResult.OK) == []
+    harness = BalancerHarness(1)
+    name, acts = harness.receive_request()
+    server = forwarded(acts)[0].server
+    assert harness.handle(CordonChanged(server, cordoned=True)) == []
+    assert harness.finish_attempt(name, server, AttemptResult.OK) == []
 
 
-def share_of(bed: Bed, server: str) -> float:
+def share_of(harness: BalancerHarness, server: str) -> float:
     got = []
     for _ in range(20):
-        got.append(bed.serve(latency=10.0))
-        bed.period()
+        got.append(harness.serve_request(latency=10.0))
+        harness.end_period()
     return got.count(server) / len(got)
 
 
 def test_one_that_returns_is_cold_unless_the_list_knows_better():
     """Guards a server that was restarted while out: the list tells so late, and by then it has tipped."""
-    bed = Bed(2)
-    share_of(bed, "s1")
-    bed.give(CordonChanged("s1", cordoned=True))
-    bed.now += 3000.0
-    bed.give(CordonChanged("s1", cordoned=False))
-    assert 0.0 < share_of(bed, "s1") < 0.3
-    bed.now += 10000.0  # as long as a cold one takes to be warm
-    assert share_of(bed, "s1") > 0.3
+    harness = BalancerHarness(2)
+    share_of(harness, "s1")
+    harness.handle(CordonChanged("s1", cordoned=True))
+    harness.now += 3000.0
+    harness.handle(CordonChanged("s1", cordoned=False))
+    assert 0.0 < share_of(harness, "s1") < 0.3
+    harness.now += 10000.0  # as long as a cold one takes to be warm
+    assert share_of(harness, "s1") > 0.3
 
 
 def test_nothing_is_sent_to_one_that_is_out_even_if_the_module_errs():
--- a/tests/support/balancers.py
+++ b/tests/support/balancers.py
@@ -63,14 +63,14 @@
     return tuple(Server(address=f"s{at}", zone="ab"[at % 2], **changes) for at in range(count))
 
 
-class Bed:
+class BalancerHarness:
     """A balancer with a clock, a server list and a record of what it sent."""
 
     def __init__(self, count: int = 4, seed: int = 7, **changes: Any) -> None:
         self.now = 1000.0
         self.balancer = Balancer(settings(**changes), seed=seed, now_ms=self.now)
-        self.names = 0
-        self.give(EndpointListUpdate(EndpointListForm.CACHED, servers(count)))
+        self.request_count = 0
+        self.handle(EndpointListUpdate(EndpointListForm.CACHED, servers(count)))
 
     @property
     def parts(self) -> Parts:
@@ -82,16 +82,18 @@
         """Statistics of the listed servers."""
         return self.parts.shared.pool.servers
 
-    def give(self, event: Event, after: float = 0.0) -> list[Action]:
+    def handle(self, event: Event, after: float = 0.0) -> list[Action]:
         self.now += after
         return self.balancer.handle(self.now, event)
 
-    def ask(self, service: str = "read", left: float = 2000.0, **more: Any) -> tuple[str, list[Action]]:
-        self.names += 1
-        name = f"r{self.names}"
-        return name, self.give(RequestReceived(name, service, self.now + left, **more))
+    def receive_request(
+        self, service: str = "read", left: float = 2000.0, **more: Any
+    ) -> tuple[str, list[Action]]:
+        self.request_count += 1
+        name = f"r{self.request_count}"
+        return name, self.handle(RequestReceived(name, service, self.now + left, **more))
 
-    def end(
+    def finish_attempt(
         self,
         name: str,
         server: str,
@@ -101,24 +103,24 @@
         **more: Any,
     ) -> list[Action]:
         done = more.pop("done", result is AttemptResult.OK)
-        return self.give(AttemptFinished(name, attempt, server, result, latency, done, **more))
+        return self.handle(AttemptFinished(name, attempt, server, result, latency, done, **more))
 
-    def serve(self, service: str = "read", latency: float = 100.0, **more: Any) -> str:
+    def serve_request(self, service: str = "read", latency: float = 100.0, **more: Any) -> str:
         """One request answered after `latency`; returns the server that took it."""
-        name, acts = self.ask(service)
-        server = sent(acts)[0].server
+        name, acts = self.receive_request(service)
+        server = forwarded(acts)[0].server
         self.now += latency
-        self.end(name, server, AttemptResult.OK, latency, **more)
+        self.finish_attempt(name, server, AttemptResult.OK, latency, **more)
         return server
 
-    def period(self, after: float | None = None) -> list[Action]:
+    def end_period(self, after: float | None = None) -> list[Action]:
         """The end of a period, a whole one later unless told otherwise."""
-        return self.give(TimerFired("period"), self.balancer.period_ms if after is None else after)
+        return self.handle(TimerFired("period"), self.balancer.period_ms if after is None else after)
 
 
-def sent(acts: list[Action]) -> list[ForwardRequest]:
+def forwarded(acts: list[Action]) -> list[ForwardRequest]:
     return [act for act in acts if isinstance(act, ForwardRequest)]
 
 
-def kinds(acts: list[Action]) -> list[type]:
+def action_types(acts: list[Action]) -> list[type]:
     return [type(act) for act in acts]
--- a/tests/test_adapter.py
+++ b/tests/test_adapter.py
@@ -11,7 +11,8 @@
 import orjson
 import pytest
 
-from rosewheel.adapter import Bench, WireError, run, settings_from
+from rosewheel.adapter import Bench, WireError, run
+from rosewheel.policy.settings_codec import settings_from_json
 
 ROOT = Path(__file__).parent.parent
 
@@ -210,7 +211,7 @@
 
 
 def test_absent_settings_take_their_defaults():
-    settings = settings_from({"categories": CONFIG["categories"][:1]})
+    settings = settings_from_json({"categories": CONFIG["categories"][:1]})
     assert settings.balancer_count == 1
     assert settings.tenants == ()
     assert settings.max_attempts == 1
