--- a/tests/http/test_client_disconnects.py
+++ b/tests/http/test_client_disconnects.py
@@ -18,7 +18,7 @@
 from rosewheel.http.request_reader import MAX_PIPELINED_REQUESTS
 from rosewheel.policy.actions import ForwardRequest
 from rosewheel.proxy.proxy import Proxy, now_ms
-from tests.support.balancers import KEYED, SAFE, UNSAFE
+from tests.support.balancers import IDEMPOTENT, IDEMPOTENT_WITH_KEY, NON_IDEMPOTENT
 from tests.support.loops import PatchedLoop
 from tests.support.sockets import (
     Client,
@@ -106,7 +106,7 @@
     async def main() -> None:
         free, slow = gated_handler()
         patient = dataclasses.replace(
-            UNSAFE, latency_objective_ms=60000, deadline_ms=60000
+            NON_IDEMPOTENT, latency_objective_ms=60000, deadline_ms=60000
         )  # no deadline ends the first one
         async with (
             FakeServer(slow).up() as server,  # type: ignore[arg-type]
@@ -211,9 +211,12 @@
 # Patient enough that no deadline ends anything here; a key is remembered for longer than any test takes.
 PATIENT = tuple(
     dataclasses.replace(
-        kind, latency_objective_ms=60000, deadline_ms=60000, dedup_window_ms=100_000 if kind is KEYED else 0.0
+        kind,
+        latency_objective_ms=60000,
+        deadline_ms=60000,
+        dedup_window_ms=100_000 if kind is IDEMPOTENT_WITH_KEY else 0.0,
     )
-    for kind in (SAFE, UNSAFE, KEYED)
+    for kind in (IDEMPOTENT, NON_IDEMPOTENT, IDEMPOTENT_WITH_KEY)
 )
 
 
--- a/tests/node/test_event_orders.py
+++ b/tests/node/test_event_orders.py
@@ -24,9 +24,16 @@
     ServerState,
 )
 from rosewheel.policy.settings import DedupScope, Idempotency, ServiceClass
-from tests.support.balancers import KEYED, SAFE, UNSAFE, settings
-
-KINDS = {kind.name: kind for kind in (SAFE, UNSAFE, dataclasses.replace(KEYED, dedup_scope=DedupScope.CELL))}
+from tests.support.balancers import IDEMPOTENT, IDEMPOTENT_WITH_KEY, NON_IDEMPOTENT, settings
+
+KINDS = {
+    kind.name: kind
+    for kind in (
+        IDEMPOTENT,
+        NON_IDEMPOTENT,
+        dataclasses.replace(IDEMPOTENT_WITH_KEY, dedup_scope=DedupScope.CELL),
+    )
+}
 RESULTS = [result for result in AttemptResult if result is not AttemptResult.NOT_SENT]
 STATES = list(ServerState)
 
--- a/tests/policy/test_guards.py
+++ b/tests/policy/test_guards.py
@@ -20,14 +20,14 @@
 from rosewheel.policy.settings import DedupScope, Idempotency, ServiceClass
 from tests.support.balancers import BalancerHarness, action_types, forwarded, servers
 
-NEVER_RAN = [AttemptResult.OVERLOADED, AttemptResult.CONNECT_FAILED, AttemptResult.NOT_SENT]
-MAY_HAVE_RUN = [AttemptResult.ERROR, AttemptResult.TIMEOUT, AttemptResult.RESET, AttemptResult.CANCELLED]
+NOT_EXECUTED = [AttemptResult.OVERLOADED, AttemptResult.CONNECT_FAILED, AttemptResult.NOT_SENT]
+POSSIBLY_EXECUTED = [AttemptResult.ERROR, AttemptResult.TIMEOUT, AttemptResult.RESET, AttemptResult.CANCELLED]
 
 
 # ------------------------------------------------------- no effect happens twice
 
 
-@pytest.mark.parametrize("result", NEVER_RAN)
+@pytest.mark.parametrize("result", NOT_EXECUTED)
 @pytest.mark.parametrize("service", ["read", "post", "points"])
 def test_request_that_was_not_executed_is_retried_on_other_servers_then_rejected(result, service):
     harness = BalancerHarness()
@@ -41,14 +41,14 @@
     assert action_types(acts) == [RejectRequest]
 
 
-@pytest.mark.parametrize("result", MAY_HAVE_RUN)
+@pytest.mark.parametrize("result", POSSIBLY_EXECUTED)
 def test_non_idempotent_request_fails_where_it_may_have_been_executed(result):
     harness = BalancerHarness()
     name, acts = harness.receive_request("post")
     assert action_types(harness.finish_attempt(name, forwarded(acts)[0].server, result)) == [FailRequest]
 
 
-@pytest.mark.parametrize("result", MAY_HAVE_RUN)
+@pytest.mark.parametrize("result", POSSIBLY_EXECUTED)
 def test_idempotent_request_is_retried_up_to_max_attempts(result):
     harness = BalancerHarness(count=8, max_attempts=3)
     name, acts = harness.receive_request("read")
@@ -61,7 +61,7 @@
 
 
 @pytest.mark.parametrize("scope", list(DedupScope))
-@pytest.mark.parametrize("result", MAY_HAVE_RUN)
+@pytest.mark.parametrize("result", POSSIBLY_EXECUTED)
 def test_retry_with_key_stays_in_the_dedup_group(result, scope):
     kind = ServiceClass(
         "k",
--- a/tests/policy/test_learned_state.py
+++ b/tests/policy/test_learned_state.py
@@ -45,7 +45,7 @@
 ROOT = Path(__file__).parent.parent.parent
 
 
-def taught(slow: str = "s0") -> BalancerHarness:
+def harness_with_slow_server(slow: str = "s0") -> BalancerHarness:
     """A module that has learned that one of four servers is slow."""
     harness = BalancerHarness()
     for _ in range(120):
@@ -60,7 +60,9 @@
     return harness
 
 
-def heir(learned: LearnedState, age_ms: float, servers: tuple[Server, ...] | None = None) -> BalancerHarness:
+def restored_harness(
+    learned: LearnedState, age_ms: float, servers: tuple[Server, ...] | None = None
+) -> BalancerHarness:
     """A new module that is given this, on a clock of its own."""
     harness = BalancerHarness(count=4)
     if servers is not None:
@@ -69,7 +71,7 @@
     return harness
 
 
-def share_of(harness: BalancerHarness, server: str, asks: int = 200) -> float:
+def chosen_share(harness: BalancerHarness, server: str, asks: int = 200) -> float:
     """How often it is picked, with nothing else in flight."""
     picked = 0
     for _ in range(asks):
@@ -81,15 +83,15 @@
 
 
 def test_relative_latency_is_restored():
-    learned = taught().balancer.capture_learned_state(taught().now)
-    assert share_of(heir(learned, 500.0), "s0") == 0.0
-    assert share_of(BalancerHarness(count=4), "s0") > 0.1
+    learned = harness_with_slow_server().balancer.capture_learned_state(harness_with_slow_server().now)
+    assert chosen_share(restored_harness(learned, 500.0), "s0") == 0.0
+    assert chosen_share(BalancerHarness(count=4), "s0") > 0.1
 
 
 def test_baseline_is_restored_with_fewer_outcomes_the_older_it_is():
-    harness = taught()
+    harness = harness_with_slow_server()
     learned = harness.balancer.capture_learned_state(harness.now)
-    young, old = heir(learned, 0.0).balancer, heir(learned, 200_000.0).balancer
+    young, old = restored_harness(learned, 0.0).balancer, restored_harness(learned, 200_000.0).balancer
     assert young.parts.pool_load.baseline_ratio == old.parts.pool_load.baseline_ratio
     assert old.parts.pool_load.baseline_ratio == harness.parts.pool_load.baseline_ratio
     assert young.parts.pool_load.baseline_outcomes == BASELINE_LEARNING_OUTCOMES
@@ -99,11 +101,14 @@
 @given(st.floats(0.0, 2 * OLDEST_MS))
 @hypothesis_settings(deadline=None, max_examples=50)
 def test_no_restored_value_grows_with_its_age(age_ms: float):
-    harness = taught()
+    harness = harness_with_slow_server()
     learned = dataclasses.replace(
         harness.balancer.capture_learned_state(harness.now), cursor=12, baseline_error_share=0.5
     )
-    here, later = heir(learned, age_ms).balancer, heir(learned, age_ms + 500.0).balancer
+    here, later = (
+        restored_harness(learned, age_ms).balancer,
+        restored_harness(learned, age_ms + 500.0).balancer,
+    )
     assert here.parts.table.cursor >= later.parts.table.cursor
     for name in ("completion_rate", "peak_completion_rate", "request_rate"):
         assert getattr(here.parts.throughput, name) >= getattr(later.parts.throughput, name) >= 0.0
@@ -139,19 +144,19 @@
 
 
 def test_nothing_is_restored_for_replaced_servers():
-    harness = taught()
+    harness = harness_with_slow_server()
     replaced = tuple(Server(f"new{at}") for at in range(4))
-    new = heir(harness.balancer.capture_learned_state(harness.now), 599_000.0, replaced).balancer
+    new = restored_harness(harness.balancer.capture_learned_state(harness.now), 599_000.0, replaced).balancer
     assert all(
-        peer.relative_latency is None and peer.error_rate == 0.0 and not peer.reported_queue
-        for peer in new.parts.shared.pool.servers.values()
+        stats.relative_latency is None and stats.error_rate == 0.0 and not stats.reported_queue
+        for stats in new.parts.shared.pool.servers.values()
     )
     assert new.parts.table.cursor == 0
     assert new.parts.pool_load.baseline_ratio is None, "ten minutes old: no better than none"
 
 
 def test_newer_statistics_are_not_overwritten():
-    harness = taught()
+    harness = harness_with_slow_server()
     learned = harness.balancer.capture_learned_state(harness.now)
     new = BalancerHarness(count=4)
     server = new.serve_request()
@@ -180,13 +185,13 @@
 # ------------------------------------------------------------------ the file
 
 
-def written() -> bytes:
-    harness = taught()
+def encoded_state() -> bytes:
+    harness = harness_with_slow_server()
     return encode_snapshot("n0", harness.balancer.capture_learned_state(harness.now), 0.25, read_clocks())
 
 
 def test_snapshot_round_trip():
-    harness = taught()
+    harness = harness_with_slow_server()
     learned = harness.balancer.capture_learned_state(harness.now)
     kept = decode_snapshot(encode_snapshot("n0", learned, math.inf, (5.0, 7.0)), "n0", (6.0, 8.0))
     assert kept == snapshots.Snapshot(learned, 1.0, math.inf)
@@ -205,13 +210,15 @@
         decode_snapshot(broken, "n0", read_clocks())
 
 
-GOOD = written()
+GOOD = encoded_state()
 
 
 @pytest.mark.parametrize("key", ["errs", "queue", "credit", "heard_ago_ms"])
 @pytest.mark.parametrize("value", [-1.0, 1e300, True, "1", [1]])
 def test_number_out_of_range_is_rejected(key: str, value: Any):
-    row = orjson.loads(orjson.dumps(learned_state_to_json(taught().balancer.capture_learned_state(5000.0))))
+    row = orjson.loads(
+        orjson.dumps(learned_state_to_json(harness_with_slow_server().balancer.capture_learned_state(5000.0)))
+    )
     row["servers"]["s0"][key] = value
     with pytest.raises(ValueError, match=key):
         learned_state_from_json(row)
@@ -318,13 +325,13 @@
 def test_credit_is_shared_between_two_processes():
     """Both together may send a cold server no more than the one process could before the other came."""
     harness = BalancerHarness(4)
-    for peer in harness.servers.values():
-        peer.credit = 1.6
+    for stats in harness.servers.values():
+        stats.credit = 1.6
     harness.handle(ProcessCountChanged(2))
-    assert [peer.credit for peer in harness.servers.values()] == [0.8] * 4
+    assert [stats.credit for stats in harness.servers.values()] == [0.8] * 4
     harness.handle(ProcessCountChanged(2))
     harness.handle(ProcessCountChanged(1))
-    assert [peer.credit for peer in harness.servers.values()] == [0.8] * 4, "none comes from nothing"
+    assert [stats.credit for stats in harness.servers.values()] == [0.8] * 4, "none comes from nothing"
 
 
 def test_load_of_a_sibling_process_counts_once():
--- a/tests/policy/test_many_balancers.py
+++ b/tests/policy/test_many_balancers.py
@@ -11,7 +11,7 @@
 FACTOR = 4.0  # of the rule on cold servers
 
 
-def learned(siblings: int, tier: int = 0, seed: int = 7, calls: int = 3) -> BalancerHarness:
+def loaded_harness(siblings: int, tier: int = 0, seed: int = 7, calls: int = 3) -> BalancerHarness:
     """A node that has seen an ordinary load on ten warm servers for a while."""
     harness = BalancerHarness(count=10, balancer_count=siblings, tier=tier, seed=seed)
     for _ in range(60):
@@ -21,7 +21,7 @@
     return harness
 
 
-def replace(harness: BalancerHarness, count: int) -> None:
+def replace_servers(harness: BalancerHarness, count: int) -> None:
     fresh = tuple(Server(f"new{at}", "a", launched_ms=harness.now) for at in range(count))
     harness.handle(EndpointListUpdate(EndpointListForm.SNAPSHOT, servers(10)[count:] + fresh))
     harness.end_period()
@@ -30,20 +30,20 @@
 @pytest.mark.parametrize(("siblings", "tier", "falls"), [(10, 0, True), (4, 0, False), (10, 1, False)])
 def test_threshold_falls_at_once_where_most_servers_are_replaced(siblings: int, tier: int, falls: bool):
     """Guard: latency told of it seconds later, when the servers that were still warm had begun to choke."""
-    harness = learned(siblings, tier, calls=6)
+    harness = loaded_harness(siblings, tier, calls=6)
     before = harness.parts.admission.threshold(1.0, 10)
     assert harness.parts.table.cursor == 0
-    replace(harness, 6)
+    replace_servers(harness, 6)
     after = harness.parts.admission.threshold(1.0, 10)
     assert after < 0.8 * before if falls else after > 0.9 * before
 
 
 def test_completions_of_a_stronger_pool_do_not_raise_the_peak_rate():
     """Guard: answers that come just after a loss made each server that was left look twice as able."""
-    harness = learned(10)
+    harness = loaded_harness(10)
     before = harness.parts.throughput.peak_completion_rate
     names = [harness.receive_request()[0:2] for _ in range(6)]
-    replace(harness, 6)
+    replace_servers(harness, 6)
     for name, acts in names:
         for act in forwarded(acts):
             harness.finish_attempt(name, act.server, AttemptResult.OK, 100.0)
@@ -52,7 +52,7 @@
 
 
 def test_failing_server_lowers_the_pool_capacity():
-    harness = learned(10)
+    harness = loaded_harness(10)
     strength = harness.parts.throughput.pool_capacity
     for _ in range(40):
         name, acts = harness.receive_request("post")
@@ -75,15 +75,15 @@
 
 def test_low_priority_is_rejected_first_in_a_large_fleet():
     """Guard: rows less than a call apart shed both classes alike."""
-    harness = learned(10, calls=6)
-    replace(harness, 6)
+    harness = loaded_harness(10, calls=6)
+    replace_servers(harness, 6)
     high, low = (harness.parts.admission.threshold(worth, 10) for worth in (1.0, 3.0 / 8.0))
     assert high - low > 1.5
 
 
-def sent_to_cold(siblings: int, seed: int) -> int:
+def requests_to_warming_server(siblings: int, seed: int) -> int:
     """Calls that one node sends to a fresh server in 2 s, while all others tell of a queue."""
-    harness, count = learned(siblings, seed=seed), 0
+    harness, count = loaded_harness(siblings, seed=seed), 0
     harness.handle(
         EndpointListUpdate(EndpointListForm.DELTA, (Server("cold", "a", launched_ms=harness.now),))
     )
@@ -103,7 +103,7 @@
 
 def test_warming_server_gets_more_in_a_large_fleet():
     """Guard: paced by the stated share of what is asked, cold servers idled and the few warm ones choked."""
-    assert sent_to_cold(10, 7) >= 1.5 * sent_to_cold(4, 7) > 0
+    assert requests_to_warming_server(10, 7) >= 1.5 * requests_to_warming_server(4, 7) > 0
 
 
 @pytest.mark.parametrize("siblings", [10, 30])
@@ -114,18 +114,18 @@
         cfg.warm_up_initial_share + (1.0 - cfg.warm_up_initial_share) * 1000.0 / cfg.warm_up_ms
     )  # as stated, over the 2 s on average
     least = 2000.0 * share * 3.0 / BalancerHarness().balancer.period_ms / 10.0
-    assert sum(sent_to_cold(siblings, seed) for seed in range(20)) >= 20 * 1.2 * least
+    assert sum(requests_to_warming_server(siblings, seed) for seed in range(20)) >= 20 * 1.2 * least
 
 
 @pytest.mark.parametrize("seed", range(3))
 def test_large_fleet_does_not_overload_a_warming_server(seed: int):
     """Six of ten are replaced at one moment, before ten nodes: in every window what they send a new one together
     stays under the rule."""
-    harnesses = [learned(10, seed=seed * 100 + at) for at in range(10)]
+    harnesses = [loaded_harness(10, seed=seed * 100 + at) for at in range(10)]
     step, born = harnesses[0].balancer.period_ms / 3, max(harness.now for harness in harnesses)
     for harness in harnesses:
         harness.now = born
-        replace(harness, 6)
+        replace_servers(harness, 6)
     calls: dict[str, list[float]] = {}
     out: list[tuple[BalancerHarness, str, str]] = []
     for turn in range(1, 90):
@@ -152,7 +152,7 @@
 def test_rejecting_server_neither_attracts_all_requests_nor_causes_shedding(result: AttemptResult):
     """Guard: one that drains, of which the list has not told, answers at once and has nothing in flight: it was
     every node's best, and by what it turned away all of them came to refuse."""
-    harness = learned(10)
+    harness = loaded_harness(10)
     tries = 0
     for at in range(180):
         harness.now += harness.balancer.period_ms / 3
@@ -174,8 +174,8 @@
 
 def test_rejection_is_no_error_of_its_server():
     """Guards a server at its limit of connections: it turns away and serves what it has."""
-    harness = learned(10)
-    peer = harness.servers["s3"]
+    harness = loaded_harness(10)
+    stats = harness.servers["s3"]
     for _ in range(30):
         name, acts = harness.receive_request("post")
         server = forwarded(acts)[0].server
@@ -186,21 +186,21 @@
             1.0,
             done=server != "s3",
         )
-    assert peer.refusals_in_row == 1
-    assert peer.error_rate == 0.0
+    assert stats.refusals_in_row == 1
+    assert stats.error_rate == 0.0
 
 
 def test_server_is_used_again_after_its_backoff():
-    harness = learned(10, calls=6)
-    peer = harness.servers["s3"]
-    peer.refusals_in_row, peer.backoff_until_ms = 5, harness.now + 3000.0
+    harness = loaded_harness(10, calls=6)
+    stats = harness.servers["s3"]
+    stats.refusals_in_row, stats.backoff_until_ms = 5, harness.now + 3000.0
     held = [forwarded(harness.receive_request()[1])[0].server for _ in range(9)]
     assert "s3" not in held
     harness.now += 3000.0
     name, acts = harness.receive_request()
     assert forwarded(acts)[0].server == "s3"  # the only one with nothing in flight
     harness.finish_attempt(name, "s3", AttemptResult.OK)
-    assert peer.refusals_in_row == 0
+    assert stats.refusals_in_row == 0
 
 
 def test_pool_of_warming_servers_is_used_in_a_large_fleet():
@@ -222,7 +222,7 @@
 @pytest.mark.parametrize(("siblings", "goes_on"), [(10, False), (4, True)])
 def test_lasting_errors_become_the_baseline_in_a_large_fleet(siblings: int, goes_on: bool):
     """Guard: what is lost below, or a few servers that fail, had all nodes refuse for long at a quiet latency."""
-    harness, cursors = learned(siblings, calls=6), []
+    harness, cursors = loaded_harness(siblings, calls=6), []
     for _ in range(30):
         for at in range(6):
             name, acts = harness.receive_request("post")
@@ -237,7 +237,7 @@
 
 def test_restored_rate_outlasts_the_first_period():
     """Guard: one period in which little was completed stood for the rate of an hour."""
-    old = learned(10, calls=6)
+    old = loaded_harness(10, calls=6)
     new = BalancerHarness(count=10, balancer_count=10)
     new.now = old.now
     new.balancer.restore_learned_state(new.now, old.balancer.capture_learned_state(old.now), 50.0)
@@ -250,7 +250,7 @@
 @pytest.mark.parametrize(("siblings", "locked"), [(10, False), (4, True)])
 def test_latency_target_grows_with_shedding_in_a_large_fleet(siblings: int, locked: bool):
     """Guard: of nodes that see one latency, whoever had the lowest baseline shed for all of them, and for good."""
-    harness = learned(siblings, calls=6)
+    harness = loaded_harness(siblings, calls=6)
     base = harness.parts.pool_load.baseline_ratio
     assert base is not None
     target = base + pool_load.LATENCY_SLACK * (1.0 - base)
--- a/tests/policy/test_mechanism.py
+++ b/tests/policy/test_mechanism.py
@@ -20,7 +20,7 @@
 )
 from rosewheel.policy.request_state import Attempt, RequestState
 from rosewheel.policy.settings import ServiceClass, Settings, Tenant
-from tests.support.balancers import SAFE, BalancerHarness, action_types, forwarded
+from tests.support.balancers import IDEMPOTENT, BalancerHarness, action_types, forwarded
 
 
 def load_period(harness: BalancerHarness, latency: float, count: int = 30) -> None:
@@ -91,7 +91,7 @@
             _, acts = harness.receive_request(service)
             if not forwarded(acts):
                 break
-        outcome[service] = sum(peer.load for peer in harness.servers.values())
+        outcome[service] = sum(stats.load for stats in harness.servers.values())
         assert action_types(acts) == [RejectRequest]
     assert outcome["post"] < outcome["read"]
 
@@ -99,20 +99,24 @@
 def test_marked_retries_and_over_quota_tenants_fall_to_lower_rows():
     harness = BalancerHarness(tenants=(Tenant("t", 4.0),), over_quota_weight=0.2)
     fresh = RequestReceived("a", "read", 9e9)
-    worth = harness.parts.admission.priority(harness.now, fresh, SAFE)
+    worth = harness.parts.admission.priority(harness.now, fresh, IDEMPOTENT)
     assert (
-        harness.parts.admission.priority(harness.now, RequestReceived("b", "read", 9e9, is_retry=True), SAFE)
+        harness.parts.admission.priority(
+            harness.now, RequestReceived("b", "read", 9e9, is_retry=True), IDEMPOTENT
+        )
         < worth
     )
     tenant = [
-        harness.parts.admission.priority(harness.now, RequestReceived("c", "read", 9e9, tenant="t"), SAFE)
+        harness.parts.admission.priority(
+            harness.now, RequestReceived("c", "read", 9e9, tenant="t"), IDEMPOTENT
+        )
         for _ in range(4)
     ]
     assert tenant[:2] == [worth, worth]  # 4 a second over 2 siblings
     assert tenant[2] == tenant[3] == pytest.approx(0.2 * worth)
     assert (
         harness.parts.admission.priority(
-            harness.now + 1000, RequestReceived("d", "read", 9e9, tenant="t"), SAFE
+            harness.now + 1000, RequestReceived("d", "read", 9e9, tenant="t"), IDEMPOTENT
         )
         == worth
     )
@@ -121,7 +125,9 @@
 def test_quotas_count_at_the_first_tier_only():
     harness = BalancerHarness(tenants=(Tenant("t", 0.0),), over_quota_weight=0.2, tier=1)
     assert (
-        harness.parts.admission.priority(harness.now, RequestReceived("c", "read", 9e9, tenant="t"), SAFE)
+        harness.parts.admission.priority(
+            harness.now, RequestReceived("c", "read", 9e9, tenant="t"), IDEMPOTENT
+        )
         == 1.0
     )
 
@@ -141,15 +147,17 @@
     harness = BalancerHarness(count=2)
     for _ in range(30):
         for server, latency in (("s0", 300.0), ("s1", 100.0)):
-            harness.parts.pool_load.record_outcome(harness.now, *judged(harness, server, latency))
+            harness.parts.pool_load.record_outcome(
+                harness.now, *request_and_outcome(harness, server, latency)
+            )
     took = [harness.serve_request() for _ in range(10)]
     assert took.count("s1") == 10
 
 
-def judged(harness: BalancerHarness, server: str, latency: float):
+def request_and_outcome(harness: BalancerHarness, server: str, latency: float):
     request = RequestReceived("x", "read", 9e9)
     attempt = Attempt(harness.servers[server], harness.now - latency)
-    job = RequestState(request, SAFE, harness.parts.shared.settings, harness.now, 1.0, [attempt])
+    job = RequestState(request, IDEMPOTENT, harness.parts.shared.settings, harness.now, 1.0, [attempt])
     return job, AttemptFinished("x", 0, server, AttemptResult.OK, latency, True)
 
 
@@ -228,7 +236,7 @@
     harness = BalancerHarness(weight_by_work=True)
     harness.receive_request(cost_hint_ms=10.0)
     harness.receive_request(cost_hint_ms=100.0)
-    loads = sorted(peer.load for peer in harness.servers.values())
+    loads = sorted(stats.load for stats in harness.servers.values())
     assert loads[-1] > loads[-2] > 0
 
 
@@ -248,13 +256,13 @@
 
 def test_settings_name_the_bad_key():
     with pytest.raises(ValueError, match="balancer_count"):
-        Settings(classes=(SAFE,), balancer_count=0)
+        Settings(classes=(IDEMPOTENT,), balancer_count=0)
     with pytest.raises(ValueError, match="classes"):
         Settings(classes=())
     with pytest.raises(ValueError, match=r"classes\[0\].latency_objective_ms"):
         Settings(classes=(ServiceClass("x", latency_objective_ms=-1, deadline_ms=1),))
     with pytest.raises(ValueError, match="warm_up_ms"):
-        Settings(classes=(SAFE,), warm_up_ms=float("nan"))
+        Settings(classes=(IDEMPOTENT,), warm_up_ms=float("nan"))
 
 
 def test_same_events_same_actions():
--- a/tests/policy/test_pool.py
+++ b/tests/policy/test_pool.py
@@ -32,7 +32,7 @@
 from rosewheel.policy.ranking import Ranking
 from rosewheel.policy.server_stats import ServerStats
 from rosewheel.policy.settings import DedupScope, Idempotency, ServiceClass
-from tests.support.balancers import KEYED, BalancerHarness, forwarded, settings
+from tests.support.balancers import IDEMPOTENT_WITH_KEY, BalancerHarness, forwarded, settings
 
 MANY = 1000
 NAMES = st.sampled_from([f"s{at}" for at in range(SMALL_POOL_SIZE + 12)])
@@ -50,7 +50,7 @@
     def __init__(self) -> None:
         super().__init__()
         self.now = 50_000.0
-        given = settings(classes=(KEYED,), warm_up_initial_share=0.2, warm_up_ms=4000.0)
+        given = settings(classes=(IDEMPOTENT_WITH_KEY,), warm_up_initial_share=0.2, warm_up_ms=4000.0)
         self.balancer = Balancer(given, seed=3, now_ms=self.now)
         self.open: list[ForwardRequest] = []
         self.number = 0
@@ -75,9 +75,9 @@
     @rule(count=st.integers(1, 12))
     def ask(self, count: int) -> None:
         may = {
-            peer.endpoint.address
-            for peer in self.balancer.parts.shared.pool.servers.values()
-            if self._may(peer)
+            stats.endpoint.address
+            for stats in self.balancer.parts.shared.pool.servers.values()
+            if self._may(stats)
         }
         for _ in range(count):
             self.number += 1
@@ -112,28 +112,28 @@
         self.now += passed
         self.balancer.handle(self.now, TimerFired("period"))
 
-    def _may(self, peer: Any) -> bool:
+    def _may(self, stats: Any) -> bool:
         return (
-            peer.endpoint.state is ServerState.UP
-            and peer.endpoint.address not in self.balancer.parts.shared.pool.cordoned_since_ms
+            stats.endpoint.state is ServerState.UP
+            and stats.endpoint.address not in self.balancer.parts.shared.pool.cordoned_since_ms
         )
 
     @invariant()
     def kept_as_it_is(self) -> None:
         pool: ServerPool = self.balancer.parts.shared.pool
-        ready = [peer for peer in pool.servers.values() if self._may(peer)]
+        ready = [stats for stats in pool.servers.values() if self._may(stats)]
         assert set(pool.ready) == set(ready)
         assert len(pool.ready) == len(ready)
         if len(pool.servers) <= SMALL_POOL_SIZE:
             assert pool.ready == ready, "a small pool keeps the order of its list"
-        assert pool.load == pytest.approx(sum(peer.load for peer in ready), abs=1e-6)
+        assert pool.load == pytest.approx(sum(stats.load for stats in ready), abs=1e-6)
         for key, bag in pool._groups.items():
             assert bag.items
-            members = {peer for peer in ready if key in ServerPool._group_keys(peer)}
+            members = {stats for stats in ready if key in ServerPool._group_keys(stats)}
             assert set(bag.items) == members
-        for peer in ready:
-            cold = peer not in pool._warm
-            assert not cold or peer in pool._with_credit or peer.credit_check_scheduled, (
+        for stats in ready:
+            cold = stats not in pool._warm
+            assert not cold or stats in pool._with_credit or stats.credit_check_scheduled, (
                 "a cold one that nobody would look at again"
             )
         assert (
@@ -154,7 +154,7 @@
     machine.end(0, AttemptResult.OVERLOADED)
 
 
-def _counted(monkeypatch: pytest.MonkeyPatch) -> list[int]:
+def count_ranked(monkeypatch: pytest.MonkeyPatch) -> list[int]:
     looks = [0]
     rank = Ranking.rank
 
@@ -166,7 +166,7 @@
     return looks
 
 
-def _few(why: str, now: float) -> list[Server]:
+def usable_servers(why: str, now: float) -> list[Server]:
     """A thousand servers of which three may be picked: s0, s1, s2."""
     rows = []
     for at in range(MANY):
@@ -188,14 +188,14 @@
     why: str, monkeypatch: pytest.MonkeyPatch
 ):
     harness = BalancerHarness(0, warm_up_initial_share=0.001, warm_up_ms=1e9)
-    harness.handle(EndpointListUpdate(EndpointListForm.SNAPSHOT, tuple(_few(why, harness.now))))
+    harness.handle(EndpointListUpdate(EndpointListForm.SNAPSHOT, tuple(usable_servers(why, harness.now))))
     if why == "cold":
-        for peer in harness.servers.values():
-            peer.credit = min(peer.credit, 0.5)
+        for stats in harness.servers.values():
+            stats.credit = min(stats.credit, 0.5)
     if why == "cordoned":
         for at in range(3, MANY):
             harness.handle(CordonChanged(f"s{at}", True))
-    looks = _counted(monkeypatch)
+    looks = count_ranked(monkeypatch)
     for at in range(200):
         looks[0] = 0
         assert harness.serve_request() in ("s0", "s1", "s2"), at
@@ -204,10 +204,12 @@
 
 def test_request_is_rejected_at_a_bounded_cost_where_no_server_is_usable(monkeypatch: pytest.MonkeyPatch):
     harness = BalancerHarness(0, warm_up_initial_share=0.001, warm_up_ms=1e9)
-    harness.handle(EndpointListUpdate(EndpointListForm.SNAPSHOT, tuple(_few("cold", harness.now)[3:])))
-    for peer in harness.servers.values():
-        peer.credit = 0.0
-    looks = _counted(monkeypatch)
+    harness.handle(
+        EndpointListUpdate(EndpointListForm.SNAPSHOT, tuple(usable_servers("cold", harness.now)[3:]))
+    )
+    for stats in harness.servers.values():
+        stats.credit = 0.0
+    looks = count_ranked(monkeypatch)
     _, acts = harness.receive_request()
     assert [type(act) for act in acts if not isinstance(act, StartTimer)] == [RejectRequest]
     assert looks[0] <= WARM_SAMPLE + WARMING_SAMPLE
@@ -226,7 +228,7 @@
     harness = BalancerHarness(0, classes=(kind,))
     rows = [Server(f"s{at}", zone="a", cell=at // 3) for at in range(MANY)]
     harness.handle(EndpointListUpdate(EndpointListForm.SNAPSHOT, tuple(rows)))
-    looks = _counted(monkeypatch)
+    looks = count_ranked(monkeypatch)
     for _ in range(50):
         name, acts = harness.receive_request("points")
         first = forwarded(acts)[0].server
--- a/tests/policy/test_settings_change.py
+++ b/tests/policy/test_settings_change.py
@@ -37,9 +37,9 @@
 from rosewheel.policy.throughput import Throughput
 from tests.node.test_event_orders import KINDS, STEP, World
 from tests.support.balancers import (
-    KEYED,
-    SAFE,
-    UNSAFE,
+    IDEMPOTENT,
+    IDEMPOTENT_WITH_KEY,
+    NON_IDEMPOTENT,
     BalancerHarness,
     action_types,
     forwarded,
@@ -49,14 +49,17 @@
 
 CLASSES: list[tuple[ServiceClass, ...]] = [
     tuple(KINDS.values()),
-    (SAFE,),
-    (dataclasses.replace(UNSAFE, latency_objective_ms=300.0, deadline_ms=400.0), KINDS["points"]),
+    (IDEMPOTENT,),
+    (dataclasses.replace(NON_IDEMPOTENT, latency_objective_ms=300.0, deadline_ms=400.0), KINDS["points"]),
     # The other way round: what may be repeated from now on, and what may not, differs from what is in flight.
     (
-        dataclasses.replace(SAFE, idempotency=Idempotency.NON_IDEMPOTENT, priority_weight=0.0),
-        dataclasses.replace(UNSAFE, idempotency=Idempotency.IDEMPOTENT, late_weight=0.5),
+        dataclasses.replace(IDEMPOTENT, idempotency=Idempotency.NON_IDEMPOTENT, priority_weight=0.0),
+        dataclasses.replace(NON_IDEMPOTENT, idempotency=Idempotency.IDEMPOTENT, late_weight=0.5),
         dataclasses.replace(
-            KEYED, dedup_scope=DedupScope.ALL, dedup_window_ms=5000.0, latency_objective_ms=4000.0
+            IDEMPOTENT_WITH_KEY,
+            dedup_scope=DedupScope.ALL,
+            dedup_window_ms=5000.0,
+            latency_objective_ms=4000.0,
         ),
     ),
 ]
@@ -115,7 +118,7 @@
     balancer = world.node.balancer
     assert not balancer.parts.shared.requests
     assert all(
-        peer.load == 0.0 and not peer.in_flight for peer in balancer.parts.shared.pool.servers.values()
+        stats.load == 0.0 and not stats.in_flight for stats in balancer.parts.shared.pool.servers.values()
     )
     assert balancer.parts.shared.class_latency_ms.keys() <= balancer.parts.shared.classes.keys()
 
@@ -143,7 +146,7 @@
     pass
 
 
-def fault(*_: object, **__: object) -> Any:
+def raise_fault(*_: object, **__: object) -> Any:
     raise FaultError
 
 
@@ -158,7 +161,7 @@
 ]
 # Whatever can follow from settings follows from these.
 OTHER = settings(
-    classes=(SAFE,), balancer_count=30, warm_up_ms=1.0, poll_discovery=True, tenants=(Tenant("t", 1.0),)
+    classes=(IDEMPOTENT,), balancer_count=30, warm_up_ms=1.0, poll_discovery=True, tenants=(Tenant("t", 1.0),)
 )
 
 
@@ -184,10 +187,10 @@
                 cfg = dataclasses.replace(cfg, **{why: {"zone": "b", "tier": 1}[why]})
             with pytest.MonkeyPatch.context() as patch:
                 if not isinstance(why, str):
-                    patch.setattr(*why, fault)
+                    patch.setattr(*why, raise_fault)
                 # A strength is looked at only where there come to be many nodes.
                 skipped = why == (SlowStart, "pool_capacity") and node.balancer.parts.shared.in_large_fleet
-                if not skipped and not _same_cold(why, cfg, node):
+                if not skipped and not _is_same_warm_up(why, cfg, node):
                     with pytest.raises(
                         ValueError, match=why if isinstance(why, str) else "settings: .*FaultError"
                     ):
@@ -213,7 +216,7 @@
 }
 
 
-def _same_cold(why: object, cfg: Settings, node: Node) -> bool:
+def _is_same_warm_up(why: object, cfg: Settings, node: Node) -> bool:
     return why == (ServerPool, "restart_slow_start") and cfg.warm_up_ms == node.settings.warm_up_ms
 
 
@@ -223,7 +226,7 @@
     harness.handle(EndpointListUpdate(EndpointListForm.SNAPSHOT, servers(2 * CAPACITY_SAMPLE)))
     before = harness.parts.shared.rng.getstate()
     with pytest.MonkeyPatch.context() as patch:
-        patch.setattr(Throughput, "restart_smoothing", fault)
+        patch.setattr(Throughput, "restart_smoothing", raise_fault)
         with pytest.raises(FaultError):
             configure(harness, balancer_count=30)
     assert harness.parts.shared.rng.getstate() == before
@@ -233,7 +236,7 @@
 # ------------------------------------------------------------ what is in flight
 
 
-def made(bounds: Limits | None = None, **changes: Any) -> Node:
+def make_node(bounds: Limits | None = None, **changes: Any) -> Node:
     node = Node(settings(warm_up_ms=0.0, **changes), bounds or Limits(), seed=7, now=0.0)
     node.update_endpoints(
         0.0, EndpointListForm.SNAPSHOT, tuple(Server(f"s{at}", zone="a") for at in range(4))
@@ -241,25 +244,28 @@
     return node
 
 
-def change(node: Node, now: float, **changes: Any) -> list[Any]:
+def change_settings(node: Node, now: float, **changes: Any) -> list[Any]:
     return node.configure(now, dataclasses.replace(node.settings, **changes), node.limits)
 
 
-def only(effects: list[Any], kind: type) -> Any:
+def single_effect(effects: list[Any], kind: type) -> Any:
     found = [effect for effect in effects if isinstance(effect, kind)]
     assert len(found) == 1, effects
     return found[0]
 
 
 def test_requests_of_a_removed_class_are_finished():
-    node = made()
-    only(node.receive_request(1.0, RequestReceived("r", "read", 2500.0)), StartAttempt)
-    change(node, 2.0, classes=(UNSAFE,))
+    node = make_node()
+    single_effect(node.receive_request(1.0, RequestReceived("r", "read", 2500.0)), StartAttempt)
+    change_settings(node, 2.0, classes=(NON_IDEMPOTENT,))
     assert node.service_names == {"post"}
-    again = only(
+    again = single_effect(
         node.attempt_finished(3.0, "r", 0, AttemptResult.RESET), StartAttempt
     )  # it may be repeated, as when it was taken
-    assert only(node.attempt_finished(4.0, "r", again.attempt, AttemptResult.OK), SendResponse).status == 200
+    assert (
+        single_effect(node.attempt_finished(4.0, "r", again.attempt, AttemptResult.OK), SendResponse).status
+        == 200
+    )
     assert node.statistics.classes["read"].ok == 1
     with pytest.raises(ValueError, match="service: 'read'"):
         node.balancer.handle(5.0, RequestReceived("q", "read", 2500.0))
@@ -267,27 +273,33 @@
 
 
 def test_idempotency_holds_as_when_the_request_was_received():
-    node = made()
-    only(node.receive_request(1.0, RequestReceived("r", "post", 2500.0)), StartAttempt)
-    change(node, 2.0, classes=(dataclasses.replace(UNSAFE, idempotency=Idempotency.IDEMPOTENT),))
-    assert only(node.attempt_finished(3.0, "r", 0, AttemptResult.RESET), SendResponse).status == 502
+    node = make_node()
+    single_effect(node.receive_request(1.0, RequestReceived("r", "post", 2500.0)), StartAttempt)
+    change_settings(
+        node, 2.0, classes=(dataclasses.replace(NON_IDEMPOTENT, idempotency=Idempotency.IDEMPOTENT),)
+    )
+    assert single_effect(node.attempt_finished(3.0, "r", 0, AttemptResult.RESET), SendResponse).status == 502
 
 
 def test_shorter_deadline_holds_for_later_requests():
-    node = made()
-    first = only(node.receive_request(1.0, RequestReceived("r", "read", 2500.0)), StartAttempt)
-    change(node, 2.0, classes=(dataclasses.replace(SAFE, latency_objective_ms=100.0, deadline_ms=200.0),))
-    second = only(node.receive_request(3.0, RequestReceived("q", "read", 203.0)), StartAttempt)
+    node = make_node()
+    first = single_effect(node.receive_request(1.0, RequestReceived("r", "read", 2500.0)), StartAttempt)
+    change_settings(
+        node, 2.0, classes=(dataclasses.replace(IDEMPOTENT, latency_objective_ms=100.0, deadline_ms=200.0),)
+    )
+    second = single_effect(node.receive_request(3.0, RequestReceived("q", "read", 203.0)), StartAttempt)
     assert first.timeout_ms > 900.0
     assert second.timeout_ms < 100.0
     assert not [effect for effect in node.tick(101.0 + 3.0) if effect.id == "r"]  # type: ignore[union-attr]
-    assert only(node.attempt_finished(900.0, "r", 0, AttemptResult.OK), SendResponse).status == 200
+    assert single_effect(node.attempt_finished(900.0, "r", 0, AttemptResult.OK), SendResponse).status == 200
 
 
 def test_shutdown_waits_for_requests_with_a_longer_deadline():
-    node = made()
+    node = make_node()
     node.receive_request(0.0, RequestReceived("r", "read", 5000.0))
-    change(node, 1.0, classes=(dataclasses.replace(SAFE, latency_objective_ms=100.0, deadline_ms=200.0),))
+    change_settings(
+        node, 1.0, classes=(dataclasses.replace(IDEMPOTENT, latency_objective_ms=100.0, deadline_ms=200.0),)
+    )
     assert node.longest_remaining_deadline_ms(1000.0) == 4000.0
     node.attempt_finished(1000.0, "r", 0, AttemptResult.OK)
     assert node.longest_remaining_deadline_ms(1000.0) == 200.0
@@ -295,28 +307,36 @@
 
 def test_lower_max_attempts_holds_for_later_requests():
     """Also where an open request has used more than are allowed by now."""
-    node = made()
+    node = make_node()
     node.receive_request(1.0, RequestReceived("r", "read", 2500.0))
-    only(node.attempt_finished(2.0, "r", 0, AttemptResult.OVERLOADED), StartAttempt)
-    change(node, 3.0, max_attempts=1)
-    only(node.attempt_finished(4.0, "r", 1, AttemptResult.OVERLOADED), StartAttempt)  # its third, and last
-    assert only(node.attempt_finished(5.0, "r", 2, AttemptResult.OVERLOADED), SendResponse).status == 503
+    single_effect(node.attempt_finished(2.0, "r", 0, AttemptResult.OVERLOADED), StartAttempt)
+    change_settings(node, 3.0, max_attempts=1)
+    single_effect(
+        node.attempt_finished(4.0, "r", 1, AttemptResult.OVERLOADED), StartAttempt
+    )  # its third, and last
+    assert (
+        single_effect(node.attempt_finished(5.0, "r", 2, AttemptResult.OVERLOADED), SendResponse).status
+        == 503
+    )
     node.receive_request(6.0, RequestReceived("q", "read", 2500.0))
-    assert only(node.attempt_finished(7.0, "q", 0, AttemptResult.OVERLOADED), SendResponse).status == 503
+    assert (
+        single_effect(node.attempt_finished(7.0, "q", 0, AttemptResult.OVERLOADED), SendResponse).status
+        == 503
+    )
 
 
 @pytest.mark.parametrize("before", [True, False])
 def test_cancellation_setting_holds_as_when_the_request_was_received(before: bool):
-    node = made(may_cancel=before)
+    node = make_node(may_cancel=before)
     node.receive_request(1.0, RequestReceived("r", "read", 2500.0))
-    change(node, 2.0, may_cancel=not before)
+    change_settings(node, 2.0, may_cancel=not before)
     gone = [effect for effect in node.client_disconnected(3.0, "r") if isinstance(effect, AbortAttempt)]
     assert bool(gone) is before
 
 
 @pytest.mark.parametrize("before", [True, False])
 def test_hedging_setting_holds_as_when_the_request_was_received(before: bool):
-    node = made(Limits(hedging_allowed=before))
+    node = make_node(Limits(hedging_allowed=before))
     node.receive_request(1.0, RequestReceived("r", "read", 2500.0))
     node.configure(2.0, node.settings, Limits(hedging_allowed=not before))
     node._act(3.0, ForwardRequest("r", "s3"))  # what a module with second copies may decide
@@ -327,20 +347,23 @@
 
 
 def test_requests_above_a_lowered_limit_are_finished():
-    node = made()
+    node = make_node()
     for id in ("a", "b"):
         node.receive_request(1.0, RequestReceived(id, "read", 2500.0))
     node.configure(2.0, node.settings, Limits(max_open_requests=1))
-    assert only(node.receive_request(3.0, RequestReceived("c", "read", 2500.0)), SendResponse).status == 503
+    assert (
+        single_effect(node.receive_request(3.0, RequestReceived("c", "read", 2500.0)), SendResponse).status
+        == 503
+    )
     for id in ("a", "b"):
-        assert only(node.attempt_finished(4.0, id, 0, AttemptResult.OK), SendResponse).status == 200
-    only(node.receive_request(5.0, RequestReceived("d", "read", 2500.0)), StartAttempt)
+        assert single_effect(node.attempt_finished(4.0, id, 0, AttemptResult.OK), SendResponse).status == 200
+    single_effect(node.receive_request(5.0, RequestReceived("d", "read", 2500.0)), StartAttempt)
 
 
 # --------------------------------------------------------------- what is learned
 
 
-def quiet(harness: BalancerHarness, periods: int, latency: float, each: int = 4) -> int:
+def run_periods(harness: BalancerHarness, periods: int, latency: float, each: int = 4) -> int:
     """So many periods, in each of which so many requests take so long; how many were sent."""
     count = 0
     for _ in range(periods):
@@ -361,29 +384,29 @@
 
 def test_shorter_objective_is_no_overload():
     """Guards against a baseline that stays behind: with half the aim the same answers take twice the share of it."""
-    harness = BalancerHarness(4, classes=(SAFE,), warm_up_ms=0.0)
-    quiet(harness, 30, latency=200.0)
+    harness = BalancerHarness(4, classes=(IDEMPOTENT,), warm_up_ms=0.0)
+    run_periods(harness, 30, latency=200.0)
     assert harness.parts.pool_load.baseline_ratio == pytest.approx(0.2, rel=0.01)
-    configure(harness, classes=(dataclasses.replace(SAFE, latency_objective_ms=500.0),))
+    configure(harness, classes=(dataclasses.replace(IDEMPOTENT, latency_objective_ms=500.0),))
     assert harness.parts.pool_load.baseline_ratio == pytest.approx(0.4, rel=0.01)
     for _ in range(30):
-        quiet(harness, 1, latency=200.0)
+        run_periods(harness, 1, latency=200.0)
         assert harness.parts.table.cursor == 0
 
 
 def test_latency_counts_by_the_present_objective():
-    harness = BalancerHarness(4, classes=(SAFE,), warm_up_ms=0.0)
-    quiet(harness, 30, latency=200.0)
+    harness = BalancerHarness(4, classes=(IDEMPOTENT,), warm_up_ms=0.0)
+    run_periods(harness, 30, latency=200.0)
     name, acts = harness.receive_request()
-    configure(harness, classes=(dataclasses.replace(SAFE, latency_objective_ms=500.0),))
+    configure(harness, classes=(dataclasses.replace(IDEMPOTENT, latency_objective_ms=500.0),))
     harness.finish_attempt(name, forwarded(acts)[0].server, AttemptResult.OK, 200.0)
     assert harness.parts.pool_load.latency_ratios == [pytest.approx(0.4)]
 
 
 def test_learning_restarts_without_a_class_in_common():
-    harness = BalancerHarness(4, classes=(SAFE,), warm_up_ms=0.0)
-    quiet(harness, 30, latency=200.0)
-    configure(harness, classes=(dataclasses.replace(SAFE, name="other", latency_objective_ms=300.0),))
+    harness = BalancerHarness(4, classes=(IDEMPOTENT,), warm_up_ms=0.0)
+    run_periods(harness, 30, latency=200.0)
+    configure(harness, classes=(dataclasses.replace(IDEMPOTENT, name="other", latency_objective_ms=300.0),))
     one = harness.balancer
     assert (
         one.parts.pool_load.baseline_ratio,
@@ -397,13 +420,15 @@
 
 def test_shorter_period_begins_at_the_end_of_the_present_one():
     """Guards the rate: what a long period completed is not what a short one does."""
-    slow = dataclasses.replace(SAFE, latency_objective_ms=10000.0, deadline_ms=20000.0)
+    slow = dataclasses.replace(IDEMPOTENT, latency_objective_ms=10000.0, deadline_ms=20000.0)
     harness = BalancerHarness(4, classes=(slow,), warm_up_ms=0.0)
-    quiet(harness, 10, latency=200.0)
+    run_periods(harness, 10, latency=200.0)
     peak = harness.parts.throughput.peak_completion_rate
     for _ in range(4):
         harness.serve_request(latency=0.0)
-    configure(harness, classes=(dataclasses.replace(SAFE, latency_objective_ms=100.0, deadline_ms=200.0),))
+    configure(
+        harness, classes=(dataclasses.replace(IDEMPOTENT, latency_objective_ms=100.0, deadline_ms=200.0),)
+    )
     acts = harness.end_period()
     assert harness.parts.throughput.peak_completion_rate <= peak * 1.05
     assert [act.delay_ms for act in acts if isinstance(act, StartTimer)] == [15.0]
@@ -420,20 +445,20 @@
 
 def test_rates_survive_a_change_of_the_fleet_size():
     harness = BalancerHarness(4, balancer_count=1, warm_up_ms=0.0)
-    quiet(harness, 30, latency=200.0)
+    run_periods(harness, 30, latency=200.0)
     before = rates(harness)
     configure(harness, balancer_count=30)
     shared, throughput = harness.parts.shared, harness.parts.throughput
     assert shared.in_large_fleet
     assert throughput.pool_capacity == pytest.approx(4.0)
     assert throughput.completion_rate * throughput.pool_capacity == pytest.approx(before[0])
-    quiet(harness, 3, latency=200.0, each=1)
+    run_periods(harness, 3, latency=200.0, each=1)
     configure(harness, balancer_count=1)
     assert not shared.in_large_fleet
     assert throughput.pool_capacity == 1.0
     assert throughput.peak_completion_rate == pytest.approx(before[1], rel=0.5)
     twice = BalancerHarness(4, balancer_count=1, warm_up_ms=0.0)
-    quiet(twice, 30, latency=200.0)
+    run_periods(twice, 30, latency=200.0)
     configure(twice, balancer_count=30)
     configure(twice, balancer_count=1)
     assert rates(twice) == pytest.approx(before)
@@ -446,8 +471,8 @@
         harness.finish_attempt(name, forwarded(acts)[0].server, AttemptResult.OVERLOADED, done=True)
     assert harness.servers["s0"].refusals_in_row == 3
     configure(harness, balancer_count=1)
-    peer = harness.servers["s0"]
-    assert (peer.refusals_in_row, peer.backoff_until_ms) == (0, -math.inf)
+    stats = harness.servers["s0"]
+    assert (stats.refusals_in_row, stats.backoff_until_ms) == (0, -math.inf)
 
 
 def test_token_bucket_is_resized_and_keeps_its_tokens():
@@ -469,15 +494,15 @@
     harness.handle(EndpointListUpdate(EndpointListForm.SNAPSHOT, servers(count, launched_ms=harness.now)))
     harness.now += 2000.0
     for _ in range(20):
-        quiet(harness, 1, latency=10.0, each=3 * count)
-    peers = harness.servers.values()
-    assert all(peer.credit < -1.0 for peer in peers)
+        run_periods(harness, 1, latency=10.0, each=3 * count)
+    all_stats = harness.servers.values()
+    assert all(stats.credit < -1.0 for stats in all_stats)
     configure(harness, warm_up_ms=60000.0)
-    assert all(0.0 <= peer.credit <= 1.0 for peer in peers)
+    assert all(0.0 <= stats.credit <= 1.0 for stats in all_stats)
     assert len(harness.parts.shared.pool._warm) == 0
     got = sum(len(forwarded(harness.receive_request()[1])) for _ in range(count))
     assert got < count  # paced by now
-    assert quiet(harness, 20, latency=10.0, each=count) > count  # but not shut out
+    assert run_periods(harness, 20, latency=10.0, each=count) > count  # but not shut out
     configure(harness, warm_up_ms=0.0)
     assert len(harness.parts.shared.pool._warm) == count
     assert all(forwarded(harness.receive_request()[1]) for _ in range(count))
@@ -494,19 +519,19 @@
 
 def test_learned_state_is_scaled_to_other_objectives():
     """Guards an upgrade that comes with other settings; a file from before aims were kept counts as it is."""
-    old = BalancerHarness(4, classes=(SAFE,), warm_up_ms=0.0)
-    quiet(old, 30, latency=200.0)
+    old = BalancerHarness(4, classes=(IDEMPOTENT,), warm_up_ms=0.0)
+    run_periods(old, 30, latency=200.0)
     learned = old.balancer.capture_learned_state(old.now)
     for aim, kept, base in [
         (500.0, learned, 0.4),
         (500.0, dataclasses.replace(learned, objectives_ms={}), 0.2),
     ]:
         new = BalancerHarness(
-            4, classes=(dataclasses.replace(SAFE, latency_objective_ms=aim),), warm_up_ms=0.0
+            4, classes=(dataclasses.replace(IDEMPOTENT, latency_objective_ms=aim),), warm_up_ms=0.0
         )
         new.balancer.restore_learned_state(new.now, kept, 0.0)
         assert new.balancer.parts.pool_load.baseline_ratio == pytest.approx(base, rel=0.01)
-    strange = BalancerHarness(4, classes=(dataclasses.replace(SAFE, name="other"),), warm_up_ms=0.0)
+    strange = BalancerHarness(4, classes=(dataclasses.replace(IDEMPOTENT, name="other"),), warm_up_ms=0.0)
     strange.balancer.restore_learned_state(strange.now, learned, 0.0)
     assert strange.balancer.parts.pool_load.baseline_ratio is None
     assert LearnedState().objectives_ms == {}
@@ -522,7 +547,7 @@
 
 def test_settings_change_before_the_first_event():
     one = Balancer(settings(), seed=1, now_ms=0.0)
-    assert one.handle(0.0, SettingsChanged(settings(classes=(SAFE,), poll_discovery=True))) == []
+    assert one.handle(0.0, SettingsChanged(settings(classes=(IDEMPOTENT,), poll_discovery=True))) == []
     acts = one.handle(1.0, EndpointListUpdate(EndpointListForm.SNAPSHOT, servers(1)))
     assert action_types(acts) == [StartTimer, WatchEndpoints]
     assert acts[0] == StartTimer(150.0, "period")
--- a/tests/policy/test_slow_start.py
+++ b/tests/policy/test_slow_start.py
@@ -300,15 +300,15 @@
         cold = Server("cold", "a", launched_ms=harness.now)
         harness.handle(EndpointListUpdate(EndpointListForm.DELTA, (cold,)))
         harness.parts.throughput.peak_completion_rate = rate
-        peer = harness.servers["cold"]
-        peer.credit = peer.credit % 1.0
+        stats = harness.servers["cold"]
+        stats.credit = stats.credit % 1.0
         ready += (
-            harness.parts.slow_start.has_credit(harness.now + away, peer)
+            harness.parts.slow_start.has_credit(harness.now + away, stats)
             and away < harness.parts.shared.settings.warm_up_ms
         )
-        assert peer.credit < 2.0
+        assert stats.credit < 2.0
         pace = (
-            harness.parts.slow_start.capacity_share(harness.now + away, peer)
+            harness.parts.slow_start.capacity_share(harness.now + away, stats)
             * harness.parts.slow_start.credit_rate()
         )
         kept += min(1.0, pace * harness.parts.shared.settings.overload_window_ms / 2.0)
--- a/tests/proxy/test_reconfiguration.py
+++ b/tests/proxy/test_reconfiguration.py
@@ -24,7 +24,7 @@
 from rosewheel.proxy.state import SharedState
 from tests.cli.test_run import connect, free_port, good, start
 from tests.hot_restart.test_hot_restart import LONG, bench, read_long, send_long, slow_client
-from tests.support.balancers import SAFE, UNSAFE
+from tests.support.balancers import IDEMPOTENT, NON_IDEMPOTENT
 from tests.support.sockets import (
     WAIT_S,
     Client,
@@ -118,7 +118,7 @@
             bad = dataclasses.replace(
                 before,
                 discovery=("127.0.0.1", 2),
-                settings=other(relay, tier=1, classes=(SAFE,)),
+                settings=other(relay, tier=1, classes=(IDEMPOTENT,)),
                 bounds=Limits(max_sockets=64, memory_limit_mb=33.0),
             )
             with pytest.raises(ConfigError, match=r"^tier: 1 would need a new start of this node$"):
@@ -339,9 +339,10 @@
                 old = await nodes.next()
                 client = await slow_client(old, nodes.port)
                 old.configure(
-                    other(old, classes=(UNSAFE, dataclasses.replace(SAFE, name="new"))), old.config.bounds
+                    other(old, classes=(NON_IDEMPOTENT, dataclasses.replace(IDEMPOTENT, name="new"))),
+                    old.config.bounds,
                 )
-                nodes.changes["classes"] = (UNSAFE,)
+                nodes.changes["classes"] = (NON_IDEMPOTENT,)
                 new = await nodes.next()
                 await old.drain()
                 assert (len(old.calls), len(new.calls)) == (0, 1)
--- a/tests/proxy/test_shutdown.py
+++ b/tests/proxy/test_shutdown.py
@@ -11,7 +11,7 @@
 from rosewheel.http import downstream_server as callers_module
 from rosewheel.http.downstream_connection import DownstreamConnection
 from rosewheel.proxy.proxy import Proxy
-from tests.support.balancers import KEYED, SAFE, UNSAFE
+from tests.support.balancers import IDEMPOTENT, IDEMPOTENT_WITH_KEY, NON_IDEMPOTENT
 from tests.support.sockets import Client, FakeServer, Message, answer, entry, node, run, status, until
 
 KILLED_S = 0.7  # so long after the longest patience, counted as 3 s where it is longer
@@ -59,7 +59,7 @@
         dataclasses.replace(
             kind, latency_objective_ms=min(kind.latency_objective_ms, give_up_ms), deadline_ms=give_up_ms
         )
-        for kind in (SAFE, UNSAFE, KEYED)
+        for kind in (IDEMPOTENT, NON_IDEMPOTENT, IDEMPOTENT_WITH_KEY)
     )
 
     async def main() -> None:
--- a/tests/support/balancers.py
+++ b/tests/support/balancers.py
@@ -20,21 +20,21 @@
 from rosewheel.policy.server_stats import ServerStats
 from rosewheel.policy.settings import DedupScope, Idempotency, ServiceClass, Settings
 
-SAFE = ServiceClass(
+IDEMPOTENT = ServiceClass(
     "read",
     latency_objective_ms=1000,
     deadline_ms=2500,
     priority_weight=12,
     idempotency=Idempotency.IDEMPOTENT,
 )
-UNSAFE = ServiceClass(
+NON_IDEMPOTENT = ServiceClass(
     "post",
     latency_objective_ms=1000,
     deadline_ms=2500,
     priority_weight=1,
     idempotency=Idempotency.NON_IDEMPOTENT,
 )
-KEYED = ServiceClass(
+IDEMPOTENT_WITH_KEY = ServiceClass(
     "points",
     latency_objective_ms=2000,
     deadline_ms=5000,
@@ -47,7 +47,7 @@
 
 def settings(**changes: Any) -> Settings:
     given: dict[str, Any] = {
-        "classes": (SAFE, UNSAFE, KEYED),
+        "classes": (IDEMPOTENT, NON_IDEMPOTENT, IDEMPOTENT_WITH_KEY),
         "zone": "a",
         "balancer_count": 2,
         "may_cancel": True,
