--- a/tests/policy/test_learned_state.py
+++ b/tests/policy/test_learned_state.py
@@ -29,7 +29,7 @@
     Server,
     SiblingProcessLoad,
 )
-from rosewheel.policy.learned_state import LearnedState
+from rosewheel.policy.learned_state import LearnedServer, LearnedState
 from rosewheel.policy.learned_state_codec import (
     learned_state_from_json,
     learned_state_to_json,
@@ -197,6 +197,42 @@
     assert kept == snapshots.Snapshot(learned, 1.0, math.inf)
 
 
+def test_keys_of_the_file_stay():
+    """Guards what earlier versions have written, and what they read after a downgrade."""
+    server = {
+        "started_ago_ms": None,
+        "slow": 1.5,
+        "errs": 0.1,
+        "heard_ago_ms": 2.0,
+        "queue": 3.0,
+        "told_ago_ms": 4.0,
+        "util": 0.5,
+        "credit": 0.25,
+        "returned_ago_ms": 6.0,
+    }
+    row = {
+        "servers": {"s0": server},
+        "class_ms": {"read": 7.0},
+        "aims": {"read": 1000.0},
+        "base": 0.2,
+        "level": 0.3,
+        "outcomes": 8,
+        "cursor": 9,
+        "rate": 0.4,
+        "peak": 0.5,
+        "asked_rate": 0.6,
+        "erring": 0.01,
+        "usual": 0.02,
+    }
+    state = learned_state_from_json(row)
+    assert state.servers["s0"] == LearnedServer(None, 1.5, 0.1, 2.0, 3.0, 4.0, 0.5, 0.25, 6.0)
+    assert (state.class_latency_ms, state.objectives_ms) == ({"read": 7.0}, {"read": 1000.0})
+    assert (state.baseline_ratio, state.smoothed_ratio, state.baseline_outcomes) == (0.2, 0.3, 8)
+    assert (state.completion_rate, state.peak_completion_rate, state.request_rate) == (0.4, 0.5, 0.6)
+    assert (state.cursor, state.smoothed_error_share, state.baseline_error_share) == (9, 0.01, 0.02)
+    assert orjson.dumps(learned_state_to_json(state)) == orjson.dumps(row)
+
+
 @given(st.data())
 @hypothesis_settings(deadline=None, max_examples=200)
 def test_damaged_snapshot_is_rejected(data: st.DataObject):
