--- a/rosewheel/simulator_codec.py
+++ b/rosewheel/simulator_codec.py
@@ -37,7 +37,7 @@
     TimerFired,
 )
 from rosewheel.policy.settings import Settings
-from rosewheel.policy.settings_codec import settings_from
+from rosewheel.policy.settings_codec import settings_from_json
 
 JsonObject = dict[str, Any]
 Catalogs = Mapping[int, tuple[Server, ...]]
@@ -131,7 +131,7 @@
 def decode_node_start(row: JsonObject) -> NodeStart:
     """The settings and the seed of a node that starts."""
     config, seed = row["config"], row["seed"]
-    return NodeStart(settings_from(config), seed)
+    return NodeStart(settings_from_json(config), seed)
 
 
 def decode_event(row: JsonObject, report_fields: tuple[str, ...], catalogs: Catalogs) -> Event:
--- a/tests/http/test_client_disconnects.py
+++ b/tests/http/test_client_disconnects.py
@@ -11,7 +11,7 @@
 from rosewheel.http.body import CONNECTION_SHARE_DIVISOR
 from rosewheel.http.downstream_connection import DownstreamConnection
 from rosewheel.http.downstream_server import PAUSED_CHECK_INTERVAL_S
-from tests.support.balancers import UNSAFE
+from tests.support.balancers import NON_IDEMPOTENT
 from tests.support.loops import PatchedLoop
 from tests.support.sockets import (
     Client,
@@ -87,7 +87,7 @@
     async def main() -> None:
         free, slow = gated_handler()
         patient = dataclasses.replace(
-            UNSAFE, latency_objective_ms=60000, deadline_ms=60000
+            NON_IDEMPOTENT, latency_objective_ms=60000, deadline_ms=60000
         )  # no deadline ends the first one
         async with (
             FakeServer(slow).up() as server,  # type: ignore[arg-type]
--- a/tests/http/test_disconnects_between_attempts.py
+++ b/tests/http/test_disconnects_between_attempts.py
@@ -15,7 +15,7 @@
 from rosewheel.http.request_reader import MAX_PIPELINED_REQUESTS
 from rosewheel.policy.actions import ForwardRequest
 from rosewheel.proxy.proxy import Proxy, now_ms
-from tests.support.balancers import KEYED, SAFE, UNSAFE
+from tests.support.balancers import IDEMPOTENT, IDEMPOTENT_WITH_KEY, NON_IDEMPOTENT
 from tests.support.sockets import (
     Client,
     FakeServer,
@@ -32,9 +32,12 @@
 # Patient enough that no deadline ends anything here; a key is remembered for longer than any test takes.
 PATIENT = tuple(
     dataclasses.replace(
-        kind, latency_objective_ms=60000, deadline_ms=60000, dedup_window_ms=100_000 if kind is KEYED else 0.0
+        kind,
+        latency_objective_ms=60000,
+        deadline_ms=60000,
+        dedup_window_ms=100_000 if kind is IDEMPOTENT_WITH_KEY else 0.0,
     )
-    for kind in (SAFE, UNSAFE, KEYED)
+    for kind in (IDEMPOTENT, NON_IDEMPOTENT, IDEMPOTENT_WITH_KEY)
 )
 
 
@@ -141,7 +144,9 @@
                 await unread(relay, client)
                 disconnect(client, how)
                 await asyncio.sleep(0)
-                relay.node.driver.apply(now_ms(), [ForwardRequest("first", "two" if one.got else "one", 50000.0)])
+                relay.node.driver.apply(
+                    now_ms(), [ForwardRequest("first", "two" if one.got else "one", 50000.0)]
+                )
                 relay.apply(relay.node.driver.handle(now_ms()))
                 await until(lambda: not relay.node.requests and not relay.upstream.exchanges)
                 assert relay.upstream.connecting_count == 0
--- a/tests/test_adapter.py
+++ b/tests/test_adapter.py
@@ -12,7 +12,7 @@
 import pytest
 
 from rosewheel.adapter import NodeHost, run
-from rosewheel.policy.settings_codec import settings_from
+from rosewheel.policy.settings_codec import settings_from_json
 from rosewheel.simulator_codec import SimulatorWireError
 
 ROOT = Path(__file__).parent.parent
@@ -211,8 +211,8 @@
     assert host.nodes[0].balancer.parts.shared.pool.servers["10.0.0.1:1"].reported_queue == 4
 
 
-def test_absent_settings_have_their_defaults():
-    settings = settings_from({"categories": CONFIG["categories"][:1]})
+def test_absent_settings_take_their_defaults():
+    settings = settings_from_json({"categories": CONFIG["categories"][:1]})
     assert settings.balancer_count == 1
     assert settings.tenants == ()
     assert settings.max_attempts == 1
