--- a/rosewheel/lab/__init__.py
+++ b/rosewheel/lab/__init__.py
@@ -1,1 +1,1 @@
-"""Emulated equipos, load, scenarios and experiments."""
+"""Emulated servers, load, scenarios and experiments."""
--- a/rosewheel/lab/emulated_fleet.py
+++ b/rosewheel/lab/emulated_fleet.py
@@ -162,9 +162,9 @@
         host.isolate()
         self.report(host, DiscoveryChange.SERVER_DIED, LEFT)
 
-    async def rejoin(self, host: EmulatedServerHost, restart_cold: bool) -> None:
+    async def rejoin(self, host: EmulatedServerHost, new_process: bool) -> None:
         """Connect an isolated machine again, with its process or with a new one."""
-        if restart_cold:
+        if new_process:
             self.stop(host)
             await host.rejoin()
             await self.revive(host)
--- a/rosewheel/lab/emulator_faults.py
+++ b/rosewheel/lab/emulator_faults.py
@@ -48,9 +48,9 @@
         """Start a crashed server again."""
         self.fleet.run_task(self.fleet.revive(host))
 
-    def set_unreachable(self, host: EmulatedServerHost, unreachable: bool, restart_cold: bool) -> None:
+    def set_unreachable(self, host: EmulatedServerHost, unreachable: bool, new_process: bool) -> None:
         """Cut a machine off, or connect it again."""
-        work = self.fleet.isolate(host) if unreachable else self.fleet.rejoin(host, restart_cold)
+        work = self.fleet.isolate(host) if unreachable else self.fleet.rejoin(host, new_process)
         self.fleet.run_task(work)
 
     def set_accepting(self, host: EmulatedServerHost, accepting: bool) -> None:
--- a/rosewheel/lab/fault_injector.py
+++ b/rosewheel/lab/fault_injector.py
@@ -79,7 +79,7 @@
                         self.revive(host)
             case FaultKind.MACHINE_UNREACHABLE:
                 for host in targets:
-                    self.set_unreachable(host, begins, fault.restart_cold)
+                    self.set_unreachable(host, begins, fault.new_process)
             case _:
                 self._inject_outside_servers(step, fault, targets)
 
@@ -157,7 +157,7 @@
         """Start a crashed server again."""
 
     @abstractmethod
-    def set_unreachable(self, host: HostT, unreachable: bool, restart_cold: bool) -> None:
+    def set_unreachable(self, host: HostT, unreachable: bool, new_process: bool) -> None:
         """Cut a machine off, or connect it again with its process or with a new one."""
 
     @abstractmethod
--- a/rosewheel/lab/fault_table.py
+++ b/rosewheel/lab/fault_table.py
@@ -94,7 +94,7 @@
         "share": "part",
         "period_s": "on_s",
         "deployed_only": "fresh",
-        "restart_cold": "cold",
+        "new_process": "cold",
         "connection_fault": "how",
         "node_index": "node",
         "killed_process": "kills",
@@ -118,7 +118,7 @@
         drain_s: `deploy`: from the drain to the stop.
         boot_s: `deploy`: from the drain to the start of the new servers.
         deployed_only: `errors`, `slow`: only servers that earlier deploys of the file have started by then.
-        restart_cold: `vanish`: what returns is a new process.
+        new_process: `vanish`: what returns is a new process.
         delay_ms: `faults`: delay of a response.
         node_index: `node-crash`, `node-upgrade`: the node.
         killed_process: `node-upgrade`: the process that is killed; the last process of a node is started again.
@@ -138,7 +138,7 @@
     drain_s: Range = (3.6, 5.6)
     boot_s: Range = 1.0
     deployed_only: bool = False
-    restart_cold: bool = False
+    new_process: bool = False
     connection_fault: ConnectionFaultKind = ConnectionFaultKind.RESET
     delay_ms: NonNegative = 500.0
     node_index: Annotated[int, Meta(ge=0)] = 0
@@ -167,7 +167,7 @@
             raise KeyedError("kills", f"no process is killed by a trouble of kind {kind}")
         if self.kind in SIZED_FAULT_KINDS and self.size == 0.0:
             raise KeyedError("size", f"a trouble of kind {kind} needs one above zero")
-        if self.restart_cold and self.kind is not FaultKind.MACHINE_UNREACHABLE:
+        if self.new_process and self.kind is not FaultKind.MACHINE_UNREACHABLE:
             raise KeyedError("cold", f"a trouble of kind {kind} brings nothing back that could be")
         if self.deployed_only and self.kind not in (FaultKind.ERRORS, FaultKind.SLOW):
             raise KeyedError("fresh", f"a trouble of kind {kind} does not tell new equipos from old ones")
--- a/rosewheel/lab/plan_faults.py
+++ b/rosewheel/lab/plan_faults.py
@@ -83,16 +83,20 @@
     size: float
 
     def draw(self, value: Range, key: str) -> float:
+        """A draw from a range by a stream of this fault."""
         return draw_range(value, self.seed, "trouble", self.index, key)
 
 
 class _FaultScheduler:
+    """Collects the steps of all faults, in order of the scenario."""
+
     def __init__(self, scenario: Scenario, seed: int, servers: tuple[ServerSpec, ...]) -> None:
         self.scenario, self.seed, self.servers = scenario, seed, servers
         self.steps: list[FaultStep] = []
         self.deployed: list[ServerSpec] = []
 
     def add(self, index: int, table: FaultTable) -> None:
+        """Draw a fault and add its steps."""
         fault = self._drawn(index, table)
         match table.kind:
             case FaultKind.DEPLOY:
--- a/rosewheel/lab/simulation/connection_pools.py
+++ b/rosewheel/lab/simulation/connection_pools.py
@@ -46,15 +46,15 @@
         connecting: connections that are being opened.
     """
 
-    def __init__(self, queue: EventQueue, bounds: Limits, large_fleet: bool) -> None:
+    def __init__(self, queue: EventQueue, limits: Limits, large_fleet: bool) -> None:
         self.queue = queue
         self.by_server: dict[str, ConnectionPool] = {}
         self.idle: dict[Connection, None] = {}
         self.open: dict[Connection, None] = {}
         self.connecting = 0
-        self.max_connections = max(MIN_CONNECTIONS, bounds.max_sockets - RESERVED_DESCRIPTORS)
-        self.max_idle_per_server = max(MIN_IDLE_PER_SERVER, bounds.max_sockets // MAX_IDLE_DIVISOR)
-        self.idle_timeout = IdleTimeout(bounds.idle_timeout_ms / 1000.0, large_fleet)
+        self.max_connections = max(MIN_CONNECTIONS, limits.max_sockets - RESERVED_DESCRIPTORS)
+        self.max_idle_per_server = max(MIN_IDLE_PER_SERVER, limits.max_sockets // MAX_IDLE_DIVISOR)
+        self.idle_timeout = IdleTimeout(limits.idle_timeout_ms / 1000.0, large_fleet)
 
     def update(self, form: EndpointListForm, servers: Iterable[Server]) -> None:
         """Follow the endpoint list: close connections to servers that drain, are gone, or were started again."""
@@ -96,7 +96,7 @@
                 return connection
         return None
 
-    def make_room(self) -> bool:
+    def reserve_slot(self) -> bool:
         """Whether one more connection may be opened; closes the longest idle one where the limit is reached."""
         if len(self.open) + self.connecting < self.max_connections:
             return True
--- a/rosewheel/lab/simulation/fault_injector.py
+++ b/rosewheel/lab/simulation/fault_injector.py
@@ -55,12 +55,12 @@
         """Start a crashed server again."""
         self.fleet.launch(host)
 
-    def set_unreachable(self, host: SimulatedServerHost, unreachable: bool, restart_cold: bool) -> None:
+    def set_unreachable(self, host: SimulatedServerHost, unreachable: bool, new_process: bool) -> None:
         """Cut a machine off, or connect it again with its process or with a new one."""
         if unreachable:
             host.isolate()
             self.fleet.remove_endpoint(host, DiscoveryChange.SERVER_DIED)
-        elif restart_cold:
+        elif new_process:
             self.fleet.crash(host)
             self.fleet.launch(host)
         else:
--- a/rosewheel/lab/simulation/fleet.py
+++ b/rosewheel/lab/simulation/fleet.py
@@ -59,7 +59,7 @@
         self._cells: dict[tuple[int, int], list[SimulatedServerHost]] = {}  # by tier and cell
         self._notifications: dict[tuple[str, str], Notification] = {}  # by node and server
         self._settings: dict[tuple[int, int, str], Settings] = {}
-        self._bounds = Limits(
+        self._limits = Limits(
             idle_timeout_ms=IDLE_TIMEOUT_MS,
             hedging_allowed=scenario.nodes.hedged_requests,
             health_checks_allowed=True,
@@ -104,7 +104,7 @@
             self._settings[tier, balancer_count, zone] = settings
         self._process_count += 1
         seed = int(random_stream(self.plan.seed, "node", name, self._process_count).integers(1 << 62))
-        node = SimulatedNode(self, name, tier, settings, self._bounds, seed)
+        node = SimulatedNode(self, name, tier, settings, self._limits, seed)
         self.registries[tier].add_agent(node)
         return node
 
--- a/rosewheel/lab/simulation/node.py
+++ b/rosewheel/lab/simulation/node.py
@@ -61,15 +61,15 @@
         name: str,
         tier: int,
         settings: Settings,
-        bounds: Limits,
+        limits: Limits,
         seed: int,
     ) -> None:
-        self.environment, self.name, self.tier, self.bounds = environment, name, tier, bounds
+        self.environment, self.name, self.tier, self.limits = environment, name, tier, limits
         self.queue, self.zone = environment.queue, settings.zone
-        self.node = Node(settings, bounds, seed, self.queue.now)
+        self.node = Node(settings, limits, seed, self.queue.now)
         self.requests: dict[str, NodeRequest] = {}
         self.attempts: dict[tuple[str, int], Attempt] = {}
-        self.pools = ConnectionPools(self.queue, bounds, is_large_fleet(settings))
+        self.pools = ConnectionPools(self.queue, limits, is_large_fleet(settings))
         self.dead = False
         self._armed_ms = math.inf
         self.queue.call_later(SWEEP_INTERVAL_S * 1000.0, self._sweep)
@@ -164,12 +164,12 @@
 
     def _connect(self, server: str, pool: ConnectionPool | None, attempt: Attempt) -> None:
         host = self.environment.hosts.get(server)
-        if pool is None or not pool.accepts_requests or host is None or not self.pools.make_room():
+        if pool is None or not pool.accepts_requests or host is None or not self.pools.reserve_slot():
             self.queue.call_later(0.0, self._connect_failed, attempt)
             return
         self.pools.connecting += 1
         unreachable = host.isolated or self._separated(host)
-        delay_ms = self.bounds.connect_timeout_ms if unreachable else 2.0 * self._one_way_ms(host)
+        delay_ms = self.limits.connect_timeout_ms if unreachable else 2.0 * self._one_way_ms(host)
         self.queue.call_later(delay_ms, self._connected, server, pool, host, attempt)
 
     def _connected(
@@ -267,7 +267,7 @@
         result, report = AttemptResult.CONNECT_FAILED, None
         delay_ms = self._delay_to(host)
         if host is not None and (host.isolated or self._separated(host)):
-            result, delay_ms = AttemptResult.TIMEOUT, self.bounds.health_check_timeout_ms
+            result, delay_ms = AttemptResult.TIMEOUT, self.limits.health_check_timeout_ms
         elif host is not None and host.listening:
             result, report = host.check_health()
         self.queue.call_later(delay_ms, self._health_checked, server, started_ms, result, report)
--- a/rosewheel/lab/simulation/requests.py
+++ b/rosewheel/lab/simulation/requests.py
@@ -261,11 +261,13 @@
         self.timer: ScheduledEvent | None = None
 
     def send(self, request: NodeRequest, timeout_ms: float) -> None:
+        """Send the request to the local node; it is abandoned after this time."""
         self.request = request
         self.timer = self.owner.queue.call_later(timeout_ms, self._abandon)
         self.node.submit(request)
 
     def finish(self, outcome: AttemptOutcome) -> None:
+        """The call has ended."""
         if self.finished:
             return
         self.finished = True
--- a/tests/lab/test_emulator.py
+++ b/tests/lab/test_emulator.py
@@ -1,4 +1,4 @@
-"""Emulated equipos on sockets, as a plain client sees them, and what becomes of a run that is cut short."""
+"""Emulated servers on sockets, as a plain client sees them, and interrupted runs."""
 
 from __future__ import annotations
 
@@ -87,13 +87,13 @@
     return next(iter(emulator.fleet.hosts.values()))
 
 
-class Plain:
-    """A client's connection with nothing clever about it."""
+class PlainClient:
+    """A client's connection without retries or pooling."""
 
     def __init__(self, host: EmulatedServerHost) -> None:
         self.host, self.sent = host, 0
 
-    async def __aenter__(self) -> Plain:
+    async def __aenter__(self) -> PlainClient:
         self.reader, self.writer = await asyncio.open_connection(*self.host.address)
         return self
 
@@ -120,9 +120,9 @@
     return [row for row in read_records(folder / "equipos.jsonl") if row["e"] == "job"]
 
 
-def test_an_answer_is_made_for_its_request_and_tells_the_load(tmp_path: Path):
+def test_a_response_names_its_request_and_reports_the_load(tmp_path: Path):
     async def main() -> None:
-        async with emulated(tmp_path) as emulator, Plain(first(emulator)) as client:
+        async with emulated(tmp_path) as emulator, PlainClient(first(emulator)) as client:
             got = await client.ask("r1")
             assert got is not None
             assert status(got) == 200
@@ -138,15 +138,15 @@
     assert [(row["rid"], row["verdict"], row["ran"]) for row in jobs(tmp_path)] == [("r1", "served", True)]
 
 
-def test_past_slots_and_waiting_room_it_turns_away(tmp_path: Path):
+def test_requests_beyond_concurrency_and_queue_limits_are_rejected(tmp_path: Path):
     async def main() -> None:
         async with emulated(tmp_path) as emulator, contextlib.AsyncExitStack() as stack:
             host = first(emulator)
             for number in range(3):
-                client = await stack.enter_async_context(Plain(host))
+                client = await stack.enter_async_context(PlainClient(host))
                 client.send(f"r{number}", work=1e6)
             await until(lambda: host.model.arrived == 3)
-            client = await stack.enter_async_context(Plain(host))
+            client = await stack.enter_async_context(PlainClient(host))
             got = await client.ask("late")
             assert status(got) == 503
             assert got is not None
@@ -156,11 +156,11 @@
     assert next(row for row in jobs(tmp_path) if row["verdict"] == "turned away")["ran"] is False
 
 
-def test_work_goes_on_when_its_client_has_gone(tmp_path: Path):
+def test_work_continues_after_its_client_disconnects(tmp_path: Path):
     async def main() -> None:
         async with emulated(tmp_path) as emulator:
             host = first(emulator)
-            async with Plain(host) as client:
+            async with PlainClient(host) as client:
                 client.send("r1", work=60.0)
                 await until(lambda: host.model.arrived == 1)
             await until(lambda: host.model.ended == 1)
@@ -169,11 +169,11 @@
     assert [(row["verdict"], row["wanted"]) for row in jobs(tmp_path)] == [("served", False)]
 
 
-def test_a_repeat_at_another_equipo_of_the_grupo_is_dropped(tmp_path: Path):
+def test_a_duplicate_at_another_server_of_the_cell_is_not_executed(tmp_path: Path):
     async def main() -> None:
         async with emulated(tmp_path) as emulator:
             one, two = emulator.fleet.hosts.values()
-            async with Plain(one) as a, Plain(two) as b:
+            async with PlainClient(one) as a, PlainClient(two) as b:
                 a.send("r1", service="points", work=80.0, key="k")
                 await until(lambda: one.model.arrived == 1)
                 assert status(await b.ask("r2", service="points", work=80.0, key="k")) == 200
@@ -184,24 +184,24 @@
 
 
 @pytest.mark.parametrize("how", ["reset", "silence", "half", "spoilt", "delay"])
-def test_each_fault_as_a_plain_client_sees_it(tmp_path: Path, how: str):
+def test_each_connection_fault_as_a_plain_client_sees_it(tmp_path: Path, how: str):
     async def main() -> None:
         async with emulated(tmp_path) as emulator:
             host = first(emulator)
-            async with Plain(host) as client:
+            async with PlainClient(host) as client:
                 await until(lambda: len(host.connections) == 1)
                 host.begin_fault(
                     0, ConnectionFault(ConnectionFaultKind(how), 1.0, 1.0, random_stream(1, "fault"))
-                )  # also of what is open
+                )  # open connections included
                 client.send("r1")
                 if how == "reset":
                     with pytest.raises(ConnectionResetError):
                         await client.reader.read()
                 elif how == "silence":
                     host.end_fault(0)
-                    async with Plain(
+                    async with PlainClient(
                         host
-                    ) as other:  # asked later and answered, while the first hears nothing
+                    ) as other:  # answered, while the first connection stays silent
                         assert status(await other.ask("r2")) == 200
                     assert not client.reader._buffer  # type: ignore[attr-defined]
                 elif how == "half":
@@ -216,7 +216,7 @@
     run(main())
 
 
-def test_refused_connections_and_the_way_back(tmp_path: Path):
+def test_connections_are_refused_and_accepted_again(tmp_path: Path):
     async def main() -> None:
         async with emulated(tmp_path) as emulator:
             host = first(emulator)
@@ -224,17 +224,17 @@
             with pytest.raises(ConnectionRefusedError):
                 await asyncio.open_connection(*host.address)
             await host.resume_accepting()
-            async with Plain(host) as client:
+            async with PlainClient(host) as client:
                 assert status(await client.ask("r1")) == 200
 
     run(main())
 
 
-def test_a_vanished_machine_says_nothing_and_resets_when_it_is_back(tmp_path: Path):
+def test_an_isolated_machine_is_silent_and_resets_connections_when_it_rejoins(tmp_path: Path):
     async def main() -> None:
         async with emulated(tmp_path) as emulator:
             host = first(emulator)
-            async with Plain(host) as client:
+            async with PlainClient(host) as client:
                 assert status(await client.ask("r1")) == 200
                 host.isolate()
                 client.send("r2")
@@ -242,27 +242,27 @@
                 fresh.setblocking(False)
                 with pytest.raises(BlockingIOError):
                     fresh.connect(host.address)
-                asked = asyncio.get_running_loop().create_task(client.reader.read())
-                await asyncio.wait([asked], timeout=0.05)
-                assert not asked.done()
+                read = asyncio.get_running_loop().create_task(client.reader.read())
+                await asyncio.wait([read], timeout=0.05)
+                assert not read.done()
                 assert fresh.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR) == 0
                 with pytest.raises(OSError, match=r"107|not connected"):
                     fresh.getpeername()
                 fresh.close()
                 await host.rejoin()
                 with pytest.raises(ConnectionResetError):
-                    await asked
-            async with Plain(host) as client:
+                    await read
+            async with PlainClient(host) as client:
                 assert status(await client.ask("r3")) == 200
 
     run(main())
 
 
-def test_a_crash_resets_and_what_was_at_work_is_recorded_as_lost(tmp_path: Path):
+def test_a_crash_resets_connections_and_records_jobs_as_lost(tmp_path: Path):
     async def main() -> None:
         async with emulated(tmp_path) as emulator:
             host = first(emulator)
-            async with Plain(host) as client:
+            async with PlainClient(host) as client:
                 client.send("r1", work=1e6)
                 await until(lambda: host.model.arrived == 1)
                 emulator.fleet.crash(host)
@@ -272,16 +272,16 @@
                 await asyncio.open_connection(*host.address)
             await emulator.fleet.revive(host)
             assert host.model.warm_up_share(now_ms()) < 1.0
-            async with Plain(host) as client:
+            async with PlainClient(host) as client:
                 assert status(await client.ask("r2")) == 200
 
     run(main())
     assert {row["rid"]: row["verdict"] for row in jobs(tmp_path)} == {"r1": "lost", "r2": "served"}
 
 
-def test_a_step_of_the_time_of_day_moves_nothing(tmp_path: Path, monkeypatch: pytest.MonkeyPatch):
-    """Guards a run against a clock that is set, or a machine that slept: an equipo that starts afterwards is as cold as
-    it is, and the plan's own times go on."""
+def test_a_step_of_the_wall_clock_changes_nothing(tmp_path: Path, monkeypatch: pytest.MonkeyPatch):
+    """Guards a run against a clock that is set, or a machine that slept: a server that starts afterwards warms up as
+    before, and the plan's clock continues."""
     wall = time.time
 
     async def main() -> None:
@@ -311,8 +311,8 @@
     return reader, writer
 
 
-async def told(reader: asyncio.StreamReader) -> dict[str, Any]:
-    """The next line of a watch that says something."""
+async def next_message(reader: asyncio.StreamReader) -> dict[str, Any]:
+    """The next message of a watch, heartbeats left out."""
     async with asyncio.timeout(20.0):
         while True:
             size = int(await reader.readline(), 16)
@@ -322,24 +322,26 @@
                 return row
 
 
-def test_changes_are_told_late_in_order_and_not_while_discovery_is_down():
+def test_notifications_are_delayed_ordered_and_withheld_during_a_stall():
     async def main() -> None:
-        heard: list[tuple[str, str, str]] = []
-        registry = DiscoveryRegistry(lambda _change: 1.0, lambda n, h, e, _at: heard.append((n, h, e.health)))
+        notified: list[tuple[str, str, str]] = []
+        registry = DiscoveryRegistry(
+            lambda _change: 1.0, lambda n, h, e, _at: notified.append((n, h, e.health))
+        )
         registry.update(DiscoveryEntry("s", "127.0.0.1:1", "z", 0), DiscoveryChange.ADD, at_once=True)
         agent = registry.add_agent("n0")
         reader, writer = await watch(await agent.start(), 0)
-        row = await told(reader)
+        row = await next_message(reader)
         assert (row["whole"], [host["host"] for host in row["hosts"]]) == (True, ["s"])
         agent.stall(True)
         registry.update(DiscoveryEntry("s", "127.0.0.1:1", "z", 0, "leaving"), DiscoveryChange.DRAIN)
         registry.update(DiscoveryEntry("s", "127.0.0.1:1", "z", 0, "left"), DiscoveryChange.STOP)
         await until(lambda: agent.version == 3)
-        assert heard[-1][2] == "active", "what was not written was not told"
+        assert notified[-1][2] == "active", "an unsent change is no notification"
         agent.stall(False)
-        row = await told(reader)
+        row = await next_message(reader)
         assert [host["health"] for host in row["hosts"]] == ["leaving", "left"]
-        assert [item[2] for item in heard] == ["active", "leaving", "left"]
+        assert [item[2] for item in notified] == ["active", "leaving", "left"]
         agent.reset_watches()
         with pytest.raises((ConnectionResetError, asyncio.IncompleteReadError)):
             await reader.readuntil(b"never")
@@ -354,10 +356,10 @@
 
 @pytest.mark.parametrize("how", [signal.SIGINT, signal.SIGKILL])
 @pytest.mark.parametrize("verb", ["emulate", "experiment"])
-def test_a_run_that_is_cut_short_leaves_no_child_and_readable_records(
+def test_an_interrupted_run_leaves_no_child_process_and_readable_records(
     tmp_path: Path, verb: str, how: signal.Signals
 ):
-    """Guards the machine against nodes that nobody ends, and a run's records against its end."""
+    """Guards against orphaned node processes and unreadable records."""
     text = TEXT.replace("work = 1\n", "work = 0.5\n", 1).replace(
         "[clients]\n", "[nodes]\ncount = 1\n[clients]\n"
     )
@@ -371,7 +373,7 @@
         assert process.stdout is not None
         folder = tmp_path if verb == "emulate" else tmp_path / "v0-s1"
         if verb == "emulate":
-            process.stdout.readline()  # all is up
+            process.stdout.readline()  # everything has started
         asyncio.run(
             until(lambda: any(row["e"] == "sample" for row in read_records(folder / "equipos.jsonl")))
         )
@@ -380,7 +382,7 @@
         process.send_signal(how)
         process.wait(timeout=60)
     for one in family:
-        _gone(one)
+        _wait_ended(one)
     for config in (folder / "nodes").glob("*/config.json"):
         host, port = msgspec.json.decode(config.read_bytes())["listen"].split(":")
         with pytest.raises(ConnectionRefusedError):
@@ -390,12 +392,12 @@
 
 
 def _family(pid: int) -> list[int]:
-    """All that this process has started, and what those have."""
+    """All descendants of this process."""
     direct = Path(f"/proc/{pid}/task/{pid}/children").read_text().split()
     return [one for child in direct for one in (int(child), *_family(int(child)))]
 
 
-def test_the_lateness_of_timers_is_told(tmp_path: Path):
+def test_timer_lag_is_reported(tmp_path: Path):
     async def main() -> None:
         async with emulated(tmp_path) as emulator:
             for _ in range(100):
@@ -405,8 +407,8 @@
     run(main())
 
 
-def _gone(pid: int) -> None:
-    """Wait until there is no such process, or only what is left of one that nobody has waited for."""
+def _wait_ended(pid: int) -> None:
+    """Wait until the process has ended."""
     with contextlib.suppress(OSError):
         handle = os.pidfd_open(pid)
         try:
@@ -417,7 +419,7 @@
             os.close(handle)
 
 
-def test_records_are_readable_up_to_a_torn_line(tmp_path: Path):
+def test_records_are_readable_up_to_a_torn_last_line(tmp_path: Path):
     path = tmp_path / "r.jsonl"
     path.write_bytes(b'{"e":"a"}\n{"e":"b"}\n{"e":"c","t"')
     assert [row["e"] for row in read_records(path)] == ["a", "b"]
--- a/tests/lab/test_graph.py
+++ b/tests/lab/test_graph.py
@@ -1,4 +1,4 @@
-"""Services that call one another, zones and regions: what a file may say, and what virtual time makes of it."""
+"""Call graphs, zones and regions: their scenario files, and their simulation."""
 
 from __future__ import annotations
 
@@ -94,7 +94,7 @@
 
 
 @pytest.mark.parametrize(
-    ("old", "new", "said"),
+    ("old", "new", "expected"),
     [
         ('to = "perfiles"', 'to = "nadie"', "service[0].call[1].to: no service is called 'nadie'"),
         ('to = "perfiles"', 'to = "albumes"', "service[0].call[1].to: albumes is called above already"),
@@ -152,19 +152,19 @@
         ),
     ],
 )
-def test_a_bad_graph_is_said_in_one_line_with_its_key(old: str, new: str, said: str) -> None:
+def test_an_invalid_graph_is_reported_in_one_line_with_its_key(old: str, new: str, expected: str) -> None:
     assert GOOD.count(old) >= 1
     lines = problems(GOOD.replace(old, new, 1))
     assert len(lines) == 1
-    assert said in lines[0]
+    assert expected in lines[0]
 
 
-def test_a_graph_and_a_list_of_tiers_are_not_both_taken() -> None:
+def test_a_graph_and_a_list_of_tiers_exclude_each_other() -> None:
     tier = '[[tier]]\nname = "x"\nwork = 1\nkind = [{ name = "a", count = 1 }]\n'
     assert problems(GOOD + tier) == ["s: line 19: service: a list of tiers stands in the file as well"]
 
 
-def test_a_graph_stands_in_place_of_the_tiers_that_it_builds_on(tmp_path: Path) -> None:
+def test_a_graph_replaces_the_tiers_of_its_base(tmp_path: Path) -> None:
     path = tmp_path / "graph.toml"
     path.write_text('base = "three-tiers"\n' + GOOD[: GOOD.index("[[trouble]]")].replace("\n\n", "\n"))
     assert [row.name for row in scenario.load(str(path)).tiers] == [
@@ -175,14 +175,14 @@
     ]
 
 
-def test_twenty_levels_are_taken_and_one_more_is_not() -> None:
+def test_twenty_levels_are_valid_and_one_more_is_not() -> None:
     assert max(service_graph.depths(chain(20).callees)) == 20
     with pytest.raises(msgspec.ValidationError, match="21 deep; 20 at most"):
         chain(21)
 
 
 @pytest.mark.parametrize("name", ["graph-chain", "graph-diamond", "graph-zone", "graph-region"])
-def test_sockets_refuse_a_graph_in_one_line_with_its_key(name: str) -> None:
+def test_the_emulator_rejects_a_graph_in_one_line_with_its_key(name: str) -> None:
     for verb in ("experiment", "emulate"):
         got = CliRunner().invoke(main, [verb, name])
         assert got.exit_code == 2
@@ -191,9 +191,9 @@
         assert "`simulate` plays them" in got.output
 
 
-def test_sockets_refuse_the_loss_of_the_only_zone() -> None:
-    told = {"kind": "loss", "zone": "sala", "at_s": 1.0, "for_s": 1.0}
-    quiet = scenario.load("quiet", {"trouble": [told]})
+def test_the_emulator_rejects_the_loss_of_the_only_zone() -> None:
+    loss = {"kind": "loss", "zone": "sala", "at_s": 1.0, "for_s": 1.0}
+    quiet = scenario.load("quiet", {"trouble": [loss]})
     with pytest.raises(ProblemsError, match=r"trouble\[0\].kind: services, regions"):
         experiment.check_emulated(quiet)
 
@@ -202,7 +202,7 @@
 
 
 @given(st.lists(st.sets(st.integers(0, 9)), min_size=10, max_size=10))
-def test_an_order_has_each_caller_first_or_there_is_a_circle(called: list[set[int]]) -> None:
+def test_topological_order_has_callers_first_or_reports_a_cycle(called: list[set[int]]) -> None:
     rows = [sorted(row) for row in called]
     try:
         found = service_graph.topological_order(rows)
@@ -216,13 +216,13 @@
     assert all(place[at] < place[to] for at, row in enumerate(rows) for to in row)
 
 
-def test_visits_are_counted_over_all_ways() -> None:
+def test_mean_visits_are_summed_over_all_paths() -> None:
     edges = (((1, 1.0), (2, 0.5)), ((3, 2.0),), ((3, 1.0),), ())
     assert service_graph.mean_visits(edges) == (1.0, 1.0, 0.5, 2.5)
     assert service_graph.depths([[1, 2], [3], [3], []]) == (1, 2, 2, 3)
 
 
-def test_equipos_stand_in_their_zones_in_turn_and_grupos_lie_within_one() -> None:
+def test_servers_alternate_between_zones_and_cells_lie_within_one_zone() -> None:
     one = plan.make(parse(GOOD.replace("count = 6", "count = 40"), Scenario, "s"))
     mine = [spec for spec in one.servers if spec.tier == 0]
     assert Counter(spec.zone for spec in mine) == {"sur-a": 14, "sur-b": 13, "norte-a": 13}
@@ -230,14 +230,14 @@
     assert {spec.zone for spec in one.servers if spec.tier == 3} == {"sur-a", "norte-a"}
 
 
-def test_a_trouble_of_a_zone_is_held_to_it() -> None:
+def test_a_fault_of_a_zone_is_restricted_to_it() -> None:
     one = plan.make(parse(GOOD, Scenario, "s"))
     lost, failing = (next(step for step in one.steps if step.fault == at) for at in (0, 1))
     assert sorted(lost.targets) == sorted(spec.name for spec in one.servers if spec.zone == "norte-a")
     assert sorted(failing.targets) == ["archivo-0", "archivo-2"]
 
 
-def test_a_way_takes_what_the_network_says() -> None:
+def test_one_way_delays_and_partitions_follow_the_network_table() -> None:
     areas = Topology(parse(GOOD, Scenario, "s"))
     assert areas.one_way_ms("sur-a", "sur-a") == ONE_WAY_MS
     assert areas.one_way_ms("sur-a", "sur-b") == ONE_WAY_MS + 1.0
@@ -253,7 +253,7 @@
 
 
 def chain(depth: int, **changes: Any) -> Scenario:
-    """Each service calls the next one; three equipos each."""
+    """Each service calls the next one; three servers each."""
     rows: dict[str, Any] = {
         "name": "chain",
         "seconds": 6,
@@ -278,7 +278,7 @@
     return [row for row in records.read_records(folder / "equipos.jsonl") if row["e"] == "job"]
 
 
-def test_a_request_twenty_deep_is_answered_once_at_each_level(tmp_path: Path) -> None:
+def test_a_request_twenty_levels_deep_is_executed_once_at_each_level(tmp_path: Path) -> None:
     one = plan.make(chain(20))
     by: dict[str, Counter[int]] = {}
     for row in jobs(one, tmp_path):
@@ -290,7 +290,7 @@
     assert all(row["in_time"] and len(row["tries"]) == 1 for row in wishes)
 
 
-def test_a_list_of_tiers_is_the_chain_of_the_same_services() -> None:
+def test_a_list_of_tiers_equals_the_chain_of_the_same_services() -> None:
     rows = msgspec.to_builtins(scenario.load("fleet-zone", {"seconds": 8}))
     tiers = rows["tier"]
     services = [{key: value for key, value in tier.items() if key != "calls"} for tier in tiers]
@@ -298,20 +298,20 @@
         service["call"] = [{"to": below["name"], "times": below["calls"]}]
     as_graph = msgspec.convert(rows | {"tier": [], "service": services}, Scenario)
     for seed in (1, 5):
-        one, other = (simulate(plan.make(told, seed)) for told in (msgspec.convert(rows, Scenario), as_graph))
+        one, other = (simulate(plan.make(loss, seed)) for loss in (msgspec.convert(rows, Scenario), as_graph))
         assert one["digest"] == other["digest"]
         assert one["events"] == other["events"]
 
 
-def test_a_service_on_several_ways_is_called_on_each(tmp_path: Path) -> None:
-    told = parse(GOOD[: GOOD.index("[[trouble]]")], Scenario, "s")
-    one = plan.make(told)
+def test_a_service_on_several_paths_is_called_on_each(tmp_path: Path) -> None:
+    loss = parse(GOOD[: GOOD.index("[[trouble]]")], Scenario, "s")
+    one = plan.make(loss)
     found: Counter[int] = Counter(row["tier"] for row in jobs(one, tmp_path))
     means = service_graph.mean_visits(one.edges)
-    asked = len(one.arrivals)
-    assert found[0] == asked
-    # Of each of some 600 requests: far outside chance.
-    assert all(abs(found[at] / asked - mean) < 0.15 for at, mean in enumerate(means))
+    arrivals = len(one.arrivals)
+    assert found[0] == arrivals
+    # Of each of some 600 requests; the tolerance is far outside chance.
+    assert all(abs(found[at] / arrivals - mean) < 0.15 for at, mean in enumerate(means))
     assert means[3] == pytest.approx(means[1] + 0.6)
     callers = {
         row["node"].split("-")[1]
@@ -321,7 +321,7 @@
     assert callers == {"albumes", "perfiles"}
 
 
-def test_ways_between_regions_are_in_the_time_of_an_answer() -> None:
+def test_delays_between_regions_count_in_latency() -> None:
     near = chain(2, clients={"rate_per_s": 20})
     rows = msgspec.to_builtins(near)
     rows["region"] = [{"name": "sur", "zones": ["sur-a"]}, {"name": "norte", "zones": ["norte-a"]}]
@@ -335,8 +335,8 @@
     )
 
 
-def regions(troubles: list[dict[str, Any]], rate: float = 30.0) -> Scenario:
-    """A diamond of four services over two regions with three zones, all effects."""
+def regions(faults: list[dict[str, Any]], rate: float = 30.0) -> Scenario:
+    """A diamond of four services over two regions with three zones, classes of each idempotency."""
     common = {"share": 1, "work_ms": 40, "cv": 0.8, "attempt_noise": 0.3, "aim_ms": 700, "give_up_ms": 2000}
     kind = {"name": "a", "count": 6, "cold_s": 4, "pause_ms": [0, 50], "error_rate": [0, 0.02]}
     calls = {"top": ["left", "right"], "left": ["bottom"], "right": ["bottom"], "bottom": []}
@@ -362,7 +362,7 @@
             }
             for name, below in calls.items()
         ],
-        "trouble": troubles,
+        "trouble": faults,
     }
     return msgspec.convert(rows, Scenario)
 
@@ -370,14 +370,16 @@
 LOSS = {"kind": "loss", "region": "sur", "at_s": 2.0, "for_s": 3.0}
 
 
-def test_the_same_seed_gives_the_same_records_of_a_graph_through_a_loss() -> None:
+def test_a_seed_reproduces_the_records_of_a_graph_with_a_zone_loss() -> None:
     one, again = (simulate(plan.make(regions([LOSS]), 3)) for _ in range(2))
     assert one["digest"] == again["digest"]
     assert simulate(plan.make(regions([LOSS]), 4))["digest"] != one["digest"]
 
 
 @pytest.mark.parametrize(("kind", "back_cold"), [("loss", True), ("cut-off", False)])
-def test_a_region_away_and_back_takes_work_again(kind: str, back_cold: bool, tmp_path: Path) -> None:
+def test_a_region_receives_requests_again_after_its_outage(
+    kind: str, back_cold: bool, tmp_path: Path
+) -> None:
     run = Simulation(plan.make(regions([LOSS | {"kind": kind}])), tmp_path)
     summary = run.run()
     assert summary["ok"], summary["rules"]
@@ -387,10 +389,10 @@
     before = [row for row in inside if row["came"] < 2000.0]
     during = [row for row in inside if 2000.0 <= row["came"] < 5000.0]
     assert before
-    assert any(row["came"] > 5500.0 for row in inside)  # back
+    assert any(row["came"] > 5500.0 for row in inside)  # after the outage
     if kind == "loss":
         assert not during
-    else:  # what lies there goes on with its own clients, and hears of nothing outside
+    else:  # servers there continue to serve the clients of their own zones
         assert during
         nodes = {**run.fleet.nodes, **{node.name: node for node in run.fleet.local_nodes.values()}}
         assert all(nodes[row["node"]].zone != "norte-a" for row in during if row["came"] > 2010.0)
@@ -403,8 +405,8 @@
         assert not agent.isolated
 
 
-def test_a_lost_machine_does_not_work_on_and_a_cut_one_does(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Seen without the loss's own way as well: by a cut alone the same equipos go on."""
+def test_a_lost_machine_stops_working_and_an_isolated_one_does_not(monkeypatch: pytest.MonkeyPatch) -> None:
+    """The same run with an isolation in place of the loss: the servers continue to work."""
     done = []
     for _ in range(2):
         run = Simulation(plan.make(regions([LOSS], 60.0)))
@@ -419,7 +421,7 @@
     assert done[1] > 0.0
 
 
-AREAS = st.fixed_dictionaries(
+ZONE_FAULTS = st.fixed_dictionaries(
     {
         "kind": st.sampled_from(["loss", "cut-off"]),
         "at_s": st.floats(0.5, 5.0),
@@ -427,7 +429,7 @@
     }
 )
 PLACES = st.sampled_from([{"region": "sur"}, {"region": "norte"}, {"zone": "sur-a"}, {"zone": "norte-a"}])
-OTHERS = st.fixed_dictionaries(
+OTHER_FAULTS = st.fixed_dictionaries(
     {
         "kind": st.sampled_from(["slow", "errors", "crash", "vanish", "discovery-stall", "node-loss"]),
         "at_s": st.floats(0.5, 5.0),
@@ -441,14 +443,14 @@
 
 @SHORT
 @given(
-    st.lists(st.builds(lambda one, place: one | place, AREAS, PLACES) | OTHERS, max_size=4),
+    st.lists(st.builds(lambda one, place: one | place, ZONE_FAULTS, PLACES) | OTHER_FAULTS, max_size=4),
     st.sampled_from([10.0, 80.0]),
     st.integers(0, 1 << 30),
 )
 def test_the_rules_hold_in_a_graph_under_any_troubles(
-    troubles: list[dict[str, Any]], rate: float, seed: int
+    faults: list[dict[str, Any]], rate: float, seed: int
 ) -> None:
-    run = Simulation(plan.make(regions(troubles, rate), seed))
+    run = Simulation(plan.make(regions(faults, rate), seed))
     summary = run.run()
     assert summary["ok"], summary["rules"]
     assert sum(one["asked"] for one in summary["classes"].values()) == len(run.plan.arrivals)
@@ -462,8 +464,8 @@
 
 
 @pytest.mark.parametrize("name", ["graph-chain", "graph-diamond", "graph-zone", "graph-region"])
-def test_shipped_graphs_keep_the_rules(name: str) -> None:
-    """Short forms: each trouble for two seconds, and what comes right after it."""
+def test_bundled_graphs_keep_the_rules(name: str) -> None:
+    """Short forms: each fault for two seconds, and the time right after it."""
     changes: dict[str, object] = {"seconds": 9, "clients.rate_per_s": 20}
     for at in range(len(scenario.load(name).faults)):
         changes |= {f"trouble.{at}.at_s": 2.0 + 3.0 * at, f"trouble.{at}.for_s": 2.0}
--- a/tests/lab/test_lab.py
+++ b/tests/lab/test_lab.py
@@ -1,4 +1,4 @@
-"""Clients, the ledger of the rules, and whole runs."""
+"""Clients, the invariant checker, and complete experiments."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
     "clients.backoff_ms": 1.0,
     "clients.honour": 0.0,
     "nodes.count": 1,
-    # Whatever the machine's speed, nothing is late.
+    # Long enough for a slow machine.
     "class.0.give_up_ms": 60_000.0,
     "class.1.give_up_ms": 60_000.0,
     "class.0.aim_ms": 60_000.0,
@@ -36,25 +36,25 @@
 }
 
 
-def asked_of(
+def run_clients(
     tmp_path: Path, handler: Any, changes: dict[str, object] | None = None, at_once: bool = True
 ) -> tuple[list[dict[str, Any]], FakeServer, LoadGenerator]:
-    """The clients of a small plan against a node that does what the handler says."""
+    """Run the clients of a small plan against a node with this handler."""
     plan = plans.make(scenarios.load("quiet", QUICK | (changes or {})))
     kept: list[Any] = []
 
     async def play() -> None:
-        async def well(message: Message, writer: asyncio.StreamWriter) -> None:
+        async def respond_or_report_health(message: Message, writer: asyncio.StreamWriter) -> None:
             if message.first.startswith("GET /_health"):
                 writer.write(answer())
             else:
                 await handler(message, writer)
 
-        async with FakeServer(well).up() as server:
+        async with FakeServer(respond_or_report_health).up() as server:
             records = RecordWriter(tmp_path / "load.jsonl")
             load = LoadGenerator(plan, {"n0": ("127.0.0.1", server.port)}, records)
             kept.extend([server, load])
-            # With the plan's beginning in the past, all is due at once.
+            # With the plan's beginning in the past, all arrivals are due at once.
             await load.run(now_ms() - (plan.scenario.seconds * 1000.0 if at_once else 0.0))
             records.close()
 
@@ -64,48 +64,48 @@
     return ops, kept[0], kept[1]
 
 
-def own(message: Message) -> bytes:
+def response_body(message: Message) -> bytes:
     return message.headers["request-id"].encode() + b"\n."
 
 
-async def good(message: Message, writer: asyncio.StreamWriter) -> None:
-    writer.write(answer(body=own(message)))
+async def respond(message: Message, writer: asyncio.StreamWriter) -> None:
+    writer.write(answer(body=response_body(message)))
 
 
 def requests(server: FakeServer) -> list[Message]:
     return [message for message in server.got if not message.first.startswith("GET /_health")]
 
 
-def test_clients_ask_on_time_whatever_became_of_those_before(tmp_path: Path):
-    """Guards the open loop: all is asked though nothing is answered until the last one has come."""
+def test_clients_send_on_time_while_earlier_requests_are_unanswered(tmp_path: Path):
+    """Guards the open loop: every request is sent, though none is answered before the last has been received."""
     count = len(plans.make(scenarios.load("quiet", QUICK)).arrivals)
-    came: list[tuple[Message, asyncio.StreamWriter]] = []
+    received: list[tuple[Message, asyncio.StreamWriter]] = []
 
     async def hold(message: Message, writer: asyncio.StreamWriter) -> None:
-        came.append((message, writer))
-        if len(came) == count:
-            for one, to in came:
-                to.write(answer(body=own(one)))
+        received.append((message, writer))
+        if len(received) == count:
+            for one, to in received:
+                to.write(answer(body=response_body(one)))
 
-    ops, _, load = asked_of(tmp_path, hold)
+    ops, _, load = run_clients(tmp_path, hold)
     assert all(op["tries"][-1]["status"] == 200 for op in ops)
-    # The time to the answer counts from the planned moment, which is up to a second ago for the first.
+    # Latency counts from the planned moment, which is up to a second ago for the first.
     assert all(op["took"] >= 1000.0 - op["at"] - 1.0 for op in ops)
     assert load.service() <= 1.0
 
 
-def test_a_refused_wish_is_tried_again_and_an_unsafe_failure_is_not(tmp_path: Path):
+def test_a_rejected_request_is_retried_and_a_non_idempotent_failure_is_not(tmp_path: Path):
     first: set[str] = set()
 
     async def once(message: Message, writer: asyncio.StreamWriter) -> None:
         op = message.headers["lab-op"]
         if op in first:
-            await good(message, writer)
+            await respond(message, writer)
             return
         first.add(op)
         writer.write(answer(503 if int(op.rpartition("-")[2]) % 2 else 502, b""))
 
-    ops, server, _ = asked_of(tmp_path, once)
+    ops, server, _ = run_clients(tmp_path, once)
     for op in ops:
         refused = int(op["op"].rpartition("-")[2]) % 2 == 1
         assert [item["status"] for item in op["tries"]] == ([503, 200] if refused else [502])
@@ -113,52 +113,52 @@
     assert len(rids) == len(set(rids)), "every try brings a new id"
 
 
-def test_an_answer_that_was_made_for_another_is_seen(tmp_path: Path):
+def test_a_response_to_another_request_is_detected(tmp_path: Path):
     async def wrong(message: Message, writer: asyncio.StreamWriter) -> None:
         writer.write(answer(body=b"somebody else's"))
 
-    asked_of(tmp_path, wrong)
-    broken = invariant_checker.check_records(scenarios.load("quiet"), tmp_path)
-    assert broken.foreign
-    assert not broken.unanswered
+    run_clients(tmp_path, wrong)
+    violations = invariant_checker.check_records(scenarios.load("quiet"), tmp_path)
+    assert violations.foreign
+    assert not violations.unanswered
 
 
-def test_a_connection_that_ends_without_an_answer_is_seen_and_not_tried_again(tmp_path: Path):
+def test_a_missing_response_is_detected_and_not_retried(tmp_path: Path):
     async def drop(message: Message, writer: asyncio.StreamWriter) -> None:
         writer.close()
 
-    ops, _, _ = asked_of(tmp_path, drop, {"clients.new_connection": 1.0})
+    ops, _, _ = run_clients(tmp_path, drop, {"clients.new_connection": 1.0})
     assert all(len(op["tries"]) == 1 for op in ops)
-    broken = invariant_checker.check_records(scenarios.load("quiet"), tmp_path)
-    assert len(broken.unanswered) == len(ops)
+    violations = invariant_checker.check_records(scenarios.load("quiet"), tmp_path)
+    assert len(violations.unanswered) == len(ops)
 
 
-def test_a_second_answer_is_seen(tmp_path: Path):
+def test_a_surplus_response_is_detected(tmp_path: Path):
     async def twice(message: Message, writer: asyncio.StreamWriter) -> None:
-        writer.write(answer(body=own(message)) * 2)
+        writer.write(answer(body=response_body(message)) * 2)
 
-    asked_of(tmp_path, twice)
+    run_clients(tmp_path, twice)
     assert invariant_checker.check_records(scenarios.load("quiet"), tmp_path).surplus_answers > 0
 
 
-def test_service_is_told_of_any_stretch_of_the_run(tmp_path: Path):
-    """A wish belongs to the moment for which it was planned, and counts by worth and work."""
+def test_service_of_an_interval_counts_operations_by_planned_time(tmp_path: Path):
+    """An operation counts at its planned moment, by priority weight and work."""
 
     async def half(message: Message, writer: asyncio.StreamWriter) -> None:
         late = float(message.headers["lab-op"].rpartition("-")[2]) >= 10
-        writer.write(answer(502, b"") if late else answer(body=own(message)))
+        writer.write(answer(502, b"") if late else answer(body=response_body(message)))
 
-    ops, _, load = asked_of(tmp_path, half)
+    ops, _, load = run_clients(tmp_path, half)
     turn = sorted(op["at"] for op in ops)[10]
     assert load.service(0.0, turn) == 1.0
     assert load.service(turn) == 0.0
     assert 0.0 < load.service() < 1.0
 
 
-# --------------------------------------------------------------------- ledger
+# ---------------------------------------------------------- invariant checker
 
 
-def written(folder: Path, name: str, *rows: dict[str, Any]) -> None:
+def write_records(folder: Path, name: str, *rows: dict[str, Any]) -> None:
     (folder / name).write_bytes(b"".join(msgspec.json.encode(row) + b"\n" for row in rows))
 
 
@@ -215,10 +215,10 @@
     ("ops", "jobs", "found"),
     [
         ([op("a", 200)], [job("a", "a.0"), job("a", "a.0")], {"twice": ["a"]}),
-        # Refused, though it had run: the client was told that another try was harmless.
+        # Rejected although executed: the client had to take a retry for harmless.
         ([op("a", 503, 200)], [job("a", "a.0"), job("a", "a.1")], {"twice": ["a"]}),
         ([op("a", 503, 200)], [job("a", "a.0", ran=False), job("a", "a.1")], {}),
-        # The connection closed as it was sent, and the client sent it again by itself.
+        # The connection closed as it was sent, and the client resent it by itself.
         ([op("a", 200, resent=True)], [job("a", "a.0"), job("a", "a.0")], {}),
         ([], [job("a/1.0", "x"), job("a/1.0", "x")], {"twice": ["a/1.0"]}),
         ([], [job("k", "r", "comentario", cell=0), job("k", "r", "comentario", cell=1)], {"strayed": ["r"]}),
@@ -233,26 +233,26 @@
         ([], [{"e": "fell", "t": 1.0, "equipo": "e", "told_share": 0.5}], {}),
         ([op("a", 0, why="no answer")], [], {"unanswered": ["a.0"]}),
         ([op("a", 0, why="unreachable")], [], {}),
-        ([op("a", 0, why="broken", node="n1")], [], {}),  # that one was killed meanwhile
+        ([op("a", 0, why="broken", node="n1")], [], {}),  # its node was killed meanwhile
         ([op("a", 200, ended=500.0)], [], {"unanswered": ["a.0"]}),
     ],
 )
-def test_each_breach_is_found_and_nothing_else(
+def test_each_violation_is_found_and_nothing_else(
     tmp_path: Path, ops: list[dict[str, Any]], jobs: list[dict[str, Any]], found: dict[str, Any]
 ):
-    written(tmp_path, "load.jsonl", *ops)
-    written(tmp_path, "equipos.jsonl", *jobs)
-    written(tmp_path, "run.jsonl", {"e": "killed", "t": 2.0, "node": "n1"})
-    broken = invariant_checker.check_records(scenarios.load("quiet"), tmp_path)
-    assert {key: value for key, value in broken.as_record().items() if value} == found
-    assert (broken.count() == 0) is (not found)
+    write_records(tmp_path, "load.jsonl", *ops)
+    write_records(tmp_path, "equipos.jsonl", *jobs)
+    write_records(tmp_path, "run.jsonl", {"e": "killed", "t": 2.0, "node": "n1"})
+    violations = invariant_checker.check_records(scenarios.load("quiet"), tmp_path)
+    assert {key: value for key, value in violations.as_record().items() if value} == found
+    assert (violations.count() == 0) is (not found)
 
 
-# ----------------------------------------------------------------- whole runs
+# ---------------------------------------------------------------- experiments
 
 
-def test_an_experiment_keeps_the_rules_and_leaves_records_a_table_and_a_page(tmp_path: Path):
-    """Nodes as processes, equipos in two tiers, a deploy and an upgrade, all at a small size."""
+def test_an_experiment_keeps_the_rules_and_writes_records_table_and_report(tmp_path: Path):
+    """Nodes as processes, servers, a deploy and an upgrade, all at a small size."""
     text = (scenarios.BUNDLED_FOLDER / "upgrade.toml").read_text().replace("at_s = 14", "at_s = 1.5")
     text = text.replace("at_s = 6", "at_s = 1")
     text += '\n[[trouble]]\nkind = "deploy"\nat_s = 1\nfor_s = 1\nsize = 0.5\npart = 0.5\ndrain_s = 1\nboot_s = 0\n'
@@ -300,7 +300,7 @@
     return scenarios.load(str(path), {"seconds": 4.0, "clients.rate_per_s": rate})
 
 
-def test_void_runs_are_counted_and_left_out_and_chance_has_an_interval():
+def test_void_runs_are_excluded_and_means_have_a_confidence_interval():
     one = {"variant": "a", "void": False, "ok": True, "service": 0.9, "classes": {"c": {"p99_ms": 10.0}}}
     rows = experiments.summarize([one, one | {"service": 0.8}, one | {"service": 0.1, "void": True}])
     assert (rows[0].runs, rows[0].void_runs) == (3, 1)
@@ -309,7 +309,7 @@
     assert experiments.summarize([one])[0].half_width is None
 
 
-def test_troubles_become_spans():
+def test_fault_steps_become_spans():
     moments = [
         FaultMoment("slow", "begin", 1000.0),
         FaultMoment("slow", "end", 4000.0),
--- a/tests/lab/test_scenario.py
+++ b/tests/lab/test_scenario.py
@@ -1,4 +1,4 @@
-"""Scenarios and the operator's file: what is wrong is said with its line and key; a seed gives one plan."""
+"""Scenarios and the operator's file: errors are reported with line and key; a seed gives one plan."""
 
 from __future__ import annotations
 
@@ -62,7 +62,7 @@
 
 
 @pytest.mark.parametrize(
-    ("old", "new", "said"),
+    ("old", "new", "expected"),
     [
         ("seconds = 20", "seconds = 0", "s: line 3: seconds: Expected `float` > 0.0"),
         ("seconds = 20", "second = 20", "s: line 3: second: unknown key"),
@@ -88,17 +88,17 @@
         ("[clients]", "[clients", "s: line 8: not TOML"),
     ],
 )
-def test_a_bad_scenario_is_said_with_line_and_key(old: str, new: str, said: str):
+def test_an_invalid_scenario_is_reported_with_line_and_key(old: str, new: str, expected: str):
     lines = problems(GOOD.replace(old, new, 1))
-    assert any(line.startswith(said) for line in lines), lines
+    assert any(line.startswith(expected) for line in lines), lines
 
 
-def test_all_errors_of_a_file_are_said_at_once():
+def test_all_errors_of_a_file_are_reported_together():
     lines = problems(GOOD.replace("seconds = 20", "seconds = -1").replace("count = 4", 'count = "x"'))
     assert len(lines) == 2
 
 
-def test_every_shipped_scenario_is_good_and_has_a_plan():
+def test_every_bundled_scenario_is_valid_and_has_a_plan():
     assert {"quiet", "demo"} <= set(scenarios.bundled_names())
     for name in scenarios.bundled_names():
         changes: dict[str, object] = {"clients.rate_per_s": 5.0}  # the plans of large ones take long
@@ -112,10 +112,10 @@
 @given(st.integers(0, 2**40))
 @settings(max_examples=10, deadline=None)
 def test_a_seed_gives_one_plan(seed: int):
-    told = parse(GOOD, Scenario, "s")
-    one = b"\n".join(plan_lines(plans.make(told, seed)))
-    assert one == b"\n".join(plan_lines(plans.make(told, seed)))
-    assert one != b"\n".join(plan_lines(plans.make(told, seed + 1)))
+    loaded = parse(GOOD, Scenario, "s")
+    one = b"\n".join(plan_lines(plans.make(loaded, seed)))
+    assert one == b"\n".join(plan_lines(plans.make(loaded, seed)))
+    assert one != b"\n".join(plan_lines(plans.make(loaded, seed + 1)))
 
 
 def test_the_plan_of_a_seed_is_the_same_in_every_process(tmp_path: Path):
@@ -123,7 +123,7 @@
     path = tmp_path / "small.toml"
     path.write_text(GOOD)
     command = [sys.executable, "-m", "rosewheel.cli", "emulate", str(path), "--plan"]
-    said = [
+    expected = [
         subprocess.run(
             command,
             cwd=ROOT,
@@ -134,19 +134,21 @@
         ).stdout
         for salt in ("1", "2")
     ]
-    assert said[0] == said[1] == b"\n".join(plan_lines(plans.make(parse(GOOD, Scenario, "s")))) + b"\n"
+    assert (
+        expected[0] == expected[1] == b"\n".join(plan_lines(plans.make(parse(GOOD, Scenario, "s")))) + b"\n"
+    )
 
 
-def test_more_of_one_thing_shuffles_nothing_else():
-    told = plans.make(parse(GOOD, Scenario, "s"))
+def test_another_server_does_not_change_other_draws():
+    loaded = plans.make(parse(GOOD, Scenario, "s"))
     more = plans.make(parse(GOOD.replace("count = 3", "count = 5"), Scenario, "s"))
-    assert [spec.speed for spec in told.servers if spec.tier == 0] == [
+    assert [spec.speed for spec in loaded.servers if spec.tier == 0] == [
         spec.speed for spec in more.servers if spec.tier == 0
     ]
-    assert told.arrivals == more.arrivals
+    assert loaded.arrivals == more.arrivals
 
 
-def test_a_surge_of_drawn_size_and_length_is_the_one_that_the_steps_tell():
+def test_a_surge_in_the_arrivals_has_the_size_and_length_of_its_steps():
     text = GOOD[: GOOD.index("[[trouble]]")]
     text += '[[trouble]]\nkind = "surge"\nat_s = 5\nfor_s = [2, 9]\nsize = [8, 12]\n'
     plan = plans.make(parse(text, Scenario, "s"))
@@ -157,7 +159,7 @@
     assert after < 2.0 * 30.0
 
 
-def test_a_fault_of_fresh_equipos_falls_on_those_that_a_deploy_has_started():
+def test_a_fault_of_deployed_servers_concerns_those_that_a_deploy_has_started():
     one = plans.make(scenarios.load("fleet-join"))
     at = len(one.scenario.faults) - 1
     on = {name for step in one.steps if step.fault == at for name in step.targets}
@@ -165,7 +167,7 @@
     assert on <= {spec.name for spec in one.deployed_servers}
 
 
-def test_a_deploy_drains_stops_and_starts_each_of_its_equipos_once():
+def test_a_deploy_drains_stops_and_replaces_each_server_once():
     plan = plans.make(parse(GOOD, Scenario, "s"))
     by: dict[str, list[str]] = {}
     for step in plan.steps:
@@ -175,7 +177,7 @@
     assert sorted(by["start"]) == sorted(f"{name}-r1" for name in names)
 
 
-def test_the_check_verb_names_each_error_and_ends_with_2(tmp_path: Path):
+def test_the_check_command_reports_each_error_and_exits_with_2(tmp_path: Path):
     bad = tmp_path / "bad.toml"
     bad.write_text(GOOD.replace("seconds = 20", "second = 20"))
     got = CliRunner().invoke(main, ["check", "quiet", str(ROOT / "deploy" / "rosewheel.toml"), str(bad)])
@@ -188,17 +190,17 @@
 
 
 @pytest.mark.parametrize("arguments", [["emulate", "nowhere"], ["load", "quiet", "--target", "x"]])
-def test_bad_input_of_a_verb_is_one_line_and_exit_2(arguments: list[str]):
+def test_invalid_input_of_a_command_is_one_line_and_exit_status_2(arguments: list[str]):
     got = CliRunner().invoke(main, arguments)
     assert got.exit_code == 2
     assert got.output.startswith("rosewheel: ")
     assert got.output.count("\n") == 1
 
 
-def test_vary_reaches_into_a_scenario():
-    told = scenarios.load("quiet", {"clients.rate_per_s": 7, "tier.0.kind.1.count": 1})
-    assert told.clients.rate_per_s == 7.0
-    assert told.tiers[0].kinds[1].count == 1
+def test_vary_changes_nested_keys_of_a_scenario():
+    loaded = scenarios.load("quiet", {"clients.rate_per_s": 7, "tier.0.kind.1.count": 1})
+    assert loaded.clients.rate_per_s == 7.0
+    assert loaded.tiers[0].kinds[1].count == 1
     with pytest.raises(ProblemsError, match="no such place"):
         scenarios.load("quiet", {"tier.9.calls": 1})
 
@@ -223,7 +225,7 @@
 """
 
 
-def test_the_operators_file_gives_the_modules_settings(tmp_path: Path):
+def test_the_operators_file_gives_the_settings_of_the_policy(tmp_path: Path):
     path = tmp_path / "node.toml"
     path.write_text(OPERATOR)
     config = operator.load(str(path), {"LB_LISTEN": "127.0.0.1:8001", "TMPDIR": "/x"})
@@ -237,13 +239,13 @@
     )
 
 
-def test_the_commented_example_is_good():
+def test_the_commented_example_is_valid():
     config = operator.load(str(ROOT / "deploy" / "rosewheel.toml"), {})
     assert config.settings.classes
 
 
 @pytest.mark.parametrize(
-    ("old", "new", "said"),
+    ("old", "new", "expected"),
     [
         ("cold_from = 0.2", "cold_from = 0", "line 8: routing.cold_from: Expected"),
         ("7999", "port", "line 3: node.listen: '127.0.0.1:port' is not address:port"),
@@ -253,20 +255,22 @@
         ("[routing]", "[rooting]", "line 7: rooting: unknown key"),
     ],
 )
-def test_a_bad_operators_file_is_one_line_and_exit_2(tmp_path: Path, old: str, new: str, said: str):
+def test_an_invalid_operators_file_is_one_line_and_exit_status_2(
+    tmp_path: Path, old: str, new: str, expected: str
+):
     path = tmp_path / "node.toml"
     path.write_text(OPERATOR.replace(old, new, 1))
     with pytest.raises(ConfigError) as caught:
         operator.load(str(path), {})
-    assert said in str(caught.value)
+    assert expected in str(caught.value)
     command = [sys.executable, "-m", "rosewheel.cli", "node", "--config", str(path)]
     done = subprocess.run(command, cwd=ROOT, capture_output=True, text=True, check=False, timeout=60)
     assert done.returncode == 2
-    assert said in done.stderr
+    assert expected in done.stderr
     assert done.stderr.count("\n") == 1
 
 
-def test_run_imports_neither_command_nor_lab():
+def test_run_imports_neither_command_line_nor_lab():
     text = "import sys, rosewheel.__main__; print(*sys.modules)"
     done = subprocess.run([sys.executable, "-c", text], cwd=ROOT, capture_output=True, text=True, check=True)
     names = {name.split(".")[0] for name in done.stdout.split()}
