--- a/rosewheel/lab/emulated_fleet.py
+++ b/rosewheel/lab/emulated_fleet.py
@@ -10,6 +10,7 @@
 from rosewheel.lab.discovery import DiscoveryAgent, DiscoveryEntry, DiscoveryRegistry
 from rosewheel.lab.discovery_delays import DiscoveryChange, discovery_delay_ms
 from rosewheel.lab.emulator_requests import EmulatedRequests, Notification
+from rosewheel.lab.http_client import HttpClient
 from rosewheel.lab.local_nodes import LocalNodes
 from rosewheel.lab.plan import Plan
 from rosewheel.lab.plan_clock import PlanClock
@@ -19,7 +20,7 @@
 from rosewheel.lab.records import RecordWriter
 from rosewheel.lab.server_host import EmulatedServerHost
 from rosewheel.lab.server_model import DedupTable, ServerSpec
-from rosewheel.lab.wire import HttpClient, now_ms
+from rosewheel.lab.wire import now_ms
 
 # States of a server by the words of discovery.
 ACTIVE, LEAVING, LEFT = "active", "leaving", "left"
--- a/rosewheel/lab/emulator_requests.py
+++ b/rosewheel/lab/emulator_requests.py
@@ -8,6 +8,7 @@
 from typing import Protocol
 
 from rosewheel.lab import request_codec
+from rosewheel.lab.http_client import HttpClient, HttpResponse, PendingRequest
 from rosewheel.lab.local_nodes import local_node_name
 from rosewheel.lab.outcomes import AttemptFailure
 from rosewheel.lab.plan import Plan
@@ -30,7 +31,7 @@
     ServerCollapsed,
 )
 from rosewheel.lab.tables import ClassTable
-from rosewheel.lab.wire import HttpClient, HttpRequest, HttpResponse, PendingRequest, now_ms
+from rosewheel.lab.wire import HttpRequest, now_ms
 from rosewheel.policy.settings import Idempotency
 
 HTTP_OK = 200
--- a/rosewheel/lab/load.py
+++ b/rosewheel/lab/load.py
@@ -12,6 +12,7 @@
 
 from hdrh.histogram import HdrHistogram
 
+from rosewheel.lab.http_client import HttpClient, HttpResponse, PendingRequest
 from rosewheel.lab.node_process import check_health
 from rosewheel.lab.outcomes import AttemptFailure, AttemptOutcome
 from rosewheel.lab.plan import Plan
@@ -23,7 +24,7 @@
 from rosewheel.lab.request_codec import ClientRequest
 from rosewheel.lab.retry import RESPONSE_SLACK_MS, retry_delay_ms
 from rosewheel.lab.tables import ClassTable
-from rosewheel.lab.wire import Address, HttpClient, HttpResponse, PendingRequest, now_ms
+from rosewheel.lab.wire import Address, now_ms
 
 HTTP_OK = 200
 HEALTH_POLL_S = 0.1  # how often the dispatcher checks the health of its nodes
--- a/rosewheel/lab/local_nodes.py
+++ b/rosewheel/lab/local_nodes.py
@@ -7,12 +7,12 @@
 from pathlib import Path
 
 from rosewheel.lab.discovery import DiscoveryRegistry
+from rosewheel.lab.http_client import HttpClient
 from rosewheel.lab.node_process import NodeProcess
 from rosewheel.lab.node_settings import node_configuration
 from rosewheel.lab.plan import Plan
 from rosewheel.lab.random_streams import random_stream
 from rosewheel.lab.server_model import ServerSpec
-from rosewheel.lab.wire import HttpClient
 
 
 def local_node_name(spec: ServerSpec) -> str:
--- a/rosewheel/lab/record_types.py
+++ b/rosewheel/lab/record_types.py
@@ -290,12 +290,12 @@
     frozen=True,
     tag_field="e",
     tag="latency",
-    rename={"class_name": "class", "p99_9": "p99.9"},
+    rename={"class_name": "class", "offered": "asked", "p99_9": "p99.9"},
 ):
     """Operations of a class, and quantiles of the duration of the served ones in ms."""
 
     class_name: str
-    asked: int
+    offered: int
     served: int
     in_time: int
     p50: float
--- a/rosewheel/lab/report.py
+++ b/rosewheel/lab/report.py
@@ -115,12 +115,12 @@
     moments += _node_moments(load_records(folder, RecordFile.RUN))
     end_s = max((operation.planned_ms for operation in operations), default=0.0) / 1000.0
     spans = fault_spans(moments, end_s)
-    figures = []
+    plots = []
     if operations:
-        figures += [_service_plot(operations, spans), _latency_plot(operations, spans)]
+        plots += [_service_plot(operations, spans), _latency_plot(operations, spans)]
     if samples:
-        figures += [_queue_plot(samples, spans), _speed_plot(samples, spans)]
-    return figures
+        plots += [_queue_plot(samples, spans), _speed_plot(samples, spans)]
+    return plots
 
 
 def _node_moments(records: Iterable[Record]) -> list[FaultMoment]:
--- a/rosewheel/lab/simulation/statistics.py
+++ b/rosewheel/lab/simulation/statistics.py
@@ -28,13 +28,13 @@
 class OperationCounts:
     """Operations of one class."""
 
-    asked: int = 0
+    offered: int = 0
     served: int = 0
     in_time: int = 0
 
     def as_record(self) -> dict[str, int]:
         """The counts by the keys of a summary."""
-        return {"asked": self.asked, "served": self.served, "in_time": self.in_time}
+        return {"asked": self.offered, "served": self.served, "in_time": self.in_time}
 
 
 class RunStatistics:
@@ -61,7 +61,7 @@
         arrival, last = operation.arrival, operation.attempts[-1]
         served = last.status == HTTP_OK
         counts = self.counts[arrival.class_name]
-        counts.asked += 1
+        counts.offered += 1
         counts.served += served
         counts.in_time += in_time
         weight = operation.table.priority_weight * arrival.work_ms
@@ -114,7 +114,7 @@
         for name, histogram in self.latency.items():
             quantiles = [histogram.get_value_at_percentile(q) for q in (50.0, 90.0, 99.0, 99.9)]
             counts = self.counts[name]
-            records.append(LatencyRecord(name, counts.asked, counts.served, counts.in_time, *quantiles))
+            records.append(LatencyRecord(name, counts.offered, counts.served, counts.in_time, *quantiles))
         return records
 
     def class_summaries(self) -> dict[str, dict[str, object]]:
