--- a/benchmarks/lists.py
+++ b/benchmarks/lists.py
@@ -20,7 +20,7 @@
 import orjson
 import uvloop
 
-from rosewheel.config.platform import Config
+from rosewheel.config.node_config import InitialEndpoints, NodeConfig
 from rosewheel.discovery.endpoint_list import parse_endpoints
 from rosewheel.node.limits import Limits
 from rosewheel.policy.events import EndpointListForm
@@ -35,14 +35,14 @@
         ),
     )
     made = Proxy(
-        Config(
+        NodeConfig(
             name="n0",
-            listen=("127.0.0.1", 0),
-            discovery=("127.0.0.1", 1),
+            listen_address=("127.0.0.1", 0),
+            discovery_address=("127.0.0.1", 1),
             seed=1,
             settings=Settings(classes=classes, warm_up_initial_share=0.2, warm_up_ms=10_000.0),
-            bounds=Limits(),
-            known={"seq": 0, "hosts": []},
+            limits=Limits(),
+            initial_endpoints=InitialEndpoints(),
         )
     )
     made.discovery.start = lambda: None  # type: ignore[method-assign]
--- a/rosewheel/__main__.py
+++ b/rosewheel/__main__.py
@@ -10,11 +10,11 @@
     # What the imports make stays as long as the node: nothing is looked through until it serves. Hence in here.
     gc.disable()
     from rosewheel import logs
-    from rosewheel.config import platform
+    from rosewheel.config.platform import load_platform_config
     from rosewheel.proxy import process
 
     logs.start()
-    return process.run(lambda again: platform.load(again=again))
+    return process.run(lambda again: load_platform_config(reload=again))
 
 
 if __name__ == "__main__":
--- a/rosewheel/cli/control_calls.py
+++ b/rosewheel/cli/control_calls.py
@@ -9,7 +9,7 @@
 
 import click
 
-from rosewheel.config.platform import Address, parse_address
+from rosewheel.config.address import Address, parse_address
 from rosewheel.control.codec.calls import decode_error
 from rosewheel.control.codec.values import JsonObject
 
--- a/rosewheel/cli/control_serve.py
+++ b/rosewheel/cli/control_serve.py
@@ -14,16 +14,17 @@
 
 from rosewheel import logs
 from rosewheel.cli.control_calls import EXIT_BAD_INPUT, exit_bad_input, parse_machine_address
-from rosewheel.config.checked import KeyedError, ProblemsError, read
-from rosewheel.config.operator import LogTable, Table, Text
-from rosewheel.config.platform import Address, parse_address
+from rosewheel.config.address import Address, parse_address
+from rosewheel.config.errors import InvalidFileError, InvalidValueError
+from rosewheel.config.operator_tables import ConfigTable, LogTable, NonEmptyText
+from rosewheel.config.toml_file import read_file
 from rosewheel.control.durable_log import DurableLog
 from rosewheel.control.errors import LogUnusableError
 from rosewheel.control.machine import ControlMachine
 from rosewheel.control.machine_settings import MachineSettings
 
 
-class ControlTable(Table, frozen=True, kw_only=True):
+class ControlTable(ConfigTable, frozen=True, kw_only=True):
     """The file of one control machine, in place of the options.
 
     Attributes:
@@ -35,21 +36,21 @@
         log: Form and level of the log.
     """
 
-    name: Text
-    listen: Text
-    dir: Text
+    name: NonEmptyText
+    listen: NonEmptyText
+    dir: NonEmptyText
     writer: str = ""
     peers: dict[str, str] = msgspec.field(default_factory=dict)
     log: LogTable = LogTable()
 
     def __post_init__(self) -> None:
         """Check the addresses."""
-        self._addresses("listen")
+        self.check_addresses("listen")
         for peer, address in self.peers.items():
             try:
                 parse_address(address)
             except ValueError as error:
-                raise KeyedError(f"peers.{peer}", str(error)) from error
+                raise InvalidValueError(f"peers.{peer}", str(error)) from error
 
 
 @dataclass(slots=True, frozen=True)
@@ -67,9 +68,9 @@
     def with_file(self, path: str) -> _ServeOptions:
         """Return the options over those of a file; ends the command where the file is bad."""
         try:
-            table = read(path, ControlTable)
-        except ProblemsError as error:
-            for line in error.lines():
+            table = read_file(path, ControlTable)
+        except InvalidFileError as error:
+            for line in error.messages():
                 click.echo(f"rosewheel: {line}", err=True)
             sys.exit(EXIT_BAD_INPUT)
         return _ServeOptions(
--- a/rosewheel/cli/lab.py
+++ b/rosewheel/cli/lab.py
@@ -15,8 +15,8 @@
 import msgspec
 import uvloop
 
-from rosewheel.config.checked import ProblemsError
-from rosewheel.config.platform import parse_address
+from rosewheel.config.address import parse_address
+from rosewheel.config.errors import InvalidFileError
 from rosewheel.lab import experiment as experiments
 from rosewheel.lab import plan as plans
 from rosewheel.lab import plan_codec
@@ -41,12 +41,12 @@
         if emulated:
             experiments.check_emulated(told)
         return plans.make(told, seed)
-    except ProblemsError as error:
+    except InvalidFileError as error:
         bad_input(error)
 
 
-def bad_input(error: ProblemsError) -> NoReturn:
-    for line in error.lines():
+def bad_input(error: InvalidFileError) -> NoReturn:
+    for line in error.messages():
         click.echo(f"rosewheel: {line}", err=True)
     sys.exit(2)
 
@@ -280,7 +280,7 @@
         found = experiments.variants(names, changes_from(vary, seconds))
         for variant in found:
             experiments.check_emulated(variant.scenario)
-    except ProblemsError as error:
+    except InvalidFileError as error:
         bad_input(error)
     if only_plan:
         for variant in found:
--- a/rosewheel/cli/node.py
+++ b/rosewheel/cli/node.py
@@ -7,8 +7,10 @@
 import click
 
 from rosewheel import logs
-from rosewheel.config import operator, platform
-from rosewheel.config.checked import ProblemsError, read, tables, text_of
+from rosewheel.config.errors import InvalidFileError
+from rosewheel.config.operator_config import OperatorConfig, load_operator_config
+from rosewheel.config.platform import load_platform_config
+from rosewheel.config.toml_file import parse_tables, read_file, read_text
 from rosewheel.proxy import process
 
 
@@ -22,14 +24,14 @@
     """
     if path is None:
         logs.start(json)
-        sys.exit(process.run(lambda again: platform.load(again=again)))
+        sys.exit(process.run(lambda again: load_platform_config(reload=again)))
     try:
-        told = read(path, operator.Operator)
-    except ProblemsError as error:
+        told = read_file(path, OperatorConfig)
+    except InvalidFileError as error:
         _print(error)
         sys.exit(2)
     logs.start(json or told.log.form == "json", told.log.level)
-    sys.exit(process.run(lambda again: operator.load(path, again=again)))
+    sys.exit(process.run(lambda again: load_operator_config(path, reload=again)))
 
 
 @click.command()
@@ -41,7 +43,7 @@
         try:
             _check(path)
             click.echo(f"{path}: ok")
-        except ProblemsError as error:
+        except InvalidFileError as error:
             _print(error)
             good = False
     sys.exit(0 if good else 2)
@@ -51,12 +53,12 @@
     from rosewheel.lab import scenario
 
     shipped = "/" not in path and path in scenario.bundled_names()
-    if not shipped and "node" in tables(text_of(path), path):
-        read(path, operator.Operator)
+    if not shipped and "node" in parse_tables(read_text(path), path):
+        read_file(path, OperatorConfig)
     else:
         scenario.load(path)
 
 
-def _print(error: ProblemsError) -> None:
-    for line in error.lines():
+def _print(error: InvalidFileError) -> None:
+    for line in error.messages():
         click.echo(f"rosewheel: {line}", err=True)
--- a/rosewheel/cli/simulate.py
+++ b/rosewheel/cli/simulate.py
@@ -26,7 +26,7 @@
     seed_option,
     vary_option,
 )
-from rosewheel.config.checked import ProblemsError
+from rosewheel.config.errors import InvalidFileError
 from rosewheel.lab import experiment as experiments
 from rosewheel.lab import plan as plans
 from rosewheel.lab.simulation.simulate import check_simulated, simulate
@@ -82,7 +82,7 @@
         items = list(experiments.plan_runs(found, seed, repeat, out or Path()))
         for variant in found:
             check_simulated(variant.scenario)
-    except ProblemsError as error:
+    except InvalidFileError as error:
         bad_input(error)
     if only_plan:
         for item in items:
--- a/rosewheel/config/__init__.py
+++ b/rosewheel/config/__init__.py
@@ -1,1 +1,1 @@
-"""What a node is told: the platform's environment and JSON, the operator's own TOML."""
+"""Configuration of a node: the platform's environment and JSON file, and the operator's TOML file, as typed values."""
--- a/rosewheel/config/platform.py
+++ b/rosewheel/config/platform.py
@@ -1,165 +1,151 @@
-"""What a node is told at its start: the environment and the JSON file, as typed values."""
+"""The platform's configuration of a node: `LB_` variables and the JSON file that LB_CONFIG names."""
 
 from __future__ import annotations
 
 import os
-import resource
 from collections.abc import Mapping
-from dataclasses import dataclass
 from typing import Any
 
 import orjson
 
+from rosewheel.config.address import Address, parse_address
+from rosewheel.config.environment import (
+    ENVIRONMENT_KEYS,
+    available_descriptors,
+    inherited_descriptor,
+    random_seed,
+)
+from rosewheel.config.errors import ConfigError, InvalidValueError
+from rosewheel.config.node_config import InitialEndpoints, NodeConfig
 from rosewheel.node.limits import Limits
-from rosewheel.policy.settings import Settings
 from rosewheel.policy.settings_codec import flag, settings_from, table
 
-Address = tuple[str, int]
-# What the environment says before the file does.
-VARIABLES = (
-    ("LB_NAME", "name"),
-    ("LB_LISTEN", "listen"),
-    ("LB_DISCOVERY", "discovery"),
-    ("LB_OPS", "ops"),
-)
-
-
-class ConfigError(Exception):
-    """The node can't start; the text is one plain line."""
-
+JsonObject = dict[str, Any]
 
-@dataclass(slots=True, frozen=True)
-class Control:
-    """Where the fleet's configuration comes from. Only the operator's file has this."""
+DEFAULT_SOCKETS = 1024
+MAX_NUMBER = 1e15  # larger times can't be added up in a float without loss
 
-    machines: dict[str, Address]
-    service: str  # of the node: what concerns it
-    own: Any = None  # the node's own file, over which what is told is laid
 
+def load_platform_config(environ: Mapping[str, str] = os.environ, reload: bool = False) -> NodeConfig:
+    """Read the platform's configuration.
 
-@dataclass(slots=True, frozen=True)
-class Config:
-    name: str
-    listen: Address
-    discovery: Address
-    seed: int
-    settings: Settings
-    bounds: Limits
-    known: dict[str, Any]  # the server list as last had, in discovery's form
-    ops: Address | None = None  # where operators call; without it there is no such door
-    inherited: int | None = None  # the descriptor of a listening socket that the platform holds
-    state: str | None = None  # the folder for what outlives a process
-    on_disk: bool = False  # it lies on a disk, which may hold a write up; on the platform it is memory
-    # Whether another process of this node may take over, by a Unix socket in that folder. On the platform only where it
-    # holds the callers' socket: elsewhere no second process can be there, and nobody comes to such a socket.
-    handover: bool = True
-    control: Control | None = None
+    Args:
+        environ: the environment variables.
+        reload: the node runs already. The file is then newer than the environment, so its discovery address overrides
+            LB_DISCOVERY.
 
-
-def parse_address(text: object) -> Address:
-    """`host:port`, the host a numeric address: there is no DNS where a node runs."""
-    host, colon, port = str(text).rpartition(":")
-    if not colon or not host or not port.isascii() or not port.isdigit() or not 0 < int(port) < 65536:
-        raise ValueError(f"{text!r} is not address:port")
-    return host.strip("[]"), int(port)
-
-
-def load(environ: Mapping[str, str] = os.environ, again: bool = False) -> Config:
-    """The configuration, or a ConfigError that says in one line what is wrong with it. When it is read
-    again, the file is newer than the environment, so its discovery comes before LB_DISCOVERY."""
+    Raises:
+        ConfigError: it can't be used; the text is one line.
+    """
     path = environ.get("LB_CONFIG")
     if not path:
-        raise ConfigError("LB_CONFIG is not set")
+        raise ConfigError("LB_CONFIG is not set", "LB_CONFIG")
+    document = _read_json(path)
+    for variable, key in ENVIRONMENT_KEYS:
+        if environ.get(variable) and not (reload and key == "discovery" and document.get(key)):
+            document[key] = environ[variable]
+    try:
+        return _node_config(document, inherited_descriptor(environ), environ.get("TMPDIR") or None)
+    except InvalidValueError as error:
+        raise _file_error(path, str(error), error.key) from error
+    except KeyError as error:
+        raise _file_error(path, f"missing key {error}", str(error.args[0])) from error
+    except (TypeError, ValueError, AttributeError, OverflowError) as error:
+        raise _file_error(path, str(error)) from error
+
+
+def _read_json(path: str) -> JsonObject:
     try:
         with open(path, "rb") as file:
-            row = orjson.loads(file.read())
+            document = orjson.loads(file.read())
     except (OSError, orjson.JSONDecodeError) as error:
-        raise ConfigError(f"LB_CONFIG: {path}: {error}") from error
-    if not isinstance(row, dict):
-        raise ConfigError(f"LB_CONFIG: {path}: not an object")
-    for variable, key in VARIABLES:
-        if environ.get(variable) and not (again and key == "discovery" and row.get(key)):
-            row[key] = environ[variable]
-    try:
-        return _typed(row, descriptor(environ.get("LB_INHERITED_FD")), environ.get("TMPDIR") or None)
-    except (KeyError, TypeError, ValueError, AttributeError, OverflowError) as error:
-        kind = "missing key " if isinstance(error, KeyError) else ""
-        raise ConfigError(" ".join(f"LB_CONFIG: {path}: {kind}{error}".split())) from error
+        raise ConfigError(f"LB_CONFIG: {path}: {error}", "LB_CONFIG") from error
+    if not isinstance(document, dict):
+        raise ConfigError(f"LB_CONFIG: {path}: not an object", "LB_CONFIG")
+    return document
+
+
+def _file_error(path: str, reason: str, key: str = "") -> ConfigError:
+    return ConfigError(" ".join(f"LB_CONFIG: {path}: {reason}".split()), key)
+
+
+def _node_config(document: JsonObject, descriptor: int | None, state_folder: str | None) -> NodeConfig:
+    # Settings are read before the rest, and the node's limits after them: the first bad key is the one reported.
+    settings_row: JsonObject = document["settings"]
+    settings = settings_from(settings_row)
+    limits = _limits(settings_row, table(document, "limits"))
+    initial_endpoints = _initial_endpoints(document.get("known"))
+    return NodeConfig(
+        name=str(document.get("name") or ""),
+        listen_address=_address(document, "listen"),
+        discovery_address=_address(document, "discovery"),
+        seed=_seed(document.get("seed")),
+        settings=settings,
+        limits=limits,
+        initial_endpoints=initial_endpoints,
+        admin_address=_address(document, "ops") if document.get("ops") else None,
+        inherited_descriptor=descriptor,
+        state_folder=state_folder,
+        hot_restart_allowed=descriptor is not None,
+    )
 
 
-def descriptors(stated: int) -> int:
-    """How many a process may hold: what is stated, or less where the system gives less."""
-    return min(stated, resource.getrlimit(resource.RLIMIT_NOFILE)[0])
+def _limits(settings_row: JsonObject, limits_row: JsonObject) -> Limits:
+    """The node's limits; an absent key leaves its default."""
+    bounds = table(settings_row, "bounds")
+    invariants = table(settings_row, "invariants")
+    values: dict[str, Any] = {
+        "idle_timeout_ms": _number(bounds, "connIdleMs"),
+        "connect_timeout_ms": _number(bounds, "connectTimeoutMs"),
+        "drain_notice_ms": _number(invariants, "drainGraceMs"),
+        "max_open_requests": _integer(bounds, "maxOpen"),
+        "hedging_allowed": flag(bounds, "secondCopies"),
+        "health_checks_allowed": flag(bounds, "mayProbe"),
+        "memory_limit_mb": _number(limits_row, "memory_mb"),
+        "max_sockets": available_descriptors(_integer(limits_row, "sockets") or DEFAULT_SOCKETS),
+    }
+    return Limits(**{name: value for name, value in values.items() if value is not None})
 
 
-def descriptor(text: str | None) -> int | None:
-    if not text:
-        return None
-    if not text.isascii() or not text.isdigit():
-        raise ConfigError(f"LB_INHERITED_FD: {text!r} is not a descriptor's number")
-    return int(text)
-
-
-def _typed(row: dict[str, Any], inherited: int | None, state: str | None) -> Config:
-    settings: dict[str, Any] = row["settings"]
-    asked = settings_from(settings)
-    allowed, rules, limits = table(settings, "bounds"), table(settings, "invariants"), table(row, "limits")
-    given = {
-        "idle_timeout_ms": _number(allowed, "connIdleMs"),
-        "connect_timeout_ms": _number(allowed, "connectTimeoutMs"),
-        "drain_notice_ms": _number(rules, "drainGraceMs"),
-        "max_open_requests": _whole(allowed, "maxOpen"),
-        "hedging_allowed": flag(allowed, "secondCopies"),
-        "health_checks_allowed": flag(allowed, "mayProbe"),
-        "memory_limit_mb": _number(limits, "memory_mb"),
-        "max_sockets": descriptors(_whole(limits, "sockets") or 1024),
-    }
-    known = row.get("known") or {"seq": 0, "hosts": []}
-    if not isinstance(known, dict):
-        raise ValueError("known: not an object")
-    return Config(
-        name=str(row.get("name") or ""),
-        listen=_address(row, "listen"),
-        discovery=_address(row, "discovery"),
-        seed=_seed(row.get("seed")),
-        settings=asked,
-        bounds=Limits(**{key: value for key, value in given.items() if value is not None}),  # type: ignore[arg-type]
-        known=known,
-        ops=_address(row, "ops") if row.get("ops") else None,
-        inherited=inherited,
-        state=state,
-        handover=inherited is not None,
-    )
+def _initial_endpoints(row: object) -> InitialEndpoints:
+    if not row:
+        return InitialEndpoints()
+    if not isinstance(row, dict):
+        raise InvalidValueError("known", "not an object")
+    revision = row.get("seq")
+    return InitialEndpoints(revision if isinstance(revision, int) else 0, row.get("hosts"))
 
 
-def _number(row: dict[str, Any], key: str) -> float | None:
+def _number(row: JsonObject, key: str) -> float | None:
     value = row.get(key)
     if value is None:
         return None
-    if isinstance(value, bool) or not isinstance(value, int | float) or not 0 <= value < 1e15:
-        raise ValueError(f"{key}: {value!r} is not a number from 0 on")
+    if isinstance(value, bool) or not isinstance(value, int | float) or not 0 <= value < MAX_NUMBER:
+        raise InvalidValueError(key, f"{value!r} is not a number from 0 on")
     return float(value)
 
 
-def _whole(row: dict[str, Any], key: str) -> int | None:
+def _integer(row: JsonObject, key: str) -> int | None:
     value = _number(row, key)
     if value is not None and value % 1:
-        raise ValueError(f"{key}: {row[key]!r} is not a whole number")
+        raise InvalidValueError(key, f"{row[key]!r} is not a whole number")
     return None if value is None else int(value)
 
 
-def _address(row: dict[str, Any], key: str) -> Address:
+def _address(row: JsonObject, key: str) -> Address:
     try:
         return parse_address(row[key])
     except ValueError as error:
-        raise ValueError(f"{key}: {error}") from error
+        raise InvalidValueError(key, str(error)) from error
 
 
-def _seed(given: object) -> int:
-    """Hexadecimal text or a whole number; without one, the system's random source."""
-    if isinstance(given, int):
-        return given
+def _seed(value: object) -> int:
+    """Hexadecimal text or an integer; a random seed where there is none."""
+    if isinstance(value, int):
+        return value
+    if not isinstance(value, str) or not value:
+        return random_seed()
     try:
-        return int(given, 16) if isinstance(given, str) and given else int.from_bytes(os.urandom(8), "big")
+        return int(value, 16)
     except ValueError as error:
-        raise ValueError(f"seed: {given!r} is not hexadecimal") from error
+        raise InvalidValueError("seed", f"{value!r} is not hexadecimal") from error
--- a/rosewheel/control/acknowledgement.py
+++ b/rosewheel/control/acknowledgement.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable
 from random import Random
 
-from rosewheel.config.platform import Address
+from rosewheel.config.address import Address
 from rosewheel.control.codec.paths import ACKNOWLEDGE_PATH
 from rosewheel.control.codec.watch import encode_acknowledgements
 from rosewheel.control.errors import HttpCallError
--- a/rosewheel/control/errors.py
+++ b/rosewheel/control/errors.py
@@ -5,7 +5,7 @@
 from collections.abc import Mapping, Sequence
 from pathlib import Path
 
-from rosewheel.config.platform import Address
+from rosewheel.config.address import Address
 from rosewheel.control.revisions import Epoch, Revision
 
 
--- a/rosewheel/control/heartbeats.py
+++ b/rosewheel/control/heartbeats.py
@@ -6,7 +6,7 @@
 import logging
 from typing import Protocol
 
-from rosewheel.config.platform import Address
+from rosewheel.config.address import Address
 from rosewheel.control.codec.calls import decode_error, decode_machine_state, encode_heartbeat
 from rosewheel.control.codec.paths import HEARTBEAT_PATH
 from rosewheel.control.errors import HttpCallError, PeerRejectedCallError
--- a/rosewheel/control/http_client.py
+++ b/rosewheel/control/http_client.py
@@ -9,7 +9,7 @@
 import httptools
 import orjson
 
-from rosewheel.config.platform import Address
+from rosewheel.config.address import Address
 from rosewheel.control.errors import HttpCallError
 from rosewheel.control.timing import CONNECT_TIMEOUT_S
 
--- a/rosewheel/control/machine_settings.py
+++ b/rosewheel/control/machine_settings.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass
 from pathlib import Path
 
-from rosewheel.config.platform import Address
+from rosewheel.config.address import Address
 
 
 @dataclass(slots=True, frozen=True)
--- a/rosewheel/control/subscriber.py
+++ b/rosewheel/control/subscriber.py
@@ -12,7 +12,7 @@
 from collections.abc import Callable, Mapping
 from pathlib import Path
 
-from rosewheel.config.platform import Address
+from rosewheel.config.address import Address
 from rosewheel.control.acknowledgement import AcknowledgementSender
 from rosewheel.control.cached_document import CachedDocumentFile
 from rosewheel.control.codec.values import JsonObject
--- a/rosewheel/control/validation.py
+++ b/rosewheel/control/validation.py
@@ -4,7 +4,7 @@
 
 from typing import Any
 
-from rosewheel.config.operator import tuned
+from rosewheel.config.fleet_document import apply_fleet_document
 from rosewheel.control.documents import Document, document_for_service, nesting_exceeds
 from rosewheel.control.errors import InvalidDocumentError
 
@@ -46,6 +46,6 @@
 
 def _validate_tables(tables: Document) -> None:
     try:
-        tuned(PLACEHOLDER_NODE_FILE, tables)
+        apply_fleet_document(PLACEHOLDER_NODE_FILE, tables)
     except (TypeError, ValueError, OverflowError) as error:
         raise InvalidDocumentError(str(error)) from error
--- a/rosewheel/control/watch_client.py
+++ b/rosewheel/control/watch_client.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable
 from typing import TypeVar
 
-from rosewheel.config.platform import Address
+from rosewheel.config.address import Address
 from rosewheel.control.codec.values import JsonObject
 from rosewheel.control.messages import ConfigurationUpdate
 from rosewheel.control.revisions import LogSuffix
--- a/rosewheel/discovery/endpoint_list.py
+++ b/rosewheel/discovery/endpoint_list.py
@@ -9,7 +9,7 @@
 from collections.abc import Callable, Iterable, Iterator
 from typing import Any
 
-from rosewheel.config.platform import Address, parse_address
+from rosewheel.config.address import Address, parse_address
 from rosewheel.discovery.watch_client import WatchClient
 from rosewheel.policy.events import EndpointListForm, Server, ServerState
 
--- a/rosewheel/discovery/watch_client.py
+++ b/rosewheel/discovery/watch_client.py
@@ -16,7 +16,7 @@
 import httptools
 import orjson
 
-from rosewheel.config.platform import Address
+from rosewheel.config.address import Address
 
 # An empty line is received every 2 s. A change has to be known 6 s after discovery had it and could be reached,
 # whatever failed until then. At that moment a watch is open and silent, is being opened, or its backoff runs. In each
--- a/rosewheel/hot_restart/service.py
+++ b/rosewheel/hot_restart/service.py
@@ -8,7 +8,7 @@
 import socket
 from typing import Any
 
-from rosewheel.config.platform import Address
+from rosewheel.config.address import Address
 from rosewheel.hot_restart import wire
 from rosewheel.hot_restart.channel import Channel, close_descriptors, connect, is_same_user, listen
 from rosewheel.hot_restart.migration import MigratedConnection, Migration
--- a/rosewheel/http/exchange.py
+++ b/rosewheel/http/exchange.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass, field
 from typing import Protocol
 
-from rosewheel.config.platform import Address
+from rosewheel.config.address import Address
 from rosewheel.http.body import RequestBody
 from rosewheel.http.load_report import LoadReport
 from rosewheel.http.response_reader import ResponseSink
--- a/rosewheel/http/idle_connections.py
+++ b/rosewheel/http/idle_connections.py
@@ -4,7 +4,7 @@
 
 import itertools
 
-from rosewheel.config.platform import Address
+from rosewheel.config.address import Address
 from rosewheel.http.exchange import PooledConnection, UpstreamEndpoint
 from rosewheel.node.idle_timeout import IdleTimeout
 from rosewheel.policy.events import Server, ServerState
--- a/rosewheel/http/upstream_detach.py
+++ b/rosewheel/http/upstream_detach.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass
 from typing import Any, cast
 
-from rosewheel.config.platform import Address
+from rosewheel.config.address import Address
 from rosewheel.http.load_report import LoadReport
 
 
--- a/rosewheel/lab/experiment.py
+++ b/rosewheel/lab/experiment.py
@@ -10,7 +10,7 @@
 
 import msgspec
 
-from rosewheel.config.checked import Problem, ProblemsError
+from rosewheel.config.errors import InvalidFileError, Problem
 from rosewheel.lab import plan as plans
 from rosewheel.lab import scenario as scenarios
 from rosewheel.lab.fault_table import ZONE_FAULT_KINDS
@@ -36,7 +36,7 @@
         vary: keys of the scenario file, each with its values.
 
     Raises:
-        ProblemsError: a scenario or a change is invalid.
+        InvalidFileError: a scenario or a change is invalid.
     """
     found: list[Variant] = []
     for name in names:
@@ -52,7 +52,7 @@
     """Check that a scenario can be emulated on sockets.
 
     Raises:
-        ProblemsError: it needs what only the simulation has.
+        InvalidFileError: it needs what only the simulation has.
     """
     simulated_only = {
         "service": bool(scenario.services),
@@ -64,7 +64,7 @@
     for key, present in simulated_only.items():
         if present:
             why = "services, regions and ways between them are not emulated on sockets: `simulate` plays them"
-            raise ProblemsError(scenario.name, [Problem(key, None, why)])
+            raise InvalidFileError(scenario.name, [Problem(key, None, why)])
 
 
 def parse_value(text: str) -> object:
--- a/rosewheel/lab/fault_table.py
+++ b/rosewheel/lab/fault_table.py
@@ -7,7 +7,7 @@
 
 from msgspec import Meta
 
-from rosewheel.config.checked import KeyedError
+from rosewheel.config.errors import InvalidValueError
 from rosewheel.lab.tables import NonNegative, Range, Share, Table, upper_bound
 
 
@@ -164,35 +164,37 @@
     def _check_options(self) -> None:
         kind = self.kind.value
         if self.killed_process and self.kind is not FaultKind.NODE_UPGRADE:
-            raise KeyedError("kills", f"no process is killed by a trouble of kind {kind}")
+            raise InvalidValueError("kills", f"no process is killed by a trouble of kind {kind}")
         if self.kind in SIZED_FAULT_KINDS and self.size == 0.0:
-            raise KeyedError("size", f"a trouble of kind {kind} needs one above zero")
+            raise InvalidValueError("size", f"a trouble of kind {kind} needs one above zero")
         if self.restart_cold and self.kind is not FaultKind.MACHINE_UNREACHABLE:
-            raise KeyedError("cold", f"a trouble of kind {kind} brings nothing back that could be")
+            raise InvalidValueError("cold", f"a trouble of kind {kind} brings nothing back that could be")
         if self.deployed_only and self.kind not in (FaultKind.ERRORS, FaultKind.SLOW):
-            raise KeyedError("fresh", f"a trouble of kind {kind} does not tell new equipos from old ones")
+            raise InvalidValueError(
+                "fresh", f"a trouble of kind {kind} does not tell new equipos from old ones"
+            )
 
     def _check_size(self) -> None:
         if self.kind is FaultKind.ERRORS and upper_bound(self.size) > 1.0:
-            raise KeyedError("size", "more than all of what comes")
+            raise InvalidValueError("size", "more than all of what comes")
         if self.kind is FaultKind.NEIGHBOUR and upper_bound(self.size) >= 1.0:
-            raise KeyedError("size", "the other program leaves nothing")
+            raise InvalidValueError("size", "the other program leaves nothing")
 
     def _check_place(self) -> None:
         kind = self.kind.value
         if self.tier and self.service:
-            raise KeyedError("service", "a tier is named as well")
+            raise InvalidValueError("service", "a tier is named as well")
         if self.zone and self.region:
-            raise KeyedError("region", "a zone is named as well")
+            raise InvalidValueError("region", "a zone is named as well")
         place = "zone" if self.zone else "region" if self.region else ""
         if place and self.kind not in ZONAL_FAULT_KINDS:
-            raise KeyedError(place, f"a trouble of kind {kind} is not held to a {place}")
+            raise InvalidValueError(place, f"a trouble of kind {kind} is not held to a {place}")
         if self.kind not in ZONE_FAULT_KINDS:
             return
         if not place:
-            raise KeyedError("zone", f"a trouble of kind {kind} needs a zone or a region")
+            raise InvalidValueError("zone", f"a trouble of kind {kind} needs a zone or a region")
         if self.tier_name or self.share != 1.0:
-            raise KeyedError(
+            raise InvalidValueError(
                 "part" if self.share != 1.0 else "service" if self.service else "tier",
                 f"a trouble of kind {kind} befalls all that lies there",
             )
--- a/rosewheel/lab/scale/call_scenario.py
+++ b/rosewheel/lab/scale/call_scenario.py
@@ -2,7 +2,8 @@
 
 from __future__ import annotations
 
-from rosewheel.config.checked import convert, tables
+from rosewheel.config.toml_file import parse_tables
+from rosewheel.config.typed_tables import convert_tables
 from rosewheel.lab.scale.options import Options
 from rosewheel.lab.scenario import Scenario
 
@@ -54,8 +55,8 @@
 def call_scenario(options: Options) -> Scenario:
     """The scenario: the rate over all real nodes and direct targets, and the number of servers."""
     rate_per_s = max(MIN_RATE_PER_S, options.calls * (options.real + direct_targets(options)))
-    rows = tables(SCENARIO, "scale")
+    rows = parse_tables(SCENARIO, "scale")
     rows["seconds"] = options.seconds
     rows["clients"]["rate_per_s"] = rate_per_s
     rows["tier"][0]["kind"][0]["count"] = min(options.real, MAX_SERVERS)
-    return convert(rows, Scenario, "scale")
+    return convert_tables(rows, Scenario, "scale")
--- a/rosewheel/lab/scenario.py
+++ b/rosewheel/lab/scenario.py
@@ -15,7 +15,9 @@
 
 from msgspec import Meta
 
-from rosewheel.config.checked import KeyedError, Problem, ProblemsError, convert, places, tables, text_of
+from rosewheel.config.errors import InvalidFileError, InvalidValueError, Problem
+from rosewheel.config.toml_file import key_lines, parse_tables, read_text
+from rosewheel.config.typed_tables import convert_tables
 from rosewheel.lab import service_graph
 from rosewheel.lab.fault_table import OPEN_ENDED_FAULT_KINDS, FaultKind, FaultTable
 from rosewheel.lab.tables import (
@@ -73,11 +75,11 @@
     def __post_init__(self) -> None:
         self._check_ranges("attempt_timeout_share", "backoff_ms", "retry_after_share")
         if any(not (0.0 <= at <= 1.0 and 0.0 <= factor < math.inf) for at, factor in self.shape):
-            raise KeyedError("shape", "a part of the run outside 0 to 1, or a factor below zero")
+            raise InvalidValueError("shape", "a part of the run outside 0 to 1, or a factor below zero")
         if any(a[0] >= b[0] for a, b in zip(self.shape, self.shape[1:], strict=False)):
-            raise KeyedError("shape", "points that do not follow one another")
+            raise InvalidValueError("shape", "points that do not follow one another")
         if self.shape and not any(factor > 0 for _, factor in self.shape):
-            raise KeyedError("shape", "no point is above zero: nobody would ask anything")
+            raise InvalidValueError("shape", "no point is above zero: nobody would ask anything")
 
 
 class NodesTable(
@@ -116,7 +118,7 @@
     def __post_init__(self) -> None:
         self._check_ranges("notice_ms")
         if len(self.client_shares) > self.count:
-            raise KeyedError("shares", f"{len(self.client_shares)} shares for {self.count} nodes")
+            raise InvalidValueError("shares", f"{len(self.client_shares)} shares for {self.count} nodes")
 
     def client_share(self, name: str) -> float:
         """The share of the clients of the node with this name, `n` and its number."""
@@ -215,17 +217,17 @@
 
     def __post_init__(self) -> None:
         if not self.classes:
-            raise KeyedError("class", "no class of requests")
+            raise InvalidValueError("class", "no class of requests")
         if self.chain and self.services:
-            raise KeyedError("service", "a list of tiers stands in the file as well")
+            raise InvalidValueError("service", "a list of tiers stands in the file as well")
         if not self.tiers:
-            raise KeyedError("tier", "no tier")
+            raise InvalidValueError("tier", "no tier")
         key = "service" if self.services else "tier"
         self._check_tiers(key)
         self._check_calls()
         self._check_regions(key)
         if self.warm_up_s >= self.seconds:
-            raise KeyedError("warm_up_s", "nothing is left of the run")
+            raise InvalidValueError("warm_up_s", "nothing is left of the run")
         for index, fault in enumerate(self.faults):
             self._check_fault(f"trouble[{index}]", fault)
 
@@ -250,15 +252,15 @@
     def _check_tiers(self, key: str) -> None:
         for path, names in (("class", self.classes), (key, self.tiers)):
             if len({item.name for item in names}) != len(names):
-                raise KeyedError(path, "a name stands twice")
+                raise InvalidValueError(path, "a name stands twice")
         for index, tier in enumerate(self.tiers):
             if tier.work == 0.0:
-                raise KeyedError(f"{key}[{index}].work", f"a {key} that does nothing")
+                raise InvalidValueError(f"{key}[{index}].work", f"a {key} that does nothing")
             if index and upper_bound(tier.calls_per_request) == 0.0:
-                raise KeyedError(f"{key}[{index}].calls", f"a {key} that nobody calls: {tier.name}")
+                raise InvalidValueError(f"{key}[{index}].calls", f"a {key} that nobody calls: {tier.name}")
         total = sum(tier.work for tier in self.tiers)
         if abs(total - 1.0) > WORK_TOLERANCE:
-            raise KeyedError(key, f"the {key}s together do {total:g} of the work, not 1")
+            raise InvalidValueError(key, f"the {key}s together do {total:g} of the work, not 1")
 
     def _check_calls(self) -> None:
         names = [service.name for service in self.services]
@@ -266,9 +268,9 @@
             for number, call in enumerate(service.outgoing_calls):
                 path = f"service[{index}].call[{number}].to"
                 if call.service not in names:
-                    raise KeyedError(path, f"no service is called {call.service!r}")
+                    raise InvalidValueError(path, f"no service is called {call.service!r}")
                 if any(call.service == earlier.service for earlier in service.outgoing_calls[:number]):
-                    raise KeyedError(path, f"{call.service} is called above already: say `times`")
+                    raise InvalidValueError(path, f"{call.service} is called above already: say `times`")
         if self.services:
             self._check_depths(names)
 
@@ -281,50 +283,54 @@
             number = [call.service for call in self.services[index].outgoing_calls].index(cycle[1])
             # A bounded depth would not do: a server's slot is held while the call below lasts, so a cycle can fill
             # all slots with calls that wait for one.
-            raise KeyedError(
+            raise InvalidValueError(
                 f"service[{index}].call[{number}].to", f"calls in a circle: {' -> '.join(cycle)}"
             ) from error
         for index, depth in enumerate(depths):
             if depth == 0:
-                raise KeyedError(f"service[{index}].name", f"a service that nobody calls: {names[index]}")
+                raise InvalidValueError(
+                    f"service[{index}].name", f"a service that nobody calls: {names[index]}"
+                )
             if depth > service_graph.MAX_DEPTH:
-                raise KeyedError(f"service[{index}].name", f"{depth} deep; {service_graph.MAX_DEPTH} at most")
+                raise InvalidValueError(
+                    f"service[{index}].name", f"{depth} deep; {service_graph.MAX_DEPTH} at most"
+                )
 
     def _check_regions(self, key: str) -> None:
         zones = [zone for region in self.regions for zone in region.zones]
         for path, names in (("name", [region.name for region in self.regions]), ("zones", zones)):
             for index in range(len(self.regions)):
                 if len(set(names)) != len(names):
-                    raise KeyedError(f"region[{index}].{path}", "a name stands twice")
+                    raise InvalidValueError(f"region[{index}].{path}", "a name stands twice")
         for index, tier in enumerate(self.tiers):
             for zone in tier.zones:
                 if zone not in zones:
-                    raise KeyedError(f"{key}[{index}].zones", f"no zone is called {zone!r}")
+                    raise InvalidValueError(f"{key}[{index}].zones", f"no zone is called {zone!r}")
             if len(set(tier.zones)) != len(tier.zones):
-                raise KeyedError(f"{key}[{index}].zones", "a name stands twice")
+                raise InvalidValueError(f"{key}[{index}].zones", "a name stands twice")
         for index, row in enumerate(self.classes):
             # Deduplication tables belong to cells here; for a whole zone they would have to belong to zones.
             keyed = row.idempotency is Idempotency.IDEMPOTENT_WITH_KEY
             if len(zones) > 1 and keyed and row.dedup_scope is DedupScope.ZONE:
-                raise KeyedError(
+                raise InvalidValueError(
                     f"class[{index}].group", "keys kept by zone are not played with several zones"
                 )
 
     def _check_fault(self, path: str, fault: FaultTable) -> None:
         if fault.at_s >= self.seconds:
-            raise KeyedError(f"{path}.at_s", f"after the end of the run ({self.seconds:g} s)")
+            raise InvalidValueError(f"{path}.at_s", f"after the end of the run ({self.seconds:g} s)")
         key = "service" if fault.service else "tier"
         if fault.tier_name and fault.tier_name not in {tier.name for tier in self.tiers}:
-            raise KeyedError(f"{path}.{key}", f"no {key} is called {fault.tier_name!r}")
+            raise InvalidValueError(f"{path}.{key}", f"no {key} is called {fault.tier_name!r}")
         if fault.zone and fault.zone not in self.zones:
-            raise KeyedError(f"{path}.zone", f"no zone is called {fault.zone!r}")
+            raise InvalidValueError(f"{path}.zone", f"no zone is called {fault.zone!r}")
         if fault.region and fault.region not in {region.name for region in self.regions}:
-            raise KeyedError(f"{path}.region", f"no region is called {fault.region!r}")
+            raise InvalidValueError(f"{path}.region", f"no region is called {fault.region!r}")
         concerns_node = fault.kind in (FaultKind.NODE_CRASH, FaultKind.NODE_UPGRADE)
         if concerns_node and fault.node_index >= self.nodes.count:
-            raise KeyedError(f"{path}.node", f"there are {self.nodes.count} nodes, counted from 0")
+            raise InvalidValueError(f"{path}.node", f"there are {self.nodes.count} nodes, counted from 0")
         if fault.kind not in OPEN_ENDED_FAULT_KINDS and upper_bound(fault.duration_s) == 0.0:
-            raise KeyedError(f"{path}.for_s", "it lasts no time")
+            raise InvalidValueError(f"{path}.for_s", "it lasts no time")
 
 
 BUNDLED_FOLDER = Path(__file__).parent / "scenarios"
@@ -343,15 +349,15 @@
         changes: values by dotted keys of the file, such as `clients.rate_per_s` or `trouble.0.size`.
 
     Raises:
-        ProblemsError: with every error of the file.
+        InvalidFileError: with every error of the file.
     """
     path = _path(name)
-    text = text_of(path)
-    rows = tables(text, str(path))
+    text = read_text(path)
+    rows = parse_tables(text, str(path))
     rows = _merged(_base(rows, path), rows) if "base" in rows else rows
     for key, value in (changes or {}).items():
         _change(rows, key, value, str(path))
-    return convert(rows, Scenario, str(path), places(text))
+    return convert_tables(rows, Scenario, str(path), key_lines(text))
 
 
 def _path(name: str, relative_to: Path | None = None) -> Path:
@@ -365,9 +371,11 @@
     """The tables of the scenario that this one builds on."""
     name = rows.pop("base")
     if not isinstance(name, str) or not depth:
-        raise ProblemsError(str(path), [Problem("base", None, "not a scenario's name, or a circle of them")])
+        raise InvalidFileError(
+            str(path), [Problem("base", None, "not a scenario's name, or a circle of them")]
+        )
     base_path = _path(name, path)
-    base = tables(text_of(base_path), str(base_path))
+    base = parse_tables(read_text(base_path), str(base_path))
     return _merged(_base(base, base_path, depth - 1), base) if "base" in base else base
 
 
@@ -394,4 +402,4 @@
         else:
             rows[last] = value
     except (IndexError, ValueError, TypeError, AttributeError) as error:
-        raise ProblemsError(name, [Problem(key, None, "no such place")]) from error
+        raise InvalidFileError(name, [Problem(key, None, "no such place")]) from error
--- a/rosewheel/lab/simulation/simulate.py
+++ b/rosewheel/lab/simulation/simulate.py
@@ -10,7 +10,7 @@
 
 import msgspec
 
-from rosewheel.config.checked import Problem, ProblemsError
+from rosewheel.config.errors import InvalidFileError, Problem
 from rosewheel.lab.fault_table import FaultKind
 from rosewheel.lab.invariant_checker import InvariantChecker
 from rosewheel.lab.plan import Plan
@@ -74,12 +74,12 @@
     """Check that a scenario can be simulated.
 
     Raises:
-        ProblemsError: it needs what only real processes do.
+        InvalidFileError: it needs what only real processes do.
     """
     for index, fault in enumerate(scenario.faults):
         if fault.killed_process:
             why = "a process that is killed in the middle of an upgrade is not simulated"
-            raise ProblemsError(scenario.name, [Problem(f"trouble[{index}].kills", None, why)])
+            raise InvalidFileError(scenario.name, [Problem(f"trouble[{index}].kills", None, why)])
 
 
 class Simulation:
--- a/rosewheel/lab/tables.py
+++ b/rosewheel/lab/tables.py
@@ -12,7 +12,7 @@
 import msgspec
 from msgspec import Meta
 
-from rosewheel.config.checked import KeyedError
+from rosewheel.config.errors import InvalidValueError
 from rosewheel.policy.settings import DedupScope, Idempotency
 
 Share = Annotated[float, Meta(ge=0, le=1)]
@@ -38,14 +38,14 @@
         """Check that these ranges are ordered and hold no negative number.
 
         Raises:
-            KeyedError: with the key of the first range that is not.
+            InvalidValueError: with the key of the first range that is not.
         """
         keys = {field.name: field.encode_name for field in msgspec.structs.fields(type(self))}
         for name in fields:
             value = getattr(self, name)
             low, high = value if isinstance(value, tuple) else (value, value)
             if not 0.0 <= low <= high < math.inf:
-                raise KeyedError(
+                raise InvalidValueError(
                     keys[name], "not a number from zero up, or a range that ends below its beginning"
                 )
 
@@ -94,7 +94,7 @@
     def __post_init__(self) -> None:
         self._check_ranges("work_ms", "cv", "attempt_noise")
         if self.latency_objective_ms > self.deadline_ms:
-            raise KeyedError("aim_ms", "an answer is wanted after the client has given up")
+            raise InvalidValueError("aim_ms", "an answer is wanted after the client has given up")
 
 
 class OverloadSlowdownTable(
@@ -167,7 +167,7 @@
         self._check_ranges("contention_threshold", "warm_up_initial_share", "warm_up_s")
         self._check_ranges("pause_interval_s", "pause_ms", "pause_growth", "error_rate")
         if self.speeds and len(self.speeds) != self.count:
-            raise KeyedError("speeds", f"{len(self.speeds)} speeds for {self.count} equipos")
+            raise InvalidValueError("speeds", f"{len(self.speeds)} speeds for {self.count} equipos")
 
 
 class ReportTable(Table, frozen=True, kw_only=True, rename={"enabled": "on"}):
@@ -221,7 +221,7 @@
         self._check_ranges("calls_per_request", "connections_per_core", "connection_overhead")
         self._check_ranges("handshake_work_ms", "health_check_work_ms")
         if sum(kind.count for kind in self.kinds) == 0:
-            raise KeyedError("kind", "a tier without equipos")
+            raise InvalidValueError("kind", "a tier without equipos")
 
 
 class CallTable(Table, frozen=True, kw_only=True, rename={"service": "to", "calls_per_request": "times"}):
@@ -237,7 +237,7 @@
     def __post_init__(self) -> None:
         self._check_ranges("calls_per_request")
         if upper_bound(self.calls_per_request) == 0.0:
-            raise KeyedError("times", "a call that is never made")
+            raise InvalidValueError("times", "a call that is never made")
 
 
 class ServiceTable(TierTable, frozen=True, kw_only=True, rename={"outgoing_calls": "call"}):
@@ -248,7 +248,7 @@
     def __post_init__(self) -> None:
         super().__post_init__()
         if self.calls_per_request != 1.0:
-            raise KeyedError("calls", "a service says whom it calls in its own `call` tables")
+            raise InvalidValueError("calls", "a service says whom it calls in its own `call` tables")
 
 
 class RegionTable(Table, frozen=True, kw_only=True):
@@ -259,7 +259,7 @@
 
     def __post_init__(self) -> None:
         if not self.zones:
-            raise KeyedError("zones", "a region without zones")
+            raise InvalidValueError("zones", "a region without zones")
 
 
 class NetworkTable(Table, frozen=True, kw_only=True, rename={"cross_zone_cost": "cross_zone_price"}):
@@ -277,4 +277,6 @@
 
     def __post_init__(self) -> None:
         if not self.within_zone_ms <= self.between_zones_ms <= self.between_regions_ms:
-            raise KeyedError("between_zones_ms", "not between the ways within a zone and between regions")
+            raise InvalidValueError(
+                "between_zones_ms", "not between the ways within a zone and between regions"
+            )
--- a/rosewheel/listener.py
+++ b/rosewheel/listener.py
@@ -11,7 +11,8 @@
 import socket
 import stat
 
-from rosewheel.config.platform import Address, ConfigError
+from rosewheel.config.address import Address
+from rosewheel.config.errors import ConfigError
 
 BACKLOG = 1024  # callers that wait to be accepted; a planned restart brings them by thousands
 
--- a/rosewheel/policy/settings.py
+++ b/rosewheel/policy/settings.py
@@ -1,7 +1,7 @@
 """Settings of the decision module, validated when they are made.
 
 Times are milliseconds and rates are per second. The keys of configuration files and of the platform's JSON are
-mapped to these names in `rosewheel/config/operator.py` and `rosewheel/policy/settings_codec.py`.
+mapped to these names in `rosewheel/config/operator_tables.py` and `rosewheel/policy/settings_codec.py`.
 """
 
 from __future__ import annotations
--- a/rosewheel/proxy/process.py
+++ b/rosewheel/proxy/process.py
@@ -13,7 +13,8 @@
 
 import uvloop
 
-from rosewheel.config.platform import Config, ConfigError
+from rosewheel.config.errors import ConfigError
+from rosewheel.config.node_config import NodeConfig
 from rosewheel.proxy.proxy import Proxy
 
 if TYPE_CHECKING:
@@ -21,10 +22,10 @@
 
 log = logging.getLogger("rosewheel")
 
-Load = Callable[[bool], Config]  # True: it is read again, while the node runs
+Load = Callable[[bool], NodeConfig]  # True: it is read again, while the node runs
 
 
-def _joined(relay: Proxy, config: Config) -> FleetConfiguration | None:
+def _joined(relay: Proxy, config: NodeConfig) -> FleetConfiguration | None:
     """What joins the node to the fleet's configuration, where its file says so. Imported only then: it needs more than
     the platform's `run` has."""
     if config.control is None:
@@ -45,7 +46,7 @@
         log.error("the configuration stays as it was: %s", error)
 
 
-async def _serve(config: Config, load: Load) -> None:
+async def _serve(config: NodeConfig, load: Load) -> None:
     stop = asyncio.Event()
     loop = asyncio.get_running_loop()
     for name in (signal.SIGTERM, signal.SIGINT):
--- a/rosewheel/proxy/proxy.py
+++ b/rosewheel/proxy/proxy.py
@@ -13,7 +13,8 @@
 from collections.abc import Callable
 from typing import TYPE_CHECKING, Any
 
-from rosewheel.config.platform import Config, ConfigError
+from rosewheel.config.errors import ConfigError
+from rosewheel.config.node_config import NodeConfig
 from rosewheel.discovery.backoff import WatchBackoff
 from rosewheel.discovery.endpoint_list import DiscoveryWatch, Endpoint, parse_endpoints
 from rosewheel.hot_restart.migration import Migration
@@ -73,7 +74,8 @@
 # says, where lists are pushed. A silent one is waited for in vain, and may be so for many seconds.
 PUSHED_LIST_WAIT_S = 0.5
 METHODS = (b"GET", b"POST")
-FIXED = ("name", "listen", "ops", "state")  # what was bound and named at the start
+# Fields of NodeConfig that were bound and named at the start, by their keys in the configuration file.
+FIXED = {"name": "name", "listen": "listen_address", "ops": "admin_address", "state": "state_folder"}
 
 
 def now_ms() -> float:
@@ -81,7 +83,7 @@
 
 
 class Proxy:
-    def __init__(self, config: Config) -> None:
+    def __init__(self, config: NodeConfig) -> None:
         self.config = config
         self.loop = asyncio.get_running_loop()
         self.max_descriptors = 0
@@ -89,14 +91,19 @@
         self.predecessor_descriptors: int | None = (
             None  # descriptors that an old process still holds, which gives them up
         )
-        self.shares_listener = config.inherited is not None  # callers come by a socket that another has too
+        self.shares_listener = (
+            config.inherited_descriptor is not None
+        )  # callers come by a socket that another has too
         self.cordons = Cordons(self._cordon)
         self.shared_state = SharedState(
-            config.state, self.cordons.hand, self._process_count_changed, config.inherited is not None
+            config.state_folder,
+            self.cordons.hand,
+            self._process_count_changed,
+            config.inherited_descriptor is not None,
         )
-        self.node = Node(config.settings, config.bounds, config.seed, now_ms())
+        self.node = Node(config.settings, config.limits, config.seed, now_ms())
         self.upstream = UpstreamPool(
-            config.bounds,
+            config.limits,
             self._make_room,
             self._ended,
             self._probed,
@@ -114,28 +121,29 @@
             self.budget,
         )
         self.admin: AdminServer | None = None
-        if config.ops is not None:  # imported where it is asked for: each start would pay for it
+        if config.admin_address is not None:  # imported where it is asked for: each start would pay for it
             from rosewheel.admin.server import AdminServer
 
             self.admin = AdminServer(self)
-        self.snapshots = SnapshotWriter(config.state, config.name, self._learned, config.on_disk)
+        self.snapshots = SnapshotWriter(config.state_folder, config.name, self._learned, config.state_on_disk)
         self.random = random.Random(config.seed)
         self.watch_backoff = WatchBackoff(self.random)
         self.migration = Migration(self)
-        self.hot_restart = HotRestart(config.state if config.handover else None, config.name, self.migration)
+        self.hot_restart = HotRestart(
+            config.state_folder if config.hot_restart_allowed else None, config.name, self.migration
+        )
         self._list_received = asyncio.Event()  # discovery has said something
-        since = config.known.get("seq")
-        known = [server.address for server, _ in parse_endpoints(config.known.get("hosts"))]
+        known = [server.address for server, _ in parse_endpoints(config.initial_endpoints.entries)]
         self.discovery = DiscoveryWatch(
-            config.discovery,
-            since if isinstance(since, int) else 0,
+            config.discovery_address,
+            config.initial_endpoints.revision,
             self._endpoint_list_updated,
             known,
             on_first_line=self._spoke,
         )
         self.calls: dict[str, DownstreamRequest] = {}
         self.longest_ms = 0.0  # of the requests so far, how long a caller waits at most
-        self._share(config.bounds.max_sockets)
+        self._share(config.limits.max_sockets)
         self.stopped = False
         self._timer: asyncio.TimerHandle | None = None
         self._armed = 0.0
@@ -144,16 +152,20 @@
         """Begin with the list as last known, and with what the agent says where lists are pushed; then listen.
         Where another process serves meanwhile, callers are taken once discovery has answered."""
         # First, so that a bad address ends the node before it has asked anything.
-        inherited, door = self.config.inherited, None
+        inherited, door = self.config.inherited_descriptor, None
         if self.hot_restart.connect_to_predecessor() and inherited is None:
-            lent, door = await self.hot_restart.borrow_listeners(self.config.listen, self.config.ops)
+            lent, door = await self.hot_restart.borrow_listeners(
+                self.config.listen_address, self.config.admin_address
+            )
             self.shares_listener = lent is not None
             inherited = None if lent is None else lent.detach()
-        sock = open_listener(self.config.listen, inherited)
+        sock = open_listener(self.config.listen_address, inherited)
         self.shared_state.start()  # before anything can be sent: what is out by hand stays out
-        if self.admin is not None and self.config.ops is not None:
-            await self.admin.start(door or bind(self.config.ops, "LB_OPS"))
-        self._endpoint_list_updated(EndpointListForm.CACHED, parse_endpoints(self.config.known.get("hosts")))
+        if self.admin is not None and self.config.admin_address is not None:
+            await self.admin.start(door or bind(self.config.admin_address, "LB_OPS"))
+        self._endpoint_list_updated(
+            EndpointListForm.CACHED, parse_endpoints(self.config.initial_endpoints.entries)
+        )
         self._recall()
         if not self.config.settings.poll_discovery:
             self.discovery.start()
@@ -183,22 +195,22 @@
     def _learned(self) -> tuple[LearnedState, float]:
         return self.node.learned_state(now_ms()), self.upstream.idle_timeout.stale_limit_s
 
-    def reload(self, config: Config) -> None:
+    def reload(self, config: NodeConfig) -> None:
         """Take over what may change while the node runs: the address of discovery, settings and bounds. Raises
         ConfigError where something else would have to; all stays as it was then."""
         try:
-            self.configure(config.settings, config.bounds)
+            self.configure(config.settings, config.limits)
         except ValueError as error:
             raise ConfigError(str(error)) from error
-        fixed = [key for key in FIXED if getattr(config, key) != getattr(self.config, key)]
+        fixed = [key for key, name in FIXED.items() if getattr(config, name) != getattr(self.config, name)]
         if fixed:
             log.warning("%s: only a new start of this node takes that over", ", ".join(fixed))
-        moved = config.discovery != self.config.discovery
-        self.config = dataclasses.replace(self.config, discovery=config.discovery)
-        log.info("the configuration was read again, discovery at %s:%d", *config.discovery)
+        moved = config.discovery_address != self.config.discovery_address
+        self.config = dataclasses.replace(self.config, discovery_address=config.discovery_address)
+        log.info("the configuration was read again, discovery at %s:%d", *config.discovery_address)
         if not moved or self.stopped:
             return
-        self.discovery.change_address(config.discovery)
+        self.discovery.change_address(config.discovery_address)
         self.apply(self.node.discovery_address_changed(now_ms()))
         if not self.config.settings.poll_discovery:
             self.discovery.start()
@@ -207,10 +219,10 @@
         """These hold from now on, but for requests that are taken already. Raises ValueError that names the key where
         they can't; all stays as it was then. The same ones again change nothing."""
         was = self.config
-        if settings == was.settings and bounds == was.bounds:
+        if settings == was.settings and bounds == was.limits:
             return
         effects = self.node.configure(now_ms(), settings, bounds)  # before anything else: it alone may refuse
-        self.config = dataclasses.replace(was, settings=settings, bounds=bounds)
+        self.config = dataclasses.replace(was, settings=settings, limits=bounds)
         self.upstream.configure(bounds, large_fleet=is_large_fleet(settings))
         self._share(bounds.max_sockets)
         self._shrink()
@@ -264,7 +276,7 @@
         """An old process gives up what it has: what it no longer holds is this one's to use."""
         if isinstance(held, int) and held >= 0:
             self.predecessor_descriptors = held
-            self._share(self.config.bounds.max_sockets)
+            self._share(self.config.limits.max_sockets)
 
     def predecessor_leaves(self, held: object) -> None:
         """It takes nothing new from now on, so this one paces servers by itself."""
@@ -283,7 +295,7 @@
             half = max(half, sockets - self.predecessor_descriptors - 2 * TRANSFER_WINDOW)
         sockets = half
         self.budget.limit_bytes = (
-            int(self.config.bounds.memory_limit_mb / self.process_count * BODIES_PART) << 20
+            int(self.config.limits.memory_limit_mb / self.process_count * BODIES_PART) << 20
         )
         spare = min(RESERVED_DESCRIPTORS, max(24, sockets // SPARE_PART))
         if self.admin is not None:
@@ -343,7 +355,7 @@
                 now_ms(), processes if self.predecessor_descriptors is None else 1
             )
         )
-        self._share(self.config.bounds.max_sockets)
+        self._share(self.config.limits.max_sockets)
         self._shrink()
 
     def _shrink(self) -> None:
@@ -447,7 +459,7 @@
                 self.apply(self.node.update_endpoints(now_ms(), form))
             else:
                 lasted = self.loop.time() - self.discovery.started_s
-                wait = self.watch_backoff.next_delay_s(lasted, self.config.bounds.drain_notice_ms / 1000.0)
+                wait = self.watch_backoff.next_delay_s(lasted, self.config.limits.drain_notice_ms / 1000.0)
                 self.loop.call_later(wait, self._reopen_watch)
             return
         if form is not EndpointListForm.CACHED:
--- a/rosewheel/proxy/reconfiguration.py
+++ b/rosewheel/proxy/reconfiguration.py
@@ -9,8 +9,9 @@
 from pathlib import Path
 from typing import Protocol
 
-from rosewheel.config.operator import cordons, tuned
-from rosewheel.config.platform import Config, ConfigError, Control
+from rosewheel.config.errors import ConfigError
+from rosewheel.config.fleet_document import apply_fleet_document, cordoned_servers
+from rosewheel.config.node_config import ControlConfig, NodeConfig
 from rosewheel.control.documents import Document
 from rosewheel.control.subscriber import ConfigurationSubscriber
 from rosewheel.node.limits import Limits
@@ -29,10 +30,10 @@
 
 
 class FleetConfiguration:
-    def __init__(self, node: Node, config: Config, control: Control) -> None:
+    def __init__(self, node: Node, config: NodeConfig, control: ControlConfig) -> None:
         self.node, self.control = node, control
         self.document: Document = {}  # in force
-        copy = Path(config.state) / COPY if config.state else None
+        copy = Path(config.state_folder) / COPY if config.state_folder else None
         self.follower = ConfigurationSubscriber(
             config.name, control.service, control.machines, config.seed, copy, self._apply
         )
@@ -45,12 +46,12 @@
         self.follower.close()
 
     def _apply(self, document: Document) -> None:
-        out = cordons(document)
-        self.node.configure(*tuned(self.control.own, document))
+        out = cordoned_servers(document)
+        self.node.configure(*apply_fleet_document(self.control.node_file, document))
         self.node.set_fleet_cordons(out)
         self.document = document
 
-    def over(self, config: Config) -> Config:
+    def over(self, config: NodeConfig) -> NodeConfig:
         """The node's own file, read again, under what control says. ConfigError where the two do not go together."""
         control = config.control
         if control is None or (control.machines, control.service) != (
@@ -59,12 +60,12 @@
         ):
             raise ConfigError("control: changes only with a restart")
         try:
-            settings, bounds = tuned(control.own, self.document)
+            settings, bounds = apply_fleet_document(control.node_file, self.document)
         except ValueError as error:
             raise ConfigError(f"with what control says: {error}") from error
-        return dataclasses.replace(config, settings=settings, bounds=bounds)
+        return dataclasses.replace(config, settings=settings, limits=bounds)
 
-    def took(self, config: Config) -> None:
+    def took(self, config: NodeConfig) -> None:
         """The file that was read again is in force."""
         assert config.control is not None
         self.control = config.control
--- a/tests/cli/test_run.py
+++ b/tests/cli/test_run.py
@@ -16,7 +16,8 @@
 import orjson
 import pytest
 
-from rosewheel.config import platform
+from rosewheel.config.errors import ConfigError
+from rosewheel.config.platform import load_platform_config
 from rosewheel.discovery.endpoint_list import parse_endpoints
 from rosewheel.node.core import Node
 from rosewheel.policy.balancer import Balancer
@@ -258,14 +259,14 @@
             place[path[-1]] = spoil
         file.write_bytes(json.dumps(row).replace("Infinity", "1e400").encode())
         try:
-            config = platform.load({"LB_CONFIG": str(file)})
-        except platform.ConfigError as error:
+            config = load_platform_config({"LB_CONFIG": str(file)})
+        except ConfigError as error:
             said = str(error).removeprefix(f"LB_CONFIG: {file}: ")
             if "\n" in said or not names(said, path):
                 pytest.fail(f"{path}: {said}")
             continue
-        node = Node(config.settings, config.bounds, config.seed, 0.0)
-        entries = parse_endpoints(config.known.get("hosts"))
+        node = Node(config.settings, config.limits, config.seed, 0.0)
+        entries = parse_endpoints(config.initial_endpoints.entries)
         node.update_endpoints(0.0, EndpointListForm.CACHED, tuple(server for server, _ in entries))
         node.receive_request(1.0, RequestReceived("r", config.settings.classes[0].name, 900.0))
         for at in range(1, 40):
--- a/tests/config/test_fleet_document.py
+++ b/tests/config/test_fleet_document.py
@@ -11,9 +11,9 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from rosewheel.config import operator
-from rosewheel.config.checked import parse
-from rosewheel.config.operator import Operator, cordons, tuned
+from rosewheel.config.fleet_document import apply_fleet_document, cordoned_servers
+from rosewheel.config.operator_config import OperatorConfig, load_operator_config
+from rosewheel.config.toml_file import parse_text
 from rosewheel.policy.settings import Tenant
 from tests.lab.test_scenario import OPERATOR
 
@@ -30,9 +30,9 @@
 }
 
 
-@pytest.mark.parametrize("base", [tomllib.loads(OWN), parse(OWN, Operator, "file")])
+@pytest.mark.parametrize("base", [tomllib.loads(OWN), parse_text(OWN, OperatorConfig, "file")])
 def test_a_document_is_laid_over_the_nodes_own_file(base: Any):
-    settings, bounds = tuned(base, DOCUMENT)
+    settings, bounds = apply_fleet_document(base, DOCUMENT)
     assert [kind.name for kind in settings.classes] == ["c"]
     assert settings.tenants == (Tenant("t", 4.0),)
     assert (settings.balancer_count, settings.may_cancel) == (30, False)
@@ -42,19 +42,22 @@
         0.2,
     )  # the file's, and its own
     assert (bounds.max_open_requests, bounds.max_sockets) == (9, 100)
-    assert cordons(DOCUMENT) == {"equipo-1"}
+    assert cordoned_servers(DOCUMENT) == {"equipo-1"}
 
 
 def test_an_empty_document_leaves_the_file_as_it_is(tmp_path: Path):
     path = tmp_path / "node.toml"
     path.write_text(OWN)
-    config = operator.load(str(path), {})
-    assert tuned(parse(OWN, Operator, "file"), {}) == (config.settings, config.bounds)
-    assert cordons({}) == frozenset()
+    config = load_operator_config(str(path), {})
+    assert apply_fleet_document(parse_text(OWN, OperatorConfig, "file"), {}) == (
+        config.settings,
+        config.limits,
+    )
+    assert cordoned_servers({}) == frozenset()
 
 
 def test_a_document_is_checked_also_where_no_file_is_at_hand():
-    settings, _ = tuned({}, {"class": [CLASS]})
+    settings, _ = apply_fleet_document({}, {"class": [CLASS]})
     assert settings.balancer_count == 1
 
 
@@ -88,7 +91,7 @@
 )
 def test_a_document_that_can_not_be_used_is_one_plain_line_with_the_key(document: Any, said: str):
     with pytest.raises(ValueError, match=r".*") as caught:
-        tuned(tomllib.loads(OWN), document)
+        apply_fleet_document(tomllib.loads(OWN), document)
     assert str(caught.value).startswith(said)
     assert "\n" not in str(caught.value)
 
@@ -111,7 +114,7 @@
         before = json.dumps(one, default=str)
         said = "ok: used"
         try:
-            tuned(tomllib.loads(OWN), one)
+            apply_fleet_document(tomllib.loads(OWN), one)
         except ValueError as error:
             said = str(error)
         assert "\n" not in said
--- a/tests/discovery/test_endpoint_list_races.py
+++ b/tests/discovery/test_endpoint_list_races.py
@@ -41,7 +41,7 @@
 @contextlib.asynccontextmanager
 async def pushed(agent: ScriptedDiscovery, known: list[dict[str, object]]) -> AsyncIterator[Proxy]:
     """A node whose lists are pushed; its start is left to the test."""
-    told = dataclasses.replace(config(known), discovery=("127.0.0.1", agent.port))
+    told = dataclasses.replace(config(known), discovery_address=("127.0.0.1", agent.port))
     relay = Proxy(dataclasses.replace(told, settings=settings(poll_discovery=False)))
     try:
         yield relay
@@ -155,7 +155,7 @@
 
 
 def _grace(config: object, grace_ms: float) -> object:
-    return dataclasses.replace(config, bounds=Limits(drain_notice_ms=grace_ms))  # type: ignore[type-var]
+    return dataclasses.replace(config, limits=Limits(drain_notice_ms=grace_ms))  # type: ignore[type-var]
 
 
 # ------------------------------------------------------------------- what comes
--- a/tests/discovery/test_endpoint_updates.py
+++ b/tests/discovery/test_endpoint_updates.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from rosewheel.config.platform import Config
+from rosewheel.config.node_config import NodeConfig
 from rosewheel.policy.events import (
     EndpointListForm,
     Server,
@@ -27,9 +27,9 @@
 )
 
 
-def moved_to(relay: Proxy, discovery: FakeDiscovery) -> Config:
+def moved_to(relay: Proxy, discovery: FakeDiscovery) -> NodeConfig:
     """The configuration after its file has been changed to another discovery."""
-    return dataclasses.replace(relay.config, discovery=("127.0.0.1", discovery.port))
+    return dataclasses.replace(relay.config, discovery_address=("127.0.0.1", discovery.port))
 
 
 def test_endpoint_list_updates_are_applied():
--- a/tests/discovery/test_long_lists.py
+++ b/tests/discovery/test_long_lists.py
@@ -98,7 +98,9 @@
     async def main() -> None:
         relay = Proxy(config([entry("old", 9000)]))
         relay.discovery.start = lambda: None  # type: ignore[method-assign]
-        relay._endpoint_list_updated(EndpointListForm.CACHED, parse_endpoints(relay.config.known["hosts"]))
+        relay._endpoint_list_updated(
+            EndpointListForm.CACHED, parse_endpoints(relay.config.initial_endpoints.entries)
+        )
         assert "old" in relay.node.servers
         rows = [entry(f"s{at}", 9000) for at in range(count)]
         for part in (rows, rows[1:], rows[1:2]):
--- a/tests/discovery/test_watch_backoff.py
+++ b/tests/discovery/test_watch_backoff.py
@@ -43,7 +43,7 @@
 
     async def main() -> Proxy:
         told = dataclasses.replace(config([]), seed=seed, settings=settings(poll_discovery=asks))
-        relay = Proxy(dataclasses.replace(told, bounds=Limits(drain_notice_ms=grace_ms)))
+        relay = Proxy(dataclasses.replace(told, limits=Limits(drain_notice_ms=grace_ms)))
         relay._endpoint_list_updated(EndpointListForm.CACHED, [])
         if not asks:
             relay.discovery.start()
--- a/tests/hot_restart/test_hot_restart.py
+++ b/tests/hot_restart/test_hot_restart.py
@@ -685,7 +685,7 @@
             old = process(known, tmp_path, None)
             await old.start()
             address = ("127.0.0.1", old.server.port)
-            new = Proxy(dataclasses.replace(config(known, state=str(tmp_path)), listen=address))
+            new = Proxy(dataclasses.replace(config(known, state=str(tmp_path)), listen_address=address))
             new.discovery.start = new._list_received.set  # type: ignore[method-assign]
             async with Client(port=address[1]) as client:
                 assert status(await client.ask(id="a")) == 200
--- a/tests/lab/test_emulator.py
+++ b/tests/lab/test_emulator.py
@@ -17,7 +17,7 @@
 import msgspec
 import pytest
 
-from rosewheel.config.checked import parse
+from rosewheel.config.toml_file import parse_text
 from rosewheel.lab import plan as plans
 from rosewheel.lab.connection_faults import ConnectionFault
 from rosewheel.lab.discovery import DiscoveryEntry, DiscoveryRegistry
@@ -73,7 +73,7 @@
 @contextlib.asynccontextmanager
 async def emulated(folder: Path, text: str = TEXT) -> AsyncIterator[Emulator]:
     records = RecordWriter(folder / "equipos.jsonl")
-    emulator = Emulator(plans.make(parse(text, Scenario, "s")), folder, records)
+    emulator = Emulator(plans.make(parse_text(text, Scenario, "s")), folder, records)
     try:
         await emulator.start()
         emulator.start_clock(now_ms())
--- a/tests/lab/test_graph.py
+++ b/tests/lab/test_graph.py
@@ -14,7 +14,8 @@
 from hypothesis import strategies as st
 
 from rosewheel.cli.main import main
-from rosewheel.config.checked import ProblemsError, parse
+from rosewheel.config.errors import InvalidFileError
+from rosewheel.config.toml_file import parse_text
 from rosewheel.lab import experiment, plan, records, scenario, service_graph
 from rosewheel.lab.scenario import Scenario
 from rosewheel.lab.service_graph import CallCycleError
@@ -88,9 +89,9 @@
 
 
 def problems(text: str) -> list[str]:
-    with pytest.raises(ProblemsError) as caught:
-        parse(text, Scenario, "s")
-    return caught.value.lines()
+    with pytest.raises(InvalidFileError) as caught:
+        parse_text(text, Scenario, "s")
+    return caught.value.messages()
 
 
 @pytest.mark.parametrize(
@@ -194,7 +195,7 @@
 def test_sockets_refuse_the_loss_of_the_only_zone() -> None:
     told = {"kind": "loss", "zone": "sala", "at_s": 1.0, "for_s": 1.0}
     quiet = scenario.load("quiet", {"trouble": [told]})
-    with pytest.raises(ProblemsError, match=r"trouble\[0\].kind: services, regions"):
+    with pytest.raises(InvalidFileError, match=r"trouble\[0\].kind: services, regions"):
         experiment.check_emulated(quiet)
 
 
@@ -223,7 +224,7 @@
 
 
 def test_equipos_stand_in_their_zones_in_turn_and_grupos_lie_within_one() -> None:
-    one = plan.make(parse(GOOD.replace("count = 6", "count = 40"), Scenario, "s"))
+    one = plan.make(parse_text(GOOD.replace("count = 6", "count = 40"), Scenario, "s"))
     mine = [spec for spec in one.servers if spec.tier == 0]
     assert Counter(spec.zone for spec in mine) == {"sur-a": 14, "sur-b": 13, "norte-a": 13}
     assert len({(spec.cell, spec.zone) for spec in mine}) == len({spec.cell for spec in mine}) == 6
@@ -231,14 +232,14 @@
 
 
 def test_a_trouble_of_a_zone_is_held_to_it() -> None:
-    one = plan.make(parse(GOOD, Scenario, "s"))
+    one = plan.make(parse_text(GOOD, Scenario, "s"))
     lost, failing = (next(step for step in one.steps if step.fault == at) for at in (0, 1))
     assert sorted(lost.targets) == sorted(spec.name for spec in one.servers if spec.zone == "norte-a")
     assert sorted(failing.targets) == ["archivo-0", "archivo-2"]
 
 
 def test_a_way_takes_what_the_network_says() -> None:
-    areas = Topology(parse(GOOD, Scenario, "s"))
+    areas = Topology(parse_text(GOOD, Scenario, "s"))
     assert areas.one_way_ms("sur-a", "sur-a") == ONE_WAY_MS
     assert areas.one_way_ms("sur-a", "sur-b") == ONE_WAY_MS + 1.0
     assert areas.one_way_ms("sur-a", "norte-a") == ONE_WAY_MS + 8.0
@@ -304,7 +305,7 @@
 
 
 def test_a_service_on_several_ways_is_called_on_each(tmp_path: Path) -> None:
-    told = parse(GOOD[: GOOD.index("[[trouble]]")], Scenario, "s")
+    told = parse_text(GOOD[: GOOD.index("[[trouble]]")], Scenario, "s")
     one = plan.make(told)
     found: Counter[int] = Counter(row["tier"] for row in jobs(one, tmp_path))
     means = service_graph.mean_visits(one.edges)
--- a/tests/lab/test_scenario.py
+++ b/tests/lab/test_scenario.py
@@ -13,9 +13,9 @@
 from hypothesis import strategies as st
 
 from rosewheel.cli.main import main
-from rosewheel.config import operator
-from rosewheel.config.checked import ProblemsError, parse
-from rosewheel.config.platform import ConfigError
+from rosewheel.config.errors import ConfigError, InvalidFileError
+from rosewheel.config.operator_config import load_operator_config
+from rosewheel.config.toml_file import parse_text
 from rosewheel.lab import plan as plans
 from rosewheel.lab import scenario as scenarios
 from rosewheel.lab.plan_codec import plan_lines
@@ -56,9 +56,9 @@
 
 
 def problems(text: str) -> list[str]:
-    with pytest.raises(ProblemsError) as caught:
-        parse(text, Scenario, "s")
-    return caught.value.lines()
+    with pytest.raises(InvalidFileError) as caught:
+        parse_text(text, Scenario, "s")
+    return caught.value.messages()
 
 
 @pytest.mark.parametrize(
@@ -112,7 +112,7 @@
 @given(st.integers(0, 2**40))
 @settings(max_examples=10, deadline=None)
 def test_a_seed_gives_one_plan(seed: int):
-    told = parse(GOOD, Scenario, "s")
+    told = parse_text(GOOD, Scenario, "s")
     one = b"\n".join(plan_lines(plans.make(told, seed)))
     assert one == b"\n".join(plan_lines(plans.make(told, seed)))
     assert one != b"\n".join(plan_lines(plans.make(told, seed + 1)))
@@ -134,12 +134,12 @@
         ).stdout
         for salt in ("1", "2")
     ]
-    assert said[0] == said[1] == b"\n".join(plan_lines(plans.make(parse(GOOD, Scenario, "s")))) + b"\n"
+    assert said[0] == said[1] == b"\n".join(plan_lines(plans.make(parse_text(GOOD, Scenario, "s")))) + b"\n"
 
 
 def test_more_of_one_thing_shuffles_nothing_else():
-    told = plans.make(parse(GOOD, Scenario, "s"))
-    more = plans.make(parse(GOOD.replace("count = 3", "count = 5"), Scenario, "s"))
+    told = plans.make(parse_text(GOOD, Scenario, "s"))
+    more = plans.make(parse_text(GOOD.replace("count = 3", "count = 5"), Scenario, "s"))
     assert [spec.speed for spec in told.servers if spec.tier == 0] == [
         spec.speed for spec in more.servers if spec.tier == 0
     ]
@@ -149,7 +149,7 @@
 def test_a_surge_of_drawn_size_and_length_is_the_one_that_the_steps_tell():
     text = GOOD[: GOOD.index("[[trouble]]")]
     text += '[[trouble]]\nkind = "surge"\nat_s = 5\nfor_s = [2, 9]\nsize = [8, 12]\n'
-    plan = plans.make(parse(text, Scenario, "s"))
+    plan = plans.make(parse_text(text, Scenario, "s"))
     begin, end = (step.at_ms for step in plan.steps)
     rate = sum(begin <= item.at_ms < end for item in plan.arrivals) / (end - begin) * 1000.0
     after = sum(end + 200.0 <= item.at_ms for item in plan.arrivals) / (20_000.0 - end - 200.0) * 1000.0
@@ -166,7 +166,7 @@
 
 
 def test_a_deploy_drains_stops_and_starts_each_of_its_equipos_once():
-    plan = plans.make(parse(GOOD, Scenario, "s"))
+    plan = plans.make(parse_text(GOOD, Scenario, "s"))
     by: dict[str, list[str]] = {}
     for step in plan.steps:
         by.setdefault(step.phase, []).extend(step.targets)
@@ -199,7 +199,7 @@
     told = scenarios.load("quiet", {"clients.rate_per_s": 7, "tier.0.kind.1.count": 1})
     assert told.clients.rate_per_s == 7.0
     assert told.tiers[0].kinds[1].count == 1
-    with pytest.raises(ProblemsError, match="no such place"):
+    with pytest.raises(InvalidFileError, match="no such place"):
         scenarios.load("quiet", {"tier.9.calls": 1})
 
 
@@ -226,9 +226,9 @@
 def test_the_operators_file_gives_the_modules_settings(tmp_path: Path):
     path = tmp_path / "node.toml"
     path.write_text(OPERATOR)
-    config = operator.load(str(path), {"LB_LISTEN": "127.0.0.1:8001", "TMPDIR": "/x"})
-    assert config.listen == ("127.0.0.1", 8001)
-    assert (config.seed, config.state, config.ops) == (0x8C1F, "/x", None)
+    config = load_operator_config(str(path), {"LB_LISTEN": "127.0.0.1:8001", "TMPDIR": "/x"})
+    assert config.listen_address == ("127.0.0.1", 8001)
+    assert (config.seed, config.state_folder, config.admin_address) == (0x8C1F, "/x", None)
     row = config.settings.classes[0]
     assert (row.idempotency, row.dedup_scope, row.dedup_window_ms) == (
         Idempotency.IDEMPOTENT_WITH_KEY,
@@ -238,7 +238,7 @@
 
 
 def test_the_commented_example_is_good():
-    config = operator.load(str(ROOT / "deploy" / "rosewheel.toml"), {})
+    config = load_operator_config(str(ROOT / "deploy" / "rosewheel.toml"), {})
     assert config.settings.classes
 
 
@@ -257,7 +257,7 @@
     path = tmp_path / "node.toml"
     path.write_text(OPERATOR.replace(old, new, 1))
     with pytest.raises(ConfigError) as caught:
-        operator.load(str(path), {})
+        load_operator_config(str(path), {})
     assert said in str(caught.value)
     command = [sys.executable, "-m", "rosewheel.cli", "node", "--config", str(path)]
     done = subprocess.run(command, cwd=ROOT, capture_output=True, text=True, check=False, timeout=60)
--- a/tests/lab/test_simulation.py
+++ b/tests/lab/test_simulation.py
@@ -15,7 +15,7 @@
 from hypothesis import strategies as st
 
 from rosewheel.cli.main import main
-from rosewheel.config.checked import ProblemsError
+from rosewheel.config.errors import InvalidFileError
 from rosewheel.lab import invariant_checker, plan, scenario
 from rosewheel.lab.discovery_delays import DiscoveryChange
 from rosewheel.lab.fault_table import ZONE_FAULT_KINDS, FaultKind
@@ -315,5 +315,5 @@
 
 
 def test_killed_processes_in_an_upgrade_are_refused_in_one_line() -> None:
-    with pytest.raises(ProblemsError, match=r"kills"):
+    with pytest.raises(InvalidFileError, match=r"kills"):
         check_simulated(scenario.load("upgrade-kills"))
--- a/tests/proxy/test_cordon.py
+++ b/tests/proxy/test_cordon.py
@@ -148,7 +148,7 @@
                     shared["inherited"] = os.dup(held.fileno())
                     async with node(known, **shared) as new, Client(new) as client:
                         await until(lambda: (old.process_count, new.process_count) == (2, 2))
-                        assert old.max_descriptors < new.config.bounds.max_sockets // 2
+                        assert old.max_descriptors < new.config.limits.max_sockets // 2
                         for _ in range(10):
                             assert status(await client.ask()) == 200
                         assert (len(one.got), len(two.got)) == (0, 10)
--- a/tests/proxy/test_listener.py
+++ b/tests/proxy/test_listener.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from rosewheel.config.platform import ConfigError
+from rosewheel.config.errors import ConfigError
 from rosewheel.listener import open_listener
 from rosewheel.proxy.proxy import Proxy
 from tests.support.sockets import Client, FakeServer, config, entry, run, status, until
--- a/tests/proxy/test_reconfiguration.py
+++ b/tests/proxy/test_reconfiguration.py
@@ -15,7 +15,7 @@
 import pytest
 
 from rosewheel.admin.server import respond_to
-from rosewheel.config.platform import ConfigError
+from rosewheel.config.errors import ConfigError
 from rosewheel.discovery.watch_client import SILENCE_TIMEOUT_S
 from rosewheel.node.limits import Limits
 from rosewheel.policy.settings import Settings
@@ -117,16 +117,16 @@
             kept = vars(relay.node.balancer).copy()
             bad = dataclasses.replace(
                 before,
-                discovery=("127.0.0.1", 2),
+                discovery_address=("127.0.0.1", 2),
                 settings=other(relay, tier=1, classes=(SAFE,)),
-                bounds=Limits(max_sockets=64, memory_limit_mb=33.0),
+                limits=Limits(max_sockets=64, memory_limit_mb=33.0),
             )
             with pytest.raises(ConfigError, match=r"^tier: 1 would need a new start of this node$"):
                 relay.reload(bad)
             assert relay.config is before
-            assert relay.upstream.bounds is before.bounds
-            assert relay.node.limits is before.bounds
-            assert relay.discovery.address == before.discovery
+            assert relay.upstream.bounds is before.limits
+            assert relay.node.limits is before.limits
+            assert relay.discovery.address == before.discovery_address
             assert all(value is kept[key] for key, value in vars(relay.node.balancer).items())
             assert status(await client.ask("post")) == 200
 
@@ -138,7 +138,7 @@
         async with node([]) as relay:
             before = vars(relay.node.balancer).copy()
             relay.reload(
-                dataclasses.replace(relay.config, seed=99, bounds=dataclasses.replace(relay.config.bounds))
+                dataclasses.replace(relay.config, seed=99, limits=dataclasses.replace(relay.config.limits))
             )
             assert all(value is before[key] for key, value in vars(relay.node.balancer).items())
 
@@ -148,7 +148,7 @@
 def test_what_only_a_start_takes_over_is_said(caplog: pytest.LogCaptureFixture):
     async def main() -> None:
         async with node([]) as relay:
-            relay.reload(dataclasses.replace(relay.config, listen=("127.0.0.1", 9), name="x"))
+            relay.reload(dataclasses.replace(relay.config, listen_address=("127.0.0.1", 9), name="x"))
             assert "name, listen: only a new start of this node takes that over" in caplog.text
 
     run(main())
@@ -188,12 +188,12 @@
                 for caller in relay.server.connections:
                     caller.last_activity_s -= 10.0  # none of them is new, so each may be closed
                 relay.configure(
-                    relay.config.settings, dataclasses.replace(relay.config.bounds, max_sockets=64)
+                    relay.config.settings, dataclasses.replace(relay.config.limits, max_sockets=64)
                 )
                 assert relay.max_descriptors < 46
                 assert relay.descriptors <= relay.max_descriptors
                 relay.configure(
-                    relay.config.settings, dataclasses.replace(relay.config.bounds, max_sockets=32)
+                    relay.config.settings, dataclasses.replace(relay.config.limits, max_sockets=32)
                 )
                 assert relay.max_descriptors < 12  # 6 callers and 6 equipos' connections are in use
                 await until(lambda: len(relay.server.connections) == 6)
@@ -208,14 +208,14 @@
     async def main() -> None:
         async with FakeDiscovery().up() as discovery, node([], discovery) as relay:
             await until(lambda: len(discovery.writers) == 1)
-            relay.configure(other(relay, poll_discovery=False), relay.config.bounds)
+            relay.configure(other(relay, poll_discovery=False), relay.config.limits)
             assert relay.discovery.silence_timeout_s == SILENCE_TIMEOUT_S  # one time for both ways
             assert relay.discovery.is_open
             discovery.writers[-1].transport.abort()  # the module would wait for long; the agent costs nothing
             await until(lambda: len(discovery.writers) == 2)
             discovery.writers[-1].transport.abort()
             await until(lambda: not relay.discovery.is_open)  # the next look is set for a moment from now
-            relay.configure(other(relay, poll_discovery=True), relay.config.bounds)
+            relay.configure(other(relay, poll_discovery=True), relay.config.limits)
             assert relay.discovery.silence_timeout_s == SILENCE_TIMEOUT_S
             await until(lambda: len(discovery.writers) == 3)
             watch = relay.discovery._connection
@@ -339,7 +339,7 @@
                 old = await nodes.next()
                 client = await slow_client(old, nodes.port)
                 old.configure(
-                    other(old, classes=(UNSAFE, dataclasses.replace(SAFE, name="new"))), old.config.bounds
+                    other(old, classes=(UNSAFE, dataclasses.replace(SAFE, name="new"))), old.config.limits
                 )
                 nodes.changes["classes"] = (UNSAFE,)
                 new = await nodes.next()
--- a/tests/proxy/test_shutdown.py
+++ b/tests/proxy/test_shutdown.py
@@ -146,12 +146,12 @@
                 await until(lambda: len(server.got) == 1)
                 stopping = asyncio.ensure_future(relay.drain())
                 await until(lambda: relay.server.draining)
-                relay.reload(dataclasses.replace(relay.config, discovery=("127.0.0.1", 2)))
-                assert relay.config.discovery == ("127.0.0.1", 2)
+                relay.reload(dataclasses.replace(relay.config, discovery_address=("127.0.0.1", 2)))
+                assert relay.config.discovery_address == ("127.0.0.1", 2)
                 free.set()
                 assert status(await client.answer()) == 200
                 await stopping
-                relay.reload(dataclasses.replace(relay.config, discovery=("127.0.0.1", 3)))
+                relay.reload(dataclasses.replace(relay.config, discovery_address=("127.0.0.1", 3)))
                 assert not relay.discovery.is_open
 
     run(main())
--- a/tests/proxy/test_startup.py
+++ b/tests/proxy/test_startup.py
@@ -51,8 +51,11 @@
     *(
         "rosewheel.adapter",
         "rosewheel.cli",
-        "rosewheel.config.checked",
-        "rosewheel.config.operator",
+        "rosewheel.config.fleet_document",
+        "rosewheel.config.operator_config",
+        "rosewheel.config.operator_tables",
+        "rosewheel.config.toml_file",
+        "rosewheel.config.typed_tables",
         "rosewheel.lab",
     ),
     *("rosewheel.admin", "rosewheel.admin.server"),
--- a/tests/support/control_child.py
+++ b/tests/support/control_child.py
@@ -13,7 +13,7 @@
 import sys
 from pathlib import Path
 
-from rosewheel.config.platform import parse_address
+from rosewheel.config.address import parse_address
 from rosewheel.control.durable_log import DurableLog
 from rosewheel.control.machine import ControlMachine
 from rosewheel.control.machine_settings import MachineSettings
--- a/tests/support/control_machines.py
+++ b/tests/support/control_machines.py
@@ -10,7 +10,7 @@
 from pathlib import Path
 from typing import Any
 
-from rosewheel.config.platform import Address
+from rosewheel.config.address import Address
 from rosewheel.control.documents import Document
 from rosewheel.control.durable_log import DurableLog
 from rosewheel.control.http_client import JsonHttpClient
--- a/tests/support/sockets.py
+++ b/tests/support/sockets.py
@@ -13,7 +13,7 @@
 import orjson
 import uvloop
 
-from rosewheel.config.platform import Config
+from rosewheel.config.node_config import InitialEndpoints, NodeConfig
 from rosewheel.node.limits import Limits
 from rosewheel.proxy.proxy import Proxy
 from tests.support.balancers import settings
@@ -182,18 +182,18 @@
     state: str | None = None,
     inherited: int | None = None,
     **changes: Any,
-) -> Config:
-    return Config(
+) -> NodeConfig:
+    return NodeConfig(
         name="t",
-        listen=("127.0.0.1", 0),
-        discovery=("127.0.0.1", discovery.port if discovery else 1),
+        listen_address=("127.0.0.1", 0),
+        discovery_address=("127.0.0.1", discovery.port if discovery else 1),
         seed=7,
         settings=settings(poll_discovery=discovery is not None, **changes),
         # A connect takes what it takes on a busy machine: no test here waits for it to be given up.
-        bounds=bounds or Limits(connect_timeout_ms=WAIT_S * 1000.0),
-        known={"seq": 5, "whole": True, "hosts": servers},
-        inherited=inherited,
-        state=state,
+        limits=bounds or Limits(connect_timeout_ms=WAIT_S * 1000.0),
+        initial_endpoints=InitialEndpoints(5, servers),
+        inherited_descriptor=inherited,
+        state_folder=state,
     )
 
 
