--- a/rosewheel/cli/main.py
+++ b/rosewheel/cli/main.py
@@ -4,21 +4,23 @@
 
 import click
 
-from rosewheel.cli import control, lab, node, scale, simulate
+from rosewheel.cli.control import control
+from rosewheel.cli.demo import demo
+from rosewheel.cli.emulate import emulate, load
+from rosewheel.cli.experiment import experiment
+from rosewheel.cli.node import check, node
+from rosewheel.cli.scale import scale
+from rosewheel.cli.scenarios import scenarios
+from rosewheel.cli.simulate import simulate
 
 
 @click.group(context_settings={"help_option_names": ["-h", "--help"], "max_content_width": 110})
 def main() -> None:
-    """A load balancer node, and a lab to rehearse what may befall it.
+    """A load balancer node, and a lab to test it under faults.
 
     Exit codes: 0 done, 1 a rule broke or a run failed, 2 bad input (one plain line for each error).
     """
 
 
-main.add_command(node.node)
-main.add_command(node.check)
-main.add_command(control.control)
-main.add_command(simulate.command)
-main.add_command(scale.command)
-for command in (lab.demo, lab.emulate, lab.load, lab.experiment, lab.scenarios_command):
+for command in (node, check, control, simulate, scale, demo, emulate, load, experiment, scenarios):
     main.add_command(command)
--- a/rosewheel/cli/scale.py
+++ b/rosewheel/cli/scale.py
@@ -10,6 +10,7 @@
 import click
 import uvloop
 
+from rosewheel.cli.output import EXIT_BAD_INPUT, exit_by, exit_failed, exit_interrupted, print_error
 from rosewheel.lab.run import interrupt_to_cancel
 from rosewheel.lab.scale.errors import InvalidOptionsError, ScaleRunError
 from rosewheel.lab.scale.options import CONFIG_CHANGES_PER_DAY, FAULT_NAMES, Options
@@ -19,12 +20,11 @@
 from rosewheel.lab.scale.run import ScaleRun
 from rosewheel.lab.scale.summary import Summary
 
-EXIT_FAILED, EXIT_BAD_INPUT, EXIT_INTERRUPTED = 1, 2, 130
 ALLOWANCE_S = 180.0  # for start, convergence and shutdown, beyond the plan's own seconds
 NO_FAULTS = "none"
 
 
-@click.command("scale")
+@click.command()
 @click.option("--nodes", type=int, default=540, show_default=True, help="Size of the fleet.")
 @click.option(
     "--real",
@@ -53,7 +53,7 @@
 )
 @click.option("--plan", "only_plan", is_flag=True, help="Print the plan, one JSON object per line.")
 @click.option("--out", type=click.Path(path_type=Path), help="Folder for records and rows.csv.")
-def command(
+def scale(
     nodes: int,
     real: int,
     services: int,
@@ -73,7 +73,7 @@
     try:
         plan = build_plan(Options(nodes, real, services, seconds, seed, names, changes, calls))
     except InvalidOptionsError as error:
-        click.echo(f"rosewheel: {error}", err=True)
+        print_error(str(error))
         sys.exit(EXIT_BAD_INPUT)
     if only_plan:
         for line in plan_lines(plan):
@@ -81,7 +81,7 @@
         return
     summary = _run_or_exit(plan, out)
     click.echo(summary_line(summary).decode())
-    sys.exit(0 if summary.ok else EXIT_FAILED)
+    exit_by(summary.ok)
 
 
 def _run_or_exit(plan: Plan, out: Path | None) -> Summary:
@@ -95,11 +95,9 @@
                 write_rows(out / "rows.csv", summary)
             return summary
         except asyncio.CancelledError:
-            click.echo("rosewheel: interrupted", err=True)
-            sys.exit(EXIT_INTERRUPTED)
+            exit_interrupted()
         except (ScaleRunError, OSError, TimeoutError) as error:
-            click.echo(f"rosewheel: {error or 'the run took too long'}", err=True)
-            sys.exit(EXIT_FAILED)
+            exit_failed(str(error) or "the run took too long")
 
 
 async def _run(plan: Plan, folder: Path) -> Summary:
--- a/rosewheel/cli/simulate.py
+++ b/rosewheel/cli/simulate.py
@@ -1,27 +1,23 @@
-"""`simulate`: the lab in virtual time."""
+"""`rosewheel simulate`: scenarios in virtual time."""
 
 from __future__ import annotations
 
 import multiprocessing
-import sys
 import time
-from collections.abc import Sequence
+from collections.abc import Callable, Iterator, Sequence
 from concurrent.futures import ProcessPoolExecutor
 from concurrent.futures.process import BrokenProcessPool
 from pathlib import Path
-from typing import Any
 
 import click
 
-from rosewheel.cli.lab import (
-    INTERRUPTED,
-    bad_input,
-    changes_from,
-    json_line,
+from rosewheel.cli.experiment import RunSummary, rules_text
+from rosewheel.cli.output import exit_by, exit_failed, exit_interrupted, exit_invalid_file, print_json
+from rosewheel.cli.scenario_options import (
+    parse_variations,
     plan_option,
     print_plan,
     repeat_option,
-    rules_text,
     seconds_option,
     seed_option,
     vary_option,
@@ -29,32 +25,13 @@
 from rosewheel.config.errors import InvalidFileError
 from rosewheel.lab import experiment as experiments
 from rosewheel.lab import plan as plans
-from rosewheel.lab.simulation.simulate import check_simulated, simulate
+from rosewheel.lab.simulation.simulate import check_simulated
+from rosewheel.lab.simulation.simulate import simulate as run_simulation
 
-PROGRESS_S = 5.0  # of wall clock, between two lines of a run
+PROGRESS_INTERVAL_S = 5.0  # wall clock
 
 
-def play(item: experiments.PlannedRun, records: bool) -> dict[str, Any]:
-    """One run, in whatever process this is called in."""
-    plan = plans.make(item.variant.scenario, item.seed)
-    length, told = plan.scenario.seconds, time.monotonic()
-
-    def progress(at_s: float, events: int, wall_s: float) -> None:
-        nonlocal told
-        if time.monotonic() - told >= PROGRESS_S:
-            told = time.monotonic()
-            pace = f"{events / wall_s:,.0f} events a second"
-            click.echo(
-                f"  {item.variant.name}, seed {item.seed}: {at_s:.1f} of {length:g} s, {pace}", err=True
-            )
-
-    if records:
-        item.folder.mkdir(parents=True, exist_ok=True)
-    summary = simulate(plan, item.folder if records else None, progress)
-    return {"variant": item.variant.name, "folder": item.folder.name, **summary}
-
-
-@click.command("simulate")
+@click.command()
 @click.argument("names", nargs=-1, required=True, metavar="SCENARIO...")
 @seed_option
 @seconds_option
@@ -63,7 +40,7 @@
 @vary_option
 @click.option("--jobs", type=click.IntRange(1), default=1, show_default=True, help="Runs side by side.")
 @click.option("--out", type=click.Path(path_type=Path), help="Keep records there, with the report of them.")
-def command(
+def simulate(
     names: tuple[str, ...],
     seed: int | None,
     seconds: float | None,
@@ -78,79 +55,116 @@
     The same seed gives the same records byte for byte; their digest is printed. 1 where a rule broke.
     """
     try:
-        found = experiments.variants(names, changes_from(vary, seconds))
-        items = list(experiments.plan_runs(found, seed, repeat, out or Path()))
-        for variant in found:
+        variants = experiments.variants(names, parse_variations(vary, seconds))
+        runs = list(experiments.plan_runs(variants, seed, repeat, out or Path()))
+        for variant in variants:
             check_simulated(variant.scenario)
     except InvalidFileError as error:
-        bad_input(error)
+        exit_invalid_file(error)
     if only_plan:
-        for item in items:
-            print_plan(plans.make(item.variant.scenario, item.seed))
+        for run in runs:
+            print_plan(plans.make(run.variant.scenario, run.seed))
         return
-    summaries = _play_all(items, jobs, out is not None)
-    rows = experiments.summarize(summaries)
-    click.echo(_table(summaries))
-    last = summaries[0] if len(summaries) == 1 else {"runs": len(summaries)}
-    if out is not None:
-        from rosewheel.lab import report
+    _report(_play_runs(runs, jobs, out is not None), out)
 
-        last = {**last, "report": str(report.write_report(out, summaries, rows))}
-    good = all(one["ok"] for one in summaries)
-    json_line({**last, "ok": good, "services": {row.variant: round(row.service, 4) for row in rows}})
-    sys.exit(0 if good else 1)
 
+def play_run(run: experiments.PlannedRun, keep_records: bool) -> RunSummary:
+    """One run, in whatever process this is called in."""
+    plan = plans.make(run.variant.scenario, run.seed)
+    if keep_records:
+        run.folder.mkdir(parents=True, exist_ok=True)
+    progress = _progress_printer(run, plan.scenario.seconds)
+    summary = run_simulation(plan, run.folder if keep_records else None, progress)
+    return {"variant": run.variant.name, "folder": run.folder.name, **summary}
+
+
+def _progress_printer(run: experiments.PlannedRun, length_s: float) -> Callable[[float, int, float], None]:
+    """A callback for the simulation's progress that prints a line at most every PROGRESS_INTERVAL_S."""
+    last_printed_s = time.monotonic()
+
+    def progress(simulated_s: float, events: int, wall_s: float) -> None:
+        nonlocal last_printed_s
+        if time.monotonic() - last_printed_s < PROGRESS_INTERVAL_S:
+            return
+        last_printed_s = time.monotonic()
+        click.echo(
+            f"  {run.variant.name}, seed {run.seed}: {simulated_s:.1f} of {length_s:g} s, "
+            f"{events / wall_s:,.0f} events a second",
+            err=True,
+        )
+
+    return progress
 
-def _play_all(items: Sequence[experiments.PlannedRun], jobs: int, records: bool) -> list[dict[str, Any]]:
+
+def _play_runs(runs: Sequence[experiments.PlannedRun], jobs: int, keep_records: bool) -> list[RunSummary]:
     summaries = []
     try:
-        if jobs == 1 or len(items) == 1:
-            for item in items:
-                summaries.append(play(item, records))
-                _tell(summaries[-1])
-            return summaries
-        # New interpreters: nothing of this process's state may reach a run.
-        with ProcessPoolExecutor(jobs, mp_context=multiprocessing.get_context("spawn")) as pool:
-            for summary in pool.map(play, items, [records] * len(items)):
-                summaries.append(summary)
-                _tell(summary)
+        for summary in _summaries(runs, jobs, keep_records):
+            summaries.append(summary)
+            _print_summary(summary)
     except KeyboardInterrupt:
-        click.echo("rosewheel: interrupted", err=True)
-        sys.exit(INTERRUPTED)
+        exit_interrupted()
     except BrokenProcessPool:
-        click.echo("rosewheel: a run was ended from outside; out of memory, as like as not", err=True)
-        sys.exit(1)
+        exit_failed("a run was ended from outside; out of memory, as like as not")
     return summaries
 
 
-def _tell(one: dict[str, Any]) -> None:
+def _summaries(runs: Sequence[experiments.PlannedRun], jobs: int, keep_records: bool) -> Iterator[RunSummary]:
+    """The runs' summaries, in the order of the runs."""
+    if jobs == 1 or len(runs) == 1:
+        yield from (play_run(run, keep_records) for run in runs)
+        return
+    # New interpreters: no state of this process may reach a run.
+    with ProcessPoolExecutor(jobs, mp_context=multiprocessing.get_context("spawn")) as pool:
+        yield from pool.map(play_run, runs, [keep_records] * len(runs))
+
+
+def _print_summary(summary: RunSummary) -> None:
     click.echo(
-        f"{one['variant']}, seed {one['seed']}: service {one['service']:.3f}  rules {rules_text(one)}  "
-        f"digest {one['digest']}  {one['wall_s']} s",
+        f"{summary['variant']}, seed {summary['seed']}: service {summary['service']:.3f}  "
+        f"rules {rules_text(summary)}  digest {summary['digest']}  {summary['wall_s']} s",
         err=True,
     )
 
 
-def _table(summaries: Sequence[dict[str, Any]]) -> str:
+def _report(summaries: Sequence[RunSummary], out: Path | None) -> None:
+    """Print the table and the result as JSON, and exit by whether all rules were kept."""
+    rows = experiments.summarize(summaries)
+    click.echo(_variants_table(summaries))
+    result = summaries[0] if len(summaries) == 1 else {"runs": len(summaries)}
+    if out is not None:
+        from rosewheel.lab import report  # imports matplotlib, which takes long to load
+
+        result = {**result, "report": str(report.write_report(out, summaries, rows))}
+    ok = all(summary["ok"] for summary in summaries)
+    print_json({**result, "ok": ok, "services": {row.variant: round(row.service, 4) for row in rows}})
+    exit_by(ok)
+
+
+def _variants_table(summaries: Sequence[RunSummary]) -> str:
     """One line a variant: means over its runs."""
-    width = max(8, *(len(one["variant"]) for one in summaries))
+    width = max(8, *(len(summary["variant"]) for summary in summaries))
     lines = [f"{'variant':{width}}  runs  service  worst 10 s  wasted  fell  swing  tiers: max use over mean"]
-    for name in dict.fromkeys(one["variant"] for one in summaries):
-        mine = [one for one in summaries if one["variant"] == name]
-        tiers = mine[0]["tiers"]
-        balance = "  ".join(
-            f"{tier} {_mean([one['tiers'][tier]['balance'] for one in mine]):.2f}" for tier in tiers
-        )
-        wasted = max(_mean([one["tiers"][tier]["wasted"] for one in mine]) for tier in tiers)
-        swings = [one["swing"] for one in mine if one["swing"] is not None]
-        lines.append(
-            f"{name:{width}}  {len(mine):4}  {_mean([one['service'] for one in mine]):7.3f}  "
-            f"{_mean([one['worst_10_s'] for one in mine]):10.3f}  {wasted:6.3f}  "
-            f"{_mean([one['fell'] for one in mine]):4.1f}  {f'{_mean(swings):5.2f}' if swings else '    -'}  {balance}"
-        )
+    for name in dict.fromkeys(summary["variant"] for summary in summaries):
+        lines.append(_variant_line(name, width, [one for one in summaries if one["variant"] == name]))
     return "\n".join(lines)
 
 
+def _variant_line(name: str, width: int, summaries: Sequence[RunSummary]) -> str:
+    tiers = summaries[0]["tiers"]
+    balance = "  ".join(
+        f"{tier} {_mean([one['tiers'][tier]['balance'] for one in summaries]):.2f}" for tier in tiers
+    )
+    wasted = max(_mean([one["tiers"][tier]["wasted"] for one in summaries]) for tier in tiers)
+    swings = [one["swing"] for one in summaries if one["swing"] is not None]
+    swing = f"{_mean(swings):5.2f}" if swings else "    -"
+    return (
+        f"{name:{width}}  {len(summaries):4}  {_mean([one['service'] for one in summaries]):7.3f}  "
+        f"{_mean([one['worst_10_s'] for one in summaries]):10.3f}  {wasted:6.3f}  "
+        f"{_mean([one['fell'] for one in summaries]):4.1f}  {swing}  {balance}"
+    )
+
+
 def _mean(values: Sequence[float | None]) -> float:
     known = [value for value in values if value is not None]
     return sum(known) / len(known) if known else float("nan")
