--- a/tests/cli/test_command.py
+++ b/tests/cli/test_command.py
@@ -4,39 +4,23 @@
 
 import json
 import logging
-import os
 import signal
 import socket
-import subprocess
-import sys
 from pathlib import Path
 
 import pytest
 
 from rosewheel import logs
-from tests.cli.test_run import connect, free_port
-from tests.lab.test_scenario import OPERATOR
-
-ROOT = Path(__file__).parent.parent.parent
-
-
-def started(*arguments: str, **more: object) -> subprocess.Popen[str]:
-    return subprocess.Popen(
-        [sys.executable, "-m", "rosewheel.cli", *arguments],
-        cwd=ROOT,
-        env={**os.environ, "PYTHONUNBUFFERED": "1"},
-        stdout=subprocess.PIPE,
-        stderr=subprocess.PIPE,
-        text=True,
-    )
+from tests.support.configurations import OPERATOR_TOML
+from tests.support.processes import connect, free_port, start_command
 
 
 def test_a_node_by_the_operators_file_serves_logs_json_and_keeps_a_bad_reload_out(tmp_path: Path):
     port = free_port()
     path = tmp_path / "node.toml"
-    good = OPERATOR.replace("7999", str(port)) + '[log]\nform = "json"\n'
+    good = OPERATOR_TOML.replace("7999", str(port)) + '[log]\nform = "json"\n'
     path.write_text(good)
-    process = started("node", "--config", str(path))
+    process = start_command("node", "--config", str(path))
     with connect(process, port) as client:
         client.sendall(b"GET /_health HTTP/1.1\r\nHost: a\r\n\r\n")
         assert client.recv(4096).startswith(b"HTTP/1.1 503 ")  # it knows no equipo
@@ -55,7 +39,7 @@
 
 
 def test_the_demo_serves_a_request_by_hand_and_ends_cleanly_on_ctrl_c():
-    process = started("demo")
+    process = start_command("demo")
     assert process.stdout is not None
     lines = iter(process.stdout.readline, "")
     node = next(line for line in lines if line.startswith("node"))
--- a/tests/cli/test_run.py
+++ b/tests/cli/test_run.py
@@ -7,9 +7,6 @@
 import os
 import signal
 import socket
-import subprocess
-import sys
-import time
 from pathlib import Path
 from typing import Any
 
@@ -23,55 +20,37 @@
 from rosewheel.policy.balancer import Balancer
 from rosewheel.policy.events import EndpointListForm, RequestReceived
 from rosewheel.policy.settings_codec import settings_from
+from tests.support.configurations import PLATFORM_SETTINGS, platform_document
+from tests.support.processes import connect, free_port, start_node
 from tests.support.sockets import entry
-from tests.test_adapter import CONFIG
-
-ROOT = Path(__file__).parent.parent.parent
-
-
-def start(tmp_path: Path, row: Any, **environ: str) -> subprocess.Popen[str]:
-    path = tmp_path / "config.json"
-    path.write_bytes(row if isinstance(row, bytes) else orjson.dumps(row))
-    return subprocess.Popen(
-        [sys.executable, "-m", "rosewheel"],
-        cwd=ROOT,
-        env={**os.environ, "LB_CONFIG": str(path), **environ},
-        stderr=subprocess.PIPE,
-        text=True,
-    )
-
-
-def good(**changes: Any) -> dict[str, Any]:
-    row = {"name": "n0", "listen": "127.0.0.1:7999", "discovery": "127.0.0.1:1", "seed": "8c1f30d27a5be964"}
-    return {**row, "settings": CONFIG, "known": {"seq": 1, "hosts": []}, **changes}
 
 
 @pytest.mark.parametrize(
     ("row", "environ"),
     [
-        (good(), {"LB_CONFIG": ""}),
-        (good(), {"LB_CONFIG": "/nowhere"}),
+        (platform_document(), {"LB_CONFIG": ""}),
+        (platform_document(), {"LB_CONFIG": "/nowhere"}),
         (b"{", {}),
         (b"[]", {}),
         ({"listen": "127.0.0.1:7999"}, {}),
-        (good(settings={}), {}),
-        (good(settings=CONFIG | {"categories": [{"name": "x"}]}), {}),
-        (good(settings=CONFIG | {"bounds": {"connIdleMs": "soon"}}), {}),
-        (good(known=[1]), {}),
-        (good(seed="zz"), {}),
-        (good(), {"LB_LISTEN": "nowhere"}),
-        (good(), {"LB_LISTEN": "127.0.0.1:99999"}),
-        (good(), {"LB_LISTEN": "192.0.2.1:80"}),  # no address of this machine
-        (good(listen="127.0.0.1:0"), {}),
-        (good(), {"LB_OPS": "nowhere"}),
-        (good(ops=7), {}),
-        (good(), {"LB_INHERITED_FD": "three"}),
-        (good(), {"LB_INHERITED_FD": "2"}),  # no socket
+        (platform_document(settings={}), {}),
+        (platform_document(settings=PLATFORM_SETTINGS | {"categories": [{"name": "x"}]}), {}),
+        (platform_document(settings=PLATFORM_SETTINGS | {"bounds": {"connIdleMs": "soon"}}), {}),
+        (platform_document(known=[1]), {}),
+        (platform_document(seed="zz"), {}),
+        (platform_document(), {"LB_LISTEN": "nowhere"}),
+        (platform_document(), {"LB_LISTEN": "127.0.0.1:99999"}),
+        (platform_document(), {"LB_LISTEN": "192.0.2.1:80"}),  # no address of this machine
+        (platform_document(listen="127.0.0.1:0"), {}),
+        (platform_document(), {"LB_OPS": "nowhere"}),
+        (platform_document(ops=7), {}),
+        (platform_document(), {"LB_INHERITED_FD": "three"}),
+        (platform_document(), {"LB_INHERITED_FD": "2"}),  # no socket
     ],
 )
 def test_a_bad_configuration_is_one_plain_line_and_exit_2(tmp_path: Path, row: Any, environ: dict[str, str]):
     """Guards the operator against a traceback, and against a node that runs on half a configuration."""
-    process = start(tmp_path, row, **environ)
+    process = start_node(tmp_path, row, **environ)
     _, errors = process.communicate(timeout=60)
     assert process.returncode == 2, errors
     assert errors.startswith("rosewheel: ")
@@ -81,7 +60,7 @@
 @pytest.mark.parametrize("siblings", [0, -3, 2.5, "many", [], True])
 def test_a_malformed_count_of_nodes_is_named_at_the_start(tmp_path: Path, siblings: Any):
     """Guards a whole tier: its nodes share by this count what they may send."""
-    process = start(tmp_path, good(settings=CONFIG | {"siblings": siblings}))
+    process = start_node(tmp_path, platform_document(settings=PLATFORM_SETTINGS | {"siblings": siblings}))
     _, errors = process.communicate(timeout=60)
     assert process.returncode == 2, errors
     assert errors.startswith("rosewheel: ")
@@ -91,7 +70,7 @@
 
 @pytest.mark.parametrize("row", [{}, {"siblings": None}])
 def test_without_a_count_of_nodes_a_node_decides_as_one_by_itself(row: dict[str, Any]):
-    config = {key: value for key, value in CONFIG.items() if key != "siblings"} | row
+    config = {key: value for key, value in PLATFORM_SETTINGS.items() if key != "siblings"} | row
     settings = settings_from(config)
     assert settings.balancer_count == 1
     assert not Balancer(settings, 1, 0.0).parts.shared.in_large_fleet
@@ -121,7 +100,7 @@
     (tmp_path / "sitecustomize.py").write_text(REFUSING)
     port = free_port()
     more = {"PYTHONPATH": str(tmp_path), "TMPDIR": str(tmp_path)}
-    process = start(tmp_path, good(listen=f"127.0.0.1:{port}"), **more)
+    process = start_node(tmp_path, platform_document(listen=f"127.0.0.1:{port}"), **more)
     with connect(process, port) as client:
         client.sendall(b"GET /_health HTTP/1.1\r\nHost: a\r\n\r\n")
         assert client.recv(4096).startswith(b"HTTP/1.1 503 ")
@@ -132,23 +111,6 @@
     assert "Traceback" not in errors
 
 
-def free_port() -> int:
-    with socket.create_server(("127.0.0.1", 0)) as held:
-        return int(held.getsockname()[1])
-
-
-def connect(process: subprocess.Popen[str], port: int) -> socket.socket:
-    """A connection to the program, once it listens."""
-    deadline = time.monotonic() + 60
-    while True:
-        try:
-            return socket.create_connection(("127.0.0.1", port), timeout=60)
-        except ConnectionRefusedError:
-            assert process.poll() is None
-            assert time.monotonic() < deadline
-            time.sleep(0.01)
-
-
 def asked(listener: socket.socket) -> str:
     """What the next one that connects asks for."""
     connection, _ = listener.accept()
@@ -164,8 +126,10 @@
         for listener in (old, new):
             listener.settimeout(60)
         first, second = (f"127.0.0.1:{listener.getsockname()[1]}" for listener in (old, new))
-        row = good(listen=f"127.0.0.1:{port}", settings=CONFIG | {"registryMode": "ask"})
-        process = start(tmp_path, row, LB_DISCOVERY=first)
+        row = platform_document(
+            listen=f"127.0.0.1:{port}", settings=PLATFORM_SETTINGS | {"registryMode": "ask"}
+        )
+        process = start_node(tmp_path, row, LB_DISCOVERY=first)
         with connect(process, port):
             assert asked(old).startswith("GET /catalog/members?follow=1&since=1 ")
             path = tmp_path / "config.json"
@@ -174,7 +138,7 @@
             assert process.stderr is not None
             lines = iter(process.stderr.readline, "")
             assert any("the configuration stays as it was: LB_CONFIG" in line for line in lines)
-            path.write_bytes(orjson.dumps({**row, "settings": CONFIG | {"siblings": "many"}}))
+            path.write_bytes(orjson.dumps({**row, "settings": PLATFORM_SETTINGS | {"siblings": "many"}}))
             process.send_signal(signal.SIGHUP)
             assert any("the configuration stays as it was: " in line and "siblings" in line for line in lines)
             path.write_bytes(orjson.dumps({**row, "discovery": second}))
@@ -190,7 +154,7 @@
 def test_sigterm_ends_a_node_with_0(tmp_path: Path):
     """Guards the planned restart, in a process of its own: the signal's way through the real program."""
     port = free_port()
-    process = start(tmp_path, good(listen=f"127.0.0.1:{port}"))
+    process = start_node(tmp_path, platform_document(listen=f"127.0.0.1:{port}"))
     with connect(process, port) as client:
         client.sendall(b"GET /_health HTTP/1.1\r\nHost: a\r\n\r\n")
         assert client.recv(4096).startswith(b"HTTP/1.1 503 ")
@@ -204,7 +168,7 @@
 def test_no_unix_socket_where_the_platform_holds_no_listener(tmp_path: Path):
     """On the large days nobody comes to one; it is there for upgrades, where two processes share a listener."""
     port = free_port()
-    process = start(tmp_path, good(listen=f"127.0.0.1:{port}"), TMPDIR=str(tmp_path))
+    process = start_node(tmp_path, platform_document(listen=f"127.0.0.1:{port}"), TMPDIR=str(tmp_path))
     with connect(process, port):
         inodes = {
             os.readlink(item) for item in Path(f"/proc/{process.pid}/fd").iterdir() if item.is_symlink()
@@ -228,7 +192,7 @@
     return [before, *inner] if before else inner
 
 
-WHOLE = good(
+WHOLE = platform_document(
     limits={"cores": 1.0, "memory_mb": 64, "sockets": 256},
     ops="127.0.0.1:7998",
     known={"seq": 1, "whole": True, "hosts": [entry("s", 9)]},
--- a/tests/config/test_fleet_document.py
+++ b/tests/config/test_fleet_document.py
@@ -15,9 +15,9 @@
 from rosewheel.config.operator_config import OperatorConfig, load_operator_config
 from rosewheel.config.toml_file import parse_text
 from rosewheel.policy.settings import Tenant
-from tests.lab.test_scenario import OPERATOR
+from tests.support.configurations import OPERATOR_TOML
 
-OWN = OPERATOR.replace(
+OWN = OPERATOR_TOML.replace(
     "[routing]\n", '[limits]\nmax_open = 7\nsockets = 100\n[routing]\nzone = "a"\ntier = 1\n'
 )
 CLASS = {"name": "c", "aim_ms": 100, "give_up_ms": 200.0}
--- a/tests/control/test_control_processes.py
+++ b/tests/control/test_control_processes.py
@@ -23,11 +23,10 @@
 from rosewheel.control.errors import HttpCallError
 from rosewheel.control.http_client import JsonHttpClient
 from rosewheel.control.revisions import Epoch, EpochObserved
-from tests.cli.test_command import started
-from tests.cli.test_run import connect, free_port, good, start
-from tests.lab.test_scenario import OPERATOR
+from tests.support.configurations import OPERATOR_TOML, platform_document
 from tests.support.control_child import SelfKillingLog
 from tests.support.control_machines import ControlCluster, control_cluster
+from tests.support.processes import connect, free_port, start_command, start_node
 from tests.support.sockets import run, until
 
 CHILD = Path(__file__).parent.parent / "support" / "control_child.py"
@@ -114,7 +113,7 @@
     addresses = [f"127.0.0.1:{free_low_port()}" for _ in range(count)]
     peers = [f"--peer=c{index + 1}={address}" for index, address in enumerate(addresses)]
     processes = [
-        started(
+        start_command(
             *("control", "serve", "--name", f"c{index + 1}", "--listen", address, "--writer", "c1"),
             *("--dir", str(tmp_path / f"c{index + 1}"), *peers),
         )
@@ -134,7 +133,7 @@
 
 def run_command(*arguments: str) -> tuple[int, str, str]:
     """Run `rosewheel control`; return its exit code, output and errors."""
-    process = started("control", *arguments)
+    process = start_command("control", *arguments)
     out, errors = process.communicate(timeout=60)
     return process.returncode, out.strip(), errors.strip()
 
@@ -168,11 +167,11 @@
         state.mkdir()
         machines = json.dumps([f"c{index + 1}={address}" for index, address in enumerate(addresses)])
         control = f'[control]\nmachines = {machines}\nservice = "fotos"\n'
-        own = OPERATOR.replace("7999", str(port)).replace(
+        own = OPERATOR_TOML.replace("7999", str(port)).replace(
             "[node]", f'[node]\nname = "n7"\nops = "127.0.0.1:{admin_port}"\nstate_dir = "{state}"'
         )
         path.write_text(own + control)
-        node = started("node", "--config", str(path))
+        node = start_command("node", "--config", str(path))
         connect(node, port).close()
         assert node.stderr is not None
         lines = iter(node.stderr.readline, "")
@@ -202,7 +201,7 @@
         for process in processes:
             process.send_signal(signal.SIGTERM)
             assert process.wait(timeout=60) == 0
-        node = started("node", "--config", str(path))
+        node = start_command("node", "--config", str(path))
         assert node.stderr is not None
         lines = iter(node.stderr.readline, "")
         assert any(f"{applied} source=cache" in line for line in lines)
@@ -285,8 +284,10 @@
     with socket.create_server(("127.0.0.1", 0)) as listener:
         address = "{}:{}".format(*listener.getsockname())
         port = free_port()
-        row = good(listen=f"127.0.0.1:{port}", control={"machines": [f"c1={address}"], "service": "fotos"})
-        process = start(tmp_path, row, PYTHONPROFILEIMPORTTIME="1")
+        row = platform_document(
+            listen=f"127.0.0.1:{port}", control={"machines": [f"c1={address}"], "service": "fotos"}
+        )
+        process = start_node(tmp_path, row, PYTHONPROFILEIMPORTTIME="1")
         connect(process, port).close()
         descriptors = {
             os.readlink(path) for path in Path(f"/proc/{process.pid}/fd").iterdir() if path.is_symlink()
--- a/tests/http/test_descriptor_limit.py
+++ b/tests/http/test_descriptor_limit.py
@@ -12,10 +12,10 @@
 import orjson
 import pytest
 
-from tests.cli.test_run import ROOT, free_port, good
+from tests.support.configurations import PLATFORM_SETTINGS, platform_document
+from tests.support.processes import ROOT, free_port
 from tests.support.scripted_discovery import RestartableDiscovery
 from tests.support.sockets import Client, FakeServer, Message, entry, read_message, run, status, until
-from tests.test_adapter import CONFIG
 
 CROWD = 200
 LIMITED = """
@@ -91,11 +91,11 @@
             discovery = RestartableDiscovery()
             await discovery.begin("mute")
             stack.callback(discovery.end)
-            row = good(
+            row = platform_document(
                 listen=f"127.0.0.1:{port}",
                 ops=f"127.0.0.1:{door}",
                 discovery=f"127.0.0.1:{discovery.port}",
-                settings=CONFIG | {"registryMode": mode},
+                settings=PLATFORM_SETTINGS | {"registryMode": mode},
                 known={"seq": 1, "whole": True, "hosts": [entry("one", one.port)]},
                 limits={"sockets": most, "memory_mb": 200},
             )
--- a/tests/lab/test_scenario.py
+++ b/tests/lab/test_scenario.py
@@ -21,8 +21,8 @@
 from rosewheel.lab.plan_codec import plan_lines
 from rosewheel.lab.scenario import Scenario
 from rosewheel.policy.settings import DedupScope, Idempotency
-
-ROOT = Path(__file__).parent.parent.parent
+from tests.support.configurations import OPERATOR_TOML
+from tests.support.processes import ROOT
 
 GOOD = """
 name = "small"
@@ -205,27 +205,10 @@
 
 # ------------------------------------------------------- the operator's file
 
-OPERATOR = """
-[node]
-listen = "127.0.0.1:7999"
-seed = "8c1f"
-[discovery]
-address = "127.0.0.1:1"
-[routing]
-cold_from = 0.2
-[[class]]
-name = "comentario"
-aim_ms = 2500
-give_up_ms = 6000
-effect = "keyed"
-group = "cell"
-memory_ms = 10000
-"""
-
 
 def test_the_operators_file_gives_the_modules_settings(tmp_path: Path):
     path = tmp_path / "node.toml"
-    path.write_text(OPERATOR)
+    path.write_text(OPERATOR_TOML)
     config = load_operator_config(str(path), {"LB_LISTEN": "127.0.0.1:8001", "TMPDIR": "/x"})
     assert config.listen_address == ("127.0.0.1", 8001)
     assert (config.seed, config.state_folder, config.admin_address) == (0x8C1F, "/x", None)
@@ -255,7 +238,7 @@
 )
 def test_a_bad_operators_file_is_one_line_and_exit_2(tmp_path: Path, old: str, new: str, said: str):
     path = tmp_path / "node.toml"
-    path.write_text(OPERATOR.replace(old, new, 1))
+    path.write_text(OPERATOR_TOML.replace(old, new, 1))
     with pytest.raises(ConfigError) as caught:
         load_operator_config(str(path), {})
     assert said in str(caught.value)
--- a/tests/proxy/test_reconfiguration.py
+++ b/tests/proxy/test_reconfiguration.py
@@ -22,9 +22,10 @@
 from rosewheel.proxy.cordons import Cordons
 from rosewheel.proxy.proxy import Proxy
 from rosewheel.proxy.state import SharedState
-from tests.cli.test_run import connect, free_port, good, start
 from tests.hot_restart.test_hot_restart import LONG, bench, read_long, send_long, slow_client
 from tests.support.balancers import SAFE, UNSAFE
+from tests.support.configurations import PLATFORM_SETTINGS, platform_document
+from tests.support.processes import connect, free_port, start_node
 from tests.support.sockets import (
     WAIT_S,
     Client,
@@ -37,7 +38,6 @@
     status,
     until,
 )
-from tests.test_adapter import CONFIG
 
 
 def other(relay: Proxy, **changes: Any) -> Settings:
@@ -57,17 +57,17 @@
         free, slow = gated_handler()
         port = free_port()
         async with FakeServer(slow).up() as server:
-            row = good(
+            row = platform_document(
                 listen=f"127.0.0.1:{port}",
                 known={"seq": 1, "whole": True, "hosts": [entry("s", server.port)]},
-                settings=CONFIG | {"registryMode": "push", "invariants": {"drainGraceMs": 400.0}},
+                settings=PLATFORM_SETTINGS | {"registryMode": "push", "invariants": {"drainGraceMs": 400.0}},
             )
 
             async def refused(service: str) -> bool:
                 async with Client(port=port) as client:  # one of its own, since it ends with that
                     return status(await client.ask(service)) == 400
 
-            process = start(tmp_path, row)
+            process = start_node(tmp_path, row)
             lines = lines_of(process)
             path = tmp_path / "config.json"
             try:
@@ -77,7 +77,7 @@
                     old.send("post", id="old")
                     await until(lambda: len(server.got) == 1)
                     late = {"name": "late", "aimMs": 900.0, "giveUpMs": 2000.0, "effect": effect}
-                    classes = [one for one in CONFIG["categories"] if one["name"] != "post"]
+                    classes = [one for one in PLATFORM_SETTINGS["categories"] if one["name"] != "post"]
                     wanted = row["settings"] | {"categories": [*classes, late]}
 
                     async def told(settings: dict[str, Any], line: str) -> None:
--- a/tests/proxy/test_startup.py
+++ b/tests/proxy/test_startup.py
@@ -13,12 +13,13 @@
 
 import orjson
 
-from tests.cli.test_run import CONFIG, ROOT, good
+from tests.support.configurations import PLATFORM_SETTINGS, platform_document
+from tests.support.processes import ROOT
 from tests.support.sockets import entry
 
 WAIT_S = 120.0  # a good run never gets near it, also on a machine that is busy
 MANY = 30
-PUSHED = CONFIG | {"registryMode": "push"}
+PUSHED = PLATFORM_SETTINGS | {"registryMode": "push"}
 OTHERS = {"uvloop", "httptools", "orjson"}
 # Of the standard library, what no node needs at its start; asyncio and uvloop import ssl and others by themselves.
 SPARED = {
@@ -75,7 +76,7 @@
 ) -> subprocess.Popen[str]:
     path = folder / f"{host}.json"
     listen, discovery = f"{host}:{port}", f"127.0.0.1:{agent.getsockname()[1]}"
-    row = good(name=host, listen=listen, discovery=discovery, settings=PUSHED)
+    row = platform_document(name=host, listen=listen, discovery=discovery, settings=PUSHED)
     path.write_bytes(orjson.dumps(row | {"known": {"seq": 1, "whole": True, "hosts": [entry("s", 9)]}}))
     return subprocess.Popen(
         [sys.executable, *flags, *run],
--- /dev/null
+++ b/tests/support/processes.py
@@ -0,0 +1,66 @@
+"""Processes that tests start, and connections to them."""
+
+from __future__ import annotations
+
+import os
+import socket
+import subprocess
+import sys
+import time
+from pathlib import Path
+from typing import Any
+
+import orjson
+
+ROOT = Path(__file__).parents[2]
+CONNECT_TIMEOUT_S = 60
+CONNECT_RETRY_S = 0.01
+
+
+def start_node(folder: Path, document: Any, **environ: str) -> subprocess.Popen[str]:
+    """Start a node as the platform does.
+
+    Args:
+        folder: where its configuration file is written.
+        document: content of that file: JSON as plain values, or bytes.
+        environ: further environment variables.
+    """
+    path = folder / "config.json"
+    path.write_bytes(document if isinstance(document, bytes) else orjson.dumps(document))
+    return subprocess.Popen(
+        [sys.executable, "-m", "rosewheel"],
+        cwd=ROOT,
+        env={**os.environ, "LB_CONFIG": str(path), **environ},
+        stderr=subprocess.PIPE,
+        text=True,
+    )
+
+
+def start_command(*arguments: str) -> subprocess.Popen[str]:
+    """Start the `rosewheel` command."""
+    return subprocess.Popen(
+        [sys.executable, "-m", "rosewheel.cli", *arguments],
+        cwd=ROOT,
+        env={**os.environ, "PYTHONUNBUFFERED": "1"},
+        stdout=subprocess.PIPE,
+        stderr=subprocess.PIPE,
+        text=True,
+    )
+
+
+def free_port() -> int:
+    """A port of the loopback interface on which nothing listens."""
+    with socket.create_server(("127.0.0.1", 0)) as server:
+        return int(server.getsockname()[1])
+
+
+def connect(process: subprocess.Popen[str], port: int) -> socket.socket:
+    """A connection to the process, once it listens."""
+    deadline = time.monotonic() + CONNECT_TIMEOUT_S
+    while True:
+        try:
+            return socket.create_connection(("127.0.0.1", port), timeout=CONNECT_TIMEOUT_S)
+        except ConnectionRefusedError:
+            assert process.poll() is None
+            assert time.monotonic() < deadline
+            time.sleep(CONNECT_RETRY_S)
--- a/tests/test_adapter.py
+++ b/tests/test_adapter.py
@@ -5,49 +5,14 @@
 import io
 import subprocess
 import sys
-from pathlib import Path
 from typing import Any
 
 import orjson
 import pytest
 
 from rosewheel.adapter import Bench, WireError, run, settings_from
-
-ROOT = Path(__file__).parent.parent
-
-CONFIG: dict[str, Any] = {
-    "accounts": [{"name": "t", "quotaPerS": 10.0, "fraction": 1.0}],
-    "bounds": {"cancel": True, "maxAttempts": 3, "maxRetryAfterMs": 500.0, "retryAfter": True},
-    "categories": [
-        {
-            "name": "read",
-            "aimMs": 1000.0,
-            "giveUpMs": 2500.0,
-            "credit": 12.0,
-            "lateWorth": 0.0,
-            "effect": "free",
-        },
-        {"name": "post", "aimMs": 1000.0, "giveUpMs": 2500.0, "credit": 1.0, "effect": "single_shot"},
-        {
-            "name": "points",
-            "aimMs": 2000.0,
-            "giveUpMs": 5000.0,
-            "credit": 1.0,
-            "effect": "guarded",
-            "keyScope": "cell",
-            "memorySpanMs": 900.0,
-        },
-    ],
-    "feedback": {"fields": ["depth", "load_share"], "via": "inline"},
-    "invariants": {"coldFrom": 0.2, "coldMs": 9000.0, "tipAfterMs": 1500.0, "overloadFactor": 3.0},
-    "prices": {"crossZone": 0.01},
-    "registryMode": "ask",
-    "siblings": 2,
-    "tier": 0,
-    "valueBy": "request",
-    "locality": "a",
-    "unheardOf": {"x": 1},
-}
+from tests.support.configurations import PLATFORM_SETTINGS
+from tests.support.processes import ROOT
 
 
 def catalog(ref: int = 0, count: int = 3, **more: Any) -> dict[str, Any]:
@@ -60,7 +25,12 @@
 
 def start(node: int = 0, config: dict[str, Any] | None = None, ref: int = 0) -> list[dict[str, Any]]:
     return [
-        {"kind": "POWER_ON", "node": node, "seed": 5 + node, "config": CONFIG if config is None else config},
+        {
+            "kind": "POWER_ON",
+            "node": node,
+            "seed": 5 + node,
+            "config": PLATFORM_SETTINGS if config is None else config,
+        },
         {"kind": "MEMBERSHIP", "node": node, "form": "cached", "generation": 1, "ref": ref},
     ]
 
@@ -210,7 +180,7 @@
 
 
 def test_absent_settings_take_their_defaults():
-    settings = settings_from({"categories": CONFIG["categories"][:1]})
+    settings = settings_from({"categories": PLATFORM_SETTINGS["categories"][:1]})
     assert settings.balancer_count == 1
     assert settings.tenants == ()
     assert settings.max_attempts == 1
