--- a/benchmarks/added_time.py
+++ b/benchmarks/added_time.py
@@ -26,7 +26,6 @@
 import argparse
 import asyncio
 import csv
-import functools
 import gc
 import json
 import os
@@ -36,71 +35,49 @@
 import subprocess
 import sys
 import tempfile
-import time
 from dataclasses import dataclass, field
 from pathlib import Path
-from typing import Any, cast
+from typing import Any
 
 import uvloop
-from added_time_report import during, slow, stops, stops_in, summary, table
+from added_time_clients import CallPath, Clients, schedule_ms
+from added_time_report import Stop, during, slow, stops, stops_in, summary, table
+from processes import (
+    RequestReader,
+    free_port,
+    node_document,
+    now_ms,
+    serve_role,
+    start_node,
+    start_role,
+    stop,
+    wait_listening,
+)
 
-READY_S = 20.0
 SETTLE_S = 1.0  # after the last call of a rate
+WARM_UP_RATE, WARM_UP_S = 50.0, 2.0
 FIELDS = [
-    "at_s",
-    "rate",
-    "path",
-    "client",
-    "equipo",
-    "late_ms",
-    "connect_ms",
-    "there_ms",
-    "back_ms",
-    "took_ms",
+    *("at_s", "rate", "path", "client", "equipo", "late_ms", "connect_ms", "there_ms", "back_ms", "took_ms"),
+    *("on_ms", "ready_ms", "far_on_ms", "far_ready_ms", "load"),
 ]
-FIELDS += ["on_ms", "ready_ms", "far_on_ms", "far_ready_ms", "load"]
-BODY = 200
 
 
-def now_ms() -> float:
-    return time.monotonic() * 1000.0
+class StandInServer(RequestReader):
+    """Answers with the number of requests on the connection, and when it received and answered this one."""
 
+    def __init__(self) -> None:
+        super().__init__()
+        self.request_count = 0
 
-class StandIn(asyncio.Protocol):
-    """Answers each request as soon as its end is there. Requests come one at a time."""
+    def response(self) -> bytes:
+        received_ms = now_ms()
+        self.request_count += 1
+        body = b"%d %.4f %.4f" % (self.request_count, received_ms, now_ms())
+        return b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%b" % (len(body), body)
 
-    def __init__(self) -> None:
-        self.got, self.used = b"", 0
-
-    def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        self.transport = cast(asyncio.Transport, transport)
-
-    def data_received(self, data: bytes) -> None:
-        self.got += data
-        head, end, rest = self.got.partition(b"\r\n\r\n")
-        if not end:
-            return
-        length = 0
-        for line in head.lower().split(b"\r\n"):
-            if line.startswith(b"content-length:"):
-                length = int(line[15:])
-        if len(rest) < length:
-            return
-        came, self.got = now_ms(), b""
-        self.used += 1
-        body = b"%d %.4f %.4f" % (self.used, came, now_ms())
-        self.transport.write(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%b" % (len(body), body))
-
-
-async def serve() -> None:
-    loop = asyncio.get_running_loop()
-    server = await loop.create_server(StandIn, "127.0.0.1", 0, backlog=1024)
-    print(server.sockets[0].getsockname()[1], flush=True)
-    await loop.run_in_executor(None, sys.stdin.read)  # until whoever started it has gone
-
-
-def be_a_node(path: str, name: str) -> None:
-    """`python -m rosewheel` with its collections and its writes of what it learned noted in this file."""
+
+def run_noted_node(path: str, name: str) -> None:
+    """Run `python -m rosewheel`; its garbage collections and its writes of learned state are noted in this file."""
     from rosewheel.proxy.snapshots import SnapshotWriter
 
     began, plain = [0.0], SnapshotWriter._put
@@ -112,7 +89,7 @@
             else:
                 file.write(f"generation-{info['generation']} {began[0]:.3f} {now_ms() - began[0]:.3f}\n")
 
-        def put(self: SnapshotWriter, path: Path, data: bytes) -> OSError | None:
+        def put(self: SnapshotWriter, path: str, data: bytes) -> OSError | None:
             start = now_ms()
             error = plain(self, path, data)
             file.write(f"snapshot {start:.3f} {now_ms() - start:.3f}\n")
@@ -122,9 +99,9 @@
             self.write()
             self._later()
 
-        SnapshotWriter._put = put
+        SnapshotWriter._put = put  # type: ignore[method-assign]
         if name == "on-loop":
-            SnapshotWriter._due = due
+            SnapshotWriter._due = due  # type: ignore[method-assign]
         gc.callbacks.append(note)
         if name == "gc-off":
             gc.disable()
@@ -132,295 +109,137 @@
         runpy.run_module("rosewheel", run_name="__main__")
 
 
-def start_node(
-    folder: Path, memory: Path, name: str, port: int, equipo: int, equipos: int
+def start_noted_node(
+    folder: Path, memory: Path, name: str, document: dict[str, Any]
 ) -> subprocess.Popen[bytes]:
+    """Start a node that runs `run_noted_node`."""
     folder.mkdir()
-    listed = [
-        {"host": f"e{at}", "dial": f"127.0.0.1:{equipo}", "site": "a", "block": 0, "health": "active"}
-        for at in range(equipos)
-    ]
-    row = {
-        "name": name,
-        "listen": f"127.0.0.1:{port}",
-        "discovery": "127.0.0.1:1",
-        "seed": "1",
-        "limits": {"memory_mb": 192, "sockets": 1024},
-        "known": {"seq": 1, "hosts": listed},
-        "settings": {
-            "locality": "a",
-            "tier": 0,
-            "siblings": 1,
-            "registryMode": "push",
-            "categories": [
-                {
-                    "name": "post",
-                    "effect": "single_shot",
-                    "keyScope": "all",
-                    "aimMs": 2500,
-                    "giveUpMs": 6000,
-                    "credit": 1.0,
-                    "lateWorth": 0.0,
-                    "memorySpanMs": 0,
-                }
-            ],
-            "bounds": {"maxAttempts": 3, "connIdleMs": 30000, "connectTimeoutMs": 250},
-            "invariants": {"coldFrom": 1.0, "coldMs": 0.0, "tipAfterMs": 1500.0, "overloadFactor": 2.0},
-        },
-    }
-    config = folder / "config.json"
-    config.write_text(json.dumps(row))
-    environ = {key: value for key, value in os.environ.items() if not key.startswith("LB_")}
-    environ |= {"LB_CONFIG": str(config), "TMPDIR": str(memory if name == "memory" else folder)}
     command = [sys.executable, __file__, "--role", name, "--note", str(folder / "stops")]
-    with (folder / "log").open("wb") as log:
-        return subprocess.Popen(command, env=environ, stdout=log, stderr=log)
-
-
-# -------------------------------------------------------------------- clients
-
-
-class Caller(asyncio.Protocol):
-    """One connection of a client: a call at a time."""
-
-    def __init__(self) -> None:
-        self.got = b""
-        self.answer: asyncio.Future[tuple[float, bytes]] | None = None
-        self.ended = False
-
-    def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        self.transport = cast(asyncio.Transport, transport)
-
-    def data_received(self, data: bytes) -> None:
-        self.got += data
-        head, end, rest = self.got.partition(b"\r\n\r\n")
-        if not end or self.answer is None:
-            return
-        size = int(head.lower().partition(b"content-length:")[2].partition(b"\r\n")[0])
-        if len(rest) >= size:
-            self.got = b""
-            body = rest if head.startswith(b"HTTP/1.1 200") else b""
-            self.answer.set_result((now_ms(), body))
-            self.answer = None
-
-    def connection_lost(self, exc: Exception | None) -> None:
-        self.ended = True
-        if self.answer is not None and not self.answer.done():
-            self.answer.set_result((now_ms(), b""))
+    return start_node(folder, document, command, memory if name == "memory" else folder)
 
 
 @dataclass
-class Way:
-    name: str
-    port: int
-    pid: int  # of what the clients talk to
-    idle: list[Caller] = field(default_factory=list)
+class Bench:
+    """All processes of a run.
+
+    Attributes:
+        paths: `direct` and one for each node.
+        processes: the stand-in and the nodes, in the order of the paths.
+        cores: what the processes ran and waited, by rate.
+        spans: when each rate began and ended, in ms.
+    """
+
+    clients: Clients
+    paths: list[CallPath]
+    processes: list[subprocess.Popen[Any]]
+    cores: list[dict[str, Any]] = field(default_factory=list)
+    spans: dict[str, tuple[float, float]] = field(default_factory=dict)
+
+    async def start_nodes(self, options: argparse.Namespace, folder: Path, memory: Path) -> None:
+        """Start the nodes, and wait until each listens."""
+        server_port = self.paths[0].port
+        for name in options.nodes.split(","):
+            port = await free_port()
+            document = node_document(name, port, server_port, options.servers)
+            self.processes.append(start_noted_node(folder / name, memory, name, document))
+            await wait_listening(port)
+            self.paths.append(CallPath(name, port, self.processes[-1].pid))
+
+    async def warm_up(self, new_share: float, rng: random.Random) -> None:
+        """Send calls on all paths, and drop what they took."""
+        await self.clients.run(self.paths, WARM_UP_RATE, WARM_UP_S, new_share, rng)
+        failed, self.clients.rows, self.clients.failed = self.clients.failed, [], 0
+        if failed:
+            raise SystemExit(f"{failed} of the first calls failed")
+
+    async def measure_rate(self, text: str, options: argparse.Namespace, rng: random.Random) -> None:
+        """Send calls at one rate, and note what the processes ran and waited meanwhile."""
+        pids = {"clients": os.getpid(), "stand-in": self.processes[0].pid}
+        pids |= {path.name: path.pid for path in self.paths[1:]}
+        begin_ms, before = now_ms(), {name: schedule_ms(pid) for name, pid in pids.items()}
+        count = len(self.clients.rows)
+        await self.clients.run(self.paths, float(text), options.seconds, options.new, rng)
+        await asyncio.sleep(SETTLE_S)
+        self.spans[f"{float(text):g}"] = begin_ms, now_ms()
+        rows = self.clients.rows[count:]
+        for name, pid in pids.items():
+            on, ready = (new - old for new, old in zip(schedule_ms(pid), before[name], strict=True))
+            calls = sum(row["path"] == name for row in rows) or len(rows)
+            self.cores.append(
+                {
+                    "rate": text,
+                    "process": name,
+                    "on_core_ms_a_call": round(on / calls, 3),
+                    "waited_for_a_core_ms_a_call": round(ready / calls, 3),
+                }
+            )
 
 
-@dataclass
-class Clients:
-    rows: list[dict[str, Any]] = field(default_factory=list)
-    failed: int = 0
-    far: int = 0  # the process of the stand-in
-    _number: int = 0
-
-    async def call(self, way: Way, rate: float, meant_ms: float, new: bool) -> None:
-        self._number += 1
-        head = (
-            b"POST /api/album/7 HTTP/1.1\r\nHost: app.svc\r\nRequest-Id: %d-%d\r\nRequest-Class: post\r\n"
-            b"Request-Timeout-Ms: 6000\r\nContent-Length: %d\r\n\r\n" % (way.port, self._number, BODY)
-        )
-        began, caller = now_ms(), None
-        while not new and way.idle and caller is None:
-            caller = way.idle.pop(0)
-            caller = None if caller.ended else caller
-        fresh = caller is None
-        loop = asyncio.get_running_loop()
-        if caller is None:
-            _, caller = await loop.create_connection(Caller, "127.0.0.1", way.port)
-        caller.answer = answer = loop.create_future()
-        near, far = schedule_ms(way.pid), schedule_ms(self.far)
-        sent = now_ms()
-        caller.transport.write(head + b"x" * BODY)
-        ended, body = await answer
-        near, far = (
-            tuple(new - old for new, old in zip(schedule_ms(pid), before, strict=True))
-            for pid, before in ((way.pid, near), (self.far, far))
-        )
-        if not body:
-            self.failed += 1
-            return
-        if new:
-            caller.transport.close()
-        else:
-            way.idle.append(caller)
-        used, came, wrote = body.split()
-        row = {
-            "at_s": round(meant_ms / 1000.0, 3),
-            "at_ms": meant_ms,
-            "rate": f"{rate:g}",
-            "path": way.name,
-            "client": "new" if fresh else "kept",
-            "equipo": "new" if used == b"1" else "kept",
-            "late_ms": began - meant_ms,
-            "connect_ms": sent - began,
-            "there_ms": float(came) - sent,
-            "back_ms": ended - float(wrote),
-            "took_ms": ended - sent,
-            "on_ms": near[0],
-            "ready_ms": near[1],
-            "far_on_ms": far[0],
-            "far_ready_ms": far[1],
-            "load": os.getloadavg()[0],
-        }
-        self.rows.append(
-            {key: round(value, 3) if isinstance(value, float) else value for key, value in row.items()}
-        )
-
-    async def play(
-        self, ways: list[Way], rate: float, seconds: float, share: float, rng: random.Random
-    ) -> None:
-        """Calls to all ways at this rate each."""
-        moments: list[tuple[float, Way]] = []
-        begin = now_ms() + 100.0
-        for way in ways:
-            at = rng.expovariate(rate)
-            while at < seconds:
-                moments.append((begin + at * 1000.0, way))
-                at += rng.expovariate(rate)
-        tasks = []
-        for meant, way in sorted(moments, key=lambda one: one[0]):
-            if (wait := meant - now_ms()) > 0.0:
-                await asyncio.sleep(wait / 1000.0)
-            tasks.append(asyncio.ensure_future(self.call(way, rate, meant, rng.random() < share)))
-        await asyncio.gather(*tasks)
-
-
-# ------------------------------------------------------------------- measures
-
-
-@functools.cache
-def _schedule(pid: int) -> int:
-    return os.open(f"/proc/{pid}/schedstat", os.O_RDONLY)
-
-
-def schedule_ms(pid: int) -> tuple[float, ...]:
-    """On a core, and ready to run without one, since the process began."""
-    on, ready, _ = os.pread(_schedule(pid), 128, 0).split()
-    return int(on) / 1e6, int(ready) / 1e6
-
-
-async def up(port: int) -> None:
-    began = time.monotonic()
-    while time.monotonic() - began < READY_S:
-        try:
-            (await asyncio.open_connection("127.0.0.1", port))[1].close()
-        except OSError:
-            await asyncio.sleep(0.05)
-        else:
-            return
-    raise SystemExit("the node did not start")
-
-
-async def free_port() -> int:
-    server = await asyncio.start_server(lambda *_: None, "127.0.0.1", 0)
-    port: int = server.sockets[0].getsockname()[1]
-    server.close()
-    await server.wait_closed()
-    return port
-
-
-async def measure(given: argparse.Namespace) -> dict[str, Any]:
-    command = [sys.executable, __file__, "--role", "stand-in"]
-    stand_in = subprocess.Popen(command, stdin=subprocess.PIPE, stdout=subprocess.PIPE, text=True)
-    started: list[subprocess.Popen[Any]] = [stand_in]
-    assert stand_in.stdout is not None
-    equipo = int(stand_in.stdout.readline())
-    clients, rng = Clients(far=stand_in.pid), random.Random(given.seed)
-    ways = [Way("direct", equipo, stand_in.pid)]
-    spans: dict[str, tuple[float, float]] = {}
-    cores: list[dict[str, Any]] = []
+async def measure(options: argparse.Namespace) -> dict[str, Any]:
+    """Start all processes, measure each rate, and return the result."""
+    stand_in, port = start_role(__file__, "stand-in")
+    bench = Bench(Clients(stand_in.pid), [CallPath("direct", port, stand_in.pid)], [stand_in])
+    rng = random.Random(options.seed)
     with tempfile.TemporaryDirectory() as folder, tempfile.TemporaryDirectory(dir="/dev/shm") as memory:
         try:
-            for name in given.nodes.split(","):
-                port = await free_port()
-                started.append(
-                    start_node(Path(folder) / name, Path(memory), name, port, equipo, given.equipos)
-                )
-                await up(port)
-                ways.append(Way(name, port, started[-1].pid))
-            await clients.play(ways, 50.0, 2.0, given.new, rng)  # warms all paths
-            failed, clients.rows, clients.failed = clients.failed, [], 0
-            if failed:
-                raise SystemExit(f"{failed} of the first calls failed")
+            await bench.start_nodes(options, Path(folder), Path(memory))
+            await bench.warm_up(options.new, rng)
             gc.collect()
             gc.freeze()
             gc.disable()  # the clients' own: what they keep grows with the run
-            pids = {"clients": os.getpid(), "stand-in": stand_in.pid}
-            pids |= {way.name: process.pid for way, process in zip(ways[1:], started[1:], strict=True)}
-            for text in given.rates.split(","):
-                begin, before = now_ms(), {name: schedule_ms(pid) for name, pid in pids.items()}
-                count = len(clients.rows)
-                await clients.play(ways, float(text), given.seconds, given.new, rng)
-                await asyncio.sleep(SETTLE_S)
-                spans[f"{float(text):g}"] = begin, now_ms()
-                for name, pid in pids.items():
-                    on, ready = (
-                        after - old for after, old in zip(schedule_ms(pid), before[name], strict=True)
-                    )
-                    calls = (
-                        sum(row["path"] == name for row in clients.rows[count:]) or len(clients.rows) - count
-                    )
-                    cores.append(
-                        {
-                            "rate": text,
-                            "process": name,
-                            "on_core_ms_a_call": round(on / calls, 3),
-                            "waited_for_a_core_ms_a_call": round(ready / calls, 3),
-                        }
-                    )
+            for text in options.rates.split(","):
+                await bench.measure_rate(text, options, rng)
         finally:
-            for process in started:
-                process.terminate()
-                process.wait()
-        noted = {name: stops_in(Path(folder) / name / "stops") for name in given.nodes.split(",")}
-    if given.csv:
-        given.csv.parent.mkdir(parents=True, exist_ok=True)
-        with given.csv.open("w", newline="") as file:
-            writer = csv.DictWriter(file, FIELDS, extrasaction="ignore")
-            writer.writeheader()
-            writer.writerows(sorted(clients.rows, key=lambda row: row["at_s"]))
-    names = [way.name for way in ways]
-    loads = [row["load"] for row in clients.rows]
+            stop(bench.processes)
+        noted = {name: stops_in(Path(folder) / name / "stops") for name in options.nodes.split(",")}
+    if options.csv:
+        write_rows(options.csv, bench.clients.rows)
+    return result(bench, noted)
+
+
+def write_rows(path: Path, rows: list[dict[str, Any]]) -> None:
+    """Write one row of CSV for each call."""
+    path.parent.mkdir(parents=True, exist_ok=True)
+    with path.open("w", newline="") as file:
+        writer = csv.DictWriter(file, FIELDS, extrasaction="ignore")
+        writer.writeheader()
+        writer.writerows(sorted(rows, key=lambda row: row["at_s"]))
+
+
+def result(bench: Bench, noted: dict[str, list[Stop]]) -> dict[str, Any]:
+    """The run's result, as its last line has it."""
+    rows, names = bench.clients.rows, [path.name for path in bench.paths]
+    loads = [row["load"] for row in rows]
     return {
         "load": {"least": min(loads), "mean": round(statistics.fmean(loads), 1), "most": max(loads)},
-        "failed": clients.failed,
-        "paths": summary(clients.rows, names),
-        "cores": cores,
-        "during_writes": during(clients.rows, noted),
-        "slow": slow(clients.rows, names, noted),
-        "stops": {name: stops(rows, spans) for name, rows in noted.items()},
+        "failed": bench.clients.failed,
+        "paths": summary(rows, names),
+        "cores": bench.cores,
+        "during_writes": during(rows, noted),
+        "slow": slow(rows, names, noted),
+        "stops": {name: stops(own, bench.spans) for name, own in noted.items()},
     }
 
 
 def main() -> None:
-    parser = argparse.ArgumentParser(description=__doc__.split("\n", 1)[0])
-    parser.add_argument("--rates", default="20,100,400")
-    parser.add_argument("--seconds", type=float, default=20.0)
-    parser.add_argument("--equipos", type=int, default=22)
-    parser.add_argument("--new", type=float, default=0.1)
+    """Measure, or be one of the other processes."""
+    parser = argparse.ArgumentParser(description=(__doc__ or "").split("\n", 1)[0])
+    parser.add_argument("--rates", default="20,100,400", help="calls a second on each path")
+    parser.add_argument("--seconds", type=float, default=20.0, help="length of each rate")
+    parser.add_argument("--equipos", dest="servers", type=int, default=22, help="endpoints of each node")
+    parser.add_argument("--new", type=float, default=0.1, help="share of calls on a connection of their own")
     parser.add_argument("--nodes", default="plain,gc-off,memory,on-loop")
     parser.add_argument("--seed", type=int, default=1)
     parser.add_argument("--csv", type=Path)
     parser.add_argument("--role", help=argparse.SUPPRESS)
     parser.add_argument("--note", help=argparse.SUPPRESS)
-    given = parser.parse_args()
-    if given.role == "stand-in":
-        uvloop.run(serve())
-    elif given.role:
-        be_a_node(given.note, given.role)
+    options = parser.parse_args()
+    if options.role == "stand-in":
+        uvloop.run(serve_role(StandInServer))
+    elif options.role:
+        run_noted_node(options.note, options.role)
     else:
-        found = uvloop.run(measure(given))
+        found = uvloop.run(measure(options))
         print(table(found))
         print(json.dumps(found))
 
--- a/benchmarks/startup.py
+++ b/benchmarks/startup.py
@@ -140,10 +140,10 @@
     if args.settings is not None:
         settings = json.loads(args.settings.read_text())
     else:
-        sys.path.insert(0, str(here / "tests"))
-        import test_adapter
+        sys.path.insert(0, str(here))
+        from tests.support.configurations import PLATFORM_SETTINGS
 
-        settings = test_adapter.CONFIG | {"registryMode": "push"}
+        settings = PLATFORM_SETTINGS | {"registryMode": "push"}
     python = str(Path(args.python).absolute())
     trees = [tree.resolve() for tree in args.trees]
     agent = Agent()
