--- a/rosewheel/cli/node.py
+++ b/rosewheel/cli/node.py
@@ -9,7 +9,8 @@
 from rosewheel import logs
 from rosewheel.cli.output import EXIT_BAD_INPUT, EXIT_OK, exit_invalid_file, print_file_errors
 from rosewheel.config.errors import InvalidFileError
-from rosewheel.config.operator_config import OperatorConfig, load_operator_config
+from rosewheel.config.operator_config import OperatorConfig
+from rosewheel.config.operator_file import load_operator_config
 from rosewheel.config.platform import load_platform_config
 from rosewheel.config.toml_file import parse_tables, read_file, read_text
 from rosewheel.proxy import process
--- /dev/null
+++ b/rosewheel/config/operator_file.py
@@ -0,0 +1,82 @@
+"""Reads the operator's file as a node's configuration.
+
+The platform's `LB_` variables override the file, as they override the JSON.
+"""
+
+from __future__ import annotations
+
+import os
+from collections.abc import Mapping
+
+from rosewheel.config.address import Address, parse_address
+from rosewheel.config.environment import ENVIRONMENT_KEYS, inherited_descriptor, random_seed
+from rosewheel.config.errors import ConfigError, InvalidFileError, InvalidValueError
+from rosewheel.config.node_config import ControlConfig, InitialEndpoints, NodeConfig
+from rosewheel.config.operator_config import OperatorConfig
+from rosewheel.config.operator_tables import EndpointTable
+from rosewheel.config.toml_file import read_file
+
+
+def load_operator_config(
+    path: str, environ: Mapping[str, str] = os.environ, reload: bool = False
+) -> NodeConfig:
+    """Read the operator's file.
+
+    Args:
+        path: the file.
+        environ: the environment variables.
+        reload: the node runs already. The file is then newer than the environment, so its discovery address overrides
+            LB_DISCOVERY.
+
+    Raises:
+        ConfigError: it can't be used; the text is one line, with the first error.
+    """
+    try:
+        file = read_file(path, OperatorConfig)
+    except InvalidFileError as error:
+        more = len(error.problems) - 1
+        hint = f" (and {more} more: `rosewheel check {path}` lists all)" if more else ""
+        raise ConfigError(error.messages()[0] + hint, error.key) from error
+    values = _overridden(file, environ, reload)
+    return NodeConfig(
+        name=values["name"],
+        listen_address=_address(values, "listen"),
+        discovery_address=_address(values, "discovery"),
+        seed=int(file.node.seed, 16) if file.node.seed else random_seed(),
+        settings=file.to_settings(),
+        limits=file.to_limits(),
+        initial_endpoints=InitialEndpoints(
+            0, [_endpoint_row(row) for row in file.discovery.initial_endpoints]
+        ),
+        admin_address=_address(values, "ops") if values["ops"] else None,
+        inherited_descriptor=inherited_descriptor(environ),
+        state_folder=file.node.state_folder or environ.get("TMPDIR") or None,
+        state_on_disk=bool(file.node.state_folder),
+        control=ControlConfig(file.control.addresses(), file.control.service, file) if file.control else None,
+    )
+
+
+def _overridden(file: OperatorConfig, environ: Mapping[str, str], reload: bool) -> dict[str, str]:
+    """The values that the environment may override, by the keys of ENVIRONMENT_KEYS."""
+    values = {
+        "name": file.node.name,
+        "listen": file.node.listen_address,
+        "ops": file.node.admin_address,
+        "discovery": file.discovery.address,
+    }
+    for variable, key in ENVIRONMENT_KEYS:
+        if environ.get(variable) and not (reload and key == "discovery"):
+            values[key] = environ[variable]
+    return values
+
+
+def _address(values: Mapping[str, str], key: str) -> Address:
+    try:
+        return parse_address(values[key])
+    except ValueError as error:
+        raise InvalidValueError(key, str(error)) from error
+
+
+def _endpoint_row(row: EndpointTable) -> dict[str, object]:
+    """The endpoint in discovery's JSON form."""
+    return {"host": row.host, "dial": row.address, "site": row.zone, "block": row.cell, "health": "active"}
--- a/tests/config/test_fleet_document.py
+++ b/tests/config/test_fleet_document.py
@@ -12,7 +12,8 @@
 from hypothesis import strategies as st
 
 from rosewheel.config.fleet_document import apply_fleet_document, cordoned_servers
-from rosewheel.config.operator_config import OperatorConfig, load_operator_config
+from rosewheel.config.operator_config import OperatorConfig
+from rosewheel.config.operator_file import load_operator_config
 from rosewheel.config.toml_file import parse_text
 from rosewheel.policy.settings import Tenant
 from tests.support.configurations import OPERATOR_TOML
--- a/tests/lab/test_scenario.py
+++ b/tests/lab/test_scenario.py
@@ -14,7 +14,7 @@
 
 from rosewheel.cli.main import main
 from rosewheel.config.errors import ConfigError, InvalidFileError
-from rosewheel.config.operator_config import load_operator_config
+from rosewheel.config.operator_file import load_operator_config
 from rosewheel.config.toml_file import parse_text
 from rosewheel.lab import plan as plans
 from rosewheel.lab import scenario as scenarios
--- a/tests/proxy/test_startup.py
+++ b/tests/proxy/test_startup.py
@@ -54,6 +54,7 @@
         "rosewheel.cli",
         "rosewheel.config.fleet_document",
         "rosewheel.config.operator_config",
+        "rosewheel.config.operator_file",
         "rosewheel.config.operator_tables",
         "rosewheel.config.toml_file",
         "rosewheel.config.typed_tables",
