--- /dev/null
+++ b/rosewheel/config/operator_config.py
@@ -0,0 +1,130 @@
+"""The operator's file as one typed value, and the settings and limits that it stands for.
+
+It takes the place of the platform's JSON; `operator_file` reads it.
+"""
+
+from __future__ import annotations
+
+import re
+
+import msgspec
+from msgspec import field
+
+from rosewheel.config.environment import (
+    available_descriptors,
+)
+from rosewheel.config.errors import InvalidValueError
+from rosewheel.config.operator_tables import (
+    ClassTable,
+    ConfigTable,
+    ControlTable,
+    DiscoveryTable,
+    LimitsTable,
+    LogTable,
+    NodeTable,
+    RoutingTable,
+    TenantTable,
+)
+from rosewheel.node.limits import Limits
+from rosewheel.policy.settings import InvalidSettingError, ServiceClass, Settings, Tenant
+
+REPORT_FIELDS = ("queue", "util")  # of a server's load report, in this order
+
+
+class OperatorConfig(ConfigTable, frozen=True, kw_only=True):
+    """The operator's file.
+
+    Attributes:
+        control: where the fleet's configuration is fetched from; None: from nowhere.
+    """
+
+    node: NodeTable
+    discovery: DiscoveryTable
+    limits: LimitsTable = LimitsTable()
+    routing: RoutingTable = RoutingTable()
+    classes: tuple[ClassTable, ...] = field(name="class")
+    tenants: tuple[TenantTable, ...] = field(name="tenant", default=())
+    log: LogTable = LogTable()
+    control: ControlTable | None = None
+
+    def __post_init__(self) -> None:
+        if not self.classes:
+            raise InvalidValueError("class", "no class of requests")
+        _check_unique("class", [row.name for row in self.classes])
+        _check_unique("tenant", [row.name for row in self.tenants])
+        try:
+            self.to_settings()
+        except InvalidSettingError as error:
+            raise InvalidValueError(_file_key(error.key), error.reason) from error
+
+    def to_settings(self) -> Settings:
+        """Settings of the decision module."""
+        routing = self.routing
+        return Settings(
+            classes=tuple(_service_class(row) for row in self.classes),
+            tenants=tuple(Tenant(row.name, row.quota_per_s) for row in self.tenants),
+            zone=routing.zone,
+            tier=routing.tier,
+            balancer_count=routing.balancer_count,
+            poll_discovery=self.discovery.poll,
+            weight_by_work=routing.weight_by_work,
+            over_quota_weight=routing.over_quota_weight,
+            report_fields=REPORT_FIELDS,
+            may_cancel=routing.may_cancel,
+            retry_after=routing.retry_after,
+            max_retry_after_ms=routing.max_retry_after_ms,
+            max_attempts=routing.max_attempts,
+            cross_zone_cost=routing.cross_zone_cost,
+            warm_up_initial_share=routing.warm_up_initial_share,
+            warm_up_ms=routing.warm_up_ms,
+            overload_factor=routing.overload_factor,
+            overload_window_ms=routing.overload_window_ms,
+            connect_timeout_ms=self.limits.connect_timeout_ms,
+        )
+
+    def to_limits(self) -> Limits:
+        """Limits that the node enforces by itself."""
+        return Limits(
+            idle_timeout_ms=self.limits.connection_idle_ms,
+            connect_timeout_ms=self.limits.connect_timeout_ms,
+            drain_notice_ms=self.routing.drain_grace_ms,
+            max_open_requests=self.limits.max_open,
+            hedging_allowed=self.routing.hedging,
+            health_checks_allowed=self.routing.may_probe,
+            max_sockets=available_descriptors(self.limits.sockets),
+            memory_limit_mb=self.limits.memory_mb,
+        )
+
+
+def _service_class(row: ClassTable) -> ServiceClass:
+    return ServiceClass(
+        name=row.name,
+        latency_objective_ms=row.latency_objective_ms,
+        deadline_ms=row.deadline_ms,
+        priority_weight=row.priority_weight,
+        late_weight=row.late_weight,
+        idempotency=row.idempotency,
+        dedup_scope=row.dedup_scope,
+        dedup_window_ms=row.dedup_window_ms,
+        streaming=row.streaming,
+    )
+
+
+def _check_unique(key: str, names: list[str]) -> None:
+    if len(set(names)) != len(names):
+        raise InvalidValueError(key, "a name stands twice")
+
+
+def _keys_of_settings() -> dict[str, str]:
+    """Keys of the file by the names of the settings that they become."""
+    keys = {item.name: f"routing.{item.encode_name}" for item in msgspec.structs.fields(RoutingTable)}
+    keys["connect_timeout_ms"] = "limits.connect_timeout_ms"
+    for table in (OperatorConfig, ClassTable, TenantTable):
+        keys |= {item.name: item.encode_name for item in msgspec.structs.fields(table)}
+    return keys
+
+
+def _file_key(path: str) -> str:
+    """A setting's path by the keys of the file: `classes[0].deadline_ms` is `class[0].give_up_ms`."""
+    keys = _keys_of_settings()
+    return re.sub(r"[a-z_]+", lambda name: keys.get(name[0], name[0]), path)
--- a/rosewheel/hot_restart/service.py
+++ b/rosewheel/hot_restart/service.py
@@ -8,7 +8,7 @@
 import socket
 from collections.abc import Mapping
 
-from rosewheel.config.platform import Address
+from rosewheel.config.address import Address
 from rosewheel.hot_restart.channel import Channel, ReceivedMessage
 from rosewheel.hot_restart.host import SiblingHost
 from rosewheel.hot_restart.messages import (
--- a/rosewheel/proxy/endpoints.py
+++ b/rosewheel/proxy/endpoints.py
@@ -34,8 +34,8 @@
 
     def apply_known_list(self) -> None:
         """Applies the list that the configuration names as known."""
-        known = self._parts.config.known.get("hosts")
-        self.list_updated(EndpointListForm.CACHED, parse_endpoints(known))
+        known = self._parts.config.initial_endpoints
+        self.list_updated(EndpointListForm.CACHED, parse_endpoints(known.entries))
 
     async def wait_for_list(self, shares_listener: bool) -> None:
         """Waits for discovery's first list, for a limited time.
@@ -91,6 +91,6 @@
             parts.apply(parts.node.update_endpoints(clock.now_ms(), EndpointListForm.FAILED))
             return
         duration_s = parts.loop.time() - parts.discovery.started_s
-        drain_notice_s = parts.config.bounds.drain_notice_ms / 1000.0
+        drain_notice_s = parts.config.limits.drain_notice_ms / 1000.0
         delay_s = self.backoff.next_delay_s(duration_s, drain_notice_s)
         parts.loop.call_later(delay_s, self.reopen_watch)
--- a/rosewheel/proxy/parts.py
+++ b/rosewheel/proxy/parts.py
@@ -5,7 +5,7 @@
 import asyncio
 from typing import TYPE_CHECKING, Protocol
 
-from rosewheel.config.platform import Config
+from rosewheel.config.node_config import NodeConfig
 from rosewheel.discovery.endpoint_list import DiscoveryWatch
 from rosewheel.hot_restart.migration import Migration
 from rosewheel.http.body import BufferBudget
@@ -38,7 +38,7 @@
         calls: The requests of clients by id, until each has its response.
     """
 
-    config: Config
+    config: NodeConfig
     loop: asyncio.AbstractEventLoop
     stopped: bool
     node: Node
--- a/rosewheel/proxy/process.py
+++ b/rosewheel/proxy/process.py
@@ -13,7 +13,8 @@
 
 import uvloop
 
-from rosewheel.config.platform import Config, ConfigError
+from rosewheel.config.errors import ConfigError
+from rosewheel.config.node_config import NodeConfig
 from rosewheel.proxy.proxy import Proxy
 
 if TYPE_CHECKING:
@@ -26,14 +27,14 @@
 # Of the garbage collector, while the node serves: collections are seldom, since each one delays responses.
 GC_THRESHOLDS = (20000, 20, 50)
 
-LoadConfig = Callable[[bool], Config]
+LoadConfig = Callable[[bool], NodeConfig]
 """Reads the configuration; the argument says whether it is read again, while the node runs."""
 
 
 class Reloadable(Protocol):
     """What takes over a configuration that was read again."""
 
-    def reload(self, config: Config) -> None:
+    def reload(self, config: NodeConfig) -> None:
         """Raises ConfigError, and changes nothing, where the configuration can't be applied."""
 
 
@@ -56,7 +57,7 @@
     return EXIT_OK
 
 
-async def _serve(config: Config, load: LoadConfig) -> None:
+async def _serve(config: NodeConfig, load: LoadConfig) -> None:
     stop = asyncio.Event()
     loop = asyncio.get_running_loop()
     for name in (signal.SIGTERM, signal.SIGINT):
@@ -75,7 +76,7 @@
     await proxy.drain()
 
 
-def _fleet_configuration(proxy: Proxy, config: Config) -> FleetConfiguration | None:
+def _fleet_configuration(proxy: Proxy, config: NodeConfig) -> FleetConfiguration | None:
     """Connects the node to the fleet's configuration where its file says so.
 
     Imported only then: it needs more libraries than `run` on the platform has.
--- a/rosewheel/proxy/proxy.py
+++ b/rosewheel/proxy/proxy.py
@@ -8,7 +8,8 @@
 import random
 from typing import TYPE_CHECKING
 
-from rosewheel.config.platform import Config, ConfigError
+from rosewheel.config.errors import ConfigError
+from rosewheel.config.node_config import NodeConfig
 from rosewheel.discovery.endpoint_list import DiscoveryWatch, parse_endpoints
 from rosewheel.hot_restart.migration import Migration
 from rosewheel.hot_restart.service import HotRestart
@@ -39,17 +40,20 @@
 
 log = logging.getLogger("rosewheel.proxy")
 
-FIXED_KEYS = ("name", "listen", "ops", "state")  # of the configuration; applied at the start only
+# Fields of the configuration that are applied at the start only, by their keys in the file.
+FIXED_KEYS = {"name": "name", "listen": "listen_address", "ops": "admin_address", "state": "state_folder"}
 
 
 class Proxy:
     """One process of a node. Implements `hot_restart.host.MigrationHost` and the operators' API."""
 
-    def __init__(self, config: Config) -> None:
+    def __init__(self, config: NodeConfig) -> None:
         self.config = config
         self.loop = asyncio.get_running_loop()
         self.stopped = False
-        self.shares_listener = config.inherited is not None  # another process accepts from the same socket
+        self.shares_listener = (
+            config.inherited_descriptor is not None
+        )  # another process accepts from the same socket
         self.calls: dict[str, DownstreamRequest] = {}
         self.random = random.Random(config.seed)
         self.requests = RequestHandler(self)
@@ -59,26 +63,28 @@
         self.endpoints = EndpointUpdates(self, self.random)
         self.cordons = Cordons(self._apply_cordon)
         self.shared_state = SharedState(
-            config.state,
+            config.state_folder,
             self.cordons.set_by_operator,
             self.siblings.process_count_changed,
-            follow=config.inherited is not None,
+            follow=config.inherited_descriptor is not None,
         )
-        self.node = Node(config.settings, config.bounds, config.seed, clock.now_ms())
+        self.node = Node(config.settings, config.limits, config.seed, clock.now_ms())
         self.upstream = self._create_upstream()
         self.budget = BufferBudget(0)
         self.server = self._create_server()
         self.admin = self._create_admin()
-        self.snapshots = SnapshotWriter(config.state, config.name, self._learned_values, config.on_disk)
+        self.snapshots = SnapshotWriter(
+            config.state_folder, config.name, self._learned_values, config.state_on_disk
+        )
         self.migration = Migration(self)
-        folder = config.state if config.handover else None
+        folder = config.state_folder if config.hot_restart_allowed else None
         self.hot_restart = HotRestart(folder, config.name, self.siblings, self.migration)
         self.discovery = self._create_discovery()
-        self.resources.divide(config.bounds.max_sockets)
+        self.resources.divide(config.limits.max_sockets)
 
     def _create_upstream(self) -> UpstreamPool:
         return UpstreamPool(
-            self.config.bounds,
+            self.config.limits,
             self.resources.free_descriptor,
             self.requests.attempt_finished,
             self.requests.health_check_finished,
@@ -98,20 +104,19 @@
         )
 
     def _create_admin(self) -> AdminServer | None:
-        if self.config.ops is None:
+        if self.config.admin_address is None:
             return None
         from rosewheel.admin.server import AdminServer  # imported here: every start would pay for it
 
         return AdminServer(self)
 
     def _create_discovery(self) -> DiscoveryWatch:
-        known = self.config.known
-        revision = known.get("seq")
+        known = self.config.initial_endpoints
         return DiscoveryWatch(
-            self.config.discovery,
-            revision if isinstance(revision, int) else 0,
+            self.config.discovery_address,
+            known.revision,
             self.endpoints.list_updated,
-            [server.address for server, _ in parse_endpoints(known.get("hosts"))],
+            [server.address for server, _ in parse_endpoints(known.entries)],
             on_first_line=self.endpoints.watch_opened,
         )
 
@@ -126,16 +131,16 @@
             ConfigError: An address can't be bound.
         """
         # The sockets first, so that a bad address ends the process before it has asked for anything.
-        inherited, admin_socket = self.config.inherited, None
+        inherited, admin_socket = self.config.inherited_descriptor, None
         if self.hot_restart.connect_to_predecessor() and inherited is None:
-            listen, ops = self.config.listen, self.config.ops
+            listen, ops = self.config.listen_address, self.config.admin_address
             borrowed, admin_socket = await self.hot_restart.borrow_listeners(listen, ops)
             self.shares_listener = borrowed is not None
             inherited = None if borrowed is None else borrowed.detach()
-        sock = open_listener(self.config.listen, inherited)
+        sock = open_listener(self.config.listen_address, inherited)
         self.shared_state.start()  # before anything can be sent: cordoned servers stay cordoned
-        if self.admin is not None and self.config.ops is not None:
-            await self.admin.start(admin_socket or bind(self.config.ops, "LB_OPS"))
+        if self.admin is not None and self.config.admin_address is not None:
+            await self.admin.start(admin_socket or bind(self.config.admin_address, "LB_OPS"))
         self.endpoints.apply_known_list()
         self._restore_learned_state()
         if not self.config.settings.poll_discovery:
@@ -185,25 +190,27 @@
 
     # ---------------------------------------------------------- configuration
 
-    def reload(self, config: Config) -> None:
+    def reload(self, config: NodeConfig) -> None:
         """Applies what may change while the node runs: the address of discovery, settings and limits.
 
         Raises:
             ConfigError: Settings or limits can't be applied; nothing has changed then.
         """
         try:
-            self.configure(config.settings, config.bounds)
+            self.configure(config.settings, config.limits)
         except ValueError as error:
             raise ConfigError(str(error)) from error
-        fixed = [key for key in FIXED_KEYS if getattr(config, key) != getattr(self.config, key)]
+        fixed = [
+            key for key, name in FIXED_KEYS.items() if getattr(config, name) != getattr(self.config, name)
+        ]
         if fixed:
             log.warning("configuration keys ignored until a restart: keys=%s", ", ".join(fixed))
-        address_changed = config.discovery != self.config.discovery
-        self.config = dataclasses.replace(self.config, discovery=config.discovery)
-        log.info("configuration reloaded: discovery=%s:%d", *config.discovery)
+        address_changed = config.discovery_address != self.config.discovery_address
+        self.config = dataclasses.replace(self.config, discovery_address=config.discovery_address)
+        log.info("configuration reloaded: discovery=%s:%d", *config.discovery_address)
         if not address_changed or self.stopped:
             return
-        self.discovery.change_address(config.discovery)
+        self.discovery.change_address(config.discovery_address)
         self.apply(self.node.discovery_address_changed(clock.now_ms()))
         if not self.config.settings.poll_discovery:
             self.discovery.start()
@@ -215,10 +222,10 @@
             ValueError: They can't be applied, with the key that is the reason; nothing has changed then.
         """
         before = self.config
-        if settings == before.settings and bounds == before.bounds:
+        if settings == before.settings and bounds == before.limits:
             return
         effects = self.node.configure(clock.now_ms(), settings, bounds)  # first: it alone may refuse
-        self.config = dataclasses.replace(before, settings=settings, bounds=bounds)
+        self.config = dataclasses.replace(before, settings=settings, limits=bounds)
         self.upstream.configure(bounds, large_fleet=is_large_fleet(settings))
         self.resources.divide(bounds.max_sockets)
         self.resources.close_excess_idle()
--- a/rosewheel/proxy/reconfiguration.py
+++ b/rosewheel/proxy/reconfiguration.py
@@ -9,8 +9,9 @@
 from pathlib import Path
 from typing import Protocol
 
-from rosewheel.config.operator import cordons, tuned
-from rosewheel.config.platform import Config, ConfigError, Control
+from rosewheel.config.errors import ConfigError
+from rosewheel.config.fleet_document import apply_fleet_document, cordoned_servers
+from rosewheel.config.node_config import ControlConfig, NodeConfig
 from rosewheel.control.documents import Document
 from rosewheel.control.subscriber import ConfigurationSubscriber
 from rosewheel.node.limits import Limits
@@ -28,7 +29,7 @@
     def set_fleet_cordons(self, servers: frozenset[str]) -> None:
         """Replaces the set of servers that the fleet has cordoned."""
 
-    def reload(self, config: Config) -> None:
+    def reload(self, config: NodeConfig) -> None:
         """Applies a configuration that was read again; raises ConfigError, and changes nothing, where it can't."""
 
 
@@ -41,11 +42,11 @@
         control: The service and the control machines that the configuration comes from.
     """
 
-    def __init__(self, node: ConfigurableNode, config: Config, control: Control) -> None:
+    def __init__(self, node: ConfigurableNode, config: NodeConfig, control: ControlConfig) -> None:
         self._node = node
         self._control = control
         self._applied: Document = {}
-        cache = Path(config.state) / CACHE_NAME if config.state else None
+        cache = Path(config.state_folder) / CACHE_NAME if config.state_folder else None
         self._subscriber = ConfigurationSubscriber(
             config.name, control.service, control.machines, config.seed, cache, self._apply
         )
@@ -58,7 +59,7 @@
         """Disconnects from control."""
         self._subscriber.close()
 
-    def reload(self, config: Config) -> None:
+    def reload(self, config: NodeConfig) -> None:
         """Applies the node's own file, read again, below the fleet's configuration.
 
         Raises:
@@ -71,14 +72,14 @@
         ):
             raise ConfigError("control: changes only with a restart")
         try:
-            settings, bounds = tuned(control.own, self._applied)
+            settings, bounds = apply_fleet_document(control.node_file, self._applied)
         except ValueError as error:
             raise ConfigError(f"with what control says: {error}") from error
-        self._node.reload(dataclasses.replace(config, settings=settings, bounds=bounds))
+        self._node.reload(dataclasses.replace(config, settings=settings, limits=bounds))
         self._control = control
 
     def _apply(self, document: Document) -> None:
-        servers = cordons(document)
-        self._node.configure(*tuned(self._control.own, document))
+        servers = cordoned_servers(document)
+        self._node.configure(*apply_fleet_document(self._control.node_file, document))
         self._node.set_fleet_cordons(servers)
         self._applied = document
--- a/rosewheel/proxy/resources.py
+++ b/rosewheel/proxy/resources.py
@@ -51,7 +51,7 @@
             # An offered connection holds its descriptors twice, so the window counts for both processes.
             unused = max_sockets - self.predecessor_descriptors - 2 * MAX_PENDING_OFFERS
             sockets = max(sockets, unused)
-        memory_mb = int(parts.config.bounds.memory_limit_mb / self.process_count * BODY_MEMORY_SHARE)
+        memory_mb = int(parts.config.limits.memory_limit_mb / self.process_count * BODY_MEMORY_SHARE)
         parts.budget.limit_bytes = memory_mb << 20
         reserved = min(RESERVED_DESCRIPTORS, max(MIN_RESERVED_DESCRIPTORS, sockets // RESERVED_DIVISOR))
         if parts.admin is not None:
--- a/rosewheel/proxy/siblings.py
+++ b/rosewheel/proxy/siblings.py
@@ -43,7 +43,7 @@
         # A predecessor that gives up its connections still lives, but starts no requests.
         deciding = processes if resources.predecessor_descriptors is None else 1
         parts.apply(parts.node.process_count_changed(clock.now_ms(), deciding))
-        resources.divide(parts.config.bounds.max_sockets)
+        resources.divide(parts.config.limits.max_sockets)
         resources.close_excess_idle()
 
     def sibling_connected(self) -> None:
@@ -63,7 +63,7 @@
         """The predecessor gives up its connections: what it no longer holds is this process's to use."""
         if descriptors is not None:
             self._resources.predecessor_descriptors = descriptors
-            self._resources.divide(self._parts.config.bounds.max_sockets)
+            self._resources.divide(self._parts.config.limits.max_sockets)
 
     def predecessor_leaves(self, descriptors: int | None) -> None:
         """The predecessor starts no requests from now on, so this process paces servers by itself."""
--- a/tests/http/test_disconnects_between_attempts.py
+++ b/tests/http/test_disconnects_between_attempts.py
@@ -14,7 +14,8 @@
 from rosewheel.http.downstream_connection import DownstreamConnection
 from rosewheel.http.request_reader import MAX_PIPELINED_REQUESTS
 from rosewheel.policy.actions import ForwardRequest
-from rosewheel.proxy.proxy import Proxy, now_ms
+from rosewheel.proxy.clock import now_ms
+from rosewheel.proxy.proxy import Proxy
 from tests.support.balancers import IDEMPOTENT, IDEMPOTENT_WITH_KEY, NON_IDEMPOTENT
 from tests.support.sockets import (
     Client,
--- a/tests/lab/test_scenario.py
+++ b/tests/lab/test_scenario.py
@@ -13,16 +13,16 @@
 from hypothesis import strategies as st
 
 from rosewheel.cli.main import main
-from rosewheel.config import operator
-from rosewheel.config.checked import ProblemsError, parse
-from rosewheel.config.platform import ConfigError
+from rosewheel.config.errors import ConfigError, InvalidFileError
+from rosewheel.config.operator_file import load_operator_config
+from rosewheel.config.toml_file import parse_text
 from rosewheel.lab import plan as plans
 from rosewheel.lab import scenario as scenarios
 from rosewheel.lab.plan_codec import plan_lines
 from rosewheel.lab.scenario import Scenario
 from rosewheel.policy.settings import DedupScope, Idempotency
-
-ROOT = Path(__file__).parent.parent.parent
+from tests.support.configurations import OPERATOR_TOML
+from tests.support.processes import ROOT
 
 GOOD = """
 name = "small"
@@ -56,9 +56,9 @@
 
 
 def problems(text: str) -> list[str]:
-    with pytest.raises(ProblemsError) as caught:
-        parse(text, Scenario, "s")
-    return caught.value.lines()
+    with pytest.raises(InvalidFileError) as caught:
+        parse_text(text, Scenario, "s")
+    return caught.value.messages()
 
 
 @pytest.mark.parametrize(
@@ -112,7 +112,7 @@
 @given(st.integers(0, 2**40))
 @settings(max_examples=10, deadline=None)
 def test_a_seed_gives_one_plan(seed: int):
-    loaded = parse(GOOD, Scenario, "s")
+    loaded = parse_text(GOOD, Scenario, "s")
     one = b"\n".join(plan_lines(plans.make(loaded, seed)))
     assert one == b"\n".join(plan_lines(plans.make(loaded, seed)))
     assert one != b"\n".join(plan_lines(plans.make(loaded, seed + 1)))
@@ -135,13 +135,15 @@
         for salt in ("1", "2")
     ]
     assert (
-        expected[0] == expected[1] == b"\n".join(plan_lines(plans.make(parse(GOOD, Scenario, "s")))) + b"\n"
+        expected[0]
+        == expected[1]
+        == b"\n".join(plan_lines(plans.make(parse_text(GOOD, Scenario, "s")))) + b"\n"
     )
 
 
 def test_another_server_does_not_change_other_draws():
-    loaded = plans.make(parse(GOOD, Scenario, "s"))
-    more = plans.make(parse(GOOD.replace("count = 3", "count = 5"), Scenario, "s"))
+    loaded = plans.make(parse_text(GOOD, Scenario, "s"))
+    more = plans.make(parse_text(GOOD.replace("count = 3", "count = 5"), Scenario, "s"))
     assert [spec.speed for spec in loaded.servers if spec.tier == 0] == [
         spec.speed for spec in more.servers if spec.tier == 0
     ]
@@ -151,7 +153,7 @@
 def test_a_surge_in_the_arrivals_has_the_size_and_length_of_its_steps():
     text = GOOD[: GOOD.index("[[trouble]]")]
     text += '[[trouble]]\nkind = "surge"\nat_s = 5\nfor_s = [2, 9]\nsize = [8, 12]\n'
-    plan = plans.make(parse(text, Scenario, "s"))
+    plan = plans.make(parse_text(text, Scenario, "s"))
     begin, end = (step.at_ms for step in plan.steps)
     rate = sum(begin <= item.at_ms < end for item in plan.arrivals) / (end - begin) * 1000.0
     after = sum(end + 200.0 <= item.at_ms for item in plan.arrivals) / (20_000.0 - end - 200.0) * 1000.0
@@ -168,7 +170,7 @@
 
 
 def test_a_deploy_drains_stops_and_replaces_each_server_once():
-    plan = plans.make(parse(GOOD, Scenario, "s"))
+    plan = plans.make(parse_text(GOOD, Scenario, "s"))
     by: dict[str, list[str]] = {}
     for step in plan.steps:
         by.setdefault(step.phase, []).extend(step.targets)
@@ -201,36 +203,19 @@
     loaded = scenarios.load("quiet", {"clients.rate_per_s": 7, "tier.0.kind.1.count": 1})
     assert loaded.clients.rate_per_s == 7.0
     assert loaded.tiers[0].kinds[1].count == 1
-    with pytest.raises(ProblemsError, match="no such place"):
+    with pytest.raises(InvalidFileError, match="no such place"):
         scenarios.load("quiet", {"tier.9.calls": 1})
 
 
 # ------------------------------------------------------- the operator's file
 
-OPERATOR = """
-[node]
-listen = "127.0.0.1:7999"
-seed = "8c1f"
-[discovery]
-address = "127.0.0.1:1"
-[routing]
-cold_from = 0.2
-[[class]]
-name = "comentario"
-aim_ms = 2500
-give_up_ms = 6000
-effect = "keyed"
-group = "cell"
-memory_ms = 10000
-"""
-
 
 def test_the_operators_file_gives_the_settings_of_the_policy(tmp_path: Path):
     path = tmp_path / "node.toml"
-    path.write_text(OPERATOR)
-    config = operator.load(str(path), {"LB_LISTEN": "127.0.0.1:8001", "TMPDIR": "/x"})
-    assert config.listen == ("127.0.0.1", 8001)
-    assert (config.seed, config.state, config.ops) == (0x8C1F, "/x", None)
+    path.write_text(OPERATOR_TOML)
+    config = load_operator_config(str(path), {"LB_LISTEN": "127.0.0.1:8001", "TMPDIR": "/x"})
+    assert config.listen_address == ("127.0.0.1", 8001)
+    assert (config.seed, config.state_folder, config.admin_address) == (0x8C1F, "/x", None)
     row = config.settings.classes[0]
     assert (row.idempotency, row.dedup_scope, row.dedup_window_ms) == (
         Idempotency.IDEMPOTENT_WITH_KEY,
@@ -240,7 +225,7 @@
 
 
 def test_the_commented_example_is_valid():
-    config = operator.load(str(ROOT / "deploy" / "rosewheel.toml"), {})
+    config = load_operator_config(str(ROOT / "deploy" / "rosewheel.toml"), {})
     assert config.settings.classes
 
 
@@ -259,9 +244,9 @@
     tmp_path: Path, old: str, new: str, expected: str
 ):
     path = tmp_path / "node.toml"
-    path.write_text(OPERATOR.replace(old, new, 1))
+    path.write_text(OPERATOR_TOML.replace(old, new, 1))
     with pytest.raises(ConfigError) as caught:
-        operator.load(str(path), {})
+        load_operator_config(str(path), {})
     assert expected in str(caught.value)
     command = [sys.executable, "-m", "rosewheel.cli", "node", "--config", str(path)]
     done = subprocess.run(command, cwd=ROOT, capture_output=True, text=True, check=False, timeout=60)
--- a/tests/lab/test_simulation.py
+++ b/tests/lab/test_simulation.py
@@ -15,7 +15,7 @@
 from hypothesis import strategies as st
 
 from rosewheel.cli.main import main
-from rosewheel.config.checked import ProblemsError
+from rosewheel.config.errors import InvalidFileError
 from rosewheel.lab import invariant_checker, plan, scenario
 from rosewheel.lab.discovery_delays import DiscoveryChange
 from rosewheel.lab.fault_table import ZONE_FAULT_KINDS, FaultKind
@@ -321,5 +321,5 @@
 
 
 def test_a_kill_during_an_upgrade_is_rejected_by_the_simulation() -> None:
-    with pytest.raises(ProblemsError, match=r"kills"):
+    with pytest.raises(InvalidFileError, match=r"kills"):
         check_simulated(scenario.load("upgrade-kills"))
--- a/tests/proxy/test_reconfiguration.py
+++ b/tests/proxy/test_reconfiguration.py
@@ -15,16 +15,17 @@
 import pytest
 
 from rosewheel.admin.server import respond_to
-from rosewheel.config.platform import ConfigError
+from rosewheel.config.errors import ConfigError
 from rosewheel.discovery.watch_client import SILENCE_TIMEOUT_S
 from rosewheel.node.limits import Limits
 from rosewheel.policy.settings import Settings
 from rosewheel.proxy.cordons import Cordons
 from rosewheel.proxy.proxy import Proxy
 from rosewheel.proxy.shared_state import SharedState
-from tests.cli.test_run import connect, free_port, good, start
 from tests.hot_restart.test_hot_restart import LONG, bench, read_long, send_long, slow_client
 from tests.support.balancers import IDEMPOTENT, NON_IDEMPOTENT
+from tests.support.configurations import PLATFORM_SETTINGS, platform_document
+from tests.support.processes import connect, free_port, start_node
 from tests.support.sockets import (
     WAIT_S,
     Client,
@@ -37,7 +38,6 @@
     status,
     until,
 )
-from tests.test_adapter import CONFIG
 
 
 def other(relay: Proxy, **changes: Any) -> Settings:
@@ -57,17 +57,17 @@
         free, slow = gated_handler()
         port = free_port()
         async with FakeServer(slow).up() as server:
-            row = good(
+            row = platform_document(
                 listen=f"127.0.0.1:{port}",
                 known={"seq": 1, "whole": True, "hosts": [entry("s", server.port)]},
-                settings=CONFIG | {"registryMode": "push", "invariants": {"drainGraceMs": 400.0}},
+                settings=PLATFORM_SETTINGS | {"registryMode": "push", "invariants": {"drainGraceMs": 400.0}},
             )
 
             async def refused(service: str) -> bool:
                 async with Client(port=port) as client:  # one of its own, since it ends with that
                     return status(await client.ask(service)) == 400
 
-            process = start(tmp_path, row)
+            process = start_node(tmp_path, row)
             lines = lines_of(process)
             path = tmp_path / "config.json"
             try:
@@ -77,7 +77,7 @@
                     old.send("post", id="old")
                     await until(lambda: len(server.got) == 1)
                     late = {"name": "late", "aimMs": 900.0, "giveUpMs": 2000.0, "effect": effect}
-                    classes = [one for one in CONFIG["categories"] if one["name"] != "post"]
+                    classes = [one for one in PLATFORM_SETTINGS["categories"] if one["name"] != "post"]
                     wanted = row["settings"] | {"categories": [*classes, late]}
 
                     async def told(settings: dict[str, Any], line: str) -> None:
@@ -117,16 +117,16 @@
             kept = vars(relay.node.balancer).copy()
             bad = dataclasses.replace(
                 before,
-                discovery=("127.0.0.1", 2),
+                discovery_address=("127.0.0.1", 2),
                 settings=other(relay, tier=1, classes=(IDEMPOTENT,)),
-                bounds=Limits(max_sockets=64, memory_limit_mb=33.0),
+                limits=Limits(max_sockets=64, memory_limit_mb=33.0),
             )
             with pytest.raises(ConfigError, match=r"^tier: 1 would need a new start of this node$"):
                 relay.reload(bad)
             assert relay.config is before
-            assert relay.upstream.bounds is before.bounds
-            assert relay.node.limits is before.bounds
-            assert relay.discovery.address == before.discovery
+            assert relay.upstream.bounds is before.limits
+            assert relay.node.limits is before.limits
+            assert relay.discovery.address == before.discovery_address
             assert all(value is kept[key] for key, value in vars(relay.node.balancer).items())
             assert status(await client.ask("post")) == 200
 
@@ -138,7 +138,7 @@
         async with node([]) as relay:
             before = vars(relay.node.balancer).copy()
             relay.reload(
-                dataclasses.replace(relay.config, seed=99, bounds=dataclasses.replace(relay.config.bounds))
+                dataclasses.replace(relay.config, seed=99, limits=dataclasses.replace(relay.config.limits))
             )
             assert all(value is before[key] for key, value in vars(relay.node.balancer).items())
 
@@ -148,7 +148,7 @@
 def test_what_only_a_start_takes_over_is_said(caplog: pytest.LogCaptureFixture):
     async def main() -> None:
         async with node([]) as relay:
-            relay.reload(dataclasses.replace(relay.config, listen=("127.0.0.1", 9), name="x"))
+            relay.reload(dataclasses.replace(relay.config, listen_address=("127.0.0.1", 9), name="x"))
             assert "configuration keys ignored until a restart: keys=name, listen" in caplog.text
 
     run(main())
@@ -188,12 +188,12 @@
                 for caller in relay.server.connections:
                     caller.last_activity_s -= 10.0  # none of them is new, so each may be closed
                 relay.configure(
-                    relay.config.settings, dataclasses.replace(relay.config.bounds, max_sockets=64)
+                    relay.config.settings, dataclasses.replace(relay.config.limits, max_sockets=64)
                 )
                 assert relay.resources.max_descriptors < 46
                 assert relay.resources.descriptor_count <= relay.resources.max_descriptors
                 relay.configure(
-                    relay.config.settings, dataclasses.replace(relay.config.bounds, max_sockets=32)
+                    relay.config.settings, dataclasses.replace(relay.config.limits, max_sockets=32)
                 )
                 assert relay.resources.max_descriptors < 12  # 6 callers and 6 equipos' connections are in use
                 await until(lambda: len(relay.server.connections) == 6)
@@ -208,14 +208,14 @@
     async def main() -> None:
         async with FakeDiscovery().up() as discovery, node([], discovery) as relay:
             await until(lambda: len(discovery.writers) == 1)
-            relay.configure(other(relay, poll_discovery=False), relay.config.bounds)
+            relay.configure(other(relay, poll_discovery=False), relay.config.limits)
             assert relay.discovery.silence_timeout_s == SILENCE_TIMEOUT_S  # one time for both ways
             assert relay.discovery.is_open
             discovery.writers[-1].transport.abort()  # the module would wait for long; the agent costs nothing
             await until(lambda: len(discovery.writers) == 2)
             discovery.writers[-1].transport.abort()
             await until(lambda: not relay.discovery.is_open)  # the next look is set for a moment from now
-            relay.configure(other(relay, poll_discovery=True), relay.config.bounds)
+            relay.configure(other(relay, poll_discovery=True), relay.config.limits)
             assert relay.discovery.silence_timeout_s == SILENCE_TIMEOUT_S
             await until(lambda: len(discovery.writers) == 3)
             watch = relay.discovery._connection
@@ -340,7 +340,7 @@
                 client = await slow_client(old, nodes.port)
                 old.configure(
                     other(old, classes=(NON_IDEMPOTENT, dataclasses.replace(IDEMPOTENT, name="new"))),
-                    old.config.bounds,
+                    old.config.limits,
                 )
                 nodes.changes["classes"] = (NON_IDEMPOTENT,)
                 new = await nodes.next()
