--- a/Makefile
+++ b/Makefile
@@ -12,6 +12,7 @@
 check: .venv-dev/complete
 	@$(KNOWN_RED) | sed 's/^/known red, passed over: /'
 	$(BIN)/ruff check . && $(BIN)/ruff format --check . && $(BIN)/mypy \
+		&& $(BIN)/lint-imports \
 		&& $(BIN)/pytest $$($(KNOWN_RED) | awk '{ print "--deselect", $$1 }')
 
 # Made anew when the list of requirements has changed; the mark is set only when pip has succeeded.
--- a/rosewheel/__main__.py
+++ b/rosewheel/__main__.py
@@ -7,14 +7,16 @@
 
 
 def main() -> int:
-    # What the imports make stays as long as the node: nothing is looked through until it serves. Hence in here.
+    """Run a node by the platform's configuration; returns its exit code."""
+    # Objects that imports create live as long as the process, so collections during the start would find nothing. The
+    # imports are in this function because the collector has to be off before them.
     gc.disable()
     from rosewheel import logs
     from rosewheel.config.platform import load_platform_config
     from rosewheel.proxy import process
 
     logs.start()
-    return process.run(lambda again: load_platform_config(reload=again))
+    return process.run(lambda reload: load_platform_config(reload=reload))
 
 
 if __name__ == "__main__":
--- a/rosewheel/lab/discovery.py
+++ b/rosewheel/lab/discovery.py
@@ -64,8 +64,10 @@
     """
 
     def __init__(self, node: str, on_notified: Callable[[str, DiscoveryEntry], None]) -> None:
-        """Args:
-        on_notified: called with the node and each entry that is written to a watch.
+        """Make the agent of a node.
+
+        Args:
+            on_notified: called with the node and each entry that is written to a watch.
         """
         self.node = node
         self.loop = asyncio.get_running_loop()
@@ -191,8 +193,10 @@
         draw_delay_ms: Callable[[DiscoveryChange], float],
         on_notified: Callable[[str, str, DiscoveryEntry, float], None],
     ) -> None:
-        """Args:
-        on_notified: called with the node, the name of the server, its entry, and the time.
+        """Make an empty registry.
+
+        Args:
+            on_notified: called with the node, the name of the server, its entry, and the time.
         """
         self.loop = asyncio.get_running_loop()
         self.agents: dict[str, DiscoveryAgent] = {}
--- a/rosewheel/lab/scale/change_propagation.py
+++ b/rosewheel/lab/scale/change_propagation.py
@@ -25,8 +25,10 @@
 
 @dataclass(slots=True, frozen=True)
 class ChangePropagation:
-    """By phase of the change, and for `ALL_PHASES`: endpoint lists received by the service's nodes, configurations
-    applied by all nodes, and configurations acknowledged by all nodes."""
+    """How long changes took, by phase of the change and for `ALL_PHASES`.
+
+    Endpoint lists received by the service's nodes; configurations applied, and acknowledged, by all nodes.
+    """
 
     lists: dict[str, Propagation]
     config: dict[str, Propagation]
--- a/rosewheel/lab/scale/messages.py
+++ b/rosewheel/lab/scale/messages.py
@@ -91,8 +91,10 @@
 
 
 class TrafficCounters(msgspec.Struct, array_like=True):
-    """Traffic of connections since the start. Upstream is from the caller to the target; a read is one piece that the
-    network received."""
+    """Traffic of connections since the start.
+
+    Upstream is from the caller to the target; a read is one piece that the network received.
+    """
 
     connections: int = 0
     upstream_bytes: int = 0
--- a/rosewheel/lab/scale/network_layout.py
+++ b/rosewheel/lab/scale/network_layout.py
@@ -22,8 +22,10 @@
 
 
 class NetworkLayout:
-    """Listeners for each zone; for each real node, which has no source address of its own; and from each control
-    machine to each other one.
+    """The listeners of the network.
+
+    One for each zone, one for each real node, which has no source address of its own, and one from each control machine
+    to each other one.
 
     Args:
         plan: The plan.
--- a/rosewheel/lab/scale/reachability.py
+++ b/rosewheel/lab/scale/reachability.py
@@ -31,7 +31,9 @@
         return self.regions[first] == self.regions[second]
 
     def choose_target(self, caller: str, targets: Iterable[str]) -> str:
-        """The first target that the caller can reach, in an order of the caller's own; the first one if it can reach
-        none."""
+        """The first target that the caller can reach, in an order of the caller's own.
+
+        The first one of that order if it can reach none.
+        """
         order = sorted(targets, key=lambda name: hashlib.blake2b(f"{caller}/{name}".encode()).digest())
         return next((name for name in order if self.can_reach(caller, name)), order[0])
--- a/rosewheel/lab/simulation/discovery.py
+++ b/rosewheel/lab/simulation/discovery.py
@@ -94,8 +94,10 @@
         was_notified: Callable[[str, str], bool],
         rng: np.random.Generator,
     ) -> None:
-        """Args:
-        was_notified: whether a node of this name was ever notified of that server.
+        """Make an empty registry.
+
+        Args:
+            was_notified: whether a node of this name was ever notified of that server.
         """
         self.queue, self.plan, self.rng, self._on_notified = queue, plan, rng, on_notified
         self.was_notified = was_notified
--- a/rosewheel/listener.py
+++ b/rosewheel/listener.py
@@ -23,6 +23,15 @@
 
 
 def bind(address: Address, key: str) -> socket.socket:
+    """Open a listening socket.
+
+    Args:
+        address: host and port.
+        key: the configuration key of the address, for the error.
+
+    Raises:
+        ConfigError: the address can't be bound.
+    """
     host, port = address
     try:
         family = socket.AF_INET6 if ":" in host else socket.AF_INET
--- a/rosewheel/logs.py
+++ b/rosewheel/logs.py
@@ -19,6 +19,7 @@
         self.second, self.lines = 0.0, 0
 
     def filter(self, record: logging.LogRecord) -> bool:
+        """Whether the record is among the first `LINES_PER_S` of its second."""
         second = record.created // 1.0
         if second != self.second:
             self.second, self.lines = second, 0
--- a/tests/cli/test_command.py
+++ b/tests/cli/test_command.py
@@ -29,7 +29,7 @@
     assert any("serves" in json.loads(line)["event"] for line in lines)
     path.write_text(good.replace("[routing]", "[rooting]"))
     process.send_signal(signal.SIGHUP)
-    row = next(row for row in map(json.loads, lines) if "stays as it was" in row["event"])
+    row = next(row for row in map(json.loads, lines) if "configuration not reloaded" in row["event"])
     assert "rooting: unknown key" in row["event"]
     assert row["level"] == "error"
     process.send_signal(signal.SIGTERM)
