--- a/benchmarks/added_time.py
+++ b/benchmarks/added_time.py
@@ -99,9 +99,9 @@
             self.write()
             self._schedule()
 
-        SnapshotWriter._replace_file = put
+        SnapshotWriter._replace_file = put  # type: ignore[method-assign]
         if name == "on-loop":
-            SnapshotWriter._write_scheduled = due
+            SnapshotWriter._write_scheduled = due  # type: ignore[method-assign]
         gc.callbacks.append(note)
         if name == "gc-off":
             gc.disable()
--- a/benchmarks/lists.py
+++ b/benchmarks/lists.py
@@ -81,7 +81,7 @@
             await asyncio.sleep(0)
         each.append(time.perf_counter() - began)
         began = time.perf_counter()
-        whole._endpoint_list_updated(EndpointListForm.SNAPSHOT, parse_endpoints(orjson.loads(text)["hosts"]))
+        whole.endpoints.list_updated(EndpointListForm.SNAPSHOT, parse_endpoints(orjson.loads(text)["hosts"]))
         at_once.append(time.perf_counter() - began)
         await asyncio.sleep(0)
     assert set(node.node.servers) == set(whole.node.servers)
--- a/benchmarks/snapshot.py
+++ b/benchmarks/snapshot.py
@@ -25,6 +25,7 @@
     Server,
 )
 from rosewheel.policy.settings import Idempotency, ServiceClass, Settings
+from rosewheel.proxy.snapshot_codec import LearnedValues
 from rosewheel.proxy.snapshots import MAX_TIME_SHARE, PERIOD_S, SnapshotWriter
 
 
@@ -50,7 +51,9 @@
         )
         decisions.append(time.perf_counter() - began)
     with tempfile.TemporaryDirectory() as folder:
-        snapshots = SnapshotWriter(folder, "n0", lambda: (balancer.capture_learned_state(now), 1.0))
+        snapshots = SnapshotWriter(
+            folder, "n0", lambda: LearnedValues(balancer.capture_learned_state(now), 1.0)
+        )
         costs = []
         for _ in range(repeat):
             snapshots.write()
