--- a/rosewheel/lab/discovery_delays.py
+++ b/rosewheel/lab/discovery_delays.py
@@ -6,7 +6,7 @@
 
 import numpy as np
 
-from rosewheel.lab.scenario import DiscoveryTable
+from rosewheel.lab.run_tables import DiscoveryTable
 from rosewheel.lab.tables import Range, upper_bound
 
 
--- a/rosewheel/lab/slow_start.py
+++ b/rosewheel/lab/slow_start.py
@@ -14,7 +14,7 @@
 from typing import NamedTuple
 
 from rosewheel.lab.plan import Plan
-from rosewheel.lab.scenario import RulesTable
+from rosewheel.lab.run_tables import RulesTable
 
 CHANCE_DEVIATIONS = 2.0
 CHANCE_REQUESTS = 2.0
--- a/tests/policy/test_slow_start.py
+++ b/tests/policy/test_slow_start.py
@@ -17,7 +17,8 @@
 from rosewheel.lab.invariant_checker import InvariantChecker, Violations
 from rosewheel.lab.random_streams import random_stream, weighted_choice
 from rosewheel.lab.record_types import JobRecord, Record, ServerStartRecord
-from rosewheel.lab.scenario import RulesTable, Scenario, load
+from rosewheel.lab.run_tables import RulesTable
+from rosewheel.lab.scenario import Scenario, load
 from rosewheel.lab.server_model import ServerSpec
 from rosewheel.lab.simulation.discovery import SimulatedRegistry
 from rosewheel.lab.simulation.events import EventQueue
