--- a/rosewheel/listener.py
+++ b/rosewheel/listener.py
@@ -1,8 +1,7 @@
-"""The socket on which callers arrive: bound here, or held by the platform and inherited.
+"""The listening socket of a node: bound here, or inherited from the platform.
 
-Where the platform holds it, an old and a new process of one node accept from it side by side during an
-upgrade. Letting go of it therefore means closing one descriptor and nothing else: `shutdown()` would end it
-for both.
+During a hot restart the old and the new process accept from one inherited socket. A process that stops to listen
+therefore only closes its descriptor: `shutdown()` would end the socket for both.
 """
 
 from __future__ import annotations
@@ -14,11 +13,15 @@
 from rosewheel.config.address import Address
 from rosewheel.config.errors import ConfigError
 
-BACKLOG = 1024  # callers that wait to be accepted; a planned restart brings them by thousands
+BACKLOG = 1024  # connections that wait to be accepted; a planned restart brings thousands at once
 
 
 def open_listener(address: Address, inherited: int | None) -> socket.socket:
-    """The listening socket, or a ConfigError that says in one line why there is none."""
+    """Return the listening socket: the inherited descriptor's, or one that is bound to the address.
+
+    Raises:
+        ConfigError: there is none; the text is one line.
+    """
     return bind(address, "LB_LISTEN") if inherited is None else _adopt(inherited)
 
 
@@ -44,7 +47,7 @@
     try:
         if not stat.S_ISSOCK(os.fstat(descriptor).st_mode):
             raise OSError("not a socket")
-        os.set_inheritable(descriptor, False)  # what this process starts has no business with it
+        os.set_inheritable(descriptor, False)  # child processes must not hold it open
         sock = socket.socket(fileno=descriptor)
         if sock.family not in (socket.AF_INET, socket.AF_INET6) or sock.type != socket.SOCK_STREAM:
             sock.detach()
--- a/rosewheel/logs.py
+++ b/rosewheel/logs.py
@@ -1,6 +1,6 @@
-"""Logging: plain lines, or JSON lines on request; in both, no more than so many a second.
+"""Logging to standard error: plain lines, or JSON lines on request, at most `LINES_PER_S` of either.
 
-`run` uses the standard library alone. JSON lines are made by structlog, imported only where they are asked for.
+The platform's `run` uses the standard library alone; structlog is imported only for JSON lines.
 """
 
 from __future__ import annotations
@@ -12,7 +12,7 @@
 
 
 class Bounded(logging.Filter):
-    """Guards the node against a fault that logs without end."""
+    """Drops the records of a second beyond `LINES_PER_S`, so that a fault can't fill the log."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -28,7 +28,12 @@
 
 
 def start(json: bool = False, level: str = "info") -> None:
-    """Log to standard error from now on. JSON lines hold `timestamp`, `level`, `logger`, `event`."""
+    """Start to log to standard error.
+
+    Args:
+        json: write JSON lines with `timestamp`, `level`, `logger`, `event` and the record's own fields.
+        level: the lowest level that is written.
+    """
     handler = logging.StreamHandler()
     handler.addFilter(Bounded())
     handler.setFormatter(_json() if json else logging.Formatter(PLAIN))
