--- a/rosewheel/policy/admission.py
+++ b/rosewheel/policy/admission.py
@@ -10,9 +10,9 @@
 from rosewheel.policy.shared_state import SharedState
 
 # Rows, by priority: 1 is the highest of all classes.
-RETRY_PRIORITY_SHARE = 0.5  # of its class's priority that a request marked as a retry has
+RETRY_PRIORITY_FACTOR = 0.5  # of its class's priority that a request marked as a retry has
 HALVINGS_TO_LOWEST_ROW = 4.0  # of the highest priority
-SMALLEST_PRIORITY = 1e-6  # guards the logarithm
+MIN_PRIORITY = 1e-6  # guards the logarithm
 LOWEST_ROW_GAP = 0.25  # the lowest row's T1 is lower by this share
 # What the gap grows to in a pool at half its capacity. Of a few requests in flight at each of many balancers
 # a tenth less is less than one: high priority was rejected nearly as often as low.
@@ -21,14 +21,14 @@
 # T1 in weight: what completes in the baseline latency plus this share of what is left to the objective.
 LATENCY_SLACK = 0.30
 LATENCY_SLACK_IN_LARGE_FLEET = 0.15
-DEVIATIONS = 2.0  # and this many square roots, for chance: small pools vary more
+MARGIN_DEVIATIONS = 2.0  # and this many square roots, for chance: small pools vary more
 START_UP_MS = 3000.0  # until rates are known
 # Least T1 per ready server, over all balancers, during start-up and later.
-LEAST_PER_SERVER_AT_START = 7.0
-LEAST_PER_SERVER = 4.0
-LEAST_PER_SERVER_BELOW_FIRST_TIER = 1.0  # from this balancer alone
-LEAST_T1 = 8.0  # of this balancer alone
-UNKNOWN_BASELINE_RATIO = 0.5  # in place of a baseline that is not known yet
+MIN_T1_PER_SERVER_AT_START = 7.0
+MIN_T1_PER_SERVER = 4.0
+MIN_T1_PER_SERVER_BELOW_FIRST_TIER = 1.0  # from this balancer alone
+MIN_T1 = 8.0  # of this balancer alone
+DEFAULT_BASELINE_RATIO = 0.5  # in place of a baseline that is not known yet
 
 
 class Admission:
@@ -50,39 +50,41 @@
         """Priority of a request, up to 1; uses a token of its tenant's quota."""
         priority = service_class.priority_weight / self.shared.highest_priority_weight
         if request.is_retry:
-            priority *= RETRY_PRIORITY_SHARE
+            priority *= RETRY_PRIORITY_FACTOR
         if self.shared.settings.tier == 0 and self.quotas.exceeded(request.tenant, now):
             priority *= self.shared.settings.over_quota_weight
         return priority
 
     def threshold(self, priority: float, ready: int) -> float:
         """The table's entry at the cursor in the row of this priority, with so many servers ready."""
-        halvings = -math.log2(max(priority, SMALLEST_PRIORITY))
+        halvings = -math.log2(max(priority, MIN_PRIORITY))
         row = min(1.0, max(0.0, halvings / HALVINGS_TO_LOWEST_ROW))  # 0: the highest row, 1: the lowest
-        first = self._first_entry(ready) * (1.0 - self._lowest_row_gap(ready) * row)
+        first = self._highest_row_t1(ready) * (1.0 - self._lowest_row_gap(ready) * row)
         exponent = HIGHEST_ROW_EXPONENT + (1.0 - HIGHEST_ROW_EXPONENT) * row
         return first * math.pow(self.pool_load.table.entry, exponent)
 
-    def _first_entry(self, ready: int) -> float:
+    def _highest_row_t1(self, ready: int) -> float:
         """T1 of the highest row."""
         settings, in_large_fleet = self.shared.settings, self.shared.in_large_fleet
         rates, known = self.pool_load.throughput, self.pool_load.baseline_ratio
-        baseline = UNKNOWN_BASELINE_RATIO if known is None else known
+        baseline = DEFAULT_BASELINE_RATIO if known is None else known
         # Guard: a pool of which most is replaced can do less at once. Latency shows it seconds later, when
         # the warm servers are overloaded.
         slack = LATENCY_SLACK_IN_LARGE_FLEET if in_large_fleet else LATENCY_SLACK
         first = rates.pool_capacity * rates.peak_completion_rate * self.pool_load.mean_objective_ms
         first *= baseline + slack * (1.0 - baseline)
         starts_up = rates.period_count * rates.period_ms < START_UP_MS
-        per_server = (LEAST_PER_SERVER_AT_START if starts_up else LEAST_PER_SERVER) / settings.balancer_count
+        per_server = (
+            MIN_T1_PER_SERVER_AT_START if starts_up else MIN_T1_PER_SERVER
+        ) / settings.balancer_count
         if settings.tier > 0:  # Guard: a rejection below the first tier wastes the work done above it
-            per_server = max(per_server, LEAST_PER_SERVER_BELOW_FIRST_TIER)
+            per_server = max(per_server, MIN_T1_PER_SERVER_BELOW_FIRST_TIER)
         least = ready * per_server
         if starts_up and in_large_fleet:  # clients are spread unevenly, and a balancer's part is small
-            least += DEVIATIONS * math.sqrt(least)
+            least += MARGIN_DEVIATIONS * math.sqrt(least)
         # The chance of a large pool is that of all its balancers together, and each has its part in it.
         sharing = settings.balancer_count if self.shared.pool.is_large else 1
-        return max(LEAST_T1, least, first + DEVIATIONS * math.sqrt(first / sharing))
+        return max(MIN_T1, least, first + MARGIN_DEVIATIONS * math.sqrt(first / sharing))
 
     def _lowest_row_gap(self, ready: int) -> float:
         gap = LOWEST_ROW_GAP
--- a/rosewheel/policy/attempts.py
+++ b/rosewheel/policy/attempts.py
@@ -10,9 +10,11 @@
 from rosewheel.policy.settings import Idempotency
 from rosewheel.policy.shared_state import SharedState
 
-OBJECTIVE_SHARE = 0.98  # of the objective, at which attempts whose late response earns nothing are stopped
-LEAST_TIMEOUT_MS = 1.0  # of an attempt that is worth sending
-LEAST_WEIGHT, HIGHEST_WEIGHT = 0.25, 4.0  # of a request by its estimated work, the mean's being 1
+OBJECTIVE_TIMEOUT_SHARE = (
+    0.98  # of the objective, at which attempts whose late response earns nothing are stopped
+)
+MIN_TIMEOUT_MS = 1.0  # of an attempt that is worth sending
+MIN_WEIGHT, MAX_WEIGHT = 0.25, 4.0  # of a request by its estimated work, the mean's being 1
 
 
 class Attempts:
@@ -28,7 +30,7 @@
         if settings.weight_by_work and hint_ms:
             gain = CLASS_GAIN if self.mean_cost_hint_ms else 1.0
             self.mean_cost_hint_ms += (hint_ms - self.mean_cost_hint_ms) * gain
-            weight = min(HIGHEST_WEIGHT, max(LEAST_WEIGHT, hint_ms / self.mean_cost_hint_ms))
+            weight = min(MAX_WEIGHT, max(MIN_WEIGHT, hint_ms / self.mean_cost_hint_ms))
         self.pool_load.throughput.requested_weight += weight
         state = RequestState(request, self.shared.classes[request.service], settings, now, weight)
         self.shared.requests[request.id] = state
@@ -42,10 +44,10 @@
         left_ms = request.deadline_at_ms - start_ms
         if service_class.late_weight <= 0.0 and not service_class.streaming:
             # Guard: late work is worth nothing; stopped at the objective it does not crowd out other work.
-            stop_ms = state.started_ms + service_class.latency_objective_ms * OBJECTIVE_SHARE
+            stop_ms = state.started_ms + service_class.latency_objective_ms * OBJECTIVE_TIMEOUT_SHARE
             left_ms = min(left_ms, stop_ms - start_ms)
         exhausted = len(state.attempts) >= state.settings.max_attempts
-        if state.ended or exhausted or not left_ms > LEAST_TIMEOUT_MS:
+        if state.ended or exhausted or not left_ms > MIN_TIMEOUT_MS:
             return []
         server = self.ranking.choose(now, state)
         if server is None:
@@ -90,7 +92,7 @@
 
     def on_attempt_finished(self, now: float, event: AttemptFinished) -> list[Action]:
         """Record an outcome, then end the request or retry it."""
-        self.take_report(now, event.server, event.report)
+        self.record_load_report(now, event.server, event.report)
         state = self.shared.requests.get(event.id)
         if state is None or event.attempt >= len(state.attempts) or state.attempts[event.attempt].result:
             return []
@@ -105,7 +107,7 @@
             return []
         return self.forward(now, state) or self.respond(state)
 
-    def take_report(self, now: float, address: str, report: dict[str, float] | None) -> None:
+    def record_load_report(self, now: float, address: str, report: dict[str, float] | None) -> None:
         """Record a load report, if there is one and its server is listed."""
         server = self.shared.pool.servers.get(address)
         if server is not None and report:
--- a/rosewheel/policy/balancer.py
+++ b/rosewheel/policy/balancer.py
@@ -83,17 +83,17 @@
             case events.EndpointListUpdate():
                 if event.form is not events.EndpointListForm.CACHED:
                     parts.polling.failures = 0
-                parts.membership.take_list(now, event)
+                parts.membership.apply_endpoint_list(now, event)
             case events.DiscoveryAddressChanged():
                 return parts.polling.restart(now, parts.shared.settings.poll_discovery)
             case events.CordonChanged():
-                parts.membership.take_cordon(now, event)
+                parts.membership.apply_cordon(now, event)
             case events.ProcessCountChanged():
-                parts.membership.take_process_count(event)
+                parts.membership.apply_process_count(event)
             case events.SiblingProcessLoad():
-                parts.membership.take_sibling_load(event)
+                parts.membership.apply_sibling_load(event)
             case events.HealthCheckFinished():
-                attempts.take_report(now, event.server, event.report)
+                attempts.record_load_report(now, event.server, event.report)
         return []
 
     def _on_request(self, now: float, request: events.RequestReceived) -> list[Action]:
--- a/rosewheel/policy/discovery_polling.py
+++ b/rosewheel/policy/discovery_polling.py
@@ -8,7 +8,7 @@
 FIRST_INTERVAL_MS = 250.0  # half the time from a failed poll to the next one; doubled at each failure
 LONGEST_INTERVAL_MS = 4000.0  # from start to start
 SHORTEST_WAIT_MS = 200.0  # after a poll that took longer than the interval, or a watch that was open
-MOST_DOUBLINGS = 16  # the interval is at its longest long before
+MAX_DOUBLINGS = 16  # the interval is at its longest long before
 WATCH_TIMER = "watch"
 
 
@@ -41,7 +41,7 @@
 
     def on_failure(self, now: float) -> list[Action]:
         """Wait, longer after each failure so as not to overload discovery."""
-        self.failures, self.timer_is_set = min(MOST_DOUBLINGS, self.failures + 1), True
+        self.failures, self.timer_is_set = min(MAX_DOUBLINGS, self.failures + 1), True
         interval_ms = min(LONGEST_INTERVAL_MS, FIRST_INTERVAL_MS * 2.0**self.failures)
         wait_ms = max(SHORTEST_WAIT_MS, interval_ms - (now - self.last_poll_ms))
         return [StartTimer(wait_ms * self.rng.uniform(0.5, 1.0), WATCH_TIMER)]
--- a/rosewheel/policy/learned_state_codec.py
+++ b/rosewheel/policy/learned_state_codec.py
@@ -7,7 +7,7 @@
 from rosewheel.policy.learned_state import LearnedServer, LearnedState
 
 FORMAT_VERSION = 1
-LARGEST_NUMBER = 1e12  # exclusive; no balancer learns a larger one
+NUMBER_LIMIT = 1e12  # exclusive; no balancer learns a larger one
 
 # Two clocks that differ by more about an age: one of them was set, or the machine has restarted.
 CLOCK_TOLERANCE_MS = 5_000.0
@@ -117,6 +117,6 @@
 
 def _number(row: Row, key: str) -> float:
     value = row.get(key, 0.0)
-    if isinstance(value, bool) or not isinstance(value, int | float) or not 0.0 <= value < LARGEST_NUMBER:
-        raise ValueError(f"{key}: {value!r} is not a number from 0 to {LARGEST_NUMBER:g}")
+    if isinstance(value, bool) or not isinstance(value, int | float) or not 0.0 <= value < NUMBER_LIMIT:
+        raise ValueError(f"{key}: {value!r} is not a number from 0 to {NUMBER_LIMIT:g}")
     return float(value)
--- a/rosewheel/policy/learned_state_restore.py
+++ b/rosewheel/policy/learned_state_restore.py
@@ -7,34 +7,34 @@
 from rosewheel.policy.pool_load import BASELINE_LEARNING_OUTCOMES
 from rosewheel.policy.server_stats import ServerStats
 
-OLDEST_MS = 600_000.0  # past this age a fleet is another one
+MAX_AGE_MS = 600_000.0  # past this age a fleet is another one
 # Paces: after this age a part counts 1/e.
-BASELINE_FADE_MS = 120_000.0  # latencies without load: they change with releases
-CURSOR_FADE_MS = 3_000.0  # the cursor follows the present load
-RATE_FADE_MS = 15_000.0
-SERVER_FADE_MS = 8_000.0
-LEAST_BASELINE_SHARE = 0.1  # below it a baseline is not taken over
-LARGEST_OBJECTIVE_RATIO = 100.0  # an objective that changed by more is that of another class
-SAME_START_MS = 1_000.0  # two processes read one start time, each by its own clock
+BASELINE_DECAY_MS = 120_000.0  # latencies without load: they change with releases
+CURSOR_DECAY_MS = 3_000.0  # the cursor follows the present load
+RATE_DECAY_MS = 15_000.0
+SERVER_DECAY_MS = 8_000.0
+MIN_BASELINE_SHARE = 0.1  # below it a baseline is not taken over
+MAX_OBJECTIVE_RATIO = 100.0  # an objective that changed by more is that of another class
+SAME_START_TOLERANCE_MS = 1_000.0  # two processes read one start time, each by its own clock
 
 
-def retained_share(age_ms: float, fade_ms: float) -> float:
-    """The share with which something of this age still counts: 1 when new, 0 past `OLDEST_MS`."""
-    return 0.0 if not 0.0 <= age_ms <= OLDEST_MS else math.exp(-age_ms / fade_ms)
+def retained_share(age_ms: float, decay_ms: float) -> float:
+    """The share with which something of this age still counts: 1 when new, 0 past `MAX_AGE_MS`."""
+    return 0.0 if not 0.0 <= age_ms <= MAX_AGE_MS else math.exp(-age_ms / decay_ms)
 
 
 def objective_ratio(old: dict[str, float], new: dict[str, float]) -> float | None:
     """Old objectives over new ones, the largest of all classes; None where no class has both."""
     # The largest: a baseline too high falls within seconds, by one too low a balancer sheds for minutes.
     ratio = max((old[name] / objective for name, objective in new.items() if name in old), default=0.0)
-    return ratio if 1.0 / LARGEST_OBJECTIVE_RATIO <= ratio <= LARGEST_OBJECTIVE_RATIO else None
+    return ratio if 1.0 / MAX_OBJECTIVE_RATIO <= ratio <= MAX_OBJECTIVE_RATIO else None
 
 
 def is_same_start(saved_ago_ms: float | None, age_ms: float, now_ago_ms: float | None) -> bool:
     """Whether a server has not restarted since it was saved."""
     if saved_ago_ms is None or now_ago_ms is None:
         return saved_ago_ms is now_ago_ms
-    return abs(saved_ago_ms + age_ms - now_ago_ms) <= SAME_START_MS
+    return abs(saved_ago_ms + age_ms - now_ago_ms) <= SAME_START_TOLERANCE_MS
 
 
 def restore(parts: Parts, now: float, learned: LearnedState, age_ms: float) -> int:
@@ -48,8 +48,8 @@
                 known += 1
                 _restore_server(server, saved, now, age_ms)
     _restore_baseline(parts, learned, age_ms)
-    parts.table.place(int(learned.cursor * retained_share(age_ms, CURSOR_FADE_MS)))
-    share = retained_share(age_ms, RATE_FADE_MS)
+    parts.table.set_cursor(int(learned.cursor * retained_share(age_ms, CURSOR_DECAY_MS)))
+    share = retained_share(age_ms, RATE_DECAY_MS)
     throughput.completion_rate = learned.completion_rate * share / throughput.pool_capacity
     throughput.peak_completion_rate = learned.peak_completion_rate * share / throughput.pool_capacity
     throughput.request_rate = learned.request_rate * share
@@ -62,7 +62,7 @@
 
 def _restore_server(server: ServerStats, saved: LearnedServer, now: float, age_ms: float) -> None:
     saved_ms = now - age_ms
-    server.error_rate = min(1.0, saved.error_rate) * retained_share(age_ms, SERVER_FADE_MS)
+    server.error_rate = min(1.0, saved.error_rate) * retained_share(age_ms, SERVER_DECAY_MS)
     server.credit = min(server.credit, saved.credit)  # the old process may still use what it had
     if saved.relative_latency is not None and saved.last_outcome_ago_ms is not None:
         server.relative_latency = saved.relative_latency  # its rank fades by the age of the outcome
@@ -75,10 +75,10 @@
 
 
 def _restore_baseline(parts: Parts, learned: LearnedState, age_ms: float) -> None:
-    shared, load, share = parts.shared, parts.pool_load, retained_share(age_ms, BASELINE_FADE_MS)
+    shared, load, share = parts.shared, parts.pool_load, retained_share(age_ms, BASELINE_DECAY_MS)
     old_objectives_ms, baseline = learned.objectives_ms, learned.baseline_ratio
     ratio = objective_ratio(old_objectives_ms, shared.objectives_ms()) if old_objectives_ms else 1.0
-    if baseline is None or load.baseline_ratio is not None or share <= LEAST_BASELINE_SHARE or ratio is None:
+    if baseline is None or load.baseline_ratio is not None or share <= MIN_BASELINE_SHARE or ratio is None:
         return
     load.baseline_ratio = load.smoothed_ratio = baseline * ratio
     # The fewer outcomes it seems to rest on, the sooner new ones replace it.
@@ -86,4 +86,4 @@
     latencies_ms = learned.class_latency_ms.items()
     shared.class_latency_ms = {name: ms for name, ms in latencies_ms if name in shared.classes and ms > 0.0}
     excess = (learned.smoothed_ratio - baseline) * ratio
-    load.smoothed_ratio += excess * retained_share(age_ms, CURSOR_FADE_MS)
+    load.smoothed_ratio += excess * retained_share(age_ms, CURSOR_DECAY_MS)
--- a/rosewheel/policy/membership.py
+++ b/rosewheel/policy/membership.py
@@ -18,7 +18,7 @@
         self.shared, self.slow_start, self.throughput = shared, slow_start, throughput
         self._sibling_loaded: set[str] = set()  # servers with load from other processes of this node
 
-    def take_list(self, now: float, update: events.EndpointListUpdate) -> None:
+    def apply_endpoint_list(self, now: float, update: events.EndpointListUpdate) -> None:
         """Take the servers of an endpoint list or of its changes."""
         pool = self.shared.pool
         if update.form is not events.EndpointListForm.DELTA:
@@ -28,14 +28,14 @@
             if endpoint.state is events.ServerState.REMOVED:
                 pool.remove(endpoint.address)
             elif known is None or known.endpoint.launched_ms != endpoint.launched_ms:  # new, or restarted
-                credit = self.shared.draw_first_credit()
+                credit = self.shared.draw_initial_credit()
                 pool.add(ServerStats(endpoint, credit=credit, credit_updated_ms=now), now)
             else:
                 pool.update(known, endpoint, now)
         if self.shared.in_large_fleet:  # at once, not at the end of the period
             self.throughput.pool_capacity = self.slow_start.pool_capacity(now)
 
-    def take_cordon(self, now: float, change: events.CordonChanged) -> None:
+    def apply_cordon(self, now: float, change: events.CordonChanged) -> None:
         """Withdraw a server, or return it to the pool as one that warms up."""
         pool, rng = self.shared.pool, self.shared.rng
         known = pool.servers.get(change.server)
@@ -60,7 +60,7 @@
         returned.uncordoned_ms = -math.inf if restart_listed else now
         pool.add(returned, now)
 
-    def take_process_count(self, change: events.ProcessCountChanged) -> None:
+    def apply_process_count(self, change: events.ProcessCountChanged) -> None:
         """Share the credit of warming servers out among more processes."""
         # Guard: to the servers the processes of one node are one. The credit that they have is divided; what
         # they earn later follows the requests of each process.
@@ -70,7 +70,7 @@
                 server.credit *= old_count / change.processes
         self.shared.process_count = max(1, change.processes)
 
-    def take_sibling_load(self, change: events.SiblingProcessLoad) -> None:
+    def apply_sibling_load(self, change: events.SiblingProcessLoad) -> None:
         """Take the weight in flight from other processes of this node."""
         servers = self.shared.pool.servers
         for address in servers.keys() & (self._sibling_loaded | change.loads.keys()):
--- a/rosewheel/policy/pool.py
+++ b/rosewheel/policy/pool.py
@@ -15,11 +15,11 @@
 
 # Sizes are servers. They bound the cost of a request: benchmarks/decisions.py measures it by the pool's size.
 SMALL_POOL_SIZE = 64  # of a pool up to this size all servers are candidates
-WARM_SAMPLE = 12  # warm candidates of a larger pool, half of them of its own zone
-WARMING_SAMPLE = 6  # warming candidates with credit
-GROUP_SAMPLE = 48  # candidates of a group that shares a memory of keys
+WARM_SAMPLE_SIZE = 12  # warm candidates of a larger pool, half of them of its own zone
+WARMING_SAMPLE_SIZE = 6  # warming candidates with credit
+GROUP_SAMPLE_SIZE = 48  # candidates of a group that shares a memory of keys
 CREDIT_CHECKS_PER_REQUEST = 8  # warming servers
-LONGEST_CREDIT_CHECK_DELAY_MS = 500.0  # credit is earned sooner when the request rate rises
+MAX_CREDIT_CHECK_DELAY_MS = 500.0  # credit is earned sooner when the request rate rises
 ANY_CELL = -1  # in a group's key: all cells of its zone
 
 Group = tuple[str, int]  # zone and cell
@@ -57,7 +57,7 @@
         """Add a server, or replace the one of its address."""
         old = self.servers.get(server.endpoint.address)
         if old is not None:
-            self._withdraw(old)
+            self._mark_unready(old)
         self.servers[server.endpoint.address] = server
         self.is_large = len(self.servers) > SMALL_POOL_SIZE
         self._ready_in_list_order = None
@@ -68,7 +68,7 @@
         server = self.servers.pop(address, None)
         self.is_large = len(self.servers) > SMALL_POOL_SIZE
         if server is not None:
-            self._withdraw(server)
+            self._mark_unready(server)
         self._ready_in_list_order = None
 
     def retain(self, addresses: set[str]) -> None:
@@ -79,7 +79,7 @@
     def update(self, server: ServerStats, endpoint: Server, now: float) -> None:
         """Take a changed entry of the list for a server that has not restarted."""
         if server.endpoint != endpoint:
-            self._withdraw(server)
+            self._mark_unready(server)
             server.endpoint = endpoint
             self.refresh_readiness(server, now)
 
@@ -91,7 +91,7 @@
             return
         self._ready_in_list_order = None
         if not ready:
-            self._withdraw(server)
+            self._mark_unready(server)
             return
         server.ready = True
         self.load += server.load
@@ -103,7 +103,7 @@
         else:
             self._schedule_credit_check(server, now)
 
-    def restart_slow_start(self, warm_up_ms: float, now: float, draw_credit: Callable[[], float]) -> None:
+    def set_warm_up(self, warm_up_ms: float, now: float, draw_credit: Callable[[], float]) -> None:
         """Change the warm-up time. Servers that become warming ones draw a first credit, as new ones do."""
         old_ms, servers = self.warm_up_ms, self.servers.values()
         warming = (each for each in servers if each.warm_at_ms(old_ms) <= now < each.warm_at_ms(warm_up_ms))
@@ -113,10 +113,10 @@
             if server in credits:
                 server.credit, server.credit_updated_ms = credits[server], now
             if server.ready:
-                self._withdraw(server)
+                self._mark_unready(server)
                 self.refresh_readiness(server, now)
 
-    def _withdraw(self, server: ServerStats) -> None:
+    def _mark_unready(self, server: ServerStats) -> None:
         if not server.ready:
             return
         server.ready = False
@@ -168,7 +168,7 @@
         if self.warm_up_ms:
             left_ms = server.warm_at_ms(self.warm_up_ms) - now
             capacity_share = max(0.01, 1.0 - left_ms / self.warm_up_ms)
-        wait_ms = LONGEST_CREDIT_CHECK_DELAY_MS
+        wait_ms = MAX_CREDIT_CHECK_DELAY_MS
         if self.credit_rate > 0.0:
             wait_ms = min(wait_ms, max(1.0, (1.0 - server.credit) / (self.credit_rate * capacity_share)))
         self._check_count += 1
@@ -198,9 +198,11 @@
         self._check_credits(now, paced)
         if group is not None:
             members = self._groups.get(group)
-            return [] if members is None else members.sample(rng, GROUP_SAMPLE)
-        found = self._warm_in_zone.sample(rng, WARM_SAMPLE // 2) + self._warm.sample(rng, WARM_SAMPLE // 2)
-        for server in self._with_credit.sample(rng, WARMING_SAMPLE):
+            return [] if members is None else members.sample(rng, GROUP_SAMPLE_SIZE)
+        found = self._warm_in_zone.sample(rng, WARM_SAMPLE_SIZE // 2) + self._warm.sample(
+            rng, WARM_SAMPLE_SIZE // 2
+        )
+        for server in self._with_credit.sample(rng, WARMING_SAMPLE_SIZE):
             if server.warm_at_ms(self.warm_up_ms) <= now:
                 self._mark_warm(server)
             found.append(server)
--- a/rosewheel/policy/quotas.py
+++ b/rosewheel/policy/quotas.py
@@ -23,9 +23,9 @@
 
     def __init__(self, settings: Settings, now: float) -> None:
         self.buckets: dict[str, TokenBucket] = {}
-        self.take_settings(settings, now)
+        self.apply_settings(settings, now)
 
-    def take_settings(self, settings: Settings, now: float) -> None:
+    def apply_settings(self, settings: Settings, now: float) -> None:
         """Resize the buckets and keep their tokens; a new tenant's bucket is full."""
         buckets = {}
         for tenant in settings.tenants:
--- a/rosewheel/policy/ranking.py
+++ b/rosewheel/policy/ranking.py
@@ -9,13 +9,13 @@
 from rosewheel.policy.shared_state import SharedState
 from rosewheel.policy.slow_start import SlowStart
 
-LATENCY_FADE_MS = 8000.0  # a server without outcomes drifts back to the mean at this pace
-QUEUE_FADE_MS = 500.0  # a reported queue counts for about this long
+LATENCY_DECAY_MS = 8000.0  # a server without outcomes drifts back to the mean at this pace
+QUEUE_DECAY_MS = 500.0  # a reported queue counts for about this long
 # In a large pool, where many balancers choose whichever server last reported a short queue, for less.
-QUEUE_FADE_IN_LARGE_POOL_MS = 200.0
+QUEUE_DECAY_IN_LARGE_POOL_MS = 200.0
 BACKOFF_FACTOR = 100.0  # of the rank during a backoff
-HIGHEST_ERROR_RATE = 0.9  # that the rank is divided by
-LOWEST_JITTER, JITTER_RANGE = 0.95, 1.05 - 0.95  # factor drawn for each rank: equal servers take turns
+MAX_ERROR_RATE = 0.9  # that the rank is divided by
+MIN_JITTER, JITTER_RANGE = 0.95, 1.05 - 0.95  # factor drawn for each rank: equal servers take turns
 
 
 def dedup_group(service_class: ServiceClass, server: ServerStats) -> Group | None:
@@ -73,7 +73,7 @@
         """Smoothed latency times (queue + 1); without outcomes the latency drifts to the mean, which is 1."""
         shared, latency, error_rate = self.shared, 1.0, server.error_rate
         if server.relative_latency is not None:
-            fade = math.exp((server.last_outcome_ms - now) / LATENCY_FADE_MS)
+            fade = math.exp((server.last_outcome_ms - now) / LATENCY_DECAY_MS)
             latency += (server.relative_latency - 1.0) * fade
         for (request_id, _), sent_ms in server.in_flight.items():  # the oldest attempt
             if server.last_outcome_ms <= sent_ms:
@@ -84,11 +84,11 @@
         # A server's report contains, a little late, what other processes of this node sent it.
         queue = server.sibling_load
         if server.reported_queue:
-            fade_ms = QUEUE_FADE_IN_LARGE_POOL_MS if shared.pool.is_large else QUEUE_FADE_MS
-            queue = max(queue, server.reported_queue * math.exp((server.last_report_ms - now) / fade_ms))
+            decay_ms = QUEUE_DECAY_IN_LARGE_POOL_MS if shared.pool.is_large else QUEUE_DECAY_MS
+            queue = max(queue, server.reported_queue * math.exp((server.last_report_ms - now) / decay_ms))
         crossing = shared.cross_zone_penalty if server.endpoint.zone != shared.settings.zone else 0.0
         rank = latency * (server.load + queue + 1.0 + crossing)
         if now < server.backoff_until_ms:
             rank *= BACKOFF_FACTOR
-        success_rate = 1.0 - (error_rate if error_rate < HIGHEST_ERROR_RATE else HIGHEST_ERROR_RATE)
-        return rank / success_rate * (LOWEST_JITTER + JITTER_RANGE * shared.rng.random())
+        success_rate = 1.0 - (error_rate if error_rate < MAX_ERROR_RATE else MAX_ERROR_RATE)
+        return rank / success_rate * (MIN_JITTER + JITTER_RANGE * shared.rng.random())
--- a/rosewheel/policy/server_stats.py
+++ b/rosewheel/policy/server_stats.py
@@ -15,7 +15,9 @@
     endpoint: Server
     relative_latency: float | None = None  # smoothed latency over its class's mean
     error_rate: float = 0.0  # smoothed share of failed attempts
-    failure_rate: float = 0.0  # smoothed share of attempts that failed or timed out, but were not reset
+    error_or_timeout_rate: float = (
+        0.0  # smoothed share of attempts that failed or timed out, but were not reset
+    )
     last_outcome_ms: float = -math.inf
     load: float = 0.0  # weight in flight from this process
     sibling_load: float = 0.0  # weight in flight from other processes of this node
@@ -26,7 +28,7 @@
     credit: float = 0.0  # weight that it may be sent while it warms up
     credit_updated_ms: float = -math.inf
     uncordoned_ms: float = -math.inf  # end of its cordon, where no start after it is listed
-    refusals_in_row: int = 0  # attempts in a row that it did not execute
+    consecutive_refusals: int = 0  # attempts in a row that it did not execute
     backoff_until_ms: float = -math.inf  # until then its rank is worse for these refusals
     ready: bool = False  # it is listed as up and is not cordoned
     credit_check_scheduled: bool = False  # it is in the pool's heap of credit checks
@@ -38,4 +40,4 @@
 
     def clear_backoff(self) -> None:
         """Forget its refusals."""
-        self.refusals_in_row, self.backoff_until_ms = 0, -math.inf
+        self.consecutive_refusals, self.backoff_until_ms = 0, -math.inf
--- a/rosewheel/policy/settings.py
+++ b/rosewheel/policy/settings.py
@@ -12,7 +12,7 @@
 from dataclasses import dataclass
 from enum import Enum
 
-SMALLEST_POSITIVE = 0.001  # the least value of a setting that has to be greater than 0
+MIN_POSITIVE = 0.001  # the least value of a setting that has to be greater than 0
 
 
 class InvalidSettingError(ValueError):
@@ -140,16 +140,16 @@
             if getattr(self, key) % 1:
                 raise InvalidSettingError(key, f"{getattr(self, key)!r} is not a whole number")
         for key in ("overload_factor", "overload_window_ms"):
-            _check_range(key, getattr(self, key), SMALLEST_POSITIVE)
+            _check_range(key, getattr(self, key), MIN_POSITIVE)
         _check_range("over_quota_weight", self.over_quota_weight, 0, 1)
-        _check_range("warm_up_initial_share", self.warm_up_initial_share, SMALLEST_POSITIVE, 1)
+        _check_range("warm_up_initial_share", self.warm_up_initial_share, MIN_POSITIVE, 1)
         _check_unique("classes", (item.name for item in self.classes))
         _check_unique("tenants", (item.name for item in self.tenants))
 
 
 def _check_class(path: str, service_class: ServiceClass) -> None:
     for key in ("latency_objective_ms", "deadline_ms"):
-        _check_range(f"{path}.{key}", getattr(service_class, key), SMALLEST_POSITIVE)
+        _check_range(f"{path}.{key}", getattr(service_class, key), MIN_POSITIVE)
     for key in ("priority_weight", "dedup_window_ms"):
         _check_range(f"{path}.{key}", getattr(service_class, key), 0)
     _check_range(f"{path}.late_weight", service_class.late_weight, 0, 1)
--- a/rosewheel/policy/settings_change.py
+++ b/rosewheel/policy/settings_change.py
@@ -30,8 +30,8 @@
     shared, throughput = parts.shared, parts.throughput
     old, was_in_large_fleet = shared.settings, shared.in_large_fleet
     old_objectives_ms = shared.objectives_ms()
-    shared.take_settings(new)
-    parts.quotas.take_settings(new, now)
+    shared.apply_settings(new)
+    parts.quotas.apply_settings(new, now)
     latencies_ms = shared.class_latency_ms.items()
     shared.class_latency_ms = {name: ms for name, ms in latencies_ms if name in shared.classes}
     parts.pool_load.rescale(objective_ratio(old_objectives_ms, shared.objectives_ms()))
@@ -44,7 +44,7 @@
     elif new.poll_discovery is not old.poll_discovery:
         actions = parts.polling.restart(now, new.poll_discovery)
     if new.warm_up_ms != old.warm_up_ms:
-        shared.pool.restart_slow_start(new.warm_up_ms, now, shared.draw_first_credit)
+        shared.pool.set_warm_up(new.warm_up_ms, now, shared.draw_initial_credit)
     if fleet_changed:
         for server in shared.pool.servers.values():  # a backoff of the large fleet would never end elsewhere
             server.clear_backoff()
--- a/rosewheel/policy/shared_state.py
+++ b/rosewheel/policy/shared_state.py
@@ -8,26 +8,26 @@
 
 PERIOD_SHARE = 0.15  # of the shortest latency objective: length of a period, P of the cursor table's source
 CROSS_ZONE_WEIGHT = 64.0  # weight in the queue that a crossing of zones counts as, per unit of its cost
-SMALL_FLEET_BALANCERS = 4
+MAX_SMALL_FLEET_BALANCERS = 4
 
 
 def is_large_fleet(settings: Settings) -> bool:
     """Whether so many balancers send to a tier that each sees too little and their allowances add up."""
-    return settings.balancer_count > SMALL_FLEET_BALANCERS
+    return settings.balancer_count > MAX_SMALL_FLEET_BALANCERS
 
 
 class SharedState:
     """Settings and what follows from them, servers, requests in flight and the source of random draws."""
 
     def __init__(self, settings: Settings, seed: int) -> None:
-        self.take_settings(settings)
+        self.apply_settings(settings)
         self.rng = Random(seed)
         self.pool = ServerPool(settings.zone, settings.warm_up_ms)
         self.class_latency_ms: dict[str, float] = {}  # smoothed, by class
         self.process_count = 1  # processes of this node, each with a balancer; 2 during a hot restart
         self.requests: dict[str, RequestState] = {}  # in flight, by id
 
-    def take_settings(self, settings: Settings) -> None:
+    def apply_settings(self, settings: Settings) -> None:
         """Replace the settings and what follows from them alone."""
         self.settings = settings
         self.classes = {each.name: each for each in settings.classes}
@@ -40,7 +40,7 @@
         """Latency objectives by class."""
         return {name: each.latency_objective_ms for name, each in self.classes.items()}
 
-    def draw_first_credit(self) -> float:
+    def draw_initial_credit(self) -> float:
         """Credit of a server that begins to warm up, shared out among the processes of this node."""
         return self.rng.random() / self.process_count
 
--- a/rosewheel/policy/slow_start.py
+++ b/rosewheel/policy/slow_start.py
@@ -4,13 +4,13 @@
 from rosewheel.policy.shared_state import SharedState
 from rosewheel.policy.throughput import Throughput
 
-UNUSED_CREDIT_WINDOWS = 0.5  # overload windows after which credit that is not used lapses
+CREDIT_EXPIRY_WINDOWS = 0.5  # overload windows after which credit that is not used lapses
 # Warming servers may be sent this part of their budget: `overload_factor` times the stated share of what a
 # warm one completes. The stated share is the least of any server: paced by it, warming servers idled while
 # the few warm ones choked. The rank finds the servers that can do less.
 BUDGET_SHARE = 0.5
 ACCEPTED_ERROR_RATE = 0.5  # of a warming server; one that fails more attempts earns less credit
-CAPACITY_SAMPLE = 256  # servers of a large pool by which its capacity is measured
+CAPACITY_SAMPLE_SIZE = 256  # servers of a large pool by which its capacity is measured
 
 
 class SlowStart:
@@ -30,14 +30,14 @@
         # Guard: where few servers are listed, as after the loss of a zone, what is requested is many times
         # what they can do. A server that receives more than it can do fails most of it, and balancers that
         # have learned nothing else see that.
-        success_factor = min(1.0, (1.0 - server.failure_rate) / (1.0 - ACCEPTED_ERROR_RATE))
+        success_factor = min(1.0, (1.0 - server.error_or_timeout_rate) / (1.0 - ACCEPTED_ERROR_RATE))
         rate = capacity_share * success_factor * self.credit_rate()
         credit = server.credit + rate * (now - server.credit_updated_ms)
         if credit >= 1.0:
             # Guard: unused credit lapses. Thirty balancers with a credit each for a server that was not
             # ready, or had a queue, sent their requests at one moment.
             excess = credit % 1.0
-            unused = rate * UNUSED_CREDIT_WINDOWS * self.shared.settings.overload_window_ms
+            unused = rate * CREDIT_EXPIRY_WINDOWS * self.shared.settings.overload_window_ms
             credit = excess + (excess <= unused)
         server.credit, server.credit_updated_ms = credit, now
         return credit >= 1.0
@@ -62,7 +62,7 @@
     def pool_capacity(self, now: float) -> float:
         """Ready servers, a warming one by its share of capacity, a failing one by its share of successes."""
         pool = self.shared.pool
-        sample = pool.sample(self.shared.rng, CAPACITY_SAMPLE)
+        sample = pool.sample(self.shared.rng, CAPACITY_SAMPLE_SIZE)
         if not sample:
             return self.throughput.pool_capacity
         mean = sum(self.capacity_share(now, each) * (1.0 - each.error_rate) for each in sample) / len(sample)
--- a/rosewheel/policy/throughput.py
+++ b/rosewheel/policy/throughput.py
@@ -5,14 +5,14 @@
 from rosewheel.policy.shared_state import SharedState
 
 SMOOTHING_MS = 1000.0  # of the rates
-PEAK_FADE_MS = 15000.0  # how slowly the peak of the completion rate falls
+PEAK_DECAY_MS = 15000.0  # how slowly the peak of the completion rate falls
 # In a large pool a balancer of many completes little, and the peak of a rate by few is chance: a lucky one
 # took the requests that others shed. Both times are longer there, until this many completions are smoothed
 # over.
-SMOOTHED_COMPLETIONS = 40.0
-LONGEST_STRETCH = 4.0  # of both times
-CAPACITY_FADE_MS = 3000.0  # requests that a weaker pool completes were sent in part while it was stronger
-MOST_PERIODS = 1e9  # limit of the counters where periods become shorter
+MIN_SMOOTHED_COMPLETIONS = 40.0
+MAX_STRETCH = 4.0  # of both times
+CAPACITY_DECAY_MS = 3000.0  # requests that a weaker pool completes were sent in part while it was stronger
+MAX_PERIOD_COUNT = 1e9  # limit of the counters where periods become shorter
 
 
 class Throughput:
@@ -31,20 +31,20 @@
         """Smooth the rates; the pool's capacity has been measured before."""
         stretch, in_large_fleet = 1.0, self.shared.in_large_fleet
         if in_large_fleet:
-            fade = min(1.0, self.period_ms / CAPACITY_FADE_MS)
+            fade = min(1.0, self.period_ms / CAPACITY_DECAY_MS)
             faded = self.recent_capacity + fade * (self.pool_capacity - self.recent_capacity)
             self.recent_capacity = max(self.pool_capacity, faded)
             self.completed_weight /= self.recent_capacity
         if self.shared.pool.is_large or in_large_fleet:
             completions = self.completion_rate * self.recent_capacity * SMOOTHING_MS
-            stretch = min(LONGEST_STRETCH, max(1.0, SMOOTHED_COMPLETIONS / (completions + 1e-9)))
+            stretch = min(MAX_STRETCH, max(1.0, MIN_SMOOTHED_COMPLETIONS / (completions + 1e-9)))
         gain = min(1.0, self.period_ms / (SMOOTHING_MS * stretch))
         if in_large_fleet:
             # Guard: a rate smoothed for so long, from 0, had a balancer reject after its first seconds.
             self.rate_periods += self.completed_weight > 0.0 or self.rate_periods > 0
             gain = max(gain, 1.0 / max(1, self.rate_periods))
         self.completion_rate += gain * (self.completed_weight / self.period_ms - self.completion_rate)
-        peak_loss = min(1.0, self.period_ms / (PEAK_FADE_MS * stretch))
+        peak_loss = min(1.0, self.period_ms / (PEAK_DECAY_MS * stretch))
         self.peak_completion_rate = max(self.completion_rate, self.peak_completion_rate * (1.0 - peak_loss))
         self.request_rate += gain * (self.requested_weight / self.period_ms - self.request_rate)
         self.period_count += 1
@@ -54,8 +54,8 @@
         """Change the period's length; only at its end, since its rates are by its length."""
         if self.period_ms != self.shared.configured_period_ms:
             ratio = self.period_ms / self.shared.configured_period_ms
-            self.period_count = math.ceil(min(MOST_PERIODS, self.period_count * ratio))
-            self.rate_periods = math.ceil(min(MOST_PERIODS, self.rate_periods * ratio))
+            self.period_count = math.ceil(min(MAX_PERIOD_COUNT, self.period_count * ratio))
+            self.rate_periods = math.ceil(min(MAX_PERIOD_COUNT, self.rate_periods * ratio))
             self.period_ms = self.shared.configured_period_ms
 
     def change_capacity_unit(self, pool_capacity: float) -> None:
@@ -69,4 +69,4 @@
     def restart_smoothing(self, share: float) -> None:
         """Give known rates this share of the weight that rates have after all periods of the smoothing."""
         if self.shared.in_large_fleet:
-            self.rate_periods = int(share * LONGEST_STRETCH * SMOOTHING_MS / self.period_ms)
+            self.rate_periods = int(share * MAX_STRETCH * SMOOTHING_MS / self.period_ms)
--- a/tests/policy/test_learned_state.py
+++ b/tests/policy/test_learned_state.py
@@ -35,7 +35,7 @@
     learned_state_to_json,
     snapshot_age_ms,
 )
-from rosewheel.policy.learned_state_restore import OLDEST_MS, is_same_start, retained_share
+from rosewheel.policy.learned_state_restore import MAX_AGE_MS, is_same_start, retained_share
 from rosewheel.policy.pool_load import BASELINE_LEARNING_OUTCOMES
 from rosewheel.proxy import snapshots
 from rosewheel.proxy.errors import SnapshotError
@@ -106,7 +106,7 @@
     assert old.parts.pool_load.baseline_outcomes < BASELINE_LEARNING_OUTCOMES / 3
 
 
-@given(st.floats(0.0, 2 * OLDEST_MS))
+@given(st.floats(0.0, 2 * MAX_AGE_MS))
 @hypothesis_settings(deadline=None, max_examples=50)
 def test_no_restored_value_grows_with_its_age(age_ms: float):
     harness = harness_with_slow_server()
@@ -124,7 +124,7 @@
         assert getattr(here.parts.pool_load, name) >= getattr(later.parts.pool_load, name) >= 0.0
     servers, later_servers = here.parts.shared.pool.servers, later.parts.shared.pool.servers
     assert all(servers[name].error_rate >= later_servers[name].error_rate for name in servers)
-    if age_ms > OLDEST_MS:
+    if age_ms > MAX_AGE_MS:
         fresh = BalancerHarness(count=4).servers
         assert (here.parts.pool_load.baseline_ratio, here.parts.table.cursor) == (None, 0)
         assert (here.parts.throughput.peak_completion_rate, here.parts.shared.class_latency_ms) == (0.0, {})
@@ -187,7 +187,7 @@
     assert is_same_start(None, 500.0, None)
     assert not is_same_start(None, 500.0, 300.0)
     assert retained_share(0.0, 1000.0) == 1.0
-    assert retained_share(-1.0, 1000.0) == retained_share(OLDEST_MS + 1.0, 1e12) == 0.0
+    assert retained_share(-1.0, 1000.0) == retained_share(MAX_AGE_MS + 1.0, 1e12) == 0.0
 
 
 # ------------------------------------------------------------------ the file
--- a/tests/policy/test_many_balancers.py
+++ b/tests/policy/test_many_balancers.py
@@ -186,21 +186,21 @@
             1.0,
             done=server != "s3",
         )
-    assert stats.refusals_in_row == 1
+    assert stats.consecutive_refusals == 1
     assert stats.error_rate == 0.0
 
 
 def test_server_is_used_again_after_its_backoff():
     harness = loaded_harness(10, calls=6)
     stats = harness.servers["s3"]
-    stats.refusals_in_row, stats.backoff_until_ms = 5, harness.now + 3000.0
+    stats.consecutive_refusals, stats.backoff_until_ms = 5, harness.now + 3000.0
     held = [forwarded(harness.receive_request()[1])[0].server for _ in range(9)]
     assert "s3" not in held
     harness.now += 3000.0
     name, acts = harness.receive_request()
     assert forwarded(acts)[0].server == "s3"  # the only one with nothing in flight
     harness.finish_attempt(name, "s3", AttemptResult.OK)
-    assert stats.refusals_in_row == 0
+    assert stats.consecutive_refusals == 0
 
 
 def test_pool_of_warming_servers_is_used_in_a_large_fleet():
@@ -262,4 +262,4 @@
                 harness.finish_attempt(name, act.server, AttemptResult.OK, 1.5 * target * aim)
         harness.end_period()
     assert harness.parts.table.cursor > pool_load.FLAT_SLOTS
-    assert (harness.parts.table.cursor == len(harness.parts.table.shape) - 1) is locked
+    assert (harness.parts.table.cursor == len(harness.parts.table.entries) - 1) is locked
--- a/tests/policy/test_mechanism.py
+++ b/tests/policy/test_mechanism.py
@@ -48,19 +48,19 @@
 def test_table_is_flat_then_falls_and_stays_positive():
     balancer = BalancerHarness().balancer
     entries = []
-    for cursor in range(len(balancer.parts.table.shape)):
+    for cursor in range(len(balancer.parts.table.entries)):
         balancer.parts.table.cursor = cursor
         entries.append(balancer.parts.admission.threshold(1.0, 20))
     assert entries[0] == entries[1]
     assert all(left > right for left, right in pairwise(entries[1:]))
-    balancer.parts.table.cursor = len(balancer.parts.table.shape) - 1
+    balancer.parts.table.cursor = len(balancer.parts.table.entries) - 1
     assert 0.0 < balancer.parts.admission.threshold(1e-9, 1) < 1.0
 
 
 def test_fractional_threshold_admits_a_proportion():
     """Guard: with a call or two in flight, whole entries refused all or nothing."""
     harness = BalancerHarness(balancer_count=100)
-    harness.parts.table.cursor = len(harness.parts.table.shape) - 1
+    harness.parts.table.cursor = len(harness.parts.table.entries) - 1
     entry = harness.parts.admission.threshold(1 / 12, 4)
     assert 0.1 < entry < 0.9
     admitted = 0
@@ -76,7 +76,7 @@
     balancer = BalancerHarness().balancer
     high, low = balancer.parts.admission.threshold(1.0, 20), balancer.parts.admission.threshold(1 / 12, 20)
     assert low < high
-    balancer.parts.table.cursor = len(balancer.parts.table.shape) - 1
+    balancer.parts.table.cursor = len(balancer.parts.table.entries) - 1
     assert (
         balancer.parts.admission.threshold(1 / 12, 20) / low
         < balancer.parts.admission.threshold(1.0, 20) / high
--- a/tests/policy/test_pool.py
+++ b/tests/policy/test_pool.py
@@ -23,10 +23,10 @@
     TimerFired,
 )
 from rosewheel.policy.pool import (
-    GROUP_SAMPLE,
+    GROUP_SAMPLE_SIZE,
     SMALL_POOL_SIZE,
-    WARM_SAMPLE,
-    WARMING_SAMPLE,
+    WARM_SAMPLE_SIZE,
+    WARMING_SAMPLE_SIZE,
     ServerPool,
 )
 from rosewheel.policy.ranking import Ranking
@@ -199,7 +199,7 @@
     for at in range(200):
         looks[0] = 0
         assert harness.serve_request() in ("s0", "s1", "s2"), at
-        assert looks[0] <= WARM_SAMPLE + WARMING_SAMPLE
+        assert looks[0] <= WARM_SAMPLE_SIZE + WARMING_SAMPLE_SIZE
 
 
 def test_request_is_rejected_at_a_bounded_cost_where_no_server_is_usable(monkeypatch: pytest.MonkeyPatch):
@@ -212,7 +212,7 @@
     looks = count_ranked(monkeypatch)
     _, acts = harness.receive_request()
     assert [type(act) for act in acts if not isinstance(act, StartTimer)] == [RejectRequest]
-    assert looks[0] <= WARM_SAMPLE + WARMING_SAMPLE
+    assert looks[0] <= WARM_SAMPLE_SIZE + WARMING_SAMPLE_SIZE
 
 
 def test_retry_with_key_finds_its_group_among_a_thousand(monkeypatch: pytest.MonkeyPatch):
@@ -236,7 +236,7 @@
         again = forwarded(harness.finish_attempt(name, first, AttemptResult.RESET))
         assert [int(one.server[1:]) // 3 for one in again] == [int(first[1:]) // 3]
         assert again[0].server != first
-        assert looks[0] <= GROUP_SAMPLE
+        assert looks[0] <= GROUP_SAMPLE_SIZE
         harness.finish_attempt(name, again[0].server, AttemptResult.OK, attempt=1)
 
 
--- a/tests/policy/test_settings_change.py
+++ b/tests/policy/test_settings_change.py
@@ -33,7 +33,7 @@
 from rosewheel.policy.quotas import Quotas
 from rosewheel.policy.settings import DedupScope, Idempotency, ServiceClass, Settings, Tenant
 from rosewheel.policy.shared_state import SharedState
-from rosewheel.policy.slow_start import CAPACITY_SAMPLE, SlowStart
+from rosewheel.policy.slow_start import CAPACITY_SAMPLE_SIZE, SlowStart
 from rosewheel.policy.throughput import Throughput
 from tests.node.test_event_orders import KINDS, STEP, World
 from tests.support.balancers import (
@@ -151,13 +151,13 @@
 
 
 STAGES: list[tuple[object, str]] = [
-    (Quotas, "take_settings"),
+    (Quotas, "apply_settings"),
     (settings_change, "objective_ratio"),
     (SharedState, "objectives_ms"),
     (PoolLoad, "rescale"),
     (SlowStart, "pool_capacity"),
     (Throughput, "restart_smoothing"),
-    (ServerPool, "restart_slow_start"),
+    (ServerPool, "set_warm_up"),
 ]
 # Whatever can follow from settings follows from these.
 OTHER = settings(
@@ -217,13 +217,13 @@
 
 
 def _is_same_warm_up(why: object, cfg: Settings, node: Node) -> bool:
-    return why == (ServerPool, "restart_slow_start") and cfg.warm_up_ms == node.settings.warm_up_ms
+    return why == (ServerPool, "set_warm_up") and cfg.warm_up_ms == node.settings.warm_up_ms
 
 
 def test_failed_settings_change_restores_the_random_state():
     """Of a large pool, whose strength is that of some drawn servers."""
     harness = BalancerHarness(0, balancer_count=1)
-    harness.handle(EndpointListUpdate(EndpointListForm.SNAPSHOT, servers(2 * CAPACITY_SAMPLE)))
+    harness.handle(EndpointListUpdate(EndpointListForm.SNAPSHOT, servers(2 * CAPACITY_SAMPLE_SIZE)))
     before = harness.parts.shared.rng.getstate()
     with pytest.MonkeyPatch.context() as patch:
         patch.setattr(Throughput, "restart_smoothing", raise_fault)
@@ -475,10 +475,10 @@
     for _ in range(3):
         name, acts = harness.receive_request()
         harness.finish_attempt(name, forwarded(acts)[0].server, AttemptResult.OVERLOADED, done=True)
-    assert harness.servers["s0"].refusals_in_row == 3
+    assert harness.servers["s0"].consecutive_refusals == 3
     configure(harness, balancer_count=1)
     stats = harness.servers["s0"]
-    assert (stats.refusals_in_row, stats.backoff_until_ms) == (0, -math.inf)
+    assert (stats.consecutive_refusals, stats.backoff_until_ms) == (0, -math.inf)
 
 
 def test_token_bucket_is_resized_and_keeps_its_tokens():
