--- a/rosewheel/policy/pool_load.py
+++ b/rosewheel/policy/pool_load.py
@@ -1,4 +1,4 @@
-"""The load of the pool, read once a period from outcomes and load reports, and the cursor that it moves."""
+"""Load of the pool, measured once a period from outcomes and load reports, and the cursor that it moves."""
 
 from rosewheel.policy.events import AttemptFinished, AttemptResult
 from rosewheel.policy.request_state import RequestState
@@ -6,45 +6,45 @@
 from rosewheel.policy.throughput import Throughput
 
 # Cursor table.
-FLAT_SLOTS = 2  # n: slots of T1 at the table's left
-FALLING_SLOTS = 14  # after them
-SLOT_RATIO = 0.86  # of a falling slot's entry to the one before
-MAX_IDLE_PERIODS = 8  # periods without an outcome that leave the cursor where it is; after them it steps left
-# Latency, as a share of the objective.
-LATENCY_SLACK = 0.10  # target: baseline plus this share of the way from there to the objective
-LATENCY_SLACK_WITH_REPORTS = 0.35  # where utilisation is reported: latency shows the tiers below only
-TARGET_GROWTH = 0.3  # the target grows by this share of what is shed
-# The same in a large fleet. By baselines that differ by a few hundredths, and few outcomes a period, one
-# balancer shed nearly all for good and another nothing. Harm: an overloaded pool is relieved less.
+FLAT_SLOTS = 2  # slots at the left of the table, whose entry is T1
+FALLING_SLOTS = 14  # slots after them, with falling entries
+SLOT_RATIO = 0.86  # entry of a falling slot relative to the one before it
+MAX_IDLE_PERIODS = 8  # consecutive periods without an outcome in which the cursor stays; then it steps left
+# Latency as a share of its objective. The target is the baseline plus a share of the way to the objective.
+LATENCY_SLACK = 0.10
+LATENCY_SLACK_WITH_REPORTS = 0.35  # utilisation shows this pool, and latency the tiers below
+# Growth of the latency target, times the share that is shed. Balancers before one pool learn different
+# baselines; in a large fleet, with few outcomes a period, the one with the lowest would shed nearly all its
+# requests. A higher growth relieves an overloaded pool less.
+TARGET_GROWTH = 0.3
 TARGET_GROWTH_IN_LARGE_FLEET = 1.0
 HALF_WEIGHT_OUTCOMES_RISING = 10.0  # outcomes that give a period half the weight in a rising smoothed latency
-HALF_WEIGHT_OUTCOMES_FALLING = 3.0  # and in a falling one
-# Outcomes for which the baseline is the smoothed latency itself. Of two balancers before one pool, ten gave
-# one 0.21 to 0.25 of the objective and the other 0.31, and the first shed three requests of four all day.
-# Harm: the load of the first seconds counts as baseline, for which the slack makes up.
+HALF_WEIGHT_OUTCOMES_FALLING = 3.0  # the same for a falling one
+# Outcomes for which the baseline equals the smoothed latency. With fewer, balancers before one pool learn
+# baselines so far apart that the lowest sheds for all. The load of these outcomes counts as baseline.
 BASELINE_LEARNING_OUTCOMES = 30
-BASELINE_FALL_GAIN = 0.1  # how fast a baseline follows a lower period
-BASELINE_RISE_GAIN = 0.01  # and a higher one
-UTILISATION_TARGET = 0.97  # of the median server
-REPORT_VALID_MS = 1500.0  # how long a reported utilisation counts
+BASELINE_FALL_GAIN = 0.1  # smoothing per period of a baseline (latency or errors) that falls
+BASELINE_RISE_GAIN = 0.01  # smoothing per period of a latency baseline that rises
+UTILISATION_TARGET = 0.97  # target of the median utilisation
+REPORT_VALID_MS = 1500.0  # age up to which a reported utilisation counts
 REPORT_SAMPLE_SIZE = 256  # servers of a large pool whose reports are read in a period
 # Rejections and errors, as shares of attempts.
-REJECTED_TARGET = 0.05
-HALF_WEIGHT_OUTCOMES_ERRORS = 20.0  # as above
-ERROR_BASELINE_RISE_GAIN = 0.02  # how fast the baseline of errors follows a higher share, by period
-# In a large fleet it follows faster by this, times the share that is shed. Errors that shedding does not
-# lessen, of a fault below or of a few servers, had all balancers reject for ten seconds at baseline latency.
+REJECTED_TARGET = 0.05  # target of the share of rejections, and of errors above their baseline
+HALF_WEIGHT_OUTCOMES_ERRORS = 20.0  # outcomes that give a period half the weight in the smoothed error share
+ERROR_BASELINE_RISE_GAIN = 0.02  # smoothing per period of the error baseline that rises
+# Added to that gain in a large fleet, times the share that is shed. Errors that shedding does not lessen, of
+# a tier below or of a few servers, would otherwise keep all balancers rejecting at baseline latency.
 ERROR_BASELINE_SHED_GAIN = 0.5
-SERVER_GAIN = 0.2  # smoothing by outcome: of a server's latency and errors
-CLASS_GAIN = 0.03  # of a class's latency and of means over requests
-# Half the time for which a rank is worse after an attempt that its server did not execute; doubles each time.
+SERVER_GAIN = 0.2  # smoothing per outcome of a server's latency and error rates
+CLASS_GAIN = 0.03  # smoothing per request of a class's latency and of other means over requests
+# Half of the first backoff of a server after an attempt that it did not execute; doubled by each further one.
 BACKOFF_MS = 250.0
-MAX_BACKOFF_MS = 4000.0  # endpoint lists are late by more, but the server may just have been full
-MAX_BACKOFF_DOUBLINGS = 8  # the backoff is at its longest before
+MAX_BACKOFF_MS = 4000.0  # endpoint lists lag by more, but the server may only have been full
+MAX_BACKOFF_DOUBLINGS = 8  # bounds the exponent; MAX_BACKOFF_MS is reached before
 
 
 class CursorTable:
-    """Entries as shares of T1, by slot, and the cursor: the further right, the more is shed."""
+    """Entries of the slots, as shares of T1, and the cursor; the further right it is, the more is shed."""
 
     def __init__(self) -> None:
         self.entries = [1.0] * FLAT_SLOTS + [SLOT_RATIO**step for step in range(1, FALLING_SLOTS + 1)]
@@ -53,18 +53,24 @@
 
     @property
     def entry(self) -> float:
-        """The share of T1 at the cursor; the rest is shed."""
+        """Entry at the cursor, as a share of T1."""
         return self.entries[self.cursor]
 
     def move(self, load: float, had_outcomes: bool) -> None:
-        """Step right where the load exceeds 1, else left."""
-        # Guard: with little traffic most periods bring no outcome; counted as load 0 they undid every step.
+        """Step right if the load exceeds 1, else left.
+
+        Args:
+            load: load of the pool, where 1 is the target.
+            had_outcomes: whether any attempt ended in the period.
+        """
+        # Idle periods leave the cursor in place at first: with little traffic most periods are idle, and
+        # counting them as load 0 would undo every step.
         self._idle_periods = 0 if had_outcomes else self._idle_periods + 1
         if self._idle_periods == 0 or self._idle_periods > MAX_IDLE_PERIODS:
             self.set_cursor(self.cursor + (1 if load > 1.0 else -1))
 
     def set_cursor(self, cursor: int) -> None:
-        """Set the cursor to this slot, or to the nearest one that there is."""
+        """Set the cursor to the slot of this index, or to the nearest slot of the table."""
         self.cursor = max(0, min(len(self.entries) - 1, cursor))
 
 
@@ -73,31 +79,31 @@
 
 
 class PoolLoad:
-    """Outcomes of a period, and what is learned from them: latency and errors of the pool without load."""
+    """Outcomes of the present period, their smoothed values, and the baselines of latency and errors."""
 
     def __init__(self, shared: SharedState, table: CursorTable, throughput: Throughput) -> None:
         self.shared, self.table, self.throughput = shared, table, throughput
-        self.latency_ratios: list[float] = []  # latencies over objectives, in this period
+        self.latency_ratios: list[float] = []  # latency / objective of attempts in this period
         self.outcomes = self.rejections = self.errors = 0  # attempts in this period
-        self.baseline_ratio: float | None = None  # latency without load over objective
-        self.baseline_outcomes = 0  # that the baseline rests on
-        self.smoothed_ratio = 0.0  # smoothed latency over objective
-        # Smoothed share of errors, and the part of it that shedding does not lessen.
+        self.baseline_ratio: float | None = None  # latency without load / objective
+        self.baseline_outcomes = 0  # outcomes from which the baseline was learned
+        self.smoothed_ratio = 0.0  # smoothed latency / objective
+        # Smoothed share of errors, and its baseline, which shedding does not lessen.
         self.smoothed_error_share = self.baseline_error_share = 0.0
         objectives = shared.objectives_ms().values()
         self.mean_objective_ms = sum(objectives) / len(objectives)
 
     def record_outcome(self, now: float, state: RequestState, event: AttemptFinished) -> None:
-        """Count the end of an attempt for its server, its class and the pool."""
+        """Record the outcome of an attempt for its server, its class and the pool."""
         server, result = state.attempts[event.attempt].server, event.result
         if result in (AttemptResult.CANCELLED, AttemptResult.NOT_SENT):
             return
         self.outcomes += 1
         if result is AttemptResult.ERROR and self.shared.settings.tier == 0:
-            self.errors += 1  # Guard: a tier below that rejects shows at the first tier as errors only
+            self.errors += 1  # rejections by lower tiers reach the first tier only as errors
         if self.shared.in_large_fleet and result.not_executed:
-            # Guard: a server that drains, not listed as draining yet, rejects at once, has nothing in flight
-            # and had the best rank. By its rejections all balancers shed, though the pool had capacity.
+            # A draining server that is not listed as draining yet rejects at once and has nothing in flight.
+            # Without a backoff it would rank best, and its rejections would make all balancers shed.
             server.consecutive_refusals += 1
             doublings = min(MAX_BACKOFF_DOUBLINGS, server.consecutive_refusals)
             server.backoff_until_ms = now + min(MAX_BACKOFF_MS, BACKOFF_MS * 2.0**doublings)
@@ -111,7 +117,7 @@
         server.error_rate += SERVER_GAIN * ((result is not AttemptResult.OK) - server.error_rate)
         has_failed = result in (AttemptResult.ERROR, AttemptResult.TIMEOUT)
         server.error_or_timeout_rate += SERVER_GAIN * (has_failed - server.error_or_timeout_rate)
-        if result in (AttemptResult.OK, AttemptResult.TIMEOUT):  # Guard: a fast error must not look fast
+        if result in (AttemptResult.OK, AttemptResult.TIMEOUT):  # a server that fails fast is not fast
             self._record_latency(now, state, event)
         if result is AttemptResult.OK:
             self.throughput.completed_weight += state.weight
@@ -119,7 +125,7 @@
             self.mean_objective_ms += CLASS_GAIN * (objective_ms - self.mean_objective_ms)
 
     def _record_latency(self, now: float, state: RequestState, event: AttemptFinished) -> None:
-        # By the class as it is set now: all that is learned has to be shares of one objective.
+        # Uses the present objective of the class, as learned ratios must all relate to one objective.
         server, latency_ms = state.attempts[event.attempt].server, event.latency_ms
         name = state.service_class.name
         self.latency_ratios.append(latency_ms / self.shared.current_class(state).latency_objective_ms)
@@ -136,8 +142,8 @@
         server.last_outcome_ms = now
 
     def end_period(self, now: float) -> None:
-        """Move the cursor by the load of this period, scaled so that 1 is the target."""
-        load, oldest_ms = 0.0, now - REPORT_VALID_MS  # Guard: old reports mislead
+        """Move the cursor by the load of this period, where 1 is the target, and begin a new period."""
+        load, oldest_ms = 0.0, now - REPORT_VALID_MS  # a balancer that rejects gets no new reports
         servers = self.shared.pool.sample(self.shared.rng, REPORT_SAMPLE_SIZE)
         reports = [server.utilisation for server in servers if server.last_report_ms >= oldest_ms]
         utilisations = [utilisation for utilisation in reports if utilisation is not None]
@@ -151,37 +157,37 @@
         self.latency_ratios, self.outcomes, self.rejections, self.errors = [], 0, 0, 0
 
     def _latency_load(self, slack: float) -> float:
-        """Smoothed latency over its target."""
-        median, count = _median(self.latency_ratios), len(self.latency_ratios)  # resists one slow server
+        """Return the smoothed latency over its target, and update the baseline."""
+        # The median of a period is not moved by one slow server.
+        median, count = _median(self.latency_ratios), len(self.latency_ratios)
         if self.baseline_ratio is None:
             self.smoothed_ratio = self.baseline_ratio = median
         else:
-            # Guard: a period with few outcomes says little. But once requests are shed there are few in each,
-            # and a latency over target for long moved the cursor to the end: a fall counts sooner.
+            # A period with few outcomes has little weight, but more in a fall than in a rise: shedding leaves
+            # few outcomes, and a latency that stayed over target would move the cursor to the end.
             rises = median > self.smoothed_ratio
             half_weight = HALF_WEIGHT_OUTCOMES_RISING if rises else HALF_WEIGHT_OUTCOMES_FALLING
             self.smoothed_ratio += count / (count + half_weight) * (median - self.smoothed_ratio)
         self.baseline_outcomes += count
         if self.baseline_outcomes < BASELINE_LEARNING_OUTCOMES:
-            self.baseline_ratio = self.smoothed_ratio  # Guard: the first responses are the fast ones
+            self.baseline_ratio = self.smoothed_ratio  # the first responses to arrive are the fastest
         elif self.smoothed_ratio < self.baseline_ratio:
             self.baseline_ratio += BASELINE_FALL_GAIN * (self.smoothed_ratio - self.baseline_ratio)
-        elif self.table.cursor == 0:  # never learned under load
+        elif self.table.cursor == 0:  # not learned under load
             self.baseline_ratio += BASELINE_RISE_GAIN * (self.smoothed_ratio - self.baseline_ratio)
         load = self.smoothed_ratio / (self.baseline_ratio + slack * (1.0 - self.baseline_ratio))
-        # Guard: balancers before one pool learn different baselines, and the lowest shed for all: others took
-        # what it shed, so its latency did not fall. The more a balancer sheds, the higher its target. This
-        # also answers a baseline that is too low for another reason. Harm: an overloaded pool is relieved
-        # less.
+        # The target grows with what is shed: balancers before one pool learn different baselines, and the one
+        # with the lowest would shed for all, as others take what it sheds and its latency does not fall. A
+        # baseline that is too low for another reason is corrected too. An overloaded pool is relieved less.
         growth = TARGET_GROWTH_IN_LARGE_FLEET if self.shared.in_large_fleet else TARGET_GROWTH
         return load / (1.0 + growth * (1.0 - self.table.entry))
 
     def _error_load(self) -> float:
-        """Share of errors above its baseline, over its target."""
-        # Guard: errors that shedding does not lessen (spoilt responses, a faulty release, a tier below that
-        # fails for good) are no load. Unsmoothed, one among a few outcomes moved the cursor; shedding left
-        # fewer outcomes still, and the balancer rejected for good. Harm: rejections below that last for many
-        # seconds become baseline too; latency and the servers' rejections still count.
+        """Return the share of errors above its baseline, over its target, and update the baseline."""
+        # Errors that shedding does not lessen, such as those of a faulty release, become the baseline and are
+        # no load. The share is smoothed, as a single error among few outcomes would move the cursor, shedding
+        # would leave fewer outcomes still, and the balancer would reject for good. Rejections by lower tiers
+        # become baseline too if they last; latency and the servers' own rejections still count.
         share = self.errors / self.outcomes
         weight = self.outcomes / (self.outcomes + HALF_WEIGHT_OUTCOMES_ERRORS)
         self.smoothed_error_share += weight * (share - self.smoothed_error_share)
@@ -193,7 +199,11 @@
         return excess / (REJECTED_TARGET + self.baseline_error_share)
 
     def rescale(self, ratio: float | None) -> None:
-        """Multiply shares of the objectives after these have changed; None: forget them."""
+        """Rescale ratios to changed objectives.
+
+        Args:
+            ratio: old objectives over new ones; None forgets all ratios.
+        """
         objectives = self.shared.objectives_ms().values()
         if ratio is None:
             self.baseline_ratio, self.smoothed_ratio, self.baseline_outcomes = None, 0.0, 0
