--- a/rosewheel/policy/attempts.py
+++ b/rosewheel/policy/attempts.py
@@ -1,4 +1,4 @@
-"""Attempts of requests, retries and the one final response."""
+"""Attempts of requests, retries, and the final response of each request."""
 
 import math
 
--- a/rosewheel/policy/ranking.py
+++ b/rosewheel/policy/ranking.py
@@ -1,4 +1,4 @@
-"""Choice of the server for an attempt."""
+"""Selection of the server for an attempt."""
 
 import math
 
@@ -9,17 +9,18 @@
 from rosewheel.policy.shared_state import SharedState
 from rosewheel.policy.slow_start import SlowStart
 
-LATENCY_DECAY_MS = 8000.0  # a server without outcomes drifts back to the mean at this pace
-QUEUE_DECAY_MS = 500.0  # a reported queue counts for about this long
-# In a large pool, where many balancers choose whichever server last reported a short queue, for less.
+# Time constants of exponential decays.
+LATENCY_DECAY_MS = 8000.0  # latency of a server without outcomes, towards the mean of its class
+QUEUE_DECAY_MS = 500.0  # a reported queue, towards 0
+# Shorter in a large pool, where many balancers choose whichever server last reported a short queue.
 QUEUE_DECAY_IN_LARGE_POOL_MS = 200.0
-BACKOFF_FACTOR = 100.0  # of the rank during a backoff
-MAX_ERROR_RATE = 0.9  # that the rank is divided by
-MIN_JITTER, JITTER_RANGE = 0.95, 1.05 - 0.95  # factor drawn for each rank: equal servers take turns
+BACKOFF_FACTOR = 100.0  # multiplies a rank during a backoff
+MAX_ERROR_RATE = 0.9  # largest error rate by which a rank is worsened
+MIN_JITTER, JITTER_RANGE = 0.95, 1.05 - 0.95  # random factor of each rank, so that equal servers take turns
 
 
 def dedup_group(service_class: ServiceClass, server: ServerStats) -> Group | None:
-    """The servers that drop repeats of a request with a key that this one has seen; None for all servers."""
+    """Return the group that shares a server's memory of idempotency keys; None if all servers share it."""
     scope, endpoint = service_class.dedup_scope, server.endpoint
     if scope is DedupScope.ALL:
         return None
@@ -33,7 +34,7 @@
         self.shared, self.slow_start = shared, slow_start
 
     def choose(self, now: float, state: RequestState) -> ServerStats | None:
-        """The server for the next attempt of a request; None where there is none or a retry is unsafe."""
+        """Return the server for the next attempt of a request; None if there is none or a retry is unsafe."""
         group: Group | None = None
         executed = state.possibly_executed()
         if executed:
@@ -41,7 +42,7 @@
                 return None
             if state.service_class.idempotency is Idempotency.IDEMPOTENT_WITH_KEY:
                 group = dedup_group(state.service_class, executed[0].server)
-        # By address: a server that left the list and came back has new statistics.
+        # Compared by address: a server that was removed and listed again has new statistics.
         tried = [attempt.server.endpoint.address for attempt in state.attempts]
         pool, has_credit = self.shared.pool, self.slow_start.has_credit
         large, rng = pool.is_large, self.shared.rng
@@ -61,33 +62,33 @@
         return best
 
     def _may_repeat(self, now: float, state: RequestState, first_sent_ms: float) -> bool:
-        """Whether a request may be sent again that a server may have executed."""
+        """Return whether a request that a server may have executed may be sent again."""
         idempotency = state.service_class.idempotency
         if idempotency is not Idempotency.IDEMPOTENT_WITH_KEY:
             return idempotency is Idempotency.IDEMPOTENT
-        # Guard: a repeat counts when its first byte is sent, up to a connection's time from now.
+        # The first byte of the retry is sent up to the connect timeout from now.
         sent_after_ms = now - first_sent_ms + self.shared.settings.connect_timeout_ms
         return not sent_after_ms >= state.service_class.dedup_window_ms
 
     def rank(self, now: float, server: ServerStats) -> float:
-        """Smoothed latency times (queue + 1); without outcomes the latency drifts to the mean, which is 1."""
+        """Return the rank of a server: its relative latency times (queue + 1), worsened by errors and backoff."""
         shared, latency, error_rate = self.shared, 1.0, server.error_rate
         if server.relative_latency is not None:
             fade = math.exp((server.last_outcome_ms - now) / LATENCY_DECAY_MS)
             latency += (server.relative_latency - 1.0) * fade
-        for (request_id, _), sent_ms in server.in_flight.items():  # the oldest attempt
+        for (request_id, _), sent_ms in server.in_flight.items():  # the oldest attempt only
             if server.last_outcome_ms <= sent_ms:
-                # Guard: a server that hangs shows in its oldest attempt long before a timeout.
+                # The age of the oldest attempt reveals a server that hangs long before a timeout does.
                 mean_ms = shared.class_latency_ms.get(shared.requests[request_id].service_class.name)
                 latency = max(latency, (now - sent_ms) / mean_ms) if mean_ms else latency
             break
-        # A server's report contains, a little late, what other processes of this node sent it.
+        # The larger of the two, as reports include, with a delay, the load from sibling processes.
         queue = server.sibling_load
         if server.reported_queue:
             decay_ms = QUEUE_DECAY_IN_LARGE_POOL_MS if shared.pool.is_large else QUEUE_DECAY_MS
             queue = max(queue, server.reported_queue * math.exp((server.last_report_ms - now) / decay_ms))
-        crossing = shared.cross_zone_penalty if server.endpoint.zone != shared.settings.zone else 0.0
-        rank = latency * (server.load + queue + 1.0 + crossing)
+        zone_penalty = shared.cross_zone_penalty if server.endpoint.zone != shared.settings.zone else 0.0
+        rank = latency * (server.load + queue + 1.0 + zone_penalty)
         if now < server.backoff_until_ms:
             rank *= BACKOFF_FACTOR
         success_rate = 1.0 - (error_rate if error_rate < MAX_ERROR_RATE else MAX_ERROR_RATE)
