--- a/rosewheel/policy/attempts.py
+++ b/rosewheel/policy/attempts.py
@@ -10,22 +10,21 @@
 from rosewheel.policy.settings import Idempotency
 from rosewheel.policy.shared_state import SharedState
 
-OBJECTIVE_TIMEOUT_SHARE = (
-    0.98  # of the objective, at which attempts whose late response earns nothing are stopped
-)
-MIN_TIMEOUT_MS = 1.0  # of an attempt that is worth sending
-MIN_WEIGHT, MAX_WEIGHT = 0.25, 4.0  # of a request by its estimated work, the mean's being 1
+# Share of the objective after which an attempt times out, for classes whose late responses are worth nothing.
+OBJECTIVE_TIMEOUT_SHARE = 0.98
+MIN_TIMEOUT_MS = 1.0  # shortest timeout with which an attempt is sent
+MIN_WEIGHT, MAX_WEIGHT = 0.25, 4.0  # limits of a request's weight, which is 1 for the mean estimated work
 
 
 class Attempts:
-    """Forwards requests, counts what is in flight and ends requests."""
+    """Forwards and retries requests, tracks the weight in flight and ends requests."""
 
     def __init__(self, shared: SharedState, ranking: Ranking, pool_load: PoolLoad) -> None:
         self.shared, self.ranking, self.pool_load = shared, ranking, pool_load
         self.mean_cost_hint_ms = 0.0
 
     def receive(self, now: float, request: RequestReceived) -> RequestState:
-        """Register a request."""
+        """Register a request and weigh it by its cost hint."""
         weight, hint_ms, settings = 1.0, request.cost_hint_ms, self.shared.settings
         if settings.weight_by_work and hint_ms:
             gain = CLASS_GAIN if self.mean_cost_hint_ms else 1.0
@@ -37,13 +36,13 @@
         return state
 
     def forward(self, now: float, state: RequestState) -> list[Action]:
-        """Send the next attempt; nothing where no attempt, no time or no server is left."""
-        # A request's time counts from its last byte; until that is received, all of it is left.
+        """Send the next attempt; return no action if no attempt, time or server is left."""
+        # The time of a request starts at its last byte; all of it is left until that is received.
         request, service_class = state.request, state.service_class
         start_ms = now if request.complete else state.started_ms
         left_ms = request.deadline_at_ms - start_ms
         if service_class.late_weight <= 0.0 and not service_class.streaming:
-            # Guard: late work is worth nothing; stopped at the objective it does not crowd out other work.
+            # Late work is worth nothing and would crowd out other work.
             stop_ms = state.started_ms + service_class.latency_objective_ms * OBJECTIVE_TIMEOUT_SHARE
             left_ms = min(left_ms, stop_ms - start_ms)
         exhausted = len(state.attempts) >= state.settings.max_attempts
@@ -74,7 +73,7 @@
             attempt.server.in_flight.pop((state.request.id, number), None)
 
     def on_request_completed(self, now: float, state: RequestState, event: RequestCompleted) -> None:
-        """A server begins a request at its last byte: before, an attempt is no load and shows no delay."""
+        """Count open attempts as load from now on, as servers begin a request at its last byte."""
         request = state.request
         request.complete, request.deadline_at_ms, state.started_ms = True, event.deadline_at_ms, now
         for number, attempt in enumerate(state.attempts):
@@ -82,16 +81,16 @@
                 self._add_load(now, state, number)
 
     def on_response_started(self, state: RequestState, event: ResponseStarted) -> list[Action]:
-        """Keep this attempt alone."""
-        # Guard: a long response is passed on at its client's pace, when its server's work is done; counted as
-        # load for that time, slow clients would have other requests rejected.
+        """Keep the attempt that responds, and cancel the others."""
+        # A long response is forwarded at its client's pace after the server's work is done. Counting it as load
+        # meanwhile would let slow clients cause other requests to be rejected.
         state.streaming = True
         if not state.service_class.streaming:
             self._remove_load(state, event.attempt)
         return self._cancel(state, except_for=event.attempt)
 
     def on_attempt_finished(self, now: float, event: AttemptFinished) -> list[Action]:
-        """Record an outcome, then end the request or retry it."""
+        """Record the outcome of an attempt, then end its request or retry it."""
         self.record_load_report(now, event.server, event.report)
         state = self.shared.requests.get(event.id)
         if state is None or event.attempt >= len(state.attempts) or state.attempts[event.attempt].result:
@@ -108,18 +107,18 @@
         return self.forward(now, state) or self.respond(state)
 
     def record_load_report(self, now: float, address: str, report: dict[str, float] | None) -> None:
-        """Record a load report, if there is one and its server is listed."""
+        """Record a load report, if there is one, for a listed server."""
         server = self.shared.pool.servers.get(address)
         if server is not None and report:
             queue, utilisation = report.get("queue", 0.0), report.get("util", server.utilisation)
-            # Guard: an absurd value would make its server always best or never used.
+            # A negative or infinite value would make its server always or never the best.
             server.reported_queue = queue if 0.0 <= queue < math.inf else 0.0
             valid = utilisation is not None and 0.0 <= utilisation < math.inf
             server.utilisation = utilisation if valid else None
             server.last_report_ms = now
 
     def respond(self, state: RequestState) -> list[Action]:
-        """The final response: a rejection where a retry by the client is harmless, else a failure."""
+        """Return the final response: a rejection if the client may safely retry, else a failure."""
         response: Action = FailRequest(state.request.id)
         if state.service_class.idempotency is Idempotency.IDEMPOTENT or not state.possibly_executed():
             retry_after_ms = 0.0
@@ -130,7 +129,7 @@
         return [response, *self.end(state)]
 
     def end(self, state: RequestState) -> list[Action]:
-        """End a request; it is forgotten when none of its attempts is in flight."""
+        """End a request; its state is dropped once none of its attempts is in flight."""
         actions = [] if state.ended or state.streaming else self._cancel(state)
         state.ended = True
         if not state.in_flight():
@@ -140,5 +139,5 @@
     def _cancel(self, state: RequestState, except_for: int | None = None) -> list[Action]:
         if not state.settings.may_cancel:
             return []
-        open_attempts = (number for number, each in enumerate(state.attempts) if each.result is None)
+        open_attempts = (number for number, attempt in enumerate(state.attempts) if attempt.result is None)
         return [CancelAttempt(state.request.id, number) for number in open_attempts if number != except_for]
