--- a/rosewheel/policy/attempts.py
+++ b/rosewheel/policy/attempts.py
@@ -12,7 +12,7 @@
 
 # Share of the objective after which an attempt times out, for classes whose late responses are worth nothing.
 OBJECTIVE_TIMEOUT_SHARE = 0.98
-MIN_TIMEOUT_MS = 1.0  # shortest timeout with which an attempt is sent
+MIN_TIMEOUT_MS = 1.0  # an attempt is sent only with more time left than this
 MIN_WEIGHT, MAX_WEIGHT = 0.25, 4.0  # limits of a request's weight, which is 1 for the mean estimated work
 
 
@@ -82,8 +82,8 @@
 
     def on_response_started(self, state: RequestState, event: ResponseStarted) -> list[Action]:
         """Keep the attempt that responds, and cancel the others."""
-        # A long response is forwarded at its client's pace after the server's work is done. Counting it as load
-        # meanwhile would let slow clients cause other requests to be rejected.
+        # A long response is forwarded at its client's pace, after the server's work is done. Counted as load
+        # meanwhile, the responses of slow clients would cause other requests to be rejected.
         state.streaming = True
         if not state.service_class.streaming:
             self._remove_load(state, event.attempt)
