--- a/rosewheel/policy/membership.py
+++ b/rosewheel/policy/membership.py
@@ -1,4 +1,4 @@
-"""Which servers there are: endpoint lists, cordons and other processes of this node."""
+"""Pool membership from endpoint lists and cordons, and the state shared with sibling processes."""
 
 import math
 
@@ -8,18 +8,20 @@
 from rosewheel.policy.slow_start import SlowStart
 from rosewheel.policy.throughput import Throughput
 
-BALANCERS_WITH_FULL_CREDIT = 4.0  # that may send a server its first request as soon as its cordon ends
+BALANCERS_WITH_FULL_CREDIT = 4.0  # expected number that may send to a server as soon as its cordon ends
 
 
 class Membership:
-    """Keeps the pool's servers as endpoint lists and operators say."""
+    """Updates the servers of the pool from events of discovery, operators and sibling processes."""
 
     def __init__(self, shared: SharedState, slow_start: SlowStart, throughput: Throughput) -> None:
         self.shared, self.slow_start, self.throughput = shared, slow_start, throughput
-        self._sibling_loaded: set[str] = set()  # servers with load from other processes of this node
+        self._servers_with_sibling_load: set[str] = (
+            set()
+        )  # servers with load from other processes of this node
 
     def apply_endpoint_list(self, now: float, update: events.EndpointListUpdate) -> None:
-        """Take the servers of an endpoint list or of its changes."""
+        """Add, update and remove servers as an endpoint list, or its delta, says."""
         pool = self.shared.pool
         if update.form is not events.EndpointListForm.DELTA:
             pool.retain({endpoint.address for endpoint in update.servers})
@@ -32,11 +34,11 @@
                 pool.add(ServerStats(endpoint, credit=credit, credit_updated_ms=now), now)
             else:
                 pool.update(known, endpoint, now)
-        if self.shared.in_large_fleet:  # at once, not at the end of the period
+        if self.shared.in_large_fleet:  # not only at the end of the period
             self.throughput.pool_capacity = self.slow_start.pool_capacity(now)
 
     def apply_cordon(self, now: float, change: events.CordonChanged) -> None:
-        """Withdraw a server, or return it to the pool as one that warms up."""
+        """Cordon a server, or return it to the pool as a warming one."""
         pool, rng = self.shared.pool, self.shared.rng
         known = pool.servers.get(change.server)
         if change.cordoned:
@@ -47,13 +49,13 @@
         since_ms = pool.cordoned_since_ms.pop(change.server, None)
         if since_ms is None or known is None:
             return
-        # Guard: it was most likely cordoned for a restart, which the list shows seconds late; with its full
-        # share it would be overloaded. Where the list has shown a start since, that is the true one. Harm: a
-        # server that was not restarted gets as little as a warming one.
+        # The server was probably cordoned for a restart, which the list shows seconds late, and its full
+        # share would overload it. So it warms up from now on, unless the list shows a start since the cordon.
+        # A server that was not restarted warms up too.
         launched_ms = known.endpoint.launched_ms
         restart_listed = launched_ms is not None and launched_ms >= since_ms
-        # Guard: with little traffic a drawn credit left it idle for seconds after its return. It gets its
-        # first request at once, but not from many balancers together.
+        # With little traffic a random credit would leave it idle for seconds. A few balancers at random give
+        # it full credit, so that it gets a request at once, but not from all balancers together.
         at_once = rng.random() * self.shared.settings.balancer_count < BALANCERS_WITH_FULL_CREDIT
         credit = 1.0 if at_once else rng.random()
         returned = ServerStats(known.endpoint, credit=credit, credit_updated_ms=now)
@@ -61,9 +63,9 @@
         pool.add(returned, now)
 
     def apply_process_count(self, change: events.ProcessCountChanged) -> None:
-        """Share the credit of warming servers out among more processes."""
-        # Guard: to the servers the processes of one node are one. The credit that they have is divided; what
-        # they earn later follows the requests of each process.
+        """Divide the credit of warming servers among more processes."""
+        # Processes of one node together may send no more than one. Present credit is divided; credit earned
+        # later follows the requests that each process receives.
         old_count = self.shared.process_count
         if change.processes > old_count:
             for server in self.shared.pool.servers.values():
@@ -71,8 +73,8 @@
         self.shared.process_count = max(1, change.processes)
 
     def apply_sibling_load(self, change: events.SiblingProcessLoad) -> None:
-        """Take the weight in flight from other processes of this node."""
+        """Replace the weight in flight from other processes of this node."""
         servers = self.shared.pool.servers
-        for address in servers.keys() & (self._sibling_loaded | change.loads.keys()):
+        for address in servers.keys() & (self._servers_with_sibling_load | change.loads.keys()):
             servers[address].sibling_load = change.loads.get(address, 0.0)
-        self._sibling_loaded = set(change.loads)
+        self._servers_with_sibling_load = set(change.loads)
