--- a/rosewheel/policy/quotas.py
+++ b/rosewheel/policy/quotas.py
@@ -1,4 +1,4 @@
-"""Token buckets of the tenants that have a quota."""
+"""Token buckets of tenants with a quota."""
 
 from dataclasses import dataclass
 
@@ -7,26 +7,32 @@
 
 @dataclass(slots=True)
 class TokenBucket:
-    """A tenant's quota at this balancer, in requests a second; the bucket holds that of one second."""
+    """Token bucket of one tenant at this balancer.
+
+    Attributes:
+        quota: tokens added per second, and the capacity of the bucket.
+        tokens: tokens in the bucket at `updated_ms`.
+        updated_ms: time of the last update.
+    """
 
     quota: float
     tokens: float
     updated_ms: float
 
     def tokens_at(self, now: float) -> float:
-        """Tokens at this time, if none is taken before."""
+        """Return the tokens at a time, if none is taken before."""
         return min(self.quota, self.tokens + self.quota * (now - self.updated_ms) / 1000.0)
 
 
 class Quotas:
-    """Token buckets by tenant; each balancer has an equal part of a tenant's quota."""
+    """Token buckets by tenant; a tenant's quota is divided equally among balancers."""
 
     def __init__(self, settings: Settings, now: float) -> None:
         self.buckets: dict[str, TokenBucket] = {}
         self.apply_settings(settings, now)
 
     def apply_settings(self, settings: Settings, now: float) -> None:
-        """Resize the buckets and keep their tokens; a new tenant's bucket is full."""
+        """Resize the buckets, which keep their tokens; the bucket of a new tenant is full."""
         buckets = {}
         for tenant in settings.tenants:
             quota = tenant.quota_per_s / settings.balancer_count
@@ -35,7 +41,7 @@
         self.buckets = buckets
 
     def exceeded(self, tenant: str | None, now: float) -> bool:
-        """Whether a request is above its tenant's quota; one that is not uses a token."""
+        """Return whether a request exceeds its tenant's quota, and take a token if it doesn't."""
         bucket = self.buckets.get(tenant or "")
         if bucket is None:
             return False
