--- a/rosewheel/policy/pool.py
+++ b/rosewheel/policy/pool.py
@@ -1,8 +1,9 @@
-"""The servers of a balancer, kept so that a choice among thousands costs no more than one among ten.
+"""Pool of servers, with sampling that bounds the cost of a choice among thousands.
 
-Of a small pool all servers are candidates. Of a large one a request sees a sample: warm servers drawn at
-random, of its own zone first, and warming ones with credit. Those without credit wait in a heap, by when they
-should have it. The best of a sample is chosen, so that balancers do not all choose one server.
+In a small pool all servers are candidates for a request. In a large one the candidates are a random sample of
+warm servers, half of it from the balancer's own zone, and of warming servers with credit. Warming servers
+without credit wait in a heap, ordered by the time at which they should have it. Sampling also keeps balancers
+from all choosing the same server.
 """
 
 import heapq
@@ -13,40 +14,40 @@
 from rosewheel.policy.indexed_set import IndexedSet
 from rosewheel.policy.server_stats import ServerStats
 
-# Sizes are servers. They bound the cost of a request: benchmarks/decisions.py measures it by the pool's size.
-SMALL_POOL_SIZE = 64  # of a pool up to this size all servers are candidates
-WARM_SAMPLE_SIZE = 12  # warm candidates of a larger pool, half of them of its own zone
-WARMING_SAMPLE_SIZE = 6  # warming candidates with credit
-GROUP_SAMPLE_SIZE = 48  # candidates of a group that shares a memory of keys
-CREDIT_CHECKS_PER_REQUEST = 8  # warming servers
-MAX_CREDIT_CHECK_DELAY_MS = 500.0  # credit is earned sooner when the request rate rises
-ANY_CELL = -1  # in a group's key: all cells of its zone
+# Numbers of servers, which bound the cost of a request. benchmarks/decisions.py measures it by pool size.
+SMALL_POOL_SIZE = 64  # largest pool of which all servers are candidates
+WARM_SAMPLE_SIZE = 12  # warm candidates in a large pool, half of them from the balancer's own zone
+WARMING_SAMPLE_SIZE = 6  # warming candidates with credit in a large pool
+GROUP_SAMPLE_SIZE = 48  # candidates in a dedup group of a large pool
+CREDIT_CHECKS_PER_REQUEST = 8  # warming servers whose credit is checked
+MAX_CREDIT_CHECK_DELAY_MS = 500.0  # limits the delay, as credit is earned sooner when the request rate rises
+ANY_CELL = -1  # cell of a group that holds all cells of its zone
 
 Group = tuple[str, int]  # zone and cell
-HasCredit = Callable[[float, ServerStats], bool]  # now, server: whether it may be sent a request
+HasCredit = Callable[[float, ServerStats], bool]  # (now, server): whether it may be sent a request
 
 
 class ServerPool:
-    """Servers by address, and those that are ready in sets by zone, cell and warm-up."""
+    """Servers by address, with sets of the ready ones by zone, cell and warm-up."""
 
     def __init__(self, zone: str, warm_up_ms: float) -> None:
         self.zone, self.warm_up_ms = zone, warm_up_ms
-        self.servers: dict[str, ServerStats] = {}  # all that are listed, in the list's order
-        self.cordoned_since_ms: dict[str, float] = {}  # listed or not
-        self.is_large = False  # candidates are a sample
+        self.servers: dict[str, ServerStats] = {}  # all listed servers, in list order
+        self.cordoned_since_ms: dict[str, float] = {}  # by address, listed or not
+        self.is_large = False  # whether candidates are sampled
         self.load = 0.0  # weight in flight from this process at ready servers
-        self.credit_rate = 0.0  # credit per ms that a warm server would earn
+        self.credit_rate = 0.0  # credit per ms earned by a warm server
         self._ready = IndexedSet()
-        self._groups: dict[Group, IndexedSet] = {}  # ready ones by zone and cell, and by zone and ANY_CELL
-        self._warm, self._warm_in_zone = IndexedSet(), IndexedSet()  # ready ones
-        self._with_credit = IndexedSet()  # ready and warming, with credit when last checked
-        self._credit_checks: list[tuple[float, int, ServerStats]] = []  # heap: when, number, server
+        self._groups: dict[Group, IndexedSet] = {}  # ready, by (zone, cell) and (zone, ANY_CELL)
+        self._warm, self._warm_in_zone = IndexedSet(), IndexedSet()  # ready and warm
+        self._with_credit = IndexedSet()  # ready and warming, with credit at the last check
+        self._credit_checks: list[tuple[float, int, ServerStats]] = []  # heap of (due time, number, server)
         self._check_count = 0
         self._ready_in_list_order: list[ServerStats] | None = None
 
     @property
     def ready(self) -> list[ServerStats]:
-        """Servers that may be sent to; of a small pool in the order of the list."""
+        """Servers that may be sent requests; in list order in a small pool."""
         if self.is_large:
             return self._ready.items
         if self._ready_in_list_order is None:
@@ -54,7 +55,7 @@
         return self._ready_in_list_order
 
     def add(self, server: ServerStats, now: float) -> None:
-        """Add a server, or replace the one of its address."""
+        """Add a server, replacing any with the same address."""
         old = self.servers.get(server.endpoint.address)
         if old is not None:
             self._mark_unready(old)
@@ -64,7 +65,7 @@
         self.refresh_readiness(server, now)
 
     def remove(self, address: str) -> None:
-        """Remove the server of this address, if there is one."""
+        """Remove the server with this address, if there is one."""
         server = self.servers.pop(address, None)
         self.is_large = len(self.servers) > SMALL_POOL_SIZE
         if server is not None:
@@ -72,19 +73,19 @@
         self._ready_in_list_order = None
 
     def retain(self, addresses: set[str]) -> None:
-        """Remove all other servers."""
+        """Remove all servers but those with these addresses."""
         for address in [address for address in self.servers if address not in addresses]:
             self.remove(address)
 
     def update(self, server: ServerStats, endpoint: Server, now: float) -> None:
-        """Take a changed entry of the list for a server that has not restarted."""
+        """Replace the list entry of a server that has not restarted."""
         if server.endpoint != endpoint:
             self._mark_unready(server)
             server.endpoint = endpoint
             self.refresh_readiness(server, now)
 
     def refresh_readiness(self, server: ServerStats, now: float) -> None:
-        """Put a server into the sets where its state belongs."""
+        """Add a server to the sets of ready servers, or remove it, by its state and cordon."""
         cordoned = server.endpoint.address in self.cordoned_since_ms
         ready = server.endpoint.state is ServerState.UP and not cordoned
         if ready is server.ready:
@@ -104,7 +105,7 @@
             self._schedule_credit_check(server, now)
 
     def set_warm_up(self, warm_up_ms: float, now: float, draw_credit: Callable[[], float]) -> None:
-        """Change the warm-up time. Servers that become warming ones draw a first credit, as new ones do."""
+        """Change the warm-up time. Servers that are warming again get an initial credit, as new ones do."""
         old_ms, servers = self.warm_up_ms, self.servers.values()
         warming = (each for each in servers if each.warm_at_ms(old_ms) <= now < each.warm_at_ms(warm_up_ms))
         credits = {server: draw_credit() for server in warming}
@@ -141,27 +142,29 @@
             self._warm_in_zone.add(server)
 
     def add_load(self, server: ServerStats, weight: float) -> None:
-        """Count this weight in flight at a server; a negative one ends it."""
+        """Add weight in flight at a server; a negative weight removes it."""
         server.load = max(0.0, server.load + weight)
         if server.ready:
             self.load = max(0.0, self.load + weight)
 
     def recheck_credit(self, server: ServerStats, now: float) -> None:
-        """Remove a warming server from the candidates where it has no credit, until a check finds some."""
+        """Remove a warming server without credit from the candidates until a check finds credit."""
         if server.ready and server.credit < 1.0 and server.warm_at_ms(self.warm_up_ms) > now:
             for servers in (self._warm, self._warm_in_zone, self._with_credit):
                 servers.discard(server)
             self._schedule_credit_check(server, now)
 
     def _schedule_credit_check(self, server: ServerStats, now: float) -> None:
-        """Check it when it should have credit at the present rate."""
+        """Schedule a check for when a server should have credit at the present rate."""
         if server.credit_check_scheduled:
             return
         server.credit_check_scheduled = True
         if len(self._credit_checks) > 2 * len(self.servers) + SMALL_POOL_SIZE:
-            # Guard: checks of servers that were replaced would fill the memory.
+            # Drops checks of replaced servers, which would otherwise accumulate.
             servers = self.servers
-            current = [row for row in self._credit_checks if servers.get(row[2].endpoint.address) is row[2]]
+            current = [
+                check for check in self._credit_checks if servers.get(check[2].endpoint.address) is check[2]
+            ]
             self._credit_checks = current
             heapq.heapify(self._credit_checks)
         capacity_share = 1.0
@@ -190,12 +193,14 @@
                 self._with_credit.add(server)
 
     def sample(self, rng: Random, count: int) -> list[ServerStats]:
-        """Ready servers: all of a small pool, at most `count` drawn ones of a large pool."""
+        """Return all ready servers of a small pool, or a random sample of up to `count` of a large one."""
         return self._ready.sample(rng, count) if self.is_large else self.ready
 
-    def candidates(self, now: float, rng: Random, group: Group | None, paced: HasCredit) -> list[ServerStats]:
-        """Candidates of a large pool for one request, of this group alone if one is given."""
-        self._check_credits(now, paced)
+    def candidates(
+        self, now: float, rng: Random, group: Group | None, has_credit: HasCredit
+    ) -> list[ServerStats]:
+        """Return candidates for one request in a large pool, only of the group if one is given."""
+        self._check_credits(now, has_credit)
         if group is not None:
             members = self._groups.get(group)
             return [] if members is None else members.sample(rng, GROUP_SAMPLE_SIZE)
