--- a/rosewheel/policy/shared_state.py
+++ b/rosewheel/policy/shared_state.py
@@ -1,4 +1,4 @@
-"""State that several parts of a balancer use."""
+"""State shared by the parts of a balancer."""
 
 from random import Random
 
@@ -6,29 +6,32 @@
 from rosewheel.policy.request_state import RequestState
 from rosewheel.policy.settings import ServiceClass, Settings
 
-PERIOD_SHARE = 0.15  # of the shortest latency objective: length of a period, P of the cursor table's source
-CROSS_ZONE_WEIGHT = 64.0  # weight in the queue that a crossing of zones counts as, per unit of its cost
-MAX_SMALL_FLEET_BALANCERS = 4
+PERIOD_SHARE = 0.15  # length of a period as a share of the shortest latency objective
+CROSS_ZONE_WEIGHT = 64.0  # queued weight equivalent to a cross-zone cost of 1
+MAX_SMALL_FLEET_BALANCERS = 4  # with more balancers the fleet is large
 
 
 def is_large_fleet(settings: Settings) -> bool:
-    """Whether so many balancers send to a tier that each sees too little and their allowances add up."""
+    """Return whether many balancers send to the tier.
+
+    In a large fleet each balancer sees few outcomes, and what each is allowed to send adds up.
+    """
     return settings.balancer_count > MAX_SMALL_FLEET_BALANCERS
 
 
 class SharedState:
-    """Settings and what follows from them, servers, requests in flight and the source of random draws."""
+    """Settings and values derived from them, servers, requests in flight and the random source."""
 
     def __init__(self, settings: Settings, seed: int) -> None:
         self.apply_settings(settings)
         self.rng = Random(seed)
         self.pool = ServerPool(settings.zone, settings.warm_up_ms)
-        self.class_latency_ms: dict[str, float] = {}  # smoothed, by class
+        self.class_latency_ms: dict[str, float] = {}  # smoothed latency by class
         self.process_count = 1  # processes of this node, each with a balancer; 2 during a hot restart
         self.requests: dict[str, RequestState] = {}  # in flight, by id
 
     def apply_settings(self, settings: Settings) -> None:
-        """Replace the settings and what follows from them alone."""
+        """Replace the settings and the values derived from them."""
         self.settings = settings
         self.classes = {each.name: each for each in settings.classes}
         self.configured_period_ms = PERIOD_SHARE * min(each.latency_objective_ms for each in settings.classes)
@@ -37,13 +40,13 @@
         self.in_large_fleet = settings.tier == 0 and is_large_fleet(settings)
 
     def objectives_ms(self) -> dict[str, float]:
-        """Latency objectives by class."""
+        """Return the latency objectives by class."""
         return {name: each.latency_objective_ms for name, each in self.classes.items()}
 
     def draw_initial_credit(self) -> float:
-        """Credit of a server that begins to warm up, shared out among the processes of this node."""
+        """Draw the credit of a server that begins to warm up, divided among the processes of this node."""
         return self.rng.random() / self.process_count
 
     def current_class(self, request: RequestState) -> ServiceClass:
-        """The class of a request as it is set now, or as it was when the request was received."""
+        """Return the present settings of a request's class; if it was removed, those at the request's arrival."""
         return self.classes.get(request.service_class.name, request.service_class)
