--- a/rosewheel/policy/__init__.py
+++ b/rosewheel/policy/__init__.py
@@ -1,1 +1,1 @@
-"""The decisions: their interface, their settings, and the module that makes them. No clock, no sockets."""
+"""Balancing policy: settings, events, actions and the decision module. No clock and no I/O."""
--- a/rosewheel/policy/balancer.py
+++ b/rosewheel/policy/balancer.py
@@ -1,9 +1,9 @@
-"""The decision module of rosewheel: its parts by concern, joined.
+"""Entry point of the decision module.
 
 Its interface is in rosewheel/policy/settings.py, rosewheel/policy/events.py and rosewheel/policy/actions.py.
-Every period the pool's load moves a cursor one step over a table of queue thresholds. A request that meets
-its threshold is rejected at once; others are sent to the ready server of the best rank. Exceptions are marked
-`Guard:` with the failure that they prevent. No I/O, no clock, a random source of its own.
+Every period the pool's load moves a cursor one step over a table of queue thresholds. A request that would
+exceed its threshold is rejected at once; others are sent to the ready server of the best rank. The module
+does no I/O, reads no clock and has a random source of its own.
 """
 
 from rosewheel.policy import events
@@ -19,7 +19,10 @@
 
 
 class Balancer:
-    """Decides where requests are sent and which are rejected; times are ms on a clock that only advances."""
+    """Decides where requests are sent and which are rejected.
+
+    All times are ms on a clock that only advances.
+    """
 
     def __init__(self, settings: Settings, seed: int, now_ms: float) -> None:
         self.parts = Parts(settings, seed, now_ms)
@@ -27,11 +30,18 @@
 
     @property
     def period_ms(self) -> float:
-        """Length of the present period."""
+        """Length of the present period, in ms."""
         return self.parts.throughput.period_ms
 
     def handle(self, now: float, event: events.Event) -> list[Action]:
-        """Take an event, return actions; ValueError, and no change, for a wrong request or settings."""
+        """Handle an event.
+
+        Returns:
+            The actions to take, in order.
+
+        Raises:
+            ValueError: the request or the settings are invalid. Nothing has changed then.
+        """
         if isinstance(event, events.SettingsChanged):
             return change_settings(self.parts, now, event.settings, self._started)
         if isinstance(event, events.RequestReceived):
@@ -45,15 +55,24 @@
         return actions + self._dispatch(now, event)
 
     def capture_learned_state(self, now: float) -> LearnedState:
-        """What this balancer has learned, for a later process."""
+        """Return the learned state, for a later process."""
         return capture(self.parts, now)
 
     def restore_learned_state(self, now: float, learned: LearnedState, age_ms: float) -> int:
-        """Take over learned state, once, after the first endpoint list; returns how many servers it knew."""
+        """Restore learned state. Call once, after the first endpoint list.
+
+        Args:
+            now: present time.
+            learned: the state of an earlier process.
+            age_ms: time since it was captured.
+
+        Returns:
+            The number of listed servers whose statistics were restored.
+        """
         return restore(self.parts, now, learned, age_ms)
 
     def loads_by_server(self) -> dict[str, float]:
-        """Weight in flight from here at each server that has any."""
+        """Return the weight in flight from this balancer by server, without servers that have none."""
         servers = self.parts.shared.pool.servers
         return {address: server.load for address, server in servers.items() if server.load > 0.0}
 
@@ -61,7 +80,7 @@
         if request.service not in self.parts.shared.classes:
             raise ValueError(f"service: {request.service!r} is not a class of the settings")
         if request.id in self.parts.shared.requests:
-            raise ValueError(f"id: {request.id!r} is held already")
+            raise ValueError(f"id: {request.id!r} is already in flight")
 
     def _dispatch(self, now: float, event: events.Event) -> list[Action]:
         parts, attempts, requests = self.parts, self.parts.attempts, self.parts.shared.requests
--- a/rosewheel/policy/parts.py
+++ b/rosewheel/policy/parts.py
@@ -1,4 +1,4 @@
-"""The parts of a balancer, joined."""
+"""Construction of the parts of a balancer."""
 
 from rosewheel.policy import (
     admission,
@@ -16,7 +16,7 @@
 
 
 class Parts:
-    """One object for each concern of the decisions."""
+    """One object for each concern of a balancer, with references to those that it uses."""
 
     def __init__(self, settings: Settings, seed: int, now: float) -> None:
         self.shared = shared_state.SharedState(settings, seed)
