--- a/rosewheel/policy/learned_state.py
+++ b/rosewheel/policy/learned_state.py
@@ -1,6 +1,6 @@
-"""What a balancer has learned, as a value for a later process.
+"""Learned state of a balancer, which a later process can restore.
 
-Clocks differ between processes, so the value holds ages, not moments.
+It holds ages instead of times, as clocks differ between processes.
 """
 
 from __future__ import annotations
@@ -14,9 +14,9 @@
 
 @dataclass(slots=True, frozen=True)
 class LearnedServer:
-    """Statistics of one server, as in `ServerStats`; ages in ms when the state was captured, None for never."""
+    """Statistics of one server, as in `ServerStats`. Ages are ms at the capture; None means never."""
 
-    started_ago_ms: float | None  # None: long ago
+    started_ago_ms: float | None  # None: started long ago
     relative_latency: float | None = None
     error_rate: float = 0.0
     last_outcome_ago_ms: float | None = None
@@ -29,11 +29,13 @@
 
 @dataclass(slots=True, frozen=True)
 class LearnedState:
-    """All learned state, as in `PoolLoad` and `Throughput`; rates are those of the whole pool."""
+    """Learned state, as in `PoolLoad` and `Throughput`. Rates are those of the whole pool."""
 
     servers: dict[str, LearnedServer] = field(default_factory=dict)
     class_latency_ms: dict[str, float] = field(default_factory=dict)
-    objectives_ms: dict[str, float] = field(default_factory=dict)  # by class; empty: those of the reader
+    objectives_ms: dict[str, float] = field(
+        default_factory=dict
+    )  # by class; empty: as configured at the reader
     baseline_ratio: float | None = None
     smoothed_ratio: float = 0.0
     baseline_outcomes: int = 0
@@ -45,13 +47,13 @@
     baseline_error_share: float = 0.0
 
 
-def ago_ms(now: float, moment: float | None) -> float | None:
-    """Age of a moment; None for never."""
-    return None if moment is None or moment == -math.inf else max(0.0, now - moment)
+def ago_ms(now: float, time_ms: float | None) -> float | None:
+    """Return the age of a time in ms, or None for None or -inf."""
+    return None if time_ms is None or time_ms == -math.inf else max(0.0, now - time_ms)
 
 
 def capture(parts: Parts, now: float) -> LearnedState:
-    """The learned state of a balancer."""
+    """Return the learned state of a balancer."""
     shared, load, throughput = parts.shared, parts.pool_load, parts.throughput
     return LearnedState(
         servers={address: _capture_server(server, now) for address, server in shared.pool.servers.items()},
