--- a/rosewheel/policy/learned_state_restore.py
+++ b/rosewheel/policy/learned_state_restore.py
@@ -1,4 +1,4 @@
-"""Restoration of learned state: a part counts less the older it is, each at its own pace."""
+"""Restoration of learned state, in which each value decays with its age."""
 
 import math
 
@@ -7,45 +7,55 @@
 from rosewheel.policy.pool_load import BASELINE_LEARNING_OUTCOMES
 from rosewheel.policy.server_stats import ServerStats
 
-MAX_AGE_MS = 600_000.0  # past this age a fleet is another one
-# Paces: after this age a part counts 1/e.
-BASELINE_DECAY_MS = 120_000.0  # latencies without load: they change with releases
+MAX_AGE_MS = 600_000.0  # older state is not restored, as the fleet may have changed
+# Time constants: ages at which a value retains 1/e of its weight.
+BASELINE_DECAY_MS = 120_000.0  # baseline latencies change with releases
 CURSOR_DECAY_MS = 3_000.0  # the cursor follows the present load
 RATE_DECAY_MS = 15_000.0
 SERVER_DECAY_MS = 8_000.0
-MIN_BASELINE_SHARE = 0.1  # below it a baseline is not taken over
-MAX_OBJECTIVE_RATIO = 100.0  # an objective that changed by more is that of another class
-SAME_START_TOLERANCE_MS = 1_000.0  # two processes read one start time, each by its own clock
+MIN_BASELINE_SHARE = 0.1  # smallest retained share at which a baseline is restored
+MAX_OBJECTIVE_RATIO = 100.0  # objectives that changed by more can't be related
+SAME_START_TOLERANCE_MS = 1_000.0  # difference of one start time between the clocks of two processes
 
 
 def retained_share(age_ms: float, decay_ms: float) -> float:
-    """The share with which something of this age still counts: 1 when new, 0 past `MAX_AGE_MS`."""
+    """Return the weight left to a value of this age: 1 when new, 0 beyond `MAX_AGE_MS`."""
     return 0.0 if not 0.0 <= age_ms <= MAX_AGE_MS else math.exp(-age_ms / decay_ms)
 
 
 def objective_ratio(old: dict[str, float], new: dict[str, float]) -> float | None:
-    """Old objectives over new ones, the largest of all classes; None where no class has both."""
-    # The largest: a baseline too high falls within seconds, by one too low a balancer sheds for minutes.
+    """Return the largest ratio of old to new objectives over all classes, or None if no class has both."""
+    # A baseline that is too high falls within seconds; one that is too low causes minutes of shedding.
     ratio = max((old[name] / objective for name, objective in new.items() if name in old), default=0.0)
     return ratio if 1.0 / MAX_OBJECTIVE_RATIO <= ratio <= MAX_OBJECTIVE_RATIO else None
 
 
 def is_same_start(saved_ago_ms: float | None, age_ms: float, now_ago_ms: float | None) -> bool:
-    """Whether a server has not restarted since it was saved."""
+    """Return whether a server has not restarted since its state was saved.
+
+    Args:
+        saved_ago_ms: age of its start when the state was saved; None if it started long before.
+        age_ms: age of the state.
+        now_ago_ms: present age of its start; None as above.
+    """
     if saved_ago_ms is None or now_ago_ms is None:
         return saved_ago_ms is now_ago_ms
     return abs(saved_ago_ms + age_ms - now_ago_ms) <= SAME_START_TOLERANCE_MS
 
 
 def restore(parts: Parts, now: float, learned: LearnedState, age_ms: float) -> int:
-    """Take learned state over, each part as far as its age allows; returns how many servers it knew."""
-    known, throughput, load = 0, parts.throughput, parts.pool_load
+    """Restore learned state, with weights by its age.
+
+    Returns:
+        The number of listed servers whose statistics were restored.
+    """
+    restored, throughput, load = 0, parts.throughput, parts.pool_load
     for address, saved in learned.servers.items():
         server = parts.shared.pool.servers.get(address)
         if server is not None and server.last_outcome_ms == -math.inf:
             started_ago_ms = ago_ms(now, server.endpoint.launched_ms)
             if is_same_start(saved.started_ago_ms, age_ms, started_ago_ms):
-                known += 1
+                restored += 1
                 _restore_server(server, saved, now, age_ms)
     _restore_baseline(parts, learned, age_ms)
     parts.table.set_cursor(int(learned.cursor * retained_share(age_ms, CURSOR_DECAY_MS)))
@@ -57,15 +67,15 @@
         throughput.restart_smoothing(share)
     load.smoothed_error_share = learned.smoothed_error_share * share
     load.baseline_error_share = min(1.0, learned.baseline_error_share) * share
-    return known
+    return restored
 
 
 def _restore_server(server: ServerStats, saved: LearnedServer, now: float, age_ms: float) -> None:
     saved_ms = now - age_ms
     server.error_rate = min(1.0, saved.error_rate) * retained_share(age_ms, SERVER_DECAY_MS)
-    server.credit = min(server.credit, saved.credit)  # the old process may still use what it had
+    server.credit = min(server.credit, saved.credit)  # the old process may still use its own
     if saved.relative_latency is not None and saved.last_outcome_ago_ms is not None:
-        server.relative_latency = saved.relative_latency  # its rank fades by the age of the outcome
+        server.relative_latency = saved.relative_latency  # decays in the rank by the age of the outcome
         server.last_outcome_ms = saved_ms - saved.last_outcome_ago_ms
     if saved.last_report_ago_ms is not None:
         server.reported_queue, server.utilisation = saved.reported_queue, saved.utilisation
@@ -81,7 +91,7 @@
     if baseline is None or load.baseline_ratio is not None or share <= MIN_BASELINE_SHARE or ratio is None:
         return
     load.baseline_ratio = load.smoothed_ratio = baseline * ratio
-    # The fewer outcomes it seems to rest on, the sooner new ones replace it.
+    # With fewer recorded outcomes, new ones replace the baseline sooner.
     load.baseline_outcomes = int(min(BASELINE_LEARNING_OUTCOMES, learned.baseline_outcomes) * share)
     latencies_ms = learned.class_latency_ms.items()
     shared.class_latency_ms = {name: ms for name, ms in latencies_ms if name in shared.classes and ms > 0.0}
