--- a/rosewheel/policy/indexed_set.py
+++ b/rosewheel/policy/indexed_set.py
@@ -1,4 +1,4 @@
-"""A set of servers from which one can be added, removed or drawn in constant time."""
+"""Set of servers with constant-time insertion, removal and random sampling."""
 
 from __future__ import annotations
 
@@ -8,10 +8,10 @@
 
 
 class IndexedSet:
-    """Servers in a list, with the position of each.
+    """Servers in a list, with an index of their positions.
 
     Attributes:
-        items: the members; a removal moves the last one into the gap.
+        items: the members, in no particular order; a removal moves the last one into the gap.
     """
 
     def __init__(self) -> None:
@@ -25,13 +25,13 @@
         return server in self._positions
 
     def add(self, server: ServerStats) -> None:
-        """Add a server, unless it is a member."""
+        """Add a server if it is not a member."""
         if server not in self._positions:
             self._positions[server] = len(self.items)
             self.items.append(server)
 
     def discard(self, server: ServerStats) -> None:
-        """Remove a server, if it is a member."""
+        """Remove a server if it is a member."""
         position = self._positions.pop(server, None)
         if position is None:
             return
@@ -41,8 +41,8 @@
             self._positions[last] = position
 
     def sample(self, rng: Random, count: int) -> list[ServerStats]:
-        """Up to `count` members drawn with replacement, each once; all members where there are no more."""
+        """Return the distinct members of `count` random draws, or all members if there are no more."""
         if len(self.items) <= count:
             return list(self.items)
         size = len(self.items)
-        return [self.items[at] for at in {int(rng.random() * size) for _ in range(count)}]
+        return [self.items[index] for index in {int(rng.random() * size) for _ in range(count)}]
