--- a/rosewheel/policy/request_state.py
+++ b/rosewheel/policy/request_state.py
@@ -1,4 +1,4 @@
-"""A request in flight and its attempts."""
+"""State of a request in flight and of its attempts."""
 
 from __future__ import annotations
 
@@ -11,31 +11,31 @@
 
 @dataclass(slots=True)
 class Attempt:
-    """One sending of a request to one server."""
+    """One attempt of a request at one server."""
 
     server: ServerStats
     sent_ms: float
-    result: AttemptResult | None = None  # None: in flight
+    result: AttemptResult | None = None  # None while in flight
     counts_as_load: bool = False
 
 
 @dataclass(slots=True)
 class RequestState:
-    """One request, by the class and the settings under which it was received."""
+    """A request, with the class and the settings that were in force when it was received."""
 
     request: RequestReceived
     service_class: ServiceClass
     settings: Settings
-    started_ms: float  # when it was received, or its last byte where that came later
+    started_ms: float  # time of receipt, or of the last byte of the body if later
     weight: float
     attempts: list[Attempt] = field(default_factory=list)
-    ended: bool = False  # it has its response, or needs none
-    streaming: bool = False  # a response is in progress
+    ended: bool = False  # it has its final response, or needs none
+    streaming: bool = False  # a response is being forwarded
 
     def in_flight(self) -> bool:
-        """Whether any attempt has not ended."""
+        """Return whether any attempt has not ended."""
         return any(attempt.result is None for attempt in self.attempts)
 
     def possibly_executed(self) -> list[Attempt]:
-        """Attempts whose server may have executed the request, or may still do so."""
+        """Return the attempts whose server may have executed the request, or may still do so."""
         return [each for each in self.attempts if each.result is None or not each.result.not_executed]
