--- a/rosewheel/policy/settings.py
+++ b/rosewheel/policy/settings.py
@@ -1,7 +1,7 @@
-"""Settings of the decision module, validated when they are made.
+"""Settings of the decision module, validated on construction.
 
-Times are milliseconds and rates are per second. The keys of configuration files and of the platform's JSON are
-mapped to these names in `rosewheel/config/operator_tables.py` and `rosewheel/policy/settings_codec.py`.
+Times are milliseconds and rates are per second. The keys of configuration files and of the platform's JSON
+are mapped to these names in `rosewheel/config/operator_tables.py` and `rosewheel/policy/settings_codec.py`.
 """
 
 from __future__ import annotations
@@ -12,14 +12,14 @@
 from dataclasses import dataclass
 from enum import Enum
 
-MIN_POSITIVE = 0.001  # the least value of a setting that has to be greater than 0
+MIN_POSITIVE = 0.001  # smallest value of a setting that must be greater than 0
 
 
 class InvalidSettingError(ValueError):
     """A setting has a value outside its range.
 
     Attributes:
-        key: the setting's path by the names of this module, such as `classes[0].deadline_ms`.
+        key: path of the setting, such as `classes[0].deadline_ms`.
         reason: what is wrong with its value.
     """
 
@@ -30,15 +30,15 @@
 
 
 class Idempotency(Enum):
-    """Whether a request may be executed more than once. Values are those of configuration files."""
+    """Whether a request may be executed more than once. Values are those in configuration files."""
 
-    IDEMPOTENT = "safe"  # may be repeated freely
-    IDEMPOTENT_WITH_KEY = "keyed"  # one group of servers drops a repeat while it remembers the key
-    NON_IDEMPOTENT = "unsafe"  # must never be executed twice
+    IDEMPOTENT = "safe"  # may be executed any number of times
+    IDEMPOTENT_WITH_KEY = "keyed"  # a group of servers drops repeats while it remembers the key
+    NON_IDEMPOTENT = "unsafe"  # must not be executed twice
 
 
 class DedupScope(Enum):
-    """The group of servers that drops repeats of a keyed request. Values are those of configuration files."""
+    """Servers that share a memory of idempotency keys. Values are those in configuration files."""
 
     ALL = "all"
     ZONE = "zone"
@@ -50,14 +50,14 @@
     """A class of requests with a common objective, priority and idempotency.
 
     Attributes:
-        name: the class's name, unique among the settings.
-        latency_objective_ms: a response within this time earns the whole priority weight.
-        deadline_ms: how long a client waits, over all its attempts.
+        name: name of the class, unique within the settings.
+        latency_objective_ms: time within which a response earns the whole priority weight.
+        deadline_ms: how long a client waits for the response, over all attempts.
         priority_weight: value of a response in time; requests of lower weight are rejected first.
         late_weight: share of the priority weight that a response after the objective earns, 0 to 1.
         idempotency: whether a request may be executed again.
-        dedup_scope: the servers that share the memory of keys.
-        dedup_window_ms: how long these servers remember a key.
+        dedup_scope: the servers that share a memory of keys.
+        dedup_window_ms: how long those servers remember a key.
         streaming: whether responses are streamed to the client.
     """
 
@@ -74,7 +74,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Tenant:
-    """A tenant with a quota, in requests per second over all balancers of the tier together."""
+    """A tenant with a quota, in requests per second over all balancers of the tier."""
 
     name: str
     quota_per_s: float
@@ -82,28 +82,29 @@
 
 @dataclass(slots=True, frozen=True)
 class Settings:
-    """All settings of one balancer. Raises InvalidSettingError where a value is outside its range.
+    """Settings of one balancer; construction raises InvalidSettingError for a value out of range.
 
     Attributes:
-        classes: the classes of requests; at least one.
+        classes: classes of requests; at least one.
         tenants: tenants that have a quota.
         zone: the zone of this balancer.
-        tier: 0 is the tier that clients reach.
-        balancer_count: balancers that send to this tier, this one included.
-        poll_discovery: whether endpoint lists are polled by this balancer, not pushed to it.
-        weight_by_work: whether a request's weight in the queue follows its estimated work.
-        over_quota_weight: share of the priority weight that is left to requests above a tenant's quota, 0 to 1.
-        report_fields: names of the fields of a server's load report, in order.
+        tier: tier of this balancer; clients send to tier 0.
+        balancer_count: number of balancers that send to this tier, including this one.
+        poll_discovery: whether this balancer polls endpoint lists, instead of having them pushed.
+        weight_by_work: whether the weight of a request follows its estimated work.
+        over_quota_weight: share of the priority weight of requests above their tenant's quota, 0 to 1.
+        report_fields: names of the fields of a load report, in order.
         may_cancel: whether attempts may be cancelled.
-        retry_after: whether rejections tell clients how long to wait.
-        max_retry_after_ms: the longest such wait.
-        max_attempts: attempts of one request, the first included.
+        retry_after: whether rejections tell clients how long to wait before a retry.
+        max_retry_after_ms: longest time that they are told to wait.
+        max_attempts: largest number of attempts of one request, including the first.
         cross_zone_cost: cost of an attempt in another zone.
-        warm_up_initial_share: share of its capacity that a server has when it starts, up to 1.
-        warm_up_ms: how long a server takes to its full capacity.
-        overload_factor: a warming server fails when it is sent this multiple of its capacity at that time,
-        overload_window_ms: within any window of this length.
-        connect_timeout_ms: how long a connection may take until an attempt's first byte is written.
+        warm_up_initial_share: share of its capacity that a server has at its start, up to 1.
+        warm_up_ms: time from its start until a server has its full capacity.
+        overload_factor: multiple of its present capacity that overloads a warming server, if sent within
+            one overload window.
+        overload_window_ms: length of that window.
+        connect_timeout_ms: longest time from the choice of a server to the first byte of the attempt.
     """
 
     classes: tuple[ServiceClass, ...]
@@ -157,7 +158,7 @@
 
 def _check_range(key: str, value: object, low: float, high: float = math.inf) -> None:
     in_range = isinstance(value, int | float) and not isinstance(value, bool) and low <= value <= high
-    # An integer may exceed the range of a float; converting it later would raise OverflowError.
+    # An integer may exceed the range of a float; a later conversion would raise OverflowError.
     if not in_range or value > sys.float_info.max:  # type: ignore[operator]
         raise InvalidSettingError(key, f"{value!r} is not a number from {low} to {high}")
 
