--- a/rosewheel/policy/settings_change.py
+++ b/rosewheel/policy/settings_change.py
@@ -1,4 +1,4 @@
-"""Change of the settings while a balancer runs: all of it or, where anything raises, nothing."""
+"""Atomic change of the settings of a running balancer."""
 
 from rosewheel.policy.actions import Action
 from rosewheel.policy.learned_state_restore import objective_ratio
@@ -7,14 +7,19 @@
 
 
 def change_settings(parts: Parts, now: float, new: Settings, started: bool) -> list[Action]:
-    """Apply other settings, or raise ValueError that names one that can't change while a node runs."""
+    """Apply new settings; if anything raises, none of them.
+
+    Raises:
+        ValueError: a setting can't change while a node runs. The text names it.
+    """
     old = parts.shared.settings
     if new == old:
         return []
-    for key in ("tier", "zone"):  # learned state would be of another pool, and a machine does not move
+    for key in ("tier", "zone"):  # learned state belongs to one tier, and a machine to one zone
         if getattr(new, key) != getattr(old, key):
             raise ValueError(f"{key}: {getattr(new, key)!r} would need a new start of this node")
-    # Attributes are replaced and their old values not modified, but for servers, which change last.
+    # Attributes are replaced without modifying their old values, so that restoring the references undoes the
+    # change. Servers are modified in place, after everything that may raise.
     saved = [(part, dict(vars(part))) for part in vars(parts).values()]
     random_state = parts.shared.rng.getstate()
     try:
@@ -46,6 +51,6 @@
     if new.warm_up_ms != old.warm_up_ms:
         shared.pool.set_warm_up(new.warm_up_ms, now, shared.draw_initial_credit)
     if fleet_changed:
-        for server in shared.pool.servers.values():  # a backoff of the large fleet would never end elsewhere
+        for server in shared.pool.servers.values():  # a small fleet does not use backoffs
             server.clear_backoff()
     return actions
