--- a/rosewheel/policy/actions.py
+++ b/rosewheel/policy/actions.py
@@ -1,4 +1,4 @@
-"""Actions that the decision module returns. Times are milliseconds."""
+"""Actions of the decision module. Times are milliseconds."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 @dataclass(slots=True)
 class ForwardRequest:
-    """Send an attempt of this request to this server; a timeout of 0 means until the request's deadline."""
+    """Send an attempt of a request to a server. A timeout of 0 lasts until the request's deadline."""
 
     id: str
     server: str
@@ -16,7 +16,7 @@
 
 @dataclass(slots=True)
 class RejectRequest:
-    """Final response: the client may retry without harm."""
+    """Send the final response: rejected, and safe to retry."""
 
     id: str
     retry_after_ms: float = 0.0
@@ -24,7 +24,7 @@
 
 @dataclass(slots=True)
 class FailRequest:
-    """Final response: the request may have been executed."""
+    """Send the final response: failed, and possibly executed."""
 
     id: str
 
@@ -39,19 +39,19 @@
 
 @dataclass(slots=True)
 class CheckHealth:
-    """Start a health check of this server."""
+    """Start a health check of a server."""
 
     server: str
 
 
 @dataclass(slots=True)
 class WatchEndpoints:
-    """Watch the endpoint list: poll it once, or have its changes pushed."""
+    """Watch the endpoint list: poll it once, or subscribe to its changes."""
 
 
 @dataclass(slots=True)
 class StartTimer:
-    """Set a timer; TimerFired of the same name follows after the delay."""
+    """Start a timer; TimerFired with the same name follows after the delay."""
 
     delay_ms: float
     name: str
