--- a/rosewheel/policy/events.py
+++ b/rosewheel/policy/events.py
@@ -1,7 +1,7 @@
-"""Events that the decision module takes.
+"""Events that the decision module handles.
 
-Times are milliseconds on one clock that only advances. The module's settings are in `settings.py`, the actions that
-it returns in `actions.py`.
+Times are milliseconds on one clock that only advances. Settings are in `settings.py`, and
+actions in `actions.py`.
 """
 
 from __future__ import annotations
@@ -13,7 +13,7 @@
 
 
 class AttemptResult(Enum):
-    """How an attempt ended. Values are those of records and of the admin API."""
+    """How an attempt ended. Values are those in records and in the admin API."""
 
     OK = "ok"
     ERROR = "error"
@@ -22,16 +22,16 @@
     CONNECT_FAILED = "connect_failed"
     RESET = "reset"
     CANCELLED = "cancelled"
-    NOT_SENT = "moot"  # the node did not send it: its server may not be used, or its request has ended
+    NOT_SENT = "moot"  # not sent by the node: its server became unusable, or its request had ended
 
     @property
     def not_executed(self) -> bool:
-        """Whether this result proves that the server has not executed the request."""
+        """Whether the result proves that the server has not executed the request."""
         return self in (AttemptResult.OVERLOADED, AttemptResult.CONNECT_FAILED, AttemptResult.NOT_SENT)
 
 
 class ServerState(Enum):
-    """State of a server in an endpoint list. Values are those of the simulator's wire."""
+    """State of a server in an endpoint list. Values are those of the simulator's protocol."""
 
     UP = "up"
     DRAINING = "draining"
@@ -39,17 +39,17 @@
 
 
 class EndpointListForm(Enum):
-    """What an endpoint list update holds. Values are those of the simulator's wire."""
+    """Contents of an endpoint list update. Values are those of the simulator's protocol."""
 
-    DELTA = "delta"  # changes
+    DELTA = "delta"  # changed entries
     SNAPSHOT = "full"  # the whole list
-    CACHED = "cached"  # the whole list as it was remembered
-    FAILED = "failed"  # nothing: a poll failed
+    CACHED = "cached"  # the whole list, from a cache
+    FAILED = "failed"  # nothing, as a poll failed
 
 
 @dataclass(slots=True)
 class Server:
-    """One entry of the endpoint list; `launched_ms` is None for a server that started long ago."""
+    """An entry of the endpoint list; `launched_ms` is None if the server started long ago."""
 
     address: str
     zone: str = ""
@@ -68,18 +68,18 @@
 
 @dataclass(slots=True)
 class DiscoveryAddressChanged:
-    """Discovery has another address from now on; a poll of the old one is void."""
+    """The address of discovery has changed; a poll of the old one no longer counts."""
 
 
 @dataclass(slots=True)
 class RequestReceived:
-    """A client's request; `complete` is False while its body is still being received.
+    """A client's request has arrived; `complete` is False while its body is still being received.
 
-    An incomplete request may be sent. Its deadline counts from RequestCompleted.
+    An incomplete request may be forwarded. Its deadline starts with RequestCompleted.
     """
 
     id: str
-    service: str  # name of its class
+    service: str  # name of its service class
     deadline_at_ms: float
     tenant: str | None = None
     cost_hint_ms: float | None = None
@@ -89,7 +89,7 @@
 
 @dataclass(slots=True)
 class RequestCompleted:
-    """The last byte of a request's body has been received; its deadline counts from now."""
+    """The last byte of a request's body has been received, from which its deadline counts."""
 
     id: str
     deadline_at_ms: float
@@ -97,7 +97,7 @@
 
 @dataclass(slots=True)
 class ResponseStarted:
-    """A streamed or long response has begun; the other attempts of its request are of no use."""
+    """A streamed or long response has begun; other attempts of the request are no longer needed."""
 
     id: str
     attempt: int
@@ -105,7 +105,7 @@
 
 @dataclass(slots=True)
 class AttemptFinished:
-    """An attempt has ended; `request_ended` where its request has ended too, by this attempt or earlier."""
+    """An attempt has ended; `request_ended` if its request has ended too, now or earlier."""
 
     id: str
     attempt: int
@@ -118,14 +118,14 @@
 
 @dataclass(slots=True)
 class ClientDisconnected:
-    """The client has closed its connection; its request needs no response any more."""
+    """The client has closed its connection; its request needs no response."""
 
     id: str
 
 
 @dataclass(slots=True)
 class TimerFired:
-    """A timer that StartTimer has set is due."""
+    """A timer of StartTimer has fired."""
 
     name: str
 
@@ -142,7 +142,7 @@
 
 @dataclass(slots=True)
 class CordonChanged:
-    """An operator has cordoned a server, or has lifted its cordon. It holds whatever endpoint lists say."""
+    """An operator has cordoned or uncordoned a server. Cordons are independent of endpoint lists."""
 
     server: str
     cordoned: bool
@@ -150,23 +150,23 @@
 
 @dataclass(slots=True)
 class ProcessCountChanged:
-    """Number of processes of this node that decide now, each with its own balancer: 2 during a hot restart."""
+    """The number of processes of this node that run a balancer has changed; 2 during a hot restart."""
 
     processes: int
 
 
 @dataclass(slots=True)
 class SiblingProcessLoad:
-    """Weight in flight from the other processes of this node, by server; servers without any are left out."""
+    """Weight in flight from the other processes of this node, by server; 0 for servers left out."""
 
     loads: dict[str, float]
 
 
 @dataclass(slots=True)
 class SettingsChanged:
-    """Other settings hold from now on; requests in flight keep those under which they were received.
+    """New settings apply from now on; requests in flight keep those in force when they were received.
 
-    The balancer raises ValueError that names the key where it can't take them while it runs. Nothing has changed then.
+    The balancer raises ValueError, and changes nothing, for a setting that can't change while it runs.
     """
 
     settings: Settings
