--- a/rosewheel/policy/learned_state_restore.py
+++ b/rosewheel/policy/learned_state_restore.py
@@ -7,7 +7,7 @@
 from rosewheel.policy.pool_load import BASELINE_LEARNING_OUTCOMES
 from rosewheel.policy.server_stats import ServerStats
 
-MAX_AGE_MS = 600_000.0  # older state is not restored, as the fleet may have changed
+MAX_AGE_MS = 600_000.0  # age beyond which the retained share is 0, as the fleet may have changed
 # Time constants: ages at which a value retains 1/e of its weight.
 BASELINE_DECAY_MS = 120_000.0  # baseline latencies change with releases
 CURSOR_DECAY_MS = 3_000.0  # the cursor follows the present load
@@ -24,7 +24,10 @@
 
 
 def objective_ratio(old: dict[str, float], new: dict[str, float]) -> float | None:
-    """Return the largest ratio of old to new objectives over all classes, or None if no class has both."""
+    """Return the largest ratio of old to new objectives over the classes that have both.
+
+    None if there is no such class, or the ratio is out of range.
+    """
     # A baseline that is too high falls within seconds; one that is too low causes minutes of shedding.
     ratio = max((old[name] / objective for name, objective in new.items() if name in old), default=0.0)
     return ratio if 1.0 / MAX_OBJECTIVE_RATIO <= ratio <= MAX_OBJECTIVE_RATIO else None
