--- a/rosewheel/policy/ranking.py
+++ b/rosewheel/policy/ranking.py
@@ -71,7 +71,7 @@
         return not sent_after_ms >= state.service_class.dedup_window_ms
 
     def rank(self, now: float, server: ServerStats) -> float:
-        """Return the rank of a server: its relative latency times (queue + 1), worsened by errors and backoff."""
+        """Return the rank of a server: relative latency times (queue + 1), worsened by errors and backoff."""
         shared, latency, error_rate = self.shared, 1.0, server.error_rate
         if server.relative_latency is not None:
             fade = math.exp((server.last_outcome_ms - now) / LATENCY_DECAY_MS)
