--- a/rosewheel/policy/shared_state.py
+++ b/rosewheel/policy/shared_state.py
@@ -48,5 +48,5 @@
         return self.rng.random() / self.process_count
 
     def current_class(self, request: RequestState) -> ServiceClass:
-        """Return the present settings of a request's class; if it was removed, those at the request's arrival."""
+        """Return a request's class as it is set now or, if it was removed, as it was at the request's arrival."""
         return self.classes.get(request.service_class.name, request.service_class)
