--- a/rosewheel/policy/settings_codec.py
+++ b/rosewheel/policy/settings_codec.py
@@ -1,4 +1,4 @@
-"""Codec of a node's settings: the JSON of the platform and of the simulator, as `Settings` of the module."""
+"""Decoder of a node's settings from the JSON of the platform and of the simulator."""
 
 from __future__ import annotations
 
@@ -15,9 +15,9 @@
     Tenant,
 )
 
-Row = dict[str, Any]
+JsonObject = dict[str, Any]
 
-# Keys of the platform's JSON where a setting of the module has another name.
+# Keys of the platform's JSON, for settings whose names differ.
 WIRE_KEYS = {
     "classes": "categories",
     "latency_objective_ms": "aimMs",
@@ -44,7 +44,7 @@
     "guarded": Idempotency.IDEMPOTENT_WITH_KEY,
     "single_shot": Idempotency.NON_IDEMPOTENT,
 }
-# Fields of a server's load report: names on the wire and in the module.
+# Fields of a load report: names on the wire, and in this package.
 REPORT_FIELDS = {
     "concurrent": "inflight",
     "depth": "queue",
@@ -55,61 +55,62 @@
 }
 
 
-def optional_object(row: Row, key: str) -> Row:
-    """The object at this key; an empty one where there is none."""
-    return _object(key, row.get(key) or {})
+def optional_object(data: JsonObject, key: str) -> JsonObject:
+    """Return the object at a key, or an empty one if there is none. Raises ValueError for another type."""
+    return _object(key, data.get(key) or {})
 
 
-def optional_flag(row: Row, key: str) -> bool | None:
-    """The flag at this key; None where there is none. Raises ValueError where it is something else."""
-    value = row.get(key)
+def optional_flag(data: JsonObject, key: str) -> bool | None:
+    """Return the boolean at a key, or None if there is none. Raises ValueError for another type."""
+    value = data.get(key)
     if value is not None and not isinstance(value, bool):
-        raise ValueError(f"{key}: {value!r} is neither true nor false")
+        raise ValueError(f"{key}: {value!r} is not a boolean")
     return value
 
 
-def optional_text(row: Row, key: str, default: str | None = None) -> str | None:
-    """The text at this key, or the default. Raises ValueError where it is something else."""
-    value = row.get(key, default)
+def optional_text(data: JsonObject, key: str, default: str | None = None) -> str | None:
+    """Return the string at a key, or the default. Raises ValueError for another type."""
+    value = data.get(key, default)
     if value is not None and not isinstance(value, str):
-        raise ValueError(f"{key}: {value!r} is no text")
+        raise ValueError(f"{key}: {value!r} is not a string")
     return value
 
 
-def required_text(row: Row, key: str) -> str:
-    """The text at this key. Raises KeyError where there is none, ValueError where it is something else."""
-    value = optional_text(row, key)
+def required_text(data: JsonObject, key: str) -> str:
+    """Return the string at a key. Raises KeyError if there is none, ValueError for another type."""
+    value = optional_text(data, key)
     if value is None:
         raise KeyError(key)
     return value
 
 
-def _object(key: str, value: Any) -> Row:
+def _object(key: str, value: Any) -> JsonObject:
     if not isinstance(value, dict):
         raise ValueError(f"{key}: {value!r} is not an object")
     return value
 
 
-def _list(row: Row, key: str) -> list[Any]:
-    value = row.get(key) or []
+def _list(data: JsonObject, key: str) -> list[Any]:
+    value = data.get(key) or []
     if not isinstance(value, list):
         raise ValueError(f"{key}: {value!r} is not a list")
     return value
 
 
-def settings_from_json(config: Row) -> Settings:
-    """The settings of a node from the platform's JSON; unknown keys are ignored.
+def settings_from_json(config: JsonObject) -> Settings:
+    """Return the settings of a node from the platform's JSON; unknown keys are ignored.
 
     Raises:
-        ValueError, KeyError: a value is missing or wrong; the text names the key of the JSON.
+        KeyError: a value is missing. The text names its key in the JSON.
+        ValueError: a value is invalid. The text names its key in the JSON.
     """
     _object("settings", config)
     bounds, rules = optional_object(config, "bounds"), optional_object(config, "invariants")
     prices, feedback = optional_object(config, "prices"), optional_object(config, "feedback")
     fields = _list(feedback, "fields")
     if not all(isinstance(name, str) for name in fields):
-        raise ValueError(f"fields: {fields!r} is not a list of names")
-    given: Row = {
+        raise ValueError(f"fields: {fields!r} is not a list of strings")
+    given: JsonObject = {
         "zone": optional_text(config, "locality"),
         "tier": config.get("tier"),
         "balancer_count": config.get("siblings"),
@@ -128,7 +129,7 @@
         "overload_window_ms": rules.get("tipAfterMs"),
         "connect_timeout_ms": bounds.get("connectTimeoutMs"),
     }
-    classes = tuple(_service_class(_object("categories", row)) for row in _list(config, "categories"))
+    classes = tuple(_service_class(_object("categories", data)) for data in _list(config, "categories"))
     tenants = tuple(_tenants(config))
     try:
         return Settings(classes, tenants, **{key: value for key, value in given.items() if value is not None})
@@ -137,31 +138,31 @@
 
 
 def _wire_path(path: str) -> str:
-    """A setting's path by the keys of the JSON: `classes[0].deadline_ms` is `categories[0].giveUpMs`."""
+    """Return the path in the JSON of a setting: `categories[0].giveUpMs` for `classes[0].deadline_ms`."""
     return re.sub(r"[a-z_]+", lambda name: WIRE_KEYS.get(name[0], name[0]), path)
 
 
-def _tenants(config: Row) -> Iterator[Tenant]:
-    """The tenants that have a quota."""
-    for row in [_object("accounts", row) for row in _list(config, "accounts")]:
-        if row.get("quotaPerS") is not None:
-            yield Tenant(required_text(row, "name"), row["quotaPerS"])
+def _tenants(config: JsonObject) -> Iterator[Tenant]:
+    """Yield the tenants that have a quota."""
+    for data in [_object("accounts", data) for data in _list(config, "accounts")]:
+        if data.get("quotaPerS") is not None:
+            yield Tenant(required_text(data, "name"), data["quotaPerS"])
 
 
-def _service_class(row: Row) -> ServiceClass:
-    effect, scope = row.get("effect"), row.get("keyScope") or "all"
+def _service_class(data: JsonObject) -> ServiceClass:
+    effect, scope = data.get("effect"), data.get("keyScope") or "all"
     if not isinstance(effect, str) or effect not in IDEMPOTENCY:
         raise ValueError(f"categories.effect: {effect!r} is not one of {', '.join(IDEMPOTENCY)}")
     if scope not in [item.value for item in DedupScope]:
         raise ValueError(f"categories.keyScope: {scope!r} is not one of all, zone, cell")
     return ServiceClass(
-        name=required_text(row, "name"),
-        latency_objective_ms=row["aimMs"],
-        deadline_ms=row["giveUpMs"],
-        priority_weight=row.get("credit", 1.0),
-        late_weight=row.get("lateWorth") or 0.0,
+        name=required_text(data, "name"),
+        latency_objective_ms=data["aimMs"],
+        deadline_ms=data["giveUpMs"],
+        priority_weight=data.get("credit", 1.0),
+        late_weight=data.get("lateWorth") or 0.0,
         idempotency=IDEMPOTENCY[effect],
         dedup_scope=DedupScope(scope),
-        dedup_window_ms=row.get("memorySpanMs") or 0.0,
-        streaming=optional_flag(row, "stream") or False,
+        dedup_window_ms=data.get("memorySpanMs") or 0.0,
+        streaming=optional_flag(data, "stream") or False,
     )
