--- a/tests/policy/test_mechanism.py
+++ b/tests/policy/test_mechanism.py
@@ -1,4 +1,4 @@
-"""The ordinary path: table, cursor, rows, refusal, ranking, and how the pool's load is read."""
+"""Normal operation: cursor table, admission, ranking, and measurement of the pool's load."""
 
 from __future__ import annotations
 
@@ -25,9 +25,9 @@
 
 def load_period(harness: BalancerHarness, latency: float, count: int = 30) -> None:
     for _ in range(count):
-        name, acts = harness.receive_request()
-        if forwarded(acts):
-            harness.finish_attempt(name, forwarded(acts)[0].server, AttemptResult.OK, latency)
+        name, actions = harness.receive_request()
+        if forwarded(actions):
+            harness.finish_attempt(name, forwarded(actions)[0].server, AttemptResult.OK, latency)
     harness.end_period()
 
 
@@ -58,17 +58,17 @@
 
 
 def test_fractional_threshold_admits_a_proportion():
-    """Guard: with a call or two in flight, whole entries refused all or nothing."""
+    """With few requests in flight, whole-numbered thresholds would admit all requests or none."""
     harness = BalancerHarness(balancer_count=100)
     harness.parts.table.cursor = len(harness.parts.table.entries) - 1
     entry = harness.parts.admission.threshold(1 / 12, 4)
     assert 0.1 < entry < 0.9
     admitted = 0
     for _ in range(1000):
-        name, acts = harness.receive_request("post")
-        for act in forwarded(acts):
+        name, actions = harness.receive_request("post")
+        for action in forwarded(actions):
             admitted += 1
-            harness.finish_attempt(name, act.server, AttemptResult.OK)
+            harness.finish_attempt(name, action.server, AttemptResult.OK)
     assert abs(admitted / 1000 - entry) < 0.05
 
 
@@ -85,40 +85,40 @@
 
 def test_request_at_the_threshold_is_rejected_at_once():
     harness = BalancerHarness(count=4)
-    outcome = {}
+    load_at_rejection = {}
     for service in ("post", "read"):
         for _ in range(40):
-            _, acts = harness.receive_request(service)
-            if not forwarded(acts):
+            _, actions = harness.receive_request(service)
+            if not forwarded(actions):
                 break
-        outcome[service] = sum(stats.load for stats in harness.servers.values())
-        assert action_types(acts) == [RejectRequest]
-    assert outcome["post"] < outcome["read"]
+        load_at_rejection[service] = sum(stats.load for stats in harness.servers.values())
+        assert action_types(actions) == [RejectRequest]
+    assert load_at_rejection["post"] < load_at_rejection["read"]
 
 
 def test_marked_retries_and_over_quota_tenants_fall_to_lower_rows():
     harness = BalancerHarness(tenants=(Tenant("t", 4.0),), over_quota_weight=0.2)
-    fresh = RequestReceived("a", "read", 9e9)
-    worth = harness.parts.admission.priority(harness.now, fresh, IDEMPOTENT)
+    first_attempt = RequestReceived("a", "read", 9e9)
+    priority = harness.parts.admission.priority(harness.now, first_attempt, IDEMPOTENT)
     assert (
         harness.parts.admission.priority(
             harness.now, RequestReceived("b", "read", 9e9, is_retry=True), IDEMPOTENT
         )
-        < worth
+        < priority
     )
-    tenant = [
+    tenant_priorities = [
         harness.parts.admission.priority(
             harness.now, RequestReceived("c", "read", 9e9, tenant="t"), IDEMPOTENT
         )
         for _ in range(4)
     ]
-    assert tenant[:2] == [worth, worth]  # 4 a second over 2 siblings
-    assert tenant[2] == tenant[3] == pytest.approx(0.2 * worth)
+    assert tenant_priorities[:2] == [priority, priority]  # 4 per second over 2 balancers
+    assert tenant_priorities[2] == tenant_priorities[3] == pytest.approx(0.2 * priority)
     assert (
         harness.parts.admission.priority(
             harness.now + 1000, RequestReceived("d", "read", 9e9, tenant="t"), IDEMPOTENT
         )
-        == worth
+        == priority
     )
 
 
@@ -150,40 +150,40 @@
             harness.parts.pool_load.record_outcome(
                 harness.now, *request_and_outcome(harness, server, latency)
             )
-    took = [harness.serve_request() for _ in range(10)]
-    assert took.count("s1") == 10
+    chosen = [harness.serve_request() for _ in range(10)]
+    assert chosen.count("s1") == 10
 
 
 def request_and_outcome(harness: BalancerHarness, server: str, latency: float):
     request = RequestReceived("x", "read", 9e9)
     attempt = Attempt(harness.servers[server], harness.now - latency)
-    job = RequestState(request, IDEMPOTENT, harness.parts.shared.settings, harness.now, 1.0, [attempt])
-    return job, AttemptFinished("x", 0, server, AttemptResult.OK, latency, True)
+    state = RequestState(request, IDEMPOTENT, harness.parts.shared.settings, harness.now, 1.0, [attempt])
+    return state, AttemptFinished("x", 0, server, AttemptResult.OK, latency, True)
 
 
 def test_crossing_of_zones_worsens_the_rank():
-    free, priced = BalancerHarness(count=2), BalancerHarness(count=2, cross_zone_cost=0.1)
-    assert {free.serve_request() for _ in range(12)} == {"s0", "s1"}
+    unpriced, priced = BalancerHarness(count=2), BalancerHarness(count=2, cross_zone_cost=0.1)
+    assert {unpriced.serve_request() for _ in range(12)} == {"s0", "s1"}
     assert {priced.serve_request() for _ in range(12)} == {"s0"}
 
 
 def test_requests_leave_a_busy_zone():
     harness = BalancerHarness(count=2, cross_zone_cost=0.03)
-    took = []
+    chosen = []
     for _ in range(6):
-        _, acts = harness.receive_request()
-        took += [act.server for act in forwarded(acts)]
-    assert took[0] == "s0"
-    assert "s1" in took
+        _, actions = harness.receive_request()
+        chosen += [action.server for action in forwarded(actions)]
+    assert chosen[0] == "s0"
+    assert "s1" in chosen
 
 
 def test_reported_queue_counts_and_fades():
     harness = BalancerHarness(count=2)
-    name, acts = harness.receive_request()
-    server = forwarded(acts)[0].server
+    name, actions = harness.receive_request()
+    server = forwarded(actions)[0].server
     harness.finish_attempt(name, server, AttemptResult.OK, 100.0, report={"queue": 8.0})
-    other = ({"s0", "s1"} - {server}).pop()
-    assert [harness.serve_request() for _ in range(5)] == [other] * 5
+    other_server = ({"s0", "s1"} - {server}).pop()
+    assert [harness.serve_request() for _ in range(5)] == [other_server] * 5
     harness.now += 5000
     assert server in {harness.serve_request() for _ in range(10)}
 
@@ -198,14 +198,14 @@
 
 def test_overloaded_results_move_the_cursor():
     harness = BalancerHarness()
-    name, acts = harness.receive_request()
-    harness.finish_attempt(name, forwarded(acts)[0].server, AttemptResult.OVERLOADED, 1.0)
+    name, actions = harness.receive_request()
+    harness.finish_attempt(name, forwarded(actions)[0].server, AttemptResult.OVERLOADED, 1.0)
     harness.end_period()
     assert harness.parts.table.cursor == 1
 
 
 def test_few_outcomes_of_a_period_do_not_move_the_cursor():
-    """Guard: on quiet pools a single heavy answer pushed the cursor right and refused calls."""
+    """With little traffic a single slow response must not cause rejections."""
     harness = BalancerHarness()
     for _ in range(3):
         load_period(harness, 200.0)
@@ -214,8 +214,8 @@
 
 
 def test_cursor_returns_soon_where_few_requests_are_left_in_flight():
-    """Guard: once calls were shed each period had few outcomes, the smoothed latency stayed over its target
-    long after the servers were quick again, and the cursor ran to its end and refused nearly all."""
+    """Shedding leaves few outcomes a period. The smoothed latency must still fall once servers have recovered,
+    or the cursor moves to its end."""
     harness = BalancerHarness()
     for _ in range(3):
         load_period(harness, 200.0)
@@ -223,11 +223,11 @@
         load_period(harness, 900.0)
     for _ in range(6):
         load_period(harness, 200.0, count=2)
-    assert harness.parts.table.cursor <= 5  # 3 and 6 more it was, at the end of these
+    assert harness.parts.table.cursor <= 5  # 9 if each period moved it right
 
 
 def test_ordinary_load_is_admitted_at_start_up():
-    """Guard: a table sized before anything was learned refused a fifth of the first seconds."""
+    """Before any rate is learned, thresholds must not reject ordinary load."""
     harness = BalancerHarness(count=10)
     assert all(forwarded(harness.receive_request("post")[1]) for _ in range(8))
 
@@ -249,12 +249,12 @@
     for tier, expected in ((0, True), (1, False)):
         harness = BalancerHarness(count=0, tier=tier, retry_after=True, max_retry_after_ms=1000.0)
         harness.parts.table.cursor = 3
-        refusal = harness.receive_request()[1][-1]
-        assert isinstance(refusal, RejectRequest)
-        assert (refusal.retry_after_ms > 0) is expected
+        rejection = harness.receive_request()[1][-1]
+        assert isinstance(rejection, RejectRequest)
+        assert (rejection.retry_after_ms > 0) is expected
 
 
-def test_settings_name_the_bad_key():
+def test_invalid_setting_is_named_by_its_key():
     with pytest.raises(ValueError, match="balancer_count"):
         Settings(classes=(IDEMPOTENT,), balancer_count=0)
     with pytest.raises(ValueError, match="classes"):
@@ -268,24 +268,24 @@
 def test_same_events_same_actions():
     def run() -> list[list[Action]]:
         harness = BalancerHarness(count=6)
-        acts = []
+        actions = []
         for at in range(60):
-            name, one = harness.receive_request(("read", "post", "points")[at % 3])
-            acts.append(one)
-            if forwarded(one):
-                acts.append(
+            name, new_actions = harness.receive_request(("read", "post", "points")[at % 3])
+            actions.append(new_actions)
+            if forwarded(new_actions):
+                actions.append(
                     harness.finish_attempt(
-                        name, forwarded(one)[0].server, list(AttemptResult)[at % 8], 50.0 + at
+                        name, forwarded(new_actions)[0].server, list(AttemptResult)[at % 8], 50.0 + at
                     )
                 )
-            acts.append(harness.end_period(20.0))
-        return acts
+            actions.append(harness.end_period(20.0))
+        return actions
 
     assert run() == run()
 
 
-def test_cursor_stays_in_a_silent_period_and_returns_after_many():
-    """Guard: quiet nodes counted empty periods as load 0 and never shed."""
+def test_cursor_stays_in_an_idle_period_and_returns_after_many():
+    """With little traffic, counting idle periods as load 0 would undo every step of the cursor."""
     harness = BalancerHarness()
     load_period(harness, 200.0)
     for _ in range(3):
@@ -303,31 +303,34 @@
 @pytest.mark.parametrize(
     ("service", "name", "field"), [("unheard of", "new", "service"), ("read", "held", "id")]
 )
-def test_wrong_request_raises_and_changes_nothing(service, name, field):
-    harness, twin = BalancerHarness(), BalancerHarness()
-    for one in (harness, twin):
-        one.handle(RequestReceived("held", "read", one.now + 1000.0))
+def test_invalid_request_raises_and_changes_nothing(service, name, field):
+    harness, unchanged = BalancerHarness(), BalancerHarness()
+    for each in (harness, unchanged):
+        each.handle(RequestReceived("held", "read", each.now + 1000.0))
     with pytest.raises(ValueError, match=field):
         harness.handle(RequestReceived(name, service, harness.now + 1000.0))
     assert list(harness.parts.shared.requests) == ["held"]
-    assert harness.receive_request("read") == twin.receive_request("read")
+    assert harness.receive_request("read") == unchanged.receive_request("read")
 
 
-def test_wrong_first_event_does_not_lose_the_first_timer():
-    fresh = Balancer(BalancerHarness().balancer.parts.shared.settings, 1, 0.0)
+def test_invalid_first_event_does_not_lose_the_first_timer():
+    balancer = Balancer(BalancerHarness().balancer.parts.shared.settings, 1, 0.0)
     with pytest.raises(ValueError, match="service"):
-        fresh.handle(0.0, RequestReceived("x", "unheard of", 1000.0))
-    assert StartTimer in action_types(fresh.handle(0.0, TimerFired("other")))
+        balancer.handle(0.0, RequestReceived("x", "unheard of", 1000.0))
+    assert StartTimer in action_types(balancer.handle(0.0, TimerFired("other")))
 
 
 @pytest.mark.parametrize("value", [float("nan"), float("inf"), -5.0, 1e300])
 def test_absurd_load_report_is_ignored(value):
-    """Guard: a queue that is not a number made a server unusable or always best."""
+    """A reported queue that is not a finite number would make its server always or never the best."""
     harness = BalancerHarness(count=2)
     for _ in range(4):
         harness.serve_request(report={"queue": value, "util": value, "unheard of": value})
     harness.now += 2_000_000.0
-    assert {act.server for _ in range(4) for act in forwarded(harness.receive_request()[1])} == {"s0", "s1"}
+    assert {action.server for _ in range(4) for action in forwarded(harness.receive_request()[1])} == {
+        "s0",
+        "s1",
+    }
     harness.end_period()
     assert harness.parts.table.cursor in (0, 1)
 
@@ -344,7 +347,7 @@
 
 
 def test_baseline_needs_more_than_one_period():
-    """Guard: only fast answers are back after one period; a baseline that low refused half of a day."""
+    """Only fast responses arrive in the first period; a baseline of these would be too low."""
     harness = BalancerHarness()
     load_period(harness, 50.0, count=2)
     load_period(harness, 500.0, count=6)
@@ -352,7 +355,7 @@
 
 
 def test_cursor_settles_at_the_same_slot_from_both_ends():
-    """Guards against one node that sheds for all: others take up what it sheds; its latency stays over."""
+    """One balancer must not shed for all: others take what it sheds, and its latency stays over target."""
 
     def settles_at(start: int) -> int:
         harness = BalancerHarness()
@@ -364,9 +367,8 @@
         balancer.parts.table.cursor = start
         for _ in range(60):
             for _ in range(5):
-                harness.serve_request(
-                    latency=320.0
-                )  # 1.14 of the target at the left end, 0.9 at the right one
+                # 1.14 of the target at the left end of the table, 0.9 at the right one.
+                harness.serve_request(latency=320.0)
             harness.end_period(0.0)
         return balancer.parts.table.cursor
 
