--- a/rosewheel/policy/shared_state.py
+++ b/rosewheel/policy/shared_state.py
@@ -48,5 +48,5 @@
         return self.rng.random() / self.process_count
 
     def current_class(self, request: RequestState) -> ServiceClass:
-        """Return a request's class as it is set now or, if it was removed, as it was at the request's arrival."""
+        """Return the class of a request by the present settings, or by its own if the class was removed."""
         return self.classes.get(request.service_class.name, request.service_class)
--- a/tests/policy/test_policy_limits.py
+++ b/tests/policy/test_policy_limits.py
@@ -1,4 +1,4 @@
-"""The decision module's limits, over all of its files."""
+"""Size limits, imports and docstrings of the files that the deploy file lists as the policy."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 ROOT = Path(__file__).parent.parent.parent
 DEPLOY = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())
 POLICY = {name: (ROOT / name).read_text() for name in DEPLOY["policy"]}
-# Files of the package that decide nothing: its interface, codecs, and types without rules.
+# Files without decisions: the interface, codecs and plain types.
 NOT_DECIDING = {
     "__init__",
     "actions",
@@ -26,31 +26,30 @@
     "settings_codec",
 }
 
-
-LONGEST_MODULE = 300  # lines
+MAX_MODULE_LINES = 300
 
 
 @pytest.mark.parametrize("name", POLICY)
-def test_each_deciding_module_stays_within_300_lines_of_110_characters(name: str):
+def test_policy_file_is_short(name: str):
     lines = POLICY[name].splitlines()
-    assert len(lines) <= LONGEST_MODULE
+    assert len(lines) <= MAX_MODULE_LINES
     assert max(len(line) for line in lines) <= 110
 
 
 @pytest.mark.parametrize("name", POLICY)
-def test_each_deciding_module_has_one_concern(name: str):
-    """At most two public classes: the one that decides, and a table or a part that only it uses."""
+def test_policy_file_has_one_concern(name: str):
+    """At most two public classes: the one with the decisions, and one that only it uses."""
     classes = [node for node in ast.parse(POLICY[name]).body if isinstance(node, ast.ClassDef)]
     assert sum(not node.name.startswith("_") for node in classes) <= 2
 
 
-def test_the_list_has_every_file_of_the_package_that_decides():
+def test_deploy_file_lists_every_file_with_decisions():
     package = {path.stem for path in (ROOT / "rosewheel" / "policy").glob("*.py")}
     assert {Path(name).stem for name in POLICY} == package - NOT_DECIDING
     assert all(Path(name).parent == Path("rosewheel/policy") for name in POLICY)
 
 
-def test_the_module_names_its_interface_files_at_the_top():
+def test_entry_point_names_the_interface_files():
     text = POLICY[DEPLOY["policy"][0]]
     for name in ("settings", "events", "actions"):
         assert f"rosewheel/policy/{name}.py" in text.split('"""')[1]
@@ -66,17 +65,17 @@
 
 
 @pytest.mark.parametrize("name", POLICY)
-def test_a_policy_file_reads_no_clock_no_environment_and_no_files(name: str):
+def test_policy_file_does_no_io(name: str):
     text = POLICY[name]
     imports = set(re.findall(r"^(?:from|import) (\w+)", text, flags=re.MULTILINE))
     assert imports <= {"__future__", "math", "collections", "dataclasses", "heapq", "random", "rosewheel"}
-    ours = set(re.findall(r"^(?:from|import) rosewheel\.(\w+)", text, flags=re.MULTILINE))
-    assert ours <= {"policy"}
+    own_packages = set(re.findall(r"^(?:from|import) rosewheel\.(\w+)", text, flags=re.MULTILINE))
+    assert own_packages <= {"policy"}
     assert "open(" not in text
 
 
 @pytest.mark.parametrize("name", POLICY)
-def test_every_public_part_of_a_policy_file_has_a_docstring(name: str):
+def test_public_definitions_of_policy_files_have_docstrings(name: str):
     for node in ast.walk(ast.parse(POLICY[name])):
         if isinstance(node, ast.Module):
             assert ast.get_docstring(node)
