--- a/tests/policy/test_many_balancers.py
+++ b/tests/policy/test_many_balancers.py
@@ -1,4 +1,4 @@
-"""Many nodes before one pool: together they neither choke what is warm nor tip what is cold."""
+"""Many balancers before one pool: together they overload neither warm nor warming servers."""
 
 from __future__ import annotations
 
@@ -8,29 +8,31 @@
 from rosewheel.policy.events import AttemptResult, EndpointListForm, EndpointListUpdate, Server
 from tests.support.balancers import BalancerHarness, forwarded, servers
 
-FACTOR = 4.0  # of the rule on cold servers
+OVERLOAD_FACTOR = 4.0  # multiple of its capacity that overloads a warming server
 
 
-def loaded_harness(siblings: int, tier: int = 0, seed: int = 7, calls: int = 3) -> BalancerHarness:
-    """A node that has seen an ordinary load on ten warm servers for a while."""
-    harness = BalancerHarness(count=10, balancer_count=siblings, tier=tier, seed=seed)
+def loaded_harness(
+    balancer_count: int, tier: int = 0, seed: int = 7, requests_per_period: int = 3
+) -> BalancerHarness:
+    """Return a balancer after some ordinary load on ten warm servers."""
+    harness = BalancerHarness(count=10, balancer_count=balancer_count, tier=tier, seed=seed)
     for _ in range(60):
-        for _ in range(calls):
-            harness.serve_request(latency=harness.balancer.period_ms / calls)
+        for _ in range(requests_per_period):
+            harness.serve_request(latency=harness.balancer.period_ms / requests_per_period)
         harness.end_period(0.0)
     return harness
 
 
 def replace_servers(harness: BalancerHarness, count: int) -> None:
-    fresh = tuple(Server(f"new{at}", "a", launched_ms=harness.now) for at in range(count))
-    harness.handle(EndpointListUpdate(EndpointListForm.SNAPSHOT, servers(10)[count:] + fresh))
+    new_servers = tuple(Server(f"new{at}", "a", launched_ms=harness.now) for at in range(count))
+    harness.handle(EndpointListUpdate(EndpointListForm.SNAPSHOT, servers(10)[count:] + new_servers))
     harness.end_period()
 
 
-@pytest.mark.parametrize(("siblings", "tier", "falls"), [(10, 0, True), (4, 0, False), (10, 1, False)])
-def test_threshold_falls_at_once_where_most_servers_are_replaced(siblings: int, tier: int, falls: bool):
-    """Guard: latency told of it seconds later, when the servers that were still warm had begun to choke."""
-    harness = loaded_harness(siblings, tier, calls=6)
+@pytest.mark.parametrize(("balancer_count", "tier", "falls"), [(10, 0, True), (4, 0, False), (10, 1, False)])
+def test_threshold_falls_at_once_where_most_servers_are_replaced(balancer_count: int, tier: int, falls: bool):
+    """Latency shows the loss only seconds later, when the remaining warm servers are overloaded."""
+    harness = loaded_harness(balancer_count, tier, requests_per_period=6)
     before = harness.parts.admission.threshold(1.0, 10)
     assert harness.parts.table.cursor == 0
     replace_servers(harness, 6)
@@ -39,34 +41,34 @@
 
 
 def test_completions_of_a_stronger_pool_do_not_raise_the_peak_rate():
-    """Guard: answers that come just after a loss made each server that was left look twice as able."""
+    """Responses to requests sent before a loss must not count as capacity of the remaining servers."""
     harness = loaded_harness(10)
     before = harness.parts.throughput.peak_completion_rate
-    names = [harness.receive_request()[0:2] for _ in range(6)]
+    requests = [harness.receive_request()[0:2] for _ in range(6)]
     replace_servers(harness, 6)
-    for name, acts in names:
-        for act in forwarded(acts):
-            harness.finish_attempt(name, act.server, AttemptResult.OK, 100.0)
+    for name, actions in requests:
+        for action in forwarded(actions):
+            harness.finish_attempt(name, action.server, AttemptResult.OK, 100.0)
     harness.end_period()
     assert harness.parts.throughput.peak_completion_rate < 1.5 * before
 
 
 def test_failing_server_lowers_the_pool_capacity():
     harness = loaded_harness(10)
-    strength = harness.parts.throughput.pool_capacity
+    capacity = harness.parts.throughput.pool_capacity
     for _ in range(40):
-        name, acts = harness.receive_request("post")
-        for act in forwarded(acts):
-            result = AttemptResult.ERROR if act.server == "s3" else AttemptResult.OK
-            harness.finish_attempt(name, act.server, result, 100.0)
+        name, actions = harness.receive_request("post")
+        for action in forwarded(actions):
+            result = AttemptResult.ERROR if action.server == "s3" else AttemptResult.OK
+            harness.finish_attempt(name, action.server, result, 100.0)
     harness.end_period()
-    assert harness.parts.throughput.pool_capacity < strength - 0.15
+    assert harness.parts.throughput.pool_capacity < capacity - 0.15
 
 
 def test_completion_rate_is_known_after_start_up_in_a_large_fleet():
-    """Guard: smoothed for long, and from nothing, it was too low by half when the table began to rest on it."""
+    """A rate that rises slowly from 0 would be too low when thresholds begin to depend on it."""
     harness = BalancerHarness(count=10, balancer_count=10)
-    for _ in range(20):  # the 3 s after which the table has no other floor
+    for _ in range(20):  # 3 s, after which thresholds have the lower minimum
         for _ in range(3):
             harness.serve_request(latency=harness.balancer.period_ms / 3)
         harness.end_period(0.0)
@@ -74,24 +76,24 @@
 
 
 def test_low_priority_is_rejected_first_in_a_large_fleet():
-    """Guard: rows less than a call apart shed both classes alike."""
-    harness = loaded_harness(10, calls=6)
+    """Rows less than one request apart would shed both classes alike."""
+    harness = loaded_harness(10, requests_per_period=6)
     replace_servers(harness, 6)
-    high, low = (harness.parts.admission.threshold(worth, 10) for worth in (1.0, 3.0 / 8.0))
+    high, low = (harness.parts.admission.threshold(priority, 10) for priority in (1.0, 3.0 / 8.0))
     assert high - low > 1.5
 
 
-def requests_to_warming_server(siblings: int, seed: int) -> int:
-    """Calls that one node sends to a fresh server in 2 s, while all others tell of a queue."""
-    harness, count = loaded_harness(siblings, seed=seed), 0
+def requests_to_warming_server(balancer_count: int, seed: int) -> int:
+    """Return how many requests a balancer sends a new server in 2 s while all others report a queue."""
+    harness, count = loaded_harness(balancer_count, seed=seed), 0
     harness.handle(
         EndpointListUpdate(EndpointListForm.DELTA, (Server("cold", "a", launched_ms=harness.now),))
     )
     for _ in range(int(2000.0 / harness.balancer.period_ms)):
         for _ in range(3):
             harness.now += harness.balancer.period_ms / 3
-            name, acts = harness.receive_request()
-            server = forwarded(acts)[0].server
+            name, actions = harness.receive_request()
+            server = forwarded(actions)[0].server
             queue = 0.0 if server == "cold" else 9.0
             harness.finish_attempt(
                 name, server, AttemptResult.OK, harness.balancer.period_ms / 3, report={"queue": queue}
@@ -102,83 +104,85 @@
 
 
 def test_warming_server_gets_more_in_a_large_fleet():
-    """Guard: paced by the stated share of what is asked, cold servers idled and the few warm ones choked."""
+    """Paced by the configured share, warming servers would idle while the few warm ones are overloaded."""
     assert requests_to_warming_server(10, 7) >= 1.5 * requests_to_warming_server(4, 7) > 0
 
 
-@pytest.mark.parametrize("siblings", [10, 30])
-def test_warming_server_gets_more_than_its_stated_share_in_a_large_fleet(siblings: int):
-    """The same, by what the settings state."""
-    cfg = BalancerHarness().balancer.parts.shared.settings
+@pytest.mark.parametrize("balancer_count", [10, 30])
+def test_warming_server_gets_more_than_its_configured_share_in_a_large_fleet(balancer_count: int):
+    """As above, compared with the share in the settings."""
+    settings = BalancerHarness().balancer.parts.shared.settings
     share = (
-        cfg.warm_up_initial_share + (1.0 - cfg.warm_up_initial_share) * 1000.0 / cfg.warm_up_ms
-    )  # as stated, over the 2 s on average
+        settings.warm_up_initial_share + (1.0 - settings.warm_up_initial_share) * 1000.0 / settings.warm_up_ms
+    )  # mean over the 2 s
     least = 2000.0 * share * 3.0 / BalancerHarness().balancer.period_ms / 10.0
-    assert sum(requests_to_warming_server(siblings, seed) for seed in range(20)) >= 20 * 1.2 * least
+    assert sum(requests_to_warming_server(balancer_count, seed) for seed in range(20)) >= 20 * 1.2 * least
 
 
 @pytest.mark.parametrize("seed", range(3))
 def test_large_fleet_does_not_overload_a_warming_server(seed: int):
-    """Six of ten are replaced at one moment, before ten nodes: in every window what they send a new one together
-    stays under the rule."""
+    """Ten balancers see six of ten servers replaced at once. Together they must not overload a new server
+    in any window."""
     harnesses = [loaded_harness(10, seed=seed * 100 + at) for at in range(10)]
-    step, born = harnesses[0].balancer.period_ms / 3, max(harness.now for harness in harnesses)
+    interval_ms, start_ms = harnesses[0].balancer.period_ms / 3, max(harness.now for harness in harnesses)
     for harness in harnesses:
-        harness.now = born
+        harness.now = start_ms
         replace_servers(harness, 6)
-    calls: dict[str, list[float]] = {}
-    out: list[tuple[BalancerHarness, str, str]] = []
-    for turn in range(1, 90):
+    send_times_ms: dict[str, list[float]] = {}
+    in_flight: list[tuple[BalancerHarness, str, str]] = []
+    for step in range(1, 90):
         for at, harness in enumerate(harnesses):
-            harness.now = born + 3 * step + turn * step + at
-            for row in [row for row in out if row[0] is harness]:
-                out.remove(row)
-                harness.finish_attempt(row[1], row[2], AttemptResult.OK, step)
-            if turn % 3 == 0:
+            harness.now = start_ms + 3 * interval_ms + step * interval_ms + at
+            for attempt in [attempt for attempt in in_flight if attempt[0] is harness]:
+                in_flight.remove(attempt)
+                harness.finish_attempt(attempt[1], attempt[2], AttemptResult.OK, interval_ms)
+            if step % 3 == 0:
                 harness.end_period(0.0)
-            name, acts = harness.receive_request()
-            for act in forwarded(acts):
-                calls.setdefault(act.server, []).append(harness.now - born)
-                out.append((harness, name, act.server))
-    rate, window = 1.0 / step, 1500.0  # calls per ms to each of the ten, when all are warm
-    assert {f"new{at}" for at in range(6)} <= calls.keys()
-    for server, times in calls.items():
+            name, actions = harness.receive_request()
+            for action in forwarded(actions):
+                send_times_ms.setdefault(action.server, []).append(harness.now - start_ms)
+                in_flight.append((harness, name, action.server))
+    rate, window = 1.0 / interval_ms, 1500.0  # requests per ms to each server when all are warm
+    assert {f"new{at}" for at in range(6)} <= send_times_ms.keys()
+    for server, times in send_times_ms.items():
         for start in times if server.startswith("new") else ():
-            able = rate * (0.2 + 0.8 * start / 10000.0)
-            assert sum(start <= time < start + window for time in times) <= FACTOR * able * window
+            capacity = rate * (0.2 + 0.8 * start / 10000.0)
+            assert (
+                sum(start <= time < start + window for time in times) <= OVERLOAD_FACTOR * capacity * window
+            )
 
 
 @pytest.mark.parametrize("result", [AttemptResult.OVERLOADED, AttemptResult.CONNECT_FAILED])
 def test_rejecting_server_neither_attracts_all_requests_nor_causes_shedding(result: AttemptResult):
-    """Guard: one that drains, of which the list has not told, answers at once and has nothing in flight: it was
-    every node's best, and by what it turned away all of them came to refuse."""
+    """A draining server that is not listed as draining yet rejects at once and has nothing in flight. It must
+    neither rank best nor make all balancers shed."""
     harness = loaded_harness(10)
-    tries = 0
+    attempts_at_s3 = 0
     for at in range(180):
         harness.now += harness.balancer.period_ms / 3
-        name, acts = harness.receive_request()
+        name, actions = harness.receive_request()
         attempt = 0
-        while acts := forwarded(acts):
-            gone = acts[0].server == "s3"
-            tries += gone
-            given = result if gone else AttemptResult.OK
-            acts = harness.finish_attempt(
-                name, acts[0].server, given, 1.0 if gone else 100.0, attempt, done=not gone
+        while actions := forwarded(actions):
+            rejected = actions[0].server == "s3"
+            attempts_at_s3 += rejected
+            outcome = result if rejected else AttemptResult.OK
+            actions = harness.finish_attempt(
+                name, actions[0].server, outcome, 1.0 if rejected else 100.0, attempt, done=not rejected
             )
             attempt += 1
         if at % 3 == 2:
             harness.end_period(0.0)
         assert harness.parts.table.cursor <= 1
-    assert 0 < tries < 18  # a tenth of them would be its even part
+    assert 0 < attempts_at_s3 < 18  # an even share would be a tenth
 
 
 def test_rejection_is_no_error_of_its_server():
-    """Guards a server at its limit of connections: it turns away and serves what it has."""
+    """A server at its connection limit rejects new requests and still serves others."""
     harness = loaded_harness(10)
-    stats = harness.servers["s3"]
+    server_stats = harness.servers["s3"]
     for _ in range(30):
-        name, acts = harness.receive_request("post")
-        server = forwarded(acts)[0].server
+        name, actions = harness.receive_request("post")
+        server = forwarded(actions)[0].server
         harness.finish_attempt(
             name,
             server,
@@ -186,58 +190,58 @@
             1.0,
             done=server != "s3",
         )
-    assert stats.consecutive_refusals == 1
-    assert stats.error_rate == 0.0
+    assert server_stats.consecutive_refusals == 1
+    assert server_stats.error_rate == 0.0
 
 
 def test_server_is_used_again_after_its_backoff():
-    harness = loaded_harness(10, calls=6)
-    stats = harness.servers["s3"]
-    stats.consecutive_refusals, stats.backoff_until_ms = 5, harness.now + 3000.0
-    held = [forwarded(harness.receive_request()[1])[0].server for _ in range(9)]
-    assert "s3" not in held
+    harness = loaded_harness(10, requests_per_period=6)
+    server_stats = harness.servers["s3"]
+    server_stats.consecutive_refusals, server_stats.backoff_until_ms = 5, harness.now + 3000.0
+    chosen = [forwarded(harness.receive_request()[1])[0].server for _ in range(9)]
+    assert "s3" not in chosen
     harness.now += 3000.0
-    name, acts = harness.receive_request()
-    assert forwarded(acts)[0].server == "s3"  # the only one with nothing in flight
+    name, actions = harness.receive_request()
+    assert forwarded(actions)[0].server == "s3"  # the only server with nothing in flight
     harness.finish_attempt(name, "s3", AttemptResult.OK)
-    assert stats.consecutive_refusals == 0
+    assert server_stats.consecutive_refusals == 0
 
 
 def test_pool_of_warming_servers_is_used_in_a_large_fleet():
-    """Guard: paced by what is completed alone, a node that starts before cold servers never sent a call."""
+    """Paced by completions alone, a balancer that starts with warming servers would never send a request."""
     harness = BalancerHarness(count=0, balancer_count=10)
     harness.handle(EndpointListUpdate(EndpointListForm.SNAPSHOT, servers(10, launched_ms=harness.now)))
     served = 0
     for at in range(200):
         harness.now += 50.0
-        name, acts = harness.receive_request()
-        for act in forwarded(acts):
+        name, actions = harness.receive_request()
+        for action in forwarded(actions):
             served += 1
-            harness.finish_attempt(name, act.server, AttemptResult.OK, 10.0)
+            harness.finish_attempt(name, action.server, AttemptResult.OK, 10.0)
         if at % 3 == 2:
             harness.end_period(0.0)
     assert served > 20
 
 
-@pytest.mark.parametrize(("siblings", "goes_on"), [(10, False), (4, True)])
-def test_lasting_errors_become_the_baseline_in_a_large_fleet(siblings: int, goes_on: bool):
-    """Guard: what is lost below, or a few servers that fail, had all nodes refuse for long at a quiet latency."""
-    harness, cursors = loaded_harness(siblings, calls=6), []
+@pytest.mark.parametrize(("balancer_count", "keeps_rising"), [(10, False), (4, True)])
+def test_lasting_errors_become_the_baseline_in_a_large_fleet(balancer_count: int, keeps_rising: bool):
+    """Errors of a lower tier or of a few servers must not keep all balancers rejecting."""
+    harness, cursors = loaded_harness(balancer_count, requests_per_period=6), []
     for _ in range(30):
         for at in range(6):
-            name, acts = harness.receive_request("post")
-            for act in forwarded(acts):
+            name, actions = harness.receive_request("post")
+            for action in forwarded(actions):
                 result = AttemptResult.ERROR if at < 2 else AttemptResult.OK
-                harness.finish_attempt(name, act.server, result, harness.balancer.period_ms / 6)
+                harness.finish_attempt(name, action.server, result, harness.balancer.period_ms / 6)
         harness.end_period(0.0)
         cursors.append(harness.parts.table.cursor)
-    assert max(cursors) >= 3, "errors may be a tier below that refuses: at first they count"
-    assert (cursors[-1] > 6) is goes_on
+    assert max(cursors) >= 3, "errors may be rejections by a lower tier, so they count at first"
+    assert (cursors[-1] > 6) is keeps_rising
 
 
 def test_restored_rate_outlasts_the_first_period():
-    """Guard: one period in which little was completed stood for the rate of an hour."""
-    old = loaded_harness(10, calls=6)
+    """A single period with few completions must not replace a restored rate."""
+    old = loaded_harness(10, requests_per_period=6)
     new = BalancerHarness(count=10, balancer_count=10)
     new.now = old.now
     new.balancer.restore_learned_state(new.now, old.balancer.capture_learned_state(old.now), 50.0)
@@ -247,19 +251,19 @@
     assert before * 0.7 < new.balancer.parts.throughput.completion_rate <= before
 
 
-@pytest.mark.parametrize(("siblings", "locked"), [(10, False), (4, True)])
-def test_latency_target_grows_with_shedding_in_a_large_fleet(siblings: int, locked: bool):
-    """Guard: of nodes that see one latency, whoever had the lowest baseline shed for all of them, and for good."""
-    harness = loaded_harness(siblings, calls=6)
-    base = harness.parts.pool_load.baseline_ratio
-    assert base is not None
-    target = base + pool_load.LATENCY_SLACK * (1.0 - base)
-    aim = harness.parts.pool_load.mean_objective_ms
+@pytest.mark.parametrize(("balancer_count", "at_end"), [(10, False), (4, True)])
+def test_latency_target_grows_with_shedding_in_a_large_fleet(balancer_count: int, at_end: bool):
+    """Of balancers that see one latency, the one with the lowest baseline must not shed for all others."""
+    harness = loaded_harness(balancer_count, requests_per_period=6)
+    baseline = harness.parts.pool_load.baseline_ratio
+    assert baseline is not None
+    target = baseline + pool_load.LATENCY_SLACK * (1.0 - baseline)
+    objective_ms = harness.parts.pool_load.mean_objective_ms
     for _ in range(60):
         for _ in range(6):
-            name, acts = harness.receive_request("post")
-            for act in forwarded(acts):
-                harness.finish_attempt(name, act.server, AttemptResult.OK, 1.5 * target * aim)
+            name, actions = harness.receive_request("post")
+            for action in forwarded(actions):
+                harness.finish_attempt(name, action.server, AttemptResult.OK, 1.5 * target * objective_ms)
         harness.end_period()
     assert harness.parts.table.cursor > pool_load.FLAT_SLOTS
-    assert (harness.parts.table.cursor == len(harness.parts.table.entries) - 1) is locked
+    assert (harness.parts.table.cursor == len(harness.parts.table.entries) - 1) is at_end
