--- a/tests/policy/test_request_rules.py
+++ b/tests/policy/test_request_rules.py
@@ -1,4 +1,4 @@
-"""The four rules over random legal sequences of events, against a small referee of the wire's rules."""
+"""Rules of requests, checked by a small model over random valid sequences of events."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 )
 from rosewheel.policy.settings import DedupScope, Idempotency, ServiceClass, Settings
 
-NEVER = (AttemptResult.OVERLOADED, AttemptResult.CONNECT_FAILED, AttemptResult.NOT_SENT)
+NOT_EXECUTED = (AttemptResult.OVERLOADED, AttemptResult.CONNECT_FAILED, AttemptResult.NOT_SENT)
 CLASSES = (
     ServiceClass("safe", 1000, 2500, priority_weight=5, idempotency=Idempotency.IDEMPOTENT),
     ServiceClass("late", 1000, 2500, priority_weight=2, late_weight=0.4, idempotency=Idempotency.IDEMPOTENT),
@@ -56,158 +56,186 @@
     ),
     ServiceClass("stream", 800, 2000, streaming=True, idempotency=Idempotency.NON_IDEMPOTENT),
 )
-COLD_MS, TIP_MS = 8000.0, 1500.0
+WARM_UP_MS, OVERLOAD_WINDOW_MS = 8000.0, 1500.0
 
 
 @dataclass
-class Call:
-    """What the referee knows of one request."""
+class RequestModel:
+    """State of one request in the model."""
 
-    kind: ServiceClass
-    give_up: float
-    tries: list[tuple[Server, float]] = field(default_factory=list)
+    service_class: ServiceClass
+    deadline_at_ms: float
+    attempts: list[tuple[Server, float]] = field(default_factory=list)
     results: dict[int, AttemptResult] = field(default_factory=dict)
     ended: bool = False
     streaming: int | None = None
 
-    def out(self) -> list[int]:
-        return [at for at in range(len(self.tries)) if at not in self.results]
+    def open_attempts(self) -> list[int]:
+        return [at for at in range(len(self.attempts)) if at not in self.results]
 
-    def may_have_run(self) -> list[tuple[Server, float]]:
-        return [item for at, item in enumerate(self.tries) if self.results.get(at) not in NEVER]
+    def possibly_executed(self) -> list[tuple[Server, float]]:
+        return [item for at, item in enumerate(self.attempts) if self.results.get(at) not in NOT_EXECUTED]
 
 
-class Referee:
-    def __init__(self, seed: int, max_attempts: int, cancel: bool) -> None:
+class RuleChecker:
+    """Sends events to a balancer and checks its actions against the rules of requests."""
+
+    def __init__(self, seed: int, max_attempts: int, may_cancel: bool) -> None:
         self.now = 500.0
-        self.cfg = Settings(
-            classes=CLASSES, zone="a", balancer_count=2, poll_discovery=True, may_cancel=cancel,
-            max_attempts=max_attempts, warm_up_initial_share=0.25, warm_up_ms=COLD_MS, overload_window_ms=TIP_MS,
+        self.settings = Settings(
+            classes=CLASSES, zone="a", balancer_count=2, poll_discovery=True, may_cancel=may_cancel,
+            max_attempts=max_attempts, warm_up_initial_share=0.25, warm_up_ms=WARM_UP_MS,
+            overload_window_ms=OVERLOAD_WINDOW_MS,
         )  # fmt: skip
-        self.balancer = Balancer(self.cfg, seed, self.now)
-        self.calls: dict[str, Call] = {}
+        self.balancer = Balancer(self.settings, seed, self.now)
+        self.requests: dict[str, RequestModel] = {}
         self.listed: dict[str, Server] = {}
-        self.cold: dict[str, deque[float]] = {}
-        self.names = 0
+        self.sends_while_warming: dict[str, deque[float]] = {}
+        self.request_count = 0
 
-    def give(self, event: Event) -> None:
+    def handle(self, event: Event) -> None:
         if isinstance(event, EndpointListUpdate) and event.form is not EndpointListForm.FAILED:
             if event.form is not EndpointListForm.DELTA:
                 self.listed = {}
-            self.listed.update({row.address: row for row in event.servers})
+            self.listed.update({endpoint.address: endpoint for endpoint in event.servers})
         if isinstance(event, RequestReceived):
-            kind = next(kind for kind in CLASSES if kind.name == event.service)
-            self.calls[event.id] = Call(kind, event.deadline_at_ms)
-        for act in self.balancer.handle(self.now, event):
-            self.check(act)
-        for name, call in self.calls.items():  # an open request with nothing out would never be answered
-            assert call.ended or call.out(), name
+            service_class = next(each for each in CLASSES if each.name == event.service)
+            self.requests[event.id] = RequestModel(service_class, event.deadline_at_ms)
+        for action in self.balancer.handle(self.now, event):
+            self.check(action)
+        for name, request in self.requests.items():  # a request without attempts in flight would never end
+            assert request.ended or request.open_attempts(), name
 
-    def check(self, act: Action) -> None:
-        if isinstance(act, ForwardRequest):
-            self.check_send(act)
-        elif isinstance(act, RejectRequest | FailRequest):
-            call = self.calls[act.id]
-            assert not call.ended, "a second final answer"
-            ran = call.may_have_run()
-            if isinstance(act, RejectRequest) and ran:
+    def check(self, action: Action) -> None:
+        if isinstance(action, ForwardRequest):
+            self.check_forward(action)
+        elif isinstance(action, RejectRequest | FailRequest):
+            request = self.requests[action.id]
+            assert not request.ended, "a second final response"
+            possibly_executed = request.possibly_executed()
+            if isinstance(action, RejectRequest) and possibly_executed:
                 keyed_all = (
-                    call.kind.idempotency is Idempotency.IDEMPOTENT_WITH_KEY
-                    and call.kind.dedup_scope is DedupScope.ALL
+                    request.service_class.idempotency is Idempotency.IDEMPOTENT_WITH_KEY
+                    and request.service_class.dedup_scope is DedupScope.ALL
                 )
-                assert call.kind.idempotency is Idempotency.IDEMPOTENT or keyed_all, (
-                    "a refusal that is not true"
+                assert request.service_class.idempotency is Idempotency.IDEMPOTENT or keyed_all, (
+                    "a rejection of a request that may have been executed"
                 )
-            call.ended = True
-        elif isinstance(act, CancelAttempt):
-            assert self.cfg.may_cancel
-            assert act.attempt < len(self.calls[act.id].tries)
+            request.ended = True
+        elif isinstance(action, CancelAttempt):
+            assert self.settings.may_cancel
+            assert action.attempt < len(self.requests[action.id].attempts)
 
-    def check_send(self, act: ForwardRequest) -> None:
-        call, server = self.calls[act.id], self.listed[act.server]
-        assert not call.ended, "a send after the end"
-        assert server.state is ServerState.UP, "a send to a server that drains or is gone"
-        assert len(call.tries) < self.cfg.max_attempts
-        assert act.timeout_ms >= 0
-        ran = call.may_have_run()
-        if call.kind.idempotency is not Idempotency.IDEMPOTENT and ran:
-            assert call.kind.idempotency is Idempotency.IDEMPOTENT_WITH_KEY, "an unsafe request sent twice"
-            first, then = ran[0]
-            assert self.now - then <= call.kind.dedup_window_ms, "sent after the key may be forgotten"
-            if call.kind.dedup_scope is not DedupScope.ALL:
+    def check_forward(self, action: ForwardRequest) -> None:
+        request, server = self.requests[action.id], self.listed[action.server]
+        assert not request.ended, "an attempt after the final response"
+        assert server.state is ServerState.UP, "an attempt at a server that is draining or removed"
+        assert len(request.attempts) < self.settings.max_attempts
+        assert action.timeout_ms >= 0
+        possibly_executed = request.possibly_executed()
+        if request.service_class.idempotency is not Idempotency.IDEMPOTENT and possibly_executed:
+            assert request.service_class.idempotency is Idempotency.IDEMPOTENT_WITH_KEY, (
+                "a retry of a non-idempotent request"
+            )
+            first, sent_ms = possibly_executed[0]
+            assert self.now - sent_ms <= request.service_class.dedup_window_ms, (
+                "a retry after the dedup window"
+            )
+            if request.service_class.dedup_scope is not DedupScope.ALL:
                 assert server.zone == first.zone
-            if call.kind.dedup_scope is DedupScope.CELL:
+            if request.service_class.dedup_scope is DedupScope.CELL:
                 assert server.cell == first.cell
-        call.tries.append((server, self.now))
-        if server.launched_ms is not None and self.now - server.launched_ms < COLD_MS:
-            window = self.cold.setdefault(act.server, deque())
+        request.attempts.append((server, self.now))
+        if server.launched_ms is not None and self.now - server.launched_ms < WARM_UP_MS:
+            window = self.sends_while_warming.setdefault(action.server, deque())
             window.append(self.now)
-            while window[0] <= self.now - TIP_MS:
+            while window[0] <= self.now - OVERLOAD_WINDOW_MS:
                 window.popleft()
 
-    # the moves that a day may make
+    # Steps of a sequence, by the names in STEPS.
 
-    def request(self, kind: int, patience: float) -> None:
-        self.names += 1
-        name = f"q{self.names}"
-        self.give(RequestReceived(name, CLASSES[kind % len(CLASSES)].name, self.now + patience))
+    def receive_request(self, class_index: int, remaining_ms: float) -> None:
+        self.request_count += 1
+        name = f"q{self.request_count}"
+        self.handle(RequestReceived(name, CLASSES[class_index % len(CLASSES)].name, self.now + remaining_ms))
 
-    def outcome(self, pick: int, result: AttemptResult, report: bool) -> None:
-        waiting = [(name, at) for name, call in self.calls.items() for at in call.out()]
-        if not waiting:
+    def finish_attempt(self, index: int, result: AttemptResult, report: bool) -> None:
+        open_attempts = [
+            (name, at) for name, request in self.requests.items() for at in request.open_attempts()
+        ]
+        if not open_attempts:
             return
-        name, at = waiting[pick % len(waiting)]
-        call = self.calls[name]
-        server, then = call.tries[at]
-        call.results[at] = result
-        if not call.ended and (result is AttemptResult.OK or call.streaming == at):
-            call.ended = True
-        told = {"queue": 2.0, "util": 0.97} if report else None
-        self.give(AttemptFinished(name, at, server.address, result, self.now - then, call.ended, told))
+        name, at = open_attempts[index % len(open_attempts)]
+        request = self.requests[name]
+        server, sent_ms = request.attempts[at]
+        request.results[at] = result
+        if not request.ended and (result is AttemptResult.OK or request.streaming == at):
+            request.ended = True
+        report_fields = {"queue": 2.0, "util": 0.97} if report else None
+        self.handle(
+            AttemptFinished(
+                name, at, server.address, result, self.now - sent_ms, request.ended, report_fields
+            )
+        )
 
-    def lapse(self, pick: int) -> None:
-        if self.calls:
-            name = list(self.calls)[pick % len(self.calls)]
-            self.calls[name].ended = True
-            self.give(ClientDisconnected(name))
+    def disconnect(self, index: int) -> None:
+        if self.requests:
+            name = list(self.requests)[index % len(self.requests)]
+            self.requests[name].ended = True
+            self.handle(ClientDisconnected(name))
 
-    def stream(self, pick: int) -> None:
-        waiting = [
-            name for name, call in self.calls.items() if call.kind.streaming and call.out() and not call.ended
+    def start_response(self, index: int) -> None:
+        names = [
+            name
+            for name, request in self.requests.items()
+            if request.service_class.streaming and request.open_attempts() and not request.ended
         ]
-        if waiting:
-            call = self.calls[waiting[pick % len(waiting)]]
-            call.streaming = call.out()[0]
-            self.give(ResponseStarted(waiting[pick % len(waiting)], call.streaming))
+        if names:
+            request = self.requests[names[index % len(names)]]
+            request.streaming = request.open_attempts()[0]
+            self.handle(ResponseStarted(names[index % len(names)], request.streaming))
 
-    def members(self, form: EndpointListForm, pick: int, state: ServerState, fresh: bool) -> None:
-        rows = [
-            Server(f"s{at}", "ab"[at % 2], at % 3, launched_ms=self.now if fresh and at == pick % 6 else None)
+    def update_endpoints(
+        self, form: EndpointListForm, index: int, state: ServerState, restarted: bool
+    ) -> None:
+        endpoints = [
+            Server(
+                f"s{at}",
+                "ab"[at % 2],
+                at % 3,
+                launched_ms=self.now if restarted and at == index % 6 else None,
+            )
             for at in range(6)
         ]
-        rows[(pick + 1) % 6].state = state
+        endpoints[(index + 1) % 6].state = state
         if form is EndpointListForm.DELTA:
-            rows = rows[pick % 6 :]
+            endpoints = endpoints[index % 6 :]
         elif form is EndpointListForm.SNAPSHOT:
-            rows = [row for row in rows if row.state is not ServerState.REMOVED][: 1 + pick % 6]
-        self.give(EndpointListUpdate(form, () if form is EndpointListForm.FAILED else tuple(rows)))
+            endpoints = [endpoint for endpoint in endpoints if endpoint.state is not ServerState.REMOVED][
+                : 1 + index % 6
+            ]
+        self.handle(EndpointListUpdate(form, () if form is EndpointListForm.FAILED else tuple(endpoints)))
 
 
-MOVES = st.one_of(
-    st.tuples(st.just("request"), st.integers(0, 6), st.floats(1.0, 2500.0)),
-    st.tuples(st.just("request"), st.integers(0, 6), st.floats(1.0, 2500.0)),
-    st.tuples(st.just("outcome"), st.integers(0, 40), st.sampled_from(list(AttemptResult)), st.booleans()),
-    st.tuples(st.just("outcome"), st.integers(0, 40), st.sampled_from(list(AttemptResult)), st.booleans()),
-    st.tuples(st.just("lapse"), st.integers(0, 40)),
-    st.tuples(st.just("stream"), st.integers(0, 5)),
+STEPS = st.one_of(
+    st.tuples(st.just("receive_request"), st.integers(0, 6), st.floats(1.0, 2500.0)),
+    st.tuples(st.just("receive_request"), st.integers(0, 6), st.floats(1.0, 2500.0)),
+    st.tuples(
+        st.just("finish_attempt"), st.integers(0, 40), st.sampled_from(list(AttemptResult)), st.booleans()
+    ),
+    st.tuples(
+        st.just("finish_attempt"), st.integers(0, 40), st.sampled_from(list(AttemptResult)), st.booleans()
+    ),
+    st.tuples(st.just("disconnect"), st.integers(0, 40)),
+    st.tuples(st.just("start_response"), st.integers(0, 5)),
     st.tuples(
-        st.just("members"),
+        st.just("update_endpoints"),
         st.sampled_from([form for form in EndpointListForm if form is not EndpointListForm.CACHED]),
         st.integers(0, 11),
         st.sampled_from(list(ServerState)),
         st.booleans(),
     ),
-    st.tuples(st.just("alarm"), st.sampled_from(["period", "watch", "other"])),
+    st.tuples(st.just("timer"), st.sampled_from(["period", "watch", "other"])),
     st.tuples(st.just("wait"), st.floats(0.0, 600.0)),
 )
 
@@ -215,64 +243,66 @@
 @settings(derandomize=True, max_examples=300, deadline=None)
 @given(
     seed=st.integers(0, 2**32),
-    attempts=st.integers(1, 4),
-    cancel=st.booleans(),
-    moves=st.lists(MOVES, min_size=10, max_size=120),
+    max_attempts=st.integers(1, 4),
+    may_cancel=st.booleans(),
+    steps=st.lists(STEPS, min_size=10, max_size=120),
 )
-def test_request_rules_hold_over_any_legal_sequence(seed, attempts, cancel, moves):
-    referee = Referee(seed, attempts, cancel)
-    rows = tuple(Server(f"s{at}", "ab"[at % 2], at % 3) for at in range(6))
-    referee.give(EndpointListUpdate(EndpointListForm.CACHED, rows))
-    for name, *given_ in moves:
+def test_request_rules_hold_over_any_valid_sequence(seed, max_attempts, may_cancel, steps):
+    checker = RuleChecker(seed, max_attempts, may_cancel)
+    endpoints = tuple(Server(f"s{at}", "ab"[at % 2], at % 3) for at in range(6))
+    checker.handle(EndpointListUpdate(EndpointListForm.CACHED, endpoints))
+    for name, *arguments in steps:
         if name == "wait":
-            referee.now += given_[0]
-        elif name == "alarm":
-            referee.give(TimerFired(given_[0]))
+            checker.now += arguments[0]
+        elif name == "timer":
+            checker.handle(TimerFired(arguments[0]))
         else:
-            getattr(referee, name)(*given_)
-    for _ in range(600):  # at last every attempt ends, as the wire promises
-        if not any(call.out() for call in referee.calls.values()):
+            getattr(checker, name)(*arguments)
+    for _ in range(600):  # ends all attempts, as the protocol requires
+        if not any(request.open_attempts() for request in checker.requests.values()):
             break
-        referee.now += 1.0
-        referee.outcome(0, AttemptResult.TIMEOUT, False)
-    assert all(call.ended for call in referee.calls.values())
-    assert referee.balancer.parts.shared.requests == {}
+        checker.now += 1.0
+        checker.finish_attempt(0, AttemptResult.TIMEOUT, False)
+    assert all(request.ended for request in checker.requests.values())
+    assert checker.balancer.parts.shared.requests == {}
 
 
 @settings(derandomize=True, max_examples=60, deadline=None)
 @given(
     seed=st.integers(0, 2**32),
-    gaps=st.lists(st.floats(0.5, 40.0), min_size=200, max_size=400),
+    intervals_ms=st.lists(st.floats(0.5, 40.0), min_size=200, max_size=400),
     latency=st.floats(5.0, 80.0),
 )
-def test_warming_server_never_gets_more_than_its_share(seed, gaps, latency):
-    """Whatever the traffic, a cold server stays under its present share of what warm ones get."""
-    referee = Referee(seed, 2, True)
-    rows = [Server(f"s{at}", "a", 0) for at in range(5)]
-    referee.give(EndpointListUpdate(EndpointListForm.CACHED, tuple(rows)))
-    born = referee.now + 200.0
-    sends: dict[str, deque[float]] = {row.address: deque() for row in rows} | {"cold": deque()}
-    flying: deque[tuple[float, str]] = deque()
+def test_warming_server_never_gets_more_than_its_share(seed, intervals_ms, latency):
+    """Whatever the traffic, a warming server gets at most its present share of what warm ones get."""
+    checker = RuleChecker(seed, 2, True)
+    endpoints = [Server(f"s{at}", "a", 0) for at in range(5)]
+    checker.handle(EndpointListUpdate(EndpointListForm.CACHED, tuple(endpoints)))
+    start_ms = checker.now + 200.0
+    sends: dict[str, deque[float]] = {endpoint.address: deque() for endpoint in endpoints} | {"cold": deque()}
+    in_flight: deque[tuple[float, str]] = deque()
     peak = 1.0
-    for at, gap in enumerate(gaps):
-        referee.now += gap
-        if referee.now >= born and "cold" not in referee.listed:
-            row = Server("cold", "a", 0, launched_ms=born)
-            referee.give(EndpointListUpdate(EndpointListForm.DELTA, (row,)))
-        referee.request(0, 2000.0)
-        name = f"q{referee.names}"
-        for server, then in referee.calls[name].tries:
-            sends[server.address].append(then)
-            flying.append((then + latency, name))
-        while flying and flying[0][0] <= referee.now:
-            done = flying.popleft()[1]
-            waiting = [(one, item) for one, call in referee.calls.items() for item in call.out()]
-            referee.outcome(waiting.index((done, 0)), AttemptResult.OK, False)
+    for at, interval_ms in enumerate(intervals_ms):
+        checker.now += interval_ms
+        if checker.now >= start_ms and "cold" not in checker.listed:
+            endpoint = Server("cold", "a", 0, launched_ms=start_ms)
+            checker.handle(EndpointListUpdate(EndpointListForm.DELTA, (endpoint,)))
+        checker.receive_request(0, 2000.0)
+        name = f"q{checker.request_count}"
+        for server, sent_ms in checker.requests[name].attempts:
+            sends[server.address].append(sent_ms)
+            in_flight.append((sent_ms + latency, name))
+        while in_flight and in_flight[0][0] <= checker.now:
+            finished = in_flight.popleft()[1]
+            open_attempts = [
+                (one, item) for one, request in checker.requests.items() for item in request.open_attempts()
+            ]
+            checker.finish_attempt(open_attempts.index((finished, 0)), AttemptResult.OK, False)
         if at % 5 == 0:
-            referee.give(TimerFired("period"))
+            checker.handle(TimerFired("period"))
         for window in sends.values():
-            while window and window[0] <= referee.now - TIP_MS:
+            while window and window[0] <= checker.now - OVERLOAD_WINDOW_MS:
                 window.popleft()
-        peak = max(peak, *(len(sends[row.address]) for row in rows))
-        warmth = 0.25 + 0.75 * max(0.0, referee.now - born) / COLD_MS
-        assert len(sends["cold"]) <= max(1.0, warmth * peak + 1.0)
+        peak = max(peak, *(len(sends[endpoint.address]) for endpoint in endpoints))
+        capacity_share = 0.25 + 0.75 * max(0.0, checker.now - start_ms) / WARM_UP_MS
+        assert len(sends["cold"]) <= max(1.0, capacity_share * peak + 1.0)
