--- a/rosewheel/policy/discovery_polling.py
+++ b/rosewheel/policy/discovery_polling.py
@@ -5,10 +5,10 @@
 from rosewheel.policy.actions import Action, StartTimer, WatchEndpoints
 
 # rosewheel/discovery/watch_client.py states the longest time without a list, which follows from these.
-FIRST_INTERVAL_MS = 250.0  # half of the interval after the first failure; doubled at each failure
-LONGEST_INTERVAL_MS = 4000.0  # longest interval between the starts of two polls
-SHORTEST_WAIT_MS = 200.0  # shortest wait after a failure, if the poll or watch outlasted the interval
-MAX_DOUBLINGS = 16  # bounds the exponent; LONGEST_INTERVAL_MS is reached before
+BASE_INTERVAL_MS = 250.0  # half of the interval after the first failure; doubled at each failure
+MAX_INTERVAL_MS = 4000.0  # longest interval between the starts of two polls
+MIN_WAIT_MS = 200.0  # shortest wait after a failure, if the poll or watch outlasted the interval
+MAX_DOUBLINGS = 16  # bounds the exponent; MAX_INTERVAL_MS is reached before
 WATCH_TIMER = "watch"
 
 
@@ -42,6 +42,6 @@
     def on_failure(self, now: float) -> list[Action]:
         """Set a timer with exponential backoff and jitter, so as not to overload discovery."""
         self.failures, self.timer_is_set = min(MAX_DOUBLINGS, self.failures + 1), True
-        interval_ms = min(LONGEST_INTERVAL_MS, FIRST_INTERVAL_MS * 2.0**self.failures)
-        wait_ms = max(SHORTEST_WAIT_MS, interval_ms - (now - self.last_poll_ms))
+        interval_ms = min(MAX_INTERVAL_MS, BASE_INTERVAL_MS * 2.0**self.failures)
+        wait_ms = max(MIN_WAIT_MS, interval_ms - (now - self.last_poll_ms))
         return [StartTimer(wait_ms * self.rng.uniform(0.5, 1.0), WATCH_TIMER)]
--- a/tests/discovery/test_watch_backoff.py
+++ b/tests/discovery/test_watch_backoff.py
@@ -193,8 +193,8 @@
 
 
 def test_sum_of_timeouts_matches_the_documented_one():
-    shortest_s = discovery_polling.SHORTEST_WAIT_MS / 1000.0
-    longest_s = discovery_polling.LONGEST_INTERVAL_MS / 1000.0
+    shortest_s = discovery_polling.MIN_WAIT_MS / 1000.0
+    longest_s = discovery_polling.MAX_INTERVAL_MS / 1000.0
     silence_s, first_line_s = watch_client.SILENCE_TIMEOUT_S, watch_client.FIRST_LINE_TIMEOUT_S
     recheck_s = watch_client.SILENCE_RECHECK_S
     for wait_s, apart_s in ((shortest_s, longest_s), (0.0, backoff.MAX_DELAY_S)):
@@ -212,7 +212,7 @@
     """On sockets, with all times a fortieth: silent, dead, dying within a line, silent within one, and back."""
     for name in ("SILENCE_TIMEOUT_S", "CONNECT_TIMEOUT_S", "FIRST_LINE_TIMEOUT_S"):
         monkeypatch.setattr(watch_client, name, getattr(watch_client, name) / 40.0)
-    for name in ("FIRST_INTERVAL_MS", "LONGEST_INTERVAL_MS", "SHORTEST_WAIT_MS"):
+    for name in ("BASE_INTERVAL_MS", "MAX_INTERVAL_MS", "MIN_WAIT_MS"):
         monkeypatch.setattr(discovery_polling, name, getattr(discovery_polling, name) / 40.0)
 
     async def main() -> None:
