--- a/rosewheel/policy/pool_load.py
+++ b/rosewheel/policy/pool_load.py
@@ -38,7 +38,7 @@
 SERVER_GAIN = 0.2  # smoothing per outcome of a server's latency and error rates
 CLASS_GAIN = 0.03  # smoothing per request of a class's latency and of other means over requests
 # Half of the first backoff of a server after an attempt that it did not execute; doubled by each further one.
-BACKOFF_MS = 250.0
+BASE_BACKOFF_MS = 250.0
 MAX_BACKOFF_MS = 4000.0  # endpoint lists lag by more, but the server may only have been full
 MAX_BACKOFF_DOUBLINGS = 8  # bounds the exponent; MAX_BACKOFF_MS is reached before
 
@@ -106,7 +106,7 @@
             # Without a backoff it would rank best, and its rejections would make all balancers shed.
             server.consecutive_refusals += 1
             doublings = min(MAX_BACKOFF_DOUBLINGS, server.consecutive_refusals)
-            server.backoff_until_ms = now + min(MAX_BACKOFF_MS, BACKOFF_MS * 2.0**doublings)
+            server.backoff_until_ms = now + min(MAX_BACKOFF_MS, BASE_BACKOFF_MS * 2.0**doublings)
         elif result is AttemptResult.OK:
             server.clear_backoff()
         if result is AttemptResult.OVERLOADED:
--- a/rosewheel/policy/ranking.py
+++ b/rosewheel/policy/ranking.py
@@ -14,7 +14,7 @@
 QUEUE_DECAY_MS = 500.0  # a reported queue, towards 0
 # Shorter in a large pool, where many balancers choose whichever server last reported a short queue.
 QUEUE_DECAY_IN_LARGE_POOL_MS = 200.0
-BACKOFF_FACTOR = 100.0  # multiplies a rank during a backoff
+BACKOFF_RANK_FACTOR = 100.0  # multiplies a rank during a backoff
 MAX_ERROR_RATE = 0.9  # largest error rate by which a rank is worsened
 MIN_JITTER, JITTER_RANGE = 0.95, 1.05 - 0.95  # random factor of each rank, so that equal servers take turns
 
@@ -90,6 +90,6 @@
         zone_penalty = shared.cross_zone_penalty if server.endpoint.zone != shared.settings.zone else 0.0
         rank = latency * (server.load + queue + 1.0 + zone_penalty)
         if now < server.backoff_until_ms:
-            rank *= BACKOFF_FACTOR
+            rank *= BACKOFF_RANK_FACTOR
         success_rate = 1.0 - (error_rate if error_rate < MAX_ERROR_RATE else MAX_ERROR_RATE)
         return rank / success_rate * (MIN_JITTER + JITTER_RANGE * shared.rng.random())
--- a/tests/lab/test_simulation.py
+++ b/tests/lab/test_simulation.py
@@ -279,8 +279,8 @@
     the remedy shows that the number can fail."""
     one = plan.make(scenario.load("fleet-disco", {"seconds": 13}))
     now = simulate(one)["service"]
-    monkeypatch.setattr(ranking, "BACKOFF_FACTOR", 1.0)
-    monkeypatch.setattr(pool_load, "BACKOFF_MS", 0.0)
+    monkeypatch.setattr(ranking, "BACKOFF_RANK_FACTOR", 1.0)
+    monkeypatch.setattr(pool_load, "BASE_BACKOFF_MS", 0.0)
     assert now > simulate(one)["service"] + 0.01
 
 
