--- a/rosewheel/config/operator_config.py
+++ b/rosewheel/config/operator_config.py
@@ -112,7 +112,7 @@
 
 def _check_unique(key: str, names: list[str]) -> None:
     if len(set(names)) != len(names):
-        raise InvalidValueError(key, "a name stands twice")
+        raise InvalidValueError(key, "duplicate name")
 
 
 def _keys_of_settings() -> dict[str, str]:
--- a/rosewheel/lab/scenario.py
+++ b/rosewheel/lab/scenario.py
@@ -116,7 +116,7 @@
     def _check_tiers(self, key: str) -> None:
         for path, names in (("class", self.classes), (key, self.tiers)):
             if len({item.name for item in names}) != len(names):
-                raise InvalidValueError(path, "a name stands twice")
+                raise InvalidValueError(path, "duplicate name")
         for index, tier in enumerate(self.tiers):
             if tier.work == 0.0:
                 raise InvalidValueError(f"{key}[{index}].work", f"a {key} that does nothing")
@@ -165,13 +165,13 @@
         for path, names in (("name", [region.name for region in self.regions]), ("zones", zones)):
             for index in range(len(self.regions)):
                 if len(set(names)) != len(names):
-                    raise InvalidValueError(f"region[{index}].{path}", "a name stands twice")
+                    raise InvalidValueError(f"region[{index}].{path}", "duplicate name")
         for index, tier in enumerate(self.tiers):
             for zone in tier.zones:
                 if zone not in zones:
                     raise InvalidValueError(f"{key}[{index}].zones", f"no zone is called {zone!r}")
             if len(set(tier.zones)) != len(tier.zones):
-                raise InvalidValueError(f"{key}[{index}].zones", "a name stands twice")
+                raise InvalidValueError(f"{key}[{index}].zones", "duplicate name")
         for index, row in enumerate(self.classes):
             # Deduplication tables belong to cells here; for a whole zone they would have to belong to zones.
             keyed = row.idempotency is Idempotency.IDEMPOTENT_WITH_KEY
--- a/rosewheel/policy/settings.py
+++ b/rosewheel/policy/settings.py
@@ -166,4 +166,4 @@
 def _check_unique(key: str, names: Iterable[str]) -> None:
     given = list(names)
     if len(set(given)) != len(given):
-        raise InvalidSettingError(key, "a name stands twice")
+        raise InvalidSettingError(key, "duplicate name")
--- a/tests/config/test_fleet_document.py
+++ b/tests/config/test_fleet_document.py
@@ -81,7 +81,7 @@
         ({3: {}}, "3: unknown key"),
         ({"class": []}, "class: no class of requests"),
         ({"class": {}}, "class: not a list of tables"),
-        ({"class": [CLASS, CLASS]}, "class: a name stands twice"),
+        ({"class": [CLASS, CLASS]}, "class: duplicate name"),
         ({"class": [CLASS | {"aim_ms": 900}]}, "class[0].aim_ms: an answer is wanted after"),
         ({"class": [CLASS | {"give_up_ms": float("inf")}]}, "class[0].give_up_ms: Expected"),
         ({"class": [CLASS | {"aim_ms": 0}], "routing": {"cancel": 3}}, "class[0].aim_ms: Expected"),
