--- a/rosewheel/policy/settings_change.py
+++ b/rosewheel/policy/settings_change.py
@@ -17,7 +17,7 @@
         return []
     for key in ("tier", "zone"):  # learned state belongs to one tier, and a machine to one zone
         if getattr(new, key) != getattr(old, key):
-            raise ValueError(f"{key}: {getattr(new, key)!r} would need a new start of this node")
+            raise ValueError(f"{key}: {getattr(new, key)!r} requires a restart of the node")
     # Attributes are replaced without modifying their old values, so that restoring the references undoes the
     # change. Servers are modified in place, after everything that may raise.
     saved = [(part, dict(vars(part))) for part in vars(parts).values()]
--- a/tests/proxy/test_reconfiguration.py
+++ b/tests/proxy/test_reconfiguration.py
@@ -121,7 +121,7 @@
                 settings=other(relay, tier=1, classes=(IDEMPOTENT,)),
                 limits=Limits(max_sockets=64, memory_limit_mb=33.0),
             )
-            with pytest.raises(ConfigError, match=r"^tier: 1 would need a new start of this node$"):
+            with pytest.raises(ConfigError, match=r"^tier: 1 requires a restart of the node$"):
                 relay.reload(bad)
             assert relay.config is before
             assert relay.upstream.bounds is before.limits
