--- a/tests/policy/test_settings_change.py
+++ b/tests/policy/test_settings_change.py
@@ -1,4 +1,4 @@
-"""Other settings in a running node: all of them or none, and what is in flight keeps those it was taken under."""
+"""Settings changes of a running node: atomic, and requests in flight keep the settings of their arrival."""
 
 from __future__ import annotations
 
@@ -51,7 +51,7 @@
     tuple(KINDS.values()),
     (IDEMPOTENT,),
     (dataclasses.replace(NON_IDEMPOTENT, latency_objective_ms=300.0, deadline_ms=400.0), KINDS["points"]),
-    # The other way round: what may be repeated from now on, and what may not, differs from what is in flight.
+    # Swapped idempotency: later requests may be repeated where those in flight may not, and the reverse.
     (
         dataclasses.replace(IDEMPOTENT, idempotency=Idempotency.NON_IDEMPOTENT, priority_weight=0.0),
         dataclasses.replace(NON_IDEMPOTENT, idempotency=Idempotency.IDEMPOTENT, late_weight=0.5),
@@ -83,31 +83,35 @@
 )
 
 
-class Changing(World):
-    """As `World`, but its settings change."""
+class ChangingWorld(World):
+    """A `World` whose settings change."""
 
     def step(self, step: tuple[Any, ...]) -> None:
         match step:
             case ("configure", changes, limits):
-                cfg = dataclasses.replace(self.node.settings, **changes)
-                self.do(self.node.configure(self.now, cfg, dataclasses.replace(self.node.limits, **limits)))
-                assert self.node.settings is cfg
+                new_settings = dataclasses.replace(self.node.settings, **changes)
+                self.do(
+                    self.node.configure(
+                        self.now, new_settings, dataclasses.replace(self.node.limits, **limits)
+                    )
+                )
+                assert self.node.settings is new_settings
             case ("ask", service, _):
-                if service in self.node.service_names:  # callers of another class are turned away before
+                if service in self.node.service_names:  # requests of unknown classes are rejected earlier
                     super().step(step)
             case _:
                 super().step(step)
 
     def taken(self, service: str) -> tuple[ServiceClass, int, bool]:
-        kind = next(kind for kind in self.node.settings.classes if kind.name == service)
-        return kind, self.node.settings.max_attempts, self.node.limits.hedging_allowed
+        service_class = next(each for each in self.node.settings.classes if each.name == service)
+        return service_class, self.node.settings.max_attempts, self.node.limits.hedging_allowed
 
 
 @given(st.lists(st.one_of(STEP, CONFIGURE), max_size=60), st.booleans(), st.booleans())
 def test_request_rules_hold_over_any_order_of_settings_changes(
-    steps: list[tuple[Any, ...]], cancel: bool, copies: bool
+    steps: list[tuple[Any, ...]], may_cancel: bool, hedging: bool
 ):
-    world = Changing(cancel, copies)
+    world = ChangingWorld(may_cancel, hedging)
     for step in steps:
         world.step(step)
     world.finish()
@@ -118,28 +122,31 @@
     balancer = world.node.balancer
     assert not balancer.parts.shared.requests
     assert all(
-        stats.load == 0.0 and not stats.in_flight for stats in balancer.parts.shared.pool.servers.values()
+        server_stats.load == 0.0 and not server_stats.in_flight
+        for server_stats in balancer.parts.shared.pool.servers.values()
     )
     assert balancer.parts.shared.class_latency_ms.keys() <= balancer.parts.shared.classes.keys()
 
 
 @given(st.lists(st.one_of(STEP, CONFIGURE), max_size=40), st.integers(1, 5))
 def test_equal_settings_change_nothing(steps: list[tuple[Any, ...]], every: int):
-    """Guards what was learned against a reload that says nothing new: all that a node does, it does as without it."""
-    plain, told = Changing(True, True), Changing(True, True)
+    """A reload without changes must not affect learned state: the node must act as if there had been none."""
+    unchanged, reloaded = ChangingWorld(True, True), ChangingWorld(True, True)
     for at, step in enumerate(steps):
-        plain.step(step)
-        told.step(step)
+        unchanged.step(step)
+        reloaded.step(step)
         if at % every == 0:
-            same = dataclasses.replace(told.node.settings)
-            parts = vars(told.node.balancer.parts)
+            same = dataclasses.replace(reloaded.node.settings)
+            parts = vars(reloaded.node.balancer.parts)
             before = {name: dict(vars(part)) for name, part in parts.items()}
-            assert told.node.configure(told.now, same, dataclasses.replace(told.node.limits)) == []
+            assert (
+                reloaded.node.configure(reloaded.now, same, dataclasses.replace(reloaded.node.limits)) == []
+            )
             for name, part in parts.items():
                 assert all(value is before[name][key] for key, value in vars(part).items())
-    for world in (plain, told):
+    for world in (unchanged, reloaded):
         world.finish()
-    assert told.log == plain.log
+    assert reloaded.log == unchanged.log
 
 
 class FaultError(Exception):
@@ -150,7 +157,7 @@
     raise FaultError
 
 
-STAGES: list[tuple[object, str]] = [
+FAULTS: list[tuple[object, str]] = [
     (Quotas, "apply_settings"),
     (settings_change, "objective_ratio"),
     (SharedState, "objectives_ms"),
@@ -159,8 +166,8 @@
     (Throughput, "restart_smoothing"),
     (ServerPool, "set_warm_up"),
 ]
-# Whatever can follow from settings follows from these.
-OTHER = settings(
+# Settings that change every derived value.
+CHANGED_SETTINGS = settings(
     classes=(IDEMPOTENT,), balancer_count=30, warm_up_ms=1.0, poll_discovery=True, tenants=(Tenant("t", 1.0),)
 )
 
@@ -168,47 +175,51 @@
 @given(
     st.lists(st.one_of(STEP, CONFIGURE), max_size=40),
     st.integers(1, 5),
-    st.sampled_from([*STAGES, "zone", "tier"]),
+    st.sampled_from([*FAULTS, "zone", "tier"]),
 )
 def test_failed_settings_change_is_rolled_back(
-    steps: list[tuple[Any, ...]], every: int, why: tuple[object, str] | str
+    steps: list[tuple[Any, ...]], every: int, fault: tuple[object, str] | str
 ):
-    """Guards against half of a change, also where the module fails in the middle of it."""
-    plain, told = Changing(True, True), Changing(True, True)
+    """A change that fails at any stage must leave no part of it in force."""
+    unchanged, reloaded = ChangingWorld(True, True), ChangingWorld(True, True)
     for at, step in enumerate(steps):
-        plain.step(step)
-        told.step(step)
+        unchanged.step(step)
+        reloaded.step(step)
         if at % every == 0:
-            node = told.node
-            cfg = dataclasses.replace(
-                OTHER, balancer_count=30 if not node.balancer.parts.shared.in_large_fleet else 1
+            node = reloaded.node
+            new_settings = dataclasses.replace(
+                CHANGED_SETTINGS, balancer_count=30 if not node.balancer.parts.shared.in_large_fleet else 1
             )
-            if isinstance(why, str):
-                cfg = dataclasses.replace(cfg, **{why: {"zone": "b", "tier": 1}[why]})
+            if isinstance(fault, str):
+                new_settings = dataclasses.replace(new_settings, **{fault: {"zone": "b", "tier": 1}[fault]})
             with pytest.MonkeyPatch.context() as patch:
-                if not isinstance(why, str):
-                    patch.setattr(*why, raise_fault)
-                # A strength is looked at only where there come to be many nodes.
-                skipped = why == (SlowStart, "pool_capacity") and node.balancer.parts.shared.in_large_fleet
-                if not skipped and not _is_same_warm_up(why, cfg, node):
+                if not isinstance(fault, str):
+                    patch.setattr(*fault, raise_fault)
+                # The capacity is measured only when the fleet becomes large.
+                skipped = fault == (SlowStart, "pool_capacity") and node.balancer.parts.shared.in_large_fleet
+                if not skipped and not _is_same_warm_up(fault, new_settings, node):
                     with pytest.raises(
-                        ValueError, match=why if isinstance(why, str) else "settings: .*FaultError"
+                        ValueError, match=fault if isinstance(fault, str) else "settings: .*FaultError"
                     ):
-                        node.configure(told.now, cfg, Limits(max_open_requests=1, hedging_allowed=False))
-    for world in (plain, told):
+                        node.configure(
+                            reloaded.now, new_settings, Limits(max_open_requests=1, hedging_allowed=False)
+                        )
+    for world in (unchanged, reloaded):
         world.finish()
-    assert told.log == plain.log
-    assert told.node.settings == plain.node.settings
-    assert told.node.limits == plain.node.limits
-    ours, theirs = told.node.balancer.parts, plain.node.balancer.parts
-    assert ours.shared.rng.getstate() == theirs.shared.rng.getstate()
-    for part, names in APPLIED.items():
+    assert reloaded.log == unchanged.log
+    assert reloaded.node.settings == unchanged.node.settings
+    assert reloaded.node.limits == unchanged.node.limits
+    reloaded_parts, unchanged_parts = reloaded.node.balancer.parts, unchanged.node.balancer.parts
+    assert reloaded_parts.shared.rng.getstate() == unchanged_parts.shared.rng.getstate()
+    for part, names in REPLACED_ATTRIBUTES.items():
         for name in names:
-            assert getattr(getattr(ours, part), name) == getattr(getattr(theirs, part), name), name
+            assert getattr(getattr(reloaded_parts, part), name) == getattr(
+                getattr(unchanged_parts, part), name
+            ), name
 
 
-# Attributes that a change of settings may replace, by part.
-APPLIED = {
+# Attributes that a settings change may replace, by part.
+REPLACED_ATTRIBUTES = {
     "shared": ("configured_period_ms", "class_latency_ms"),
     "throughput": ("period_ms", "pool_capacity", "completion_rate", "peak_completion_rate"),
     "pool_load": ("baseline_ratio", "smoothed_ratio"),
@@ -216,12 +227,12 @@
 }
 
 
-def _is_same_warm_up(why: object, cfg: Settings, node: Node) -> bool:
-    return why == (ServerPool, "set_warm_up") and cfg.warm_up_ms == node.settings.warm_up_ms
+def _is_same_warm_up(fault: object, new_settings: Settings, node: Node) -> bool:
+    return fault == (ServerPool, "set_warm_up") and new_settings.warm_up_ms == node.settings.warm_up_ms
 
 
 def test_failed_settings_change_restores_the_random_state():
-    """Of a large pool, whose strength is that of some drawn servers."""
+    """The capacity of a large pool is measured on a random sample of servers."""
     harness = BalancerHarness(0, balancer_count=1)
     harness.handle(EndpointListUpdate(EndpointListForm.SNAPSHOT, servers(2 * CAPACITY_SAMPLE_SIZE)))
     before = harness.parts.shared.rng.getstate()
@@ -233,11 +244,11 @@
     assert not harness.parts.shared.in_large_fleet
 
 
-# ------------------------------------------------------------ what is in flight
+# ---------------------------------------------------------- requests in flight
 
 
-def make_node(bounds: Limits | None = None, **changes: Any) -> Node:
-    node = Node(settings(warm_up_ms=0.0, **changes), bounds or Limits(), seed=7, now=0.0)
+def make_node(limits: Limits | None = None, **changes: Any) -> Node:
+    node = Node(settings(warm_up_ms=0.0, **changes), limits or Limits(), seed=7, now=0.0)
     node.update_endpoints(
         0.0, EndpointListForm.SNAPSHOT, tuple(Server(f"s{at}", zone="a") for at in range(4))
     )
@@ -248,8 +259,8 @@
     return node.configure(now, dataclasses.replace(node.settings, **changes), node.limits)
 
 
-def single_effect(effects: list[Any], kind: type) -> Any:
-    found = [effect for effect in effects if isinstance(effect, kind)]
+def single_effect(effects: list[Any], service_class: type) -> Any:
+    found = [effect for effect in effects if isinstance(effect, service_class)]
     assert len(found) == 1, effects
     return found[0]
 
@@ -259,11 +270,11 @@
     single_effect(node.receive_request(1.0, RequestReceived("r", "read", 2500.0)), StartAttempt)
     change_settings(node, 2.0, classes=(NON_IDEMPOTENT,))
     assert node.service_names == {"post"}
-    again = single_effect(
+    retry = single_effect(
         node.attempt_finished(3.0, "r", 0, AttemptResult.RESET), StartAttempt
-    )  # it may be repeated, as when it was taken
+    )  # idempotent when it was received
     assert (
-        single_effect(node.attempt_finished(4.0, "r", again.attempt, AttemptResult.OK), SendResponse).status
+        single_effect(node.attempt_finished(4.0, "r", retry.attempt, AttemptResult.OK), SendResponse).status
         == 200
     )
     assert node.statistics.classes["read"].ok == 1
@@ -306,14 +317,14 @@
 
 
 def test_lower_max_attempts_holds_for_later_requests():
-    """Also where an open request has used more than are allowed by now."""
+    """A request in flight may use more attempts than new ones."""
     node = make_node()
     node.receive_request(1.0, RequestReceived("r", "read", 2500.0))
     single_effect(node.attempt_finished(2.0, "r", 0, AttemptResult.OVERLOADED), StartAttempt)
     change_settings(node, 3.0, max_attempts=1)
     single_effect(
         node.attempt_finished(4.0, "r", 1, AttemptResult.OVERLOADED), StartAttempt
-    )  # its third, and last
+    )  # its third and last attempt
     assert (
         single_effect(node.attempt_finished(5.0, "r", 2, AttemptResult.OVERLOADED), SendResponse).status
         == 503
@@ -330,8 +341,8 @@
     node = make_node(may_cancel=before)
     node.receive_request(1.0, RequestReceived("r", "read", 2500.0))
     change_settings(node, 2.0, may_cancel=not before)
-    gone = [effect for effect in node.client_disconnected(3.0, "r") if isinstance(effect, AbortAttempt)]
-    assert bool(gone) is before
+    aborted = [effect for effect in node.client_disconnected(3.0, "r") if isinstance(effect, AbortAttempt)]
+    assert bool(aborted) is before
 
 
 @pytest.mark.parametrize("before", [True, False])
@@ -339,7 +350,7 @@
     node = make_node(Limits(hedging_allowed=before))
     node.receive_request(1.0, RequestReceived("r", "read", 2500.0))
     node.configure(2.0, node.settings, Limits(hedging_allowed=not before))
-    node.driver.apply(3.0, [ForwardRequest("r", "s3")])  # what a module with second copies may decide
+    node.driver.apply(3.0, [ForwardRequest("r", "s3")])  # as a module with hedged requests may decide
     assert (
         bool(
             [
@@ -366,17 +377,27 @@
     single_effect(node.receive_request(5.0, RequestReceived("d", "read", 2500.0)), StartAttempt)
 
 
-# --------------------------------------------------------------- what is learned
+# ---------------------------------------------------------------- learned state
 
 
 def run_periods(harness: BalancerHarness, periods: int, latency: float, each: int = 4) -> int:
-    """So many periods, in each of which so many requests take so long; how many were sent."""
+    """Send requests over a number of periods.
+
+    Args:
+        harness: the balancer.
+        periods: number of periods.
+        latency: latency of each request in ms.
+        each: requests per period.
+
+    Returns:
+        The number of requests that were forwarded.
+    """
     count = 0
     for _ in range(periods):
         taken = []
         for _ in range(each):
-            name, acts = harness.receive_request()
-            taken += [(name, send.server) for send in forwarded(acts)]
+            name, actions = harness.receive_request()
+            taken += [(name, send.server) for send in forwarded(actions)]
         for name, server in taken:
             harness.finish_attempt(name, server, AttemptResult.OK, latency)
         count += len(taken)
@@ -388,8 +409,8 @@
     return harness.handle(SettingsChanged(dataclasses.replace(harness.parts.shared.settings, **changes)))
 
 
-def test_shorter_objective_is_no_overload():
-    """Guards against a baseline that stays behind: with half the aim the same answers take twice the share of it."""
+def test_shorter_objective_does_not_cause_shedding():
+    """With half the objective, the same latency is twice its share; the baseline must be rescaled."""
     harness = BalancerHarness(4, classes=(IDEMPOTENT,), warm_up_ms=0.0)
     run_periods(harness, 30, latency=200.0)
     assert harness.parts.pool_load.baseline_ratio == pytest.approx(0.2, rel=0.01)
@@ -403,9 +424,9 @@
 def test_latency_counts_by_the_present_objective():
     harness = BalancerHarness(4, classes=(IDEMPOTENT,), warm_up_ms=0.0)
     run_periods(harness, 30, latency=200.0)
-    name, acts = harness.receive_request()
+    name, actions = harness.receive_request()
     configure(harness, classes=(dataclasses.replace(IDEMPOTENT, latency_objective_ms=500.0),))
-    harness.finish_attempt(name, forwarded(acts)[0].server, AttemptResult.OK, 200.0)
+    harness.finish_attempt(name, forwarded(actions)[0].server, AttemptResult.OK, 200.0)
     assert harness.parts.pool_load.latency_ratios == [pytest.approx(0.4)]
 
 
@@ -425,7 +446,7 @@
 
 
 def test_shorter_period_begins_at_the_end_of_the_present_one():
-    """Guards the rate: what a long period completed is not what a short one does."""
+    """Completions of a long period must not count as those of a short one."""
     slow = dataclasses.replace(IDEMPOTENT, latency_objective_ms=10000.0, deadline_ms=20000.0)
     harness = BalancerHarness(4, classes=(slow,), warm_up_ms=0.0)
     run_periods(harness, 10, latency=200.0)
@@ -435,16 +456,16 @@
     configure(
         harness, classes=(dataclasses.replace(IDEMPOTENT, latency_objective_ms=100.0, deadline_ms=200.0),)
     )
-    acts = harness.end_period()
+    actions = harness.end_period()
     assert harness.parts.throughput.peak_completion_rate <= peak * 1.05
-    assert [act.delay_ms for act in acts if isinstance(act, StartTimer)] == [15.0]
+    assert [action.delay_ms for action in actions if isinstance(action, StartTimer)] == [15.0]
     assert (
         harness.parts.throughput.period_count * harness.balancer.period_ms >= START_UP_MS
-    )  # it does not start anew
+    )  # no new start-up
 
 
 def rates(harness: BalancerHarness) -> tuple[float, float, float | None]:
-    """Smoothed and highest completion rate, and the baseline."""
+    """Return the smoothed and the peak completion rate, and the baseline."""
     throughput = harness.parts.throughput
     return throughput.completion_rate, throughput.peak_completion_rate, harness.parts.pool_load.baseline_ratio
 
@@ -463,22 +484,22 @@
     assert not shared.in_large_fleet
     assert throughput.pool_capacity == 1.0
     assert throughput.peak_completion_rate == pytest.approx(before[1], rel=0.5)
-    twice = BalancerHarness(4, balancer_count=1, warm_up_ms=0.0)
-    run_periods(twice, 30, latency=200.0)
-    configure(twice, balancer_count=30)
-    configure(twice, balancer_count=1)
-    assert rates(twice) == pytest.approx(before)
+    reverted = BalancerHarness(4, balancer_count=1, warm_up_ms=0.0)
+    run_periods(reverted, 30, latency=200.0)
+    configure(reverted, balancer_count=30)
+    configure(reverted, balancer_count=1)
+    assert rates(reverted) == pytest.approx(before)
 
 
 def test_backoff_ends_where_the_fleet_becomes_small():
     harness = BalancerHarness(1, balancer_count=30, warm_up_ms=0.0)
     for _ in range(3):
-        name, acts = harness.receive_request()
-        harness.finish_attempt(name, forwarded(acts)[0].server, AttemptResult.OVERLOADED, done=True)
+        name, actions = harness.receive_request()
+        harness.finish_attempt(name, forwarded(actions)[0].server, AttemptResult.OVERLOADED, done=True)
     assert harness.servers["s0"].consecutive_refusals == 3
     configure(harness, balancer_count=1)
-    stats = harness.servers["s0"]
-    assert (stats.consecutive_refusals, stats.backoff_until_ms) == (0, -math.inf)
+    server_stats = harness.servers["s0"]
+    assert (server_stats.consecutive_refusals, server_stats.backoff_until_ms) == (0, -math.inf)
 
 
 def test_token_bucket_is_resized_and_keeps_its_tokens():
@@ -501,45 +522,45 @@
     harness.now += 2000.0
     for _ in range(20):
         run_periods(harness, 1, latency=10.0, each=3 * count)
-    all_stats = harness.servers.values()
-    assert all(stats.credit < -1.0 for stats in all_stats)
+    all_server_stats = harness.servers.values()
+    assert all(server_stats.credit < -1.0 for server_stats in all_server_stats)
     configure(harness, warm_up_ms=60000.0)
-    assert all(0.0 <= stats.credit <= 1.0 for stats in all_stats)
+    assert all(0.0 <= server_stats.credit <= 1.0 for server_stats in all_server_stats)
     assert len(harness.parts.shared.pool._warm) == 0
-    got = sum(len(forwarded(harness.receive_request()[1])) for _ in range(count))
-    assert got < count  # paced by now
-    assert run_periods(harness, 20, latency=10.0, each=count) > count  # but not shut out
+    forwarded_count = sum(len(forwarded(harness.receive_request()[1])) for _ in range(count))
+    assert forwarded_count < count  # paced by credit
+    assert run_periods(harness, 20, latency=10.0, each=count) > count  # but not excluded
     configure(harness, warm_up_ms=0.0)
     assert len(harness.parts.shared.pool._warm) == count
     assert all(forwarded(harness.receive_request()[1]) for _ in range(count))
 
 
-@pytest.mark.parametrize("siblings", [1, 30])
-def test_start_time_ahead_of_the_clock_without_warm_up(siblings: int):
-    """Guards against a clock that is behind: a time of zero was divided by."""
-    harness = BalancerHarness(0, warm_up_ms=0.0, balancer_count=siblings)
+@pytest.mark.parametrize("balancer_count", [1, 30])
+def test_start_time_ahead_of_the_clock_without_warm_up(balancer_count: int):
+    """A clock that is behind must not cause a division by a warm-up time of 0."""
+    harness = BalancerHarness(0, warm_up_ms=0.0, balancer_count=balancer_count)
     harness.handle(EndpointListUpdate(EndpointListForm.SNAPSHOT, servers(2, launched_ms=harness.now + 500.0)))
     harness.end_period()
     assert forwarded(harness.receive_request()[1])
 
 
 def test_learned_state_is_scaled_to_other_objectives():
-    """Guards an upgrade that comes with other settings; a file from before aims were kept counts as it is."""
+    """An upgrade may change objectives; snapshots without objectives are restored unscaled."""
     old = BalancerHarness(4, classes=(IDEMPOTENT,), warm_up_ms=0.0)
     run_periods(old, 30, latency=200.0)
     learned = old.balancer.capture_learned_state(old.now)
-    for aim, kept, base in [
+    for objective_ms, saved, baseline in [
         (500.0, learned, 0.4),
         (500.0, dataclasses.replace(learned, objectives_ms={}), 0.2),
     ]:
         new = BalancerHarness(
-            4, classes=(dataclasses.replace(IDEMPOTENT, latency_objective_ms=aim),), warm_up_ms=0.0
+            4, classes=(dataclasses.replace(IDEMPOTENT, latency_objective_ms=objective_ms),), warm_up_ms=0.0
         )
-        new.balancer.restore_learned_state(new.now, kept, 0.0)
-        assert new.balancer.parts.pool_load.baseline_ratio == pytest.approx(base, rel=0.01)
-    strange = BalancerHarness(4, classes=(dataclasses.replace(IDEMPOTENT, name="other"),), warm_up_ms=0.0)
-    strange.balancer.restore_learned_state(strange.now, learned, 0.0)
-    assert strange.balancer.parts.pool_load.baseline_ratio is None
+        new.balancer.restore_learned_state(new.now, saved, 0.0)
+        assert new.balancer.parts.pool_load.baseline_ratio == pytest.approx(baseline, rel=0.01)
+    other = BalancerHarness(4, classes=(dataclasses.replace(IDEMPOTENT, name="other"),), warm_up_ms=0.0)
+    other.balancer.restore_learned_state(other.now, learned, 0.0)
+    assert other.balancer.parts.pool_load.baseline_ratio is None
     assert LearnedState().objectives_ms == {}
 
 
@@ -548,38 +569,38 @@
     assert action_types(configure(harness, poll_discovery=True)) == [WatchEndpoints]
     harness.handle(EndpointListUpdate(EndpointListForm.FAILED))
     assert configure(harness, poll_discovery=False) == []
-    assert harness.handle(TimerFired("watch")) == [], "an alarm from before asks where nobody is to be asked"
+    assert harness.handle(TimerFired("watch")) == [], "a timer from before the change must not poll"
 
 
 def test_settings_change_before_the_first_event():
     one = Balancer(settings(), seed=1, now_ms=0.0)
     assert one.handle(0.0, SettingsChanged(settings(classes=(IDEMPOTENT,), poll_discovery=True))) == []
-    acts = one.handle(1.0, EndpointListUpdate(EndpointListForm.SNAPSHOT, servers(1)))
-    assert action_types(acts) == [StartTimer, WatchEndpoints]
-    assert acts[0] == StartTimer(150.0, "period")
+    actions = one.handle(1.0, EndpointListUpdate(EndpointListForm.SNAPSHOT, servers(1)))
+    assert action_types(actions) == [StartTimer, WatchEndpoints]
+    assert actions[0] == StartTimer(150.0, "period")
 
 
-# -------------------------------------------------------------------- figures
+# ----------------------------------------------------------------- statistics
 
 
 def test_statistics_of_a_removed_class_are_kept():
-    figures = Statistics(["read", "post"])
-    figures.count_request("read", RequestOutcome.OK)
-    figures.configure(["post", "new"])
-    assert list(figures.classes) == ["post", "new", "read"]
-    figures.count_request("read", RequestOutcome.OK)
-    figures.configure(["read"])
-    assert figures.classes["read"].ok == 2
+    statistics = Statistics(["read", "post"])
+    statistics.count_request("read", RequestOutcome.OK)
+    statistics.configure(["post", "new"])
+    assert list(statistics.classes) == ["post", "new", "read"]
+    statistics.count_request("read", RequestOutcome.OK)
+    statistics.configure(["read"])
+    assert statistics.classes["read"].ok == 2
 
 
 def test_statistics_of_removed_classes_are_limited():
-    figures = Statistics(["read"])
+    statistics = Statistics(["read"])
     for at in range(5 * MAX_REMOVED_CLASSES):
-        figures.configure([f"class-{at}", "read"])
-        figures.track_class(f"adopted-{at}")
-    assert len(figures.classes) == MAX_REMOVED_CLASSES + 2
+        statistics.configure([f"class-{at}", "read"])
+        statistics.track_class(f"adopted-{at}")
+    assert len(statistics.classes) == MAX_REMOVED_CLASSES + 2
     assert {
         "read",
         f"class-{5 * MAX_REMOVED_CLASSES - 1}",
         f"adopted-{5 * MAX_REMOVED_CLASSES - 1}",
-    } <= figures.classes.keys()
+    } <= statistics.classes.keys()
