--- a/tests/policy/test_learned_state.py
+++ b/tests/policy/test_learned_state.py
@@ -1,4 +1,4 @@
-"""What a module has learned: taken back as far as its age allows, written whole, and not trusted blindly."""
+"""Learned state: restoration with decay by age, atomic snapshots, and rejection of invalid ones."""
 
 from __future__ import annotations
 
@@ -54,11 +54,11 @@
 
 
 def harness_with_slow_server(slow: str = "s0") -> BalancerHarness:
-    """A module that has learned that one of four servers is slow."""
+    """Return a balancer that has learned that one of four servers is slow."""
     harness = BalancerHarness()
     for _ in range(120):
-        name, acts = harness.receive_request()
-        server = forwarded(acts)[0].server
+        name, actions = harness.receive_request()
+        server = forwarded(actions)[0].server
         latency = 400.0 if server == slow else 50.0
         harness.now += 20.0
         harness.finish_attempt(name, server, AttemptResult.OK, latency)
@@ -71,7 +71,7 @@
 def restored_harness(
     learned: LearnedState, age_ms: float, servers: tuple[Server, ...] | None = None
 ) -> BalancerHarness:
-    """A new module that is given this, on a clock of its own."""
+    """Return a new balancer, with its own clock, that has restored the state."""
     harness = BalancerHarness(count=4)
     if servers is not None:
         harness.handle(EndpointListUpdate(EndpointListForm.SNAPSHOT, servers))
@@ -79,15 +79,15 @@
     return harness
 
 
-def chosen_share(harness: BalancerHarness, server: str, asks: int = 200) -> float:
-    """How often it is picked, with nothing else in flight."""
-    picked = 0
-    for _ in range(asks):
-        name, acts = harness.receive_request()
-        picked += forwarded(acts)[0].server == server
+def chosen_share(harness: BalancerHarness, server: str, requests: int = 200) -> float:
+    """Return the share of requests that a server gets with nothing else in flight."""
+    chosen = 0
+    for _ in range(requests):
+        name, actions = harness.receive_request()
+        chosen += forwarded(actions)[0].server == server
         harness.handle(ClientDisconnected(name))
-        harness.finish_attempt(name, forwarded(acts)[0].server, AttemptResult.CANCELLED, 1.0, done=True)
-    return picked / asks
+        harness.finish_attempt(name, forwarded(actions)[0].server, AttemptResult.CANCELLED, 1.0, done=True)
+    return chosen / requests
 
 
 def test_relative_latency_is_restored():
@@ -99,10 +99,10 @@
 def test_baseline_is_restored_with_fewer_outcomes_the_older_it_is():
     harness = harness_with_slow_server()
     learned = harness.balancer.capture_learned_state(harness.now)
-    young, old = restored_harness(learned, 0.0).balancer, restored_harness(learned, 200_000.0).balancer
-    assert young.parts.pool_load.baseline_ratio == old.parts.pool_load.baseline_ratio
+    new, old = restored_harness(learned, 0.0).balancer, restored_harness(learned, 200_000.0).balancer
+    assert new.parts.pool_load.baseline_ratio == old.parts.pool_load.baseline_ratio
     assert old.parts.pool_load.baseline_ratio == harness.parts.pool_load.baseline_ratio
-    assert young.parts.pool_load.baseline_outcomes == BASELINE_LEARNING_OUTCOMES
+    assert new.parts.pool_load.baseline_outcomes == BASELINE_LEARNING_OUTCOMES
     assert old.parts.pool_load.baseline_outcomes < BASELINE_LEARNING_OUTCOMES / 3
 
 
@@ -113,21 +113,24 @@
     learned = dataclasses.replace(
         harness.balancer.capture_learned_state(harness.now), cursor=12, baseline_error_share=0.5
     )
-    here, later = (
+    younger, older = (
         restored_harness(learned, age_ms).balancer,
         restored_harness(learned, age_ms + 500.0).balancer,
     )
-    assert here.parts.table.cursor >= later.parts.table.cursor
+    assert younger.parts.table.cursor >= older.parts.table.cursor
     for name in ("completion_rate", "peak_completion_rate", "request_rate"):
-        assert getattr(here.parts.throughput, name) >= getattr(later.parts.throughput, name) >= 0.0
+        assert getattr(younger.parts.throughput, name) >= getattr(older.parts.throughput, name) >= 0.0
     for name in ("baseline_error_share", "baseline_outcomes"):
-        assert getattr(here.parts.pool_load, name) >= getattr(later.parts.pool_load, name) >= 0.0
-    servers, later_servers = here.parts.shared.pool.servers, later.parts.shared.pool.servers
+        assert getattr(younger.parts.pool_load, name) >= getattr(older.parts.pool_load, name) >= 0.0
+    servers, later_servers = younger.parts.shared.pool.servers, older.parts.shared.pool.servers
     assert all(servers[name].error_rate >= later_servers[name].error_rate for name in servers)
     if age_ms > MAX_AGE_MS:
         fresh = BalancerHarness(count=4).servers
-        assert (here.parts.pool_load.baseline_ratio, here.parts.table.cursor) == (None, 0)
-        assert (here.parts.throughput.peak_completion_rate, here.parts.shared.class_latency_ms) == (0.0, {})
+        assert (younger.parts.pool_load.baseline_ratio, younger.parts.table.cursor) == (None, 0)
+        assert (younger.parts.throughput.peak_completion_rate, younger.parts.shared.class_latency_ms) == (
+            0.0,
+            {},
+        )
         assert all(server.error_rate == fresh[name].error_rate for name, server in servers.items())
 
 
@@ -142,8 +145,8 @@
         harness.servers[name].relative_latency, harness.servers[name].last_outcome_ms = 5.0, harness.now
     learned = harness.balancer.capture_learned_state(harness.now)  # both started 1000 ms ago
     new = BalancerHarness(count=0)
-    new.now = 50_000.0  # another clock
-    started = new.now - 3_000.0  # 1000 ms, and 2000 ms since then
+    new.now = 50_000.0  # a different clock
+    started = new.now - 3_000.0  # 1000 ms before the capture, which was 2000 ms ago
     servers = (Server("a", launched_ms=started + 100.0), Server("b", launched_ms=started + 1_900.0))
     new.handle(EndpointListUpdate(EndpointListForm.SNAPSHOT, servers))
     assert new.balancer.restore_learned_state(new.now, learned, 2_000.0) == 1
@@ -156,11 +159,13 @@
     replaced = tuple(Server(f"new{at}") for at in range(4))
     new = restored_harness(harness.balancer.capture_learned_state(harness.now), 599_000.0, replaced).balancer
     assert all(
-        stats.relative_latency is None and stats.error_rate == 0.0 and not stats.reported_queue
-        for stats in new.parts.shared.pool.servers.values()
+        server_stats.relative_latency is None
+        and server_stats.error_rate == 0.0
+        and not server_stats.reported_queue
+        for server_stats in new.parts.shared.pool.servers.values()
     )
     assert new.parts.table.cursor == 0
-    assert new.parts.pool_load.baseline_ratio is None, "ten minutes old: no better than none"
+    assert new.parts.pool_load.baseline_ratio is None, "a baseline ten minutes old has no weight left"
 
 
 def test_newer_statistics_are_not_overwritten():
@@ -175,9 +180,9 @@
 
 def test_snapshot_age_by_the_clock_that_is_valid():
     assert snapshot_age_ms((1000.0, 9000.0), (3000.0, 11_000.0)) == 2000.0
-    assert snapshot_age_ms((1000.0, 9000.0), (3000.0, 11_900.0)) == 2000.0  # the time of day is set a little
-    assert snapshot_age_ms((9e6, 9000.0), (3000.0, 11_000.0)) == 2000.0  # the machine started anew
-    assert snapshot_age_ms((1000.0, 9000.0), (3000.0, 900_000.0)) is None  # the time of day was set by far
+    assert snapshot_age_ms((1000.0, 9000.0), (3000.0, 11_900.0)) == 2000.0  # wall clock adjusted slightly
+    assert snapshot_age_ms((9e6, 9000.0), (3000.0, 11_000.0)) == 2000.0  # machine restarted
+    assert snapshot_age_ms((1000.0, 9000.0), (3000.0, 900_000.0)) is None  # wall clock set far ahead
     assert snapshot_age_ms((9e6, 9000.0), (3000.0, 8000.0)) is None
 
 
@@ -190,7 +195,7 @@
     assert retained_share(-1.0, 1000.0) == retained_share(MAX_AGE_MS + 1.0, 1e12) == 0.0
 
 
-# ------------------------------------------------------------------ the file
+# ------------------------------------------------------------- snapshot file
 
 
 def encoded_state() -> bytes:
@@ -202,12 +207,12 @@
     harness = harness_with_slow_server()
     learned = harness.balancer.capture_learned_state(harness.now)
     data = encode_snapshot("n0", learned, math.inf, ClockReading(5.0, 7.0))
-    kept = decode_snapshot(data, "n0", ClockReading(6.0, 8.0))
-    assert kept == Snapshot(learned, 1.0, math.inf)
+    decoded = decode_snapshot(data, "n0", ClockReading(6.0, 8.0))
+    assert decoded == Snapshot(learned, 1.0, math.inf)
 
 
-def test_keys_of_the_file_stay():
-    """Guards what earlier versions have written, and what they read after a downgrade."""
+def test_keys_of_the_snapshot_file_are_stable():
+    """Other versions must read the file after an upgrade or a downgrade."""
     server = {
         "started_ago_ms": None,
         "slow": 1.5,
@@ -245,17 +250,17 @@
 @given(st.data())
 @hypothesis_settings(deadline=None, max_examples=200)
 def test_damaged_snapshot_is_rejected(data: st.DataObject):
-    whole = GOOD
-    at = data.draw(st.integers(0, len(whole) - 1))
+    snapshot = VALID_SNAPSHOT
+    at = data.draw(st.integers(0, len(snapshot) - 1))
     if data.draw(st.booleans()):
-        broken = whole[:at]  # half written
+        damaged = snapshot[:at]  # truncated
     else:
-        broken = whole[:at] + bytes([whole[at] ^ data.draw(st.integers(1, 255))]) + whole[at + 1 :]
+        damaged = snapshot[:at] + bytes([snapshot[at] ^ data.draw(st.integers(1, 255))]) + snapshot[at + 1 :]
     with pytest.raises(SnapshotError, match=r"."):
-        decode_snapshot(broken, "n0", read_clocks())
+        decode_snapshot(damaged, "n0", read_clocks())
 
 
-GOOD = encoded_state()
+VALID_SNAPSHOT = encoded_state()
 
 
 @pytest.mark.parametrize("key", ["errs", "queue", "credit", "heard_ago_ms"])
@@ -270,31 +275,31 @@
 
 
 @pytest.mark.parametrize(
-    ("data", "why"),
+    ("data", "reason"),
     [
         (b"", "not a snapshot"),
         (b"something else\n{}", "not a snapshot"),
-        (GOOD.replace(b"learned 1 ", b"learned 2 ", 1), "of version 2, not 1"),
-        (GOOD[:-20], "incomplete"),
+        (VALID_SNAPSHOT.replace(b"learned 1 ", b"learned 2 ", 1), "of version 2, not 1"),
+        (VALID_SNAPSHOT[:-20], "incomplete"),
         (encode_snapshot("n7", LearnedState(), 1.0, read_clocks()), "of another node, 'n7'"),
         (encode_snapshot("n0", LearnedState(), 1.0, ClockReading(1e15, 1e15)), "from the future"),
     ],
 )
 def test_unusable_snapshot_is_logged_and_renamed(
-    tmp_path: Path, caplog: pytest.LogCaptureFixture, data: bytes, why: str
+    tmp_path: Path, caplog: pytest.LogCaptureFixture, data: bytes, reason: str
 ):
     (tmp_path / snapshots.SNAPSHOT_NAME).write_bytes(data)
     assert SnapshotWriter(str(tmp_path), "n0", lambda: (LearnedState(), 1.0)).read() is None
-    assert why in caplog.text
+    assert reason in caplog.text
     assert (tmp_path / snapshots.REJECTED_NAME).read_bytes() == data
     assert not (tmp_path / snapshots.SNAPSHOT_NAME).exists()
 
 
 def test_missing_folder_is_logged_once(tmp_path: Path, caplog: pytest.LogCaptureFixture):
-    kept = SnapshotWriter(str(tmp_path / "gone"), "n0", lambda: (LearnedState(), 1.0))
-    assert kept.read() is None
-    kept.write()
-    kept.write()
+    writer = SnapshotWriter(str(tmp_path / "gone"), "n0", lambda: (LearnedState(), 1.0))
+    assert writer.read() is None
+    writer.write()
+    writer.write()
     assert caplog.text.count("snapshot not written") == 1
 
 
@@ -311,47 +316,47 @@
                 assert 0.0 < new.node.balancer.parts.shared.pool.servers["s"].error_rate <= 0.5
                 assert new.node.balancer.parts.pool_load.baseline_ratio == 0.125
                 assert new.upstream.idle_timeout.stale_limit_s == old.upstream.idle_timeout.stale_limit_s
-            # Where nothing outlives a process, nothing is read or written.
-            async with node(hosts) as bare:
-                assert bare.node.balancer.parts.pool_load.baseline_ratio is None
+            # Without a state folder nothing is read or written.
+            async with node(hosts) as stateless:
+                assert stateless.node.balancer.parts.pool_load.baseline_ratio is None
 
     run(main())
 
 
-WRITER = """
+WRITER_SCRIPT = """
 import sys
 from rosewheel.policy.learned_state import LearnedServer, LearnedState
 from rosewheel.proxy.snapshots import SnapshotWriter
-learned = LearnedState({f"equipo-{at}": LearnedServer(None, relative_latency=1.0) for at in range(2000)})
-kept = SnapshotWriter(sys.argv[1], "n0", lambda: (learned, 1.0))
+learned = LearnedState({f"server-{at}": LearnedServer(None, relative_latency=1.0) for at in range(2000)})
+writer = SnapshotWriter(sys.argv[1], "n0", lambda: (learned, 1.0))
 while True:
-    kept.write()
+    writer.write()
     print(flush=True)
 """
 
 
 @pytest.mark.parametrize("writes", [1, 2, 5])
 def test_snapshot_is_complete_after_its_writer_is_killed(tmp_path: Path, writes: int):
-    """Guards against half a file: the writer is killed somewhere within its next write."""
-    command = [sys.executable, "-c", WRITER, str(tmp_path)]
+    """The writer is killed during its next write, which must not leave a truncated file."""
+    command = [sys.executable, "-c", WRITER_SCRIPT, str(tmp_path)]
     with subprocess.Popen(command, cwd=ROOT, stdout=subprocess.PIPE) as process:
         assert process.stdout is not None
         for _ in range(writes):
             process.stdout.readline()
         process.kill()
-    kept = SnapshotWriter(str(tmp_path), "n0", lambda: (LearnedState(), 1.0)).read()
-    assert kept is not None
-    assert len(kept.learned.servers) == 2000
+    restored = SnapshotWriter(str(tmp_path), "n0", lambda: (LearnedState(), 1.0)).read()
+    assert restored is not None
+    assert len(restored.learned.servers) == 2000
 
 
 def test_costly_snapshots_are_written_less_often(tmp_path: Path):
     async def main() -> None:
-        kept = SnapshotWriter(str(tmp_path), "n0", lambda: (LearnedState(), 1.0))
-        kept.last_cost_s = 0.1
-        kept.start()
-        assert kept._timer is not None
-        assert kept._timer.when() - asyncio_time() > 10.0
-        kept.close()
+        writer = SnapshotWriter(str(tmp_path), "n0", lambda: (LearnedState(), 1.0))
+        writer.last_cost_s = 0.1
+        writer.start()
+        assert writer._timer is not None
+        assert writer._timer.when() - asyncio_time() > 10.0
+        writer.close()
 
     def asyncio_time() -> float:
         return asyncio.get_running_loop().time()
@@ -360,27 +365,29 @@
 
 
 def test_restoration_of_an_empty_state():
-    one = Balancer(settings(), seed=1, now_ms=0.0)
-    assert one.restore_learned_state(10.0, LearnedState(), 5.0) == 0
+    balancer = Balancer(settings(), seed=1, now_ms=0.0)
+    assert balancer.restore_learned_state(10.0, LearnedState(), 5.0) == 0
 
 
-# ------------------------------------------------------------------ two processes
+# ------------------------------------------------------------ sibling processes
 
 
 def test_credit_is_shared_between_two_processes():
-    """Both together may send a cold server no more than the one process could before the other came."""
+    """Two processes together may send a warming server no more than one could."""
     harness = BalancerHarness(4)
-    for stats in harness.servers.values():
-        stats.credit = 1.6
+    for server_stats in harness.servers.values():
+        server_stats.credit = 1.6
     harness.handle(ProcessCountChanged(2))
-    assert [stats.credit for stats in harness.servers.values()] == [0.8] * 4
+    assert [server_stats.credit for server_stats in harness.servers.values()] == [0.8] * 4
     harness.handle(ProcessCountChanged(2))
     harness.handle(ProcessCountChanged(1))
-    assert [stats.credit for stats in harness.servers.values()] == [0.8] * 4, "none comes from nothing"
+    assert [server_stats.credit for server_stats in harness.servers.values()] == [0.8] * 4, (
+        "a process that ends adds no credit"
+    )
 
 
 def test_load_of_a_sibling_process_counts_once():
-    """It ranks a server down as one's own calls do, and no more where the server's own report has it in it."""
+    """It worsens a rank like own load, and only once if the server's report includes it."""
     harness = BalancerHarness(2)
     harness.handle(SiblingProcessLoad({"s0": 6.0}))
     assert {harness.serve_request() for _ in range(4)} == {"s1"}
@@ -395,69 +402,69 @@
     assert first.sibling_load == 0.0
 
 
-class HeldDisk:
-    """A disk on which a file's replacement waits until it is let go, or for long enough to see that nobody does."""
+class BlockedDisk:
+    """Patches os.replace to wait until it is released, or for 5 s."""
 
     def __init__(self, monkeypatch: pytest.MonkeyPatch) -> None:
-        self.began, self.go = threading.Event(), threading.Event()
-        self.let_go: list[bool] = []
-        plain = os.replace
+        self.started, self.release = threading.Event(), threading.Event()
+        self.released: list[bool] = []
+        original_replace = os.replace
 
-        def held(path: str, target: str) -> None:
-            self.began.set()
-            self.let_go.append(self.go.wait(5.0))
-            plain(path, target)
+        def blocked(path: str, target: str) -> None:
+            self.started.set()
+            self.released.append(self.release.wait(5.0))
+            original_replace(path, target)
 
-        monkeypatch.setattr(snapshots.os, "replace", held)
+        monkeypatch.setattr(snapshots.os, "replace", blocked)
 
 
-async def until(true: Callable[[], bool]) -> None:
-    while not true():
+async def until(condition: Callable[[], bool]) -> None:
+    while not condition():
         await asyncio.sleep(0.001)
 
 
 def test_slow_disk_does_not_block_the_event_loop(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(snapshots, "PERIOD_S", 0.001)
-    disk = HeldDisk(monkeypatch)
+    disk = BlockedDisk(monkeypatch)
 
     async def main() -> None:
-        kept = SnapshotWriter(str(tmp_path), "n0", lambda: (LearnedState(), 1.0), on_disk=True)
-        kept.start()
-        await until(disk.began.is_set)
-        assert not disk.go.is_set()
-        disk.go.set()  # only a loop that goes on gets here while the file is held
+        writer = SnapshotWriter(str(tmp_path), "n0", lambda: (LearnedState(), 1.0), on_disk=True)
+        writer.start()
+        await until(disk.started.is_set)
+        assert not disk.release.is_set()
+        disk.release.set()  # reached only if the event loop is not blocked
         await until(lambda: (tmp_path / snapshots.SNAPSHOT_NAME).exists())
-        # What it cost is known, and the next one is due after it.
-        await until(lambda: kept._timer is not None and kept.last_cost_s > 0.0)
-        kept.close()
+        # The cost is recorded and the next write is scheduled.
+        await until(lambda: writer._timer is not None and writer.last_cost_s > 0.0)
+        writer.close()
 
     asyncio.run(main())
-    assert all(disk.let_go)
+    assert all(disk.released)
     assert SnapshotWriter(str(tmp_path), "n0", lambda: (LearnedState(), 1.0)).read() is not None
 
 
 def test_write_that_ends_after_close_replaces_nothing(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """The process that follows has written its own by then."""
+    """A later process may have written its own snapshot by then."""
     monkeypatch.setattr(snapshots, "PERIOD_S", 0.001)
-    began, go = threading.Event(), threading.Event()
+    started, release = threading.Event(), threading.Event()
 
-    def held(path: str, mode: str) -> IO[bytes]:
-        began.set()
-        go.wait(5.0)
+    def blocked(path: str, mode: str) -> IO[bytes]:
+        started.set()
+        release.wait(5.0)
         return open(path, mode)
 
     async def main() -> None:
-        kept = SnapshotWriter(str(tmp_path), "n0", lambda: (LearnedState(), 1.0), on_disk=True)
-        kept.start()
-        await until(began.is_set)
-        kept.close()
+        writer = SnapshotWriter(str(tmp_path), "n0", lambda: (LearnedState(), 1.0), on_disk=True)
+        writer.start()
+        await until(started.is_set)
+        writer.close()
         (tmp_path / snapshots.SNAPSHOT_NAME).write_bytes(b"of the next one")
-        go.set()
+        release.set()
 
-    monkeypatch.setattr(snapshots, "open", held, raising=False)
-    asyncio.run(main())  # waits for what it still has in threads
+    monkeypatch.setattr(snapshots, "open", blocked, raising=False)
+    asyncio.run(main())  # waits for its threads
     assert [path.name for path in tmp_path.iterdir()] == [snapshots.SNAPSHOT_NAME]
     assert (tmp_path / snapshots.SNAPSHOT_NAME).read_bytes() == b"of the next one"
 
@@ -469,22 +476,22 @@
     monkeypatch.setattr(snapshots, "PERIOD_S", 0.001)
     monkeypatch.setattr(snapshots, "MAX_TIME_SHARE", 1.0)
     folder = tmp_path / "state"
-    tries = 0
+    captures = 0
 
-    def take() -> tuple[LearnedState, float]:
-        nonlocal tries
-        tries += 1
+    def capture() -> tuple[LearnedState, float]:
+        nonlocal captures
+        captures += 1
         return LearnedState(), 1.0
 
     async def main() -> None:
-        kept = SnapshotWriter(str(folder), "n0", take, on_disk)
-        kept.start()
-        await until(lambda: tries > 3)
-        assert kept.failing
+        writer = SnapshotWriter(str(folder), "n0", capture, on_disk)
+        writer.start()
+        await until(lambda: captures > 3)
+        assert writer.failing
         folder.mkdir()
         await until((folder / snapshots.SNAPSHOT_NAME).exists)
-        await until(lambda: not kept.failing)
-        kept.close()
+        await until(lambda: not writer.failing)
+        writer.close()
 
     asyncio.run(main())
     assert caplog.text.count("snapshot not written") == 1
