--- a/rosewheel/policy/admission.py
+++ b/rosewheel/policy/admission.py
@@ -17,15 +17,12 @@
 # The gap of a large fleet whose pool has lost half its capacity or more. Each balancer has few requests in
 # flight there, and rows that differ by less than one request would shed high and low priority alike.
 LOWEST_ROW_GAP_IN_LARGE_FLEET = 0.6
-HIGHEST_ROW_EXPONENT = (
-    0.5  # exponent of the table's entry; 1 in the lowest row, so low priority is shed first
-)
+# Exponent of the table's entry in the highest row. It is 1 in the lowest, so low priority is shed first.
+HIGHEST_ROW_EXPONENT = 0.5
 # T1 is the weight that completes within the baseline latency plus a share of the time left to the objective.
 LATENCY_SLACK = 0.30
 LATENCY_SLACK_IN_LARGE_FLEET = 0.15
-MARGIN_DEVIATIONS = (
-    2.0  # standard deviations added to T1 for random variation, which is larger in small pools
-)
+MARGIN_DEVIATIONS = 2.0  # standard deviations added to T1, as the load of small pools varies more
 START_UP_MS = 3000.0  # time after which completion rates are known
 # Lower bounds of T1, as weight in flight. Those per ready server are divided among all balancers.
 MIN_T1_PER_SERVER_AT_START = 7.0
@@ -44,9 +41,7 @@
     def admits(self, now: float, request: RequestReceived, service_class: ServiceClass) -> bool:
         """Return whether the weight in flight is within the threshold of a request."""
         ready = self.shared.pool.ready
-        load = (
-            sum(server.load for server in ready) if len(ready) <= SMALL_POOL_SIZE else self.shared.pool.load
-        )
+        load = sum(each.load for each in ready) if len(ready) <= SMALL_POOL_SIZE else self.shared.pool.load
         # Adds a random fraction: with few requests in flight a threshold lies between two whole counts, and
         # comparing whole counts would admit all requests or none.
         dithered_load = load + self.shared.rng.random()
@@ -99,6 +94,6 @@
     def _lowest_row_gap(self, ready: int) -> float:
         gap = LOWEST_ROW_GAP
         if self.shared.in_large_fleet and ready:
-            lost_share = 2.0 * max(0.0, 1.0 - self.pool_load.throughput.pool_capacity / ready)
-            gap += (LOWEST_ROW_GAP_IN_LARGE_FLEET - LOWEST_ROW_GAP) * min(1.0, lost_share)
+            loss = 2.0 * max(0.0, 1.0 - self.pool_load.throughput.pool_capacity / ready)  # 1: half is lost
+            gap += (LOWEST_ROW_GAP_IN_LARGE_FLEET - LOWEST_ROW_GAP) * min(1.0, loss)
         return gap
--- a/rosewheel/policy/membership.py
+++ b/rosewheel/policy/membership.py
@@ -16,9 +16,7 @@
 
     def __init__(self, shared: SharedState, slow_start: SlowStart, throughput: Throughput) -> None:
         self.shared, self.slow_start, self.throughput = shared, slow_start, throughput
-        self._servers_with_sibling_load: set[str] = (
-            set()
-        )  # servers with load from other processes of this node
+        self._servers_with_sibling_load: set[str] = set()
 
     def apply_endpoint_list(self, now: float, update: events.EndpointListUpdate) -> None:
         """Add, update and remove servers as an endpoint list, or its delta, says."""
--- a/rosewheel/policy/pool_load.py
+++ b/rosewheel/policy/pool_load.py
@@ -23,20 +23,20 @@
 # Outcomes for which the baseline equals the smoothed latency. With fewer, balancers before one pool learn
 # baselines so far apart that the lowest sheds for all. The load of these outcomes counts as baseline.
 BASELINE_LEARNING_OUTCOMES = 30
-BASELINE_FALL_GAIN = 0.1  # smoothing per period of a baseline (latency or errors) that falls
-BASELINE_RISE_GAIN = 0.01  # smoothing per period of a latency baseline that rises
+BASELINE_FALL_GAIN = 0.1  # smoothing factor per period of a baseline (latency or errors) that falls
+BASELINE_RISE_GAIN = 0.01  # smoothing factor per period of a latency baseline that rises
 UTILISATION_TARGET = 0.97  # target of the median utilisation
 REPORT_VALID_MS = 1500.0  # age up to which a reported utilisation counts
 REPORT_SAMPLE_SIZE = 256  # servers of a large pool whose reports are read in a period
 # Rejections and errors, as shares of attempts.
 REJECTED_TARGET = 0.05  # target of the share of rejections, and of errors above their baseline
 HALF_WEIGHT_OUTCOMES_ERRORS = 20.0  # outcomes that give a period half the weight in the smoothed error share
-ERROR_BASELINE_RISE_GAIN = 0.02  # smoothing per period of the error baseline that rises
+ERROR_BASELINE_RISE_GAIN = 0.02  # smoothing factor per period of an error baseline that rises
 # Added to that gain in a large fleet, times the share that is shed. Errors that shedding does not lessen, of
 # a tier below or of a few servers, would otherwise keep all balancers rejecting at baseline latency.
 ERROR_BASELINE_SHED_GAIN = 0.5
-SERVER_GAIN = 0.2  # smoothing per outcome of a server's latency and error rates
-CLASS_GAIN = 0.03  # smoothing per request of a class's latency and of other means over requests
+SERVER_GAIN = 0.2  # smoothing factor per outcome of a server's latency and error rates
+CLASS_GAIN = 0.03  # smoothing factor per request of a class's latency and of other means
 # Half of the first backoff of a server after an attempt that it did not execute; doubled by each further one.
 BASE_BACKOFF_MS = 250.0
 MAX_BACKOFF_MS = 4000.0  # endpoint lists lag by more, but the server may only have been full
@@ -143,7 +143,8 @@
 
     def end_period(self, now: float) -> None:
         """Move the cursor by the load of this period, where 1 is the target, and begin a new period."""
-        load, oldest_ms = 0.0, now - REPORT_VALID_MS  # a balancer that rejects gets no new reports
+        # Ignores old reports: a balancer that rejects all requests gets no new ones.
+        load, oldest_ms = 0.0, now - REPORT_VALID_MS
         servers = self.shared.pool.sample(self.shared.rng, REPORT_SAMPLE_SIZE)
         reports = [server.utilisation for server in servers if server.last_report_ms >= oldest_ms]
         utilisations = [utilisation for utilisation in reports if utilisation is not None]
@@ -177,8 +178,8 @@
             self.baseline_ratio += BASELINE_RISE_GAIN * (self.smoothed_ratio - self.baseline_ratio)
         load = self.smoothed_ratio / (self.baseline_ratio + slack * (1.0 - self.baseline_ratio))
         # The target grows with what is shed: balancers before one pool learn different baselines, and the one
-        # with the lowest would shed for all, as others take what it sheds and its latency does not fall. A
-        # baseline that is too low for another reason is corrected too. An overloaded pool is relieved less.
+        # with the lowest would shed for all, as others take what it sheds and its latency does not fall. This
+        # also corrects a baseline that is too low for other reasons, but relieves an overloaded pool less.
         growth = TARGET_GROWTH_IN_LARGE_FLEET if self.shared.in_large_fleet else TARGET_GROWTH
         return load / (1.0 + growth * (1.0 - self.table.entry))
 
--- a/rosewheel/policy/ranking.py
+++ b/rosewheel/policy/ranking.py
@@ -74,8 +74,8 @@
         """Return the rank of a server: relative latency times (queue + 1), worsened by errors and backoff."""
         shared, latency, error_rate = self.shared, 1.0, server.error_rate
         if server.relative_latency is not None:
-            fade = math.exp((server.last_outcome_ms - now) / LATENCY_DECAY_MS)
-            latency += (server.relative_latency - 1.0) * fade
+            weight = math.exp((server.last_outcome_ms - now) / LATENCY_DECAY_MS)
+            latency += (server.relative_latency - 1.0) * weight
         for (request_id, _), sent_ms in server.in_flight.items():  # the oldest attempt only
             if server.last_outcome_ms <= sent_ms:
                 # The age of the oldest attempt reveals a server that hangs long before a timeout does.
--- a/rosewheel/policy/slow_start.py
+++ b/rosewheel/policy/slow_start.py
@@ -7,7 +7,7 @@
 CREDIT_EXPIRY_WINDOWS = 0.5  # overload windows after which unused credit expires
 # Share of a warming server's budget that is used. The budget is `overload_factor` times the configured share
 # of what a warm server completes. Most servers can do more than that share: paced by it, warming ones would
-# idle while the few warm ones are overloaded. The ranking avoids servers that can do less.
+# idle while the few warm ones are overloaded. The ranking avoids servers that can't use up their budget.
 BUDGET_SHARE = 0.5
 ACCEPTED_ERROR_RATE = 0.5  # error rate of a warming server above which it earns less credit
 CAPACITY_SAMPLE_SIZE = 256  # servers of a large pool whose capacity is measured
--- a/rosewheel/policy/throughput.py
+++ b/rosewheel/policy/throughput.py
@@ -9,7 +9,7 @@
 # Completions over which rates are smoothed in a large pool or fleet: both time constants are stretched there,
 # as the peak rate over fewer completions is mostly chance.
 MIN_SMOOTHED_COMPLETIONS = 40.0
-MAX_STRETCH = 4.0  # longest stretch of both time constants
+MAX_STRETCH = 4.0  # largest factor by which both time constants are stretched
 # Time constant of the recent capacity, as a pool that lost servers completes requests sent before the loss.
 CAPACITY_DECAY_MS = 3000.0
 MAX_PERIOD_COUNT = 1e9  # limit of the period counters when periods become shorter
--- a/tests/policy/test_settings_change.py
+++ b/tests/policy/test_settings_change.py
@@ -380,27 +380,27 @@
 # ---------------------------------------------------------------- learned state
 
 
-def run_periods(harness: BalancerHarness, periods: int, latency: float, each: int = 4) -> int:
+def run_periods(harness: BalancerHarness, periods: int, latency: float, requests_per_period: int = 4) -> int:
     """Send requests over a number of periods.
 
     Args:
         harness: the balancer.
         periods: number of periods.
         latency: latency of each request in ms.
-        each: requests per period.
+        requests_per_period: requests per period.
 
     Returns:
         The number of requests that were forwarded.
     """
     count = 0
     for _ in range(periods):
-        taken = []
-        for _ in range(each):
+        sent = []
+        for _ in range(requests_per_period):
             name, actions = harness.receive_request()
-            taken += [(name, send.server) for send in forwarded(actions)]
-        for name, server in taken:
+            sent += [(name, action.server) for action in forwarded(actions)]
+        for name, server in sent:
             harness.finish_attempt(name, server, AttemptResult.OK, latency)
-        count += len(taken)
+        count += len(sent)
         harness.end_period()
     return count
 
@@ -434,15 +434,15 @@
     harness = BalancerHarness(4, classes=(IDEMPOTENT,), warm_up_ms=0.0)
     run_periods(harness, 30, latency=200.0)
     configure(harness, classes=(dataclasses.replace(IDEMPOTENT, name="other", latency_objective_ms=300.0),))
-    one = harness.balancer
+    balancer = harness.balancer
     assert (
-        one.parts.pool_load.baseline_ratio,
-        one.parts.pool_load.smoothed_ratio,
-        one.parts.pool_load.baseline_outcomes,
-        one.parts.shared.class_latency_ms,
-        one.parts.pool_load.mean_objective_ms,
+        balancer.parts.pool_load.baseline_ratio,
+        balancer.parts.pool_load.smoothed_ratio,
+        balancer.parts.pool_load.baseline_outcomes,
+        balancer.parts.shared.class_latency_ms,
+        balancer.parts.pool_load.mean_objective_ms,
     ) == (None, 0.0, 0, {}, 300.0)
-    assert one.parts.throughput.peak_completion_rate > 0.0  # the pool is the same
+    assert balancer.parts.throughput.peak_completion_rate > 0.0  # the pool is the same
 
 
 def test_shorter_period_begins_at_the_end_of_the_present_one():
@@ -459,9 +459,8 @@
     actions = harness.end_period()
     assert harness.parts.throughput.peak_completion_rate <= peak * 1.05
     assert [action.delay_ms for action in actions if isinstance(action, StartTimer)] == [15.0]
-    assert (
-        harness.parts.throughput.period_count * harness.balancer.period_ms >= START_UP_MS
-    )  # no new start-up
+    # The balancer does not start up again.
+    assert harness.parts.throughput.period_count * harness.balancer.period_ms >= START_UP_MS
 
 
 def rates(harness: BalancerHarness) -> tuple[float, float, float | None]:
@@ -479,7 +478,7 @@
     assert shared.in_large_fleet
     assert throughput.pool_capacity == pytest.approx(4.0)
     assert throughput.completion_rate * throughput.pool_capacity == pytest.approx(before[0])
-    run_periods(harness, 3, latency=200.0, each=1)
+    run_periods(harness, 3, latency=200.0, requests_per_period=1)
     configure(harness, balancer_count=1)
     assert not shared.in_large_fleet
     assert throughput.pool_capacity == 1.0
@@ -508,9 +507,15 @@
         harness.receive_request(tenant="t")
     assert harness.parts.quotas.buckets["t"].tokens == 1.0
     configure(harness, tenants=(Tenant("t", 8.0), Tenant("u", 2.0)))
-    assert {name: one.tokens for name, one in harness.parts.quotas.buckets.items()} == {"t": 1.0, "u": 2.0}
+    assert {name: bucket.tokens for name, bucket in harness.parts.quotas.buckets.items()} == {
+        "t": 1.0,
+        "u": 2.0,
+    }
     configure(harness, balancer_count=16)
-    assert {name: one.tokens for name, one in harness.parts.quotas.buckets.items()} == {"t": 0.5, "u": 0.125}
+    assert {name: bucket.tokens for name, bucket in harness.parts.quotas.buckets.items()} == {
+        "t": 0.5,
+        "u": 0.125,
+    }
     configure(harness, tenants=())
     assert harness.parts.quotas.buckets == {}
 
@@ -521,7 +526,7 @@
     harness.handle(EndpointListUpdate(EndpointListForm.SNAPSHOT, servers(count, launched_ms=harness.now)))
     harness.now += 2000.0
     for _ in range(20):
-        run_periods(harness, 1, latency=10.0, each=3 * count)
+        run_periods(harness, 1, latency=10.0, requests_per_period=3 * count)
     all_server_stats = harness.servers.values()
     assert all(server_stats.credit < -1.0 for server_stats in all_server_stats)
     configure(harness, warm_up_ms=60000.0)
@@ -529,7 +534,7 @@
     assert len(harness.parts.shared.pool._warm) == 0
     forwarded_count = sum(len(forwarded(harness.receive_request()[1])) for _ in range(count))
     assert forwarded_count < count  # paced by credit
-    assert run_periods(harness, 20, latency=10.0, each=count) > count  # but not excluded
+    assert run_periods(harness, 20, latency=10.0, requests_per_period=count) > count  # but not excluded
     configure(harness, warm_up_ms=0.0)
     assert len(harness.parts.shared.pool._warm) == count
     assert all(forwarded(harness.receive_request()[1]) for _ in range(count))
@@ -573,9 +578,9 @@
 
 
 def test_settings_change_before_the_first_event():
-    one = Balancer(settings(), seed=1, now_ms=0.0)
-    assert one.handle(0.0, SettingsChanged(settings(classes=(IDEMPOTENT,), poll_discovery=True))) == []
-    actions = one.handle(1.0, EndpointListUpdate(EndpointListForm.SNAPSHOT, servers(1)))
+    balancer = Balancer(settings(), seed=1, now_ms=0.0)
+    assert balancer.handle(0.0, SettingsChanged(settings(classes=(IDEMPOTENT,), poll_discovery=True))) == []
+    actions = balancer.handle(1.0, EndpointListUpdate(EndpointListForm.SNAPSHOT, servers(1)))
     assert action_types(actions) == [StartTimer, WatchEndpoints]
     assert actions[0] == StartTimer(150.0, "period")
 
--- a/tests/policy/test_slow_start.py
+++ b/tests/policy/test_slow_start.py
@@ -179,7 +179,11 @@
     figures = {"cold_from": [0.12, 0.33], "cold_s": [10, 24], "pause_ms": [0, 170], "error_rate": [0, 0.003]}
     second_tier = {"name": "archivo", "work": 0.6 if below else 1.0}
     second_tier["kind"] = [{"name": "b", "count": 10, "speed": [0.7, 2.2], **figures}]
-    first = {"name": "entrada", "work": 0.4, "kind": [{"name": "a", "count": nodes, "speed": [1.5, 2.5]}]}
+    first_tier = {
+        "name": "entrada",
+        "work": 0.4,
+        "kind": [{"name": "a", "count": nodes, "speed": [1.5, 2.5]}],
+    }
     capacity = 10 * 2 * 1.45 / (250.0 * second_tier["work"]) * 1000.0
     common = {"share": 1, "work_ms": 250, "cv": 0.6, "attempt_noise": 0.3, "aim_ms": 2500, "give_up_ms": 6000}
     tables = {
@@ -191,7 +195,7 @@
         ],
         "clients": {"rate_per_s": min(0.7 * capacity, nodes * 28.0 if below else 1e9), "burst_cv": 0.2},
         "nodes": {"count": 4 if below else nodes, "spread_s": 0.4, "keeps": False, "shares": shares},
-        "tier": [first, second_tier] if below else [second_tier],
+        "tier": [first_tier, second_tier] if below else [second_tier],
         "trouble": [
             {"tier": "archivo", **row} if row["kind"] in ("deploy", "vanish") else row for row in trouble
         ],
@@ -209,7 +213,7 @@
 @pytest.mark.parametrize(
     ("trouble", "shares"),
     [([REPLACED], []), ([REPLACED, *STATE_LOSS], [8.0, 3.0]), ([ZONE_LOSS], [3.0])],
-    ids=["replaced", "uneven-and-forgetful", "zone"],
+    ids=["replaced", "uneven-with-state-loss", "zone"],
 )
 def test_fleet_keeps_to_the_allowance_of_a_warming_server(
     below: bool, nodes: int, trouble: list[dict[str, Any]], shares: list[float]
