--- a/rosewheel/node/core.py
+++ b/rosewheel/node/core.py
@@ -1,8 +1,8 @@
-"""The node without its sockets: events in, effects out.
+"""The node without sockets: turns events into effects.
 
-It drives the policy as the simulator does: numbers attempts, decides which result ends a request, enforces deadlines
-and limits, answers a forwarding that is not allowed with NOT_SENT, and keeps the timers. All times are milliseconds of
-one monotonic clock.
+It drives the policy, numbers the attempts, decides which result ends a request, enforces deadlines and limits, and
+keeps the timers. An attempt that the rules forbid is reported to the policy as NOT_SENT. Times are milliseconds of one
+monotonic clock.
 """
 
 from __future__ import annotations
@@ -46,23 +46,23 @@
 
 log = logging.getLogger("rosewheel.node")
 
-RESPONSE_BACKSTOP_MS = 15.0  # after its deadline, a request without a response gets one without the policy
+RESPONSE_BACKSTOP_MS = 15.0  # time past its deadline after which a request is answered without the policy
 
 
 class Node:
     """A node of the load balancer, without its sockets.
 
-    Methods that take an event return the effects that follow from it, in order; the host has to carry them out.
+    Methods that take an event return its effects. The host has to carry them out in that order.
 
     Attributes:
         settings: Settings of the policy.
-        limits: What the node enforces beside the policy.
+        limits: Limits that the node enforces independently of the policy.
         balancer: The policy.
-        endpoints: The servers of the endpoint list, and those that are cordoned.
+        endpoints: Servers in the endpoint list, and cordoned servers.
         statistics: Counters of requests and attempts.
-        rules: What requests and attempts may do at a moment; counts verdicts and violations.
-        driver: Hands events to the policy, and applies its actions.
-        requests: The requests in flight, by id.
+        rules: Decides whether an attempt may be started or sent; counts verdicts and violations.
+        driver: Passes events to the policy and applies its actions.
+        requests: Requests in flight, by id.
     """
 
     def __init__(self, settings: Settings, limits: Limits, seed: int, now: float) -> None:
@@ -86,7 +86,7 @@
 
     @property
     def timers(self) -> TimerQueue:
-        """The pending timers."""
+        """Pending timers."""
         return self.driver.timers
 
     @property
@@ -96,41 +96,41 @@
 
     @property
     def cordoned(self) -> set[str]:
-        """The cordoned servers; also those that the endpoint list lacks at the moment."""
+        """Cordoned servers, including any that are not in the endpoint list."""
         return self.endpoints.cordoned
 
     @property
     def can_serve(self) -> bool:
-        """Whether a server is up and not cordoned."""
+        """True if at least one server is up and not cordoned."""
         return self.endpoints.any_accepts_requests
 
     @property
     def cordoned_endpoint_count(self) -> int:
-        """Servers in the endpoint list that are cordoned."""
+        """Number of servers in the endpoint list that are cordoned."""
         return self.endpoints.cordoned_count
 
     @property
     def active_requests(self) -> int:
-        """Requests that have no final response."""
+        """Number of requests without a final response."""
         return self._table.active
 
     @property
     def server_loads(self) -> dict[str, float]:
-        """Weighted requests in flight from this process at each server that has any."""
+        """Load that this process puts on each server, in weighted requests in flight; idle servers are left out."""
         return self.balancer.loads_by_server()
 
     def is_known_server(self, server: str) -> bool:
-        """Whether the endpoint list has this server, or whether it is cordoned."""
+        """Return True if the server is in the endpoint list or cordoned."""
         return self.endpoints.is_known(server)
 
     def attempts_in_flight(self, id: str) -> list[int]:
-        """Numbers of the attempts of this request that have no result."""
+        """Return the numbers of the request's attempts that have no result yet."""
         request = self.requests.get(id)
         attempts = request.attempts if request is not None else ()
         return [number for number, attempt in enumerate(attempts) if attempt.result is None]
 
     def response_in_progress(self, id: str) -> ResponseInProgress | None:
-        """The response of this request that is being forwarded while it arrives, if there is one."""
+        """Return the response that is being streamed to the request's client; None if there is none."""
         request = self._table.unfinished(id)
         if request is None or request.streaming_attempt is None:
             return None
@@ -138,7 +138,7 @@
         return ResponseInProgress(request.service, request.attempts[number].server, number)
 
     def statistics_snapshot(self) -> StatisticsSnapshot:
-        """The statistics of this process at this moment."""
+        """Return a copy of the current statistics of this process."""
         return StatisticsSnapshot(
             self.statistics.copy_classes(),
             self.statistics.attempts,
@@ -149,9 +149,9 @@
         )
 
     def longest_remaining_deadline_ms(self, now: float) -> float:
-        """How long a client may still wait for a response.
+        """Return the longest time that any client may still wait for a response.
 
-        That is the longest deadline of the service classes, or more where a request in flight has a later one.
+        It is the longest deadline of the service classes, or the time left to a request in flight if that is longer.
         """
         remaining_ms = (
             request.deadline_ms - now
@@ -164,15 +164,15 @@
     # ---------------------------------------------------------------- requests
 
     def receive_request(self, now: float, request: RequestReceived) -> list[NodeEffect]:
-        """Take a request of a client; it may be incomplete.
+        """Accept a request from a client. Its body may be incomplete.
 
         Raises:
-            DuplicateRequestError: a request with its id is in flight.
+            DuplicateRequestError: A request with this id is already in flight.
         """
         if request.id in self.requests:
             raise DuplicateRequestError(request.id)
         if self._table.active >= self.limits.max_open_requests:
-            # The policy does not see it, so it is not sent anywhere.
+            # The policy never receives this request, so no attempt can exist and a rejection is safe to retry.
             self.statistics.count_request(request.service, RequestOutcome.SHED)
             return [SendResponse(request.id, ResponseStatus.REJECTED)]
         service_class = self._classes[request.service]
@@ -191,7 +191,7 @@
         return self._handle(now, request)
 
     def request_completed(self, now: float, id: str, deadline_at_ms: float) -> list[NodeEffect]:
-        """The last byte of an incomplete request was received; its timeouts and deadline count from now."""
+        """Handle the last byte of an incomplete request: its timeouts and its deadline count from now."""
         request = self._table.unfinished(id)
         if request is None or request.complete:
             return []
@@ -205,30 +205,31 @@
         return self._handle(now, RequestCompleted(id, deadline_at_ms))
 
     def request_body_discarded(self, id: str) -> None:
-        """A part of the request's body is no longer held, so no further attempt of it can be sent."""
+        """Record that part of the request's body is no longer buffered, so that no further attempt is started."""
         request = self.requests.get(id)
         if request is not None:
             request.body_discarded = True
 
     def client_disconnected(self, now: float, id: str) -> list[NodeEffect]:
-        """The client closed its connection before it had the whole response."""
+        """Handle a client that closed its connection before it received the whole response."""
         request = self._table.unfinished(id)
         if request is None:
             return []
         self._table.finish(id, request)
-        if request.streaming_attempt is not None:  # the policy leaves this attempt to the client
+        if request.streaming_attempt is not None:  # the policy does not cancel a streaming attempt
             self._table.abort_attempt(now, id, request.streaming_attempt, AttemptResult.CANCELLED)
         return self._handle(now, ClientDisconnected(id))
 
     # ---------------------------------------------------------------- attempts
 
     def response_started(self, now: float, id: str, attempt: int) -> list[NodeEffect] | None:
-        """An attempt's response is too long to be held, and is forwarded from now on while it arrives.
+        """Start to stream the response of an attempt: it is too long to be buffered.
 
-        No deadline ends the request any more.
+        From now on no deadline ends the request.
 
         Returns:
-            None where the response can't be used: the request is finished, or has another response in progress.
+            The effects; None if the response can't be used, because the attempt or the request has already ended or
+            another response is being streamed.
         """
         request = self._table.unfinished(id)
         if request is None or request.streaming_attempt is not None:
@@ -248,14 +249,14 @@
         report: LoadReport | None = None,
         body: bytes = b"",
     ) -> list[NodeEffect]:
-        """An attempt ended on its connection; ignored where it has a result already."""
+        """Handle the end of an attempt on its connection. Ignored if the attempt already has a result."""
         self._table.record_result(now, id, attempt, result, report, body)
         return self._handle(now)
 
     def response_migrated(self, now: float, id: str) -> list[NodeEffect]:
-        """Another process of this node forwards the rest of this response, and counts the request.
+        """Hand a streamed response over to another process of this node, which also counts the request.
 
-        For the policy of this process the attempt succeeded: the server has done its work.
+        The policy of this process records the attempt as successful, because the server has done its work.
         """
         request = self._table.unfinished(id)
         if request is None or request.streaming_attempt is None:
@@ -270,12 +271,12 @@
         return self._handle(now)
 
     def adopt_response(self, now: float, id: str, service: str, server: str) -> bool:
-        """Take over a response in progress from another process, as attempt 0 of a request unknown to the policy.
+        """Take over a streamed response from another process, as attempt 0 of a request unknown to the policy.
 
-        Its service class may be one that this process never had, or no longer has.
+        The settings of this process need not contain its service class.
 
         Returns:
-            False where a request with this id is in flight.
+            False if a request with this id is already in flight.
         """
         if id in self.requests:
             return False
@@ -289,16 +290,16 @@
     def update_endpoints(
         self, now: float, form: EndpointListForm, servers: tuple[Server, ...] = ()
     ) -> list[NodeEffect]:
-        """Discovery sent an endpoint list or changes to it, or could not be reached."""
+        """Apply an endpoint list or changes to it, or record that discovery could not be reached."""
         self.endpoints.update(form, servers)
         return self._handle(now, EndpointListUpdate(form, servers))
 
     def discovery_address_changed(self, now: float) -> list[NodeEffect]:
-        """Discovery is at another address from now on."""
+        """Tell the policy that discovery has a new address."""
         return self._handle(now, DiscoveryAddressChanged())
 
     def set_cordon(self, now: float, server: str, cordoned: bool) -> list[NodeEffect]:
-        """Keep new requests from a server, or allow them again. Does nothing where that holds already."""
+        """Cordon a server, or lift its cordon. Does nothing if it already is in that state."""
         if not self.endpoints.set_cordon(server, cordoned):
             return []
         return self._handle(now, CordonChanged(server, cordoned))
@@ -306,27 +307,28 @@
     def health_check_finished(
         self, now: float, server: str, result: AttemptResult, latency_ms: float, report: LoadReport | None
     ) -> list[NodeEffect]:
-        """A health check that `StartHealthCheck` asked for has ended."""
+        """Handle the result of a health check that was requested with `StartHealthCheck`."""
         return self._handle(now, HealthCheckFinished(server, result, latency_ms, report))
 
     def process_count_changed(self, now: float, processes: int) -> list[NodeEffect]:
-        """During a hot restart: how many processes of this node make decisions, this one included."""
+        """Set how many processes of this node make decisions during a hot restart, this one included."""
         return self._handle(now, ProcessCountChanged(processes))
 
     def sibling_process_load(self, now: float, loads: dict[str, float]) -> list[NodeEffect]:
-        """The `server_loads` of another process of this node."""
+        """Pass the `server_loads` of another process of this node to the policy."""
         return self._handle(now, SiblingProcessLoad(loads))
 
     # ---------------------------------------------------------------- settings and learned state
 
     def configure(self, now: float, settings: Settings, limits: Limits) -> list[NodeEffect]:
-        """Apply other settings and limits; equal ones change nothing.
+        """Apply new settings and limits; equal ones change nothing.
 
-        Requests in flight keep their service class, its idempotency and deadlines, their number of attempts, and
-        whether these may be hedged or cancelled.
+        Requests in flight keep the values with which they started: service class, idempotency, deadline, limit of
+        attempts, and whether these may be hedged or cancelled.
 
         Raises:
-            ValueError: they can't be applied to a running node; the text names the key. Nothing has changed then.
+            ValueError: The settings can't be applied to a running node. The message names the key, and the old
+                settings stay in effect.
         """
         try:
             actions = self.balancer.handle(now, SettingsChanged(settings))
@@ -343,25 +345,25 @@
         return self._handle(now)
 
     def learned_state(self, now: float) -> LearnedState:
-        """What the policy has learned about its servers, for a later process of this node."""
+        """Return what the policy has learned about its servers, for a later process of this node."""
         return self.balancer.capture_learned_state(now)
 
     def restore_learned_state(self, now: float, state: LearnedState, age_ms: float) -> int:
-        """Restore what an earlier process of this node learned.
+        """Restore what an earlier process of this node learned about its servers.
 
         Returns:
-            How many of the current servers it knew.
+            Number of current servers for which the state has data.
         """
         return self.balancer.restore_learned_state(now, state, age_ms)
 
     # ---------------------------------------------------------------- timers
 
     def next_timer_ms(self) -> float | None:
-        """When `tick` has to be called next; None without timers."""
+        """Return when `tick` has to be called next; None without timers."""
         return self.driver.timers.next_due_ms
 
     def tick(self, now: float) -> list[NodeEffect]:
-        """Fire all timers that are due."""
+        """Fire all timers that are due, and return their effects."""
         effects: list[NodeEffect] = []
         while (timer := self.timers.pop_due(now)) is not None:
             effects += self._fire(now, timer)
@@ -384,7 +386,7 @@
         return self._handle(now)
 
     def _respond_after_deadline(self, now: float, id: str) -> list[NodeEffect]:
-        """Guards the client against a policy that gave its request no response by the deadline."""
+        """Respond to a request that the policy left without a response past its deadline."""
         request = self._table.unfinished(id)
         if request is None or request.streaming_attempt is not None:
             return []
