--- a/rosewheel/node/policy_driver.py
+++ b/rosewheel/node/policy_driver.py
@@ -1,4 +1,4 @@
-"""Drives the policy: hands it events, applies its actions, and enforces what it may not decide.
+"""Passes events to the policy and applies those of its actions that the rules and limits of the node allow.
 
 Times are milliseconds of the node's clock.
 """
@@ -43,15 +43,15 @@
 
 log = logging.getLogger("rosewheel.node")
 
-POLICY_TIMER_RETRY_MS = 1000.0  # delay of a policy timer that failed, where its last delay is not known
+POLICY_TIMER_RETRY_MS = 1000.0  # delay until a failed policy timer fires again if its own is unknown
 
 
 class PolicyDriver:
-    """Hands events to the policy and applies its actions to the requests, the timers and the host.
+    """Passes events to the policy, and applies its actions to requests, timers and the host.
 
     Attributes:
-        limits: What is enforced beside the policy.
-        timers: The pending timers.
+        limits: Limits that the node enforces independently of the policy.
+        timers: Pending timers.
     """
 
     __slots__ = ("_balancer", "_endpoints", "_policy_delays_ms", "_rules", "_table", "limits", "timers")
@@ -68,10 +68,10 @@
         self._rules = rules
         self.limits = limits
         self.timers = TimerQueue(self.is_timer_needed)
-        self._policy_delays_ms: dict[str, float] = {}  # the last delay of each timer of the policy
+        self._policy_delays_ms: dict[str, float] = {}  # by name of the timer, the last delay
 
     def handle(self, now: float, event: Event | None = None) -> list[NodeEffect]:
-        """Have the policy handle this event and those that follow from its actions; returns all effects."""
+        """Have the policy handle the event and all events that its actions cause; return their effects."""
         events = self._table.events
         if event is not None:
             events.append(event)
@@ -86,15 +86,15 @@
         return self._table.take_effects()
 
     def apply(self, now: float, actions: Iterable[Action]) -> None:
-        """Apply actions of the policy; their effects are returned by the next `handle`."""
+        """Apply actions of the policy. The next call of `handle` returns their effects."""
         for action in actions:
             self._apply_action(now, action)
 
     def _recover_from_failure(self, now: float, event: Event) -> None:
-        """Fail the request that the event concerned, and nothing else."""
+        """Restart the timer, or answer the request, of an event that the policy failed to handle."""
         match event:
             case TimerFired(name=name):
-                # Guards the policy's periodic timers: the next one would have been started by this event.
+                # The policy restarts a periodic timer while it handles this event, so a failure would stop it.
                 delay_ms = self._policy_delays_ms.get(name, POLICY_TIMER_RETRY_MS)
                 self.timers.start(now + delay_ms, TimerKind.POLICY, name)
             case RequestReceived() | AttemptFinished():
@@ -130,7 +130,7 @@
         return ResponseStatus.TIMED_OUT if timed_out else ResponseStatus.FAILED
 
     def _forward(self, now: float, action: ForwardRequest) -> None:
-        """Start an attempt, or record it as NOT_SENT where it is not allowed."""
+        """Start an attempt, or record it as NOT_SENT if the rules forbid it."""
         request = self._table.requests.get(action.id)
         if request is None:
             log.error("forwarding ignored: reason=request not in flight, request=%s", action.id)
@@ -150,7 +150,7 @@
         self._table.effects.append(StartAttempt(action.id, number, action.server, timeout_ms))
 
     def is_timer_needed(self, timer: Timer) -> bool:
-        """Whether this timer still has an effect when it fires."""
+        """Return True if the timer would still have an effect when it fires."""
         if timer.kind is TimerKind.POLICY:
             return True
         request = self._table.requests.get(timer.subject)
