--- a/rosewheel/node/request_table.py
+++ b/rosewheel/node/request_table.py
@@ -1,4 +1,4 @@
-"""The requests in flight at a node: records results of attempts, and sends each client one final response."""
+"""Table of the requests in flight: records results of attempts, and sends each client exactly one final response."""
 
 from __future__ import annotations
 
@@ -11,20 +11,20 @@
 
 LoadReport = dict[str, float]
 
-_OUTCOMES = {
+_OUTCOME_BY_STATUS = {
     ResponseStatus.OK: RequestOutcome.OK,
     ResponseStatus.REJECTED: RequestOutcome.SHED,
 }
 
 
 class RequestTable:
-    """Requests in flight, events for the policy that follow from them, and effects for the host.
+    """Requests in flight, with the queues of events for the policy and of effects for the host.
 
     Attributes:
-        requests: The requests by id. One stays here until it is finished and none of its attempts is in flight.
-        active: Requests that are not finished.
+        requests: Requests by id. A request is removed once it is finished and none of its attempts is in flight.
+        active: Number of requests that are not finished.
         events: Events that the policy has not handled yet, in order.
-        effects: Effects for the host that were not taken yet, in order.
+        effects: Effects that `take_effects` has not returned yet, in order.
     """
 
     __slots__ = ("_statistics", "active", "effects", "events", "requests")
@@ -37,17 +37,17 @@
         self._statistics = statistics
 
     def add(self, id: str, request: InFlightRequest) -> None:
-        """Take a request that is not in flight yet."""
+        """Add a new request; its id must not be in use."""
         self.requests[id] = request
         self.active += 1
 
     def unfinished(self, id: str) -> InFlightRequest | None:
-        """The request with this id; None where there is none, or where it is finished."""
+        """Return the request with this id; None if it is unknown or finished."""
         request = self.requests.get(id)
         return None if request is None or request.finished else request
 
     def take_effects(self) -> list[NodeEffect]:
-        """The effects since the last call, in order."""
+        """Return the effects since the last call, in order, and clear them."""
         effects, self.effects = self.effects, []
         return effects
 
@@ -60,10 +60,12 @@
         report: LoadReport | None = None,
         body: bytes = b"",
     ) -> bool:
-        """Record how an attempt ended, and queue that for the policy.
+        """Record how an attempt ended, and queue the event for the policy.
+
+        Sends the final response if this result ends the request.
 
         Returns:
-            False where the attempt is unknown or has a result already; nothing is changed then.
+            False if the attempt is unknown or already has a result; nothing changes then.
         """
         request = self.requests.get(id)
         if request is None or number >= len(request.attempts):
@@ -75,46 +77,46 @@
         if result is AttemptResult.OK and not request.finished:
             self.respond(SendResponse(id, ResponseStatus.OK, body))
         elif request.streaming_attempt == number:
-            # The client has a part of this response, so no other attempt can replace it.
+            # The client has received part of this response, so another attempt can't replace it.
             self.respond(SendResponse(id, ResponseStatus.INTERNAL_ERROR))
         latency_ms = attempt.latency_ms(now)
-        ended = request.finished
-        self.events.append(AttemptFinished(id, number, attempt.server, result, latency_ms, ended, report))
-        if ended and not request.has_attempt_in_flight():
+        finished = request.finished
+        self.events.append(AttemptFinished(id, number, attempt.server, result, latency_ms, finished, report))
+        if finished and not request.has_attempt_in_flight():
             self.requests.pop(id, None)
         return True
 
     def abort_attempt(self, now: float, id: str, number: int, result: AttemptResult) -> None:
-        """Record this result of an attempt and abort it, where it is still in flight."""
+        """Abort an attempt and record this result; does nothing if it is no longer in flight."""
         if self.record_result(now, id, number, result):
             self.effects.append(AbortAttempt(id, number))
 
     def respond(self, response: SendResponse) -> None:
-        """Send a final response. Guards the client against a second one: a finished request gets no other."""
+        """Send a final response. Ignored if the request is finished, so that no client receives two."""
         request = self.requests.get(response.id)
         if request is None or request.finished:
             return
         self.effects.append(response)
-        outcome = _OUTCOMES.get(response.status, RequestOutcome.ERRORS)
+        outcome = _OUTCOME_BY_STATUS.get(response.status, RequestOutcome.ERRORS)
         self._statistics.count_request(request.service, outcome)
         self.finish(response.id, request)
 
     def finish(self, id: str, request: InFlightRequest) -> None:
-        """Mark a request as finished; it stays here while an attempt of it is in flight."""
+        """Mark a request as finished, and remove it unless one of its attempts is in flight."""
         request.finished = True
         self.active -= 1
         if not request.has_attempt_in_flight():
             del self.requests[id]
 
     def respond_without_policy(self, now: float, id: str, request: InFlightRequest) -> None:
-        """Finish a request whose response the policy failed to give, and abort its attempts.
+        """Send the final response of a request that the policy failed to answer, and abort its attempts.
 
-        It is rejected only if nothing of it can have been executed, because the client may retry then.
+        The response is a rejection only if no server can have executed the request, because a client may retry then.
         """
-        executed = any(
+        may_have_run = any(
             attempt.result is None or not attempt.result.not_executed for attempt in request.attempts
         )
-        status = ResponseStatus.INTERNAL_ERROR if executed else ResponseStatus.REJECTED
+        status = ResponseStatus.INTERNAL_ERROR if may_have_run else ResponseStatus.REJECTED
         self.respond(SendResponse(id, status))
         for number, attempt in enumerate(request.attempts):
             if attempt.result is None:
