--- a/rosewheel/node/in_flight.py
+++ b/rosewheel/node/in_flight.py
@@ -1,4 +1,4 @@
-"""A request in flight at a node, and its attempts. Times are milliseconds of the node's clock."""
+"""Requests in flight at a node, and their attempts. Times are milliseconds of the node's clock."""
 
 from __future__ import annotations
 
@@ -11,13 +11,13 @@
 
 @dataclass(slots=True)
 class Attempt:
-    """One sending of a request to one server.
+    """One attempt of a request at one server.
 
     Attributes:
-        server: The server's address.
-        sent_ms: When it was started, or when its request was complete where that was later.
-        timeout_ms: How long it may take.
-        response_started_ms: When its response began to be forwarded; None before that.
+        server: Address of the server.
+        sent_ms: When it was started, or when the last byte of its request was received if that was later.
+        timeout_ms: Time that it may take.
+        response_started_ms: When its response began to be streamed to the client; None before that.
         result: How it ended; None while it is in flight.
     """
 
@@ -28,29 +28,29 @@
     result: AttemptResult | None = None
 
     def latency_ms(self, now: float) -> float:
-        """Time to the end of the attempt, or to the first bytes of a response that is forwarded while it arrives.
+        """Return the time to the end of the attempt, or to the first bytes if its response is streamed.
 
-        What follows those bytes depends on the pace of the client, not of the server.
+        The rest of a streamed response takes as long as the client takes to read it, so it doesn't count.
         """
         return (now if self.response_started_ms is None else self.response_started_ms) - self.sent_ms
 
 
 @dataclass(slots=True)
 class InFlightRequest:
-    """A request that has no final response, or that has attempts in flight.
+    """A request without a final response, or with attempts in flight.
 
     Attributes:
         service: Name of its service class.
         deadline_ms: When its client stops waiting.
-        max_attempts: How many attempts it may have, by the settings at its start.
-        hedging_allowed: Whether several attempts may be in flight at once, by the limits at its start.
+        max_attempts: Limit of its attempts, by the settings when it was received.
+        hedging_allowed: Whether several attempts may be in flight at once, by the limits when it was received.
         attempts: Its attempts, by number.
         finished: It has its final response, or its client has disconnected.
         complete: Its last byte has been received, and its deadline is known.
-        body_discarded: A part of its body is no longer held, so no further attempt can be sent.
-        streaming_attempt: The attempt whose response is being forwarded while it arrives.
-        idempotency: Whether it may be executed twice, by the settings at its start.
-        dedup_window_ms: How long a server remembers its key.
+        body_discarded: Part of its body is no longer buffered, so no further attempt can be sent.
+        streaming_attempt: Number of the attempt whose response is being streamed to the client; None without one.
+        idempotency: Whether it may be executed twice, by the settings when it was received.
+        dedup_window_ms: How long servers remember its idempotency key.
     """
 
     service: str
@@ -66,22 +66,25 @@
     dedup_window_ms: float = 0.0
 
     def has_attempt_in_flight(self) -> bool:
-        """Whether an attempt has no result yet."""
+        """Return True if an attempt has no result yet."""
         return any(attempt.result is None for attempt in self.attempts)
 
     def may_have_been_executed(self, before: int | None = None) -> bool:
-        """Whether a server may have executed it, or may yet.
+        """Return True if a server may have executed the request, or may still execute it.
 
         Args:
-            before: Only attempts before this one count.
+            before: Number of the first attempt to leave out; None to include all.
         """
         return self.first_execution_ms(before) is not None
 
     def first_execution_ms(self, before: int | None = None) -> float | None:
-        """When the first attempt was sent that a server may have executed, or may yet; None without one.
+        """Return when the first attempt was sent that a server may have executed, or may still execute.
 
         Args:
-            before: Only attempts before this one count.
+            before: Number of the first attempt to leave out; None to include all.
+
+        Returns:
+            The time; None if there is no such attempt.
         """
         for attempt in self.attempts[:before]:
             if attempt.result is None or not attempt.result.not_executed:
@@ -90,7 +93,13 @@
 
 
 class ResponseInProgress(NamedTuple):
-    """A response that is being forwarded while it arrives: its request's class, its server, its attempt."""
+    """A response that is being streamed to its client.
+
+    Attributes:
+        service: Name of the request's service class.
+        server: Address of the server that sends it.
+        attempt: Number of the attempt.
+    """
 
     service: str
     server: str
