--- a/rosewheel/node/endpoints.py
+++ b/rosewheel/node/endpoints.py
@@ -1,4 +1,4 @@
-"""The servers of a node's endpoint list, and those that are cordoned."""
+"""Servers in a node's endpoint list, and servers that operators have cordoned."""
 
 from __future__ import annotations
 
@@ -6,11 +6,11 @@
 
 
 class Endpoints:
-    """State of each server in the endpoint list, and which servers operators cordoned.
+    """State of each server in the endpoint list, and the set of cordoned servers.
 
     Attributes:
         servers: State of each server in the list, by address.
-        cordoned: Cordoned servers; also those that the list lacks at the moment.
+        cordoned: Addresses of cordoned servers, including any that are not in the list.
     """
 
     __slots__ = ("cordoned", "servers")
@@ -21,24 +21,24 @@
 
     @property
     def any_accepts_requests(self) -> bool:
-        """Whether a server is up and not cordoned."""
+        """True if at least one server is up and not cordoned."""
         return any(self.accepts_requests(server) for server in self.servers)
 
     @property
     def cordoned_count(self) -> int:
-        """Servers in the list that are cordoned."""
+        """Number of servers in the list that are cordoned."""
         return sum(1 for server in self.servers if server in self.cordoned)
 
     def accepts_requests(self, server: str) -> bool:
-        """Whether this server is up and not cordoned."""
+        """Return True if the server is up and not cordoned."""
         return self.servers.get(server) is ServerState.UP and server not in self.cordoned
 
     def is_known(self, server: str) -> bool:
-        """Whether the list has this server, or whether it is cordoned."""
+        """Return True if the server is in the list or cordoned."""
         return server in self.servers or server in self.cordoned
 
     def update(self, form: EndpointListForm, servers: tuple[Server, ...]) -> None:
-        """Apply a list, or changes to it."""
+        """Replace the list, or apply changes to it."""
         if form in (EndpointListForm.SNAPSHOT, EndpointListForm.CACHED):
             self.servers = {}
         for server in servers:
@@ -48,7 +48,7 @@
                 self.servers[server.address] = server.state
 
     def set_cordon(self, server: str, cordoned: bool) -> bool:
-        """Cordon a server, or lift its cordon. Returns whether that changed anything."""
+        """Cordon a server, or lift its cordon; return whether its state changed."""
         if cordoned is (server in self.cordoned):
             return False
         (self.cordoned.add if cordoned else self.cordoned.discard)(server)
