--- a/rosewheel/node/timers.py
+++ b/rosewheel/node/timers.py
@@ -1,4 +1,4 @@
-"""The pending timers of a node, in the order in which they are due. Times are milliseconds of the node's clock."""
+"""Queue of the pending timers of a node. Times are milliseconds of the node's clock."""
 
 from __future__ import annotations
 
@@ -8,26 +8,26 @@
 from enum import Enum
 from typing import NamedTuple
 
-MIN_PRUNE_SIZE = 256  # below this many timers, those that are no longer needed are not looked for
+MIN_PRUNE_SIZE = 256  # number of timers up to which obsolete ones are not removed
 
 
 class TimerKind(Enum):
-    """What happens when a timer is due."""
+    """Purpose of a timer."""
 
-    POLICY = "policy"  # the policy asked for it, by name
+    POLICY = "policy"  # started by the policy, under a name
     ATTEMPT_TIMEOUT = "attempt timeout"
-    RESPONSE_BACKSTOP = "response backstop"  # the request is answered without the policy
+    RESPONSE_BACKSTOP = "response backstop"  # answers a request that the policy left unanswered
 
 
 class Timer(NamedTuple):
-    """A pending timer. A tuple, so that the heap compares entries without calls of Python code.
+    """A pending timer. It is a tuple so that the heap compares entries without calling Python code.
 
     Attributes:
         due_ms: When it fires.
-        order: Number of its start, from 1: timers that are due at the same moment fire in this order.
-        kind: What happens then.
-        subject: The request's id; the timer's name where its kind is `POLICY`.
-        attempt: Number of the attempt where its kind is `ATTEMPT_TIMEOUT`.
+        order: Sequence number from 1; timers that are due at the same time fire in this order.
+        kind: Its purpose.
+        subject: Name of the timer if its kind is `POLICY`; otherwise the id of a request.
+        attempt: Number of the attempt if its kind is `ATTEMPT_TIMEOUT`; otherwise 0.
     """
 
     due_ms: float
@@ -37,15 +37,15 @@
     attempt: int
 
 
-# Makes a timer of a tuple of its fields, in half the time of a call of the class: each request starts two timers.
-_timer_of = functools.partial(tuple.__new__, Timer)
+# Creates a Timer from a tuple of its fields. Calling the class is slower, and every request starts timers.
+_timer_from_fields = functools.partial(tuple.__new__, Timer)
 
 
 class TimerQueue:
-    """A heap of timers. Timers are not cancelled: those that are no longer needed are dropped as the heap grows.
+    """A priority queue of timers. Timers can't be cancelled; obsolete ones are removed when the queue grows.
 
     Args:
-        is_needed: Whether a timer still has an effect when it fires.
+        is_needed: Returns True if a timer would still have an effect when it fires.
     """
 
     __slots__ = ("_heap", "_is_needed", "_order", "_prune_size")
@@ -64,24 +64,24 @@
 
     @property
     def next_due_ms(self) -> float | None:
-        """When the next timer fires; None without timers."""
+        """Due time of the next timer; None without timers."""
         return self._heap[0][0] if self._heap else None
 
     def start(self, due_ms: float, kind: TimerKind, subject: str, attempt: int = 0) -> None:
-        """Add a timer."""
+        """Start a timer; see `Timer` for the arguments."""
         self._order += 1
-        heapq.heappush(self._heap, _timer_of((due_ms, self._order, kind, subject, attempt)))
+        heapq.heappush(self._heap, _timer_from_fields((due_ms, self._order, kind, subject, attempt)))
         if len(self._heap) > self._prune_size:
             self._prune()
 
     def pop_due(self, now: float) -> Timer | None:
-        """Remove and return the next timer that is due at `now`, if there is one."""
+        """Remove the timer that has been due the longest, and return it; None if none is due at `now`."""
         if self._heap and self._heap[0][0] <= now:
             return heapq.heappop(self._heap)
         return None
 
     def _prune(self) -> None:
-        """Guards memory: timers of requests that ended early would stay until their distant deadlines."""
+        """Remove obsolete timers, so that those of finished requests don't use memory until their deadlines."""
         self._heap = [timer for timer in self._heap if self._is_needed(timer)]
         heapq.heapify(self._heap)
         self._prune_size = max(MIN_PRUNE_SIZE, 2 * len(self._heap))
