--- a/rosewheel/node/effects.py
+++ b/rosewheel/node/effects.py
@@ -1,6 +1,6 @@
-"""What a node asks its host to do: start and abort attempts, send responses, watch discovery, check a server's health.
+"""Effects: what a node asks its host to do, such as starting an attempt or sending a response.
 
-The host carries effects out in the order of the list that holds them. Times are milliseconds.
+The host carries out the effects of a list in order. Times are milliseconds.
 """
 
 from __future__ import annotations
@@ -10,10 +10,10 @@
 
 
 class ResponseStatus(IntEnum):
-    """Status of a final response, by the HTTP codes that clients see."""
+    """HTTP status code of a final response."""
 
     OK = 200
-    INTERNAL_ERROR = 500  # the decision module failed, or a response broke off while it was being forwarded
+    INTERNAL_ERROR = 500  # the policy failed, or a streamed response was cut off
     FAILED = 502  # no attempt succeeded
     REJECTED = 503  # not executed by any server: the client may retry elsewhere
     TIMED_OUT = 504  # no attempt succeeded, and one of them timed out
@@ -21,13 +21,13 @@
 
 @dataclass(slots=True)
 class StartAttempt:
-    """Send a request to a server.
+    """Send an attempt of a request to a server.
 
     Attributes:
-        id: The request's id.
-        attempt: Number of this attempt of the request, from 0.
-        server: The server's address.
-        timeout_ms: How long the attempt may take; the node itself ends it with `AbortAttempt`.
+        id: Id of the request.
+        attempt: Number of the attempt within the request, from 0.
+        server: Address of the server.
+        timeout_ms: Time that the attempt may take; when it is over, the node sends `AbortAttempt`.
     """
 
     id: str
@@ -38,7 +38,7 @@
 
 @dataclass(slots=True)
 class AbortAttempt:
-    """Abandon an attempt whose result is settled already; nothing more is expected of it."""
+    """Stop an attempt whose result the node has already recorded."""
 
     id: str
     attempt: int
@@ -46,13 +46,13 @@
 
 @dataclass(slots=True)
 class SendResponse:
-    """Send the one final response of a request to its client.
+    """Send the final response of a request to its client; there is exactly one.
 
     Attributes:
-        id: The request's id.
-        status: The outcome.
-        body: The server's response body; empty unless the status is OK.
-        retry_after_ms: How long the client should wait before it retries; 0 where nothing is advised.
+        id: Id of the request.
+        status: Status code.
+        body: Body of the server's response; empty unless the status is OK.
+        retry_after_ms: Time that the client should wait before it retries; 0 for no advice.
     """
 
     id: str
@@ -63,12 +63,12 @@
 
 @dataclass(slots=True)
 class OpenEndpointWatch:
-    """Open a watch on discovery, in place of any that is open."""
+    """Open a watch on discovery; it replaces one that is open."""
 
 
 @dataclass(slots=True)
 class StartHealthCheck:
-    """Send a health check to a server; its result is reported by `Node.health_check_finished`."""
+    """Send a health check to a server. The host reports the result with `Node.health_check_finished`."""
 
     server: str
 
