--- a/rosewheel/node/limits.py
+++ b/rosewheel/node/limits.py
@@ -1,4 +1,4 @@
-"""What a node enforces by itself, beside its policy."""
+"""Limits that a node enforces independently of its policy."""
 
 from __future__ import annotations
 
@@ -11,14 +11,14 @@
 
     Attributes:
         idle_timeout_ms: How long servers keep an idle connection open.
-        connect_timeout_ms: How long opening a connection may take.
-        health_check_timeout_ms: How long a health check may take.
-        drain_notice_ms: How soon the node has to learn that a server drains.
-        max_open_requests: Requests without a final response; any further one is rejected.
+        connect_timeout_ms: Time that opening a connection may take.
+        health_check_timeout_ms: Time that a health check may take.
+        drain_notice_ms: Time within which the node has to learn that a server is draining.
+        max_open_requests: Limit of requests without a final response; further ones are rejected.
         hedging_allowed: Whether a request may have several attempts in flight at once.
         health_checks_allowed: Whether health checks may be sent.
-        max_sockets: Descriptors of connections, of all processes of the node together.
-        memory_limit_mb: Memory of the node, of all its processes together.
+        max_sockets: Limit of connection descriptors, for all processes of the node together.
+        memory_limit_mb: Limit of memory, for all processes of the node together.
     """
 
     idle_timeout_ms: float = 10000.0
