--- a/rosewheel/node/statistics.py
+++ b/rosewheel/node/statistics.py
@@ -1,6 +1,6 @@
-"""Counters of a node, from the start of its process; each is incremented where its event happens.
+"""Counters of requests and attempts since the start of a node's process, independent of the protocol.
 
-They know nothing of a protocol. Whoever finishes a request or sends an attempt completely reports it here, once.
+The code that finishes a request, or sends the last byte of an attempt, counts it here exactly once.
 """
 
 from __future__ import annotations
@@ -11,7 +11,7 @@
 
 from rosewheel.node.rule_monitor import RuleCounts
 
-# Guards memory where names of classes change all the time: counters of the last classes that were removed are kept.
+# Number of removed classes whose counters are kept, so that memory stays bounded when class names change often.
 MAX_REMOVED_CLASSES = 64
 
 
@@ -19,13 +19,13 @@
     """How a request ended."""
 
     OK = auto()
-    SHED = auto()  # rejected: no server executed it
+    SHED = auto()  # rejected without being executed by any server
     ERRORS = auto()
 
 
 @dataclass(slots=True)
 class ClassCounters:
-    """Finished requests of one service class, by outcome."""
+    """Number of finished requests of one service class, by outcome."""
 
     ok: int = 0
     shed: int = 0
@@ -34,15 +34,15 @@
 
 @dataclass(slots=True, frozen=True)
 class StatisticsSnapshot:
-    """The statistics of a process at one moment.
+    """Statistics of a process at one time.
 
     Attributes:
         classes: Counters of finished requests, by service class.
-        attempts: Attempts that were sent completely.
-        active_requests: Requests without a final response.
-        endpoints: Servers in the endpoint list.
-        cordoned_endpoints: Servers in the endpoint list that are cordoned.
-        rules: Verdicts and violations of the rules.
+        attempts: Number of attempts that were sent completely.
+        active_requests: Number of requests without a final response.
+        endpoints: Number of servers in the endpoint list.
+        cordoned_endpoints: Number of servers in the endpoint list that are cordoned.
+        rules: Counts of verdicts and rule violations.
     """
 
     classes: dict[str, ClassCounters]
@@ -57,8 +57,9 @@
     """Counters of requests and attempts.
 
     Attributes:
-        classes: Counters by service class: those of the settings, then removed ones whose requests may still finish.
-        attempts: Attempts that were sent completely.
+        classes: Counters by service class. Those of the settings come first, followed by classes that the settings
+            lack, whose requests may still finish.
+        attempts: Number of attempts that were sent completely.
     """
 
     def __init__(self, classes: Iterable[str]) -> None:
@@ -68,32 +69,32 @@
         self.configure(classes)
 
     def configure(self, classes: Iterable[str]) -> None:
-        """The settings have these classes from now on. One that returns keeps its counters."""
+        """Set the classes of the settings. A class that was removed and returns keeps its counters."""
         configured = {name: self.classes.get(name) or ClassCounters() for name in classes}
         removed = {name: counters for name, counters in self.classes.items() if name not in configured}
         self._configured = frozenset(configured)
-        self.classes = {**configured, **removed}  # the one that was removed first is the last
-        self._forget_oldest()
+        self.classes = {**configured, **removed}  # the class that was removed first comes last
+        self._drop_oldest_removed()
 
     def copy_classes(self) -> dict[str, ClassCounters]:
-        """A copy of the counters by service class."""
+        """Return a copy of the counters by service class."""
         return {name: replace(counters) for name, counters in self.classes.items()}
 
     def track_class(self, service: str) -> None:
-        """Count requests of this class, even if the settings lack it: a request of it was taken over."""
+        """Count requests of this class even if the settings lack it, for a request from another process."""
         if service not in self.classes:
             configured = {
                 name: counters for name, counters in self.classes.items() if name in self._configured
             }
             self.classes = {**configured, service: ClassCounters()} | self.classes
-            self._forget_oldest()
+            self._drop_oldest_removed()
 
-    def _forget_oldest(self) -> None:
+    def _drop_oldest_removed(self) -> None:
         while len(self.classes) > len(self._configured) + MAX_REMOVED_CLASSES:
             self.classes.popitem()
 
     def count_request(self, service: str | None, outcome: RequestOutcome) -> None:
-        """A request of this class has finished; ignored where there is no such class."""
+        """Count a finished request; ignored if its class is unknown."""
         counters = self.classes.get(service or "")
         if counters is None:
             return
@@ -106,5 +107,5 @@
                 counters.errors += 1
 
     def count_attempt(self) -> None:
-        """An attempt was sent completely to a server."""
+        """Count an attempt that was sent completely to a server."""
         self.attempts += 1
