--- a/rosewheel/discovery/watch_client.py
+++ b/rosewheel/discovery/watch_client.py
@@ -1,7 +1,7 @@
-"""A client of watches: one open HTTP/1.1 response with a JSON object in each line.
+"""Client of a watch: an HTTP/1.1 response that stays open and has one JSON object per line.
 
-A watch that ended is opened again from the last revision that was valid. What the objects contain is up to the user of
-the client: the endpoint list (`endpoint_list.py`), and the configuration of control.
+A watch that ended is continued by a new one, from the last valid revision. The user of the client parses the objects:
+the endpoint list (`endpoint_list.py`) or the configuration of a control machine.
 """
 
 from __future__ import annotations
@@ -19,23 +19,25 @@
 
 from rosewheel.config.address import Address
 
-# An empty line is received every 2 s. A change has to be known 6 s after discovery had it and could be reached,
-# whatever failed until then. At that moment a watch is open and silent, is being opened, or its backoff runs. In each
-# case the change is known after at most
+# Discovery sends an empty line every 2 s. A change has to be known within 6 s of the time at which discovery has it and
+# can be reached, whatever failed before. At that time the node has an open but silent watch, is opening one, or waits
+# before it opens the next one. In each case the change is known after at most
 #
-#     max(SILENCE_TIMEOUT_S + w, FIRST_LINE_TIMEOUT_S + w, apart) + SILENCE_RECHECK_S, and a round trip
+#     max(SILENCE_TIMEOUT_S + backoff, FIRST_LINE_TIMEOUT_S + backoff, interval) + SILENCE_RECHECK_S + a round trip
 #
-# where `apart` is the longest time between the starts of two watches, and `w` the longest backoff after a watch that
-# took longer than that: 4.0 and 0.2 where the list is polled (`policy/discovery_polling.py`), 2.0 and 0 where it is
-# pushed (`proxy/proxy.py`). Opening includes the connection. If the first watch after a silent one fails as well,
-# SILENCE_TIMEOUT_S + w + FIRST_LINE_TIMEOUT_S + w and twice SILENCE_RECHECK_S are 5.44 s, under the same 6 s.
-SILENCE_TIMEOUT_S = 2.8
-CONNECT_TIMEOUT_S = 1.5  # the operating system sends again after 1 s
-FIRST_LINE_TIMEOUT_S = 2.2  # from the start, connecting included: the agent answers at once, then every 2 s
-SILENCE_RECHECK_S = 0.02  # in it, data received while the process was held up is read before a watch fails
-TIMER_TOLERANCE_S = 0.01  # a silence that ends this soon has ended
-MAX_LINE_BYTES = 4 << 20  # guards memory
-MAX_LOGGED_BYTES = 200  # of an invalid line
+# - `interval` is the longest time between the starts of two watches: 4.0 s if the list is polled
+#   (`policy/discovery_polling.py`), 2.0 s if it is pushed (`discovery/backoff.py`).
+# - `backoff` is the longest wait after a watch that lasted longer than `interval`: 0.2 s if polled, 0 if pushed.
+#
+# If the watch that follows a silent one fails as well, the sum SILENCE_TIMEOUT_S + FIRST_LINE_TIMEOUT_S + 2 * backoff +
+# 2 * SILENCE_RECHECK_S = 5.44 s is also below 6 s.
+SILENCE_TIMEOUT_S = 2.8  # time without data after which a watch fails
+CONNECT_TIMEOUT_S = 1.5  # allows for one retransmission, after 1 s
+FIRST_LINE_TIMEOUT_S = 2.2  # connecting included; discovery sends a line at once, then every 2 s
+SILENCE_RECHECK_S = 0.02  # time in which a process that was stalled reads received data before a watch fails
+TIMER_TOLERANCE_S = 0.01  # remaining time up to which a silence timeout counts as expired
+MAX_LINE_BYTES = 4 << 20  # limit of memory for a line, or for an object of several lines
+MAX_LOGGED_BYTES = 200  # length of the part of an invalid line that is logged
 
 JSON_STRING = re.compile(rb'"(?:[^"\\]|\\.)*"')
 
@@ -43,16 +45,16 @@
 
 
 class WatchPhase(Enum):
-    """What an open watch has received."""
+    """What a watch has received so far."""
 
-    OPENING = auto()  # nothing valid
-    ALIVE = auto()  # a valid line, which may have been empty
+    OPENING = auto()  # no valid line
+    ALIVE = auto()  # a valid line, possibly empty
     UPDATED = auto()  # a valid object
 
 
 @dataclass(slots=True, frozen=True)
 class _Message(Generic[Update]):
-    """One object of a watch."""
+    """One parsed object of a watch."""
 
     revision: int
     is_snapshot: bool
@@ -60,19 +62,19 @@
 
 
 class WatchClient(Generic[Update]):
-    """Opens watches, one at a time.
+    """Client that keeps at most one watch open.
 
-    Each watch ends in exactly one call of `on_failure`, unless it is closed or replaced by a newer one.
+    The end of each watch is reported by exactly one call of `on_failure`, unless `close` or `start` ended it.
 
     Attributes:
-        address: Of the service.
-        revision: Of the last valid object; the next watch begins behind it.
-        path_for: The target of a watch that begins behind a revision.
-        log: Where updates and failures are logged.
-        subject: What is watched, for the log.
-        silence_timeout_s: How long a watch may receive nothing.
-        connect_timeout_s: How long a connection may take.
-        first_line_timeout_s: How long a watch may take to its first line, connecting included.
+        address: Address of the service.
+        revision: Revision of the last valid object; the next watch requests what follows it.
+        path_for: Returns the request target of a watch on what follows a revision.
+        log: Logger of updates and failures.
+        subject: Name of the watched resource in the log.
+        silence_timeout_s: Time that a watch may receive nothing.
+        connect_timeout_s: Time that opening a connection may take.
+        first_line_timeout_s: Time that a watch may take to its first line, connecting included.
         started_s: When the last watch was started, on the loop's clock.
     """
 
@@ -91,17 +93,17 @@
         first_line_timeout_s: float | None = None,
         on_first_line: Callable[[], None] = lambda: None,
     ) -> None:
-        """Create a client without a watch. Timeouts that are None have their defaults; for the others see above.
+        """Create a client without a watch. For other arguments see the attributes; None selects a default timeout.
 
         Args:
-            address: Of the service.
-            revision: Of what is known so far; 0 for nothing.
-            path_for: The target of a watch that begins behind a revision.
-            parse: Makes an update of an object. It raises KeyError, TypeError, ValueError or OverflowError if that is
-                invalid.
-            on_update: Called with whether it is a snapshot, and the update.
-            on_failure: Called once when a watch has ended.
-            on_first_line: Called for the first valid line of each watch, which may be empty.
+            address: Address of the service.
+            revision: Revision of the data known so far; 0 for none.
+            path_for: Returns the request target of a watch on what follows a revision.
+            parse: Converts an object into an update. Raises KeyError, TypeError, ValueError or OverflowError if the
+                object is invalid.
+            on_update: Called with True for a snapshot or False for changes, and with the update.
+            on_failure: Called once for each watch that has ended.
+            on_first_line: Called for the first valid line of each watch; the line may be empty.
         """
         self.address, self.revision = address, revision
         self.path_for, self.log, self.subject = path_for, log, subject
@@ -113,12 +115,12 @@
         self.started_s = 0.0
         self._parse, self._on_update = parse, on_update
         self._on_failure, self._on_first_line = on_failure, on_first_line
-        self._last_failure = ""  # reason, until an update is received
+        self._last_failure = ""  # reason of the last failure; empty once an update has been received
         self._connection: _WatchConnection | None = None
         self._connect_task: asyncio.Task[None] | None = None
 
     def start(self) -> None:
-        """Open a watch, in place of the one that is open."""
+        """Open a watch; it replaces one that is open."""
         self.close()
         loop = asyncio.get_running_loop()
         self.started_s = loop.time()
@@ -126,12 +128,12 @@
         self._connect_task = loop.create_task(self._connect(connection))
 
     def change_address(self, address: Address) -> None:
-        """Use another address of the same service, with the same revisions; the watch is closed."""
+        """Close the watch and use another address of the same service, which has the same revisions."""
         self.close()
         self.address = address
 
     def close(self) -> None:
-        """Close the watch; nothing more is reported of it."""
+        """Close the watch without a call of `on_failure`."""
         connection, self._connection = self._connection, None
         if self._connect_task is not None:
             self._connect_task.cancel()
@@ -140,30 +142,29 @@
 
     @property
     def is_open(self) -> bool:
-        """Whether a watch is open, or being opened."""
+        """True if a watch is open or being opened."""
         return self._connection is not None
 
-    # ----------------------------------------------------------------------------------- reports of the connection
+    # --------------------------------------------------------------------------------- callbacks of the connection
 
     def is_current(self, connection: _WatchConnection) -> bool:
-        """Whether this is the connection of the open watch."""
+        """Return True if this is the connection of the open watch."""
         return connection is self._connection
 
     def connection_failed(self, connection: _WatchConnection, reason: str) -> None:
-        """End the watch, if it is the current one."""
+        """End the watch of this connection, unless the watch is no longer the current one."""
         if connection is not self._connection:
             return
         self._connection = None
         connection.close()
-        if (
-            reason != self._last_failure
-        ):  # guards the log: while there is no discovery, one failure follows the other
+        # A repeated reason is not logged: an outage would fill the log.
+        if reason != self._last_failure:
             self.log.info("%s watch ended: reason=%s", self.subject, reason)
         self._last_failure = reason
         self._on_failure()
 
     def line_received(self, connection: _WatchConnection, text: bytes) -> None:
-        """Process a line of the current watch."""
+        """Process a line; ignored unless it belongs to the current watch."""
         if connection is not self._connection:
             return
         if connection.partial_lines:
@@ -179,45 +180,46 @@
             return
         self._first_line_received(connection)
         if message.revision < self.revision and not message.is_snapshot:
-            # Guards against a service that counts from the start again: what it left out is not known.
+            # The service restarted its count of revisions, so its changes do not follow the known data.
             self.revision = 0
-            self.connection_failed(connection, f"revision went back to {message.revision}")
+            self.connection_failed(connection, f"revision decreased to {message.revision}")
             return
         self._apply(connection, message)
 
     def _join_partial(self, connection: _WatchConnection, text: bytes) -> bytes | None:
-        """The object whose lines were received so far; None if it is incomplete, or the watch has failed.
+        """Append a line to an object of several lines, which is complete once its brackets are closed.
 
-        An object may be indented, and so have several lines. It is complete once its brackets are closed.
+        Returns:
+            The text of the object; None if it is incomplete, or if the watch has failed.
         """
         connection.partial_bytes += len(text)
         if not text.strip() or connection.partial_bytes > MAX_LINE_BYTES:
-            beginning = connection.partial_lines[0][:MAX_LOGGED_BYTES]
-            self.connection_failed(connection, f"incomplete object: {beginning!r}")
+            prefix = connection.partial_lines[0][:MAX_LOGGED_BYTES]
+            self.connection_failed(connection, f"incomplete or too long object: {prefix!r}")
             return None
         connection.partial_lines.append(text)
         unclosed = _unclosed_brackets(text)
         if unclosed is not None and connection.unclosed_brackets + unclosed > 0:
             connection.unclosed_brackets += unclosed
             return None
-        # Parsed only now: a long list would be parsed again from its beginning with each of its lines.
+        # Only a complete object is parsed: to parse it after every line would take quadratic time.
         lines, connection.partial_lines = connection.partial_lines, []
         return b"\n".join(lines)
 
     def _parse_line(self, connection: _WatchConnection, text: bytes) -> _Message[Update] | None:
-        """The object of a line; None if it continues in the next one, or the watch has failed."""
+        """Return the object of a line; None if it continues on the next line, or if the watch has failed."""
         try:
-            row = orjson.loads(text)
-            if not isinstance(row, dict):
+            fields = orjson.loads(text)
+            if not isinstance(fields, dict):
                 raise TypeError("not an object")
-            return _Message(int(row["seq"]), bool(row.get("whole")), self._parse(row))
+            return _Message(int(fields["seq"]), bool(fields.get("whole")), self._parse(fields))
         except (ValueError, KeyError, TypeError, OverflowError) as error:
             unclosed = _unclosed_brackets(text) if text.lstrip().startswith(b"{") else None
             if isinstance(error, orjson.JSONDecodeError) and unclosed is not None and unclosed > 0:
                 connection.partial_lines = [text]
                 connection.unclosed_brackets, connection.partial_bytes = unclosed, len(text)
                 return None
-            # What was changed is unknown, so the next watch has to begin behind the last valid object.
+            # The invalid object may hold a change, so the next watch continues from the last valid one.
             self.connection_failed(connection, f"invalid object: {error}: {text[:MAX_LOGGED_BYTES]!r}")
             return None
 
@@ -246,35 +248,39 @@
             async with asyncio.timeout(self.connect_timeout_s):
                 await loop.create_connection(lambda: connection, *self.address)
         except (OSError, TimeoutError) as error:
-            self.connection_failed(connection, f"no connection: {error or 'timed out'}")
+            self.connection_failed(connection, f"connect failed: {error or 'timed out'}")
 
 
 def _unclosed_brackets(text: bytes) -> int | None:
-    """How many brackets a line opens more than it closes; None if a string is cut off, which no line end may do."""
-    bare = JSON_STRING.sub(b"", text)
-    if b'"' in bare:
+    """Return how many more brackets a line opens than it closes; None if it ends within a string, which is invalid."""
+    outside = JSON_STRING.sub(b"", text)  # the text outside strings
+    if b'"' in outside:
         return None
-    return bare.count(b"{") + bare.count(b"[") - bare.count(b"}") - bare.count(b"]")
+    return outside.count(b"{") + outside.count(b"[") - outside.count(b"}") - outside.count(b"]")
 
 
 class _WatchConnection(asyncio.Protocol):
-    """The connection of one watch.
+    """Connection of one watch.
 
     Attributes:
-        partial_lines: Lines received of an object that has several.
-        unclosed_brackets: Of these lines.
-        partial_bytes: Size of these lines.
-        phase: What was received so far.
-        rechecking: The silence timeout has passed, and what was received meanwhile is being read.
-        silence_limit_s: How long it may receive nothing.
-        last_received_s: When something was last received, on the loop's clock.
+        owner: The client that opened it.
+        parser: Parser of the HTTP response.
+        transport: The open connection; None before and after.
+        buffer: Data of a line that is not complete yet.
+        partial_lines: Lines received so far of an object of several lines.
+        unclosed_brackets: Number of brackets in `partial_lines` that are still open.
+        partial_bytes: Size of `partial_lines`.
+        phase: What has been received so far.
+        rechecking: The silence timeout has expired, and data that was received meanwhile is being read.
+        silence_limit_s: Time that the watch may receive nothing at present.
+        last_received_s: When data was last received, on the loop's clock.
     """
 
     def __init__(self, owner: WatchClient[Any]) -> None:
         self.owner = owner
         self.parser = httptools.HttpResponseParser(self)
         self.transport: asyncio.Transport | None = None
-        self.buffer = b""  # of an incomplete line
+        self.buffer = b""
         self.partial_lines: list[bytes] = []
         self.unclosed_brackets = self.partial_bytes = 0
         self.phase = WatchPhase.OPENING
@@ -286,9 +292,9 @@
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Send the request."""
-        # A cast: the transports of uvloop do not derive from asyncio's classes.
+        # A cast, because uvloop's transports are not subclasses of asyncio's.
         self.transport = transport = cast(asyncio.Transport, transport)
-        if not self.owner.is_current(self):  # it was replaced while the connection was being opened
+        if not self.owner.is_current(self):  # the watch was closed or replaced while connecting
             transport.abort()
             return
         host, port = self.owner.address
@@ -296,54 +302,53 @@
         transport.write(f"GET {path} HTTP/1.1\r\nHost: {host}:{port}\r\n\r\n".encode())
 
     def data_received(self, data: bytes) -> None:
-        """Parse what was received."""
+        """Parse received data."""
         try:
             self.parser.feed_data(data)
         except httptools.HttpParserError as error:
             self.owner.connection_failed(self, f"not HTTP: {error}")
 
     def on_headers_complete(self) -> None:
-        """Callback of the parser."""
+        """End the watch if its status is not 200. Called by the parser."""
         status = self.parser.get_status_code()
         if status != 200:
-            self.owner.connection_failed(self, f"status {status}")
+            self.owner.connection_failed(self, f"HTTP status {status}")
 
     def on_body(self, data: bytes) -> None:
-        """Callback of the parser: split the body into lines."""
+        """Split the body into lines. Called by the parser."""
         self.last_received_s = self.loop.time()
         *lines, self.buffer = (self.buffer + data).split(b"\n")
-        if lines:  # a part of a line does not show that more will follow
+        if lines:  # an incomplete line does not end the timeout for the first line
             self.silence_limit_s = self.owner.silence_timeout_s
         for line in lines:
             self.owner.line_received(self, line)
         if len(self.buffer) > MAX_LINE_BYTES:
-            self.owner.connection_failed(self, "line too long")
+            self.owner.connection_failed(self, f"line longer than {MAX_LINE_BYTES} bytes")
 
     def on_message_complete(self) -> None:
-        """Callback of the parser: a watch never ends by itself."""
+        """End the watch: its response is complete, which is not expected. Called by the parser."""
         self.owner.line_received(self, self.buffer)
-        self.owner.connection_failed(self, "response ended")
+        self.owner.connection_failed(self, "response ended by the service")
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """End the watch."""
+        """End the watch, because its connection is closed."""
         self._silence_timer.cancel()
-        self.owner.connection_failed(self, str(exc or "closed"))
+        self.owner.connection_failed(self, str(exc or "connection closed"))
         self.transport = None
-        # Guards memory: the parser and this object refer to one another, and the collector runs rarely.
+        # Breaks the reference cycle with the parser, because the garbage collector runs rarely.
         del self.parser
 
     def _check_silence(self) -> None:
-        left_s = self.last_received_s + self.silence_limit_s - self.loop.time()
-        if left_s > TIMER_TOLERANCE_S:
+        remaining_s = self.last_received_s + self.silence_limit_s - self.loop.time()
+        if remaining_s > TIMER_TOLERANCE_S:
             self.rechecking = False
-            self._silence_timer = self.loop.call_later(left_s, self._check_silence)
-        elif (
-            not self.rechecking
-        ):  # guards a busy machine: timers run before what was received meanwhile is read
+            self._silence_timer = self.loop.call_later(remaining_s, self._check_silence)
+        elif not self.rechecking:
+            # After a stall of the process, timers run before received data is read.
             self.rechecking = True
             self._silence_timer = self.loop.call_later(SILENCE_RECHECK_S, self._check_silence)
         else:
-            self.owner.connection_failed(self, f"silent for {self.silence_limit_s:g} s")
+            self.owner.connection_failed(self, f"no data received for {self.silence_limit_s:g} s")
 
     def close(self) -> None:
         """Close the connection at once."""
