--- a/rosewheel/discovery/endpoint_list.py
+++ b/rosewheel/discovery/endpoint_list.py
@@ -1,4 +1,4 @@
-"""The list of endpoints: its entries, its updates, and the watch on it."""
+"""Endpoint list of discovery: parses its entries, applies its updates, and watches it."""
 
 from __future__ import annotations
 
@@ -15,25 +15,25 @@
 
 log = logging.getLogger("rosewheel.discovery")
 
-MAX_ENTRIES_PER_TURN = 250  # entries handled at a time, so that a longer list does not hold up requests
+MAX_ENTRIES_PER_TURN = 250  # entries handled per event loop turn, so that long lists don't delay requests
 
-# The words of the discovery protocol.
+# Server states by their names in the discovery protocol.
 SERVER_STATES = {"active": ServerState.UP, "leaving": ServerState.DRAINING, "left": ServerState.REMOVED}
-NO_ADDRESS: Address = ("", 0)  # of a server that was removed
+NO_ADDRESS: Address = ("", 0)  # placeholder for the address of a removed server
 
-Endpoint = tuple[Server, Address]  # a server, and where to connect
+Endpoint = tuple[Server, Address]  # a server and the address to connect to
 EndpointListCallback = Callable[[EndpointListForm, list[Endpoint]], None]
 
 
 def parse_endpoints(rows: object, start_times: ServerStartTimes) -> list[Endpoint]:
-    """Parse the entries of a list.
+    """Parse the entries of an endpoint list. Malformed entries are logged and left out.
 
     Args:
-        rows: The `hosts` of a message; anything but a list counts as empty.
-        start_times: Maps the starts of servers to the monotonic clock.
+        rows: The `hosts` of a message; a value that is not a list counts as empty.
+        start_times: Converts start times of servers to the monotonic clock.
 
     Returns:
-        The valid entries. Malformed ones are logged.
+        The valid entries, in order.
     """
     endpoints: list[Endpoint] = []
     for row in rows if isinstance(rows, list) else ():
@@ -47,29 +47,29 @@
 def _parse_endpoint(row: dict[str, Any], start_times: ServerStartTimes) -> Endpoint:
     host, state, born_ms = row["host"], SERVER_STATES[row["health"]], row.get("born_ms") or 0
     if not isinstance(host, str) or not host:
-        raise ValueError("host is not a name")
-    # A server that was removed may be listed without its address.
+        raise ValueError("host must be a non-empty string")
+    # The entry of a removed server may have no address.
     is_removed = state is ServerState.REMOVED and not row.get("dial")
     address = NO_ADDRESS if is_removed else parse_address(row["dial"])
     zone, block = str(row.get("site") or ""), int(row.get("block") or 0)
     if state is ServerState.REMOVED:
-        start_times.removed(host)
+        start_times.server_removed(host)
     launched_ms = start_times.launched_ms(host, float(born_ms)) if born_ms else None
     return Server(host, zone, block, state, launched_ms), address
 
 
 class EndpointList:
-    """Reduces long lists to what has changed, a part at a time.
+    """Passes on updates of the endpoint list; reduces those of a long list to its changes, in batches.
 
-    Lists of up to `MAX_ENTRIES_PER_TURN` entries are passed on as received, until a longer one is received. From then
-    on each is compared with the entries known so far and passed on as changes: the cost of an update depends on the
-    number of changes, and no turn of the loop handles more than a part.
+    Updates of up to `MAX_ENTRIES_PER_TURN` entries are passed on as received until a longer one is received. From then
+    on, each update is compared with the known entries and passed on as changes, so that its cost depends on the number
+    of changes. Each turn of the event loop handles one batch of at most `MAX_ENTRIES_PER_TURN` entries.
 
     Attributes:
-        on_update: Called with each update, or part of one.
-        rows: Entries by host, as last received; None for a host of which only the name is known.
-        is_long: A long list was received.
-        start_times: The starts of the servers.
+        on_update: Called with each update or batch.
+        rows: JSON entries by host, as last received; None for a host of which only the name is known.
+        received_long_list: An update of more than `MAX_ENTRIES_PER_TURN` entries has been received.
+        start_times: Start times of the servers.
     """
 
     def __init__(
@@ -80,7 +80,7 @@
     ) -> None:
         self.on_update = on_update
         self.rows: dict[str, Any] = dict.fromkeys(known_hosts)
-        self.is_long = False
+        self.received_long_list = False
         self.start_times = start_times or ServerStartTimes()
         self._pending_updates: deque[Iterator[None]] = deque()
         self._next_turn: asyncio.Handle | None = None
@@ -89,20 +89,20 @@
         """Apply an update.
 
         Args:
-            is_snapshot: Hosts that are missing were removed.
-            rows: The entries; anything but a list counts as empty.
+            is_snapshot: True if hosts that are not in `rows` were removed.
+            rows: JSON entries; a value that is not a list counts as empty.
         """
         listed = rows if isinstance(rows, list) else []
-        if not self.is_long and len(listed) <= MAX_ENTRIES_PER_TURN:
+        if not self.received_long_list and len(listed) <= MAX_ENTRIES_PER_TURN:
             self._apply_at_once(is_snapshot, listed)
             return
-        self.is_long = True
-        self._pending_updates.append(self._apply_in_parts(is_snapshot, listed))
-        if self._next_turn is None:  # not at once: parsing the text took one turn's time already
+        self.received_long_list = True
+        self._pending_updates.append(self._apply_in_batches(is_snapshot, listed))
+        if self._next_turn is None:  # in a later turn, because this one has already parsed the message
             self._next_turn = asyncio.get_running_loop().call_soon(self._process_pending)
 
     def close(self) -> None:
-        """Drop the pending parts of updates."""
+        """Drop the pending batches of updates."""
         if self._next_turn is not None:
             self._next_turn.cancel()
             self._next_turn = None
@@ -110,7 +110,7 @@
 
     def _apply_at_once(self, is_snapshot: bool, rows: list[Any]) -> None:
         if is_snapshot:
-            self._forget_missing({row["host"] for row in rows if _has_host(row)})
+            self._drop_missing({row["host"] for row in rows if _has_host(row)})
         for row in rows:
             if _has_host(row):
                 self.rows[row["host"]] = row
@@ -119,9 +119,9 @@
         if rows:
             self.start_times.list_applied()
 
-    def _forget_missing(self, listed_hosts: set[str]) -> None:
+    def _drop_missing(self, listed_hosts: set[str]) -> None:
         for host in self.rows.keys() - listed_hosts:
-            self.start_times.removed(host)
+            self.start_times.server_removed(host)
         self.rows.clear()
 
     def _process_pending(self) -> None:
@@ -134,12 +134,12 @@
                 self._next_turn = asyncio.get_running_loop().call_soon(self._process_pending)
                 return
 
-    def _apply_in_parts(self, is_snapshot: bool, rows: list[Any]) -> Iterator[None]:
-        """Pass on the changed entries; each step handles a part."""
+    def _apply_in_batches(self, is_snapshot: bool, rows: list[Any]) -> Iterator[None]:
+        """Pass on the changed entries; each step of the iterator handles one batch."""
         listed_hosts: set[str] = set()
         for start in range(0, max(1, len(rows)), MAX_ENTRIES_PER_TURN):
-            part = rows[start : start + MAX_ENTRIES_PER_TURN]
-            changed = [row for row in part if self._record(row, listed_hosts)]
+            batch = rows[start : start + MAX_ENTRIES_PER_TURN]
+            changed = [row for row in batch if self._record(row, listed_hosts)]
             if changed or not start:
                 self.on_update(EndpointListForm.DELTA, parse_endpoints(changed, self.start_times))
             yield
@@ -148,7 +148,7 @@
             yield from self._remove_missing(listed_hosts)
 
     def _record(self, row: Any, listed_hosts: set[str]) -> bool:
-        """Remember an entry; whether it is new or has changed. Malformed ones count as changed."""
+        """Store an entry; return True if it is new or has changed. A malformed entry counts as changed."""
         host = row.get("host") if isinstance(row, dict) else None
         if not isinstance(host, str):
             return True
@@ -161,11 +161,11 @@
     def _remove_missing(self, listed_hosts: set[str]) -> Iterator[None]:
         missing = [host for host in self.rows if host not in listed_hosts]
         for start in range(0, len(missing), MAX_ENTRIES_PER_TURN):
-            part = missing[start : start + MAX_ENTRIES_PER_TURN]
-            for host in part:
+            batch = missing[start : start + MAX_ENTRIES_PER_TURN]
+            for host in batch:
                 del self.rows[host]
-                self.start_times.removed(host)
-            removed = [(Server(host, state=ServerState.REMOVED), NO_ADDRESS) for host in part]
+                self.start_times.server_removed(host)
+            removed = [(Server(host, state=ServerState.REMOVED), NO_ADDRESS) for host in batch]
             self.on_update(EndpointListForm.DELTA, removed)
             yield
 
@@ -182,10 +182,10 @@
 
 
 class DiscoveryWatch(WatchClient[list[Any]]):
-    """The watch on the list of endpoints.
+    """Watch on the endpoint list.
 
     Attributes:
-        endpoint_list: The entries received so far.
+        endpoint_list: Applies the updates that the watch receives.
     """
 
     def __init__(
@@ -201,13 +201,13 @@
         """Create a watch that is not open yet.
 
         Args:
-            address: Of discovery.
-            revision: Of the list that is known so far; 0 for none.
-            on_update: Called with each update, and with `EndpointListForm.FAILED` once a watch has ended.
-            known_hosts: Of that list.
-            silence_timeout_s: How long a watch may receive nothing.
+            address: Address of discovery.
+            revision: Revision of the list known so far; 0 for none.
+            on_update: Called with each update, and with `EndpointListForm.FAILED` once for each watch that has ended.
+            known_hosts: Hosts in the list known so far.
+            silence_timeout_s: Time that a watch may receive nothing; None for the default.
             on_first_line: Called once for each watch that receives a valid line.
-            start_times: The starts of the servers that are known so far.
+            start_times: Start times of the servers known so far; None for none.
         """
         self.endpoint_list = EndpointList(on_update, known_hosts, start_times)
         super().__init__(
--- a/rosewheel/discovery/start_times.py
+++ b/rosewheel/discovery/start_times.py
@@ -1,54 +1,51 @@
-"""Start times of servers on this process's monotonic clock.
+"""Start times of servers, converted from discovery's wall clock to the monotonic clock of this process.
 
-Discovery tells them by a wall clock, which may be stepped on any machine and at any time. Certain is only when this
-process was notified of a start, and that it had a list without it before. That moment counts: it is never earlier than
-the start, so a warming server is never taken for a warmer one.
+The wall clock of any machine may be stepped at any time. So if a server starts after this process has received
+a list, its start time is when this process was notified. That is never earlier than the real start, so its warm-up does
+not end too early.
 """
 
 from __future__ import annotations
 
 import time
 
-MAX_AHEAD_MS = 10_000.0  # a start that is told to be further ahead is that of a clock that was stepped
-FORGET_REMOVED_AFTER_MS = (
-    600_000.0  # a server that returns within this time with the same start was not restarted
-)
+MAX_AHEAD_MS = 10_000.0  # time in the future beyond which a start time must come from a stepped clock
+FORGET_REMOVED_AFTER_MS = 600_000.0  # time for which the start time of a removed server is kept
 
 
 class ServerStartTimes:
-    """Maps starts from a wall clock to the monotonic clock, each once."""
+    """Converts start times from the wall clock to the monotonic clock, each once."""
 
     def __init__(self) -> None:
-        self._starts: dict[
-            str, tuple[float, float]
-        ] = {}  # by host: on the wall clock, on the monotonic clock
-        self._removed_ms: dict[str, float] = {}  # by host: when it was removed, the longest ago first
+        # By host: the start time on the wall clock, and on the monotonic clock.
+        self._starts: dict[str, tuple[float, float]] = {}
+        self._removed_ms: dict[str, float] = {}  # by host: time of its removal, the earliest first
         self._has_list = False
 
     def launched_ms(self, host: str, born_ms: float) -> float:
-        """The start of a server on the monotonic clock, in milliseconds.
+        """Return the start time of a server on the monotonic clock, in milliseconds.
 
         Args:
-            host: The server.
-            born_ms: Its start as discovery tells it, in milliseconds of Unix time.
+            host: Name of the server.
+            born_ms: Its start time as sent by discovery, in milliseconds of Unix time.
         """
         self._removed_ms.pop(host, None)
         known = self._starts.get(host)
         if known is not None and known[0] == born_ms:
             return known[1]
         now_ms = time.monotonic() * 1000.0
-        told_ms = now_ms + born_ms - time.time() * 1000.0
-        is_notified = self._has_list and told_ms < now_ms
-        launched_ms = now_ms if is_notified or told_ms > now_ms + MAX_AHEAD_MS else told_ms
+        converted_ms = now_ms + born_ms - time.time() * 1000.0
+        is_new_start = self._has_list and converted_ms < now_ms
+        launched_ms = now_ms if is_new_start or converted_ms > now_ms + MAX_AHEAD_MS else converted_ms
         self._starts[host] = born_ms, launched_ms
         return launched_ms
 
     def list_applied(self) -> None:
-        """This process has a list: starts that it lacks are new from now on."""
+        """Record that a list was applied: start times that it did not contain are new from now on."""
         self._has_list = True
 
-    def removed(self, host: str) -> None:
-        """A server was removed; its start is remembered for a while, since it may return."""
+    def server_removed(self, host: str) -> None:
+        """Record that a server was removed; its start time is kept for a while, because it may return."""
         if host not in self._starts:
             return
         now_ms = time.monotonic() * 1000.0
