--- a/rosewheel/discovery/__init__.py
+++ b/rosewheel/discovery/__init__.py
@@ -1,1 +1,1 @@
-"""Discovery of servers: a client of watches, the endpoint list, and the backoff between watches."""
+"""Discovery of servers: the watch client, the endpoint list, and the backoff between watches."""
