--- a/rosewheel/__init__.py
+++ b/rosewheel/__init__.py
@@ -12,7 +12,7 @@
 
 
 def __getattr__(name: str) -> object:
-    """The module by itself, when it is asked for: whoever imports another part of the package first says how."""
+    """Import `Balancer` or `Settings` on first access, so that importing a subpackage does not load the policy."""
     if name == "Balancer":
         from rosewheel.policy.balancer import Balancer
 
