--- a/rosewheel/node/rules.py
+++ b/rosewheel/node/rules.py
@@ -1,7 +1,7 @@
-"""The one place that decides whether something may be sent, repeated, accepted, adopted or closed at this moment.
+"""Rules on when an attempt may be started or sent, and when a connection may be closed or adopted.
 
-Each path asks right before it acts. The policy chooses among what is allowed; what it chooses against these rules is
-not done. No I/O; times are milliseconds of the node's clock.
+Each operation is checked right before it is carried out. The policy can't override these rules: an attempt that it
+chooses and a rule forbids is not sent. No I/O. Times are milliseconds of the node's clock.
 """
 
 from __future__ import annotations
@@ -12,11 +12,11 @@
 from rosewheel.node.rule_monitor import Act, Reason, Rule, RuleMonitor
 from rosewheel.policy.settings import Idempotency
 
-TOLD_DEADLINE_SLACK_MS = 150.0  # what the operators allow for a process that is held up
+SENT_DEADLINE_TOLERANCE_MS = 150.0  # operators' allowance for a process that is stalled
 
 
 class RequestRules:
-    """The rules on requests and their attempts.
+    """Rules on requests and their attempts.
 
     Attributes:
         monitor: Counts verdicts and violations.
@@ -28,12 +28,12 @@
         self._table, self._endpoints, self.monitor = table, endpoints, monitor
 
     def may_start_attempt(self, request: InFlightRequest, server: str, remaining_ms: float) -> bool:
-        """Whether another attempt of this request may be started at this server, whatever the policy decided.
+        """Return True if an attempt of the request may be started at the server, and count the verdict.
 
         Args:
             request: The request.
-            server: The server's address.
-            remaining_ms: What is left of the request's time.
+            server: Address of the server.
+            remaining_ms: Time left to the request.
         """
         act = Act.FIRST_ATTEMPT
         if request.attempts:
@@ -60,7 +60,7 @@
         return Reason.ALLOWED
 
     def may_send(self, now: float, id: str, attempt: int, is_client_connected: bool) -> bool:
-        """Whether the first byte of an attempt may be written now, if its connection had to be opened."""
+        """Return True if an attempt may be sent on a connection that had to be opened, and count the verdict."""
         reason = self._send_reason(now, id, attempt, is_client_connected)
         return self.monitor.is_allowed(Act.SEND, reason)
 
@@ -83,9 +83,9 @@
         return Reason.ALLOWED
 
     def time_left_ms(self, now: float, id: str, attempt: int) -> float:
-        """How long this attempt may still take; 0 or less where its time is over, or where it has a result.
+        """Return the time left to an attempt; 0 or less if it has timed out or already has a result.
 
-        The time of a request whose last byte was not received yet has not begun.
+        The full timeout is left while the request is incomplete.
         """
         request = self._table.requests.get(id)
         if request is None or request.attempts[attempt].result is not None:
@@ -96,23 +96,25 @@
         return min(request.attempts[attempt].sent_ms + timeout_ms, request.deadline_ms) - now
 
     def check_sent(
-        self, id: str, attempt: int, is_client_known: bool, told_ms: float, client_left_ms: float | None
+        self, id: str, attempt: int, is_client_waiting: bool, timeout_ms: float, client_left_ms: float | None
     ) -> None:
-        """Check an attempt whose head is being written against the rules, by other values than the decision's.
+        """Record the rules that an attempt breaks whose request head is being written.
+
+        It uses other values than the verdict on the same attempt, so that a fault in that verdict is found.
 
         Args:
-            id: The request's id.
+            id: Id of the request.
             attempt: Number of the attempt.
-            is_client_known: Whether its client still waits, by the connection's own state.
-            told_ms: The deadline in the head.
-            client_left_ms: What the client has left, by when its request was read; None where that is unknown.
+            is_client_waiting: True if the client's connection still waits for a response.
+            timeout_ms: Timeout in the request head.
+            client_left_ms: Time left to the client, by when its request was read; None if that is unknown.
         """
         request = self._table.requests.get(id)
-        if request is None or not is_client_known:
+        if request is None or not is_client_waiting:
             self.monitor.violated(Rule.NO_ATTEMPT_FOR_DISCONNECTED_CLIENT, id)
             return
-        if client_left_ms is not None and told_ms > client_left_ms + TOLD_DEADLINE_SLACK_MS:
-            self.monitor.violated(Rule.DEADLINE_TOLD_IN_TIME, id, told_ms - client_left_ms)
+        if client_left_ms is not None and timeout_ms > client_left_ms + SENT_DEADLINE_TOLERANCE_MS:
+            self.monitor.violated(Rule.DEADLINE_TOLD_IN_TIME, id, timeout_ms - client_left_ms)
         if not self._endpoints.accepts_requests(request.attempts[attempt].server):
             self.monitor.violated(Rule.NO_SEND_TO_DRAINING_SERVER, id)
         is_repeat = attempt > 0 and request.may_have_been_executed(before=attempt)
@@ -121,13 +123,13 @@
 
 
 def idle_close_reason(is_idle: bool, idle_s: float, min_idle_s: float, has_unread: bool) -> Reason:
-    """Whether a client's connection may be closed between two requests.
+    """Return the verdict on closing a client's connection between two requests.
 
     Args:
-        is_idle: No request is active, queued or incoming.
-        idle_s: For how long.
-        min_idle_s: For how long it has to be.
-        has_unread: The system has received bytes that were not read yet.
+        is_idle: True if no request is active, queued or being received.
+        idle_s: Time that the connection has been idle.
+        min_idle_s: Time that it has to be idle to be closed.
+        has_unread: True if the operating system has received data that has not been read yet.
     """
     if not is_idle or idle_s < min_idle_s:
         return Reason.CONNECTION_BUSY
@@ -137,13 +139,13 @@
 def adoption_reason(
     server_accepts: bool, is_same_server: bool, idle_s: float, close_after_s: float
 ) -> Reason:
-    """Whether an idle connection to a server may be taken over from another process.
+    """Return the verdict on taking over an idle connection to a server from another process.
 
     Args:
-        server_accepts: Requests may be sent to the server.
-        is_same_server: It has the same address and start as when the connection was opened.
-        idle_s: How long the connection has been idle.
-        close_after_s: How long one may be.
+        server_accepts: True if requests may be sent to the server.
+        is_same_server: True if its address and start time have not changed since the connection was opened.
+        idle_s: Time that the connection has been idle.
+        close_after_s: Idle time after which a connection is closed.
     """
     if not server_accepts:
         return Reason.SERVER_NOT_ACCEPTING
