--- a/rosewheel/node/rule_monitor.py
+++ b/rosewheel/node/rule_monitor.py
@@ -1,7 +1,7 @@
-"""What a node may do, may not do and did all the same: counted by act and reason, violations by rule.
+"""Counts verdicts on operations, by operation and reason, and rule violations, by rule.
 
-A violation is a fault of this program. It never ends a process: it is counted, logged once for each rule, and shown by
-the admin API.
+A violation is a bug in this program. It does not end the process: it is counted, logged once per rule, and shown by the
+admin API.
 """
 
 from __future__ import annotations
@@ -15,20 +15,20 @@
 
 
 class Act(IntEnum):
-    """What is asked for right before it is done."""
+    """An operation that needs a verdict right before it is carried out. Names are those of the admin API."""
 
     FIRST_ATTEMPT = 0  # start the first attempt of a request
-    RETRY = auto()  # start another one, when no other is in flight
-    HEDGE = auto()  # start another one beside one that is in flight
+    RETRY = auto()  # start another attempt while none is in flight
+    HEDGE = auto()  # start another attempt while one is in flight
     SEND = auto()  # write the first byte of an attempt whose connection had to be opened
-    RESPOND = auto()  # write the one final response of a request
+    RESPOND = auto()  # write the final response of a request
     ACCEPT = auto()  # serve a client's connection
     CLOSE_IDLE = auto()  # close a client's connection that has no request
     ADOPT = auto()  # take over a connection to a server from another process
 
 
 class Reason(IntEnum):
-    """Why an act is allowed or not."""
+    """Why an operation is forbidden, or `ALLOWED`. Names are those of the admin API."""
 
     ALLOWED = 0
     REQUEST_UNKNOWN = auto()
@@ -50,7 +50,7 @@
 
 
 class Rule(Enum):
-    """A rule that a node must not break."""
+    """A rule that a node must not break; the value describes the violation in the log."""
 
     ONE_RESPONSE = "a second final response"
     NO_ATTEMPT_FOR_DISCONNECTED_CLIENT = "an attempt after its client's end"
@@ -61,11 +61,11 @@
 
 @dataclass(slots=True, frozen=True)
 class RuleCounts:
-    """The counts at one moment.
+    """Counts at one time.
 
     Attributes:
-        verdicts: By the names of act and reason; only those that occurred.
-        violations: By the name of the rule; only those that occurred.
+        verdicts: Number of verdicts by operation and reason; only those that occurred.
+        violations: Number of violations by rule; only those that occurred.
     """
 
     verdicts: dict[str, dict[str, int]]
@@ -73,7 +73,11 @@
 
 
 class RuleMonitor:
-    """Counts verdicts and violations of one node process."""
+    """Counts verdicts and violations of one node process.
+
+    Attributes:
+        violations: Number of violations by rule; only those that occurred.
+    """
 
     __slots__ = ("_verdicts", "violations")
 
@@ -82,21 +86,21 @@
         self.violations: dict[Rule, int] = {}
 
     def is_allowed(self, act: Act, reason: Reason) -> bool:
-        """Count a verdict, and return whether the act is allowed."""
+        """Count a verdict, and return True if it allows the operation."""
         self._verdicts[act][reason] += 1
         return reason is Reason.ALLOWED
 
     def count(self, act: Act, reason: Reason) -> int:
-        """How often this verdict was given."""
+        """Return how often this verdict was given."""
         return self._verdicts[act][reason]
 
     def violated(self, rule: Rule, request: str, span_ms: float = 0.0) -> None:
-        """A rule was broken.
+        """Count a violation, and log the first one of its rule.
 
         Args:
-            rule: The rule.
+            rule: The rule that was broken.
             request: Id of the request.
-            span_ms: By how much, where the rule is about a time.
+            span_ms: Time by which a time limit was exceeded; 0 if the rule has none.
         """
         count = self.violations.get(rule, 0)
         self.violations[rule] = count + 1
@@ -110,7 +114,7 @@
             )
 
     def snapshot(self) -> RuleCounts:
-        """The counts at this moment."""
+        """Return a copy of the current counts."""
         verdicts = {act.name.lower(): dict(self._reasons(act)) for act in Act}
         return RuleCounts(
             {act: reasons for act, reasons in verdicts.items() if reasons},
