--- a/rosewheel/node/idle_timeout.py
+++ b/rosewheel/node/idle_timeout.py
@@ -1,42 +1,39 @@
-"""How long connections to servers may stay idle: decided without I/O. Times are seconds of one clock.
+"""Idle timeout of connections to servers. No I/O. Times are seconds of one clock.
 
-Two observations shorten the time: a connection that turned out to be closed when it was reused, and a server that
-rejected the first request on a new connection, which may be a sign of too many connections. Both are relaxed again
-as long as they do not repeat.
+Two observations shorten the configured timeout: a reused connection turns out to be closed, or a server rejects the
+first request on a new connection, possibly because it has too many connections. Each limit is doubled after every
+`RELAX_INTERVAL_S` in which its observation did not repeat.
 """
 
 from __future__ import annotations
 
 import math
 
-CONFIGURED_SHARE = (
-    0.8  # of the time after which servers may close a connection: it is closed here before that
-)
-STALE_SHARE = 0.5  # of the idle time of a stale connection: the next ones are not reused after so long
-MIN_STALE_LIMIT_S = 0.02  # the least that stale connections reduce the limit to
-RELAX_INTERVAL_S = 20.0  # after each such interval without another observation, a limit is doubled
-# Idle connections of many nodes add up at each server. Where a server holds no more connections, idle ones of nodes
-# that hardly need them lock out all others: service fell to a quarter while servers had little to do.
-REFUSAL_SHARE = 0.5  # of the limit remains after a rejected new connection
-REFUSAL_INTERVAL_S = 0.5  # the limit is reduced at most once in this time, because many are rejected together
-MIN_REFUSAL_LIMIT_S = (
-    0.5  # the least that rejections reduce the limit to: a new connection costs its server work
-)
+CONFIGURED_SHARE = 0.8  # share of the servers' idle timeout, so that this side closes connections first
+STALE_SHARE = 0.5  # share of the idle time of a stale connection that becomes the limit
+MIN_STALE_LIMIT_S = 0.02  # lower bound of the limit set by stale connections
+RELAX_INTERVAL_S = 20.0  # time without another observation after which a limit is doubled
+# The idle connections of many nodes add up at each server. Once a server reaches its limit of connections, idle ones of
+# nodes that hardly use them lock out other nodes, although the server has capacity.
+REFUSAL_SHARE = 0.5  # share of the limit that remains after a rejection
+REFUSAL_INTERVAL_S = 0.5  # shortest time between two reductions; many connections are rejected at once
+MIN_REFUSAL_LIMIT_S = 0.5  # lower bound of the limit set by rejections; new connections cost servers work
 
 
 class IdleTimeout:
-    """The idle timeout of one process.
+    """Idle timeout of the connections of one process.
 
     Args:
-        idle_timeout_s: How long servers keep an idle connection open.
-        large_fleet: Whether so many nodes share the servers that their idle connections add up.
+        idle_timeout_s: Time that servers keep an idle connection open.
+        large_fleet: True if many nodes share the servers, so that rejections shorten the timeout.
 
     Attributes:
-        configured_s: The limit by configuration.
-        stale_limit_s: The limit by stale connections; infinite without any.
-        stale_changed_at_s: When that limit was last changed or confirmed.
-        refusal_limit_s: The limit by rejected new connections; infinite without any.
-        refusal_changed_at_s: When that limit was last changed.
+        configured_s: Limit set by the configuration.
+        large_fleet: As the argument.
+        stale_limit_s: Limit set by stale connections; infinite without any.
+        stale_changed_at_s: When `stale_limit_s` was last changed or confirmed.
+        refusal_limit_s: Limit set by rejections on new connections; infinite without any.
+        refusal_changed_at_s: When `refusal_limit_s` was last changed.
     """
 
     def __init__(self, idle_timeout_s: float, large_fleet: bool) -> None:
@@ -48,31 +45,32 @@
         self.refusal_changed_at_s = -math.inf
 
     def configure(self, idle_timeout_s: float, large_fleet: bool) -> None:
-        """Apply another configuration; limits by observation stay where they still apply."""
+        """Apply a new configuration. The limit set by rejections is kept only in a large fleet."""
         self.configured_s, self.large_fleet = idle_timeout_s * CONFIGURED_SHARE, large_fleet
         if not large_fleet:
             self.refusal_limit_s = math.inf
 
     @property
     def close_after_s(self) -> float:
-        """An idle connection is closed after this time."""
+        """Idle time after which a connection is closed."""
         return min(self.configured_s, self.stale_limit_s, self.refusal_limit_s)
 
     @property
     def reusable_for_s(self) -> float:
-        """A connection is not reused after this idle time, even if it has not been closed yet.
+        """Idle time after which a connection is not reused, even if it has not been closed yet.
 
-        Guards requests where servers close connections early: the sweep that closes them would be too late.
+        It prevents requests on connections that a server closed early, between two sweeps that close idle connections.
         """
         return min(self.configured_s, self.stale_limit_s)
 
     def stale_connection_found(self, now: float, idle_s: float) -> bool:
-        """A connection that had been idle for `idle_s` was closed already when a request was sent on it.
+        """Reduce the limit, because a connection that had been idle for `idle_s` was closed when it was reused.
 
-        Guards requests that must not be repeated. The cost is more new connections than needed, until it is relaxed.
+        A request that must not be repeated fails on such a connection. The cost of the shorter limit is that more
+        connections are opened than necessary until it is relaxed.
 
         Returns:
-            Whether the limit became shorter.
+            True if the limit became shorter.
         """
         self.stale_changed_at_s = now
         limit_s = max(MIN_STALE_LIMIT_S, idle_s * STALE_SHARE)
@@ -82,9 +80,10 @@
         return True
 
     def new_connection_refused(self, now: float) -> None:
-        """The first request of a new connection was rejected: its server may hold all the connections that it can.
+        """Reduce the limit, because a server rejected the first request on a new connection.
 
-        An overloaded or draining server does the same; then this costs a few handshakes.
+        The server may have reached its limit of connections. It may also be overloaded or draining; in that case the
+        shorter limit costs a few handshakes.
         """
         if self.large_fleet and now - self.refusal_changed_at_s >= REFUSAL_INTERVAL_S:
             limit_s = min(self.refusal_limit_s, self.configured_s) * REFUSAL_SHARE
@@ -92,13 +91,13 @@
             self.refusal_changed_at_s = now
 
     def relax(self, now: float) -> None:
-        """Double the limits that were not confirmed lately; to be called periodically."""
+        """Double the limits whose observation has not repeated within `RELAX_INTERVAL_S`. Called periodically."""
         if self.stale_limit_s < self.configured_s and now - self.stale_changed_at_s >= RELAX_INTERVAL_S:
             self.stale_limit_s, self.stale_changed_at_s = self.stale_limit_s * 2.0, now
         if self.refusal_limit_s < self.configured_s and now - self.refusal_changed_at_s >= RELAX_INTERVAL_S:
             self.refusal_limit_s, self.refusal_changed_at_s = self.refusal_limit_s * 2.0, now
 
     def restore_stale_limit(self, now: float, stale_limit_s: float) -> None:
-        """Restore the limit that an earlier process had observed; it is relaxed like one of this process."""
+        """Restore the limit set by stale connections of an earlier process, unless the current one is shorter."""
         if stale_limit_s < self.stale_limit_s:
             self.stale_limit_s, self.stale_changed_at_s = max(MIN_STALE_LIMIT_S, stale_limit_s), now
