--- a/tests/node/test_event_orders.py
+++ b/tests/node/test_event_orders.py
@@ -1,4 +1,4 @@
-"""The node under events in any order: responses, resets, timeouts, disconnects, endpoint lists and timers."""
+"""Property tests of the node: random sequences of requests, results, disconnects, endpoint updates and timers."""
 
 from __future__ import annotations
 
@@ -26,9 +26,9 @@
 from rosewheel.policy.settings import DedupScope, Idempotency, ServiceClass
 from tests.support.balancers import IDEMPOTENT, IDEMPOTENT_WITH_KEY, NON_IDEMPOTENT, settings
 
-KINDS = {
-    kind.name: kind
-    for kind in (
+CLASSES = {
+    service_class.name: service_class
+    for service_class in (
         IDEMPOTENT,
         NON_IDEMPOTENT,
         dataclasses.replace(IDEMPOTENT_WITH_KEY, dedup_scope=DedupScope.CELL),
@@ -38,199 +38,213 @@
 STATES = list(ServerState)
 
 STEP = st.one_of(
-    st.tuples(st.just("ask"), st.sampled_from(sorted(KINDS)), st.booleans()),
-    st.tuples(st.just("arrive"), st.integers(0, 5)),
-    st.tuples(st.just("end"), st.integers(0, 9), st.sampled_from(RESULTS)),
-    st.tuples(
-        st.just("again"), st.integers(0, 9), st.sampled_from(RESULTS)
-    ),  # of an attempt that has a result
-    st.tuples(st.just("leave"), st.integers(0, 5)),
-    st.tuples(st.just("list"), st.integers(0, 3), st.sampled_from(STATES), st.booleans()),
+    st.tuples(st.just("receive"), st.sampled_from(sorted(CLASSES)), st.booleans()),
+    st.tuples(st.just("complete"), st.integers(0, 5)),
+    st.tuples(st.just("finish"), st.integers(0, 9), st.sampled_from(RESULTS)),
+    # "finish again" reports a second result of an attempt.
+    st.tuples(st.just("finish again"), st.integers(0, 9), st.sampled_from(RESULTS)),
+    st.tuples(st.just("disconnect"), st.integers(0, 5)),
+    st.tuples(st.just("update endpoint"), st.integers(0, 3), st.sampled_from(STATES), st.booleans()),
     st.tuples(st.just("cordon"), st.integers(0, 3), st.booleans()),
-    st.tuples(st.just("pass"), st.sampled_from([0.0, 1.0, 60.0, 900.0, 1000.0, 2600.0])),
+    st.tuples(st.just("advance"), st.sampled_from([0.0, 1.0, 60.0, 900.0, 1000.0, 2600.0])),
 )
 
 
-class World:
-    """Carries out the node's effects, and checks the rules that can be seen from outside."""
+class NodeHarness:
+    """Applies steps to a node, carries out its effects, and checks them against the rules."""
 
-    def __init__(self, cancel: bool, copies: bool, attempts: int = 3) -> None:
+    def __init__(self, may_cancel: bool, hedging_allowed: bool, max_attempts: int = 3) -> None:
         self.now = 0.0
-        self.log: list[NodeEffect] = []
-        cfg = settings(
-            classes=tuple(KINDS.values()), may_cancel=cancel, warm_up_ms=0.0, max_attempts=attempts
+        self.effects: list[NodeEffect] = []
+        config = settings(
+            classes=tuple(CLASSES.values()),
+            may_cancel=may_cancel,
+            warm_up_ms=0.0,
+            max_attempts=max_attempts,
         )
-        self.node = Node(cfg, Limits(hedging_allowed=copies), seed=3, now=0.0)
+        self.node = Node(config, Limits(hedging_allowed=hedging_allowed), seed=3, now=0.0)
         self.servers = {f"s{at}": Server(f"s{at}", zone="a", cell=at // 2) for at in range(4)}
-        self.kinds: dict[str, str] = {}
-        self.rules: dict[
-            str, tuple[ServiceClass, int, bool]
-        ] = {}  # class, attempts, copies when it was taken
-        self.answers: dict[str, list[int]] = {}
-        self.left: set[str] = set()
-        self.out: dict[tuple[str, int], str] = {}  # attempts in flight
-        self.ended: list[tuple[str, int]] = []
-        self.sent: dict[str, list[tuple[int, str, float]]] = {}
-        self.results: dict[tuple[str, int], AttemptResult] = {}
-        self.halves: list[str] = []
-        self.do(self.node.update_endpoints(0.0, EndpointListForm.SNAPSHOT, tuple(self.servers.values())))
-
-    def do(self, effects: list[NodeEffect]) -> None:
-        self.log += effects
+        self.services: dict[str, str] = {}  # class names by request id
+        # By request id: its class, its limit of attempts, and whether they may be hedged, when it was received.
+        self.rules: dict[str, tuple[ServiceClass, int, bool]] = {}
+        self.responses: dict[str, list[int]] = {}  # status codes by request id
+        self.disconnected: set[str] = set()  # ids of requests whose clients have disconnected
+        self.in_flight: dict[tuple[str, int], str] = {}  # servers by request id and attempt
+        self.finished: list[tuple[str, int]] = []  # request ids and attempts
+        # By request id: number, server and start time of each attempt.
+        self.attempts: dict[str, list[tuple[int, str, float]]] = {}
+        self.results: dict[tuple[str, int], AttemptResult] = {}  # by request id and attempt
+        self.incomplete: list[str] = []  # request ids
+        self.apply(self.node.update_endpoints(0.0, EndpointListForm.SNAPSHOT, tuple(self.servers.values())))
+
+    def apply(self, effects: list[NodeEffect]) -> None:
+        self.effects += effects
         for effect in effects:
             match effect:
                 case StartAttempt():
-                    self.dispatched(effect)
+                    self.start_attempt(effect)
                 case AbortAttempt():
-                    assert self.out.pop((effect.id, effect.attempt), None), "nothing to abort"
-                    self.results[effect.id, effect.attempt] = AttemptResult.TIMEOUT  # it may have run
-                    self.ended.append((effect.id, effect.attempt))
+                    assert self.in_flight.pop((effect.id, effect.attempt), None), (
+                        "aborted an attempt that is not in flight"
+                    )
+                    # The server may have executed an aborted attempt.
+                    self.results[effect.id, effect.attempt] = AttemptResult.TIMEOUT
+                    self.finished.append((effect.id, effect.attempt))
                 case SendResponse():
-                    self.answers[effect.id].append(effect.status)
-                    assert effect.id not in self.left, "a response after the client disconnected"
+                    self.responses[effect.id].append(effect.status)
+                    assert effect.id not in self.disconnected, "a response after the client disconnected"
 
-    def dispatched(self, effect: StartAttempt) -> None:
+    def start_attempt(self, effect: StartAttempt) -> None:
         id = effect.id
-        kind, most, copies = self.rules[id]
-        assert not self.answers[id], "forwarded after its response"
-        assert id not in self.left, "forwarded after its client disconnected"
+        service_class, max_attempts, hedging_allowed = self.rules[id]
+        assert not self.responses[id], "attempt started after the final response"
+        assert id not in self.disconnected, "attempt started after the client disconnected"
         server = self.servers[effect.server]
-        assert server.state is ServerState.UP, "sent to a draining server"
-        assert server.address not in self.node.cordoned, "sent to a cordoned server"
-        earlier = self.sent.setdefault(id, [])
-        still_out = any((id, attempt) in self.out for attempt, _, _ in earlier)
-        assert copies or not still_out, "hedged"
-        ran = [
-            row for row in earlier if (id, row[0]) in self.out or not self.results[id, row[0]].not_executed
+        assert server.state is ServerState.UP, "attempt started at a draining or removed server"
+        assert server.address not in self.node.cordoned, "attempt started at a cordoned server"
+        earlier = self.attempts.setdefault(id, [])
+        has_attempt_in_flight = any((id, attempt) in self.in_flight for attempt, _, _ in earlier)
+        assert hedging_allowed or not has_attempt_in_flight, "hedged attempt where hedging is forbidden"
+        executed = [
+            attempt
+            for attempt in earlier
+            if (id, attempt[0]) in self.in_flight or not self.results[id, attempt[0]].not_executed
         ]
-        if ran and kind.idempotency is Idempotency.NON_IDEMPOTENT:
-            raise AssertionError("non-idempotent work repeated, though it may have run")
-        if ran and kind.idempotency is Idempotency.IDEMPOTENT_WITH_KEY:
-            if kind.dedup_scope is DedupScope.CELL:
-                assert {self.servers[row[1]].cell for row in ran} == {server.cell}, (
-                    "outside its deduplication scope"
+        if executed and service_class.idempotency is Idempotency.NON_IDEMPOTENT:
+            raise AssertionError("non-idempotent request sent again, although it may have been executed")
+        if executed and service_class.idempotency is Idempotency.IDEMPOTENT_WITH_KEY:
+            if service_class.dedup_scope is DedupScope.CELL:
+                assert {self.servers[attempt[1]].cell for attempt in executed} == {server.cell}, (
+                    "request with a key sent again outside its deduplication scope"
                 )
-            assert self.now - ran[0][2] < kind.dedup_window_ms, "after its deduplication window"
+            assert self.now - executed[0][2] < service_class.dedup_window_ms, (
+                "request with a key sent again after its deduplication window"
+            )
         earlier.append((effect.attempt, effect.server, self.now))
-        assert len(earlier) <= most
-        self.out[id, effect.attempt] = effect.server
+        assert len(earlier) <= max_attempts
+        self.in_flight[id, effect.attempt] = effect.server
 
     def step(self, step: tuple[Any, ...]) -> None:
         node, now = self.node, self.now
         match step:
-            case ("ask", service, whole):
-                id = f"r{len(self.kinds)}"
-                self.kinds[id], self.answers[id] = service, []
-                self.rules[id] = self.taken(service)
-                if not whole:
-                    self.halves.append(id)
-                self.do(node.receive_request(now, RequestReceived(id, service, now + 2500.0, complete=whole)))
-            case ("arrive", at) if self.halves:
-                id = self.halves.pop(at % len(self.halves))
-                # An attempt counts once its last byte has come.
-                for number, row in enumerate(self.sent.get(id, [])):
-                    if (id, row[0]) in self.out:
-                        self.sent[id][number] = (*row[:2], now)
-                self.do(node.request_completed(now, id, now + 2500.0))
-            case ("end", at, result) if self.out:
-                key = sorted(self.out)[at % len(self.out)]
-                half = key[0] in self.halves
-                if half and not result.not_executed:
+            case ("receive", service, complete):
+                id = f"r{len(self.services)}"
+                self.services[id], self.responses[id] = service, []
+                self.rules[id] = self.current_rules(service)
+                if not complete:
+                    self.incomplete.append(id)
+                self.apply(
+                    node.receive_request(now, RequestReceived(id, service, now + 2500.0, complete=complete))
+                )
+            case ("complete", at) if self.incomplete:
+                id = self.incomplete.pop(at % len(self.incomplete))
+                # The attempts of an incomplete request start with its last byte.
+                for index, attempt in enumerate(self.attempts.get(id, [])):
+                    if (id, attempt[0]) in self.in_flight:
+                        self.attempts[id][index] = (*attempt[:2], now)
+                self.apply(node.request_completed(now, id, now + 2500.0))
+            case ("finish", at, result) if self.in_flight:
+                key = sorted(self.in_flight)[at % len(self.in_flight)]
+                is_incomplete = key[0] in self.incomplete
+                if is_incomplete and not result.not_executed:
                     result = AttemptResult.CONNECT_FAILED  # no server executes an incomplete request
-                del self.out[key]
+                del self.in_flight[key]
                 self.results[key] = result
-                self.ended.append(key)
-                if half:
+                self.finished.append(key)
+                if is_incomplete:
                     node.request_body_discarded(key[0])
-                self.do(node.attempt_finished(now, *key, result))
-            case ("again", at, result) if self.ended:
-                effects = node.attempt_finished(now, *self.ended[at % len(self.ended)], result)
-                assert not effects, "a finished attempt had effects"
-            case ("leave", at) if self.kinds:
-                id = sorted(self.kinds)[at % len(self.kinds)]
-                if not self.answers[id] and id not in self.left:
-                    self.left.add(id)
-                    self.leave(id)
-            case ("list", at, state, restarted):
+                self.apply(node.attempt_finished(now, *key, result))
+            case ("finish again", at, result) if self.finished:
+                effects = node.attempt_finished(now, *self.finished[at % len(self.finished)], result)
+                assert not effects, "a second result of an attempt had effects"
+            case ("disconnect", at) if self.services:
+                id = sorted(self.services)[at % len(self.services)]
+                if not self.responses[id] and id not in self.disconnected:
+                    self.disconnected.add(id)
+                    self.disconnect(id)
+            case ("update endpoint", at, state, restarted):
                 host = f"s{at}"
-                born = now if restarted else self.servers[host].launched_ms
-                self.servers[host] = dataclasses.replace(self.servers[host], state=state, launched_ms=born)
-                self.do(node.update_endpoints(now, EndpointListForm.DELTA, (self.servers[host],)))
-            case ("cordon", at, out):
-                self.do(node.set_cordon(now, f"s{at}", out))
-            case ("pass", by):
-                self.now += by
-                self.do(node.tick(self.now))
-
-    def taken(self, service: str) -> tuple[ServiceClass, int, bool]:
-        return KINDS[service], self.node.settings.max_attempts, self.node.limits.hedging_allowed
-
-    def leave(self, id: str) -> None:
-        """As the proxy does it: attempts that were not sent completely are withdrawn."""
-        self.do(self.node.client_disconnected(self.now, id))
+                launched_ms = now if restarted else self.servers[host].launched_ms
+                self.servers[host] = dataclasses.replace(
+                    self.servers[host], state=state, launched_ms=launched_ms
+                )
+                self.apply(node.update_endpoints(now, EndpointListForm.DELTA, (self.servers[host],)))
+            case ("cordon", at, cordoned):
+                self.apply(node.set_cordon(now, f"s{at}", cordoned))
+            case ("advance", delta_ms):
+                self.now += delta_ms
+                self.apply(node.tick(self.now))
+
+    def current_rules(self, service: str) -> tuple[ServiceClass, int, bool]:
+        return CLASSES[service], self.node.settings.max_attempts, self.node.limits.hedging_allowed
+
+    def disconnect(self, id: str) -> None:
+        """Disconnect a client, and end its incomplete attempts as the proxy does."""
+        self.apply(self.node.client_disconnected(self.now, id))
         for attempt in self.node.attempts_in_flight(id):
-            if id in self.halves:
-                self.out.pop((id, attempt), None)
+            if id in self.incomplete:
+                self.in_flight.pop((id, attempt), None)
                 self.results[id, attempt] = AttemptResult.CONNECT_FAILED
-                self.do(self.node.attempt_finished(self.now, id, attempt, AttemptResult.CONNECT_FAILED))
+                self.apply(self.node.attempt_finished(self.now, id, attempt, AttemptResult.CONNECT_FAILED))
 
     def finish(self) -> None:
-        """Clients of incomplete requests disconnect, and all deadlines pass."""
-        for id in self.halves:
-            if not self.answers[id] and id not in self.left:
-                self.left.add(id)
-                self.leave(id)
+        """Disconnect clients of incomplete requests, and let all deadlines pass."""
+        for id in self.incomplete:
+            if not self.responses[id] and id not in self.disconnected:
+                self.disconnected.add(id)
+                self.disconnect(id)
         for _ in range(40):
             self.now += 100.0
-            self.do(self.node.tick(self.now))
-        for key in list(self.out):  # those that the settings do not allow to cancel
-            if key in self.out:
-                del self.out[key]
+            self.apply(self.node.tick(self.now))
+        for key in list(self.in_flight):  # attempts that the settings do not allow to cancel
+            if key in self.in_flight:
+                del self.in_flight[key]
                 self.results[key] = AttemptResult.RESET
-                self.do(self.node.attempt_finished(self.now, *key, AttemptResult.RESET))
+                self.apply(self.node.attempt_finished(self.now, *key, AttemptResult.RESET))
 
 
 @given(st.lists(STEP, max_size=60), st.booleans(), st.booleans())
 def test_any_order_leaves_one_response_no_second_execution_and_nothing_in_flight(
-    steps: list[tuple[Any, ...]], cancel: bool, copies: bool
+    steps: list[tuple[Any, ...]], may_cancel: bool, hedging_allowed: bool
 ):
-    world = World(cancel, copies)
+    harness = NodeHarness(may_cancel, hedging_allowed)
     for step in steps:
-        world.step(step)
-    world.finish()
-    for id, answers in world.answers.items():
-        assert len(answers) == (0 if id in world.left else 1), id
-    assert world.node.active_requests == 0
-    assert not world.node.requests
-    assert not world.node.balancer.parts.shared.requests
+        harness.step(step)
+    harness.finish()
+    for id, responses in harness.responses.items():
+        assert len(responses) == (0 if id in harness.disconnected else 1), id
+    assert harness.node.active_requests == 0
+    assert not harness.node.requests
+    assert not harness.node.balancer.parts.shared.requests
     assert all(
-        peer.load == 0.0 and not peer.in_flight
-        for peer in world.node.balancer.parts.shared.pool.servers.values()
+        server.load == 0.0 and not server.in_flight
+        for server in harness.node.balancer.parts.shared.pool.servers.values()
     )
 
 
 @given(st.lists(STEP, min_size=10, max_size=60), st.integers(0, 2**32), st.booleans())
 def test_a_policy_that_decides_at_random_breaks_no_rule_of_the_node(
-    steps: list[tuple[Any, ...]], seed: int, copies: bool
+    steps: list[tuple[Any, ...]], seed: int, hedging_allowed: bool
 ):
-    """Guards clients against a fault in the decisions: one response, nothing forwarded after it, no hedging where
-    it is not allowed, no more attempts than are allowed, and none to a draining server."""
-    world, rng = World(cancel=True, copies=copies, attempts=2), Random(seed)
-    kinds = {
-        name: dataclasses.replace(kind, idempotency=Idempotency.IDEMPOTENT) for name, kind in KINDS.items()
+    """A faulty policy must not cause a second response, an attempt after the response, a forbidden hedge, more attempts
+    than are allowed, or an attempt at a draining server."""
+    harness, rng = NodeHarness(may_cancel=True, hedging_allowed=hedging_allowed, max_attempts=2), Random(seed)
+    classes = {
+        name: dataclasses.replace(service_class, idempotency=Idempotency.IDEMPOTENT)
+        for name, service_class in CLASSES.items()
     }
 
     def random_actions(_now: float, event: Event) -> list[Action]:
         actions: list[Action] = []
         for _ in range(rng.randrange(4) if not isinstance(event, AttemptFinished) else rng.randrange(2)):
-            id = f"r{rng.randrange(len(world.kinds) + 1)}"
-            send = ForwardRequest(id, f"s{rng.randrange(4)}", 0.0)
+            id = f"r{rng.randrange(len(harness.services) + 1)}"
+            forward = ForwardRequest(id, f"s{rng.randrange(4)}", 0.0)
             actions.append(
                 rng.choice(
                     [
-                        send,
-                        send,
-                        send,
+                        forward,
+                        forward,
+                        forward,
                         RejectRequest(id),
                         FailRequest(id),
                         CancelAttempt(id, rng.randrange(2)),
@@ -239,13 +253,14 @@
             )
         return actions
 
-    world.node.balancer.handle = random_actions  # type: ignore[method-assign]
+    harness.node.balancer.handle = random_actions  # type: ignore[method-assign]
     with pytest.MonkeyPatch.context() as patch:
-        patch.setitem(globals(), "KINDS", kinds)  # only the policy knows which work may be repeated
+        # Idempotency is not checked here: the policy decides which requests with a key are sent again.
+        patch.setitem(globals(), "CLASSES", classes)
         for step in steps:
-            world.step(step)
-        world.finish()
-    for id, answers in world.answers.items():
-        assert len(answers) == (0 if id in world.left else 1), id
-    assert world.node.active_requests == 0
-    assert not world.node.requests
+            harness.step(step)
+        harness.finish()
+    for id, responses in harness.responses.items():
+        assert len(responses) == (0 if id in harness.disconnected else 1), id
+    assert harness.node.active_requests == 0
+    assert not harness.node.requests
