--- a/tests/node/test_node.py
+++ b/tests/node/test_node.py
@@ -1,4 +1,4 @@
-"""The node without sockets, on the test's clock: limits, backstops and failures of the policy."""
+"""Tests of the node without sockets: limits, the response backstop, and failures of the policy."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 
 def make_node(script: Script | None = None, limits: Limits | None = None, count: int = 4) -> Node:
-    """A node with an endpoint list; a script, where one is given, replaces the policy."""
+    """Return a node with an endpoint list. A script replaces the policy."""
     node = Node(settings(), limits or Limits(), seed=7, now=0.0)
     node.update_endpoints(0.0, EndpointListForm.CACHED, servers(count))
     if script is not None:
@@ -41,7 +41,7 @@
 
 
 def forwarding(count: int, events: list[Event]) -> Script:
-    """A script that forwards each request `count` times at once, and records its events."""
+    """Return a script that forwards each request `count` times at once, and records all events."""
 
     def script(_now: float, event: Event) -> list[Action]:
         events.append(event)
@@ -53,25 +53,25 @@
 
 
 def test_a_request_without_a_response_fails_after_its_deadline():
-    """Guards the final response where the policy gives none; not a rejection, because the attempt may have run."""
+    """A request that the policy leaves unanswered is not rejected, because its attempt may have been executed."""
     node = make_node(forwarding(1, []))
     assert len(of_type(node.receive_request(0.0, request()), StartAttempt)) == 1
     assert node.tick(999.0) == []
-    assert of_type(node.tick(1000.0), SendResponse) == []  # the policy responds to the timeout
+    assert of_type(node.tick(1000.0), SendResponse) == []  # until the backstop, only the policy responds
     assert node.tick(1015.0) == [SendResponse("r", ResponseStatus.INTERNAL_ERROR)]
     assert not node.requests
     assert node.active_requests == 0
 
 
 def test_a_request_that_was_never_sent_is_rejected_after_its_deadline():
-    """No server executed it, and a rejection lets the client retry."""
+    """No server executed the request, so a rejection lets the client retry."""
     node = make_node(forwarding(0, []))
     node.receive_request(0.0, request())
     assert node.tick(1015.0) == [SendResponse("r", ResponseStatus.REJECTED)]
 
 
 def test_attempts_over_the_limit_are_not_sent():
-    """Guards the limit on attempts: further ones are reported to the policy as NOT_SENT."""
+    """The policy must not exceed the limit of attempts; it is told NOT_SENT for each further one."""
     events: list[Event] = []
     node = make_node(forwarding(5, events))
     started = of_type(node.receive_request(0.0, request(service="read")), StartAttempt)
@@ -84,13 +84,13 @@
 
 
 def test_hedging_only_where_allowed():
-    """Guards the rule that no request has two attempts in flight where the limits forbid it."""
+    """No request may have two attempts in flight if the limits forbid hedging."""
     node = make_node(forwarding(2, []), Limits(hedging_allowed=False))
     assert len(of_type(node.receive_request(0.0, request(service="read")), StartAttempt)) == 1
 
 
 def test_a_non_idempotent_request_that_may_have_been_executed_is_not_sent_again():
-    """Guards unsafe work against a second execution, whatever the policy decides: by a hedge, and by a retry."""
+    """The policy must not cause a second execution, neither by a hedge nor by a retry."""
     events: list[Event] = []
     node = make_node(forwarding(2, events))
     assert len(of_type(node.receive_request(0.0, request(service="post")), StartAttempt)) == 1
@@ -98,7 +98,7 @@
 
     def retry(_now: float, event: Event) -> list[Action]:
         again = isinstance(event, RequestReceived)
-        if isinstance(event, AttemptFinished):  # once: an attempt that is not sent ends at once
+        if isinstance(event, AttemptFinished):  # retries once, because the result NOT_SENT follows at once
             again = event.attempt == 0
         return [ForwardRequest("r", "s1", 500.0)] if again else []
 
@@ -111,7 +111,7 @@
 
 
 def test_an_attempt_to_a_draining_server_is_not_sent():
-    """Guards the drain, whatever the policy decides."""
+    """The policy must not send requests to a draining server."""
     events: list[Event] = []
     node = make_node(forwarding(1, events))
     node.update_endpoints(0.0, EndpointListForm.DELTA, (Server("s0", state=ServerState.DRAINING),))
@@ -122,7 +122,7 @@
 
 
 def test_requests_over_the_limit_never_reach_the_policy():
-    """Guards the limit on open requests; nothing was sent, so a rejection is correct."""
+    """A request over the limit of open requests must be rejected without an attempt."""
     events: list[Event] = []
     node = make_node(forwarding(1, events), Limits(max_open_requests=1))
     node.receive_request(0.0, request("a"))
@@ -131,14 +131,14 @@
 
 
 def test_the_first_response_ends_a_request_and_later_results_are_reported_as_ended():
-    """Guards against a second response; the policy still gets the result of every attempt."""
+    """A client must not receive two responses, but the policy needs the result of every attempt."""
     events: list[Event] = []
     node = make_node(forwarding(2, events))
     node.receive_request(0.0, request(service="read"))
     assert node.attempt_finished(5.0, "r", 1, AttemptResult.OK, None, b"body") == [
         SendResponse("r", ResponseStatus.OK, b"body")
     ]
-    assert node.attempt_finished(6.0, "r", 1, AttemptResult.RESET) == []  # that attempt has a result
+    assert node.attempt_finished(6.0, "r", 1, AttemptResult.RESET) == []  # the attempt already has a result
     assert node.attempt_finished(7.0, "r", 0, AttemptResult.OK, None, b"other") == []
     outcomes = [event for event in events if isinstance(event, AttemptFinished)]
     assert [(event.attempt, event.latency_ms, event.request_ended) for event in outcomes] == [
@@ -149,7 +149,7 @@
 
 
 def test_a_timed_out_attempt_is_aborted_before_the_retry():
-    """Guards against two attempts in flight at once: the connection is closed before the retry is sent."""
+    """A retry must not be sent while the timed-out attempt is still in flight."""
     node = make_node()
     node.receive_request(0.0, request(service="read", deadline_at_ms=2000.0))
     effects = node.tick(981.0)
@@ -158,7 +158,7 @@
 
 
 def test_a_policy_failure_on_a_timer_does_not_stop_periodic_work():
-    """Guards the cursor table: a timer whose event failed is started again."""
+    """A periodic timer must be started again if the policy fails to handle it."""
     node = make_node()
     handle, calls = node.balancer.handle, 0
 
@@ -166,7 +166,7 @@
         nonlocal calls
         calls += 1
         if calls == 1:
-            raise RuntimeError("a fault")
+            raise RuntimeError("policy bug")
         return handle(now, event)
 
     node.balancer.handle = faulty  # type: ignore[method-assign]
@@ -179,12 +179,12 @@
 
 
 def test_timers_of_finished_requests_do_not_accumulate():
-    """Guards memory: timers of a distant deadline are dropped when their request has finished."""
+    """Timers of finished requests must not use memory until their deadlines."""
     node = make_node(forwarding(1, []))
     for at in range(5000):
         node.receive_request(0.0, request(f"r{at}", deadline_at_ms=3_600_000.0))
         node.attempt_finished(1.0, f"r{at}", 0, AttemptResult.OK)
     node.receive_request(2.0, request("open"))
     assert len(node.timers) < 600
-    assert node.tick(1000.0) == [AbortAttempt("open", 0)]  # timers that are needed are kept
+    assert node.tick(1000.0) == [AbortAttempt("open", 0)]  # the timer of the open request is kept
     assert of_type(node.tick(1015.0), SendResponse) == [SendResponse("open", ResponseStatus.INTERNAL_ERROR)]
