--- a/tests/node/test_incomplete_requests.py
+++ b/tests/node/test_incomplete_requests.py
@@ -1,4 +1,4 @@
-"""Incomplete requests and streamed responses: what the policy and the node count, and when."""
+"""Tests of incomplete requests and streamed responses: load, deadlines, retries and latency."""
 
 from __future__ import annotations
 
@@ -22,21 +22,21 @@
 
 
 def forward_incomplete(harness: BalancerHarness, service: str = "post") -> tuple[str, ForwardRequest]:
-    name, acts = harness.receive_request(service, complete=False)
-    return name, forwarded(acts)[0]
+    name, actions = harness.receive_request(service, complete=False)
+    return name, forwarded(actions)[0]
 
 
 def test_an_incomplete_request_is_no_load_on_its_server():
-    """Guards other requests: slow clients would cause their rejection, and backoff from their servers."""
+    """Slow clients must not make a server appear loaded, which would cause other requests to be rejected."""
     harness = BalancerHarness(1)
     name, _ = forward_incomplete(harness)
-    peer = harness.servers["s0"]
+    server = harness.servers["s0"]
     harness.now += 60_000.0
-    assert (peer.load, len(peer.in_flight)) == (0.0, 0)
+    assert (server.load, len(server.in_flight)) == (0.0, 0)
     harness.handle(RequestCompleted(name, harness.now + 2000.0))
-    assert (peer.load, len(peer.in_flight)) == (1.0, 1)
+    assert (server.load, len(server.in_flight)) == (1.0, 1)
     harness.finish_attempt(name, "s0", AttemptResult.OK)
-    assert (peer.load, len(peer.in_flight), len(harness.parts.shared.requests)) == (0.0, 0, 0)
+    assert (server.load, len(server.in_flight), len(harness.parts.shared.requests)) == (0.0, 0, 0)
 
 
 def test_the_deadline_counts_from_the_last_byte():
@@ -46,31 +46,33 @@
     harness.now += 60_000.0
     harness.handle(RequestCompleted(name, harness.now + 2000.0))
     harness.now += 500.0
-    again = forwarded(harness.finish_attempt(name, first.server, AttemptResult.ERROR))[0]
-    assert again.timeout_ms == pytest.approx(480.0), "the rest of the latency objective, from its last byte"
+    retry = forwarded(harness.finish_attempt(name, first.server, AttemptResult.ERROR))[0]
+    assert retry.timeout_ms == pytest.approx(480.0), (
+        "rest of the latency objective, counted from the last byte"
+    )
 
 
 def test_an_incomplete_request_whose_connection_failed_is_retried_elsewhere():
     harness = BalancerHarness(2)
     name, first = forward_incomplete(harness)
     harness.now += 60_000.0
-    again = forwarded(harness.finish_attempt(name, first.server, AttemptResult.CONNECT_FAILED))
-    assert len(again) == 1
-    assert again[0].server != first.server
+    retries = forwarded(harness.finish_attempt(name, first.server, AttemptResult.CONNECT_FAILED))
+    assert len(retries) == 1
+    assert retries[0].server != first.server
     assert action_types(
-        harness.finish_attempt(name, again[0].server, AttemptResult.CONNECT_FAILED, attempt=1)
+        harness.finish_attempt(name, retries[0].server, AttemptResult.CONNECT_FAILED, attempt=1)
     ) == [RejectRequest]
 
 
 def test_a_streamed_response_is_no_load_on_its_server():
     harness = BalancerHarness(1)
     name, _ = harness.receive_request("post")
-    peer = harness.servers["s0"]
-    assert peer.load == 1.0
+    server = harness.servers["s0"]
+    assert server.load == 1.0
     harness.handle(ResponseStarted(name, 0))
-    assert (peer.load, len(peer.in_flight)) == (0.0, 0)
+    assert (server.load, len(server.in_flight)) == (0.0, 0)
     harness.finish_attempt(name, "s0", AttemptResult.OK, latency=50.0)
-    assert (peer.load, len(harness.parts.shared.requests)) == (0.0, 0)
+    assert (server.load, len(harness.parts.shared.requests)) == (0.0, 0)
 
 
 def make_node(**limits: int) -> Node:
@@ -84,7 +86,7 @@
     node.receive_request(1.0, RequestReceived("r", "post", 1001.0, complete=False))
     assert node.tick(50_000.0) == []
     assert node.request_completed(50_000.0, "r", 51_000.0) == []
-    assert node.request_completed(50_000.0, "r", 99_000.0) == [], "reported once"
+    assert node.request_completed(50_000.0, "r", 99_000.0) == [], "the last byte counts once"
     effects = node.tick(51_000.0)
     assert [type(effect) for effect in effects] == [AbortAttempt, SendResponse]
 
@@ -104,7 +106,7 @@
     node = make_node()
     node.receive_request(1.0, RequestReceived("r", "read", 1001.0))
     assert node.response_started(5.0, "r", 0) == []
-    assert node.response_started(5.0, "r", 0) is None, "it starts once"
+    assert node.response_started(5.0, "r", 0) is None, "a response starts once"
     assert not any(isinstance(effect, AbortAttempt | SendResponse) for effect in node.tick(60_000.0))
     effects = node.attempt_finished(60_000.0, "r", 0, AttemptResult.RESET)
     assert [effect.status for effect in effects if isinstance(effect, SendResponse)] == [500]
@@ -121,9 +123,9 @@
     node.response_started(101.0, "r", 0)
     effects = node.attempt_finished(60_000.0, "r", 0, AttemptResult.OK)
     assert [effect.status for effect in effects if isinstance(effect, SendResponse)] == [ResponseStatus.OK]
-    outcome = events[-1]
-    assert isinstance(outcome, AttemptFinished)
-    assert (outcome.latency_ms, outcome.request_ended) == (100.0, True)
+    finished = events[-1]
+    assert isinstance(finished, AttemptFinished)
+    assert (finished.latency_ms, finished.request_ended) == (100.0, True)
 
 
 def test_a_client_that_disconnects_from_a_streamed_response_aborts_its_attempt():
