--- a/tests/node/test_rules.py
+++ b/tests/node/test_rules.py
@@ -1,4 +1,4 @@
-"""Verdicts right before an act, and violations that are seen although the verdict allowed it."""
+"""Tests of the rules: verdicts before an operation, and violations that are detected despite the verdict."""
 
 from __future__ import annotations
 
@@ -14,11 +14,11 @@
 from tests.support.balancers import IDEMPOTENT_WITH_KEY, servers, settings
 
 SERVER = "s0"
-SLACK_MS = 150.0
+TOLERANCE_MS = 150.0
 
 
 def node_with_attempt(service: str, deadline_at_ms: float = 5000.0) -> Node:
-    """A node whose request "r" has its first attempt in flight at the only server."""
+    """Return a node whose request "r" has its first attempt in flight at the only server."""
     node = Node(settings(), Limits(), seed=7, now=0.0)
     node.update_endpoints(0.0, EndpointListForm.CACHED, servers(1))
     node.receive_request(0.0, RequestReceived("r", service, deadline_at_ms))
@@ -36,7 +36,7 @@
         (1.0, True, ServerState.REMOVED, Reason.SERVER_NOT_ACCEPTING),
     ],
 )
-def test_what_has_changed_while_a_connection_came_up_counts(
+def test_changes_while_a_connection_is_opened_affect_the_verdict(
     now: float, is_connected: bool, state: ServerState, reason: Reason
 ):
     node = node_with_attempt("read")
@@ -45,7 +45,7 @@
     assert node.rules.monitor.count(Act.SEND, reason) == 1
 
 
-def test_no_attempt_of_a_request_that_has_ended():
+def test_a_finished_or_unknown_request_may_not_be_sent():
     node = node_with_attempt("read")
     node.client_disconnected(1.0, "r")
     assert not node.rules.may_send(1.0, "r", 0, True)
@@ -53,8 +53,8 @@
     assert node.rules.time_left_ms(1.0, "r", 0) <= 0.0
 
 
-def test_a_repeat_with_a_key_is_not_sent_once_servers_have_forgotten_it():
-    """The policy allows for a connection's time; a connection may come up later than that."""
+def test_a_retry_with_a_key_is_not_sent_after_the_deduplication_window():
+    """The policy expects a connection to open in time, but it may take longer."""
     window_ms = IDEMPOTENT_WITH_KEY.dedup_window_ms
     node = Node(settings(), Limits(), seed=7, now=0.0)
     node.update_endpoints(0.0, EndpointListForm.CACHED, servers(8))
@@ -67,17 +67,17 @@
 
 
 @pytest.mark.parametrize(
-    ("is_known", "left_ms", "state", "rule"),
+    ("is_waiting", "left_ms", "state", "rule"),
     [
         (True, 1000.0, ServerState.UP, None),
-        (True, 1000.0 - SLACK_MS, ServerState.UP, None),
-        (True, 1000.0 - SLACK_MS - 1.0, ServerState.UP, Rule.DEADLINE_TOLD_IN_TIME),
+        (True, 1000.0 - TOLERANCE_MS, ServerState.UP, None),
+        (True, 1000.0 - TOLERANCE_MS - 1.0, ServerState.UP, Rule.DEADLINE_TOLD_IN_TIME),
         (False, 1000.0, ServerState.UP, Rule.NO_ATTEMPT_FOR_DISCONNECTED_CLIENT),
         (True, None, ServerState.DRAINING, Rule.NO_SEND_TO_DRAINING_SERVER),
     ],
 )
 def test_a_broken_rule_is_counted_and_logged_once(
-    is_known: bool,
+    is_waiting: bool,
     left_ms: float | None,
     state: ServerState,
     rule: Rule | None,
@@ -87,14 +87,14 @@
     node.update_endpoints(0.5, EndpointListForm.DELTA, (Server(SERVER, state=state),))
     with caplog.at_level(logging.ERROR, "rosewheel.rules"):
         for _ in range(3):
-            node.rules.check_sent("r", 0, is_known, 1000.0, left_ms)
+            node.rules.check_sent("r", 0, is_waiting, 1000.0, left_ms)
     assert node.rules.monitor.violations == ({} if rule is None else {rule: 3})
     assert len(caplog.records) == (rule is not None)
     expected = {} if rule is None else {rule.name.lower(): 3}
     assert node.statistics_snapshot().rules.violations == expected
 
 
-def test_a_second_execution_is_seen_whatever_allowed_it():
+def test_a_second_execution_is_counted_although_it_was_allowed():
     node = node_with_attempt("post")
     request = node.requests["r"]
     request.attempts.append(request.attempts[0])
@@ -102,7 +102,7 @@
     assert node.rules.monitor.violations == {Rule.NO_SECOND_EXECUTION: 1}
 
 
-def test_counts_name_only_what_occurred():
+def test_a_snapshot_contains_only_verdicts_that_occurred():
     monitor = RuleMonitor()
     assert monitor.is_allowed(Act.ACCEPT, Reason.ALLOWED)
     assert not monitor.is_allowed(Act.ACCEPT, Reason.DESCRIPTORS_EXHAUSTED)
