--- a/tests/node/test_statistics.py
+++ b/tests/node/test_statistics.py
@@ -1,4 +1,4 @@
-"""Statistics of a node: each finished request is counted once, under its class, by its outcome."""
+"""Tests of the statistics: each finished request is counted once, by service class and outcome."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 def test_only_classes_of_the_settings_are_counted():
-    """Guards memory: a client that makes classes up must not make counters."""
+    """Clients must not cause unbounded memory use by naming unknown classes."""
     statistics = Statistics(["read"])
     statistics.count_request("made-up", RequestOutcome.OK)
     statistics.count_request(None, RequestOutcome.SHED)
@@ -49,25 +49,25 @@
 
 
 def test_statistics_match_what_clients_and_servers_saw():
-    """Guards operators against counters that drift from the responses and requests on the sockets."""
+    """Counters must not drift from the responses and requests on the sockets."""
 
     async def main() -> None:
-        free, slow = gated_handler()
-        async with FakeServer(slow).up() as server, node([entry("s", server.port)]) as relay:
-            async with Client(relay) as one, Client(relay) as two:
-                one.send("post")
+        gate, gated = gated_handler()
+        async with FakeServer(gated).up() as server, node([entry("s", server.port)]) as proxy:
+            async with Client(proxy) as first, Client(proxy) as second:
+                first.send("post")
                 await until(lambda: len(server.got) == 1)
-                now = encode_statistics(relay.statistics())
-                assert (now["active"], now["pool_size"], now["pool_ejected"]) == (1, 1, 0)
-                free.set()
-                assert status(await one.answer()) == 200
-                assert status(await two.ask("read")) == 200
-                relay.upstream.set_cordoned("s", True)  # so that nothing can be sent, whatever is decided
-                assert status(await two.ask("post")) == 503
-            now = encode_statistics(relay.statistics())
-            assert now["responses"]["post"] == {"ok": 1, "shed": 1, "errors": 0}
-            assert now["responses"]["read"] == {"ok": 1, "shed": 0, "errors": 0}
-            assert now["responses"]["points"] == {"ok": 0, "shed": 0, "errors": 0}
-            assert (now["tries"], now["active"]) == (2, 0)
+                encoded = encode_statistics(proxy.statistics())
+                assert (encoded["active"], encoded["pool_size"], encoded["pool_ejected"]) == (1, 1, 0)
+                gate.set()
+                assert status(await first.answer()) == 200
+                assert status(await second.ask("read")) == 200
+                proxy.upstream.set_cordoned("s", True)  # no server can be used
+                assert status(await second.ask("post")) == 503
+            encoded = encode_statistics(proxy.statistics())
+            assert encoded["responses"]["post"] == {"ok": 1, "shed": 1, "errors": 0}
+            assert encoded["responses"]["read"] == {"ok": 1, "shed": 0, "errors": 0}
+            assert encoded["responses"]["points"] == {"ok": 0, "shed": 0, "errors": 0}
+            assert (encoded["tries"], encoded["active"]) == (2, 0)
 
     run(main())
