--- a/tests/node/test_idle_timeout.py
+++ b/tests/node/test_idle_timeout.py
@@ -1,4 +1,4 @@
-"""The idle timeout: how stale connections and rejections shorten it, and how it is relaxed."""
+"""Tests of the idle timeout: stale connections and rejections shorten it, and it is relaxed afterwards."""
 
 from __future__ import annotations
 
@@ -17,11 +17,11 @@
     observations: list[tuple[str, float]], large_fleet: bool
 ):
     idle_timeout, now = IdleTimeout(30.0, large_fleet), 0.0
-    for observation, passed in observations:
-        now += passed
+    for observation, elapsed_s in observations:
+        now += elapsed_s
         before = idle_timeout.close_after_s
         if observation == "stale":
-            idle_timeout.stale_connection_found(now, passed)
+            idle_timeout.stale_connection_found(now, elapsed_s)
         elif observation == "refused":
             idle_timeout.new_connection_refused(now)
         else:
@@ -44,7 +44,7 @@
 
 def test_rejections_at_one_moment_count_once_and_do_not_shorten_reuse():
     idle_timeout = IdleTimeout(30.0, large_fleet=True)
-    for at in range(9):
-        idle_timeout.new_connection_refused(at * 0.01)
+    for index in range(9):
+        idle_timeout.new_connection_refused(index * 0.01)
     assert idle_timeout.refusal_limit_s == idle_timeout.configured_s / 2.0
     assert idle_timeout.stale_limit_s > idle_timeout.configured_s
