--- a/tests/discovery/test_watch_backoff.py
+++ b/tests/discovery/test_watch_backoff.py
@@ -1,4 +1,4 @@
-"""How soon a node hears of a change, wherever in its tries to reach discovery that comes back."""
+"""Tests of the time from a recovery of discovery to the update that a node receives, with polled and pushed lists."""
 
 from __future__ import annotations
 
@@ -24,10 +24,11 @@
 from tests.support.sockets import config, entry, node, run, until
 from tests.support.virtual_discovery import VirtualLoop, VirtualNetwork
 
-HEARD_S = 5.5  # from when discovery has a change and can be reached; it counts as told 0.5 s later
+# Longest time from when discovery has a change and can be reached until the node has received it: 6 s less 0.5 s.
+MAX_NOTICE_S = 5.5
 
 KINDS = st.sampled_from(["up", "refuse", "hang", "mute", "head", "half"])
-# Also phases of just the length of a time-out or a wait: the return right behind the beginning of a try.
+# The fixed lengths are those of timeouts and delays, so that discovery recovers right after a watch is started.
 LENGTHS = st.floats(0.01, 9.0) | st.sampled_from([2.0, 2.2, 2.21, 2.8, 4.0])
 PHASES = st.lists(st.tuples(LENGTHS, KINDS), max_size=7)
 
@@ -36,29 +37,29 @@
     return lambda: loop.now * 1000.0
 
 
-def play(
-    asks: bool, seed: int, until_s: float, grace_ms: float = 400.0, **script: object
+def simulate(
+    polls: bool, seed: int, until_s: float, drain_notice_ms: float = 400.0, **script: object
 ) -> tuple[VirtualNetwork, Proxy]:
-    """A node by its discovery up to this time; what it sends and takes is none of this."""
+    """Run a node against a scripted discovery, without clients or servers, up to a virtual time."""
 
     async def main() -> Proxy:
-        told = dataclasses.replace(config([]), seed=seed, settings=settings(poll_discovery=asks))
-        relay = Proxy(dataclasses.replace(told, limits=Limits(drain_notice_ms=grace_ms)))
-        relay.endpoints.list_updated(EndpointListForm.CACHED, [])
-        if not asks:
-            relay.discovery.start()
+        node_config = dataclasses.replace(config([]), seed=seed, settings=settings(poll_discovery=polls))
+        proxy = Proxy(dataclasses.replace(node_config, limits=Limits(drain_notice_ms=drain_notice_ms)))
+        proxy.endpoints.list_updated(EndpointListForm.CACHED, [])
+        if not polls:
+            proxy.discovery.start()
         await asyncio.sleep(until_s)
-        relay.stopped = True
-        relay.discovery.close()
-        relay.upstream.close()
-        return relay
+        proxy.stopped = True
+        proxy.discovery.close()
+        proxy.upstream.close()
+        return proxy
 
     loop = VirtualLoop()
-    net = loop.net = VirtualNetwork(loop, **script)  # type: ignore[arg-type]
-    net.start()
+    network = loop.net = VirtualNetwork(loop, **script)  # type: ignore[arg-type]
+    network.start()
     with mock.patch.object(clock, "now_ms", new=_clock(loop)):
         try:
-            return net, loop.run_until_complete(main())
+            return network, loop.run_until_complete(main())
         finally:
             for task in asyncio.all_tasks(loop):
                 task.cancel()
@@ -66,78 +67,80 @@
             loop.close()
 
 
-@pytest.mark.parametrize("asks", [False, True], ids=["pushed", "asked"])
+@pytest.mark.parametrize("polls", [False, True], ids=["pushed", "polled"])
 @given(
     phases=PHASES,
-    change=st.floats(0.0, 1.0),
-    after=st.floats(0.0, 4.0) | st.just(0.0),
-    cut=st.none() | st.floats(0.0, 30.0),
+    change_share=st.floats(0.0, 1.0),
+    change_delay_s=st.floats(0.0, 4.0) | st.just(0.0),
+    loss_delay_s=st.none() | st.floats(0.0, 30.0),
     on_recovery=st.sampled_from(["served", "silent", "reset"]),
     always_sends_object=st.booleans(),
-    late=st.floats(0.0, 0.15),
+    heartbeat_delay_s=st.floats(0.0, 0.15),
     revisions_restart=st.booleans(),
-    grace=st.sampled_from([50.0, 400.0, 3000.0, 30000.0]),
+    drain_notice_ms=st.sampled_from([50.0, 400.0, 3000.0, 30000.0]),
     seed=st.integers(0, 1 << 30),
 )
 @hypothesis_settings(max_examples=60, deadline=None)
 def test_change_is_known_in_time_once_discovery_is_reachable(
-    asks: bool,
+    polls: bool,
     phases: list[tuple[float, str]],
-    change: float,
-    after: float,
-    cut: float | None,
+    change_share: float,
+    change_delay_s: float,
+    loss_delay_s: float | None,
     on_recovery: str,
     always_sends_object: bool,
-    late: float,
+    heartbeat_delay_s: float,
     revisions_restart: bool,
-    grace: float,
+    drain_notice_ms: float,
     seed: int,
 ):
-    up_s = sum(length for length, _ in phases)
-    change_s = change * up_s + after
-    connections_lost_at_s = None if cut is None else up_s + cut
-    heard_by = max(change_s, up_s) + HEARD_S
+    recovered_at_s = sum(length for length, _ in phases)
+    change_s = change_share * recovered_at_s + change_delay_s
+    connections_lost_at_s = None if loss_delay_s is None else recovered_at_s + loss_delay_s
+    known_by_s = max(change_s, recovered_at_s) + MAX_NOTICE_S
     script = {
         "phases": phases,
         "change_s": change_s,
         "on_recovery": on_recovery,
         "always_sends_object": always_sends_object,
-        "first_heartbeat_delay_s": late,
+        "first_heartbeat_delay_s": heartbeat_delay_s,
     }
-    net, relay = play(
-        asks,
+    network, proxy = simulate(
+        polls,
         seed,
-        heard_by,
-        grace,
+        known_by_s,
+        drain_notice_ms,
         **script,
         connections_lost_at_s=connections_lost_at_s,
         revisions_restart=revisions_restart,
     )
-    assert relay.node.is_known_server("new"), f"tried at {net.connect_times_s}"
+    assert proxy.node.is_known_server("new"), f"connections at {network.connect_times_s}"
 
 
-@pytest.mark.parametrize("asks", [False, True], ids=["pushed", "asked"])
+@pytest.mark.parametrize("polls", [False, True], ids=["pushed", "polled"])
 @pytest.mark.parametrize("kind", ["mute", "hang", "refuse", "head", "half"])
 @pytest.mark.parametrize("seed", range(4))
-def test_silent_watch_is_replaced_in_time_after_a_failed_attempt(asks: bool, kind: str, seed: int):
-    """Seen from when it fell silent: noticed, a call that comes to nothing, and one that is answered."""
-    net, _ = play(
-        asks, seed, 40.0, phases=[(20.5, "up"), (19.5, "mute")], change_s=90.0, always_sends_object=False
+def test_silent_watch_is_replaced_in_time_after_a_failed_attempt(polls: bool, kind: str, seed: int):
+    """A watch falls silent, the first attempt to replace it fails, and the second one succeeds in time."""
+    network, _ = simulate(
+        polls, seed, 40.0, phases=[(20.5, "up"), (19.5, "mute")], change_s=90.0, always_sends_object=False
     )
-    (first, second, *_) = [at for at in net.connect_times_s if at > 20.5]
-    fell_s = 20.0  # its last line
+    (first, second, *_) = [connect_s for connect_s in network.connect_times_s if connect_s > 20.5]
+    last_line_s = 20.0
     phases = [(20.5, "up"), (first - 20.5 - 0.1, "mute"), (0.2, kind)]
-    net, relay = play(asks, seed, fell_s + HEARD_S, phases=phases, change_s=21.0, always_sends_object=False)
-    assert relay.node.is_known_server("new"), f"tried at {net.connect_times_s}"
-    assert second <= fell_s + HEARD_S
+    network, proxy = simulate(
+        polls, seed, last_line_s + MAX_NOTICE_S, phases=phases, change_s=21.0, always_sends_object=False
+    )
+    assert proxy.node.is_known_server("new"), f"connections at {network.connect_times_s}"
+    assert second <= last_line_s + MAX_NOTICE_S
 
 
-@pytest.mark.parametrize("asks", [False, True], ids=["pushed", "asked"])
+@pytest.mark.parametrize("polls", [False, True], ids=["pushed", "polled"])
 @pytest.mark.parametrize("always_sends_object", [False, True])
-def test_working_discovery_is_asked_once(asks: bool, always_sends_object: bool):
-    """Lines that are late by a good part of a second, by a busy machine or network, cost no call."""
-    net, _ = play(
-        asks,
+def test_working_discovery_is_asked_once(polls: bool, always_sends_object: bool):
+    """Heartbeats that a busy machine or network delays must not end a watch."""
+    network, _ = simulate(
+        polls,
         3,
         600.0,
         phases=[],
@@ -146,50 +149,52 @@
         first_heartbeat_delay_s=0.15,
         heartbeat_delay_s=0.7,
     )
-    assert len(net.connect_times_s) == 1
+    assert len(network.connect_times_s) == 1
 
 
 @pytest.mark.parametrize("kind", ["refuse", "hang", "mute"])
 def test_unavailable_service_is_asked_rarely(kind: str):
-    """Where lists are asked for: nodes by the hundred must not keep it down, nor come all at one moment."""
-    at: list[float] = []
+    """Hundreds of polling nodes must not overload a recovering discovery, nor connect at the same time."""
+    last_connects_s: list[float] = []
     for seed in range(20):
-        net, _ = play(True, seed, 600.0, phases=[(600.0, kind)], change_s=900.0)
-        assert 600.0 / 4.0 <= len(net.connect_times_s) <= 600.0 / 2.0
-        at.append(net.connect_times_s[-1])
-    assert len({round(one, 2) for one in at}) > 15
+        network, _ = simulate(True, seed, 600.0, phases=[(600.0, kind)], change_s=900.0)
+        assert 600.0 / 4.0 <= len(network.connect_times_s) <= 600.0 / 2.0
+        last_connects_s.append(network.connect_times_s[-1])
+    assert len({round(connect_s, 2) for connect_s in last_connects_s}) > 15
 
 
 def test_closing_quiet_watches_does_not_count_as_unavailable():
-    """Found: only a list reset the count of failures, so that after some quiet watches the next wait was of 4 s."""
-    phases = [part for _ in range(8) for part in ((9.0, "up"), (0.01, "refuse"))]
-    net, _ = play(
+    """The count of failures must be reset by an empty line too, or the delay grows with each quiet watch."""
+    phases = [phase for _ in range(8) for phase in ((9.0, "up"), (0.01, "refuse"))]
+    network, _ = simulate(
         True, 5, 100.0, phases=phases, change_s=99.0, always_sends_object=False, on_recovery="reset"
     )
-    ends = [sum(length for length, _ in phases[: 2 * turn + 2]) for turn in range(8)]
-    for end in ends:
-        assert min(at for at in net.connect_times_s if at > end - 0.005) - end < 1.1
+    ends_s = [sum(length for length, _ in phases[: 2 * cycle + 2]) for cycle in range(8)]
+    for end_s in ends_s:
+        assert (
+            min(connect_s for connect_s in network.connect_times_s if connect_s > end_s - 0.005) - end_s < 1.1
+        )
 
 
 def test_outage_of_hours_causes_no_error():
-    """Found: the wait was 2.0 to the power of the failures in a row, which is no number after 1024 of them."""
+    """The exponential backoff must not overflow after thousands of failures."""
     harness = BalancerHarness(count=0, poll_discovery=True)
     for _ in range(3000):
-        (wake,) = harness.handle(EndpointListUpdate(EndpointListForm.FAILED), after=2000.0)
-        assert isinstance(wake, StartTimer)
-        assert harness.handle(TimerFired("watch"), after=wake.delay_ms) == [WatchEndpoints()]
+        (timer,) = harness.handle(EndpointListUpdate(EndpointListForm.FAILED), after=2000.0)
+        assert isinstance(timer, StartTimer)
+        assert harness.handle(TimerFired("watch"), after=timer.delay_ms) == [WatchEndpoints()]
 
 
 @given(st.lists(st.floats(0.0, 60.0), min_size=1, max_size=20), st.integers(0, 1 << 30))
-def test_time_between_attempts_is_bounded(lasted: list[float], seed: int):
-    """By the module itself: a call that took long is followed soon, one refused at once after growing waits."""
+def test_time_between_attempts_is_bounded(durations_s: list[float], seed: int):
+    """The policy must poll again soon after a long watch, and within 4 s of the start of a short one."""
     harness = BalancerHarness(count=0, seed=seed, poll_discovery=True)
     harness.handle(EndpointListUpdate(EndpointListForm.CACHED))
-    for took_s in lasted:
-        (wake,) = harness.handle(EndpointListUpdate(EndpointListForm.FAILED), after=took_s * 1000.0)
-        assert isinstance(wake, StartTimer)
-        assert 0.0 < wake.delay_ms <= max(4000.0 - took_s * 1000.0, 200.0)
-        harness.handle(TimerFired("watch"), after=wake.delay_ms)
+    for duration_s in durations_s:
+        (timer,) = harness.handle(EndpointListUpdate(EndpointListForm.FAILED), after=duration_s * 1000.0)
+        assert isinstance(timer, StartTimer)
+        assert 0.0 < timer.delay_ms <= max(4000.0 - duration_s * 1000.0, 200.0)
+        harness.handle(TimerFired("watch"), after=timer.delay_ms)
 
 
 def test_sum_of_timeouts_matches_the_documented_one():
@@ -197,19 +202,19 @@
     longest_s = discovery_polling.LONGEST_INTERVAL_MS / 1000.0
     silence_s, first_line_s = watch_client.SILENCE_TIMEOUT_S, watch_client.FIRST_LINE_TIMEOUT_S
     recheck_s = watch_client.SILENCE_RECHECK_S
-    for wait_s, apart_s in ((shortest_s, longest_s), (0.0, backoff.MAX_DELAY_S)):
-        assert first_line_s >= backoff.MAX_DELAY_S  # so that no backoff follows a watch that was silent
-        assert max(silence_s + wait_s, first_line_s + wait_s, apart_s) + recheck_s < HEARD_S
-        assert silence_s + first_line_s + 2.0 * (wait_s + recheck_s) < HEARD_S
+    for backoff_s, interval_s in ((shortest_s, longest_s), (0.0, backoff.MAX_DELAY_S)):
+        assert first_line_s >= backoff.MAX_DELAY_S, "a silent watch must be followed without a backoff"
+        assert max(silence_s + backoff_s, first_line_s + backoff_s, interval_s) + recheck_s < MAX_NOTICE_S
+        assert silence_s + first_line_s + 2.0 * (backoff_s + recheck_s) < MAX_NOTICE_S
     assert first_line_s > watch_client.CONNECT_TIMEOUT_S
 
 
-# ---------------------------------------------------------------- on loopback
+# ---------------------------------------------------------------- on sockets
 
 
-@pytest.mark.parametrize("asks", [False, True], ids=["pushed", "asked"])
-def test_node_recovers_from_every_kind_of_outage(asks: bool, monkeypatch: pytest.MonkeyPatch):
-    """On sockets, with all times a fortieth: silent, dead, dying within a line, silent within one, and back."""
+@pytest.mark.parametrize("polls", [False, True], ids=["pushed", "polled"])
+def test_node_recovers_from_every_kind_of_outage(polls: bool, monkeypatch: pytest.MonkeyPatch):
+    """Discovery is silent, resets connections, stops within a line, and recovers; timeouts are a fortieth."""
     for name in ("SILENCE_TIMEOUT_S", "CONNECT_TIMEOUT_S", "FIRST_LINE_TIMEOUT_S"):
         monkeypatch.setattr(watch_client, name, getattr(watch_client, name) / 40.0)
     for name in ("FIRST_INTERVAL_MS", "LONGEST_INTERVAL_MS", "SHORTEST_WAIT_MS"):
@@ -217,16 +222,16 @@
 
     async def main() -> None:
         async with restartable_discovery() as discovery:
-            given = {"discovery" if asks else "pushed": discovery}
-            async with node([entry("old", 9)], **given) as relay:  # type: ignore[arg-type]
-                for manners in ("mute", "dies", "half", "mute"):
-                    await discovery.begin(manners)
+            arguments = {"discovery" if polls else "pushed": discovery}
+            async with node([entry("old", 9)], **arguments) as proxy:  # type: ignore[arg-type]
+                for behaviour in ("mute", "dies", "half", "mute"):
+                    await discovery.begin(behaviour)
                     await until(lambda: discovery.asked >= 3)
-                    assert relay.node.is_known_server("old")
+                    assert proxy.node.is_known_server("old")
                     discovery.end()
-                    await until(lambda: not relay.discovery.is_open)
+                    await until(lambda: not proxy.discovery.is_open)
                 await discovery.begin("served")
-                await until(lambda: relay.node.is_known_server("new"))
-                assert not relay.node.is_known_server("old")
+                await until(lambda: proxy.node.is_known_server("new"))
+                assert not proxy.node.is_known_server("old")
 
     run(main())
