--- a/tests/discovery/test_start_times.py
+++ b/tests/discovery/test_start_times.py
@@ -1,4 +1,4 @@
-"""Starts of servers, told by wall clocks that may be stepped, on the monotonic clock of a node."""
+"""Tests of start times: converted correctly although the wall clock of any machine may be stepped."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class Clocks:
-    """The wall clock of this machine, and that of the servers' machine."""
+    """Wall clocks of the node's machine and of the servers' machine."""
 
     def __init__(self, monkeypatch: pytest.MonkeyPatch) -> None:
         self._true_time = time.time
@@ -24,96 +24,98 @@
         monkeypatch.setattr(time, "time", lambda: self._true_time() + self.node_step_s)
 
     def step(self, machine: str, step_s: float) -> None:
-        """Step a clock: of the node, of the server, or of both."""
+        """Step the clock of a machine: `node`, `server` or `both`."""
         if machine in ("node", "both"):
             self.node_step_s += step_s
         if machine in ("server", "both"):
             self.server_step_s += step_s
 
     def born_ms(self, ago_s: float = 0.0) -> float:
-        """What discovery tells of a server that started so long ago."""
+        """Return the `born_ms` that discovery sends for a server that started `ago_s` seconds ago."""
         return (self._true_time() + self.server_step_s - ago_s) * 1000.0
 
 
-class Listener:
-    """Receives updates of an endpoint list."""
+class EndpointListHarness:
+    """An endpoint list that records the start times it passes on."""
 
     def __init__(self) -> None:
         self.launched_ms: dict[str, float | None] = {}
-        self.endpoint_list = EndpointList(self._updated)
+        self.endpoint_list = EndpointList(self._record)
 
-    def _updated(self, form: EndpointListForm, endpoints: list[Endpoint]) -> None:
+    def _record(self, form: EndpointListForm, endpoints: list[Endpoint]) -> None:
         self.launched_ms |= {server.address: server.launched_ms for server, _ in endpoints}
 
-    def tell(self, *rows: dict[str, Any], whole: bool = False) -> tuple[float, float]:
-        """Apply an update; the monotonic clock before and after."""
+    def apply(self, *rows: dict[str, Any], is_snapshot: bool = False) -> tuple[float, float]:
+        """Apply an update; return the time on the monotonic clock before and after, in milliseconds."""
         before_ms = time.monotonic() * 1000.0
-        self.endpoint_list.apply(whole, list(rows))
+        self.endpoint_list.apply(is_snapshot, list(rows))
         return before_ms, time.monotonic() * 1000.0
 
 
 @pytest.mark.parametrize("machine", ["node", "server", "both"])
 @pytest.mark.parametrize("step_s", STEPS_S)
-def test_a_start_that_was_notified_counts_from_then_whatever_the_clocks_say(
+def test_a_new_start_counts_from_its_notification_despite_stepped_clocks(
     machine: str, step_s: float, monkeypatch: pytest.MonkeyPatch
 ):
-    clocks, listener = Clocks(monkeypatch), Listener()
-    listener.tell(entry("a", 1), entry("b", 1, born_ms=clocks.born_ms(ago_s=30.0)), whole=True)
+    clocks, harness = Clocks(monkeypatch), EndpointListHarness()
+    harness.apply(entry("a", 1), entry("b", 1, born_ms=clocks.born_ms(ago_s=30.0)), is_snapshot=True)
     clocks.step(machine, step_s)
     for host in ("a", "b", "new"):
         row = entry(host, 1, born_ms=clocks.born_ms())
-        before_ms, after_ms = listener.tell(row)
-        launched_ms = listener.launched_ms[host]
+        before_ms, after_ms = harness.apply(row)
+        launched_ms = harness.launched_ms[host]
         assert launched_ms is not None
-        # A start that is told as a few seconds ahead may be one; it is not believed to be further ahead.
+        # A start time a few seconds in the future is accepted.
         ahead_ms = 5000.0 if step_s == {"node": -5.0, "server": 5.0}.get(machine) else 0.0
         assert before_ms <= launched_ms <= after_ms + ahead_ms
 
 
 @pytest.mark.parametrize("machine", ["node", "server", "both"])
 @pytest.mark.parametrize("step_s", STEPS_S)
-@pytest.mark.parametrize("whole", [True, False])
+@pytest.mark.parametrize("is_snapshot", [True, False])
 @pytest.mark.parametrize("is_removed_between", [True, False])
-def test_a_list_that_is_sent_again_after_a_step_is_no_restart(
-    machine: str, step_s: float, whole: bool, is_removed_between: bool, monkeypatch: pytest.MonkeyPatch
+def test_a_list_sent_again_after_a_step_does_not_look_like_a_restart(
+    machine: str, step_s: float, is_snapshot: bool, is_removed_between: bool, monkeypatch: pytest.MonkeyPatch
 ):
-    clocks, listener = Clocks(monkeypatch), Listener()
+    clocks, harness = Clocks(monkeypatch), EndpointListHarness()
     rows = [entry("a", 1, born_ms=clocks.born_ms(ago_s=2.0)), entry("b", 1, born_ms=clocks.born_ms())]
-    listener.tell(rows[0], whole=True)
-    listener.tell(rows[1])
-    launched_ms = dict(listener.launched_ms)
+    harness.apply(rows[0], is_snapshot=True)
+    harness.apply(rows[1])
+    launched_ms = dict(harness.launched_ms)
     clocks.step(machine, step_s)
     if is_removed_between:
-        listener.tell(entry("c", 1), whole=True)
-    listener.tell(*rows, whole=whole)
-    assert {host: listener.launched_ms[host] for host in launched_ms} == launched_ms
+        harness.apply(entry("c", 1), is_snapshot=True)
+    harness.apply(*rows, is_snapshot=is_snapshot)
+    assert {host: harness.launched_ms[host] for host in launched_ms} == launched_ms
 
 
 @pytest.mark.parametrize("step_s", STEPS_S)
-def test_the_first_list_is_read_by_the_clock_as_it_is_then(step_s: float, monkeypatch: pytest.MonkeyPatch):
-    """Its process was started after a step that all machines share; nothing else is known of these starts."""
-    clocks, listener = Clocks(monkeypatch), Listener()
+def test_start_times_of_the_first_list_are_converted_with_the_current_clock(
+    step_s: float, monkeypatch: pytest.MonkeyPatch
+):
+    """A step of all machines' clocks before this process started must not change the start times."""
+    clocks, harness = Clocks(monkeypatch), EndpointListHarness()
     clocks.step("both", step_s)
-    before_ms, after_ms = listener.tell(entry("a", 1, born_ms=clocks.born_ms(ago_s=2.0)), whole=True)
-    launched_ms = listener.launched_ms["a"]
+    before_ms, after_ms = harness.apply(entry("a", 1, born_ms=clocks.born_ms(ago_s=2.0)), is_snapshot=True)
+    launched_ms = harness.launched_ms["a"]
     assert launched_ms is not None
     assert before_ms - 3000.0 < launched_ms < after_ms - 1000.0
 
 
-def test_a_first_list_from_the_future_counts_from_now(monkeypatch: pytest.MonkeyPatch):
-    """The clock of this machine was stepped back before the process started."""
-    clocks, listener = Clocks(monkeypatch), Listener()
+def test_far_future_start_times_in_the_first_list_count_from_now(monkeypatch: pytest.MonkeyPatch):
+    """A step back of this machine's clock before the process started must not delay the warm-up of servers."""
+    clocks, harness = Clocks(monkeypatch), EndpointListHarness()
     clocks.step("node", -HOUR_S)
-    before_ms, after_ms = listener.tell(entry("a", 1, born_ms=clocks.born_ms(ago_s=2.0)), whole=True)
-    launched_ms = listener.launched_ms["a"]
+    before_ms, after_ms = harness.apply(entry("a", 1, born_ms=clocks.born_ms(ago_s=2.0)), is_snapshot=True)
+    launched_ms = harness.launched_ms["a"]
     assert launched_ms is not None
     assert before_ms <= launched_ms <= after_ms
 
 
-def test_a_start_that_is_still_to_come_is_waited_for(monkeypatch: pytest.MonkeyPatch):
-    clocks, listener = Clocks(monkeypatch), Listener()
-    listener.tell(entry("a", 1), whole=True)
-    before_ms, after_ms = listener.tell(entry("a", 1, born_ms=clocks.born_ms(ago_s=-4.0)))
-    launched_ms = listener.launched_ms["a"]
+def test_a_start_time_a_few_seconds_in_the_future_is_kept(monkeypatch: pytest.MonkeyPatch):
+    clocks, harness = Clocks(monkeypatch), EndpointListHarness()
+    harness.apply(entry("a", 1), is_snapshot=True)
+    before_ms, after_ms = harness.apply(entry("a", 1, born_ms=clocks.born_ms(ago_s=-4.0)))
+    launched_ms = harness.launched_ms["a"]
     assert launched_ms is not None
     assert before_ms + 3000.0 < launched_ms < after_ms + 5000.0
