--- a/tests/discovery/test_endpoint_list_races.py
+++ b/tests/discovery/test_endpoint_list_races.py
@@ -1,4 +1,4 @@
-"""The list at its rare moments: silence, returns, breaks, lines that are cut or indented, a new process."""
+"""Tests of the endpoint list in rare cases: a new process, silent or failing watches, split and invalid lines."""
 
 from __future__ import annotations
 
@@ -11,8 +11,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from rosewheel.discovery import backoff as rewatch
-from rosewheel.discovery import watch_client
+from rosewheel.discovery import backoff, watch_client
 from rosewheel.discovery.endpoint_list import DiscoveryWatch, Endpoint
 from rosewheel.discovery.watch_client import WatchPhase
 from rosewheel.node.limits import Limits
@@ -40,34 +39,36 @@
 
 
 @contextlib.asynccontextmanager
-async def pushed(agent: ScriptedDiscovery, known: list[dict[str, object]]) -> AsyncIterator[Proxy]:
-    """A node whose lists are pushed; its start is left to the test."""
-    told = dataclasses.replace(config(known), discovery_address=("127.0.0.1", agent.port))
-    relay = Proxy(dataclasses.replace(told, settings=settings(poll_discovery=False)))
+async def node_with_pushed_lists(
+    discovery: ScriptedDiscovery, known: list[dict[str, object]]
+) -> AsyncIterator[Proxy]:
+    """Create a node to which lists are pushed, without starting it."""
+    node_config = dataclasses.replace(config(known), discovery_address=("127.0.0.1", discovery.port))
+    proxy = Proxy(dataclasses.replace(node_config, settings=settings(poll_discovery=False)))
     try:
-        yield relay
+        yield proxy
     finally:
-        relay.stopped = True
-        relay.discovery.close()
-        relay.upstream.close()
-        relay.server.close()
+        proxy.stopped = True
+        proxy.discovery.close()
+        proxy.upstream.close()
+        proxy.server.close()
 
 
 def test_new_process_accepts_clients_only_after_the_first_update(monkeypatch: pytest.MonkeyPatch):
-    """What the agent has counts as told from the first moment: by an old list it would send to who drains."""
+    """A new process must not send requests to servers that have started to drain since its list was stored."""
     monkeypatch.setattr(endpoints_module, "PUSHED_LIST_WAIT_S", 60.0)
 
     async def main() -> None:
-        async with ScriptedDiscovery().up() as agent, FakeServer().up() as server:
-            async with pushed(agent, [entry("s", server.port)]) as relay:
-                starting = asyncio.ensure_future(relay.start())
-                await until(lambda: len(agent.asked) == 1)
-                assert not relay.server.listening
-                gone = b'{"seq":9,"whole":false,"hosts":[{"host":"s","dial":"127.0.0.1:9","health":"leaving"}]}\n'
-                agent.writers[0].write(STREAM_HEAD + encode_chunk(gone))
-                await starting
-                assert relay.server.listening
-                assert not relay.node.can_serve
+        async with ScriptedDiscovery().up() as discovery, FakeServer().up() as server:
+            async with node_with_pushed_lists(discovery, [entry("s", server.port)]) as proxy:
+                start = asyncio.ensure_future(proxy.start())
+                await until(lambda: len(discovery.asked) == 1)
+                assert not proxy.server.listening
+                draining = b'{"seq":9,"whole":false,"hosts":[{"host":"s","dial":"127.0.0.1:9","health":"leaving"}]}\n'
+                discovery.writers[0].write(STREAM_HEAD + encode_chunk(draining))
+                await start
+                assert proxy.server.listening
+                assert not proxy.node.can_serve
 
     run(main())
 
@@ -76,171 +77,178 @@
     monkeypatch.setattr(endpoints_module, "PUSHED_LIST_WAIT_S", 0.0)
 
     async def main() -> None:
-        async with ScriptedDiscovery().up() as agent, FakeServer().up() as server:
-            async with pushed(agent, [entry("s", server.port)]) as relay:
-                await relay.start()
-                assert relay.server.listening
-                assert relay.node.can_serve
+        async with ScriptedDiscovery().up() as discovery, FakeServer().up() as server:
+            async with node_with_pushed_lists(discovery, [entry("s", server.port)]) as proxy:
+                await proxy.start()
+                assert proxy.server.listening
+                assert proxy.node.can_serve
 
     run(main())
 
 
 @pytest.mark.parametrize(
-    "said",
+    "sent",
     [
-        pytest.param(b"", id="at open"),
-        pytest.param(STREAM_HEAD, id="after its head"),
-        pytest.param(STREAM_HEAD + encode_chunk(EMPTY[:9]), id="mid-line"),
-        pytest.param(STREAM_HEAD + encode_chunk(EMPTY) + encode_chunk(b"\n") * 5, id="after many lines"),
+        pytest.param(b"", id="before the head"),
+        pytest.param(STREAM_HEAD, id="after the head"),
+        pytest.param(STREAM_HEAD + encode_chunk(EMPTY[:9]), id="within a line"),
+        pytest.param(STREAM_HEAD + encode_chunk(EMPTY) + encode_chunk(b"\n") * 5, id="after several lines"),
     ],
 )
-def test_silent_watch_is_reopened_at_once(monkeypatch: pytest.MonkeyPatch, said: bytes):
-    """What discovery has at its return counts as told at once: no wait may lie between one watch and the next.
-    Seen: a wait of up to a second, in which a return went unheard for 0.45 s of the 0.4 that a drain allows."""
+def test_silent_watch_is_reopened_at_once(monkeypatch: pytest.MonkeyPatch, sent: bytes):
+    """A delay before the next watch would miss changes for longer than the drain notice allows."""
     monkeypatch.setattr(watch_client, "FIRST_LINE_TIMEOUT_S", 0.05)
     monkeypatch.setattr(watch_client, "SILENCE_TIMEOUT_S", 0.05)
-    waits: list[float] = []
+    delays_s: list[float] = []
 
     async def main() -> None:
-        async with ScriptedDiscovery(scripts=dict.fromkeys(range(1, 9), said)).up() as agent:
-            async with pushed(agent, []) as relay:
-                later = relay.loop.call_later
+        async with ScriptedDiscovery(scripts=dict.fromkeys(range(1, 9), sent)).up() as discovery:
+            async with node_with_pushed_lists(discovery, []) as proxy:
+                call_later = proxy.loop.call_later
 
-                def noted(wait: float, call: object, *args: object) -> object:
-                    if call == relay.endpoints.reopen_watch:
-                        waits.append(wait)
-                    return later(wait, call, *args)  # type: ignore[arg-type]
+                def record_delay(delay_s: float, callback: object, *args: object) -> object:
+                    if callback == proxy.endpoints.reopen_watch:
+                        delays_s.append(delay_s)
+                    return call_later(delay_s, callback, *args)  # type: ignore[arg-type]
 
                 monkeypatch.setattr(endpoints_module, "PUSHED_LIST_WAIT_S", 0.0)
-                relay.loop = PatchedLoop(relay.loop, call_later=noted)  # type: ignore[assignment]
-                relay.config = _grace(relay.config, 1.0)  # by which one of 50 ms has lasted long
-                await relay.start()
-                await until(lambda: len(agent.asked) >= 4)
-                assert agent.ended >= 3
+                proxy.loop = PatchedLoop(proxy.loop, call_later=record_delay)  # type: ignore[assignment]
+                proxy.config = _with_drain_notice(proxy.config, 1.0)  # short, so that 50 ms outlast any delay
+                await proxy.start()
+                await until(lambda: len(discovery.asked) >= 4)
+                assert discovery.ended >= 3
 
     run(main())
-    assert max(waits) == 0.0
+    assert max(delays_s) == 0.0
 
 
 def test_backoff_between_failing_watches_fits_the_drain_notice():
-    """Of several in a row; the time in which one was open counts as waited."""
+    """The delays must be short enough to learn of a drain in time; the duration of a watch is subtracted."""
 
     async def main() -> None:
-        async with ScriptedDiscovery().up() as agent, pushed(agent, []) as relay:
-            waits: list[float] = []
-            relay.loop = PatchedLoop(relay.loop, call_later=lambda wait, *_: waits.append(wait))  # type: ignore[assignment]
-            for grace_ms in (50.0, 400.0, 3000.0):
-                relay.config = _grace(relay.config, grace_ms)
-                relay.endpoints.backoff.failed_watches = 0
-                waits.clear()
+        async with ScriptedDiscovery().up() as discovery, node_with_pushed_lists(discovery, []) as proxy:
+            delays_s: list[float] = []
+            proxy.loop = PatchedLoop(proxy.loop, call_later=lambda delay_s, *_: delays_s.append(delay_s))  # type: ignore[assignment]
+            for notice_ms in (50.0, 400.0, 3000.0):
+                proxy.config = _with_drain_notice(proxy.config, notice_ms)
+                proxy.endpoints.backoff.failed_watches = 0
+                delays_s.clear()
                 for _ in range(12):
-                    relay.discovery.started_s = relay.loop.time()
-                    relay.endpoints.list_updated(EndpointListForm.FAILED, [])
-                assert 0.0 < waits[0] <= max(rewatch.MIN_DELAY_S, grace_ms / 1000.0 / 8)
-                assert max(waits) <= max(rewatch.MIN_DELAY_S, grace_ms / 1000.0 / 3)
-                relay.discovery.started_s = relay.loop.time() - 3.0
-                relay.endpoints.list_updated(EndpointListForm.FAILED, [])
-                assert waits[-1] == 0.0
+                    proxy.discovery.started_s = proxy.loop.time()
+                    proxy.endpoints.list_updated(EndpointListForm.FAILED, [])
+                assert 0.0 < delays_s[0] <= max(backoff.MIN_DELAY_S, notice_ms / 1000.0 / 8)
+                assert max(delays_s) <= max(backoff.MIN_DELAY_S, notice_ms / 1000.0 / 3)
+                proxy.discovery.started_s = proxy.loop.time() - 3.0
+                proxy.endpoints.list_updated(EndpointListForm.FAILED, [])
+                assert delays_s[-1] == 0.0
 
     run(main())
 
 
 def test_timeouts_of_a_silent_watch_fit_six_seconds():
-    """Of a watch that falls silent, and of the next one that is silent too: noticed, opened, and heard."""
-    assert watch_client.SILENCE_TIMEOUT_S > 2.5  # an empty line comes every 2 s, and may be late
-    assert (
-        watch_client.SILENCE_TIMEOUT_S + watch_client.FIRST_LINE_TIMEOUT_S < 5.5
-    )  # where lists are asked for, the module's waits come to these: test_rewatch
+    """A change must be known within 6 s even if two watches in a row are silent.
 
+    For polled lists, whose backoff adds to these timeouts, see `test_watch_backoff.py`.
+    """
+    assert watch_client.SILENCE_TIMEOUT_S > 2.5, "an empty line is sent every 2 s and may be delayed"
+    assert watch_client.SILENCE_TIMEOUT_S + watch_client.FIRST_LINE_TIMEOUT_S < 5.5
 
-def _grace(config: object, grace_ms: float) -> object:
-    return dataclasses.replace(config, limits=Limits(drain_notice_ms=grace_ms))  # type: ignore[type-var]
 
+def _with_drain_notice(config: object, notice_ms: float) -> object:
+    return dataclasses.replace(config, limits=Limits(drain_notice_ms=notice_ms))  # type: ignore[type-var]
 
-# ------------------------------------------------------------------- what comes
 
+# ------------------------------------------------------------------- received data
 
-def heard_of(
+
+def watch_pieces(
     pieces: list[bytes], since: int = 5
 ) -> tuple[list[tuple[EndpointListForm, list[Endpoint]]], list[str]]:
-    """What a watch makes of these pieces, and of the requests that it took: the second one is left silent."""
-    heard: list[tuple[EndpointListForm, list[Endpoint]]] = []
-    asked: list[str] = []
+    """Send the pieces to a watch until its first update or failure; a watch after a failure receives nothing.
+
+    Returns:
+        The updates and failures, and the request lines of all watches.
+    """
+    updates: list[tuple[EndpointListForm, list[Endpoint]]] = []
+    requests: list[str] = []
 
     async def main() -> None:
         script = STREAM_HEAD + b"".join(encode_chunk(piece) for piece in pieces)
-        async with ScriptedDiscovery(scripts={1: script}).up() as agent:
+        async with ScriptedDiscovery(scripts={1: script}).up() as discovery:
             done = asyncio.Event()
 
-            def took(form: EndpointListForm, entries: list[Endpoint]) -> None:
-                heard.append((form, entries))
-                if form is EndpointListForm.FAILED or entries:
+            def record(form: EndpointListForm, endpoints: list[Endpoint]) -> None:
+                updates.append((form, endpoints))
+                if form is EndpointListForm.FAILED or endpoints:
                     done.set()
 
-            discovery = DiscoveryWatch(("127.0.0.1", agent.port), since, took)
-            discovery.start()
+            watch = DiscoveryWatch(("127.0.0.1", discovery.port), since, record)
+            watch.start()
             await done.wait()
-            if heard[-1][0] is EndpointListForm.FAILED:
-                discovery.start()
-                await until(lambda: len(agent.asked) == 2)
-            discovery.close()
-            asked.extend(agent.asked)
+            if updates[-1][0] is EndpointListForm.FAILED:
+                watch.start()
+                await until(lambda: len(discovery.asked) == 2)
+            watch.close()
+            requests.extend(discovery.asked)
 
     run(main())
-    return heard, asked
+    return updates, requests
 
 
 @pytest.mark.parametrize("text", [ONE, b"   " + ONE, INDENTED, INDENTED.replace(b"\n", b"\r\n")])
 @pytest.mark.parametrize("at", [0, 1, 30])
 def test_list_is_parsed_however_it_is_indented_and_split(text: bytes, at: int):
-    """Guards every drain: a list over several lines was taken for a bad one, and asked for anew for ever."""
-    heard, _ = heard_of([b"\n", text[:at] or b"\n", text[at:] + b"\n"])
-    assert [form for form, _ in heard] == [EndpointListForm.SNAPSHOT]
-    assert [server.address[0] for server, _ in heard[0][1]] == ["s"]
+    """A list over several lines must not count as invalid, or it would be requested again and again."""
+    updates, _ = watch_pieces([b"\n", text[:at] or b"\n", text[at:] + b"\n"])
+    assert [form for form, _ in updates] == [EndpointListForm.SNAPSHOT]
+    assert [server.address[0] for server, _ in updates[0][1]] == ["s"]
 
 
 @pytest.mark.parametrize(
     "pieces",
     [
-        pytest.param([ONE[:40] + b"\n", ONE + b"\n"], id="cut, then a whole one"),
-        pytest.param([INDENTED[:60] + b"\n", b"\n"], id="cut, then the line of a quiet watch"),
-        pytest.param([b"noise\n"], id="noise"),
-        pytest.param([b"[1]\n"], id="another kind of value"),
-        pytest.param([b'{"seq":7,"hosts":null}\n'], id="no list"),
-        pytest.param([b'{"seq":1e999,"hosts":[]}\n'], id="no count"),
-        pytest.param([b'{"seq":3,"whole":false,"hosts":[]}\n'], id="changes from before"),
+        pytest.param([ONE[:40] + b"\n", ONE + b"\n"], id="cut off, then a complete line"),
+        pytest.param([INDENTED[:60] + b"\n", b"\n"], id="cut off, then an empty line"),
+        pytest.param([b"noise\n"], id="not JSON"),
+        pytest.param([b"[1]\n"], id="not an object"),
+        pytest.param([b'{"seq":7,"hosts":null}\n'], id="hosts is not a list"),
+        pytest.param([b'{"seq":1e999,"hosts":[]}\n'], id="invalid revision"),
+        pytest.param([b'{"seq":3,"whole":false,"hosts":[]}\n'], id="changes of an earlier revision"),
     ],
 )
 def test_invalid_line_ends_the_watch_and_the_next_continues_from_the_last_valid_one(pieces: list[bytes]):
-    heard, asked = heard_of(pieces)
-    assert [form for form, _ in heard] == [EndpointListForm.FAILED]
+    updates, requests = watch_pieces(pieces)
+    assert [form for form, _ in updates] == [EndpointListForm.FAILED]
     since = 0 if b'"seq":3' in pieces[0] else 5
-    assert asked[1].startswith(f"GET /catalog/members?follow=1&since={since} ")
+    assert requests[1].startswith(f"GET /catalog/members?follow=1&since={since} ")
 
 
 @given(st.binary(max_size=80), st.binary(max_size=80))
 def test_no_line_raises_an_exception(first: bytes, second: bytes):
-    """Guards the node: an exception here would end the watch without a word, and no other would follow."""
+    """An exception would end the watch without a call of its failure callback, and no other would be opened."""
 
-    class Watch:
+    class FakeConnection:
         def __init__(self) -> None:
             self.phase = WatchPhase.OPENING
             self.partial_lines: list[bytes] = []
 
         def close(self) -> None: ...
 
-    ends: list[EndpointListForm] = []
-    discovery = DiscoveryWatch(("127.0.0.1", 1), 5, lambda form, _: ends.append(form))
-    discovery._connection = connection = Watch()  # type: ignore[assignment]
+    forms: list[EndpointListForm] = []
+    watch = DiscoveryWatch(("127.0.0.1", 1), 5, lambda form, _: forms.append(form))
+    watch._connection = connection = FakeConnection()  # type: ignore[assignment]
     for text in (first, second, b"{" + first, b'{"seq":7,"hosts":[' + second):
-        discovery.line_received(connection, text)  # type: ignore[arg-type]
-    assert ends.count(EndpointListForm.FAILED) <= 1
+        watch.line_received(connection, text)  # type: ignore[arg-type]
+    assert forms.count(EndpointListForm.FAILED) <= 1
 
 
 def test_other_status_codes_end_the_watch():
     async def main() -> None:
-        async with ScriptedDiscovery(scripts={1: answer(503, b"")}).up() as agent, pushed(agent, []) as relay:
-            relay.discovery.start()
-            await until(lambda: len(agent.asked) == 2)
+        async with (
+            ScriptedDiscovery(scripts={1: answer(503, b"")}).up() as discovery,
+            node_with_pushed_lists(discovery, []) as proxy,
+        ):
+            proxy.discovery.start()
+            await until(lambda: len(discovery.asked) == 2)
 
     run(main())
