--- a/tests/discovery/test_long_lists.py
+++ b/tests/discovery/test_long_lists.py
@@ -1,4 +1,4 @@
-"""Long lists of servers: taken a slice at a time, and with the same end as taken whole."""
+"""Tests of long endpoint lists: handled in batches, with the same result as at once."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 from rosewheel.proxy.proxy import Proxy
 from tests.support.sockets import config, entry, run
 
-START_TIMES = ServerStartTimes()  # of servers that started long ago
+START_TIMES = ServerStartTimes()
 
 ROWS = st.lists(
     st.builds(
@@ -29,69 +29,69 @@
     max_size=12,
     unique_by=lambda row: row["host"],
 )
-TOLD = st.lists(st.tuples(st.booleans(), ROWS), max_size=6)
+UPDATES = st.lists(st.tuples(st.booleans(), ROWS), max_size=6)
 
 
-def _applied(into: dict[str, Any], form: EndpointListForm, entries: list[Endpoint]) -> None:
-    """What whoever hears of lists makes of one."""
+def _apply(known: dict[str, Any], form: EndpointListForm, endpoints: list[Endpoint]) -> None:
+    """Apply an update to the endpoints known so far."""
     if form is EndpointListForm.SNAPSHOT:
-        into.clear()
-    for server, dial in entries:
+        known.clear()
+    for server, address in endpoints:
         if server.state is ServerState.REMOVED:
-            into.pop(server.address, None)
+            known.pop(server.address, None)
         else:
-            into[server.address] = (server, dial)
+            known[server.address] = (server, address)
 
 
-@given(TOLD, ROWS)
+@given(UPDATES, ROWS)
 @hypothesis_settings(suppress_health_check=[HealthCheck.function_scoped_fixture], deadline=None)
 def test_updates_in_parts_equal_whole_lists(
-    told: list[tuple[bool, list[dict[str, Any]]]], known: list[dict[str, Any]]
+    updates: list[tuple[bool, list[dict[str, Any]]]], initial: list[dict[str, Any]]
 ):
-    """Whatever comes in whichever order, also while an earlier list is not done yet."""
-    whole: dict[str, Any] = {}
-    sliced: dict[str, Any] = {}
-    most = [0]
-    for into in (whole, sliced):
-        _applied(into, EndpointListForm.SNAPSHOT, parse_endpoints(known, START_TIMES))
+    """Updates may follow one another in any order, and before an earlier one has been handled."""
+    at_once: dict[str, Any] = {}
+    in_batches: dict[str, Any] = {}
+    longest = [0]
+    for known in (at_once, in_batches):
+        _apply(known, EndpointListForm.SNAPSHOT, parse_endpoints(initial, START_TIMES))
 
-    def heard(form: EndpointListForm, entries: list[Endpoint]) -> None:
-        most[0] = max(most[0], len(entries))
-        _applied(sliced, form, entries)
+    def record(form: EndpointListForm, endpoints: list[Endpoint]) -> None:
+        longest[0] = max(longest[0], len(endpoints))
+        _apply(in_batches, form, endpoints)
 
     async def main() -> None:
-        lists = EndpointList(heard, [row["host"] for row in known if row["health"] != "left"])
-        for is_whole, rows in told:
-            lists.apply(is_whole, rows)
-            _applied(
-                whole,
-                EndpointListForm.SNAPSHOT if is_whole else EndpointListForm.DELTA,
+        servers = EndpointList(record, [row["host"] for row in initial if row["health"] != "left"])
+        for is_snapshot, rows in updates:
+            servers.apply(is_snapshot, rows)
+            _apply(
+                at_once,
+                EndpointListForm.SNAPSHOT if is_snapshot else EndpointListForm.DELTA,
                 parse_endpoints(rows, START_TIMES),
             )
-        while lists._next_turn is not None:
+        while servers._next_turn is not None:
             await asyncio.sleep(0)
 
-    kept, endpoint_list.MAX_ENTRIES_PER_TURN = endpoint_list.MAX_ENTRIES_PER_TURN, 3
+    original, endpoint_list.MAX_ENTRIES_PER_TURN = endpoint_list.MAX_ENTRIES_PER_TURN, 3
     try:
         run(main())
     finally:
-        endpoint_list.MAX_ENTRIES_PER_TURN = kept
-    assert sliced == whole
-    assert most[0] <= 3
+        endpoint_list.MAX_ENTRIES_PER_TURN = original
+    assert in_batches == at_once
+    assert longest[0] <= 3
 
 
 def test_unchanged_long_list_is_not_passed_on():
     async def main() -> None:
-        heard: list[int] = []
-        lists = EndpointList(lambda form, entries: heard.append(len(entries)))
+        sizes: list[int] = []
+        servers = EndpointList(lambda form, endpoints: sizes.append(len(endpoints)))
         rows = [entry(f"s{at}", 9000) for at in range(2 * endpoint_list.MAX_ENTRIES_PER_TURN)]
-        for again in range(3):
-            rows[again] = entry(f"s{again}", 9001)
-            lists.apply(True, rows)
-            while lists._next_turn is not None:
+        for changed in range(3):
+            rows[changed] = entry(f"s{changed}", 9001)
+            servers.apply(True, rows)
+            while servers._next_turn is not None:
                 await asyncio.sleep(0)
-        assert heard[:2] == [endpoint_list.MAX_ENTRIES_PER_TURN] * 2
-        assert sum(heard[2:]) == 2
+        assert sizes[:2] == [endpoint_list.MAX_ENTRIES_PER_TURN] * 2
+        assert sum(sizes[2:]) == 2
 
     run(main())
 
@@ -99,21 +99,21 @@
 @pytest.mark.parametrize("count", [3, 2000])
 def test_node_follows_lists_of_any_length(count: int):
     async def main() -> None:
-        relay = Proxy(config([entry("old", 9000)]))
-        relay.discovery.start = lambda: None  # type: ignore[method-assign]
-        relay.endpoints.list_updated(
-            EndpointListForm.CACHED, parse_endpoints(relay.config.initial_endpoints.entries, START_TIMES)
+        proxy = Proxy(config([entry("old", 9000)]))
+        proxy.discovery.start = lambda: None  # type: ignore[method-assign]
+        proxy.endpoints.list_updated(
+            EndpointListForm.CACHED, parse_endpoints(proxy.config.initial_endpoints.entries, START_TIMES)
         )
-        assert "old" in relay.node.servers
+        assert "old" in proxy.node.servers
         rows = [entry(f"s{at}", 9000) for at in range(count)]
         for part in (rows, rows[1:], rows[1:2]):
-            relay.discovery.endpoint_list.apply(True, part)
-            while relay.discovery.endpoint_list._next_turn is not None:
+            proxy.discovery.endpoint_list.apply(True, part)
+            while proxy.discovery.endpoint_list._next_turn is not None:
                 await asyncio.sleep(0)
-            wanted = {row["host"] for row in part}
-            assert set(relay.node.servers) == wanted, "what a whole list does not name is gone"
-            assert set(relay.upstream.endpoints) == wanted
-            assert set(relay.node.balancer.parts.shared.pool.servers) == wanted
-        relay.discovery.endpoint_list.close()
+            expected = {row["host"] for row in part}
+            assert set(proxy.node.servers) == expected, "a server that the snapshot lacks must be removed"
+            assert set(proxy.upstream.endpoints) == expected
+            assert set(proxy.node.balancer.parts.shared.pool.servers) == expected
+        proxy.discovery.endpoint_list.close()
 
     run(main())
