--- a/rosewheel/node/rule_monitor.py
+++ b/rosewheel/node/rule_monitor.py
@@ -94,7 +94,7 @@
         """Return how often this verdict was given."""
         return self._verdicts[act][reason]
 
-    def violated(self, rule: Rule, request: str, span_ms: float = 0.0) -> None:
+    def record_violation(self, rule: Rule, request: str, span_ms: float = 0.0) -> None:
         """Count a violation, and log the first one of its rule.
 
         Args:
--- a/rosewheel/node/rules.py
+++ b/rosewheel/node/rules.py
@@ -111,15 +111,15 @@
         """
         request = self._table.requests.get(id)
         if request is None or not is_client_waiting:
-            self.monitor.violated(Rule.NO_ATTEMPT_FOR_DISCONNECTED_CLIENT, id)
+            self.monitor.record_violation(Rule.NO_ATTEMPT_FOR_DISCONNECTED_CLIENT, id)
             return
         if client_left_ms is not None and timeout_ms > client_left_ms + SENT_DEADLINE_TOLERANCE_MS:
-            self.monitor.violated(Rule.DEADLINE_TOLD_IN_TIME, id, timeout_ms - client_left_ms)
+            self.monitor.record_violation(Rule.DEADLINE_TOLD_IN_TIME, id, timeout_ms - client_left_ms)
         if not self._endpoints.accepts_requests(request.attempts[attempt].server):
-            self.monitor.violated(Rule.NO_SEND_TO_DRAINING_SERVER, id)
+            self.monitor.record_violation(Rule.NO_SEND_TO_DRAINING_SERVER, id)
         is_repeat = attempt > 0 and request.may_have_been_executed(before=attempt)
         if is_repeat and request.idempotency is Idempotency.NON_IDEMPOTENT:
-            self.monitor.violated(Rule.NO_SECOND_EXECUTION, id)
+            self.monitor.record_violation(Rule.NO_SECOND_EXECUTION, id)
 
 
 def idle_close_reason(is_idle: bool, idle_s: float, min_idle_s: float, has_unread: bool) -> Reason:
--- a/rosewheel/proxy/effects.py
+++ b/rosewheel/proxy/effects.py
@@ -104,7 +104,7 @@
         if not monitor.is_allowed(Act.RESPOND, reason) or request is None:
             return
         if request.has_final_response:
-            monitor.violated(Rule.ONE_RESPONSE, effect.id)
+            monitor.record_violation(Rule.ONE_RESPONSE, effect.id)
             return
         request.has_final_response = True
         connection = request.connection
