--- a/rosewheel/node/rules.py
+++ b/rosewheel/node/rules.py
@@ -95,7 +95,7 @@
             return timeout_ms
         return min(request.attempts[attempt].sent_ms + timeout_ms, request.deadline_ms) - now
 
-    def check_sent(
+    def record_send_violations(
         self, id: str, attempt: int, is_client_waiting: bool, timeout_ms: float, client_left_ms: float | None
     ) -> None:
         """Record the rules that an attempt breaks whose request head is being written.
--- a/rosewheel/proxy/effects.py
+++ b/rosewheel/proxy/effects.py
@@ -82,7 +82,7 @@
         def encode_head() -> bytes:
             told_ms = rules.time_left_ms(clock.now_ms(), id, attempt)
             is_client_known = self._parts.calls.get(id) is request
-            rules.check_sent(id, attempt, is_client_known, told_ms, self._client_left_ms(request))
+            rules.record_send_violations(id, attempt, is_client_known, told_ms, self._client_left_ms(request))
             return request.upstream_head(told_ms, length)
 
         def is_wanted() -> bool:
--- a/tests/node/test_rules.py
+++ b/tests/node/test_rules.py
@@ -87,7 +87,7 @@
     node.update_endpoints(0.5, EndpointListForm.DELTA, (Server(SERVER, state=state),))
     with caplog.at_level(logging.ERROR, "rosewheel.rules"):
         for _ in range(3):
-            node.rules.check_sent("r", 0, is_waiting, 1000.0, left_ms)
+            node.rules.record_send_violations("r", 0, is_waiting, 1000.0, left_ms)
     assert node.rules.monitor.violations == ({} if rule is None else {rule: 3})
     assert len(caplog.records) == (rule is not None)
     expected = {} if rule is None else {rule.name.lower(): 3}
@@ -98,7 +98,7 @@
     node = node_with_attempt("post")
     request = node.requests["r"]
     request.attempts.append(request.attempts[0])
-    node.rules.check_sent("r", 1, True, 1.0, None)
+    node.rules.record_send_violations("r", 1, True, 1.0, None)
     assert node.rules.monitor.violations == {Rule.NO_SECOND_EXECUTION: 1}
 
 
