--- a/rosewheel/http/upstream_pool.py
+++ b/rosewheel/http/upstream_pool.py
@@ -274,7 +274,7 @@
 
     def record_rejection(self) -> None:
         """The first request on a new connection was rejected."""
-        self.idle_timeout.new_connection_refused(self.loop.time())
+        self.idle_timeout.new_connection_rejected(self.loop.time())
 
     def record_invalid_response(self, reason: str) -> None:
         """Count an invalid response for the log."""
--- a/rosewheel/lab/simulation/node.py
+++ b/rosewheel/lab/simulation/node.py
@@ -208,7 +208,7 @@
             return
         connection.attempt = None
         if result is AttemptResult.OVERLOADED and connection.use_count == 1:
-            self.pools.idle_timeout.new_connection_refused(self.queue.now / 1000.0)
+            self.pools.idle_timeout.new_connection_rejected(self.queue.now / 1000.0)
         self.pools.release(connection, keep_open)
         self._finish(attempt, result, report)
 
--- a/rosewheel/node/idle_timeout.py
+++ b/rosewheel/node/idle_timeout.py
@@ -15,9 +15,9 @@
 RELAX_INTERVAL_S = 20.0  # time without another observation after which a limit is doubled
 # The idle connections of many nodes add up at each server. Once a server reaches its limit of connections, idle ones of
 # nodes that hardly use them lock out other nodes, although the server has capacity.
-REFUSAL_SHARE = 0.5  # share of the limit that remains after a rejection
-REFUSAL_INTERVAL_S = 0.5  # shortest time between two reductions; many connections are rejected at once
-MIN_REFUSAL_LIMIT_S = 0.5  # lower bound of the limit set by rejections; new connections cost servers work
+REJECTION_SHARE = 0.5  # share of the limit that remains after a rejection
+REJECTION_INTERVAL_S = 0.5  # shortest time between two reductions; many connections are rejected at once
+MIN_REJECTION_LIMIT_S = 0.5  # lower bound of the limit set by rejections; new connections cost servers work
 
 
 class IdleTimeout:
@@ -32,8 +32,8 @@
         large_fleet: As the argument.
         stale_limit_s: Limit set by stale connections; infinite without any.
         stale_changed_at_s: When `stale_limit_s` was last changed or confirmed.
-        refusal_limit_s: Limit set by rejections on new connections; infinite without any.
-        refusal_changed_at_s: When `refusal_limit_s` was last changed.
+        rejection_limit_s: Limit set by rejections on new connections; infinite without any.
+        rejection_changed_at_s: When `rejection_limit_s` was last changed.
     """
 
     def __init__(self, idle_timeout_s: float, large_fleet: bool) -> None:
@@ -41,19 +41,19 @@
         self.large_fleet = large_fleet
         self.stale_limit_s = math.inf
         self.stale_changed_at_s = 0.0
-        self.refusal_limit_s = math.inf
-        self.refusal_changed_at_s = -math.inf
+        self.rejection_limit_s = math.inf
+        self.rejection_changed_at_s = -math.inf
 
     def configure(self, idle_timeout_s: float, large_fleet: bool) -> None:
         """Apply a new configuration. The limit set by rejections is kept only in a large fleet."""
         self.configured_s, self.large_fleet = idle_timeout_s * CONFIGURED_SHARE, large_fleet
         if not large_fleet:
-            self.refusal_limit_s = math.inf
+            self.rejection_limit_s = math.inf
 
     @property
     def close_after_s(self) -> float:
         """Idle time after which a connection is closed."""
-        return min(self.configured_s, self.stale_limit_s, self.refusal_limit_s)
+        return min(self.configured_s, self.stale_limit_s, self.rejection_limit_s)
 
     @property
     def reusable_for_s(self) -> float:
@@ -79,23 +79,26 @@
         self.stale_limit_s = limit_s
         return True
 
-    def new_connection_refused(self, now: float) -> None:
+    def new_connection_rejected(self, now: float) -> None:
         """Reduce the limit, because a server rejected the first request on a new connection.
 
         The server may have reached its limit of connections. It may also be overloaded or draining; in that case the
         shorter limit costs a few handshakes.
         """
-        if self.large_fleet and now - self.refusal_changed_at_s >= REFUSAL_INTERVAL_S:
-            limit_s = min(self.refusal_limit_s, self.configured_s) * REFUSAL_SHARE
-            self.refusal_limit_s = max(MIN_REFUSAL_LIMIT_S, limit_s)
-            self.refusal_changed_at_s = now
+        if self.large_fleet and now - self.rejection_changed_at_s >= REJECTION_INTERVAL_S:
+            limit_s = min(self.rejection_limit_s, self.configured_s) * REJECTION_SHARE
+            self.rejection_limit_s = max(MIN_REJECTION_LIMIT_S, limit_s)
+            self.rejection_changed_at_s = now
 
     def relax(self, now: float) -> None:
         """Double the limits whose observation has not repeated within `RELAX_INTERVAL_S`. Called periodically."""
         if self.stale_limit_s < self.configured_s and now - self.stale_changed_at_s >= RELAX_INTERVAL_S:
             self.stale_limit_s, self.stale_changed_at_s = self.stale_limit_s * 2.0, now
-        if self.refusal_limit_s < self.configured_s and now - self.refusal_changed_at_s >= RELAX_INTERVAL_S:
-            self.refusal_limit_s, self.refusal_changed_at_s = self.refusal_limit_s * 2.0, now
+        if (
+            self.rejection_limit_s < self.configured_s
+            and now - self.rejection_changed_at_s >= RELAX_INTERVAL_S
+        ):
+            self.rejection_limit_s, self.rejection_changed_at_s = self.rejection_limit_s * 2.0, now
 
     def restore_stale_limit(self, now: float, stale_limit_s: float) -> None:
         """Restore the limit set by stale connections of an earlier process, unless the current one is shorter."""
--- a/tests/http/test_connection_reuse.py
+++ b/tests/http/test_connection_reuse.py
@@ -82,7 +82,7 @@
 def test_reuse_limit_never_exceeds_the_configured_timeout():
     rest = IdleTimeout(0.5, large_fleet=True)
     assert rest.reusable_for_s == rest.configured_s < 0.5
-    rest.new_connection_refused(1.0)
+    rest.new_connection_rejected(1.0)
     assert (
         rest.reusable_for_s == rest.configured_s
     )  # what is given back to others may still be used until then
--- a/tests/http/test_idle_connections.py
+++ b/tests/http/test_idle_connections.py
@@ -45,8 +45,8 @@
     monkeypatch: pytest.MonkeyPatch, siblings: int, gives_back: bool
 ):
     """Guards the other nodes: what each of many keeps for later shuts them out of a server that has nothing to do."""
-    monkeypatch.setattr("rosewheel.node.idle_timeout.REFUSAL_SHARE", 0.0)
-    monkeypatch.setattr("rosewheel.node.idle_timeout.MIN_REFUSAL_LIMIT_S", 0.0)
+    monkeypatch.setattr("rosewheel.node.idle_timeout.REJECTION_SHARE", 0.0)
+    monkeypatch.setattr("rosewheel.node.idle_timeout.MIN_REJECTION_LIMIT_S", 0.0)
 
     async def main() -> None:
         gate = asyncio.Event()
--- a/tests/lab/test_simulation.py
+++ b/tests/lab/test_simulation.py
@@ -290,7 +290,7 @@
     """Servers accept fewer connections than all nodes keep idle; the same run without the remedy is worse."""
     one = plan.make(scenario.load("fleet-crowd", {"seconds": 13}))
     now = simulate(one)["service"]
-    monkeypatch.setattr(IdleTimeout, "new_connection_refused", lambda *_: None)
+    monkeypatch.setattr(IdleTimeout, "new_connection_rejected", lambda *_: None)
     assert now > simulate(one)["service"] + 0.2
 
 
--- a/tests/node/test_idle_timeout.py
+++ b/tests/node/test_idle_timeout.py
@@ -5,10 +5,15 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from rosewheel.node.idle_timeout import MIN_REFUSAL_LIMIT_S, MIN_STALE_LIMIT_S, RELAX_INTERVAL_S, IdleTimeout
+from rosewheel.node.idle_timeout import (
+    MIN_REJECTION_LIMIT_S,
+    MIN_STALE_LIMIT_S,
+    RELAX_INTERVAL_S,
+    IdleTimeout,
+)
 
 OBSERVATIONS = st.lists(
-    st.tuples(st.sampled_from(["stale", "refused", "relax"]), st.floats(0.0, 30.0)), max_size=60
+    st.tuples(st.sampled_from(["stale", "rejected", "relax"]), st.floats(0.0, 30.0)), max_size=60
 )
 
 
@@ -22,12 +27,12 @@
         before = idle_timeout.close_after_s
         if observation == "stale":
             idle_timeout.stale_connection_found(now, elapsed_s)
-        elif observation == "refused":
-            idle_timeout.new_connection_refused(now)
+        elif observation == "rejected":
+            idle_timeout.new_connection_rejected(now)
         else:
             idle_timeout.relax(now)
         assert (
-            min(MIN_STALE_LIMIT_S, MIN_REFUSAL_LIMIT_S)
+            min(MIN_STALE_LIMIT_S, MIN_REJECTION_LIMIT_S)
             <= idle_timeout.close_after_s
             <= idle_timeout.configured_s
         )
@@ -45,6 +50,6 @@
 def test_rejections_at_one_moment_count_once_and_do_not_shorten_reuse():
     idle_timeout = IdleTimeout(30.0, large_fleet=True)
     for index in range(9):
-        idle_timeout.new_connection_refused(index * 0.01)
-    assert idle_timeout.refusal_limit_s == idle_timeout.configured_s / 2.0
+        idle_timeout.new_connection_rejected(index * 0.01)
+    assert idle_timeout.rejection_limit_s == idle_timeout.configured_s / 2.0
     assert idle_timeout.stale_limit_s > idle_timeout.configured_s
--- a/tests/proxy/test_reconfiguration.py
+++ b/tests/proxy/test_reconfiguration.py
@@ -157,7 +157,7 @@
 def test_other_bounds_reach_all_that_keeps_to_them():
     async def main() -> None:
         async with node([]) as relay:
-            relay.upstream.idle_timeout.refusal_limit_s = 3.0
+            relay.upstream.idle_timeout.rejection_limit_s = 3.0
             bounds = Limits(
                 idle_timeout_ms=500.0, connect_timeout_ms=7.0, max_sockets=200, memory_limit_mb=40.0
             )
@@ -165,13 +165,13 @@
             assert (relay.upstream.bounds, relay.node.limits) == (bounds, bounds)
             assert relay.upstream.idle_timeout.reusable_for_s == pytest.approx(0.4)
             assert relay.upstream.idle_timeout.large_fleet
-            assert relay.upstream.idle_timeout.refusal_limit_s == 3.0
+            assert relay.upstream.idle_timeout.rejection_limit_s == 3.0
             assert relay.budget.limit_bytes == 6 << 20
             assert relay.resources.max_descriptors < 200
             assert relay.server.max_connections < relay.resources.max_descriptors
             relay.configure(other(relay, balancer_count=1), bounds)
             assert not relay.upstream.idle_timeout.large_fleet
-            assert relay.upstream.idle_timeout.refusal_limit_s == math.inf
+            assert relay.upstream.idle_timeout.rejection_limit_s == math.inf
 
     run(main())
 
