--- a/rosewheel/http/downstream_connection.py
+++ b/rosewheel/http/downstream_connection.py
@@ -15,7 +15,7 @@
 from rosewheel.http.request import DownstreamRequest, origin_form
 from rosewheel.http.request_reader import RequestPhase
 from rosewheel.http.response_sender import ResponseOwner
-from rosewheel.node.rule_monitor import Act, RuleMonitor
+from rosewheel.node.rule_monitor import CheckedOperation, RuleMonitor
 from rosewheel.node.rules import idle_close_reason
 
 log = logging.getLogger("rosewheel.downstream")
@@ -225,7 +225,7 @@
         idle_s, is_idle = self.server.loop.time() - self.last_activity_s, self._is_idle()
         has_unread = is_idle and idle_s >= min_idle_s and self._has_unread_request(transport)
         reason = idle_close_reason(is_idle, idle_s, min_idle_s, has_unread)
-        if not self.server.monitor.is_allowed(Act.CLOSE_IDLE, reason):
+        if not self.server.monitor.is_allowed(CheckedOperation.CLOSE_IDLE, reason):
             return False
         transport.close()
         return True
--- a/rosewheel/http/downstream_server.py
+++ b/rosewheel/http/downstream_server.py
@@ -12,7 +12,7 @@
 from rosewheel.http.errors import BadRequestError
 from rosewheel.http.request import DownstreamRequest
 from rosewheel.listener import BACKLOG
-from rosewheel.node.rule_monitor import Act, Reason, RuleMonitor
+from rosewheel.node.rule_monitor import CheckedOperation, Reason, RuleMonitor
 
 log = logging.getLogger("rosewheel.downstream")
 
@@ -216,7 +216,7 @@
         is_full = len(self.connections) > self.max_connections and not self.close_longest_idle()
         is_full = is_full or not self.descriptor_available()
         reason = Reason.DESCRIPTORS_EXHAUSTED if is_full else Reason.ALLOWED
-        connection.over_limit = not self.monitor.is_allowed(Act.ACCEPT, reason)
+        connection.over_limit = not self.monitor.is_allowed(CheckedOperation.ACCEPT, reason)
         if connection.over_limit:
             self.over_limit_count += 1
             # Guards the process: past its own limit of descriptors the system accepts nothing for it.
--- a/rosewheel/http/upstream_pool.py
+++ b/rosewheel/http/upstream_pool.py
@@ -18,7 +18,7 @@
 from rosewheel.http.upstream_detach import DetachCallback, UpstreamState
 from rosewheel.node.idle_timeout import IdleTimeout
 from rosewheel.node.limits import Limits
-from rosewheel.node.rule_monitor import Act, RuleMonitor
+from rosewheel.node.rule_monitor import CheckedOperation, RuleMonitor
 from rosewheel.node.rules import adoption_reason
 from rosewheel.policy.events import AttemptResult
 
@@ -332,7 +332,7 @@
             offered.idle_s,
             self.idle_timeout.close_after_s,
         )
-        return self.monitor.is_allowed(Act.ADOPT, reason)
+        return self.monitor.is_allowed(CheckedOperation.ADOPT, reason)
 
     async def adopt_idle(self, sock: socket.socket, state: dict[str, Any]) -> None:
         """Continue with an idle connection of another process."""
--- a/rosewheel/node/rule_monitor.py
+++ b/rosewheel/node/rule_monitor.py
@@ -14,7 +14,7 @@
 log = logging.getLogger("rosewheel.rules")
 
 
-class Act(IntEnum):
+class CheckedOperation(IntEnum):
     """An operation that needs a verdict right before it is carried out. Names are those of the admin API."""
 
     FIRST_ATTEMPT = 0  # start the first attempt of a request
@@ -82,17 +82,17 @@
     __slots__ = ("_verdicts", "violations")
 
     def __init__(self) -> None:
-        self._verdicts = [[0] * len(Reason) for _ in Act]
+        self._verdicts = [[0] * len(Reason) for _ in CheckedOperation]
         self.violations: dict[Rule, int] = {}
 
-    def is_allowed(self, act: Act, reason: Reason) -> bool:
+    def is_allowed(self, operation: CheckedOperation, reason: Reason) -> bool:
         """Count a verdict, and return True if it allows the operation."""
-        self._verdicts[act][reason] += 1
+        self._verdicts[operation][reason] += 1
         return reason is Reason.ALLOWED
 
-    def count(self, act: Act, reason: Reason) -> int:
+    def count(self, operation: CheckedOperation, reason: Reason) -> int:
         """Return how often this verdict was given."""
-        return self._verdicts[act][reason]
+        return self._verdicts[operation][reason]
 
     def record_violation(self, rule: Rule, request: str, span_ms: float = 0.0) -> None:
         """Count a violation, and log the first one of its rule.
@@ -115,13 +115,13 @@
 
     def snapshot(self) -> RuleCounts:
         """Return a copy of the current counts."""
-        verdicts = {act.name.lower(): dict(self._reasons(act)) for act in Act}
+        verdicts = {operation.name.lower(): dict(self._reasons(operation)) for operation in CheckedOperation}
         return RuleCounts(
-            {act: reasons for act, reasons in verdicts.items() if reasons},
+            {operation: reasons for operation, reasons in verdicts.items() if reasons},
             {rule.name.lower(): count for rule, count in self.violations.items()},
         )
 
-    def _reasons(self, act: Act) -> Iterator[tuple[str, int]]:
-        for reason, count in zip(Reason, self._verdicts[act], strict=True):
+    def _reasons(self, operation: CheckedOperation) -> Iterator[tuple[str, int]]:
+        for reason, count in zip(Reason, self._verdicts[operation], strict=True):
             if count:
                 yield reason.name.lower(), count
--- a/rosewheel/node/rules.py
+++ b/rosewheel/node/rules.py
@@ -9,7 +9,7 @@
 from rosewheel.node.endpoints import Endpoints
 from rosewheel.node.in_flight import InFlightRequest
 from rosewheel.node.request_table import RequestTable
-from rosewheel.node.rule_monitor import Act, Reason, Rule, RuleMonitor
+from rosewheel.node.rule_monitor import CheckedOperation, Reason, Rule, RuleMonitor
 from rosewheel.policy.settings import Idempotency
 
 SENT_DEADLINE_TOLERANCE_MS = 150.0  # operators' allowance for a process that is stalled
@@ -35,10 +35,10 @@
             server: Address of the server.
             remaining_ms: Time left to the request.
         """
-        act = Act.FIRST_ATTEMPT
+        operation = CheckedOperation.FIRST_ATTEMPT
         if request.attempts:
-            act = Act.HEDGE if request.has_attempt_in_flight() else Act.RETRY
-        return self.monitor.is_allowed(act, self._start_reason(request, server, remaining_ms))
+            operation = CheckedOperation.HEDGE if request.has_attempt_in_flight() else CheckedOperation.RETRY
+        return self.monitor.is_allowed(operation, self._start_reason(request, server, remaining_ms))
 
     def _start_reason(self, request: InFlightRequest, server: str, remaining_ms: float) -> Reason:
         if request.finished:
@@ -62,7 +62,7 @@
     def may_send(self, now: float, id: str, attempt: int, is_client_connected: bool) -> bool:
         """Return True if an attempt may be sent on a connection that had to be opened, and count the verdict."""
         reason = self._send_reason(now, id, attempt, is_client_connected)
-        return self.monitor.is_allowed(Act.SEND, reason)
+        return self.monitor.is_allowed(CheckedOperation.SEND, reason)
 
     def _send_reason(self, now: float, id: str, attempt: int, is_client_connected: bool) -> Reason:
         request = self._table.requests.get(id)
--- a/rosewheel/proxy/effects.py
+++ b/rosewheel/proxy/effects.py
@@ -17,7 +17,7 @@
     StartAttempt,
     StartHealthCheck,
 )
-from rosewheel.node.rule_monitor import Act, Reason, Rule
+from rosewheel.node.rule_monitor import CheckedOperation, Reason, Rule
 from rosewheel.policy.events import AttemptResult
 from rosewheel.proxy import clock
 from rosewheel.proxy.parts import ProxyParts
@@ -101,7 +101,7 @@
     def _send_response(self, effect: SendResponse) -> None:
         request, monitor = self._parts.calls.pop(effect.id, None), self._parts.node.rules.monitor
         reason = Reason.CLIENT_DISCONNECTED if request is None else Reason.ALLOWED
-        if not monitor.is_allowed(Act.RESPOND, reason) or request is None:
+        if not monitor.is_allowed(CheckedOperation.RESPOND, reason) or request is None:
             return
         if request.has_final_response:
             monitor.record_violation(Rule.ONE_RESPONSE, effect.id)
--- a/tests/node/test_node.py
+++ b/tests/node/test_node.py
@@ -7,7 +7,7 @@
 from rosewheel.node.core import Node
 from rosewheel.node.effects import AbortAttempt, NodeEffect, ResponseStatus, SendResponse, StartAttempt
 from rosewheel.node.limits import Limits
-from rosewheel.node.rule_monitor import Act, Reason
+from rosewheel.node.rule_monitor import CheckedOperation, Reason
 from rosewheel.policy.actions import Action, ForwardRequest
 from rosewheel.policy.events import (
     AttemptFinished,
@@ -94,7 +94,7 @@
     events: list[Event] = []
     node = make_node(forwarding(2, events))
     assert len(of_type(node.receive_request(0.0, request(service="post")), StartAttempt)) == 1
-    assert node.rules.monitor.count(Act.HEDGE, Reason.MAY_HAVE_BEEN_EXECUTED) == 1
+    assert node.rules.monitor.count(CheckedOperation.HEDGE, Reason.MAY_HAVE_BEEN_EXECUTED) == 1
 
     def retry(_now: float, event: Event) -> list[Action]:
         again = isinstance(event, RequestReceived)
--- a/tests/node/test_rules.py
+++ b/tests/node/test_rules.py
@@ -8,7 +8,7 @@
 
 from rosewheel.node.core import Node
 from rosewheel.node.limits import Limits
-from rosewheel.node.rule_monitor import Act, Reason, Rule, RuleMonitor
+from rosewheel.node.rule_monitor import CheckedOperation, Reason, Rule, RuleMonitor
 from rosewheel.node.rules import adoption_reason, idle_close_reason
 from rosewheel.policy.events import AttemptResult, EndpointListForm, RequestReceived, Server, ServerState
 from tests.support.balancers import IDEMPOTENT_WITH_KEY, servers, settings
@@ -42,7 +42,7 @@
     node = node_with_attempt("read")
     node.update_endpoints(0.5, EndpointListForm.DELTA, (Server(SERVER, state=state),))
     assert node.rules.may_send(now, "r", 0, is_connected) is (reason is Reason.ALLOWED)
-    assert node.rules.monitor.count(Act.SEND, reason) == 1
+    assert node.rules.monitor.count(CheckedOperation.SEND, reason) == 1
 
 
 def test_a_finished_or_unknown_request_may_not_be_sent():
@@ -63,7 +63,7 @@
     assert node.attempts_in_flight("r") == [1]
     assert node.rules.may_send(window_ms - 1.0, "r", 1, True)
     assert not node.rules.may_send(window_ms, "r", 1, True)
-    assert node.rules.monitor.count(Act.SEND, Reason.DEDUP_WINDOW_OVER) == 1
+    assert node.rules.monitor.count(CheckedOperation.SEND, Reason.DEDUP_WINDOW_OVER) == 1
 
 
 @pytest.mark.parametrize(
@@ -104,8 +104,8 @@
 
 def test_a_snapshot_contains_only_verdicts_that_occurred():
     monitor = RuleMonitor()
-    assert monitor.is_allowed(Act.ACCEPT, Reason.ALLOWED)
-    assert not monitor.is_allowed(Act.ACCEPT, Reason.DESCRIPTORS_EXHAUSTED)
+    assert monitor.is_allowed(CheckedOperation.ACCEPT, Reason.ALLOWED)
+    assert not monitor.is_allowed(CheckedOperation.ACCEPT, Reason.DESCRIPTORS_EXHAUSTED)
     assert monitor.snapshot().verdicts == {"accept": {"allowed": 1, "descriptors_exhausted": 1}}
 
 
