--- a/rosewheel/node/rule_monitor.py
+++ b/rosewheel/node/rule_monitor.py
@@ -53,10 +53,10 @@
     """A rule that a node must not break; the value describes the violation in the log."""
 
     ONE_RESPONSE = "a second final response"
-    NO_ATTEMPT_FOR_DISCONNECTED_CLIENT = "an attempt after its client's end"
+    NO_ATTEMPT_FOR_DISCONNECTED_CLIENT = "an attempt after its client disconnected"
     NO_SECOND_EXECUTION = "another attempt of a request that may have been executed"
     NO_SEND_TO_DRAINING_SERVER = "an attempt to a server that drains or was removed"
-    DEADLINE_TOLD_IN_TIME = "a told deadline over what the client has left"
+    DEADLINE_TOLD_IN_TIME = "a deadline in the request head later than the client's"
 
 
 @dataclass(slots=True, frozen=True)
