--- a/rosewheel/discovery/watch_client.py
+++ b/rosewheel/discovery/watch_client.py
@@ -21,7 +21,7 @@
 
 # Discovery sends an empty line every 2 s. A change has to be known within 6 s of the time at which discovery has it and
 # can be reached, whatever failed before. At that time the node has an open but silent watch, is opening one, or waits
-# before it opens the next one. In each case the change is known after at most
+# before it opens the next one. Unless the next watch fails too, the change is known after at most
 #
 #     max(SILENCE_TIMEOUT_S + backoff, FIRST_LINE_TIMEOUT_S + backoff, interval) + SILENCE_RECHECK_S + a round trip
 #
@@ -29,12 +29,12 @@
 #   (`policy/discovery_polling.py`), 2.0 s if it is pushed (`discovery/backoff.py`).
 # - `backoff` is the longest wait after a watch that lasted longer than `interval`: 0.2 s if polled, 0 if pushed.
 #
-# If the watch that follows a silent one fails as well, the sum SILENCE_TIMEOUT_S + FIRST_LINE_TIMEOUT_S + 2 * backoff +
+# If the watch after a silent one fails too, the sum SILENCE_TIMEOUT_S + FIRST_LINE_TIMEOUT_S + 2 * backoff +
 # 2 * SILENCE_RECHECK_S = 5.44 s is also below 6 s.
 SILENCE_TIMEOUT_S = 2.8  # time without data after which a watch fails
 CONNECT_TIMEOUT_S = 1.5  # allows for one retransmission, after 1 s
 FIRST_LINE_TIMEOUT_S = 2.2  # connecting included; discovery sends a line at once, then every 2 s
-SILENCE_RECHECK_S = 0.02  # time in which a process that was stalled reads received data before a watch fails
+SILENCE_RECHECK_S = 0.02  # extra time for a stalled process to read received data before a watch fails
 TIMER_TOLERANCE_S = 0.01  # remaining time up to which a silence timeout counts as expired
 MAX_LINE_BYTES = 4 << 20  # limit of memory for a line, or for an object of several lines
 MAX_LOGGED_BYTES = 200  # length of the part of an invalid line that is logged
--- a/rosewheel/node/policy_driver.py
+++ b/rosewheel/node/policy_driver.py
@@ -43,7 +43,7 @@
 
 log = logging.getLogger("rosewheel.node")
 
-POLICY_TIMER_RETRY_MS = 1000.0  # delay until a failed policy timer fires again if its own is unknown
+POLICY_TIMER_RETRY_MS = 1000.0  # delay for a failed policy timer whose last delay is unknown
 
 
 class PolicyDriver:
--- a/rosewheel/node/rules.py
+++ b/rosewheel/node/rules.py
@@ -98,7 +98,7 @@
     def record_send_violations(
         self, id: str, attempt: int, is_client_waiting: bool, timeout_ms: float, client_left_ms: float | None
     ) -> None:
-        """Record the rules that an attempt breaks whose request head is being written.
+        """Record each rule that is broken by an attempt whose request head is being written.
 
         It uses other values than the verdict on the same attempt, so that a fault in that verdict is found.
 
