--- a/rosewheel/proxy/effects.py
+++ b/rosewheel/proxy/effects.py
@@ -17,7 +17,7 @@
     StartAttempt,
     StartHealthCheck,
 )
-from rosewheel.node.rule_monitor import Act, Reason, Rule
+from rosewheel.node.rule_monitor import CheckedOperation, Reason, Rule
 from rosewheel.policy.events import AttemptResult
 from rosewheel.proxy import clock
 from rosewheel.proxy.parts import ProxyParts
@@ -82,7 +82,7 @@
         def encode_head() -> bytes:
             told_ms = rules.time_left_ms(clock.now_ms(), id, attempt)
             is_client_known = self._parts.calls.get(id) is request
-            rules.check_sent(id, attempt, is_client_known, told_ms, self._client_left_ms(request))
+            rules.record_send_violations(id, attempt, is_client_known, told_ms, self._client_left_ms(request))
             return request.upstream_head(told_ms, length)
 
         def is_wanted() -> bool:
@@ -101,10 +101,10 @@
     def _send_response(self, effect: SendResponse) -> None:
         request, monitor = self._parts.calls.pop(effect.id, None), self._parts.node.rules.monitor
         reason = Reason.CLIENT_DISCONNECTED if request is None else Reason.ALLOWED
-        if not monitor.is_allowed(Act.RESPOND, reason) or request is None:
+        if not monitor.is_allowed(CheckedOperation.RESPOND, reason) or request is None:
             return
         if request.has_final_response:
-            monitor.violated(Rule.ONE_RESPONSE, effect.id)
+            monitor.record_violation(Rule.ONE_RESPONSE, effect.id)
             return
         request.has_final_response = True
         connection = request.connection
