--- a/rosewheel/http/downstream_connection.py
+++ b/rosewheel/http/downstream_connection.py
@@ -14,7 +14,7 @@
 from rosewheel.http.errors import BadRequestError, RefusedRequestError
 from rosewheel.http.request import DownstreamRequest, origin_form
 from rosewheel.http.request_reader import RequestPhase
-from rosewheel.http.response_sender import ResponseOwner
+from rosewheel.http.response_sender import ResponseSenderOwner
 from rosewheel.node.rule_monitor import Act, RuleMonitor
 from rosewheel.node.rules import idle_close_reason
 
@@ -26,7 +26,7 @@
 KEEP_ALIVE_TIMEOUT_S = 5.0  # how long an idle connection is kept
 
 
-class ConnectionOwner(ResponseOwner, Protocol):
+class ConnectionOwner(ResponseSenderOwner, Protocol):
     """What a connection needs of the server that accepted it."""
 
     @property
@@ -115,7 +115,7 @@
         del self.parser
 
     def _release_requests(self) -> None:
-        self._keep_unparsed(b"")
+        self._set_unparsed(b"")
         self._pending_rejection = None
         self.queued_bytes = 0
         for queued in self.queued_requests:
@@ -309,7 +309,7 @@
 
     def _dispatch_next(self) -> None:
         if self.unparsed:
-            self._parse_kept()
+            self._parse_unparsed()
             self._mark_partial_head()
         self._dispatch_queued()
         if self.transport is not None:
--- a/rosewheel/http/downstream_detach.py
+++ b/rosewheel/http/downstream_detach.py
@@ -10,7 +10,7 @@
 
 from rosewheel.http.request import DownstreamRequest
 from rosewheel.http.request_reader import RequestPhase
-from rosewheel.http.response_sender import ResponseOwner, ResponseSender
+from rosewheel.http.response_sender import ResponseSender, ResponseSenderOwner
 
 
 @dataclass(slots=True, eq=False)
@@ -115,7 +115,7 @@
         detach_declined: The other process of a hot restart did not take the connection.
     """
 
-    def __init__(self, server: ResponseOwner) -> None:
+    def __init__(self, server: ResponseSenderOwner) -> None:
         super().__init__(server)
         self.detach_declined = False
         self._on_detached: OnDownstreamDetached | None = None  # set while the loop lets go of the connection
--- a/rosewheel/http/request_reader.py
+++ b/rosewheel/http/request_reader.py
@@ -1,4 +1,4 @@
-"""Parsing of what a client sends: requests, their bodies and their framing."""
+"""Parses the bytes that a client sends into requests, and enforces the limits on heads, bodies and pipelining."""
 
 from __future__ import annotations
 
@@ -19,30 +19,33 @@
 
 MAX_BODY_BYTES = 32 << 20
 MAX_HEAD_BYTES = 16 * 1024
-# What a chunked body may take on the wire beside its data: size lines and trailers. Tiny chunks add to it by size.
+# A chunked body may take this many bytes on the wire, plus the factor times its decoded size: size lines and trailers
+# count, and small chunks carry several bytes of framing per byte of data.
 MAX_CHUNK_OVERHEAD_BYTES = 256 * 1024
 MAX_CHUNK_OVERHEAD_FACTOR = 16
-MAX_PIPELINED_REQUESTS = 8  # complete requests of one connection that wait for the responses before theirs
-# Parsed at a time outside of a body of known length: how far a read can exceed the limits of what waits.
+MAX_PIPELINED_REQUESTS = 8  # complete requests that one connection queues behind the active one
+# Bytes passed to the parser at once, except within a body of known length. Limits are checked between two such parts,
+# so they bound by how much the queue limits can be exceeded.
 MAX_PARSED_BYTES = 2048
 MAX_PARSED_CHUNKED_BYTES = 16 * 1024
 
 
 class RequestPhase(Enum):
-    """What a connection receives next."""
+    """Parsing state of a client's connection."""
 
-    IDLE = auto()  # a new request
-    HEAD = auto()  # more of a head
-    BODY = auto()  # more of a body, or its end
-    REJECTED = auto()  # nothing: what was received is not a request, and what follows is ignored
+    IDLE = auto()  # between two requests
+    HEAD = auto()  # within a request head
+    BODY = auto()  # within a request body
+    REJECTED = auto()  # invalid bytes were received; all further input is ignored
 
 
-# Names of the module, since in Python 3.11 an attribute of an Enum class costs a call, and these are read per header.
+# Module-level aliases: in Python 3.11 each access to a member through its Enum class is a function call, and these are
+# read for every header.
 IDLE, HEAD, BODY, REJECTED = RequestPhase
 
 
-class RequestOwner(Protocol):
-    """What reading requests needs of the server."""
+class RequestReaderOwner(Protocol):
+    """The server of a connection, as `RequestReader` uses it."""
 
     @property
     def loop(self) -> asyncio.AbstractEventLoop:
@@ -50,35 +53,36 @@
 
     @property
     def buffer_budget(self) -> BufferBudget:
-        """The memory for all bodies."""
+        """The memory budget for request bodies, shared by all connections."""
 
     def request_completed(self, request: DownstreamRequest, /) -> None:
-        """The last byte of a request was received after the request was dispatched."""
+        """Handle the last byte of a request that was dispatched before it was complete."""
 
 
 class RequestReader(asyncio.Protocol):
-    """Splits what a connection receives into requests. Subclasses dispatch them.
+    """Splits the bytes received on a connection into requests. Subclasses dispatch them.
 
     Attributes:
-        phase: What is received next.
-        queued_requests: Complete requests that were not dispatched yet (pipelining).
-        queued_bytes: Size of their bodies.
-        unparsed: What was read and is not parsed yet, since too many requests are queued.
-        active_request: The dispatched request that has no response yet.
+        phase: The parsing state.
+        queued_requests: Complete requests that wait for dispatch (pipelining).
+        queued_bytes: Total size of their bodies in bytes.
+        unparsed: Received bytes that are not parsed until the queue has space.
+        active_request: The dispatched request whose response is not complete.
         incoming_request: The request whose body is being received; it may be the active one.
         expects_continue: The client waits for `100 Continue` before it sends its body.
         has_sent_request: At least one complete request was received.
-        raw_bytes: Bytes received of the current head, or since it ended.
-        upgrade_framing: Framing of a request that offers another protocol, until its body is read.
-        is_http_1_0: Version of the last request.
-        close_after_response: The client wants the connection closed after the last response.
+        raw_bytes: Bytes received of the current head; within a body, bytes received since the head.
+        upgrade_framing: Replacement head for the body of a request that offers a protocol upgrade; empty once it was
+            parsed.
+        is_http_1_0: The last request is HTTP/1.0.
+        close_after_response: The last request asks to close the connection after its response.
         last_received_s: When bytes were last received, on the loop's clock.
-        last_activity_s: When the connection last changed between idle, receiving and busy.
-        target: Of the current head, as far as it was received.
+        last_activity_s: When the connection last became idle or busy, or received a part of a body.
+        target: Target of the current request, as far as it was received.
         headers: Lower-case names and values of the current head.
     """
 
-    def __init__(self, server: RequestOwner) -> None:
+    def __init__(self, server: RequestReaderOwner) -> None:
         self.server = server
         self.transport: asyncio.Transport | None = None
         self.parser = httptools.HttpRequestParser(self)
@@ -96,15 +100,15 @@
         self.close_after_response = False
         self.last_received_s = server.loop.time()
         self.last_activity_s = self.last_received_s
-        self._parsed_received_s = self.last_received_s  # when what is parsed now was received
+        self._input_received_s = self.last_received_s  # when the bytes being parsed were received
         self.target = b""
         self.headers: list[tuple[bytes, bytes]] = []
         self._partial = PartialRequest()
-        self._messages_begun = self._messages_ended = 0  # within the part that was parsed last
+        self._messages_begun = self._messages_ended = 0  # within the last bytes passed to the parser
 
     @property
     def is_receiving(self) -> bool:
-        """Whether a request has begun and is incomplete."""
+        """True within a head or a body."""
         phase = self.phase
         return phase is BODY or phase is HEAD
 
@@ -113,54 +117,54 @@
     def _create_request(
         self, method: bytes, body: RequestBody, content_length: int | None
     ) -> DownstreamRequest:
-        """Make the request whose head is complete."""
+        """Create the request once its head is complete."""
         raise NotImplementedError
 
     def _on_data_parsed(self) -> None:
-        """Continue after a read."""
+        """Dispatch requests after received bytes were parsed."""
         raise NotImplementedError
 
     def _on_request_started(self) -> None:
-        """A request begins on an idle connection."""
+        """Handle the start of a request on an idle connection."""
         raise NotImplementedError
 
     def _update_backpressure(self) -> None:
-        """The number of buffered bytes has changed."""
+        """Pause or resume reading after the number of buffered bytes has changed."""
         raise NotImplementedError
 
     def _reject(self, error: BadRequestError) -> None:
-        """What was received is not a valid request."""
+        """Respond with an error to invalid bytes, and ignore further input."""
         raise NotImplementedError
 
     # ---------------------------------------------------------------------------------------------------- parsing
 
     def data_received(self, data: bytes) -> None:
-        """Parse what was received, as far as requests may be queued."""
+        """Parse the received bytes until the request queue is full; keep the rest unparsed."""
         if self.phase is REJECTED:
             return
         self.last_received_s = self.server.loop.time()
         if self.incoming_request is not None:
             self.last_activity_s = self.last_received_s
         if self.unparsed:
-            self._keep_unparsed(self.unparsed + data)
+            self._set_unparsed(self.unparsed + data)
             return
-        self._parsed_received_s = self.last_received_s
+        self._input_received_s = self.last_received_s
         self._parse(data)
         self._on_data_parsed()
 
-    def _parse_kept(self) -> None:
-        """Parse what was kept, as far as requests may be queued by now."""
+    def _parse_unparsed(self) -> None:
+        """Parse the unparsed bytes if the request queue has space again."""
         if self.unparsed and not self._queue_is_full():
             data = self.unparsed
-            self._keep_unparsed(b"")
+            self._set_unparsed(b"")
             self._parse(data)
 
     def _parse(self, data: bytes) -> None:
-        """Parse a part at a time, and keep the rest once too many requests are queued."""
+        """Parse in limited parts; once the request queue is full, keep the rest unparsed."""
         position = 0
         while position < len(data) and self.phase is not REJECTED:
             if self._queue_is_full():
-                self._keep_unparsed(data[position:])
+                self._set_unparsed(data[position:])
                 return
             part = data[position : position + self._max_parsed_bytes()]
             position += len(part)
@@ -171,7 +175,7 @@
         share_bytes = 0 if budget.exceeded else budget.connection_share_bytes
         return len(self.queued_requests) >= MAX_PIPELINED_REQUESTS or self.queued_bytes > share_bytes
 
-    def _keep_unparsed(self, data: bytes) -> None:
+    def _set_unparsed(self, data: bytes) -> None:
         self.server.buffer_budget.used_bytes += len(data) - len(self.unparsed)
         self.unparsed = data
 
@@ -198,10 +202,10 @@
             cause = error.__context__
             if not isinstance(cause, BadRequestError):
                 log.error("request parsing failed", exc_info=cause)
-                cause = BadRequestError(400, "the request could not be read")
+                cause = BadRequestError(400, "request could not be parsed")
             self._reject(cause)
         except httptools.HttpParserError as error:
-            self._reject(BadRequestError(400, f"not HTTP: {error}"))
+            self._reject(BadRequestError(400, f"malformed request: {error}"))
         except BadRequestError as error:
             self._reject(error)
 
@@ -211,15 +215,15 @@
                 self.parser.feed_data(data)
                 return
             except httptools.HttpParserUpgrade as upgrade:
-                # The client offers another protocol, which is not accepted. The parser stops after such a head and
-                # takes the body for the other protocol. Guards against a request hidden in it: another parser
-                # is given the framing of the body and reads on.
+                # Upgrades are never accepted, but this parser stops after a head that offers one and would treat the
+                # body as data of the other protocol. To prevent request smuggling in that body, a new parser receives
+                # its framing as a head and continues behind it.
                 self.parser = httptools.HttpRequestParser(self)
                 self.parser.feed_data(self.upgrade_framing)
                 data = data[upgrade.args[0] :]
 
     def _track_partial_request(self, data: bytes, phase_before: RequestPhase) -> None:
-        """Keep the bytes of an incomplete request for another process."""
+        """Record the bytes of an incomplete request, so that another process can parse them (hot restart)."""
         partial = self._partial
         if phase_before is IDLE or self._messages_ended:
             is_alone = self._messages_begun == 1 and not self._messages_ended
@@ -230,19 +234,23 @@
             partial.extend_body(data, self.incoming_request)
 
     def _check_raw_size(self) -> None:
-        """Guards memory and CPU against heads without end, and chunked bodies that are mostly framing."""
+        """Limit the size of heads and of chunk framing, which would otherwise take memory and CPU without bound.
+
+        Raises:
+            BadRequestError: The head or the framing is too large.
+        """
         if self.phase is HEAD:
             if self.raw_bytes > MAX_HEAD_BYTES:
-                raise BadRequestError(431, "a request without end")
+                raise BadRequestError(431, f"request head exceeds {MAX_HEAD_BYTES} bytes")
             return
         body_bytes = self.incoming_request.body.received_bytes if self.incoming_request is not None else 0
         if self.raw_bytes > MAX_CHUNK_OVERHEAD_BYTES + MAX_CHUNK_OVERHEAD_FACTOR * body_bytes:
-            raise BadRequestError(413, "a request without end")
+            raise BadRequestError(413, "chunk framing too large for the size of the body")
 
     # ------------------------------------------------------------------------------------- callbacks of the parser
 
     def on_message_begin(self) -> None:
-        """A request begins."""
+        """Prepare for a new request."""
         if self.upgrade_framing:
             return
         self._messages_begun += 1
@@ -254,18 +262,18 @@
         self.headers = []
 
     def on_url(self, url: bytes) -> None:
-        """A part of the target was received."""
+        """Append a part of the request target."""
         if not self.upgrade_framing:
             self.target += url
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """A header was received. Trailers, and the framing that is fed again after an offer, are ignored."""
+        """Append a header. Trailers, and the head parsed again after an upgrade offer, are ignored."""
         if self.phase is BODY:
             return
         self.headers.append((name.lower(), value))
 
     def on_headers_complete(self) -> None:
-        """Check the head and begin a request with it."""
+        """Validate the head and create the request."""
         if self.upgrade_framing:
             self.upgrade_framing = b""
             return
@@ -285,51 +293,63 @@
             self.upgrade_framing = b"POST / HTTP/1.1\r\n%b%b\r\n\r\n" % (close, framing)
 
     def _check_head(self, version: str, method: bytes) -> None:
-        """Reject what is too large, or what another parser could understand differently (request smuggling)."""
+        """Check the size of the head, and reject what parsers interpret differently (request smuggling).
+
+        Raises:
+            BadRequestError: The head is too large, ambiguous or not supported.
+        """
         size = len(self.target) + sum([len(name) + len(value) for name, value in self.headers])
         single = [name for name, _ in self.headers if name in SINGLE_VALUE_HEADERS]
         if len(single) > 1 and len(set(single)) < len(single):
-            raise BadRequestError(400, "a header stands twice")
+            raise BadRequestError(400, "duplicate header where only one value is allowed")
         if size > MAX_HEAD_BYTES:
-            raise BadRequestError(431, "headers too large")
+            raise BadRequestError(431, f"request head exceeds {MAX_HEAD_BYTES} bytes")
         self.is_http_1_0 = version == "1.0"
         if version not in ("1.1", "1.0"):
-            raise BadRequestError(400, "not HTTP/1.1")
+            raise BadRequestError(400, "unsupported HTTP version")
         if method == b"CONNECT":
             raise BadRequestError(405, "GET and POST only")
 
     def _read_framing(self, version: str) -> int | None:
-        """The declared size of the body in bytes; None if it is chunked."""
+        """Return the declared size of the body in bytes, or None if it is chunked.
+
+        Raises:
+            BadRequestError: The body is too large, or its framing or the expectation is not supported.
+        """
         content_length: int | None = 0
         for name, value in self.headers:
             if name == b"content-length":
                 content_length = int(value)
                 if content_length > MAX_BODY_BYTES:
-                    raise BadRequestError(413, f"bodies hold at most {MAX_BODY_BYTES} bytes")
+                    raise BadRequestError(413, f"request body exceeds {MAX_BODY_BYTES} bytes")
             elif name == b"transfer-encoding":
                 content_length = None
                 if value.strip().lower() != b"chunked" or version != "1.1":
-                    raise BadRequestError(400, "Transfer-Encoding is not just chunked")
+                    raise BadRequestError(400, "Transfer-Encoding must be chunked, and the version HTTP/1.1")
             elif name == b"expect":
                 if value.strip().lower() != b"100-continue":
-                    raise BadRequestError(417, "an expectation that is not known")
+                    raise BadRequestError(417, "unsupported expectation in Expect")
                 self.expects_continue = True
         return content_length
 
     def on_body(self, data: bytes) -> None:
-        """A part of the body was received."""
+        """Append a part of the body.
+
+        Raises:
+            BadRequestError: The body is too large.
+        """
         request = self.incoming_request
         if request is None:
             return
         self.expects_continue = False
         request.body.append(data)
         if request.body.received_bytes > MAX_BODY_BYTES:
-            raise BadRequestError(413, f"bodies hold at most {MAX_BODY_BYTES} bytes")
+            raise BadRequestError(413, f"request body exceeds {MAX_BODY_BYTES} bytes")
 
     def on_message_complete(self) -> None:
-        """The request is complete: queue it, unless it was dispatched before."""
+        """Queue the complete request; if it was dispatched already, report its end to the server."""
         if self.upgrade_framing:
-            return  # the parser reports the end already after the head
+            return  # after an upgrade offer the parser reports the end of the message before its body
         self._messages_ended += 1
         self.phase, self.has_sent_request = IDLE, True
         self.raw_bytes, self.expects_continue = 0, False
@@ -344,6 +364,6 @@
                 self.last_activity_s = self.server.loop.time()
                 self.server.request_completed(request)
             return
-        request.completed_s = self._parsed_received_s
+        request.completed_s = self._input_received_s
         self.queued_bytes += request.body.received_bytes
         self.queued_requests.append(request)
--- a/rosewheel/http/response_sender.py
+++ b/rosewheel/http/response_sender.py
@@ -8,12 +8,12 @@
 from rosewheel.http import half_close
 from rosewheel.http.errors import BadRequestError
 from rosewheel.http.request import DownstreamRequest
-from rosewheel.http.request_reader import RequestOwner, RequestPhase, RequestReader
+from rosewheel.http.request_reader import RequestPhase, RequestReader, RequestReaderOwner
 from rosewheel.http.response_encoding import encode_response, encode_streamed_head
 from rosewheel.http.write_buffer import UnsentWrites, WriteProgress
 
 
-class ResponseOwner(RequestOwner, Protocol):
+class ResponseSenderOwner(RequestReaderOwner, Protocol):
     """What writing responses needs of the server."""
 
     @property
@@ -34,9 +34,9 @@
         write_blocked: The transport's buffer is full.
     """
 
-    server: ResponseOwner
+    server: ResponseSenderOwner
 
-    def __init__(self, server: ResponseOwner) -> None:
+    def __init__(self, server: ResponseSenderOwner) -> None:
         super().__init__(server)
         self.over_limit = False
         self.closing_after_request = False
@@ -188,7 +188,7 @@
         self.phase = RequestPhase.REJECTED
         self.last_activity_s = self.server.loop.time()
         self.server.record_rejection(error)
-        self._keep_unparsed(b"")
+        self._set_unparsed(b"")
         incoming = self.incoming_request
         if incoming is not None and incoming.dispatched:
             self._reject_dispatched(incoming, error)
