--- a/rosewheel/http/downstream_connection.py
+++ b/rosewheel/http/downstream_connection.py
@@ -1,4 +1,4 @@
-"""One connection of a client: dispatches its requests in order, limits what it buffers, and ends."""
+"""A client's connection: dispatches its requests in order, applies backpressure, and closes when idle or stalled."""
 
 from __future__ import annotations
 
@@ -20,64 +20,66 @@
 
 log = logging.getLogger("rosewheel.downstream")
 
-STREAM_WINDOW_BYTES = 64 * 1024  # what is buffered of a streamed body, and of a response, for a slow peer
-RECEIVE_TIMEOUT_S = 2.6  # for a head, a pause within a body, and the first byte of a new connection
-SEND_STALL_TIMEOUT_S = 30.0  # how long a client may take nothing at all of its response
-KEEP_ALIVE_TIMEOUT_S = 5.0  # how long an idle connection is kept
+STREAM_WINDOW_BYTES = 64 * 1024  # buffer for a streamed request body, and for the unsent bytes of a response
+RECEIVE_TIMEOUT_S = (
+    2.6  # for a complete head, the next bytes of a body, and the first byte of a new connection
+)
+SEND_STALL_TIMEOUT_S = 30.0  # a client that takes no byte of its response for this long is disconnected
+KEEP_ALIVE_TIMEOUT_S = 5.0  # idle time after which a connection is closed
 
 
 class ConnectionOwner(ResponseSenderOwner, Protocol):
-    """What a connection needs of the server that accepted it."""
+    """The server of a connection, as `DownstreamConnection` uses it."""
 
     @property
     def monitor(self) -> RuleMonitor:
-        """Counts verdicts on closes."""
+        """Decides whether an idle connection may be closed, and counts the verdicts."""
 
     @property
     def draining(self) -> bool:
-        """Whether the process shuts down."""
+        """True if the process shuts down."""
 
     @property
     def hot_restarting(self) -> bool:
-        """Whether another process of the node continues."""
+        """True if another process of the node takes over (hot restart)."""
 
     def is_healthy(self) -> bool:
-        """Whether the node can serve requests."""
+        """Return whether the node can serve requests."""
 
     def request_received(self, request: DownstreamRequest, /) -> None:
         """Process a request; its response is written to its connection.
 
         Raises:
-            BadRequestError: It is not valid.
+            BadRequestError: The request is not valid.
         """
 
     def client_disconnected(self, request: DownstreamRequest, /) -> None:
-        """The client of the active request has disconnected, or sent invalid bytes."""
+        """Cancel the active request: its client has disconnected or sent invalid bytes."""
 
     def connection_opened(self, connection: DownstreamConnection, /) -> None:
-        """A connection was accepted."""
+        """Register an accepted connection."""
 
     def connection_closed(self, connection: DownstreamConnection, /) -> None:
-        """A connection has ended, or was detached."""
+        """Remove a connection that was closed or detached."""
 
     def connection_paused(self, connection: DownstreamConnection, /) -> None:
-        """A connection is not read from now on, so that the loop does not report its end."""
+        """Poll a connection for a disconnect: while reading is paused, the event loop does not report it."""
 
     def mark_idle(self, connection: DownstreamConnection, /) -> None:
-        """A connection has no request."""
+        """Record that a connection has no request."""
 
     def mark_busy(self, connection: DownstreamConnection, /) -> None:
-        """A request begins on an idle connection."""
+        """Record the start of a request on an idle connection."""
 
     def mark_partial(self, connection: DownstreamConnection, is_partial: bool) -> None:
-        """An otherwise idle connection has received a part of a head, or no longer has one."""
+        """Record whether an otherwise idle connection has received a part of a head."""
 
 
 class DownstreamConnection(DetachableConnection):
-    """One connection of a client.
+    """A client's connection.
 
     Attributes:
-        reading_paused: Nothing is read, since too much is buffered.
+        reading_paused: Reading is paused, since too much is buffered.
     """
 
     server: ConnectionOwner
@@ -86,11 +88,11 @@
         super().__init__(server)
         self.reading_paused = False
 
-    # ------------------------------------------------------------------------------------------- begin and end
+    # -------------------------------------------------------------------------------------- opening and closing
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Begin to read; a restored connection first sends and reads what another process left."""
-        # A cast: the transports of uvloop do not derive from asyncio's classes.
+        """Start reading; a restored connection first processes the pending bytes of the other process."""
+        # A cast, since uvloop's transports are not subclasses of asyncio's.
         self.transport = cast(asyncio.Transport, transport)
         self.transport.set_write_buffer_limits(high=STREAM_WINDOW_BYTES)
         self.server.connection_opened(self)
@@ -111,7 +113,7 @@
             return
         self.transport = None
         self._release_requests()
-        # Guards memory: the parser and this object refer to one another, and the collector runs rarely.
+        # The parser and this object form a reference cycle, and the garbage collector runs rarely.
         del self.parser
 
     def _release_requests(self) -> None:
@@ -130,19 +132,18 @@
             active.body.release()
 
     def eof_received(self) -> None:
-        """The client has closed its sending side, which means that it has disconnected.
+        """Drop the client's requests: a client that closes its sending side is taken to have disconnected.
 
-        Its requests must not be forwarded any more. The loop closes the connection once the unsent bytes are sent,
-        which may take long.
+        The event loop closes the connection only once the unsent bytes are sent, which may take long.
         """
         if self._on_detached is None:
             self._release_requests()
 
     def close_if_disconnected(self) -> bool:
-        """Whether the client has disconnected; its connection is closed then.
+        """Close the connection if the client has disconnected; return whether it has.
 
-        Guards servers against work that nobody waits for. The loop does not report the end of a connection that is not
-        being read, or while it is late; the operating system does.
+        Servers must not receive a request whose client is gone. The event loop reports a disconnect late while it is
+        busy, and not at all while reading is paused, so the operating system is queried.
         """
         transport = self.transport
         if transport is None or transport.is_closing() or self._on_detached is not None:
@@ -150,41 +151,41 @@
         if not half_close.peer_has_closed(transport):
             return False
         self._release_requests()
-        if self.write_blocked:  # the client does not read its response either
+        if self.write_blocked:  # an orderly close would wait for a client that does not read
             transport.abort()
         else:
             transport.close()
         return True
 
     def is_connected(self) -> bool:
-        """The opposite of `close_if_disconnected`."""
+        """Return whether the client is connected; its connection is closed if it is not."""
         return not self.close_if_disconnected()
 
     def abort(self) -> None:
-        """Close the connection without sending what is unsent."""
+        """Close the connection and discard its unsent bytes."""
         if self.transport is not None:
             self.transport.abort()
 
     # -------------------------------------------------------------------------------------------- backpressure
 
     def pause_writing(self) -> None:
-        """The transport's buffer is full."""
+        """Apply backpressure: the transport's write buffer is full."""
         self.write_blocked = True
         self._update_backpressure()
 
     def resume_writing(self) -> None:
-        """There is space in the transport's buffer."""
+        """Continue the streamed response: the transport's write buffer has space."""
         self.write_blocked = False
         if self._on_writable is not None:
             self._on_writable()
         self._update_backpressure()
 
     def _update_backpressure(self) -> None:
-        """Pause or resume reading, by what is buffered.
+        """Pause or resume reading, depending on what is buffered.
 
-        Guards memory against a client that sends ahead of its responses, sends and does not read, or sends a streamed
-        body faster than the server takes it. Up to the connection's share everything is read, so that the end of the
-        connection, which is behind it, is seen while an attempt may still begin.
+        Bounds the memory taken by a client that pipelines requests, does not read its responses, or sends a streamed
+        body faster than the server reads it. Bytes are read up to the connection's share of the budget, so that a
+        disconnect behind them is noticed before an attempt begins.
         """
         pause = self._must_pause_reading()
         if self.transport is None or self.transport.is_closing() or pause is self.reading_paused:
@@ -208,17 +209,19 @@
         window_bytes = STREAM_WINDOW_BYTES if body.reading_started else max(STREAM_WINDOW_BYTES, share_bytes)
         pause = self.write_blocked or body.buffered_bytes > window_bytes
         if self.reading_paused and not pause:
-            self.last_activity_s = self.server.loop.time()  # the pause does not count as the client's
+            self.last_activity_s = (
+                self.server.loop.time()
+            )  # the pause must not count toward the client's timeout
         return pause
 
-    # --------------------------------------------------------------------------------------- idle and stalled
+    # ---------------------------------------------------------------------------------------- idle and stalled
 
     def _is_idle(self) -> bool:
         is_busy = self.active_request is not None or self.incoming_request is not None
         return not is_busy and not self.is_receiving and not self._has_more_requests()
 
     def close_if_idle(self, min_idle_s: float) -> bool:
-        """Close the connection if it has been idle for so long; whether it was closed."""
+        """Close the connection if it has been idle for `min_idle_s`; return whether it was closed."""
         transport = self.transport
         if transport is None or transport.is_closing():
             return False
@@ -231,16 +234,18 @@
         return True
 
     def _has_unread_request(self, transport: asyncio.Transport) -> bool:
-        """Whether the system has received bytes that the loop has not read yet, and more than the client's end."""
+        """Return whether the operating system holds bytes that the loop has not read, and the client is connected."""
         has_unread = half_close.pending_events(transport, select.POLLIN) & select.POLLIN
         return bool(has_unread) and not half_close.peer_has_closed(transport)
 
     def reject_incomplete_request(self) -> None:
-        """Free the connection: its request has been incomplete for too long."""
-        self._reject(BadRequestError(408, "the request did not arrive in time"))
+        """Reject a request whose head has been incomplete for too long, which closes the connection."""
+        self._reject(BadRequestError(408, "timed out waiting for the request head"))
 
     def close_if_stalled(self, now_s: float) -> None:
-        """Guards descriptors and memory against clients that send nothing, or a part of a request.
+        """Close the connection if its client has stopped sending a request or reading a response.
+
+        Such clients would otherwise hold descriptors and memory.
 
         Args:
             now_s: The loop's time.
@@ -253,9 +258,9 @@
             if not is_responding and inactive_s >= RECEIVE_TIMEOUT_S:  # the client does not read the error
                 self.abort()
         elif self.incoming_request is not None:
-            # A body may be slow, but must not stop.
+            # The timeout restarts with each part of the body, so a slow client is not rejected.
             if inactive_s >= RECEIVE_TIMEOUT_S and not self.reading_paused:
-                self._reject(BadRequestError(408, "the body did not arrive in time"))
+                self._reject(BadRequestError(408, "timed out waiting for the request body"))
         elif self.active_request is None and inactive_s >= RECEIVE_TIMEOUT_S:
             if self.is_receiving:
                 self.reject_incomplete_request()
@@ -263,17 +268,20 @@
                 self.close_if_idle(RECEIVE_TIMEOUT_S)
 
     def _abort_if_not_reading(self, now_s: float) -> None:
-        """Guards the server's connection against a client that stopped reading its response."""
+        """Disconnect a client that stopped reading, since its response holds a connection to a server."""
         unsent_bytes = self.transport.get_write_buffer_size() if self.transport is not None else 0
         if self._write_progress.stalled_s(unsent_bytes, unsent_bytes > 0, now_s) >= SEND_STALL_TIMEOUT_S:
             self.abort()
 
     def restore_response(self, id: str, on_writable: Callable[[], None]) -> DownstreamRequest:
-        """Continue within a streamed response, beside `restore`.
+        """Restore the streamed response in progress on a connection that was restored with `restore`.
 
         Args:
             id: The request's id.
             on_writable: Called when more of the response may be written.
+
+        Returns:
+            The active request; its body is not restored.
         """
         body = RequestBody(self.server.buffer_budget, lambda: None)
         body.complete = True
@@ -315,10 +323,10 @@
         if self.transport is not None:
             if self.closing_after_request and self.incoming_request is None:
                 self.transport.close()
-            if (
-                self.unparsed and self.active_request is None
-            ):  # not at once: other connections have their turn
-                self.server.loop.call_soon(self._dispatch_next)
+            if self.unparsed and self.active_request is None:
+                self.server.loop.call_soon(
+                    self._dispatch_next
+                )  # deferred, so that other connections are served
             if self._is_idle():
                 self.server.mark_idle(self)
             self._update_backpressure()
@@ -331,7 +339,7 @@
         if self.active_request is None and not self.queued_requests and self.transport is not None:
             incoming = self.incoming_request
             if incoming is not None and incoming.body.streaming and not incoming.dispatched:
-                self._dispatch(incoming)  # it is too long to be buffered; its end follows
+                self._dispatch(incoming)  # a streamed body is forwarded while it is received
             elif self.expects_continue:
                 self.expects_continue = False
                 self._send(b"HTTP/1.1 100 Continue\r\n\r\n")
@@ -341,13 +349,13 @@
     def _dispatch(self, request: DownstreamRequest) -> None:
         request.dispatched = True
         if origin_form(request.target)[0].partition(b"?")[0] == b"/_health":
-            # During a hot restart the node continues, whichever of its processes receives the check.
+            # During a hot restart the node stays healthy, whichever of its processes receives the health check.
             is_healthy = self.server.is_healthy() and (self.server.hot_restarting or not self.server.draining)
             self._send_response(200 if is_healthy else 503, b"")
             request.body.release()
             return
         if self.over_limit:
-            self._send_response(503, b"")  # the node has no record of it, so it is never forwarded
+            self._send_response(503, b"")  # the policy never sees it, so it is not forwarded
             request.body.release()
             return
         if self.transport is None or self.transport.is_closing() or self.close_if_disconnected():
@@ -364,10 +372,10 @@
             self.respond(request, 500, b"")
 
     def _reject_active(self, request: DownstreamRequest, error: BadRequestError) -> None:
-        """Respond with an error to a request whose framing is valid, and close.
+        """Respond with an error to a request whose framing is valid, and close the connection.
 
-        The next requests may be as bad, and at full speed; so each costs the client a new connection. What was read
-        behind a valid request that is only refused is answered first.
+        Closing limits the rate of invalid requests, as each costs the client a new connection. After a
+        `RefusedRequestError`, requests that were read already are served first.
         """
         self.active_request = None
         request.body.release()
