--- a/rosewheel/http/response_sender.py
+++ b/rosewheel/http/response_sender.py
@@ -1,4 +1,4 @@
-"""Writing of responses to a client: complete ones, streamed ones, and rejections."""
+"""Writes responses to a client: complete responses, streamed responses and rejections."""
 
 from __future__ import annotations
 
@@ -14,11 +14,11 @@
 
 
 class ResponseSenderOwner(RequestReaderOwner, Protocol):
-    """What writing responses needs of the server."""
+    """The server of a connection, as `ResponseSender` uses it."""
 
     @property
     def closing(self) -> bool:
-        """Whether connections are closed after their next response."""
+        """True if connections are closed after their next response."""
 
     def record_rejection(self, error: BadRequestError) -> None:
         """Count a rejected request for the log."""
@@ -28,10 +28,11 @@
     """Writes the responses of a connection. Subclasses decide what is dispatched next.
 
     Attributes:
-        over_limit: The connection exceeds the node's limit; it gets one response and is closed.
-        closing_after_request: The connection is closed once the incoming request is complete.
-        response_chunked: The streamed response is sent in chunks.
-        write_blocked: The transport's buffer is full.
+        over_limit: The connection exceeds the node's connection limit; it is closed after one response.
+        closing_after_request: The last response was written; the connection is closed once the incoming request is
+            complete.
+        response_chunked: The streamed response uses chunked encoding.
+        write_blocked: The transport's write buffer is full.
     """
 
     server: ResponseSenderOwner
@@ -42,25 +43,23 @@
         self.closing_after_request = False
         self.response_chunked = False
         self.write_blocked = False
-        self._pending_rejection: BadRequestError | None = (
-            None  # sent after the responses that are due before it
-        )
-        self._on_writable: Callable[[], None] | None = None  # of the streamed response
+        self._pending_rejection: BadRequestError | None = None  # sent after the responses to earlier requests
+        self._on_writable: Callable[[], None] | None = None  # resumes the streamed response
         self._unsent_writes = UnsentWrites()
         self._write_progress = WriteProgress()
 
     # ------------------------------------------------------------------------------------------------- subclasses
 
     def _dispatch_next(self) -> None:
-        """Dispatch the next queued request, if none is active."""
+        """Dispatch the next queued request if none is active."""
         raise NotImplementedError
 
     def _mark_idle(self) -> None:
-        """No request is active, queued or incoming."""
+        """Record that no request is active, queued or incoming."""
         raise NotImplementedError
 
     def _release_requests(self) -> None:
-        """Drop all requests of the connection; the client has disconnected or sent an invalid one."""
+        """Drop all requests of the connection, after a disconnect or an invalid request."""
         raise NotImplementedError
 
     # -------------------------------------------------------------------------------------------------- responses
@@ -73,12 +72,12 @@
         self._unsent_writes.append(data, transport.get_write_buffer_size())
 
     def _must_close(self) -> bool:
-        """Whether the connection is closed after this response: nothing that was read is due another one."""
+        """Return whether to close the connection after this response; requests that were read are served first."""
         must_close = self.close_after_response or self.server.closing or self.over_limit
         return must_close and not self._has_more_requests()
 
     def _has_more_requests(self) -> bool:
-        """Whether a request was read, at least in part or with an error, that was not dispatched yet."""
+        """Return whether more responses are due: for queued, incomplete, unparsed or rejected requests."""
         incoming = self.incoming_request
         if incoming is not None and not incoming.dispatched:
             return True
@@ -95,13 +94,13 @@
     def respond(
         self, request: DownstreamRequest, status: int, body: bytes, retry_after_ms: float = 0.0
     ) -> None:
-        """Write the complete response of the active request; of another one, nothing.
+        """Write the complete response of the active request.
 
         Args:
-            request: The request.
+            request: The request; if it is not the active one, nothing is written.
             status: The status code.
             body: The body.
-            retry_after_ms: When the client may try again; 0 leaves the header out.
+            retry_after_ms: Delay in milliseconds after which the client may retry; 0 omits the header.
         """
         if self.active_request is not request:
             return
@@ -123,8 +122,8 @@
         """Write the head of a streamed response.
 
         Args:
-            request: The active request; for another one nothing is written.
-            content_length: Size of the body in bytes, if it is known.
+            request: The request; if it is not the active one, nothing is written.
+            content_length: Size of the body in bytes; None if it is unknown.
             on_writable: Called when more of the body may be written.
         """
         if self.active_request is not request or self.transport is None:
@@ -133,21 +132,23 @@
         self._write_progress.restart(self.server.loop.time())
         self.response_chunked = content_length is None and not self.is_http_1_0
         if content_length is None and self.is_http_1_0:
-            self.close_after_response = True  # only the end of the connection ends such a body
+            self.close_after_response = (
+                True  # HTTP/1.0 has no chunked encoding: the body ends with the connection
+            )
         close = self._must_close()
         if close:
             self.close_after_response = True
         self._send(encode_streamed_head(content_length, chunked=self.response_chunked, close=close))
 
     def send_response_data(self, request: DownstreamRequest, data: bytes) -> bool:
-        """Write a part of the body; False if the sender should wait for `on_writable`."""
+        """Write a part of the body; return False if the sender has to wait for `on_writable`."""
         if self.active_request is not request or self.transport is None or self.transport.is_closing():
             return True
         self._send(b"%x\r\n%b\r\n" % (len(data), data) if self.response_chunked else data)
         return not self.write_blocked
 
     def finish_response(self, request: DownstreamRequest) -> None:
-        """End the streamed response."""
+        """Complete the streamed response."""
         if self.active_request is not request or self.transport is None:
             return
         self.active_request, self._on_writable = None, None
@@ -161,7 +162,7 @@
             self._continue_after_response()
 
     def abort_response(self, request: DownstreamRequest) -> None:
-        """Reset the connection, since the streamed response can't be completed."""
+        """Reset the connection, so that the client recognizes the streamed response as incomplete."""
         if self.active_request is not request or self.transport is None:
             return
         self.active_request, self._on_writable = None, None
@@ -169,9 +170,9 @@
         half_close.reset(self.transport)
 
     def _close_when_request_complete(self) -> None:
-        """Close after a response, but not before the incoming request is complete.
+        """Close the connection after a response, once the incoming request is complete.
 
-        Closing with unread bytes would reset the connection, and the client might lose the response.
+        Closing with unread bytes would reset the connection, and the client could lose the response.
         """
         if self.incoming_request is not None:
             self.closing_after_request = True
@@ -181,9 +182,9 @@
     # ------------------------------------------------------------------------------------------------- rejections
 
     def _reject(self, error: BadRequestError) -> None:
-        """Read nothing more, and respond with an error once the requests before the invalid one have their responses.
+        """Stop reading, and respond with an error after the responses to earlier requests.
 
-        A client that wanted the connection closed after the last of them receives no error: it sends no request.
+        No error is sent if the last of these closes the connection, as the client expects no further response.
         """
         self.phase = RequestPhase.REJECTED
         self.last_activity_s = self.server.loop.time()
@@ -202,24 +203,24 @@
             self._pending_rejection = error
 
     def _reject_dispatched(self, incoming: DownstreamRequest, error: BadRequestError) -> None:
-        """The invalid bytes are in the body of a request that was dispatched before its end."""
+        """Reject a request that was dispatched before its body was complete."""
         is_active, response_started = self.active_request is incoming, incoming.response_started
         self._release_requests()
         if is_active and not response_started:
             self._send_rejection(error)
         elif self.transport is None or self.transport.is_closing():
             return
-        elif is_active:  # there is no place for another response within it
+        elif is_active:  # an error response can't be sent within the streamed one
             self.transport.abort()
-        else:  # a second response would be taken for that to another request
+        else:  # the request has its response; a second one would be matched to another request
             self.transport.close()
 
     def _send_rejection(self, error: BadRequestError, *, has_unread_body: bool = False) -> None:
-        """Respond with an error, and close.
+        """Respond with an error, and close the connection.
 
         Args:
             error: The error.
-            has_unread_body: The client is still sending.
+            has_unread_body: The client is still sending the body of the request.
         """
         self._pending_rejection = None
         transport = self.transport
