--- a/rosewheel/http/downstream_detach.py
+++ b/rosewheel/http/downstream_detach.py
@@ -1,4 +1,4 @@
-"""Detaching a client's connection from the event loop, for another process to continue (hot restart)."""
+"""Detaches a client's connection from the event loop and restores it in another process (hot restart)."""
 
 from __future__ import annotations
 
@@ -15,11 +15,11 @@
 
 @dataclass(slots=True, eq=False)
 class DetachedDownstream:
-    """A client's connection that is no longer on this process's loop.
+    """A client's connection that was removed from this process's event loop.
 
     Attributes:
         fd: A descriptor of its socket, owned by the receiver of this object.
-        pending_bytes: What was written and not sent; then what was read of an incomplete request.
+        pending_bytes: The unsent bytes, followed by the received bytes of an incomplete request.
         state: See `DownstreamState.encode`.
         request: The request whose streamed response is in progress, if any.
     """
@@ -30,20 +30,20 @@
     request: DownstreamRequest | None
 
 
-OnDownstreamDetached = Callable[[DetachedDownstream | None], None]  # None: the connection ended meanwhile
+DownstreamDetachCallback = Callable[[DetachedDownstream | None], None]  # None: closed before it was detached
 
 
 @dataclass(slots=True, frozen=True)
 class DownstreamState:
-    """What another process needs to know of a connection, beside its bytes.
+    """State with which another process restores a connection, in addition to its pending bytes.
 
     Attributes:
-        is_http_1_0: Version of the last request.
-        close_after_response: The client wants the connection closed.
-        response_chunked: The streamed response is sent in chunks.
+        is_http_1_0: The last request is HTTP/1.0.
+        close_after_response: The last request asks to close the connection after its response.
+        response_chunked: The streamed response uses chunked encoding.
         has_sent_request: At least one complete request was received.
         closing: The connection is closed once its unsent bytes are sent.
-        unsent_bytes: How many of the pending bytes are to be sent; the others were read.
+        unsent_bytes: How many of the pending bytes are unsent; the rest were received.
     """
 
     is_http_1_0: bool
@@ -54,7 +54,7 @@
     unsent_bytes: int
 
     def encode(self) -> dict[str, Any]:
-        """The state by the keys of the messages between processes."""
+        """Encode the state for a message to another process."""
         return {
             "old": self.is_http_1_0,
             "last": self.close_after_response,
@@ -66,12 +66,12 @@
 
     @classmethod
     def decode(cls, state: dict[str, Any]) -> DownstreamState:
-        """The opposite of `encode`.
+        """Decode the state from a message of another process.
 
         Raises:
             KeyError: A key is missing.
-            ValueError: A value is not a number.
-            TypeError: A value is not a number.
+            ValueError: The number of unsent bytes is not a number.
+            TypeError: The number of unsent bytes is not a number.
         """
         unsent_bytes = int(state["unsent"])
         return cls(
@@ -86,12 +86,12 @@
 
 @dataclass(slots=True)
 class RestoredBytes:
-    """Bytes of another process that a connection handles once it has its transport.
+    """Pending bytes of another process, processed once the restored connection has a transport.
 
     Attributes:
-        unsent: To be sent.
-        received: Of an incomplete request.
-        closing: The connection is closed once they are sent.
+        unsent: Bytes to send.
+        received: Bytes of an incomplete request, to parse.
+        closing: The connection is closed once the unsent bytes are sent.
     """
 
     unsent: bytes = b""
@@ -100,7 +100,7 @@
 
 
 def duplicate_descriptor(transport: asyncio.Transport) -> int:
-    """A second descriptor of the transport's socket; the loop closes its own.
+    """Duplicate the descriptor of the transport's socket; the event loop closes the original.
 
     Raises:
         OSError: The process has no descriptors left.
@@ -109,24 +109,24 @@
 
 
 class DetachableConnection(ResponseSender):
-    """A client's connection that another process can continue.
+    """A client's connection that can be detached from the event loop and restored in another process.
 
     Attributes:
-        detach_declined: The other process of a hot restart did not take the connection.
+        detach_declined: The other process refused the connection, so that it is not detached again.
     """
 
     def __init__(self, server: ResponseSenderOwner) -> None:
         super().__init__(server)
         self.detach_declined = False
-        self._on_detached: OnDownstreamDetached | None = None  # set while the loop lets go of the connection
+        self._on_detached: DownstreamDetachCallback | None = None  # set while detaching
         self._restored = RestoredBytes()
 
     @property
     def detachable(self) -> bool:
-        """Whether another process could continue with this connection.
+        """True if another process can restore the connection.
 
-        No request may wait for its response, an incomplete one has to be replayable, and the unsent bytes have to be
-        known.
+        No request may wait for the start of its response, an incomplete request has to be replayable, and the unsent
+        bytes have to be known.
         """
         transport = self.transport
         if (
@@ -153,13 +153,13 @@
             return False
         return unsent_bytes <= self._unsent_writes.size
 
-    def detach(self, on_detached: OnDownstreamDetached) -> None:
-        """Take a detachable connection off the loop. From now on nothing is read from it or written to it.
+    def detach(self, on_detached: DownstreamDetachCallback) -> None:
+        """Remove a detachable connection from the event loop; nothing more is read from it or written to it.
 
-        This needs a loop whose transports keep the unsent bytes until `connection_lost` has returned, as uvloop's do.
+        Requires an event loop whose transports keep the unsent bytes until `connection_lost` returns, as in uvloop.
 
         Args:
-            on_detached: Receives the connection, or None if it ended meanwhile.
+            on_detached: Receives the connection, or None if it was closed before it was detached.
         """
         if self.transport is None:
             on_detached(None)
@@ -169,7 +169,10 @@
         self.transport.abort()
 
     def _finish_detach(self, exc: Exception | None) -> bool:
-        """Hand the connection over; the loop closes its descriptor once this has returned. False if it ended."""
+        """Pass the detached connection to the callback; return False if it can't be detached.
+
+        Called from `connection_lost`, after which the event loop closes the original descriptor.
+        """
         transport, on_detached = self.transport, self._on_detached
         self._on_detached = None
         if transport is None or on_detached is None:
@@ -191,7 +194,7 @@
             closing=self._restored.closing,
             unsent_bytes=unsent_bytes,
         )
-        received = self._received_of_incomplete_request()
+        received = self._encode_incomplete_request()
         if self.incoming_request is not None:
             self.incoming_request.body.release()
             self.incoming_request = None
@@ -210,13 +213,13 @@
         except OSError:
             return None
 
-    def _received_of_incomplete_request(self) -> bytes:
+    def _encode_incomplete_request(self) -> bytes:
         if not self.is_receiving:
             return b""
         return self._partial.encode(self.incoming_request, is_http_1_0=self.is_http_1_0)
 
     def restore(self, state: dict[str, Any], pending_bytes: bytes) -> None:
-        """Continue where another process left off; to be called before the connection has its transport.
+        """Restore the state of a detached connection, before this one has a transport.
 
         Args:
             state: See `DetachedDownstream`.
--- a/rosewheel/http/exchange.py
+++ b/rosewheel/http/exchange.py
@@ -11,7 +11,7 @@
 from rosewheel.http.body import RequestBody
 from rosewheel.http.load_report import LoadReport
 from rosewheel.http.response_reader import ResponseSink
-from rosewheel.http.upstream_detach import DetachCallback
+from rosewheel.http.upstream_detach import UpstreamDetachCallback
 from rosewheel.policy.events import AttemptResult
 
 
@@ -39,7 +39,7 @@
     def fail_if_write_stalled(self) -> None:
         """Fail its exchange if the server has not read from it for long."""
 
-    def detach(self, on_detached: DetachCallback) -> None:
+    def detach(self, on_detached: UpstreamDetachCallback) -> None:
         """Take it off the loop."""
 
     def close(self) -> None:
--- a/rosewheel/http/upstream_connection.py
+++ b/rosewheel/http/upstream_connection.py
@@ -15,7 +15,7 @@
 from rosewheel.http.errors import InvalidResponseError
 from rosewheel.http.exchange import ConnectionPool, Exchange, UpstreamEndpoint
 from rosewheel.http.response_reader import ResponsePhase, ResponseReader, ResponseSink
-from rosewheel.http.upstream_detach import DetachCallback, DetachedUpstream, UpstreamState
+from rosewheel.http.upstream_detach import DetachedUpstream, UpstreamDetachCallback, UpstreamState
 from rosewheel.http.write_buffer import WriteProgress
 from rosewheel.policy.events import AttemptResult
 
@@ -65,7 +65,7 @@
         self._write_progress = WriteProgress()
         self._poller: select.poll | None = None  # of this connection's socket alone
         self._pause_timer: asyncio.TimerHandle | None = None
-        self._on_detached: DetachCallback | None = None
+        self._on_detached: UpstreamDetachCallback | None = None
 
     # ------------------------------------------------------------------------------------------- begin and end
 
@@ -335,7 +335,7 @@
             return False
         return self.position_is_known
 
-    def detach(self, on_detached: DetachCallback) -> None:
+    def detach(self, on_detached: UpstreamDetachCallback) -> None:
         """Take the connection off the loop. From now on nothing is read.
 
         Args:
--- a/rosewheel/http/upstream_detach.py
+++ b/rosewheel/http/upstream_detach.py
@@ -23,7 +23,7 @@
     state: dict[str, Any]
 
 
-DetachCallback = Callable[[DetachedUpstream | None], None]  # None: the connection ended meanwhile
+UpstreamDetachCallback = Callable[[DetachedUpstream | None], None]  # None: the connection ended meanwhile
 
 
 @dataclass(slots=True, frozen=True)
--- a/rosewheel/http/upstream_pool.py
+++ b/rosewheel/http/upstream_pool.py
@@ -15,7 +15,7 @@
 from rosewheel.http.load_report import LoadReport, parse_load_report
 from rosewheel.http.response_reader import ResponseSink
 from rosewheel.http.upstream_connection import UpstreamConnection
-from rosewheel.http.upstream_detach import DetachCallback, UpstreamState
+from rosewheel.http.upstream_detach import UpstreamDetachCallback, UpstreamState
 from rosewheel.node.idle_timeout import IdleTimeout
 from rosewheel.node.limits import Limits
 from rosewheel.node.rule_monitor import Act, RuleMonitor
@@ -302,7 +302,7 @@
 
     # ------------------------------------------------------------------------------------------------ hot restart
 
-    def detach_idle(self, on_detached: DetachCallback) -> bool:
+    def detach_idle(self, on_detached: UpstreamDetachCallback) -> bool:
         """Detach an idle connection, the last used first; False if there is none.
 
         Its state contains how long it has been idle, so that the other process applies the quiet period too.
@@ -313,7 +313,7 @@
         connection.detach(on_detached)
         return True
 
-    def detach_response(self, id: str, attempt: int, on_detached: DetachCallback) -> bool:
+    def detach_response(self, id: str, attempt: int, on_detached: UpstreamDetachCallback) -> bool:
         """Detach the connection of a streamed response; False if its position is unknown."""
         exchange = self.exchanges.get((id, attempt))
         connection = exchange.connection if exchange is not None else None
