--- a/rosewheel/http/downstream_server.py
+++ b/rosewheel/http/downstream_server.py
@@ -1,4 +1,4 @@
-"""The listener for clients: accepts their connections, limits their number, and drains them."""
+"""Accepts the connections of clients, limits their number, closes stalled ones, and drains them at shutdown."""
 
 from __future__ import annotations
 
@@ -16,47 +16,49 @@
 
 log = logging.getLogger("rosewheel.downstream")
 
-SWEEP_INTERVAL_S = 0.25  # between two looks for stalled connections
-PAUSED_CHECK_INTERVAL_S = 0.1  # between two looks for the end of connections that are not being read
-# To free a descriptor, a connection is closed that was not used within the first time; and, if it has sent no request
-# or only a part of a head, one that was silent within the second.
-MIN_IDLE_BEFORE_RECLAIM_S = 0.2
-MIN_SILENCE_BEFORE_RECLAIM_S = 0.3
-ACCEPT_DURING_DRAIN_S = 0.6  # how long after SIGTERM new connections are accepted
-# How long after SIGTERM open connections may bring requests, since other nodes may be starting. It ends before the
-# longest timeout of a request does, by the margin: the drain ends soon after that, with whatever is still open.
+SWEEP_INTERVAL_S = 0.25  # between two checks for stalled connections
+PAUSED_CHECK_INTERVAL_S = 0.1  # between two checks for disconnects on connections with paused reading
+MIN_IDLE_BEFORE_RECLAIM_S = 0.2  # idle time after which a connection may be closed to free a descriptor
+MIN_SILENCE_BEFORE_RECLAIM_S = (
+    0.3  # the same for a connection without a complete request so far, or within a head
+)
+ACCEPT_DURING_DRAIN_S = 0.6  # after SIGTERM, new connections are accepted for this long
+# After SIGTERM, open connections may send requests for this long, since other nodes may still be starting; but only
+# until the margin before the longest request timeout, as the drain ends soon after that.
 KEEP_OPEN_DURING_DRAIN_S = 2.0
 DRAIN_DEADLINE_MARGIN_S = 0.1
-NEW_CONNECTION_GRACE_S = 0.2  # a new connection may still bring its first request for this long,
-NEW_CONNECTION_GRACE_SHARE = 0.2  # or for this share of the longest timeout, if that is shorter
-DRAIN_RESPONSE_GRACE_S = 0.4  # this long after the longest timeout a drain waits only for pending responses
+NEW_CONNECTION_GRACE_S = 0.2  # during a drain, time in which a new connection may send its first request
+NEW_CONNECTION_GRACE_SHARE = 0.2  # upper limit of this time, as a share of the longest request timeout
+DRAIN_RESPONSE_GRACE_S = (
+    0.4  # this long after the longest request timeout, connections without a request are aborted
+)
 DRAIN_POLL_INTERVAL_S = 0.02
 MIGRATION_POLL_INTERVAL_S = 0.005
 UNLIMITED_CONNECTIONS = 1 << 20
 
 
 class DownstreamServer:
-    """Accepts clients and passes their requests to the proxy.
+    """Accepts connections and passes their requests to the proxy.
 
     Attributes:
-        descriptor_available: Whether the process may open a descriptor; it may close an idle connection for it.
-        request_received: Processes a request. Its response is written to its connection.
-        request_completed: Called for the last byte of a request that was dispatched before it.
+        descriptor_available: Returns whether the process may open a descriptor, closing an idle connection if needed.
+        request_received: Processes a request, whose response is written to its connection.
+        request_completed: Called for the last byte of a request that was dispatched before it was complete.
         client_disconnected: Called for a dispatched request whose client has disconnected.
-        is_healthy: Whether the node can serve requests.
-        buffer_budget: Memory for the bodies of requests.
-        monitor: Counts verdicts on connections.
-        connections: In the order of their arrival.
-        idle_connections: Those without a request, the longest idle first.
-        partial_connections: Those with only a part of a head, the longest silent first.
-        max_connections: How many clients may be connected.
-        max_over_limit: How many more get a response that says so; further ones are only closed.
-        over_limit_count: Connections over the limit.
+        is_healthy: Returns whether the node can serve requests.
+        buffer_budget: Memory budget for request bodies.
+        monitor: Decides whether connections may be accepted and closed, and counts the verdicts.
+        connections: All connections, in the order of their arrival.
+        idle_connections: Connections without a request, the longest idle first.
+        partial_connections: Connections with only a part of a head, the longest silent first.
+        max_connections: Maximum number of connections.
+        max_over_limit: Maximum number of further connections that get a 503; any others are closed without a response.
+        over_limit_count: Number of connections over the limit.
         rejected_count: Invalid requests since the last log line.
-        last_rejection: The last of them.
-        draining: The process shuts down, or another one continues.
+        last_rejection: Status and message of the last invalid request.
+        draining: The process shuts down, or another process takes over.
         closing: Connections are closed after their next response.
-        hot_restarting: Another process of the node continues.
+        hot_restarting: Another process of the node takes over (hot restart).
         drain_started_s: When `draining` was set, on the loop's clock.
     """
 
@@ -80,7 +82,7 @@
         self.connections: dict[DownstreamConnection, None] = {}
         self.idle_connections: dict[DownstreamConnection, None] = {}
         self.partial_connections: dict[DownstreamConnection, None] = {}
-        self._paused_connections: dict[DownstreamConnection, None] = {}  # not read now, or at the last check
+        self._paused_connections: dict[DownstreamConnection, None] = {}  # paused now or at the last check
         self._paused_check_timer: asyncio.TimerHandle | None = None
         self.max_connections = UNLIMITED_CONNECTIONS
         self.max_over_limit = 16
@@ -94,7 +96,7 @@
         self._sweep_timer: asyncio.TimerHandle | None = None
 
     async def start(self, sock: socket.socket) -> None:
-        """Accept clients on a bound socket."""
+        """Accept connections on a bound socket."""
         self._listener = await self.loop.create_server(
             lambda: DownstreamConnection(self), sock=sock, backlog=BACKLOG
         )
@@ -102,12 +104,12 @@
 
     @property
     def listening(self) -> bool:
-        """Whether clients are accepted, and no drain has begun."""
+        """True if connections are accepted and no drain has begun."""
         return self._listener is not None and not self.draining
 
     @property
     def listening_socket(self) -> socket.socket | None:
-        """The listening socket, for another process to accept from as well."""
+        """The listening socket, which another process may share; None if not listening."""
         return self._listener.sockets[0] if self._listener is not None and self.listening else None
 
     @property
@@ -129,13 +131,13 @@
         hot_restart: bool = False,
         migrate: Callable[[], bool] | None = None,
     ) -> None:
-        """Respond to requests that still arrive, then close; returns once no client is connected.
+        """Serve requests for a limited time, then close all connections; return once none is open.
 
         Args:
-            max_request_timeout_s: The longest timeout of a request, as far as a drain waits for it.
-            hot_restart: Another process accepts from the same socket: this one stops accepting at once, and closes or
-                migrates its connections.
-            migrate: Hands over the connections that can be by now; whether more will follow.
+            max_request_timeout_s: The longest request timeout, up to the limit for which a drain waits.
+            hot_restart: Another process accepts from the same socket; stop accepting at once, and close or migrate
+                all connections.
+            migrate: Migrates the connections that are detachable now; returns whether to call it again.
         """
         self.draining, self.drain_started_s = True, self.loop.time()
         migrating = migrate is not None and migrate()
@@ -155,7 +157,7 @@
     async def _close_connections(
         self, max_request_timeout_s: float, migrating: bool, migrate: Callable[[], bool] | None
     ) -> None:
-        """Close each connection once it is idle, and abort those without a request when the time is over."""
+        """Close or migrate each connection once it is idle; after the time limit, abort those without a request."""
         new_connection_grace_s = min(
             NEW_CONNECTION_GRACE_S, max_request_timeout_s * NEW_CONNECTION_GRACE_SHARE
         )
@@ -172,7 +174,7 @@
             await asyncio.sleep(MIGRATION_POLL_INTERVAL_S if migrating else DRAIN_POLL_INTERVAL_S)
 
     def close(self) -> None:
-        """Close the listener, and abort all connections."""
+        """Close the listener and abort all connections."""
         if self._listener is not None:
             self._listener.close()
         if self._sweep_timer is not None:
@@ -186,7 +188,7 @@
 
     def _sweep(self) -> None:
         self._sweep_timer = self.loop.call_later(SWEEP_INTERVAL_S, self._sweep)
-        if self.rejected_count:  # one line for all: clients with invalid requests may send at full speed
+        if self.rejected_count:  # one line per sweep, since invalid requests may arrive at a high rate
             log.info("requests rejected: count=%d, last=%s", self.rejected_count, self.last_rejection)
             self.rejected_count = 0
         now_s = self.loop.time()
@@ -206,25 +208,25 @@
             PAUSED_CHECK_INTERVAL_S, self._check_paused_connections
         )
 
-    # ------------------------------------------------------------------------------- reports of the connections
+    # --------------------------------------------------------------------------------- connection state changes
 
     def connection_opened(self, connection: DownstreamConnection) -> None:
-        """Register a connection, and mark it if it exceeds the limit."""
+        """Register a connection; mark it if it exceeds the connection limit, or abort it if too many do."""
         self.connections[connection] = None
         self.idle_connections[connection] = None
-        # Guards the descriptors, and the servers' share of them.
+        # Connections of clients must not take the descriptors that are reserved for connections to servers.
         is_full = len(self.connections) > self.max_connections and not self.close_longest_idle()
         is_full = is_full or not self.descriptor_available()
         reason = Reason.DESCRIPTORS_EXHAUSTED if is_full else Reason.ALLOWED
         connection.over_limit = not self.monitor.is_allowed(Act.ACCEPT, reason)
         if connection.over_limit:
             self.over_limit_count += 1
-            # Guards the process: past its own limit of descriptors the system accepts nothing for it.
+            # At the operating system's descriptor limit, the process could not accept connections at all.
             if self.over_limit_count > self.max_over_limit:
                 connection.abort()
 
     def connection_closed(self, connection: DownstreamConnection) -> None:
-        """Forget a connection that has ended, or is about to."""
+        """Remove a connection that is closed or about to close."""
         if connection in self.connections:
             del self.connections[connection]
             self.idle_connections.pop(connection, None)
@@ -233,21 +235,21 @@
             self.over_limit_count -= connection.over_limit
 
     def connection_paused(self, connection: DownstreamConnection) -> None:
-        """Check from now on whether the client has disconnected, since the loop does not read the connection."""
+        """Poll a connection for a disconnect while its reading is paused, as the event loop does not report it."""
         self._paused_connections[connection] = None
         if self._paused_check_timer is None:
             self._start_paused_check()
 
     def mark_idle(self, connection: DownstreamConnection) -> None:
-        """A connection has no request."""
+        """Record that a connection has no request."""
         self.idle_connections[connection] = None
 
     def mark_busy(self, connection: DownstreamConnection) -> None:
-        """A request begins on a connection."""
+        """Record the start of a request on a connection."""
         self.idle_connections.pop(connection, None)
 
     def mark_partial(self, connection: DownstreamConnection, is_partial: bool) -> None:
-        """A connection has only a part of a head, as the last that received one; or no longer has one."""
+        """Record that a connection has just received a part of a head, or no longer has one."""
         self.partial_connections.pop(connection, None)
         if is_partial:
             self.partial_connections[connection] = None
@@ -258,18 +260,18 @@
         self.last_rejection = f"{error.status}: {error}"
 
     def close_longest_idle(self) -> bool:
-        """Close the connection that has been idle longest, or silent longest within a head; whether one was closed."""
+        """Close the longest idle connection, or the one silent longest within a head; return whether one was closed."""
         for connection in self.idle_connections:
             min_idle_s = (
                 MIN_IDLE_BEFORE_RECLAIM_S if connection.has_sent_request else MIN_SILENCE_BEFORE_RECLAIM_S
             )
             if connection.close_if_idle(min_idle_s):
-                # Not counted from now on, although the loop closes it later, so that it is not closed twice.
+                # Removed at once, since the loop reports the close later and it must not be chosen again.
                 self.connection_closed(connection)
                 return True
             if self.loop.time() - connection.last_activity_s < MIN_SILENCE_BEFORE_RECLAIM_S:
                 break
-        # A slow client continues to send; one that is silent within a head is one of many, or has disconnected.
+        # A slow client keeps sending parts of its head, so the one silent longest is closed first.
         partial = next(iter(self.partial_connections), None)
         if partial is not None and self.loop.time() - partial.last_received_s >= MIN_SILENCE_BEFORE_RECLAIM_S:
             partial.reject_incomplete_request()
