--- a/rosewheel/http/response_reader.py
+++ b/rosewheel/http/response_reader.py
@@ -1,4 +1,4 @@
-"""Parsing of what a server sends: one response at a time, buffered if it is short and streamed if it is long."""
+"""Parses the responses of a server, one at a time: short bodies are buffered, long ones are streamed."""
 
 from __future__ import annotations
 
@@ -15,56 +15,59 @@
 
 log = logging.getLogger("rosewheel.upstream")
 
-MAX_RESPONSE_BYTES = 32 << 20  # guards clients against a server that does not stop sending
-STREAM_THRESHOLD_BYTES = 64 * 1024  # a longer response is streamed
-MAX_RESPONSE_HEAD_BYTES = 16 * 1024  # interim responses before it included
+MAX_RESPONSE_BYTES = 32 << 20  # of the body
+STREAM_THRESHOLD_BYTES = 64 * 1024  # a longer body is streamed
+MAX_RESPONSE_HEAD_BYTES = 16 * 1024  # including interim responses
 
-ResponseSink = Callable[[bytes], bool]  # takes a part of a streamed body; False: pause the response
+ResponseSink = Callable[
+    [bytes], bool
+]  # consumes a part of a streamed body; returns False to pause the response
 
 
 class ResponsePhase(Enum):
-    """What is received next of a response."""
+    """Parsing state of a response."""
 
-    HEAD = auto()  # more of the head; interim responses belong to it
-    BODY = auto()  # more of the body, or its end
-    COMPLETE = auto()  # nothing
+    HEAD = auto()  # within the head or an interim response
+    BODY = auto()  # within the body
+    COMPLETE = auto()  # the response is complete
 
 
-# Names of the module, since in Python 3.11 an attribute of an Enum class costs a call, and these are read per header.
+# Module-level aliases: in Python 3.11 each access to a member through its Enum class is a function call, and these are
+# read for every header.
 HEAD, BODY, COMPLETE = ResponsePhase
 
 
 class ResponseReader(asyncio.Protocol):
-    """Parses the response to one request after the other. Subclasses send the requests.
+    """Parses the responses received on a connection. Subclasses send the requests.
 
     Attributes:
-        phase: What is received next.
-        head_bytes: Bytes received before the head was complete.
-        response_body: The body, as far as it is not streamed.
-        response_bytes: Size of the body received so far.
+        phase: The parsing state.
+        head_bytes: Bytes received until the head was complete.
+        response_body: The buffered body; empty once it is streamed.
+        response_bytes: Bytes of the body received so far.
         content_length: Declared size of the body in bytes, if any.
-        sink: Where the body is streamed to.
-        load_report: The server's report on its load, if any.
+        sink: Consumer of the streamed body; None if the body is buffered.
+        load_report: The server's load report, if any.
         not_started: The server states that it has not executed the request.
-        has_framing: The head states where the body ends; otherwise the end of the connection is its end.
-        keep_alive: The connection may be used again; known once the response is complete.
-        chunk_tracker: Position in a streamed chunked body; None otherwise, or if it is unknown.
+        has_framing: The head declares where the body ends; otherwise the body ends with the connection.
+        keep_alive: The connection may be reused; valid once the response is complete.
+        chunk_tracker: Position in a chunked body; None without one, or if it is unknown.
     """
 
     def __init__(self) -> None:
         self.parser = httptools.HttpResponseParser(self)
-        self._restoring = False  # what the parser reports does not belong to the response
+        self._restoring = False  # the parser reads a generated head, whose body bytes are ignored
         self._reset()
 
     def _reset(self) -> None:
-        """Prepare for the response to another request."""
+        """Prepare for the response to the next request."""
         self.head_bytes = 0
-        self._head_buffer = bytearray()  # first bytes of the response, until its head is complete
+        self._head_buffer = bytearray()  # received bytes until the head is complete
         self.chunk_tracker: ChunkTracker | None = None
         self._reset_response()
 
     def _reset_response(self) -> None:
-        """Prepare for the response after an interim one."""
+        """Prepare for the response after an interim response."""
         self.phase: ResponsePhase = HEAD
         self.response_body = bytearray()
         self.response_bytes = 0
@@ -76,14 +79,14 @@
     # ------------------------------------------------------------------------------------------------- subclasses
 
     def _has_exchange(self) -> bool:
-        """Whether a response is expected."""
+        """Return whether a response is expected."""
         raise NotImplementedError
 
     def _open_sink(self) -> ResponseSink:
-        """Where to stream the response to.
+        """Return the sink for a response that has to be streamed.
 
         Raises:
-            InvalidResponseError: It is not expected, or too early.
+            InvalidResponseError: No streamed response is expected, or the request is not completely sent.
         """
         raise NotImplementedError
 
@@ -94,18 +97,19 @@
     # ---------------------------------------------------------------------------------------------------- parsing
 
     def _feed_parser(self, data: bytes) -> bool:
-        """Parse what was received; whether there was more behind the complete response.
+        """Parse received bytes; return whether surplus bytes follow the complete response.
 
         Raises:
-            HttpParserError: It is not HTTP.
-            InvalidResponseError: It is not a valid response.
+            HttpParserError: The bytes are not a valid HTTP response.
+            HttpParserUpgrade: The server switches protocols.
+            InvalidResponseError: The response is too long, or is not supported.
         """
         if self.phase is HEAD:
             self.head_bytes += len(data)
         try:
             self.parser.feed_data(data)
             if self.phase is HEAD and self.head_bytes > MAX_RESPONSE_HEAD_BYTES:
-                raise InvalidResponseError("head too long")
+                raise InvalidResponseError(f"response head exceeds {MAX_RESPONSE_HEAD_BYTES} bytes")
         except (httptools.HttpParserError, httptools.HttpParserUpgrade, InvalidResponseError):
             if self.phase is not COMPLETE:
                 raise
@@ -113,7 +117,7 @@
         return False
 
     def _track_chunks(self, data: bytes, phase_before: ResponsePhase) -> None:
-        """Follow the position in a chunked body, in case another process has to continue with it."""
+        """Track the position in a chunked body, so that the connection can be detached (hot restart)."""
         if phase_before is HEAD:
             self._head_buffer += data
             if self.phase is HEAD:
@@ -130,17 +134,18 @@
 
     @property
     def position_is_known(self) -> bool:
-        """Whether another parser could continue with the body."""
+        """True if the parser of another process can continue within the body."""
         if self.content_length is not None or not self.has_framing:
             return True
         return self.chunk_tracker is not None and self.chunk_tracker.in_body
 
     def _restore_position(self, head: bytes, received_bytes: int) -> None:
-        """Continue within the body of a response.
+        """Prepare the parser for the rest of a body whose beginning was received by another process.
 
         Args:
-            head: A head for the bytes that are still to come, and the beginning of a chunk if they are within one.
-            received_bytes: What another process received of the body.
+            head: A response head for the remaining bytes, followed by the framing that leads to the position within a
+                chunked body; see `UpstreamState.resume_head`.
+            received_bytes: Bytes of the body that the other process received.
         """
         self._restoring = True
         self.parser.feed_data(head)
@@ -153,7 +158,11 @@
     # ------------------------------------------------------------------------------------- callbacks of the parser
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """A header was received; trailers are ignored."""
+        """Evaluate a header; trailers are ignored.
+
+        Raises:
+            InvalidResponseError: The declared length or the transfer encoding is not supported.
+        """
         if self.phase is not HEAD:
             return
         name = name.lower()
@@ -165,14 +174,14 @@
             self.has_framing = True
             self.content_length = int(value)
             if self.content_length > MAX_RESPONSE_BYTES:
-                raise InvalidResponseError("response too long")
+                raise InvalidResponseError(f"response body exceeds {MAX_RESPONSE_BYTES} bytes")
         elif name == b"transfer-encoding":
             self.has_framing = True
             if value.strip().lower() != b"chunked":
-                raise InvalidResponseError("unknown transfer encoding")
+                raise InvalidResponseError("unsupported transfer encoding")
 
     def on_headers_complete(self) -> None:
-        """Begin to stream the response if it is long. An interim response counts as a part of the head."""
+        """Start streaming if the declared length requires it. Interim responses are treated as a part of the head."""
         status = self.parser.get_status_code()
         if status >= 200:
             self.phase = BODY
@@ -182,12 +191,16 @@
             self._start_streaming()
 
     def on_body(self, data: bytes) -> None:
-        """A part of the body was received. Bodies of errors are dropped."""
+        """Buffer or stream a part of the body. Bodies of error responses are dropped.
+
+        Raises:
+            InvalidResponseError: The body is too long, or can't be streamed.
+        """
         if self._restoring:
             return
         self.response_bytes += len(data)
         if self.response_bytes > MAX_RESPONSE_BYTES:
-            raise InvalidResponseError("response too long")
+            raise InvalidResponseError(f"response body exceeds {MAX_RESPONSE_BYTES} bytes")
         if self.sink is not None:
             if not self.sink(data):
                 self.pause_response()
@@ -197,21 +210,25 @@
                 self._start_streaming()
 
     def _start_streaming(self) -> None:
-        """Pass the body on from now on: it is too long to be buffered."""
+        """Pass the buffered part of the body to the sink, which receives the rest as it arrives."""
         sink = self._open_sink()
         self.sink, body, self.response_body = sink, bytes(self.response_body), bytearray()
         if body and not sink(body):
             self.pause_response()
 
     def on_message_begin(self) -> None:
-        """A response begins."""
+        """Accept only one response to a request.
+
+        Raises:
+            InvalidResponseError: The response to the current request is complete.
+        """
         if self.phase is COMPLETE:
-            raise InvalidResponseError("second response")
+            raise InvalidResponseError("second response to one request")
 
     def on_message_complete(self) -> None:
-        """The response is complete, or the interim one before it."""
+        """Complete the response; after an interim response, wait for the final one."""
         if self.parser.get_status_code() < 200:
             self._reset_response()
         else:
-            # Once the parser has returned it has forgotten the response, and always says no.
+            # Read here, since `should_keep_alive` always returns False after `feed_data` has returned.
             self.phase, self.keep_alive = COMPLETE, self.parser.should_keep_alive()
