--- a/rosewheel/http/upstream_connection.py
+++ b/rosewheel/http/upstream_connection.py
@@ -1,4 +1,4 @@
-"""One connection to a server: sends one request at a time and reports its outcome."""
+"""A connection to a server: sends one request at a time and reports its result."""
 
 from __future__ import annotations
 
@@ -21,35 +21,39 @@
 
 log = logging.getLogger("rosewheel.upstream")
 
-RECEIVE_BUFFER_BYTES = 64 * 1024  # of the socket: what the system holds of a response that is not read
-RESPONSE_PAUSE_TIMEOUT_S = 0.8  # for a pause within a response
-STREAM_PAUSE_TIMEOUT_S = 15.0  # the same while it is streamed: aborting that is the last resort
-PAUSE_CHECK_TOLERANCE_S = 0.01  # a timeout that ends this soon has ended; the loop's clock has milliseconds
-WRITE_STALL_TIMEOUT_S = 6.0  # how long a server may take nothing at all of a request
+RECEIVE_BUFFER_BYTES = (
+    64 * 1024
+)  # receive buffer of the socket; bounds what the system holds of an unread response
+RESPONSE_PAUSE_TIMEOUT_S = 0.8  # longest pause within a buffered response
+STREAM_PAUSE_TIMEOUT_S = 15.0  # longest pause within a streamed response; longer, since it can't be retried
+PAUSE_CHECK_TOLERANCE_S = (
+    0.01  # a timeout that ends this soon is taken as ended: the loop's clock has milliseconds
+)
+WRITE_STALL_TIMEOUT_S = 6.0  # a request of which the server takes no byte for this long is failed
 STALE_RESET_WINDOW_S = 0.02  # a reset this soon after a request shows that the idle connection was stale
 
 
 class ConnectionPhase(Enum):
-    """Whether a connection is on the loop."""
+    """Lifecycle of a connection to a server."""
 
     CONNECTING = auto()
     OPEN = auto()
-    DETACHING = auto()  # the loop is about to let go of it
+    DETACHING = auto()  # the event loop is about to remove it
     CLOSED = auto()
 
 
 class UpstreamConnection(ResponseReader):
-    """One connection to a server. It carries one exchange at a time.
+    """A connection to a server. It carries one exchange at a time.
 
     Attributes:
-        connection_phase: Whether it is on the loop.
-        address: Where it leads; its endpoint may move.
-        launched_ms: The start of the server's process to which it was opened.
-        exchange: The request that was sent, until its outcome is known.
+        connection_phase: The state of the connection.
+        address: The remote address; the address of the endpoint may change later.
+        launched_ms: Start of the server process to which the connection was opened, on the monotonic clock.
+        exchange: The exchange in progress.
         idle_since_s: When it last became idle, on the loop's clock; 0 before the first time.
-        last_received_s: When it last received anything.
-        write_blocked: The transport's buffer is full.
-        reading_paused: Nothing is read, since the client reads more slowly.
+        last_received_s: When it last received bytes, on the loop's clock.
+        write_blocked: The transport's write buffer is full.
+        reading_paused: Reading is paused, since the client reads more slowly than the server sends.
     """
 
     def __init__(self, pool: ConnectionPool, endpoint: UpstreamEndpoint) -> None:
@@ -63,17 +67,17 @@
         self.write_blocked = self.reading_paused = False
         self._request_started_s = self._idle_before_request_s = 0.0
         self._write_progress = WriteProgress()
-        self._poller: select.poll | None = None  # of this connection's socket alone
+        self._poller: select.poll | None = None  # polls only this connection's socket
         self._pause_timer: asyncio.TimerHandle | None = None
         self._on_detached: UpstreamDetachCallback | None = None
 
-    # ------------------------------------------------------------------------------------------- begin and end
+    # -------------------------------------------------------------------------------------- opening and closing
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Prepare the socket."""
-        # A cast: the transports of uvloop do not derive from asyncio's classes.
+        """Configure the socket and register the connection with the pool."""
+        # A cast, since uvloop's transports are not subclasses of asyncio's.
         self.transport = cast(asyncio.Transport, transport)
-        # Guards memory, the system's and that of the segments, while a response waits for a slow client.
+        # Bounds the system memory that a response takes while it waits for a slow client.
         sock = transport.get_extra_info("socket")
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, RECEIVE_BUFFER_BYTES)
         self._poller = select.poll()
@@ -82,27 +86,27 @@
         self.pool.connection_opened()
 
     def is_usable(self) -> bool:
-        """Whether it is open and nothing was received.
+        """Return whether the connection is open and nothing was received on it.
 
-        The operating system is queried, since the loop may not have read yet that the server has closed the
-        connection: a request that is written after that is lost.
+        A request written after the server has closed the connection is lost, and the event loop may not have read the
+        close yet, so the operating system is queried.
         """
         if self.transport is None or self.transport.is_closing():
             return False
         return self._poller is not None and not self._poller.poll(0)
 
     def close(self) -> None:
-        """Close it without sending what is unsent."""
+        """Close the connection and discard its unsent bytes."""
         if self.transport is not None:
             self.transport.abort()
 
     def eof_received(self) -> None:
-        """The server has closed its side, which ends a response without framing."""
+        """Complete a response without framing, which ends when the server closes its side."""
         if self.exchange is not None and self.phase is not ResponsePhase.HEAD and not self.has_framing:
             self._finish_response(keep=False)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Fail the exchange, or hand the connection over if it was detached."""
+        """Fail the exchange; if the connection was detached, pass it to the callback."""
         phase, self.connection_phase = self.connection_phase, ConnectionPhase.CLOSED
         if phase in (ConnectionPhase.OPEN, ConnectionPhase.DETACHING):
             self.pool.connection_closed()
@@ -112,14 +116,14 @@
         self._discard()
         self.transport = None
         now_s = self.pool.loop.time()
-        # Only a reset: a server that closes a connection in an orderly way has sent its end before.
+        # Only a reset shows a stale connection: an orderly close would have been seen before the request.
         was_reset = self.exchange is not None and isinstance(exc, ConnectionError) and not self.head_bytes
         elapsed_s = now_s - self._request_started_s
         if was_reset and self._idle_before_request_s > 0.0 and elapsed_s <= STALE_RESET_WINDOW_S:
             self.pool.record_stale(self._idle_before_request_s)
-        # The request was written, so it may have been executed.
+        # RESET, since a request that was written may have been executed.
         self._finish_exchange(AttemptResult.RESET, keep=False)
-        # Guards memory: the parser and this object refer to one another, and the collector runs rarely.
+        # The parser and this object form a reference cycle, and the garbage collector runs rarely.
         del self.parser
 
     def _discard(self) -> None:
@@ -129,7 +133,7 @@
     # ------------------------------------------------------------------------------------------------- requests
 
     def send(self, exchange: Exchange) -> None:
-        """Send a request on the open and idle connection."""
+        """Send a request on an open and idle connection."""
         self._reset()
         self._request_started_s = self.pool.loop.time()
         self._write_progress.restart(self._request_started_s)
@@ -140,12 +144,12 @@
         self._send_available(exchange.encode_head())
 
     def _send_available(self, unsent: bytes = b"") -> None:
-        """Write what is available of the request, as far as the server takes it.
+        """Write the available parts of the request until the transport's buffer is full.
 
-        The head and the first bytes of the body are written at once: one system call, and one segment if they are few.
+        The head is written together with the first segment of the body, which saves a system call and often a packet.
 
         Args:
-            unsent: Bytes to be written before the body's next segment.
+            unsent: Bytes to write before the next segment of the body.
         """
         exchange = self.exchange
         while exchange is not None and not exchange.request_sent and not self.write_blocked:
@@ -180,18 +184,18 @@
             exchange.body.on_data = None
 
     def pause_writing(self) -> None:
-        """The transport's buffer is full."""
+        """Stop writing: the transport's write buffer is full."""
         self.write_blocked = True
 
     def resume_writing(self) -> None:
-        """There is space in the transport's buffer."""
+        """Continue writing: the transport's write buffer has space."""
         self.write_blocked = False
         self._send_available()
 
     def fail_if_write_stalled(self) -> None:
-        """Guards a client that sends a long body against a server that does not read it.
+        """Fail the exchange if the server has stopped reading the request.
 
-        No deadline runs before the request's last byte.
+        The deadline of a request starts at its last byte, so it does not limit how long the body takes.
         """
         now_s = self.pool.loop.time()
         unsent_bytes = self.transport.get_write_buffer_size() if self.transport is not None else 0
@@ -201,7 +205,7 @@
             self._finish_exchange(AttemptResult.CONNECT_FAILED, keep=False)
 
     def release_exchange(self) -> None:
-        """Nothing more is reported of the exchange; its body may be read by another attempt."""
+        """Stop reporting on the exchange; another attempt may read its body."""
         exchange, self.exchange = self.exchange, None
         self.sink = None
         if exchange is not None and exchange.body is not None:
@@ -212,9 +216,9 @@
     # ------------------------------------------------------------------------------------------------- responses
 
     def data_received(self, data: bytes) -> None:
-        """Parse what was received, and end the exchange if its response is complete."""
+        """Parse received bytes, and finish the exchange once its response is complete."""
         self.last_received_s = self.endpoint.last_received_s = self.pool.loop.time()
-        if self.exchange is None:  # guards the next attempt against bytes that do not belong to it
+        if self.exchange is None:  # the bytes would be taken for the response to the next request
             self._discard()
             return
         phase_before = self.phase
@@ -224,7 +228,7 @@
             self._fail_invalid_response(error)
             return
         if self.phase is ResponsePhase.COMPLETE:
-            # Guards the next attempt: a response before the end of the request leaves unsent bytes of it.
+            # After a response before the end of the request, the unsent bytes would precede the next request.
             has_unsent = self.transport is None or self.transport.get_write_buffer_size() > 0
             self._finish_response(keep=self.keep_alive and not has_unsent and not has_surplus)
             return
@@ -233,13 +237,13 @@
             self._start_pause_timer(RESPONSE_PAUSE_TIMEOUT_S)
 
     def pause_response(self) -> None:
-        """Stop reading, since the client reads more slowly than the server sends."""
+        """Pause reading, since the client reads more slowly than the server sends."""
         if not self.reading_paused and self.transport is not None and not self.transport.is_closing():
             self.reading_paused = True
             self.transport.pause_reading()
 
     def resume_response(self) -> None:
-        """The opposite of `pause_response`."""
+        """Resume reading after `pause_response`."""
         if self.reading_paused:
             self.reading_paused = False
             self.last_received_s = self.pool.loop.time()
@@ -252,9 +256,9 @@
     def _open_sink(self) -> ResponseSink:
         exchange = self.exchange
         if exchange is None or exchange.on_response_started is None:
-            raise InvalidResponseError("unexpected long response")
+            raise InvalidResponseError("response too long to be buffered")
         if not exchange.request_sent:
-            raise InvalidResponseError("response before the end of the request")
+            raise InvalidResponseError("response to an incomplete request")
         sink = exchange.on_response_started(self.content_length, self.resume_response)
         if sink is None:
             raise InvalidResponseError("response no longer expected")
@@ -269,7 +273,7 @@
             self._pause_timer = None
 
     def _check_response_pause(self) -> None:
-        """Guards an idempotent request, and the connection, against a response that does not end."""
+        """Fail the exchange if its response has stalled, so that an idempotent request can be retried."""
         self._pause_timer = None
         if self.exchange is None:
             return
@@ -281,11 +285,11 @@
             self._start_pause_timer(left_s)
         elif self.is_usable():
             self._fail_invalid_response("response stalled")
-        else:  # there is more to read, so this node is late
+        else:  # the socket has unread bytes: the event loop is late, not the server
             self._start_pause_timer(RESPONSE_PAUSE_TIMEOUT_S / 4)
 
     def _fail_invalid_response(self, reason: Exception | str) -> None:
-        """The request was executed, and its response is invalid."""
+        """Fail an exchange with an invalid response; the request may have been executed."""
         self.pool.record_invalid_response(f"{self.endpoint.address}: {reason}")
         self._finish_exchange(AttemptResult.RESET, keep=False)
 
@@ -301,21 +305,21 @@
             self._finish_exchange(AttemptResult.ERROR, keep)
 
     def _finish_exchange(self, result: AttemptResult, keep: bool) -> None:
-        """Report the result; `keep`: the connection may be used again."""
+        """Report the result, and keep the connection for the next request or close it."""
         exchange = self.exchange
         self.release_exchange()
         self._cancel_pause_timer()
         if exchange is not None and not exchange.request_sent:
             keep = False
             if result is not AttemptResult.OVERLOADED:
-                # A server executes a request from its last byte on, so this one was never executed.
+                # A server executes a request only once it is complete, so this one was not executed.
                 result = AttemptResult.CONNECT_FAILED
         if not keep:
             self.close()
         if exchange is None:
             return
         self.resume_response()
-        if keep:  # before the result is reported: the next attempt may use the connection at once
+        if keep:  # released before the result is reported, so that the next attempt may use the connection
             self.pool.release(self)
         body = bytes(self.response_body) if result is AttemptResult.OK else b""
         exchange.on_done(result, self.load_report, body)
@@ -324,7 +328,7 @@
 
     @property
     def detachable(self) -> bool:
-        """Whether another process could continue with the streamed response."""
+        """True if another process can continue with the streamed response."""
         if self.transport is None or self.transport.is_closing():
             return False
         if self.connection_phase is ConnectionPhase.DETACHING:
@@ -336,10 +340,10 @@
         return self.position_is_known
 
     def detach(self, on_detached: UpstreamDetachCallback) -> None:
-        """Take the connection off the loop. From now on nothing is read.
+        """Remove the connection from the event loop; nothing more is read from it.
 
         Args:
-            on_detached: Receives the connection once the loop lets go of it, or None if it ended meanwhile.
+            on_detached: Receives the connection, or None if it was closed before it was detached.
         """
         if self.transport is None:
             on_detached(None)
@@ -377,12 +381,12 @@
         )
 
     def restore(self, exchange: Exchange, state: dict[str, Any], sink: ResponseSink) -> None:
-        """Continue within a streamed response; to be called before the connection has its transport.
+        """Restore a streamed response in progress, before the connection has a transport.
 
         Args:
             exchange: The attempt, whose request was sent by another process.
             state: See `DetachedUpstream`.
-            sink: Where the rest of the body is streamed to.
+            sink: Receives the rest of the body.
         """
         self._reset()
         decoded = UpstreamState.decode_response(state)
