--- a/rosewheel/http/exchange.py
+++ b/rosewheel/http/exchange.py
@@ -1,4 +1,4 @@
-"""An attempt or a health check on its way, the server that it is sent to, and what both need of a connection."""
+"""Attempts and health checks in progress, their servers, and the interfaces of connections and of their pool."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class PooledConnection(Protocol):
-    """A connection to a server, as the pool uses it; see `UpstreamConnection`."""
+    """Interface of a connection to a server, as the pool uses it; see `UpstreamConnection`."""
 
     endpoint: UpstreamEndpoint
     address: Address
@@ -25,44 +25,44 @@
 
     @property
     def detachable(self) -> bool:
-        """Whether another process could continue with its response."""
+        """True if another process can continue with its streamed response."""
 
     def is_usable(self) -> bool:
-        """Whether it is open and nothing was received."""
+        """Return whether it is open and nothing was received on it."""
 
     def send(self, exchange: Exchange) -> None:
         """Send a request."""
 
     def release_exchange(self) -> None:
-        """Report nothing more of its exchange."""
+        """Stop reporting on its exchange."""
 
     def fail_if_write_stalled(self) -> None:
-        """Fail its exchange if the server has not read from it for long."""
+        """Fail its exchange if the server has stopped reading the request."""
 
     def detach(self, on_detached: UpstreamDetachCallback) -> None:
-        """Take it off the loop."""
+        """Remove it from the event loop, for another process to continue."""
 
     def close(self) -> None:
-        """Close it at once."""
+        """Close it at once, and discard its unsent bytes."""
 
 
 @dataclass(slots=True, eq=False)
 class Exchange:
-    """One attempt or health check.
+    """An attempt or health check in progress.
 
     Attributes:
-        encode_head: Returns the request's head; called right before its first byte, since it tells the time left.
+        encode_head: Returns the head of the request; called right before it is written, as it contains the time left.
         on_done: Called once with the result, the server's load report, and the body of a complete response.
-        started_s: When it began, on the loop's clock.
-        on_sent: Called once the last byte was written.
-        on_response_started: Called with the declared length, if any, and a function that resumes the response, once a
-            long response begins. Returns its sink, or None if it is no longer expected.
-        is_wanted: Asked right before the first byte, if a connection had to be opened: whether the attempt may begin.
-        body: The request's body.
-        chunked: The body is sent in chunks.
-        next_segment: Number of the next segment of the body.
-        request_sent: The last byte was written: from here on the server may execute the request.
-        connection: Where it is sent.
+        started_s: When the exchange started, on the loop's clock.
+        on_sent: Called when the last byte of the request was written.
+        on_response_started: Called when the response has to be streamed, with its declared length, if any, and a
+            function that resumes the response. Returns the sink, or None if the response is no longer expected.
+        is_wanted: Returns whether the request may still be sent; called after a connection was opened for it.
+        body: The body of the request, if any.
+        chunked: The body is sent in chunked encoding.
+        next_segment: Index of the next segment of the body to send.
+        request_sent: The last byte was written, so the server may execute the request.
+        connection: The connection on which the request is sent.
         connect_task: The task that opens a connection for it.
     """
 
@@ -86,11 +86,11 @@
 
     Attributes:
         host: Name of the server.
-        address: Where to connect.
-        launched_ms: When the server started, on the monotonic clock; None if that is unknown.
-        available: It may receive requests.
-        idle_connections: The last used one last.
-        last_received_s: When any of its connections last received anything, on the loop's clock.
+        address: Address to connect to.
+        launched_ms: When the server started, on the monotonic clock; None if unknown.
+        available: The server may receive requests.
+        idle_connections: Its idle connections, the most recently used last.
+        last_received_s: When any of its connections last received bytes, on the loop's clock.
     """
 
     host: str
@@ -102,29 +102,29 @@
 
 
 class ConnectionPool(Protocol):
-    """What a connection needs of the pool."""
+    """Interface of the pool, as its connections use it."""
 
     @property
     def loop(self) -> asyncio.AbstractEventLoop:
         """The event loop of the connections."""
 
     def connection_opened(self) -> None:
-        """A connection was opened."""
+        """Count an opened connection."""
 
     def connection_closed(self) -> None:
-        """A connection has ended, or was detached."""
+        """Stop counting a connection that was closed or detached."""
 
     def release(self, connection: PooledConnection, /) -> None:
-        """A connection is idle."""
+        """Keep a connection that has become idle."""
 
     def remove_idle(self, connection: PooledConnection, /) -> None:
-        """A connection is not idle, or about to end."""
+        """Remove a connection from the idle ones, if it is among them."""
 
     def record_stale(self, idle_s: float, /) -> None:
-        """A connection was reset under a request after it had been idle for so long."""
+        """Record that a request on a connection was reset after the connection had been idle for `idle_s`."""
 
     def record_rejection(self) -> None:
-        """The first request on a new connection was rejected."""
+        """Record that the server rejected the first request on a new connection."""
 
     def record_invalid_response(self, reason: str, /) -> None:
-        """Count an invalid response for the log."""
+        """Count an invalid response for the next log line."""
--- a/rosewheel/http/upstream_detach.py
+++ b/rosewheel/http/upstream_detach.py
@@ -1,4 +1,4 @@
-"""Detaching a connection to a server from the event loop, for another process to continue (hot restart)."""
+"""State of a connection to a server that is detached and continued by another process (hot restart)."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 @dataclass(slots=True, eq=False)
 class DetachedUpstream:
-    """A connection to a server that is no longer on this process's loop.
+    """A connection to a server that was removed from this process's event loop.
 
     Attributes:
         fd: A descriptor of its socket, owned by the receiver of this object.
@@ -23,22 +23,22 @@
     state: dict[str, Any]
 
 
-UpstreamDetachCallback = Callable[[DetachedUpstream | None], None]  # None: the connection ended meanwhile
+UpstreamDetachCallback = Callable[[DetachedUpstream | None], None]  # None: closed before it was detached
 
 
 @dataclass(slots=True, frozen=True)
 class UpstreamState:
-    """What another process needs to know of a connection.
+    """State with which another process continues a connection.
 
     Attributes:
         host: Name of the server.
-        address: Where the connection leads.
-        launched_ms: When the server started, on the monotonic clock; None if that is unknown.
+        address: Remote address of the connection.
+        launched_ms: When the server started, on the monotonic clock; None if unknown.
         idle_s: How long the connection has been idle.
-        received_bytes: Of the body of a streamed response.
-        missing_bytes: Still to come of it; None if that is unknown.
-        chunk_prefix: What a new parser has to read first to reach the position in a chunked body.
-        load_report: The server's report on its load.
+        received_bytes: Bytes received of the body of a streamed response.
+        missing_bytes: Bytes of this body still to come; None if unknown.
+        chunk_prefix: Bytes that bring a new parser to the position in a chunked body.
+        load_report: The server's load report, if any.
     """
 
     host: str
@@ -51,7 +51,7 @@
     load_report: LoadReport | None = None
 
     def encode(self) -> dict[str, Any]:
-        """The state by the keys of the messages between processes."""
+        """Encode the state for a message to another process."""
         return {
             "host": self.host,
             "dial": list(self.address),
@@ -65,7 +65,7 @@
 
     @classmethod
     def decode_idle(cls, state: dict[str, Any]) -> UpstreamState:
-        """The opposite of `encode`, for an idle connection.
+        """Decode the state of an idle connection from a message of another process.
 
         Raises:
             KeyError: A key is missing.
@@ -76,7 +76,7 @@
 
     @classmethod
     def decode_response(cls, state: dict[str, Any]) -> UpstreamState:
-        """The opposite of `encode`, for a connection with a streamed response.
+        """Decode the state of a connection with a streamed response from a message of another process.
 
         Raises:
             KeyError: A key is missing.
@@ -95,7 +95,7 @@
         )
 
     def resume_head(self) -> bytes:
-        """A head for the bytes that are still to come, with the beginning of a chunk if they are within one."""
+        """Return a response head for the rest of the body, followed by `chunk_prefix` if the body is chunked."""
         head = b"HTTP/1.1 200 OK\r\nConnection: close\r\n"
         if self.missing_bytes is not None:
             head += b"Content-Length: %d\r\n" % self.missing_bytes
