--- a/rosewheel/http/idle_connections.py
+++ b/rosewheel/http/idle_connections.py
@@ -1,4 +1,4 @@
-"""The servers of a node and their idle connections: which may be used, and which are closed when."""
+"""The servers of a node and their idle connections: which connections are reused, and when they are closed."""
 
 from __future__ import annotations
 
@@ -9,11 +9,11 @@
 from rosewheel.node.idle_timeout import IdleTimeout
 from rosewheel.policy.events import Server, ServerState
 
-# Bytes that belong to no response follow one at once, or some milliseconds later (measured: 1 to 4 ms, of 40).
-# Until then a connection is not used again: they would be taken for the response to the next request.
+# Time after a response in which its connection is not reused. A server may send surplus bytes some milliseconds after a
+# response, and they would be taken for the response to the next request.
 REUSE_QUIET_PERIOD_S = 0.025
-MAX_IDLE_DIVISOR = 4  # one server's idle connections hold at most this part of the descriptors
-MIN_IDLE_CONNECTIONS = 2  # but so many are kept in any case
+MAX_IDLE_DIVISOR = 4  # the idle connections of one server take at most the descriptors divided by this
+MIN_IDLE_CONNECTIONS = 2  # idle connections that a server may always keep
 
 
 def _idle_since_s(connection: PooledConnection) -> float:
@@ -21,15 +21,15 @@
 
 
 class IdleConnectionPool:
-    """Servers by host, with their idle connections.
+    """The servers and their idle connections.
 
     Attributes:
         endpoints: Servers by host.
-        cordoned_hosts: Servers to which no request is sent, whatever their endpoint says.
-        idle_connections: Those of all servers, the longest idle first. What is too old, or frees a descriptor, is found
-            there without a look at the endpoints, of which there may be thousands.
-        idle_timeout: How long a connection may be idle.
-        max_descriptors: What the process may open in all.
+        cordoned_hosts: Servers that receive no requests, even if their endpoint is available.
+        idle_connections: Idle connections to all servers, the longest idle first. Finds expired connections without
+            iterating over the endpoints, of which there may be thousands.
+        idle_timeout: Decides how long a connection may be idle.
+        max_descriptors: Maximum number of descriptors of the process.
     """
 
     def __init__(self, idle_timeout: IdleTimeout, max_descriptors: int) -> None:
@@ -45,8 +45,8 @@
         """Apply an update of the endpoint list.
 
         Args:
-            servers: Each with the address to connect to.
-            is_snapshot: Servers that are missing were removed.
+            servers: The servers, each with the address to connect to.
+            is_snapshot: The list is complete; servers that it does not contain are removed.
         """
         if is_snapshot:
             listed = {server.address for server, _ in servers}
@@ -67,20 +67,20 @@
             self.endpoints[server.address] = endpoint
             return
         if not available or endpoint.address != address or endpoint.launched_ms != server.launched_ms:
-            # Guards against writing to a connection of a process that has ended, or is about to.
+            # A request written to a connection of a process that has ended or is draining would be lost.
             self._mark_unavailable(endpoint)
         endpoint.address, endpoint.launched_ms = address, server.launched_ms
         endpoint.available = available
 
     def set_cordoned(self, host: str, cordoned: bool) -> None:
-        """Send nothing to a server from now on, also not on a connection that is being opened; or end that."""
+        """Stop or resume sending requests to a server; its idle connections are closed when it is cordoned."""
         (self.cordoned_hosts.add if cordoned else self.cordoned_hosts.discard)(host)
         endpoint = self.endpoints.get(host)
         if cordoned and endpoint is not None:
             self.close_idle_of(endpoint)
 
     def accepts_requests(self, host: str) -> bool:
-        """Whether requests may be sent to a server."""
+        """Return whether requests may be sent to a server."""
         endpoint = self.endpoints.get(host)
         return endpoint is not None and endpoint.available and host not in self.cordoned_hosts
 
@@ -91,9 +91,9 @@
     # ------------------------------------------------------------------------------------------- idle connections
 
     def take_idle(self, host: str, now_s: float) -> PooledConnection | None:
-        """Take an idle connection to a server, the last used first, so that the others age.
+        """Remove and return the most recently used idle connection to a server, so that unneeded ones expire.
 
-        Those that turn out to be unusable are closed.
+        Unusable connections are closed. Returns None if no connection is left.
         """
         endpoint = self.endpoints.get(host)
         if endpoint is None or not self.accepts_requests(host):
@@ -109,7 +109,7 @@
         return None
 
     def take_detachable_idle(self, now_s: float) -> PooledConnection | None:
-        """Take an idle connection that is of use to another process, the last used first."""
+        """Remove and return the most recently used idle connection that another process could use, if any."""
         for connection in reversed(self.idle_connections):
             if now_s - connection.idle_since_s >= self.idle_timeout.reusable_for_s:
                 break
@@ -119,7 +119,10 @@
         return None
 
     def add_idle(self, connection: PooledConnection, now_s: float) -> None:
-        """Keep a connection that has become idle, or close it if its server may not be sent to, or is another one."""
+        """Keep a connection that has become idle; close it if its server is unavailable or another process by now.
+
+        If the server has too many idle connections then, the longest idle one is closed.
+        """
         endpoint = connection.endpoint
         is_same = endpoint.address == connection.address and endpoint.launched_ms == connection.launched_ms
         if not (self.accepts_requests(endpoint.host) and endpoint.available and is_same):
@@ -135,7 +138,7 @@
             oldest.close()
 
     def insert_idle(self, connection: PooledConnection) -> None:
-        """Keep a connection that was idle in another process, in the order of the idle times."""
+        """Keep a connection that was idle in another process; the order by idle time is preserved."""
         endpoint = connection.endpoint
         endpoint.idle_connections.append(connection)
         endpoint.idle_connections.sort(key=_idle_since_s)
@@ -143,7 +146,7 @@
         self.idle_connections = dict.fromkeys(ordered)
 
     def remove_idle(self, connection: PooledConnection) -> None:
-        """Forget an idle connection; nothing happens to one that is not idle."""
+        """Remove a connection from the idle ones, if it is among them."""
         if connection in self.idle_connections:
             del self.idle_connections[connection]
             connection.endpoint.idle_connections.remove(connection)
@@ -156,7 +159,7 @@
             connection.close()
 
     def close_longest_idle(self) -> bool:
-        """Close the connection that has been idle longest, if there is one."""
+        """Close the longest idle connection; return whether there was one."""
         oldest = next(iter(self.idle_connections), None)
         if oldest is None:
             return False
@@ -165,7 +168,7 @@
         return True
 
     def close_expired_idle(self, now_s: float) -> None:
-        """Guards against stale connections: a request written to one that its server closes is lost."""
+        """Close connections past the idle timeout, before their servers do: a request sent on a closed one is lost."""
         limit_s = now_s - self.idle_timeout.close_after_s
         expired = itertools.takewhile(
             lambda connection: connection.idle_since_s <= limit_s, self.idle_connections
