--- a/rosewheel/http/request.py
+++ b/rosewheel/http/request.py
@@ -1,4 +1,4 @@
-"""A request of a client, and the head with which it is forwarded to a server."""
+"""A client's request, and the head with which it is forwarded to a server."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 from rosewheel.http.body import RequestBody
 
-# Headers that a request may carry once only: with two values, two parsers could disagree on what the request is.
+# Headers that may occur only once: with two values, parsers could disagree about the request (request smuggling).
 SINGLE_VALUE_HEADERS = frozenset(
     (
         b"content-length",
@@ -19,7 +19,7 @@
         b"idempotency-key",
     )
 )
-# Headers that apply to one connection (RFC 9110, section 7.6.1), or that the node writes itself.
+# Headers that apply to one connection only (RFC 9110, section 7.6.1) or that the node generates.
 NOT_FORWARDED_HEADERS = frozenset(
     (
         b"connection",
@@ -37,7 +37,7 @@
 
 
 class ResponseWriter(Protocol):
-    """The client's side of a request: where its response is written."""
+    """Interface of the connection to which the response to a request is written."""
 
     def respond(
         self, request: DownstreamRequest, status: int, body: bytes, retry_after_ms: float = 0.0
@@ -50,39 +50,39 @@
         """Write the head of a streamed response."""
 
     def send_response_data(self, request: DownstreamRequest, data: bytes) -> bool:
-        """Write a part of its body; False if the sender should wait for `on_writable`."""
+        """Write a part of the streamed body; return False if the sender has to wait for `on_writable`."""
 
     def finish_response(self, request: DownstreamRequest) -> None:
-        """End the streamed response."""
+        """Complete the streamed response."""
 
     def abort_response(self, request: DownstreamRequest) -> None:
-        """Reset the connection, since the streamed response can't be completed."""
+        """Reset the connection, so that the client recognizes the streamed response as incomplete."""
 
     def close_if_disconnected(self) -> bool:
-        """Whether the client has disconnected; its connection is closed then."""
+        """Close the connection if the client has disconnected; return whether it has."""
 
     def is_connected(self) -> bool:
-        """The opposite of `close_if_disconnected`."""
+        """Return whether the client is connected; its connection is closed if it is not."""
 
 
 @dataclass(slots=True, eq=False)
 class DownstreamRequest:
-    """A request of a client. Its body may still be incomplete.
+    """A client's request. Its body may be incomplete.
 
     Attributes:
-        connection: The client's connection.
-        method: As received.
-        target: As received; see `origin_form`.
+        connection: The connection to which the response is written.
+        method: The method as received.
+        target: The request target as received; see `origin_form`.
         headers: Lower-case names and values, in the order received.
-        body: The body as far as it was received.
+        body: The body, as far as it was received.
         content_length: Declared size of the body in bytes; None if it is chunked.
-        id: Request-Id, once the request was dispatched.
-        dispatched: The proxy has received it.
-        completed_s: When its last byte was received, on the loop's clock; None before that, and if it was dispatched
-            before.
-        timeout_ms: How long its client waits for the response, from the request's last byte on.
+        id: The Request-Id; empty before the request is dispatched.
+        dispatched: The request is being processed; set before its body is complete if the body is streamed.
+        completed_s: When the last byte was received, on the loop's clock; None if the request is incomplete, or was
+            dispatched while it was.
+        timeout_ms: How long the client waits for the response, counted from the last byte of the request.
         response_started: A streamed response has begun.
-        has_final_response: The node has decided on its final response.
+        has_final_response: The node has decided on the final response.
     """
 
     connection: ResponseWriter
@@ -97,13 +97,13 @@
     timeout_ms: float = 0.0
     response_started: bool = False
     has_final_response: bool = False
-    _first_values: dict[bytes, bytes] | None = None  # by header; made at the first look-up
+    _first_values: dict[bytes, bytes] | None = None  # by header name; built on first use
 
     def header(self, name: bytes) -> str | None:
-        """The first value of a header, without surrounding white space.
+        """Return the first value of a header without surrounding white space, or None if it is missing.
 
         Args:
-            name: In lower case.
+            name: Name of the header in lower case.
         """
         if self._first_values is None:
             self._first_values = dict(reversed(self.headers))
@@ -112,15 +112,15 @@
 
     @property
     def forwarded_length(self) -> int | None:
-        """Size in bytes of the body as it is forwarded; None if it is sent in chunks."""
+        """Size in bytes of the body as it is forwarded; None if it is forwarded in chunked encoding."""
         return self.body.received_bytes if self.body.complete else self.content_length
 
     def upstream_head(self, timeout_ms: float, length: int | None) -> bytes:
-        """The head with which this request is forwarded.
+        """Return the head with which this request is forwarded.
 
         Args:
-            timeout_ms: The value of Request-Timeout-Ms for the server.
-            length: The `forwarded_length` at the start of the attempt: its body is sent accordingly.
+            timeout_ms: Value of Request-Timeout-Ms for the server, in milliseconds.
+            length: The `forwarded_length` at the start of the attempt, which determines how its body is framed.
         """
         target, authority = origin_form(self.target)
         parts = [b"%b %b HTTP/1.1\r\n" % (self.method, target)]
@@ -128,7 +128,7 @@
         if authority is not None or self.header(b"host") is None:
             parts.append(b"Host: %b\r\n" % (authority or b""))
             excluded = NOT_FORWARDED_HEADERS | {b"host"}
-        # Headers that the client lists in Connection apply to that connection only.
+        # Headers listed in Connection apply to the client's connection only.
         listed = self.header(b"connection")
         if listed:
             names = {name.strip().lower() for name in listed.encode("latin-1").split(b",")}
@@ -143,13 +143,13 @@
 
 
 def origin_form(target: bytes) -> tuple[bytes, bytes | None]:
-    """A request target in origin form, and its authority if the target was in absolute form.
+    """Return a request target in origin form, and its authority if it is in absolute form.
 
-    A proxy has to accept both forms (RFC 9112, section 3.2.2).
+    Servers must accept both forms (RFC 9112, section 3.2.2).
     """
     if target[:7].lower() != b"http://":
         return target, None
-    # Imported here, since it is rarely needed and would slow down each start.
+    # Imported here, since it is rarely needed and would slow down the start of the process.
     from urllib.parse import urlsplit
 
     parts = urlsplit(target.decode("latin-1"))
