--- a/rosewheel/http/body.py
+++ b/rosewheel/http/body.py
@@ -1,4 +1,4 @@
-"""The body of a request: buffered while it is small, streamed once it is large or memory is short."""
+"""Request bodies: buffered while they are small, streamed once they are large or the memory budget is exceeded."""
 
 from __future__ import annotations
 
@@ -6,17 +6,17 @@
 from collections.abc import Callable
 
 MAX_BUFFERED_BODY_BYTES = 1 << 20  # a longer body is streamed
-CONNECTION_SHARE_DIVISOR = 4  # one connection's bodies hold at most this part of the budget
+CONNECTION_SHARE_DIVISOR = 4  # the bodies of one connection take at most the budget divided by this
 
 
 class BufferBudget:
-    """Memory for the bodies of all connections.
+    """Memory budget for the request bodies of all connections.
 
-    The limit is soft: past it, new bodies are streamed, and each of them holds no more than its window.
+    The limit is soft: above it, bodies are streamed, and each buffers at most the stream window of its connection.
 
     Attributes:
-        limit_bytes: What all bodies together may hold.
-        used_bytes: What they hold now.
+        limit_bytes: Limit for all bodies together.
+        used_bytes: Bytes that are buffered now.
     """
 
     def __init__(self, limit_bytes: int) -> None:
@@ -24,29 +24,30 @@
 
     @property
     def exceeded(self) -> bool:
-        """Whether the bodies hold more than the limit."""
+        """True if more than the limit is buffered."""
         return self.used_bytes > self.limit_bytes
 
     @property
     def connection_share_bytes(self) -> int:
-        """What the bodies of one connection may hold."""
+        """Limit for the bodies of one connection in bytes."""
         return self.limit_bytes // CONNECTION_SHARE_DIVISOR
 
 
 class RequestBody:
-    """A body that the downstream connection fills and the connection of the current attempt reads.
+    """A request body, written by the client's connection and read by the connection of the current attempt.
 
     Attributes:
-        segments: The buffered bytes as they were received, from segment number `first_index` on.
-        first_index: Number of the first buffered segment; more than 0 once some were dropped.
-        received_bytes: Size of all that was received.
-        buffered_bytes: Size of the segments.
+        budget: The memory budget that the body shares with all others.
+        segments: The buffered segments as they were received, beginning with segment `first_index`.
+        first_index: Index of the first buffered segment; greater than 0 once segments were dropped.
+        received_bytes: Number of bytes received so far.
+        buffered_bytes: Number of bytes in the buffered segments.
         complete: The last byte was received.
         streaming: Segments are dropped once they were read.
-        reading_started: An attempt has read some of it.
-        released: Nobody reads it any more.
-        on_data: Called when there is more to read, or the body is complete; None without a reader.
-        on_space: Called when fewer bytes are buffered.
+        reading_started: The current attempt has read from the body.
+        released: The body is no longer needed, and received bytes are dropped.
+        on_data: Called when more bytes can be read, or the body is complete; None without a reader.
+        on_space: Called when fewer bytes are buffered, or the reader has gone.
     """
 
     def __init__(self, budget: BufferBudget, on_space: Callable[[], None]) -> None:
@@ -63,11 +64,11 @@
 
     @property
     def replayable(self) -> bool:
-        """Whether another attempt could read it from its first byte."""
+        """True if another attempt can read the body from its first byte."""
         return self.first_index == 0 and not self.released
 
     def append(self, data: bytes) -> None:
-        """Add received bytes; they are dropped if the body was released."""
+        """Append received bytes; they are dropped if the body was released."""
         self.received_bytes += len(data)
         if self.released:
             return
@@ -86,9 +87,9 @@
             self.on_data()
 
     def segment(self, index: int) -> bytes | None:
-        """The segment of this number, or None if it was not received yet.
+        """Return a segment, or None if it was not received yet.
 
-        The segments before it are dropped if the body is streamed: they were read, and are not read again.
+        If the body is streamed, the segments before it are dropped.
         """
         self.reading_started = True
         if self.streaming:
@@ -105,13 +106,13 @@
         self.on_space()
 
     def rewind(self) -> None:
-        """The reader is gone. Another one may start from the first byte, if all bytes are still buffered."""
+        """End reading by the current attempt; if nothing was dropped, another one may read from the first byte."""
         if self.first_index == 0 and self.reading_started and not self.released:
             self.reading_started = False
             self.on_space()
 
     def release(self) -> None:
-        """Drop the body; bytes received from now on are not kept."""
+        """Drop the buffered bytes, and all that are received later."""
         self.released, self.on_data = True, None
         self.budget.used_bytes -= self.buffered_bytes
         self.buffered_bytes = 0
--- a/rosewheel/http/chunk_tracker.py
+++ b/rosewheel/http/chunk_tracker.py
@@ -1,7 +1,7 @@
-"""The position in a chunked body, so that another parser can continue from there (RFC 9112, section 7.1).
+"""Tracks the position in a chunked body, so that another parser can continue from there (RFC 9112, section 7.1).
 
-The parser in use reports the bytes of a body, but not how many are still to come of the current chunk. The tracker
-reads the same bytes beside it and provides those with which a new parser reaches the same position.
+The HTTP parser reports the bytes of a body, but not how many of the current chunk are still to come. The tracker
+follows the same input, and generates the bytes that bring a new parser to the same position.
 """
 
 from __future__ import annotations
@@ -10,7 +10,7 @@
 
 from rosewheel.http.errors import ChunkedEncodingError
 
-MAX_LINE_BYTES = 4096  # of a size line or the trailers; bounds the memory of the tracker
+MAX_LINE_BYTES = 4096  # limit for a size line and for all trailers, which the tracker buffers
 
 
 class _Position(Enum):
@@ -23,24 +23,24 @@
 
 
 class ChunkTracker:
-    """Follows a response from its first byte on, interim responses included, or a request.
+    """Tracks a chunked request, or a response including the interim responses before it, from its first byte.
 
     Attributes:
-        position: The part of the message that is received next.
-        chunk_bytes_left: Bytes still to come of the current chunk.
+        position: The part of the message that is expected next.
+        chunk_bytes_left: Bytes of the current chunk that are still to come.
     """
 
     def __init__(self) -> None:
         self.position = _Position.HEAD
         self.chunk_bytes_left = 0
-        self._line = bytearray()  # of an incomplete line; of trailers, all lines
-        self._status = b""  # of the current head
+        self._line = bytearray()  # the incomplete line; within trailers, all their lines
+        self._status = b""  # status code of the current head; empty before its first line
 
     def feed(self, data: bytes) -> None:
-        """Advance by these bytes.
+        """Advance the position by received bytes.
 
         Raises:
-            ChunkedEncodingError: They are not a chunked message.
+            ChunkedEncodingError: The bytes are not a valid chunked message, or a line is too long.
         """
         offset = 0
         while offset < len(data) and self.position is not _Position.COMPLETE:
@@ -55,13 +55,13 @@
             offset += len(piece)
             self._line += piece
             if len(self._line) > MAX_LINE_BYTES and self.position is not _Position.HEAD:
-                raise ChunkedEncodingError("line too long")
+                raise ChunkedEncodingError(f"size line or trailers exceed {MAX_LINE_BYTES} bytes")
             if end >= 0:
                 self._line_complete()
 
     def _line_complete(self) -> None:
         line = bytes(self._line)
-        if self.position is _Position.TRAILER:  # its lines are kept: a new parser has to read them again
+        if self.position is _Position.TRAILER:  # its lines are kept, since a new parser has to read them
             if line.endswith(b"\r\n\r\n") or line == b"\r\n":
                 self.position = _Position.COMPLETE
             return
@@ -94,13 +94,13 @@
 
     @property
     def in_body(self) -> bool:
-        """Whether the head is complete and the body is not."""
+        """True if the head is complete and the body is not."""
         return self.position not in (_Position.HEAD, _Position.COMPLETE)
 
     def resume_prefix(self) -> bytes:
-        """What a new parser has to read after a head with chunked encoding to reach this position.
+        """Return the bytes that bring a new parser to this position, after a head with chunked encoding.
 
-        What that parser then reports as body is not part of the message.
+        Body bytes that the new parser reports for them are not a part of the message.
 
         Raises:
             ChunkedEncodingError: The position is not within a body.
@@ -117,17 +117,17 @@
         raise ChunkedEncodingError("not within a body")
 
     def reencode(self, body: bytes) -> bytes:
-        """All that was received after the head, in other chunks, for a new parser that has to report this body again.
+        """Return the received part of the body in new chunks, so that a new parser reports it from its first byte.
 
         Args:
-            body: What was received of the body so far.
+            body: The decoded body, as far as it was received.
 
         Raises:
             ChunkedEncodingError: The position is not within a body.
         """
         if self.position is _Position.DATA_END:
             if not body:
-                raise ChunkedEncodingError("a chunk without data")
+                raise ChunkedEncodingError("position after chunk data, but no body was received")
             return b"%x\r\n%b" % (len(body), body) + bytes(self._line)
         before = b"%x\r\n%b\r\n" % (len(body), body) if body else b""
         return before + self.resume_prefix()
