--- a/rosewheel/http/__init__.py
+++ b/rosewheel/http/__init__.py
@@ -1,1 +1,1 @@
-"""HTTP/1.1: connections of clients (downstream) and to servers (upstream)."""
+"""HTTP/1.1 connections: from clients (downstream) and to servers (upstream)."""
--- a/rosewheel/http/errors.py
+++ b/rosewheel/http/errors.py
@@ -4,11 +4,11 @@
 
 
 class HttpError(Exception):
-    """A message of a peer that can't be processed."""
+    """A message that can't be processed."""
 
 
 class BadRequestError(HttpError):
-    """A request that is rejected without being dispatched.
+    """A request that is rejected with an error response and not forwarded.
 
     Attributes:
         status: Status code of the response.
@@ -20,12 +20,12 @@
 
 
 class RefusedRequestError(BadRequestError):
-    """A valid request that this node can't take at this moment. What its client sent behind it may be taken."""
+    """A valid request that the node refuses for now. Requests pipelined behind it may be served."""
 
 
 class InvalidResponseError(HttpError):
-    """A response of a server that is malformed, too large or unexpected."""
+    """A server's response that is malformed, too large or unexpected."""
 
 
 class ChunkedEncodingError(HttpError, ValueError):
-    """Chunked framing that the tracker can't follow. The parser itself may still accept the bytes."""
+    """Chunked framing that `ChunkTracker` can't follow; the HTTP parser may still accept it."""
--- a/rosewheel/http/half_close.py
+++ b/rosewheel/http/half_close.py
@@ -1,4 +1,4 @@
-"""The end of a connection as the operating system knows it, and ways to end one."""
+"""Detects that a peer has closed its connection, and closes connections by lingering or by a reset."""
 
 from __future__ import annotations
 
@@ -7,13 +7,15 @@
 import socket
 import struct
 
-LINGERING_CLOSE_S = 0.5  # how long a connection whose request was rejected stays open for the unread body
+LINGERING_CLOSE_S = (
+    0.5  # time for which a connection stays open after its response while the client still sends
+)
 
 
 def pending_events(transport: asyncio.Transport, event_mask: int) -> int:
-    """Which of these poll events the operating system reports for the connection now.
+    """Return which of the poll events the operating system reports for the connection.
 
-    The event loop may not have read yet what has happened: it is late, or the connection is not being read.
+    The event loop reports them late while it is busy, and not at all while reading is paused.
     """
     poller = select.poll()
     poller.register(transport.get_extra_info("socket").fileno(), event_mask)
@@ -22,15 +24,15 @@
 
 
 def peer_has_closed(transport: asyncio.Transport) -> bool:
-    """Whether the peer has closed or reset the connection, or has closed its sending side."""
+    """Return whether the peer has closed or reset the connection, or has closed its sending side."""
     return pending_events(transport, select.POLLRDHUP) != 0
 
 
 def close_after_lingering(transport: asyncio.Transport, loop: asyncio.AbstractEventLoop) -> None:
     """Close a connection on which the peer is still sending.
 
-    Closing it with unread bytes would reset it, and the peer might lose the response. So the sending side is closed
-    now, and the connection after `LINGERING_CLOSE_S`; nothing is read meanwhile.
+    Closing it with unread bytes would reset it, and the peer could lose the response. The sending side is therefore
+    closed now, and the connection after `LINGERING_CLOSE_S`; nothing is read in between.
     """
     transport.write_eof()
     transport.pause_reading()
@@ -38,7 +40,7 @@
 
 
 def reset(transport: asyncio.Transport) -> None:
-    """Close the connection with a reset, so that a peer can tell the response is incomplete without a length."""
+    """Reset the connection, so that the peer recognizes a response as incomplete even if it has no declared length."""
     sock = transport.get_extra_info("socket")
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
     transport.abort()
--- a/rosewheel/http/load_report.py
+++ b/rosewheel/http/load_report.py
@@ -1,4 +1,4 @@
-"""Reports of a server on its load, as a response header or the body of a health check."""
+"""Load reports of servers, received in a response header or as the body of a health check's response."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
     """Parse a report such as `inflight=7, queue=2`.
 
     Returns:
-        The values by the field names of the policy, without those that are not numbers; None if there are none.
+        The valid values by the policy's field names, or None if there are none.
     """
     report: LoadReport = {}
     for part in text.replace(",", " ").split():
--- a/rosewheel/http/partial_request.py
+++ b/rosewheel/http/partial_request.py
@@ -8,13 +8,13 @@
 
 
 class PartialRequest:
-    """What has been received of the current request.
+    """The received bytes of the current request.
 
-    The parser does not report where in its input a message begins. If one read contained more than one message, the
-    head of the last is therefore unknown, and the connection can't be detached until the request is complete.
+    The parser does not report where in its input a message begins. If a read contained more than one message, the
+    head of the last one is unknown, and the connection can't be detached until this request is complete.
 
     Attributes:
-        head: The bytes of an incomplete head; None if they are unknown, or the head is complete.
+        head: The received bytes of an incomplete head; None if they are unknown, or the head is complete.
         chunk_tracker: The position in an incomplete chunked body; None without one, or if it is unknown.
     """
 
@@ -25,21 +25,21 @@
         self.chunk_tracker: ChunkTracker | None = None
 
     def clear(self) -> None:
-        """The request is complete."""
+        """Discard the position in the body, once the request is complete."""
         self.chunk_tracker = None
 
     def start(self, data: bytes | None) -> None:
-        """A request has begun with these bytes; None if they contain other requests as well."""
+        """Start a request with its first bytes; None if these could not be told from the bytes of other requests."""
         self.chunk_tracker = None
         self.head = bytearray(data) if data is not None else None
 
     def extend_head(self, data: bytes) -> None:
-        """More bytes of the head were received."""
+        """Append received bytes of the head."""
         if self.head is not None:
             self.head += data
 
     def extend_body(self, data: bytes, request: DownstreamRequest) -> None:
-        """Bytes were received up to a place in the body; `data` may begin within the head."""
+        """Track bytes of the body; `data` may begin within the head."""
         if request.content_length is None and not request.dispatched:
             try:
                 if self.chunk_tracker is not None:
@@ -49,10 +49,10 @@
                     self.chunk_tracker.feed(bytes(self.head))
             except ChunkedEncodingError:
                 self.chunk_tracker = None
-        self.head = None  # from here on the request holds its parts
+        self.head = None  # the request contains the parsed head
 
     def replayable(self, request: DownstreamRequest | None, *, response_pending: bool) -> bool:
-        """Whether the received bytes could be parsed again from the first one.
+        """Return whether another parser can read the received bytes from the first one.
 
         Args:
             request: The incomplete request; None if its head is incomplete.
@@ -69,11 +69,11 @@
         return self.chunk_tracker is not None and self.chunk_tracker.in_body
 
     def encode(self, request: DownstreamRequest | None, *, is_http_1_0: bool) -> bytes:
-        """Bytes that another parser reads as the same incomplete request.
+        """Return bytes that another parser reads as the same incomplete request.
 
         Args:
             request: The incomplete request; None if its head is incomplete.
-            is_http_1_0: The version of the request.
+            is_http_1_0: The request is HTTP/1.0.
 
         Raises:
             ChunkedEncodingError: The position in a chunked body is unknown.
@@ -86,6 +86,6 @@
         body = b"".join(request.body.segments)
         if request.content_length is None:
             if self.chunk_tracker is None:
-                raise ChunkedEncodingError("the position in the chunked body is unknown")
+                raise ChunkedEncodingError("position in the chunked body is unknown")
             body = self.chunk_tracker.reencode(body)
         return b"".join((*lines, b"\r\n", body))
--- a/rosewheel/http/response_encoding.py
+++ b/rosewheel/http/response_encoding.py
@@ -1,4 +1,4 @@
-"""Heads of the responses that the node writes."""
+"""Encoding of the responses that the node writes to clients."""
 
 from __future__ import annotations
 
@@ -19,13 +19,13 @@
 
 
 def encode_response(status: int, body: bytes, *, close: bool, retry_after_ms: float = 0.0) -> bytes:
-    """A complete response.
+    """Encode a complete response.
 
     Args:
         status: The status code.
         body: The body.
-        close: The connection is closed after it.
-        retry_after_ms: When the client may try again; 0 leaves the header out.
+        close: The connection is closed after the response.
+        retry_after_ms: Delay in milliseconds after which the client may retry; 0 omits the header.
     """
     head = f"HTTP/1.1 {status} {REASON_PHRASES.get(status, '')}\r\nContent-Length: {len(body)}\r\n"
     if retry_after_ms > 0.0:
@@ -36,12 +36,12 @@
 
 
 def encode_streamed_head(content_length: int | None, *, chunked: bool, close: bool) -> bytes:
-    """The head of a response whose body follows in parts.
+    """Encode the head of a streamed response.
 
     Args:
-        content_length: Size of the body in bytes, if it is known.
-        chunked: The body is sent in chunks; only without a length.
-        close: The connection is closed after it.
+        content_length: Size of the body in bytes; None if it is unknown.
+        chunked: The body uses chunked encoding; ignored if its size is known.
+        close: The connection is closed after the response.
     """
     lines = ["HTTP/1.1 200 OK"]
     if content_length is not None:
--- a/rosewheel/http/write_buffer.py
+++ b/rosewheel/http/write_buffer.py
@@ -1,4 +1,4 @@
-"""What was written to a transport and not sent yet: kept for a detach, and watched for a peer that does not read."""
+"""Unsent bytes of a transport: kept for detaching its connection, and observed to detect a peer that does not read."""
 
 from __future__ import annotations
 
@@ -6,36 +6,44 @@
 
 
 class UnsentWrites:
-    """The last writes to a transport, at least those that the operating system has not taken.
+    """The last writes to a transport, including at least all bytes not yet passed to the operating system.
 
-    A transport reports how many bytes are unsent, but not which.
+    Needed since a transport reports only the number of its unsent bytes, not the bytes themselves.
+
+    Attributes:
+        size: Total size of the kept writes in bytes.
     """
 
     __slots__ = ("_writes", "size")
 
     def __init__(self) -> None:
         self._writes: deque[bytes] = deque()
-        self.size = 0  # bytes
+        self.size = 0
 
     def append(self, data: bytes, unsent_bytes: int) -> None:
-        """Remember a write; `unsent_bytes` are unsent after it."""
+        """Add a write, and drop writes that were sent completely.
+
+        Args:
+            data: The written bytes.
+            unsent_bytes: Number of unsent bytes of the transport after the write.
+        """
         self._writes.append(data)
         self.size += len(data)
         while self._writes and self.size - len(self._writes[0]) >= unsent_bytes:
             self.size -= len(self._writes.popleft())
 
     def tail(self, unsent_bytes: int) -> bytes:
-        """The last bytes that were written."""
+        """Return the last `unsent_bytes` bytes that were written."""
         written = b"".join(self._writes)
         return written[len(written) - unsent_bytes :]
 
 
 class WriteProgress:
-    """Since when the number of unsent bytes has not changed.
+    """Detects a peer that does not read, by a number of unsent bytes that does not change.
 
     Attributes:
-        unsent_bytes: At the last change.
-        changed_s: When that was, on the loop's clock.
+        unsent_bytes: Number of unsent bytes at the last change.
+        changed_s: Time of the last change, on the loop's clock.
     """
 
     __slots__ = ("changed_s", "unsent_bytes")
@@ -44,15 +52,15 @@
         self.unsent_bytes, self.changed_s = 0, 0.0
 
     def restart(self, now_s: float) -> None:
-        """A message begins."""
+        """Restart the measurement at the beginning of a message."""
         self.unsent_bytes, self.changed_s = 0, now_s
 
     def stalled_s(self, unsent_bytes: int, is_blocked: bool, now_s: float) -> float:
-        """How long the peer has taken none of the unsent bytes.
+        """Return for how many seconds the peer has read none of the unsent bytes.
 
         Args:
-            unsent_bytes: Of the transport, now.
-            is_blocked: Whether there is something for the peer to take.
+            unsent_bytes: Number of unsent bytes of the transport now.
+            is_blocked: Whether bytes wait for the peer to read; if not, the measurement restarts.
             now_s: The loop's time.
         """
         if not is_blocked or unsent_bytes != self.unsent_bytes:
