--- a/tests/http/test_attempt_deadlines.py
+++ b/tests/http/test_attempt_deadlines.py
@@ -27,16 +27,16 @@
         monkeypatch.setattr(clock, "now_ms", lambda: real_now_ms() + self.ahead_ms)
 
 
-def hold_connects(relay: Proxy, monkeypatch: pytest.MonkeyPatch) -> asyncio.Event:
+def hold_connects(proxy: Proxy, monkeypatch: pytest.MonkeyPatch) -> asyncio.Event:
     """Let no connection to a server come up before the returned event is set."""
     gate = asyncio.Event()
-    connect = relay.upstream._connect
+    connect = proxy.upstream._connect
 
     async def late(*arguments: Any) -> Any:
         await gate.wait()
         return await connect(*arguments)
 
-    monkeypatch.setattr(relay.upstream, "_connect", late)
+    monkeypatch.setattr(proxy.upstream, "_connect", late)
     return gate
 
 
@@ -50,11 +50,11 @@
 ):
     async def main() -> None:
         time = SteppedClock(monkeypatch)
-        async with FakeServer().up() as server, node([entry("one", server.port)], classes=PATIENT) as relay:
-            gate = hold_connects(relay, monkeypatch)
-            async with Client(relay) as client:
+        async with FakeServer().up() as server, node([entry("one", server.port)], classes=PATIENT) as proxy:
+            gate = hold_connects(proxy, monkeypatch)
+            async with Client(proxy) as client:
                 client.send("post" if body else "read", timeout=TIMEOUT_MS, body=body)
-                await until(lambda: bool(relay.upstream.exchanges))
+                await until(lambda: bool(proxy.upstream.exchanges))
                 time.ahead_ms = WAITED_MS
                 gate.set()
                 assert status(await client.answer()) == 200
@@ -68,14 +68,14 @@
 
     async def main() -> None:
         time = SteppedClock(monkeypatch)
-        async with FakeServer().up() as server, node([entry("one", server.port)], classes=PATIENT) as relay:
-            gate = hold_connects(relay, monkeypatch)
-            async with Client(relay) as client:
+        async with FakeServer().up() as server, node([entry("one", server.port)], classes=PATIENT) as proxy:
+            gate = hold_connects(proxy, monkeypatch)
+            async with Client(proxy) as client:
                 client.send("post", timeout=TIMEOUT_MS)
-                await until(lambda: bool(relay.upstream.exchanges))
+                await until(lambda: bool(proxy.upstream.exchanges))
                 time.ahead_ms = TIMEOUT_MS
                 gate.set()
-                await until(lambda: not relay.upstream.exchanges)
+                await until(lambda: not proxy.upstream.exchanges)
                 assert status(await client.answer()) >= 500
                 assert not server.got
 
@@ -91,8 +91,8 @@
             writer.write(answer(503, b"", Not_Started="1"))
 
         async with FakeServer(refuse).up() as one, FakeServer(refuse).up() as two:
-            async with node([entry("one", one.port), entry("two", two.port)], classes=PATIENT) as relay:
-                async with Client(relay) as client:
+            async with node([entry("one", one.port), entry("two", two.port)], classes=PATIENT) as proxy:
+                async with Client(proxy) as client:
                     client.send("read", timeout=TIMEOUT_MS)
                     await until(lambda: len(one.got) + len(two.got) >= 2)
                     told = sorted(told_ms(message) for message in one.got + two.got)
@@ -113,12 +113,12 @@
 
         async with (
             FakeServer(respond).up() as server,
-            node([entry("one", server.port)], classes=PATIENT) as relay,
+            node([entry("one", server.port)], classes=PATIENT) as proxy,
         ):
-            async with Client(relay) as client:
+            async with Client(proxy) as client:
                 client.writer.write(request("r0", timeout=TIMEOUT_MS) + request("r1", timeout=TIMEOUT_MS))
                 await until(lambda: len(server.got) == 1)
-                (connection,) = relay.server.connections
+                (connection,) = proxy.server.connections
                 (queued,) = connection.queued_requests
                 queued.completed_s -= WAITED_MS / 1000.0
                 gate.set()
--- a/tests/http/test_client_disconnects.py
+++ b/tests/http/test_client_disconnects.py
@@ -33,29 +33,29 @@
 
     async def main() -> None:
         up, reached = asyncio.Event(), asyncio.Event()
-        async with FakeServer().up() as server, node([entry("s", server.port)], may_cancel=cancel) as relay:
-            connect = relay.loop.create_connection
+        async with FakeServer().up() as server, node([entry("s", server.port)], may_cancel=cancel) as proxy:
+            connect = proxy.loop.create_connection
 
             async def late(*args: object) -> object:
                 reached.set()
                 await up.wait()
                 return await connect(*args)  # type: ignore[arg-type]
 
-            relay.upstream.loop = PatchedLoop(relay.loop, create_connection=late)  # type: ignore[assignment]
-            async with Client(relay) as client:
+            proxy.upstream.loop = PatchedLoop(proxy.loop, create_connection=late)  # type: ignore[assignment]
+            async with Client(proxy) as client:
                 client.send("post")
                 await reached.wait()
                 disconnect(client, how)
-                await until(lambda: not relay.calls)
+                await until(lambda: not proxy.calls)
                 up.set()
-                await until(lambda: not relay.node.requests and not relay.upstream.exchanges)
-                assert relay.upstream.connecting_count == 0
+                await until(lambda: not proxy.node.requests and not proxy.upstream.exchanges)
+                assert proxy.upstream.connecting_count == 0
             async with Client(
-                relay
+                proxy
             ) as other:  # the slot of the first is free again, and nothing of it is on its way
                 assert status(await other.ask("post")) == 200
             assert len(server.got) == 1
-            assert relay.node.active_requests == 0
+            assert proxy.node.active_requests == 0
 
     run(main())
 
@@ -65,15 +65,15 @@
     """No deadline runs before a request's last byte, so that nothing else would ever end it."""
 
     async def main() -> None:
-        async with FakeServer().up() as server, node([entry("s", server.port)], may_cancel=cancel) as relay:
-            async with Client(relay) as client:
+        async with FakeServer().up() as server, node([entry("s", server.port)], may_cancel=cancel) as proxy:
+            async with Client(proxy) as client:
                 client.writer.write(
                     b"POST / HTTP/1.1\r\nRequest-Id: r\r\nRequest-Class: post\r\nRequest-Timeout-Ms: 2000\r\n"
                     b"Content-Length: 4000000\r\n\r\n" + bytes(3_000_000)
                 )
-                await until(lambda: relay.upstream.open_count == 1)
+                await until(lambda: proxy.upstream.open_count == 1)
                 disconnect(client, "reset")
-                await until(lambda: not relay.node.requests and relay.upstream.open_count == 0)
+                await until(lambda: not proxy.node.requests and proxy.upstream.open_count == 0)
             assert not server.got
 
     run(main())
@@ -91,22 +91,22 @@
         )  # no deadline ends the first one
         async with (
             FakeServer(slow).up() as server,  # type: ignore[arg-type]
-            node([entry("s", server.port)], classes=(patient,)) as relay,
+            node([entry("s", server.port)], classes=(patient,)) as proxy,
         ):
-            async with Client(relay) as client:
-                relay.budget.limit_bytes = CONNECTION_SHARE_DIVISOR * 16384
+            async with Client(proxy) as client:
+                proxy.budget.limit_bytes = CONNECTION_SHARE_DIVISOR * 16384
                 for at in range(3):
                     client.send("post", id=f"r{at}", body=b"x" * 9000, timeout=60000)
                 await until(lambda: len(server.got) == 1)
-                connection = next(iter(relay.server.connections))
+                connection = next(iter(proxy.server.connections))
                 await until(lambda: connection.reading_paused)
                 disconnect(client, how)
-                await until(lambda: not relay.server.connections)  # while its first request is still out
-                assert not relay.calls
-                assert not relay.node.requests
-                assert relay.node.active_requests == relay.budget.used_bytes == 0
+                await until(lambda: not proxy.server.connections)  # while its first request is still out
+                assert not proxy.calls
+                assert not proxy.node.requests
+                assert proxy.node.active_requests == proxy.budget.used_bytes == 0
                 free.set()
-            async with Client(relay) as other:
+            async with Client(proxy) as other:
                 assert status(await other.ask("post")) == 200
             assert [message.headers["request-id"] for message in server.got[:1]] == ["r0"]
             assert len(server.got) == 2
@@ -119,26 +119,26 @@
     monkeypatch.setattr("rosewheel.http.idle_connections.REUSE_QUIET_PERIOD_S", -1.0)
 
     async def main() -> None:
-        async with FakeServer().up() as server, node([entry("s", server.port)]) as relay:
-            async with Client(relay) as client:
+        async with FakeServer().up() as server, node([entry("s", server.port)]) as proxy:
+            async with Client(proxy) as client:
                 assert status(await client.ask("post")) == 200  # so that a connection is at hand
-            await until(lambda: not relay.server.connections)
+            await until(lambda: not proxy.server.connections)
             came: list[DownstreamConnection] = []
-            joined = relay.server.connection_opened
-            relay.server.connection_opened = lambda connection: (came.append(connection), joined(connection))[
+            joined = proxy.server.connection_opened
+            proxy.server.connection_opened = lambda connection: (came.append(connection), joined(connection))[
                 1
             ]  # type: ignore[method-assign]
             for ends in range(3):
                 with socket.create_connection(
-                    ("127.0.0.1", relay.server.port)
+                    ("127.0.0.1", proxy.server.port)
                 ) as sock:  # no turn of the loop in here
                     sock.sendall(
                         b"POST / HTTP/1.1\r\nRequest-Id: %d\r\nRequest-Class: post\r\n"
                         b"Request-Timeout-Ms: 2000\r\nContent-Length: 0\r\n\r\n" % ends
                     )
-                await until(lambda: bool(came) and not relay.server.connections)
+                await until(lambda: bool(came) and not proxy.server.connections)
                 came.clear()
-            async with Client(relay) as client:
+            async with Client(proxy) as client:
                 assert status(await client.ask("post")) == 200
             assert len(server.got) == 2
 
@@ -150,14 +150,14 @@
 
     async def main() -> None:
         free, slow = gated_handler()
-        async with FakeServer(slow).up() as server, node([entry("s", server.port)]) as relay:  # type: ignore[arg-type]
-            async with Client(relay) as client:
+        async with FakeServer(slow).up() as server, node([entry("s", server.port)]) as proxy:  # type: ignore[arg-type]
+            async with Client(proxy) as client:
                 client.send("post")
                 await until(lambda: len(server.got) == 1)
-                connection = next(iter(relay.server.connections))
+                connection = next(iter(proxy.server.connections))
                 assert not connection.eof_received()  # so that the loop closes it
-                assert not relay.calls
-                assert not relay.node.requests
+                assert not proxy.calls
+                assert not proxy.node.requests
             free.set()
 
     run(main())
@@ -166,20 +166,20 @@
 def test_many_disconnects_leave_nothing_behind():
     async def main() -> None:
         free, slow = gated_handler()
-        async with FakeServer(slow).up() as server, node([entry("s", server.port)]) as relay:  # type: ignore[arg-type]
-            clients = [Client(relay) for _ in range(40)]
+        async with FakeServer(slow).up() as server, node([entry("s", server.port)]) as proxy:  # type: ignore[arg-type]
+            clients = [Client(proxy) for _ in range(40)]
             for client in clients:
                 await client.__aenter__()
                 client.send("read")
             await until(
-                lambda: relay.node.active_requests + len(relay.server.idle_connections) >= len(clients)
+                lambda: proxy.node.active_requests + len(proxy.server.idle_connections) >= len(clients)
             )
             for at, client in enumerate(clients):
                 disconnect(client, ("close", "reset", "half")[at % 3])
-            await until(lambda: not relay.calls and not relay.node.requests and not relay.upstream.exchanges)
-            await until(lambda: relay.upstream.open_count == 0)
-            assert relay.node.active_requests == 0
-            assert relay.node.balancer.parts.shared.pool.load == 0.0
+            await until(lambda: not proxy.calls and not proxy.node.requests and not proxy.upstream.exchanges)
+            await until(lambda: proxy.upstream.open_count == 0)
+            assert proxy.node.active_requests == 0
+            assert proxy.node.balancer.parts.shared.pool.load == 0.0
             free.set()
             for client in clients:
                 client.writer.close()
--- a/tests/http/test_connection_limits.py
+++ b/tests/http/test_connection_limits.py
@@ -22,14 +22,14 @@
 
     async def main() -> None:
         free, slow = gated_handler()
-        async with FakeServer(slow).up() as server, node([entry("s", server.port)]) as relay:
-            relay.resources.max_descriptors = 4
-            async with Client(relay) as one, Client(relay) as two, Client(relay):
+        async with FakeServer(slow).up() as server, node([entry("s", server.port)]) as proxy:
+            proxy.resources.max_descriptors = 4
+            async with Client(proxy) as one, Client(proxy) as two, Client(proxy):
                 one.send("post")
                 await until(lambda: len(server.got) == 1)
-                await until(lambda: len(relay.server.connections) == 3)
+                await until(lambda: len(proxy.server.connections) == 3)
                 assert status(await two.ask("post")) == 503  # no room for a connection to a server
-                async with Client(relay) as surplus:
+                async with Client(proxy) as surplus:
                     surplus.send("post")
                     got = await surplus.answer()
                     assert status(got) == 503
@@ -37,9 +37,9 @@
                     assert got.headers["connection"] == "close"
                 free.set()
                 assert status(await one.answer()) == 200
-                for connection in relay.server.connections:
+                for connection in proxy.server.connections:
                     connection.last_activity_s -= 5.0  # as if they had been idle that long
-                async with Client(relay) as later:
+                async with Client(proxy) as later:
                     assert status(await later.ask("post")) == 200
                     assert status(await later.ask("post")) == 200
                 assert await one.reader.read() == b""  # the oldest one made room
@@ -53,15 +53,15 @@
     async def main() -> None:
         async with contextlib.AsyncExitStack() as stack:
             server = await stack.enter_async_context(FakeServer().up())
-            relay = await stack.enter_async_context(node([entry("s", server.port)]))
-            relay.server.max_connections = 4
+            proxy = await stack.enter_async_context(node([entry("s", server.port)]))
+            proxy.server.max_connections = 4
             for _ in range(12):
-                client = await stack.enter_async_context(Client(relay))
+                client = await stack.enter_async_context(Client(proxy))
                 got = await client.ask("post")
                 assert (status(got), got.headers.get("connection")) == (200, None)
-                for connection in relay.server.connections:
+                for connection in proxy.server.connections:
                     connection.last_activity_s -= 0.1  # as if they came ten a second
-            assert len(relay.server.connections) <= 4
+            assert len(proxy.server.connections) <= 4
 
     run(main())
 
@@ -70,17 +70,17 @@
     """Guards the descriptors: within 3 s a silent client is closed and half a request is answered 408."""
 
     async def main() -> None:
-        async with FakeServer().up() as server, node([entry("s", server.port)]) as relay:
-            async with Client(relay) as silent, Client(relay) as half, Client(relay) as used:
+        async with FakeServer().up() as server, node([entry("s", server.port)]) as proxy:
+            async with Client(proxy) as silent, Client(proxy) as half, Client(proxy) as used:
                 half.writer.write(TIMED_POST_HEAD)
                 assert status(await used.ask()) == 200
-                began = relay.loop.time()
+                started_s = proxy.loop.time()
                 assert await silent.reader.read() == b""
                 assert status(await half.answer()) == 408
                 assert await half.reader.read() == b""
-                assert relay.loop.time() - began < 2.9
+                assert proxy.loop.time() - started_s < 2.9
                 assert status(await used.ask()) == 200
-                for connection in relay.server.connections:
+                for connection in proxy.server.connections:
                     connection.last_activity_s -= 5.0  # as if it had asked that long ago
                 assert await used.reader.read() == b""
 
@@ -93,16 +93,16 @@
     async def main() -> None:
         async with contextlib.AsyncExitStack() as stack:
             server = await stack.enter_async_context(FakeServer().up())
-            relay = await stack.enter_async_context(node([entry("s", server.port)]))
-            relay.server.max_connections = 4
-            kept = [await stack.enter_async_context(Client(relay)) for _ in range(4)]
+            proxy = await stack.enter_async_context(node([entry("s", server.port)]))
+            proxy.server.max_connections = 4
+            kept = [await stack.enter_async_context(Client(proxy)) for _ in range(4)]
             for client in kept:
                 assert status(await client.ask()) == 200
-            for connection in relay.server.connections:
+            for connection in proxy.server.connections:
                 connection.last_activity_s -= 1.5
-            async with Client(relay) as fresh:
+            async with Client(proxy) as fresh:
                 assert status(await fresh.ask()) == 200
                 assert await kept[0].reader.read() == b""
-                assert len(relay.server.connections) == 4
+                assert len(proxy.server.connections) == 4
 
     run(main())
--- a/tests/http/test_connection_memory.py
+++ b/tests/http/test_connection_memory.py
@@ -20,9 +20,9 @@
 )
 
 
-def moved_to(relay: Proxy, discovery: FakeDiscovery) -> NodeConfig:
+def moved_to(proxy: Proxy, discovery: FakeDiscovery) -> NodeConfig:
     """The configuration after its file has been changed to another discovery."""
-    return dataclasses.replace(relay.config, discovery_address=("127.0.0.1", discovery.port))
+    return dataclasses.replace(proxy.config, discovery_address=("127.0.0.1", discovery.port))
 
 
 def test_closed_connections_leave_no_reference_cycles():
@@ -30,28 +30,28 @@
 
     async def main() -> None:
         async with FakeDiscovery().up() as discovery, FakeServer().up() as server:
-            async with node([entry("s", server.port)], discovery) as relay:
+            async with node([entry("s", server.port)], discovery) as proxy:
                 await until(lambda: bool(discovery.writers))
-                async with Client(relay) as client:
+                async with Client(proxy) as client:
                     assert status(await client.ask()) == 200
-                    async with Client(relay) as bad:
+                    async with Client(proxy) as bad:
                         bad.writer.write(b"noise\r\n\r\n")
                         assert status(await bad.answer()) == 400
-                    connection = next(iter(relay.server.connections))
+                    connection = next(iter(proxy.server.connections))
                     left = [
                         weakref.ref(one)
-                        for one in (connection, relay.upstream.endpoints["s"].idle_connections[0])
+                        for one in (connection, proxy.upstream.endpoints["s"].idle_connections[0])
                     ]
-                    left.append(weakref.ref(relay.discovery._connection))
+                    left.append(weakref.ref(proxy.discovery._connection))
                     del connection
                 gc.collect()
                 gc.disable()
                 try:
-                    relay.upstream.close_longest_idle()
-                    relay.reload(moved_to(relay, discovery))
+                    proxy.upstream.close_longest_idle()
+                    proxy.reload(moved_to(proxy, discovery))
                     discovery.writers[0].transport.abort()
-                    relay.discovery.close()
-                    await until(lambda: not relay.server.connections and relay.upstream.open_count == 0)
+                    proxy.discovery.close()
+                    await until(lambda: not proxy.server.connections and proxy.upstream.open_count == 0)
                     await until(lambda: not any(ref() for ref in left))
                 finally:
                     gc.enable()
--- a/tests/http/test_connection_reuse.py
+++ b/tests/http/test_connection_reuse.py
@@ -26,8 +26,8 @@
             late.append(writer)
             writer.write(answer(200, message.headers["request-id"].encode()))
 
-        async with FakeServer(handler).up() as server, node([entry("s", server.port)]) as relay:
-            async with Client(relay) as client:
+        async with FakeServer(handler).up() as server, node([entry("s", server.port)]) as proxy:
+            async with Client(proxy) as client:
                 for at in range(2):  # the second right behind the answer to the first
                     got = await client.ask("post", id=f"r{at}")
                     assert got.body == b"r%d" % at
@@ -43,11 +43,11 @@
 
 def test_data_within_the_quiet_period_closes_the_connection():
     async def main() -> None:
-        async with FakeServer().up() as server, node([entry("s", server.port)]) as relay:
-            async with Client(relay) as client:
+        async with FakeServer().up() as server, node([entry("s", server.port)]) as proxy:
+            async with Client(proxy) as client:
                 assert status(await client.ask("post")) == 200
                 server.writers[0].write(answer())
-                await until(lambda: relay.upstream.open_count == 0)
+                await until(lambda: proxy.upstream.open_count == 0)
                 assert status(await client.ask("post")) == 200
             assert server.connections == 2
 
@@ -62,12 +62,12 @@
 
     async def main() -> None:
         bounds = Limits(idle_timeout_ms=50_000.0, connect_timeout_ms=20_000.0)
-        async with FakeServer().up() as server, node([entry("s", server.port)], bounds=bounds) as relay:
-            relay.upstream._sweep_timer.cancel()
-            async with Client(relay) as client:
+        async with FakeServer().up() as server, node([entry("s", server.port)], bounds=bounds) as proxy:
+            proxy.upstream._sweep_timer.cancel()
+            async with Client(proxy) as client:
                 assert status(await client.ask("post")) == 200
-                (conn,) = relay.upstream.idle_connections
-                conn.idle_since_s = relay.loop.time() - rested_s
+                (conn,) = proxy.upstream.idle_connections
+                conn.idle_since_s = proxy.loop.time() - rested_s
                 assert status(await client.ask("post")) == 200
             assert server.connections == (2 if rested_s else 1)
 
@@ -101,14 +101,14 @@
             await free.wait()
             writer.write(answer())
 
-        async with FakeServer(slow).up() as server, node([entry("s", server.port)]) as relay:
+        async with FakeServer(slow).up() as server, node([entry("s", server.port)]) as proxy:
 
             def told(state: ServerState) -> None:
-                relay.endpoints.list_updated(
+                proxy.endpoints.list_updated(
                     EndpointListForm.DELTA, [(Server("s", "a", 0, state), ("127.0.0.1", server.port))]
                 )
 
-            async with Client(relay) as client:
+            async with Client(proxy) as client:
                 client.send("post")
                 await until(lambda: len(server.got) == 1)
                 told(ServerState.REMOVED)
@@ -133,14 +133,14 @@
             await free.wait()
             writer.write(answer())
 
-        async with FakeServer(slow).up() as server, node([entry("s", server.port)]) as relay:
+        async with FakeServer(slow).up() as server, node([entry("s", server.port)]) as proxy:
 
             def told(state: ServerState, launched_ms: float | None) -> None:
                 named = Server("s", "a", 0, state, launched_ms)
-                relay.endpoints.list_updated(EndpointListForm.DELTA, [(named, ("127.0.0.1", server.port))])
+                proxy.endpoints.list_updated(EndpointListForm.DELTA, [(named, ("127.0.0.1", server.port))])
 
-            async with Client(relay) as client:
-                first_ms = relay.upstream.endpoints["s"].launched_ms
+            async with Client(proxy) as client:
+                first_ms = proxy.upstream.endpoints["s"].launched_ms
                 client.send("post")
                 await until(lambda: len(server.got) == 1)
                 told(ServerState.DRAINING, first_ms)
--- a/tests/http/test_disconnects_between_attempts.py
+++ b/tests/http/test_disconnects_between_attempts.py
@@ -48,9 +48,9 @@
     monkeypatch.setattr("rosewheel.http.downstream_server.PAUSED_CHECK_INTERVAL_S", 3600.0)
 
 
-async def unread(relay: Proxy, client: Client) -> DownstreamConnection:
+async def unread(proxy: Proxy, client: Client) -> DownstreamConnection:
     """Requests ahead of the answer that is due, until their connection is not read any more."""
-    (connection,) = relay.server.connections
+    (connection,) = proxy.server.connections
     for at in range(MAX_PIPELINED_REQUESTS):
         client.send("post", id=f"ahead-{at}", timeout=60000)
     await until(lambda: connection.reading_paused)
@@ -77,19 +77,19 @@
 
         async with FakeServer(silent).up() as one, FakeServer(silent).up() as two:
             entries = [entry("one", one.port), entry("two", two.port)]
-            async with node(entries, classes=PATIENT) as relay, Client(relay) as client:
+            async with node(entries, classes=PATIENT) as proxy, Client(proxy) as client:
                 client.send(service, id="first", timeout=60000)
                 await until(lambda: one.got or two.got)
-                await unread(relay, client)
+                await unread(proxy, client)
                 disconnect(client, how)
                 await asyncio.sleep(0)  # so that the system has been told
                 await fail(one if one.got else two, end)
-                await until(lambda: not relay.node.requests and not relay.upstream.exchanges)
+                await until(lambda: not proxy.node.requests and not proxy.upstream.exchanges)
                 assert len(one.got) + len(two.got) == 1
                 assert (
-                    relay.node.active_requests
-                    == relay.budget.used_bytes
-                    == relay.upstream.connecting_count
+                    proxy.node.active_requests
+                    == proxy.budget.used_bytes
+                    == proxy.upstream.connecting_count
                     == 0
                 )
 
@@ -114,20 +114,20 @@
 
         async with FakeServer(full).up() as one, FakeServer(full).up() as two:
             entries = [entry("one", one.port), entry("two", two.port)]
-            async with node(entries, classes=PATIENT, may_cancel=cancel) as relay:
+            async with node(entries, classes=PATIENT, may_cancel=cancel) as proxy:
                 for name in ("one", "two"):  # so that a connection is at hand
-                    relay.upstream.check_health(name)
-                await until(lambda: len(relay.upstream.idle_connections) == 2)
-                sock.connect(("127.0.0.1", relay.server.port))
+                    proxy.upstream.check_health(name)
+                await until(lambda: len(proxy.upstream.idle_connections) == 2)
+                sock.connect(("127.0.0.1", proxy.server.port))
                 sock.sendall(
                     b"POST / HTTP/1.1\r\nRequest-Id: r\r\nRequest-Class: post\r\n"
                     b"Request-Timeout-Ms: 60000\r\nContent-Length: 0\r\n\r\n"
                 )
                 await until(lambda: len(one.got) + len(two.got) >= 3)
-                await until(lambda: not relay.server.connections and not relay.node.requests)
+                await until(lambda: not proxy.server.connections and not proxy.node.requests)
                 assert len(one.got) + len(two.got) == 3
-                assert not relay.upstream.exchanges
-                assert relay.node.active_requests == 0
+                assert not proxy.upstream.exchanges
+                assert proxy.node.active_requests == 0
 
     run(main())
 
@@ -139,18 +139,18 @@
         free, slow = gated_handler()
         async with FakeServer(slow).up() as one, FakeServer(slow).up() as two:  # type: ignore[arg-type]
             entries = [entry("one", one.port), entry("two", two.port)]
-            async with node(entries, classes=PATIENT) as relay, Client(relay) as client:
+            async with node(entries, classes=PATIENT) as proxy, Client(proxy) as client:
                 client.send("read", id="first", timeout=60000)
                 await until(lambda: one.got or two.got)
-                await unread(relay, client)
+                await unread(proxy, client)
                 disconnect(client, how)
                 await asyncio.sleep(0)
-                relay.node.driver.apply(
+                proxy.node.driver.apply(
                     now_ms(), [ForwardRequest("first", "two" if one.got else "one", 50000.0)]
                 )
-                relay.apply(relay.node.driver.handle(now_ms()))
-                await until(lambda: not relay.node.requests and not relay.upstream.exchanges)
-                assert relay.upstream.connecting_count == 0
+                proxy.apply(proxy.node.driver.handle(now_ms()))
+                await until(lambda: not proxy.node.requests and not proxy.upstream.exchanges)
+                assert proxy.upstream.connecting_count == 0
                 assert len(one.got) + len(two.got) == 1
             free.set()
 
@@ -169,14 +169,14 @@
         yield listener, filler
 
 
-async def comes_up(listener: socket.socket, relay: Proxy) -> bytes:
+async def comes_up(listener: socket.socket, proxy: Proxy) -> bytes:
     """Take who fills the queue, and then what the node opens: all that it writes there."""
     listener.accept()[0].close()
     loop = asyncio.get_running_loop()
     sock, _ = await loop.sock_accept(listener)
     with sock:
         sock.setblocking(False)
-        await until(lambda: relay.upstream.connecting_count == 0)
+        await until(lambda: proxy.upstream.connecting_count == 0)
         got = b""
         with contextlib.suppress(ConnectionError):
             while piece := await loop.sock_recv(sock, 65536):
@@ -190,17 +190,17 @@
     async def main() -> None:
         with crowded() as (listener, _):
             port = listener.getsockname()[1]
-            async with node([entry("s", port)], classes=PATIENT, may_cancel=cancel) as relay:
-                async with Client(relay) as client:
+            async with node([entry("s", port)], classes=PATIENT, may_cancel=cancel) as proxy:
+                async with Client(proxy) as client:
                     client.send("post", timeout=60000)
-                    await until(lambda: relay.upstream.connecting_count == 1)
+                    await until(lambda: proxy.upstream.connecting_count == 1)
                     disconnect(client, how)
-                    await until(lambda: relay.upstream.connecting_count == 0)
+                    await until(lambda: proxy.upstream.connecting_count == 0)
                 listener.accept()[0].close()
                 with pytest.raises(BlockingIOError):
                     listener.accept()
-                assert not relay.node.requests
-                assert not relay.upstream.exchanges
+                assert not proxy.node.requests
+                assert not proxy.upstream.exchanges
 
     run(main())
 
@@ -213,15 +213,15 @@
     async def main() -> None:
         with crowded() as (listener, _):
             port = listener.getsockname()[1]
-            async with node([entry("s", port)], classes=PATIENT) as relay, Client(relay) as client:
+            async with node([entry("s", port)], classes=PATIENT) as proxy, Client(proxy) as client:
                 client.send("post", id="first", timeout=60000)
-                await until(lambda: relay.upstream.connecting_count == 1)
-                await unread(relay, client)
+                await until(lambda: proxy.upstream.connecting_count == 1)
+                await unread(proxy, client)
                 disconnect(client, how)
-                assert await comes_up(listener, relay) == b""
-                assert not relay.node.requests
-                assert not relay.upstream.exchanges
-                assert relay.upstream.open_count == 0
+                assert await comes_up(listener, proxy) == b""
+                assert not proxy.node.requests
+                assert not proxy.upstream.exchanges
+                assert proxy.upstream.open_count == 0
 
     run(main())
 
@@ -248,12 +248,12 @@
     async def main() -> None:
         with crowded() as (listener, _), socket.socket() as sock:
             port = listener.getsockname()[1]
-            async with node([entry("s", port)], classes=PATIENT) as relay:
-                listening = relay.server.listening_socket
+            async with node([entry("s", port)], classes=PATIENT) as proxy:
+                listening = proxy.server.listening_socket
                 assert listening is not None
                 # The same for those whom it accepts.
                 listening.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 65536)
-                sock.connect(("127.0.0.1", relay.server.port))
+                sock.connect(("127.0.0.1", proxy.server.port))
                 head = b"POST / HTTP/1.1\r\nRequest-Class: post\r\nRequest-Timeout-Ms: 60000\r\n"
                 if way == "body":
                     start = head + b"Request-Id: r\r\nContent-Length: 20000000\r\n\r\n" + bytes(1_100_000)
@@ -262,18 +262,18 @@
                     start = head + b"Request-Id: first\r\nContent-Length: 0\r\n\r\n"
                     more = head + b"Request-Id: %d\r\nContent-Length: 900000\r\n\r\n" + bytes(900_000)
                     rest = b"".join(more.replace(b"%d", b"%d" % at) for at in range(4))
-                await until(lambda: bool(relay.server.connections))
-                (connection,) = relay.server.connections
+                await until(lambda: bool(proxy.server.connections))
+                (connection,) = proxy.server.connections
                 await push(sock, start, connection)
-                await until(lambda: relay.upstream.connecting_count == 1)
+                await until(lambda: proxy.upstream.connecting_count == 1)
                 await push(sock, rest, connection)
                 sock.close()
-                await until(lambda: relay.upstream.connecting_count == 0 or connection.reading_paused)
+                await until(lambda: proxy.upstream.connecting_count == 0 or connection.reading_paused)
                 listener.accept()[0].close()
-                await until(lambda: not relay.node.requests and not relay.server.connections)
-                await until(lambda: relay.upstream.connecting_count == relay.upstream.open_count == 0)
+                await until(lambda: not proxy.node.requests and not proxy.server.connections)
+                await until(lambda: proxy.upstream.connecting_count == proxy.upstream.open_count == 0)
                 with pytest.raises(BlockingIOError):
                     listener.accept()
-                assert relay.budget.used_bytes == 0
+                assert proxy.budget.used_bytes == 0
 
     run(main())
--- a/tests/http/test_drain.py
+++ b/tests/http/test_drain.py
@@ -25,13 +25,13 @@
 
     async def main() -> None:
         free, slow = gated_handler()
-        async with FakeServer(slow).up() as server, node([entry("s", server.port)]) as relay:
-            async with Client(relay) as held, Client(relay) as idle, Client(relay) as quiet:
+        async with FakeServer(slow).up() as server, node([entry("s", server.port)]) as proxy:
+            async with Client(proxy) as held, Client(proxy) as idle, Client(proxy) as quiet:
                 held.send("post")
                 await until(lambda: len(server.got) == 1)
-                stop = asyncio.ensure_future(relay.drain())
-                await until(lambda: relay.server.draining)
-                async with Client(relay) as fresh:
+                stop = asyncio.ensure_future(proxy.drain())
+                await until(lambda: proxy.server.draining)
+                async with Client(proxy) as fresh:
                     fresh.send()
                     idle.send()
                     await until(lambda: len(server.got) == 3)
@@ -54,19 +54,19 @@
     monkeypatch.setattr("rosewheel.http.downstream_server.KEEP_OPEN_DURING_DRAIN_S", 60.0)
 
     async def main() -> None:
-        async with FakeServer().up() as server, node([entry("s", server.port)]) as relay:
-            async with Client(relay) as early, Client(relay) as late:
+        async with FakeServer().up() as server, node([entry("s", server.port)]) as proxy:
+            async with Client(proxy) as early, Client(proxy) as late:
                 for client in (early, late):
                     assert status(await client.ask(timeout=5000)) == 200
-                stop = asyncio.ensure_future(relay.drain())
-                await until(lambda: relay.server.draining)
+                stop = asyncio.ensure_future(proxy.drain())
+                await until(lambda: proxy.server.draining)
                 got = await early.ask("post", timeout=5000)
                 assert (status(got), got.headers.get("connection")) == (200, None)
-                relay.server.drain_started_s -= 2.6  # as if so much of the 3.5 s had passed
+                proxy.server.drain_started_s -= 2.6  # as if so much of the 3.5 s had passed
                 assert status(await late.ask("post", timeout=5000)) == 503
                 assert await late.reader.read() == b""
                 assert status(await early.ask("post", timeout=600)) == 200
-                relay.server.closing = True
+                proxy.server.closing = True
                 got = await early.ask("post", timeout=600)
                 assert (status(got), got.headers["connection"]) == (200, "close")
                 assert len(server.got) == 5
@@ -80,12 +80,12 @@
     monkeypatch.setattr("rosewheel.http.downstream_server.KEEP_OPEN_DURING_DRAIN_S", 60.0)
 
     async def main() -> None:
-        async with FakeServer(never_respond).up() as server, node([entry("s", server.port)]) as relay:
-            async with Client(relay) as client:
-                began = relay.loop.time()
-                relay.server.draining, relay.server.drain_started_s = True, began - 1.7
+        async with FakeServer(never_respond).up() as server, node([entry("s", server.port)]) as proxy:
+            async with Client(proxy) as client:
+                started_s = proxy.loop.time()
+                proxy.server.draining, proxy.server.drain_started_s = True, started_s - 1.7
                 assert status(await client.ask("points", timeout=2400, Idempotency_Key="k")) == 504
-                assert relay.loop.time() - began < 2.0
+                assert proxy.loop.time() - started_s < 2.0
                 assert len(server.got) == 1
 
     run(main())
--- a/tests/http/test_forwarding.py
+++ b/tests/http/test_forwarding.py
@@ -37,8 +37,8 @@
     async def main() -> None:
         async with (
             FakeServer().up() as server,
-            node([entry("s", server.port)]) as relay,
-            Client(relay) as client,
+            node([entry("s", server.port)]) as proxy,
+            Client(proxy) as client,
         ):
             for _ in range(5):
                 assert status(await client.ask()) == 200
@@ -53,8 +53,8 @@
     async def main() -> None:
         async with (
             FakeServer().up() as server,
-            node([entry("s", server.port)]) as relay,
-            Client(relay) as client,
+            node([entry("s", server.port)]) as proxy,
+            Client(proxy) as client,
         ):
             got = await client.ask("post", body=b"\x00debit", id="r-1", Idempotency_Key="k1")
             assert (status(got), got.body) == (200, b"ok")
@@ -98,7 +98,7 @@
 
         async with FakeServer(once).up() as one, FakeServer(once).up() as two:
             servers = [entry("s1", one.port), entry("s2", two.port)]
-            async with node(servers) as relay, Client(relay) as client:
+            async with node(servers) as proxy, Client(proxy) as client:
                 assert status(await client.ask("post")) == final
                 assert len(one.got) + len(two.got) == tries
 
@@ -111,7 +111,7 @@
     async def main() -> None:
         async with FakeServer().up() as server:
             servers = [entry("down", closed_port()), entry("up", server.port)]
-            async with node(servers) as relay, Client(relay) as client:
+            async with node(servers) as proxy, Client(proxy) as client:
                 for _ in range(6):
                     assert status(await client.ask("post")) == 200
 
@@ -122,7 +122,7 @@
     """A refusal promises that nothing ran, and where no connection came up, nothing did."""
 
     async def main() -> None:
-        async with node([entry("down", closed_port())]) as relay, Client(relay) as client:
+        async with node([entry("down", closed_port())]) as proxy, Client(proxy) as client:
             assert status(await client.ask("post")) == 503
 
     run(main())
@@ -132,12 +132,12 @@
     """Guards the one final answer: a silent server must not leave a request unanswered."""
 
     async def main() -> None:
-        async with FakeServer(never_respond).up() as server, node([entry("s", server.port)]) as relay:
-            async with Client(relay) as client:
+        async with FakeServer(never_respond).up() as server, node([entry("s", server.port)]) as proxy:
+            async with Client(proxy) as client:
                 assert status(await client.ask("post", timeout=120)) == 504
                 await until(lambda: server.closed == 1)
-                assert not relay.node.requests
-                assert not relay.calls
+                assert not proxy.node.requests
+                assert not proxy.calls
 
     run(main())
 
@@ -146,14 +146,14 @@
     """Guards the servers against work for nobody, and the node's tables against what is over."""
 
     async def main() -> None:
-        async with FakeServer(never_respond).up() as server, node([entry("s", server.port)]) as relay:
-            async with Client(relay) as client:
+        async with FakeServer(never_respond).up() as server, node([entry("s", server.port)]) as proxy:
+            async with Client(proxy) as client:
                 client.send("post")
                 await until(lambda: len(server.got) == 1)
             await until(lambda: server.closed == 1)
-            assert not relay.node.requests
-            assert not relay.calls
-            assert not relay.upstream.exchanges
+            assert not proxy.node.requests
+            assert not proxy.calls
+            assert not proxy.upstream.exchanges
 
     run(main())
 
@@ -163,8 +163,8 @@
 
     async def main() -> None:
         changes = {"retry_after": True, "max_retry_after_ms": 1500.0}
-        async with node([entry("down", closed_port())], **changes) as relay, Client(relay) as client:
-            relay.node.balancer.parts.table.cursor = 4
+        async with node([entry("down", closed_port())], **changes) as proxy, Client(proxy) as client:
+            proxy.node.balancer.parts.table.cursor = 4
             got = await client.ask("post")
             assert (status(got), got.headers["retry-after"]) == (503, "0.600")
 
@@ -176,13 +176,13 @@
 
     async def main() -> None:
         free, slow = gated_handler()
-        async with FakeServer(slow).up() as server, node([entry("s", server.port)]) as relay:
-            relay.budget.limit_bytes = CONNECTION_SHARE_DIVISOR * 16384  # so that a connection may hold 16 KB
-            async with Client(relay) as client:
+        async with FakeServer(slow).up() as server, node([entry("s", server.port)]) as proxy:
+            proxy.budget.limit_bytes = CONNECTION_SHARE_DIVISOR * 16384  # so that a connection may hold 16 KB
+            async with Client(proxy) as client:
                 for at in range(3):
                     client.send("post", id=f"r{at}", body=b"x" * 9000)
                 await until(lambda: len(server.got) == 1)
-                connection = next(iter(relay.server.connections))
+                connection = next(iter(proxy.server.connections))
                 await until(lambda: connection.reading_paused)
                 free.set()
                 for _ in range(3):
@@ -199,8 +199,8 @@
 
     async def main() -> None:
         free, slow = gated_handler()
-        async with FakeServer(slow).up() as server, node([entry("s", server.port)]) as relay:
-            async with Client(relay) as first, Client(relay) as second:
+        async with FakeServer(slow).up() as server, node([entry("s", server.port)]) as proxy:
+            async with Client(proxy) as first, Client(proxy) as second:
                 first.send("post", id="same")
                 await until(lambda: len(server.got) == 1)
                 assert status(await second.ask("post", id="same")) == 409
@@ -215,14 +215,14 @@
 
     async def main() -> None:
         free, slow = gated_handler()
-        async with FakeServer(slow).up() as server, node([entry("s", server.port)]) as relay:
-            async with Client(relay) as owner:
+        async with FakeServer(slow).up() as server, node([entry("s", server.port)]) as proxy:
+            async with Client(proxy) as owner:
                 owner.send("post", id="same")
                 await until(lambda: len(server.got) == 1)
-                async with Client(relay) as thief:
+                async with Client(proxy) as thief:
                     assert status(await thief.ask("post", id="same")) == 409
                     assert await thief.reader.read() == b""
-                await until(lambda: len(relay.server.connections) == 1)
+                await until(lambda: len(proxy.server.connections) == 1)
                 free.set()
                 assert status(await owner.answer()) == 200
                 assert len(server.got) == 1
@@ -236,10 +236,10 @@
     async def main() -> None:
         async with (
             FakeServer().up() as server,
-            node([entry("s", server.port)]) as relay,
-            Client(relay) as client,
+            node([entry("s", server.port)]) as proxy,
+            Client(proxy) as client,
         ):
-            handle = relay.node.balancer.handle
+            handle = proxy.node.balancer.handle
 
             def faulty(now: float, event: Event) -> list[Action]:
                 if isinstance(event, AttemptFinished):
@@ -251,11 +251,11 @@
                     acts.append(CancelAttempt(event.id, 0))
                 return acts
 
-            relay.node.balancer.handle = faulty  # type: ignore[method-assign]
+            proxy.node.balancer.handle = faulty  # type: ignore[method-assign]
             assert status(await client.ask("post")) == 500
-            relay.node.balancer.handle = handle  # type: ignore[method-assign]
+            proxy.node.balancer.handle = handle  # type: ignore[method-assign]
             assert status(await client.ask("post")) == 200
-            assert not relay.calls
+            assert not proxy.calls
 
     run(main())
 
@@ -269,11 +269,11 @@
 
     async def main() -> None:
         async with FakeDiscovery().up() as discovery, FakeServer().up() as server:
-            async with node([], discovery) as relay, Client(relay) as client:
+            async with node([], discovery) as proxy, Client(proxy) as client:
                 assert await health(client) == 503
                 await until(lambda: bool(discovery.writers))
                 discovery.tell(6, entry("s", server.port), whole=True)
-                await until(lambda: relay.node.can_serve)
+                await until(lambda: proxy.node.can_serve)
                 assert await health(client) == 200
                 assert status(await client.ask()) == 200
 
--- a/tests/http/test_idle_connections.py
+++ b/tests/http/test_idle_connections.py
@@ -29,11 +29,11 @@
 
     async def main() -> None:
         bounds = Limits(idle_timeout_ms=1.0)
-        async with FakeServer().up() as server, node([entry("s", server.port)], bounds=bounds) as relay:
-            async with Client(relay) as client:
+        async with FakeServer().up() as server, node([entry("s", server.port)], bounds=bounds) as proxy:
+            async with Client(proxy) as client:
                 assert status(await client.ask("post")) == 200
                 await until(lambda: server.closed == 1)
-                assert relay.upstream.open_count == 0
+                assert proxy.upstream.open_count == 0
                 assert status(await client.ask("post")) == 200
                 assert server.connections == 2
 
@@ -60,10 +60,10 @@
 
         async with FakeServer(bears_two).up() as server:
             async with (
-                node([entry("s", server.port)], balancer_count=siblings) as relay,
+                node([entry("s", server.port)], balancer_count=siblings) as proxy,
                 contextlib.AsyncExitStack() as stack,
             ):
-                clients = [await stack.enter_async_context(Client(relay)) for _ in range(3)]
+                clients = [await stack.enter_async_context(Client(proxy)) for _ in range(3)]
                 for at, client in enumerate(clients):
                     client.send("post")
                     await until(lambda at=at: len(server.got) == at + 1)
@@ -74,7 +74,7 @@
                     assert status(await client.answer()) == 200
                 if gives_back:
                     await until(lambda: server.closed == server.connections)
-                assert (relay.upstream.idle_timeout.close_after_s == 0.0) is gives_back
+                assert (proxy.upstream.idle_timeout.close_after_s == 0.0) is gives_back
 
     run(main())
 
@@ -86,15 +86,15 @@
     async def main() -> None:
         async with (
             FakeServer().up() as server,
-            node([entry("s", server.port)]) as relay,
-            Client(relay) as client,
+            node([entry("s", server.port)]) as proxy,
+            Client(proxy) as client,
         ):
             assert status(await client.ask("post")) == 200
             if data:
                 server.writers[0].write(data)
             else:
                 server.writers[0].close()
-            await until(lambda: relay.upstream.open_count == 0)
+            await until(lambda: proxy.upstream.open_count == 0)
             assert status(await client.ask("post")) == 200
 
     run(main())
@@ -120,20 +120,20 @@
             else:
                 writer.write(answer())
 
-        async with FakeServer(forgetful).up() as server, node([entry("s", server.port)]) as relay:
-            async with Client(relay) as client:
+        async with FakeServer(forgetful).up() as server, node([entry("s", server.port)]) as proxy:
+            async with Client(proxy) as client:
                 assert status(await client.ask("post")) == 200
                 await asyncio.sleep(0.15)
                 assert status(await client.ask("post")) == 502, "it may have run, whatever is likely"
-                assert 0.05 <= relay.upstream.idle_timeout.stale_limit_s < 5.0
-                relay.upstream.idle_timeout.stale_limit_s = 0.07
+                assert 0.05 <= proxy.upstream.idle_timeout.stale_limit_s < 5.0
+                proxy.upstream.idle_timeout.stale_limit_s = 0.07
                 for _ in range(3):
                     assert status(await client.ask("post")) == 200
                     await asyncio.sleep(0.15)
-                assert relay.upstream.idle_timeout.stale_limit_s == 0.07
-                relay.upstream.idle_timeout.stale_changed_at_s -= 60.0
+                assert proxy.upstream.idle_timeout.stale_limit_s == 0.07
+                proxy.upstream.idle_timeout.stale_changed_at_s -= 60.0
                 await until(
-                    lambda: relay.upstream.idle_timeout.stale_limit_s > 0.1
+                    lambda: proxy.upstream.idle_timeout.stale_limit_s > 0.1
                 )  # it is tried again in time
 
     run(main())
@@ -153,15 +153,15 @@
                     each.write(answer())
 
         server = FakeServer(handler)
-        async with server.up(), node([entry("s", server.port)]) as relay:
-            async with Client(relay) as one, Client(relay) as two:
+        async with server.up(), node([entry("s", server.port)]) as proxy:
+            async with Client(proxy) as one, Client(proxy) as two:
                 one.send("post")
                 two.send("post")
                 assert status(await one.answer()) == status(await two.answer()) == 200
-                assert relay.upstream.open_count == 2
+                assert proxy.upstream.open_count == 2
                 silent = True
                 assert status(await one.ask("post", timeout=700)) == 504
-                await until(lambda: relay.upstream.open_count == 0)
+                await until(lambda: proxy.upstream.open_count == 0)
                 assert server.connections == 2
 
     run(main())
@@ -174,13 +174,13 @@
         loop = asyncio.get_running_loop()
         with socket.create_server(("127.0.0.1", 0)) as listener:
             listener.setblocking(False)
-            async with node([entry("s", listener.getsockname()[1])]) as relay, Client(relay) as client:
+            async with node([entry("s", listener.getsockname()[1])]) as proxy, Client(proxy) as client:
                 client.send("post")
                 peer, _ = await loop.sock_accept(listener)
                 await loop.sock_recv(peer, 4096)
                 await loop.sock_sendall(peer, answer())
                 assert status(await client.answer()) == 200
-                idle = relay.upstream.endpoints["s"].idle_connections[0]
+                idle = proxy.upstream.endpoints["s"].idle_connections[0]
                 assert idle.is_usable()
                 peer.close()  # no turn of the loop between this and the next line
                 assert not idle.is_usable()
@@ -194,11 +194,11 @@
     async def main() -> None:
         async with FakeServer(serve_ok).up() as server:
             async with (
-                node([entry(f"s{at}", server.port) for at in range(100)]) as relay,
-                Client(relay) as client,
+                node([entry(f"s{at}", server.port) for at in range(100)]) as proxy,
+                Client(proxy) as client,
             ):
-                relay.resources.max_descriptors = 9
-                upstream = relay.upstream
+                proxy.resources.max_descriptors = 9
+                upstream = proxy.upstream
 
                 def agrees() -> bool:
                     by_pool = [conn for pool in upstream.endpoints.values() for conn in pool.idle_connections]
@@ -208,7 +208,7 @@
                 for _ in range(60):
                     assert status(await client.ask()) == 200
                     assert agrees()
-                    assert relay.resources.descriptor_count <= relay.resources.max_descriptors
+                    assert proxy.resources.descriptor_count <= proxy.resources.max_descriptors
                 assert len(upstream.idle_connections) > 1
                 out = next(iter(upstream.idle_connections)).endpoint.host
                 upstream.set_cordoned(out, True)
@@ -233,8 +233,8 @@
             await writer.drain()
             asyncio.get_running_loop().call_later(0.0005, writer.write, answer(body=message.body))
 
-        async with FakeServer(handler).up() as server, node([entry("s", server.port)]) as relay:
-            async with Client(relay) as client:
+        async with FakeServer(handler).up() as server, node([entry("s", server.port)]) as proxy:
+            async with Client(proxy) as client:
                 for at in range(20):
                     got = await client.ask("post", body=b"%d" % at)
                     assert (status(got), got.body) == (200, b"%d" % at)
--- a/tests/http/test_overload.py
+++ b/tests/http/test_overload.py
@@ -19,9 +19,9 @@
 )
 
 
-async def cursors(relay: Proxy, client: Client, periods: int) -> list[int]:
+async def cursors(proxy: Proxy, client: Client, periods: int) -> list[int]:
     """Ask one after another for so many of the module's periods; where the cursor stood at each answer."""
-    balancer, seen = relay.node.balancer, []
+    balancer, seen = proxy.node.balancer, []
     until_period = balancer.parts.throughput.period_count + periods
     while balancer.parts.throughput.period_count < until_period:
         await client.ask("read")
@@ -54,11 +54,11 @@
     async def main() -> None:
         async with (
             FakeServer(failing([10])).up() as server,
-            node([entry("s", server.port)], classes=BRISK) as relay,
-            Client(relay) as client,
+            node([entry("s", server.port)], classes=BRISK) as proxy,
+            Client(proxy) as client,
         ):
-            await cursors(relay, client, 40)
-            seen = await cursors(relay, client, 20)
+            await cursors(proxy, client, 40)
+            seen = await cursors(proxy, client, 20)
             assert max(seen) <= 2
 
     run(main())
@@ -71,12 +71,12 @@
         every = [10]
         async with (
             FakeServer(failing(every)).up() as server,
-            node([entry("s", server.port)], classes=BRISK) as relay,
-            Client(relay) as client,
+            node([entry("s", server.port)], classes=BRISK) as proxy,
+            Client(proxy) as client,
         ):
-            await cursors(relay, client, 40)
+            await cursors(proxy, client, 40)
             every[0] = 2
-            seen = await cursors(relay, client, 15)
+            seen = await cursors(proxy, client, 15)
             assert max(seen) >= 5
 
     run(main())
@@ -102,12 +102,12 @@
         )
         async with (
             FakeServer(quick_then_usual).up() as server,
-            node([entry("s", server.port)], classes=brief) as relay,
+            node([entry("s", server.port)], classes=brief) as proxy,
             contextlib.AsyncExitStack() as stack,
         ):
-            clients = [await stack.enter_async_context(Client(relay)) for _ in range(6)]
-            await asyncio.gather(*(cursors(relay, client, 40) for client in clients))
-            seen = await asyncio.gather(*(cursors(relay, client, 20) for client in clients))
+            clients = [await stack.enter_async_context(Client(proxy)) for _ in range(6)]
+            await asyncio.gather(*(cursors(proxy, client, 40) for client in clients))
+            seen = await asyncio.gather(*(cursors(proxy, client, 20) for client in clients))
             assert max(map(max, seen)) <= 3
 
     run(main())
--- a/tests/http/test_pipelining.py
+++ b/tests/http/test_pipelining.py
@@ -31,12 +31,12 @@
 @pytest.mark.parametrize("count", [MAX_PIPELINED_REQUESTS, MAX_PIPELINED_REQUESTS + 1, 17, 30, 400])
 def test_requests_sent_at_once_are_all_answered(count: int):
     async def main() -> None:
-        async with FakeServer(echo_path).up() as server, node([entry("one", server.port)]) as relay:
-            async with Client(relay) as client:
+        async with FakeServer(echo_path).up() as server, node([entry("one", server.port)]) as proxy:
+            async with Client(proxy) as client:
                 client.writer.write(b"".join(request(f"r{number}") for number in range(count)))
                 expected = [(200, b"/r%d" % number) for number in range(count)]
                 assert await responses(client, count) == expected
-                assert relay.budget.used_bytes == 0
+                assert proxy.budget.used_bytes == 0
 
     run(main())
 
@@ -50,12 +50,12 @@
             await gate.wait()
             await echo_path(message, writer)
 
-        async with FakeServer(respond).up() as server, node([entry("one", server.port)]) as relay:
-            async with Client(relay) as client:
+        async with FakeServer(respond).up() as server, node([entry("one", server.port)]) as proxy:
+            async with Client(proxy) as client:
                 client.writer.write(request("first"))
                 await until(lambda: bool(server.got))
                 client.writer.write(b"".join(request(f"r{number}") for number in range(count)))
-                (connection,) = relay.server.connections
+                (connection,) = proxy.server.connections
                 await until(lambda: connection.reading_paused)
                 excess = len(connection.queued_requests) - MAX_PIPELINED_REQUESTS
                 assert 0 <= excess <= MAX_PARSED_BYTES // len(request("r0"))
@@ -88,8 +88,8 @@
             await (first_gate if "/first" in message.first else gate).wait()
             await echo_path(message, writer)
 
-        async with FakeServer(respond).up() as server, node([entry("one", server.port)]) as relay:
-            async with Client(relay) as other, Client(relay) as client:
+        async with FakeServer(respond).up() as server, node([entry("one", server.port)]) as proxy:
+            async with Client(proxy) as other, Client(proxy) as client:
                 other.writer.write(request("first"))  # its id is in use until its gate opens
                 await until(lambda: len(server.got) == 1)
                 if ahead:
@@ -118,8 +118,8 @@
                 await gate.wait()
             await echo_path(message, writer)
 
-        async with FakeServer(respond).up() as server, node([entry("one", server.port)]) as relay:
-            async with Client(relay) as other, Client(relay) as client:
+        async with FakeServer(respond).up() as server, node([entry("one", server.port)]) as proxy:
+            async with Client(proxy) as other, Client(proxy) as client:
                 other.writer.write(request("first"))
                 await until(lambda: len(server.got) == 1)
                 client.writer.write(request("r0") + request("first") + request("r1") + request("first"))
@@ -143,8 +143,8 @@
         async def respond(message: Message, writer: asyncio.StreamWriter) -> None:
             await gate.wait()
 
-        async with FakeServer(respond).up() as server, node([entry("one", server.port)]) as relay:
-            async with Client(relay) as other, Client(relay) as client:
+        async with FakeServer(respond).up() as server, node([entry("one", server.port)]) as proxy:
+            async with Client(proxy) as other, Client(proxy) as client:
                 other.writer.write(request("first"))
                 await until(lambda: len(server.got) == 1)
                 service = "post" if code == 409 else "unknown"
--- a/tests/http/test_protocol_features.py
+++ b/tests/http/test_protocol_features.py
@@ -15,8 +15,8 @@
     """Guards clients that send `Expect: 100-continue`, and would wait for long without it."""
 
     async def main() -> None:
-        async with FakeServer().up() as server, node([entry("s", server.port)]) as relay:
-            async with Client(relay) as client:
+        async with FakeServer().up() as server, node([entry("s", server.port)]) as proxy:
+            async with Client(proxy) as client:
                 client.writer.write(encode_request_head("Expect: 100-Continue")[:-2] + length + b"\r\n")
                 assert await client.reader.readuntil(b"\r\n\r\n") == b"HTTP/1.1 100 Continue\r\n\r\n"
                 client.writer.write(b"ab" if b"2" in length else b"2\r\nab\r\n0\r\n\r\n")
@@ -36,8 +36,8 @@
     )
 
     async def main() -> None:
-        async with FakeServer().up() as server, node([entry("s", server.port)]) as relay:
-            async with Client(relay) as client:
+        async with FakeServer().up() as server, node([entry("s", server.port)]) as proxy:
+            async with Client(proxy) as client:
                 offer = {"Connection": "Upgrade, HTTP2-Settings", "Upgrade": "h2c", "HTTP2_Settings": "AAMA"}
                 client.writer.write(encode_request_head(f"Content-Length: {len(hidden)}", **offer) + hidden)
                 assert status(await client.answer()) == 200
@@ -54,8 +54,8 @@
 
 def test_absolute_target_is_forwarded_in_origin_form():
     async def main() -> None:
-        async with FakeServer().up() as server, node([entry("s", server.port)]) as relay:
-            async with Client(relay) as client:
+        async with FakeServer().up() as server, node([entry("s", server.port)]) as proxy:
+            async with Client(proxy) as client:
                 raw = encode_request_head("Content-Length: 0").replace(
                     b"/api/k", b"http://app.svc:80/api/k?x=1"
                 )
@@ -69,8 +69,8 @@
 
 def test_trailer_is_not_a_header():
     async def main() -> None:
-        async with FakeServer().up() as server, node([entry("s", server.port)]) as relay:
-            async with Client(relay) as client:
+        async with FakeServer().up() as server, node([entry("s", server.port)]) as proxy:
+            async with Client(proxy) as client:
                 raw = encode_request_head("Transfer-Encoding: chunked") + b"2;a=b\r\nab\r\n0\r\n"
                 raw += b"Request-Id: x\r\nX-T: 1\r\n\r\n"
                 client.writer.write(raw + encode_request_head("Content-Length: 0").replace(b"big", b"next"))
--- a/tests/http/test_request_bodies.py
+++ b/tests/http/test_request_bodies.py
@@ -36,12 +36,12 @@
 
     async def main() -> None:
         nonlocal most
-        async with RawServer(taking).up() as server, node([entry("s", server.port)]) as relay:
+        async with RawServer(taking).up() as server, node([entry("s", server.port)]) as proxy:
             # What one connection may hold while that to the server comes up.
-            relay.budget.limit_bytes = (
+            proxy.budget.limit_bytes = (
                 body_module.CONNECTION_SHARE_DIVISOR * body_module.MAX_BUFFERED_BODY_BYTES
             )
-            async with Client(relay) as client:
+            async with Client(proxy) as client:
                 data = byte_pattern(LARGE_BODY_BYTES)
                 framing = "Transfer-Encoding: chunked" if chunked else f"Content-Length: {LARGE_BODY_BYTES}"
                 client.writer.write(encode_request_head(framing))
@@ -50,7 +50,7 @@
                     framed = b"%x;ext=1\r\n%b\r\n" % (len(piece), piece)
                     client.writer.write(framed if chunked else piece)
                     await client.writer.drain()
-                    most = max(most, relay.budget.used_bytes)
+                    most = max(most, proxy.budget.used_bytes)
                 if chunked:
                     client.writer.write(b"0\r\nX-Trailer: y\r\n\r\n")
                 assert status(await client.answer()) == 200
@@ -61,7 +61,7 @@
                 assert framing_line in got[0][0]
                 assert "x-trailer" not in got[0][0]
                 assert most <= body_module.MAX_BUFFERED_BODY_BYTES + (1 << 20)
-                assert relay.budget.used_bytes == 0
+                assert proxy.budget.used_bytes == 0
 
     run(main())
 
@@ -71,10 +71,10 @@
     whether it is held or passes through."""
 
     async def main() -> None:
-        async with FakeServer().up() as server, node([entry("s", server.port)]) as relay:
+        async with FakeServer().up() as server, node([entry("s", server.port)]) as proxy:
             for hold in (1 << 20, 10):
                 monkeypatch.setattr(body_module, "MAX_BUFFERED_BODY_BYTES", hold)
-                async with Client(relay) as client:
+                async with Client(proxy) as client:
                     raw = (
                         encode_request_head("Content-Length: 40")
                         .replace(b"2000", b"250")
@@ -100,19 +100,19 @@
 
     async def main() -> None:
         async with RawServer(breaking).up() as one, FakeServer().up() as two:
-            async with node([entry("s1", one.port)]) as relay, Client(relay) as client:
+            async with node([entry("s1", one.port)]) as proxy, Client(proxy) as client:
                 client.writer.write(encode_request_head("Content-Length: 1000000") + byte_pattern(100_000))
                 await until(lambda: one.connections == 1)
                 got = await client.answer()  # at once: the rest of the request is still to come
                 assert status(got) == 503
                 client.writer.write(byte_pattern(900_000))
-                relay.endpoints.list_updated(
+                proxy.endpoints.list_updated(
                     EndpointListForm.SNAPSHOT,
                     discovery.parse_endpoints([entry("s2", two.port)], ServerStartTimes()),
                 )
                 assert status(await client.ask("post")) == 200  # the rest was read past
-                assert relay.node.statistics.classes["post"].shed == 1
-                assert relay.budget.used_bytes == 0
+                assert proxy.node.statistics.classes["post"].shed == 1
+                assert proxy.budget.used_bytes == 0
 
     from rosewheel.discovery import endpoint_list as discovery
     from rosewheel.policy.events import EndpointListForm
@@ -128,7 +128,7 @@
     async def main() -> None:
         async with RawServer(breaking).up() as one, FakeServer().up() as two:
             servers = [entry("s1", one.port), entry("s2", two.port)]
-            async with node(servers) as relay, Client(relay) as client:
+            async with node(servers) as proxy, Client(proxy) as client:
                 for at in range(6):
                     assert status(await client.ask("post", body=byte_pattern(300_000), id=f"r{at}")) == 200
                 assert [len(message.body) for message in two.got] == [300_000] * 6
@@ -142,17 +142,17 @@
     monkeypatch.setattr(body_module, "MAX_BUFFERED_BODY_BYTES", 10)
 
     async def main() -> None:
-        async with FakeServer().up() as server, node([entry("s", server.port)]) as relay:
+        async with FakeServer().up() as server, node([entry("s", server.port)]) as proxy:
             for size in (5, 500):  # held, and on its way to the server
-                async with Client(relay) as client:
+                async with Client(proxy) as client:
                     client.writer.write(
                         encode_request_head("Content-Length: 1000").replace(b"big", b"%d" % size)
                     )
                     client.writer.write(b"x" * size)
                     assert status(await client.answer()) == 408
-            await until(lambda: not relay.node.requests and not relay.upstream.exchanges)
+            await until(lambda: not proxy.node.requests and not proxy.upstream.exchanges)
             assert server.got == []
-            assert relay.budget.used_bytes == 0
+            assert proxy.budget.used_bytes == 0
 
     run(main())
 
@@ -166,14 +166,14 @@
         writer.transport.pause_reading()  # type: ignore[attr-defined]
 
     async def main() -> None:
-        async with RawServer(ignoring).up() as server, node([entry("s", server.port)]) as relay:
-            async with Client(relay) as client:
+        async with RawServer(ignoring).up() as server, node([entry("s", server.port)]) as proxy:
+            async with Client(proxy) as client:
                 client.writer.write(encode_request_head(f"Content-Length: {30 << 20}"))
                 sending = asyncio.ensure_future(_send(client.writer, 30 << 20))
                 assert status(await client.answer()) == 503, "it never ran"
                 await sending  # and the rest is read past
                 assert status(await client.ask("post", id="next")) == 504
-                assert relay.budget.used_bytes == 0
+                assert proxy.budget.used_bytes == 0
 
     run(main())
 
@@ -190,7 +190,7 @@
     monkeypatch.setattr(body_module, "MAX_BUFFERED_BODY_BYTES", 10)
 
     async def main() -> None:
-        async with node([entry("down", 1)]) as relay, Client(relay) as client:
+        async with node([entry("down", 1)]) as proxy, Client(proxy) as client:
             client.writer.write(encode_request_head("Content-Length: 1000") + b"x" * 500)
             assert status(await client.answer()) == 503
             assert await client.reader.read() == b""
--- a/tests/http/test_request_validation.py
+++ b/tests/http/test_request_validation.py
@@ -41,11 +41,11 @@
     """Guards against a traceback, or the promise of a 429 or 503, for a request that can't be read."""
 
     async def main() -> None:
-        async with FakeServer().up() as server, node([entry("s", server.port)]) as relay:
-            async with Client(relay) as client:
+        async with FakeServer().up() as server, node([entry("s", server.port)]) as proxy:
+            async with Client(proxy) as client:
                 client.writer.write(raw)
                 assert status(await client.answer()) == code
-            async with Client(relay) as client:
+            async with Client(proxy) as client:
                 assert status(await client.ask()) == 200
             assert len(server.got) == 1
 
@@ -86,14 +86,14 @@
     all that came with it too."""
 
     async def main() -> None:
-        async with FakeServer().up() as server, node([entry("s", server.port)]) as relay:
-            async with Client(relay) as client:
+        async with FakeServer().up() as server, node([entry("s", server.port)]) as proxy:
+            async with Client(proxy) as client:
                 client.writer.write(raw)
                 assert 400 <= status(await client.answer()) < 500
                 assert await client.reader.read() == b""
             assert not server.got
-            assert not relay.node.requests
-            await until(lambda: not relay.server.connections)
+            assert not proxy.node.requests
+            await until(lambda: not proxy.server.connections)
 
     run(main())
 
@@ -107,22 +107,22 @@
 
     async def main() -> None:
         gate, respond = gated_handler()
-        async with FakeServer(respond).up() as server, node([entry("s", server.port)]) as relay:
-            async with Client(relay) as client:
+        async with FakeServer(respond).up() as server, node([entry("s", server.port)]) as proxy:
+            async with Client(proxy) as client:
                 valid = TIMED_POST_HEAD.replace(b"900", b"60000") + b"Content-Length: 0\r\n\r\n"
                 client.writer.write(valid + NOISE + HIDDEN if at_once else valid)
                 await until(lambda: len(server.got) == 1)
                 if not at_once:
                     client.writer.write(NOISE + HIDDEN)
-                (connection,) = relay.server.connections
+                (connection,) = proxy.server.connections
                 await until(lambda: connection.phase is RequestPhase.REJECTED)
                 gate.set()
                 assert status(await client.answer()) == 200
                 assert status(await client.answer()) == 400
                 assert await client.reader.read() == b""
                 assert len(server.got) == 1
-                assert not relay.node.requests
-                await until(lambda: not relay.server.connections)
+                assert not proxy.node.requests
+                await until(lambda: not proxy.server.connections)
 
     run(main())
 
@@ -140,8 +140,8 @@
     """Guards memory: the parser hands a header over only once it is whole."""
 
     async def main() -> None:
-        async with FakeServer().up() as server, node([entry("s", server.port)]) as relay:
-            async with Client(relay) as client:
+        async with FakeServer().up() as server, node([entry("s", server.port)]) as proxy:
+            async with Client(proxy) as client:
                 client.writer.write(raw)
                 with contextlib.suppress(ConnectionError):
                     for _ in range(400):
@@ -151,6 +151,6 @@
                             break
                 if raw:
                     assert status(await client.answer()) in (413, 431)
-                await until(lambda: not relay.server.connections)
+                await until(lambda: not proxy.server.connections)
 
     run(main())
--- a/tests/http/test_responses.py
+++ b/tests/http/test_responses.py
@@ -34,15 +34,15 @@
             writer.write(answer(503, b"", Not_Started="1", Server_Load="TEXT depth=41, load_share=0.5"))
 
         events: list[Event] = []
-        async with FakeServer(full).up() as server, node([entry("s", server.port)]) as relay:
-            handle = relay.node.balancer.handle
+        async with FakeServer(full).up() as server, node([entry("s", server.port)]) as proxy:
+            handle = proxy.node.balancer.handle
 
             def listen(now: float, event: Event) -> list[Action]:
                 events.append(event)
                 return handle(now, event)
 
-            relay.node.balancer.handle = listen  # type: ignore[method-assign]
-            async with Client(relay) as client:
+            proxy.node.balancer.handle = listen  # type: ignore[method-assign]
+            async with Client(proxy) as client:
                 assert status(await client.ask("post")) == 503
         ended = [event for event in events if isinstance(event, AttemptFinished)]
         assert [(one.result, one.request_ended, one.report) for one in ended] == [
@@ -91,8 +91,8 @@
             if not kept:
                 writer.close()
 
-        async with FakeServer(handler).up() as server, node([entry("s", server.port)]) as relay:
-            async with Client(relay) as client:
+        async with FakeServer(handler).up() as server, node([entry("s", server.port)]) as proxy:
+            async with Client(proxy) as client:
                 for _ in range(2):
                     got = await client.ask("post")
                     assert (status(got), got.body) == (200, b"ok")
@@ -113,8 +113,8 @@
         async def handler(message: Message, writer: asyncio.StreamWriter) -> None:
             writer.write(COPY + behind)
 
-        async with FakeServer(handler).up() as server, node([entry("s", server.port)]) as relay:
-            async with Client(relay) as client:
+        async with FakeServer(handler).up() as server, node([entry("s", server.port)]) as proxy:
+            async with Client(proxy) as client:
                 for _ in range(2):
                     got = await client.ask("post")
                     assert (status(got), got.body) == (200, b"mine")
@@ -158,14 +158,14 @@
 
         async with FakeServer(handler).up() as one, FakeServer(handler).up() as two:
             servers = [entry("s1", one.port), entry("s2", two.port)]
-            async with node(servers) as relay, Client(relay) as client:
-                began = relay.loop.time()
+            async with node(servers) as proxy, Client(proxy) as client:
+                started_s = proxy.loop.time()
                 assert status(await client.ask("post", timeout=3000)) == 502
                 assert len(one.got) + len(two.got) == 1
                 spoil = True
                 assert status(await client.ask("read", timeout=3000)) == 200
                 assert len(one.got) + len(two.got) == 3
-                assert relay.loop.time() - began < 1.9
-                await until(lambda: relay.upstream.open_count == 1)
+                assert proxy.loop.time() - started_s < 1.9
+                await until(lambda: proxy.upstream.open_count == 1)
 
     run(main())
--- a/tests/http/test_slow_clients.py
+++ b/tests/http/test_slow_clients.py
@@ -19,39 +19,39 @@
     """Guards clients that write slowly: under a crowd the oldest is not the one to go."""
 
     async def main() -> None:
-        async with FakeServer().up() as server, node([entry("s", server.port)]) as relay:
-            relay.server.max_connections = 5
-            async with Client(relay) as slow, contextlib.AsyncExitStack() as stack:
+        async with FakeServer().up() as server, node([entry("s", server.port)]) as proxy:
+            proxy.server.max_connections = 5
+            async with Client(proxy) as slow, contextlib.AsyncExitStack() as stack:
                 slow.writer.write(HEAD[:1])
-                await until(lambda: len(relay.server.partial_connections) == 1)
-                (true,) = relay.server.partial_connections
+                await until(lambda: len(proxy.server.partial_connections) == 1)
+                (true,) = proxy.server.partial_connections
                 for at in range(1, len(HEAD)):
-                    for connection in relay.server.partial_connections:
+                    for connection in proxy.server.partial_connections:
                         connection.last_received_s -= 1.0  # as if the pieces came one a second
                     slow.writer.write(HEAD[at : at + 1])
                     await until(lambda at=at: true.raw_bytes in (at + 1, 0))
                     if at % 4 == 0:
-                        one = await stack.enter_async_context(Client(relay))
+                        one = await stack.enter_async_context(Client(proxy))
                         one.writer.write(HEAD[:20])
                         await until(
-                            lambda: all(connection.raw_bytes > 0 for connection in relay.server.connections)
+                            lambda: all(connection.raw_bytes > 0 for connection in proxy.server.connections)
                         )
                 assert status(await slow.answer()) == 200
-                assert len(relay.server.connections) <= 5
+                assert len(proxy.server.connections) <= 5
 
     run(main())
 
 
 def test_closed_partial_request_gets_a_response():
     async def main() -> None:
-        async with FakeServer().up() as server, node([entry("s", server.port)]) as relay:
-            async with Client(relay) as half:
+        async with FakeServer().up() as server, node([entry("s", server.port)]) as proxy:
+            async with Client(proxy) as half:
                 half.writer.write(HEAD[:20])
-                await until(lambda: len(relay.server.partial_connections) == 1)
-                (connection,) = relay.server.partial_connections
+                await until(lambda: len(proxy.server.partial_connections) == 1)
+                (connection,) = proxy.server.partial_connections
                 connection.last_received_s -= 1.0
-                relay.server.max_connections = 1
-                async with Client(relay) as other:
+                proxy.server.max_connections = 1
+                async with Client(proxy) as other:
                     assert status(await other.ask()) == 200
                 assert status(await half.answer()) == 408
 
@@ -63,13 +63,13 @@
     """Guards the limit also while a crowd is told that there is no room, and operators call."""
 
     async def main() -> None:
-        async with node([], bounds=Limits(max_sockets=sockets)) as relay:
+        async with node([], bounds=Limits(max_sockets=sockets)) as proxy:
             for processes in (1, 2):
-                relay.resources.process_count = processes
-                relay.resources.divide(sockets)
-                assert relay.server.max_connections < relay.resources.max_descriptors
+                proxy.resources.process_count = processes
+                proxy.resources.divide(sockets)
+                assert proxy.server.max_connections < proxy.resources.max_descriptors
                 assert (
-                    processes * (relay.resources.max_descriptors + relay.server.max_over_limit + 12)
+                    processes * (proxy.resources.max_descriptors + proxy.server.max_over_limit + 12)
                     <= sockets
                 )
 
@@ -83,20 +83,20 @@
 
     async def main() -> None:
         async with FakeServer().up() as server, FakeDiscovery(refuse=6).up() as discovery:
-            async with node([entry("s", server.port)], pushed=discovery) as relay, Client(relay) as client:
-                later = relay.loop.call_later
+            async with node([entry("s", server.port)], pushed=discovery) as proxy, Client(proxy) as client:
+                later = proxy.loop.call_later
 
                 def noted(wait: float, call: object, *args: object) -> object:
-                    if call == relay.endpoints.reopen_watch:
+                    if call == proxy.endpoints.reopen_watch:
                         waits.append(wait)
                         wait = 0.0
                     return later(wait, call, *args)  # type: ignore[arg-type]
 
-                relay.loop = PatchedLoop(relay.loop, call_later=noted)  # type: ignore[assignment]
+                proxy.loop = PatchedLoop(proxy.loop, call_later=noted)  # type: ignore[assignment]
                 await until(lambda: len(discovery.asked) == 7)
                 assert status(await client.ask()) == 200  # by the list as it was held
                 discovery.tell(9, entry("s", server.port), whole=True)
-                await until(lambda: relay.endpoints.backoff.failed_watches == 0)
+                await until(lambda: proxy.endpoints.backoff.failed_watches == 0)
 
     run(main())
     grace_s = Limits().drain_notice_ms / 1000.0
--- a/tests/http/test_streamed_responses.py
+++ b/tests/http/test_streamed_responses.py
@@ -31,20 +31,20 @@
         writer.write(data[10_000:])
 
     async def main() -> None:
-        async with RawServer(giving).up() as server, node([entry("s", server.port)]) as relay:
-            async with Client(relay) as client:
+        async with RawServer(giving).up() as server, node([entry("s", server.port)]) as proxy:
+            async with Client(proxy) as client:
                 client.send("post", timeout=300)
                 head = await client.reader.readuntil(b"\r\n\r\n")
                 assert b"Content-Length: 200000" in head
                 assert await client.reader.readexactly(10_000) == data[:10_000]
-                assert relay.statistics().active_requests == 1
+                assert proxy.statistics().active_requests == 1
                 await asyncio.sleep(0.4)  # past the deadline
                 free.set()
                 assert await client.reader.readexactly(190_000) == data[10_000:]
-                await until(lambda: relay.statistics().active_requests == 0)
-                assert relay.node.statistics.classes["post"].ok == 1
-                assert not relay.node.requests
-                assert not relay.node.balancer.parts.shared.requests
+                await until(lambda: proxy.statistics().active_requests == 0)
+                assert proxy.node.statistics.classes["post"].ok == 1
+                assert not proxy.node.requests
+                assert not proxy.node.balancer.parts.shared.requests
 
     run(main())
 
@@ -64,13 +64,13 @@
         writer.close()
 
     async def main() -> None:
-        async with RawServer(giving).up() as server, node([entry("s", server.port)]) as relay:
-            async with Client(relay) as client:
+        async with RawServer(giving).up() as server, node([entry("s", server.port)]) as proxy:
+            async with Client(proxy) as client:
                 client.send("post")
                 head = await client.reader.readuntil(b"\r\n\r\n")
                 assert b"Transfer-Encoding: chunked" in head
                 assert await read_chunked_body(client.reader) == data
-            async with Client(relay) as old:  # to this one only the connection's end can tell
+            async with Client(proxy) as old:  # to this one only the connection's end can tell
                 old.writer.write(encode_request_head("Content-Length: 0").replace(b"HTTP/1.1", b"HTTP/1.0"))
                 head = await old.reader.readuntil(b"\r\n\r\n")
                 assert b"hunked" not in head
@@ -91,8 +91,8 @@
         writer.transport.abort()
 
     async def main() -> None:
-        async with RawServer(giving).up() as server, node([entry("s", server.port)]) as relay:
-            async with Client(relay) as client:
+        async with RawServer(giving).up() as server, node([entry("s", server.port)]) as proxy:
+            async with Client(proxy) as client:
                 client.send("read")
                 await client.reader.readuntil(b"\r\n\r\n")
                 with pytest.raises((asyncio.IncompleteReadError, ConnectionError, ValueError)):
@@ -101,10 +101,10 @@
                         if "300" in framing
                         else read_chunked_body(client.reader)
                     )
-                counts = relay.node.statistics.classes["read"]
+                counts = proxy.node.statistics.classes["read"]
                 assert (counts.ok, counts.errors) == (0, 1)
                 assert server.connections == 1, "a safe request too: what was passed on can't be taken back"
-                assert not relay.node.requests
+                assert not proxy.node.requests
 
     run(main())
 
@@ -127,14 +127,14 @@
             written = at
 
     async def main() -> None:
-        async with RawServer(giving).up() as server, node([entry("s", server.port)]) as relay:
-            async with Client(relay) as slow, Client(relay) as other:
+        async with RawServer(giving).up() as server, node([entry("s", server.port)]) as proxy:
+            async with Client(proxy) as slow, Client(proxy) as other:
                 slow.send("post", id="slow")
                 await slow.reader.readuntil(b"\r\n\r\n")
-                await until(lambda: any(c.write_blocked for c in relay.server.connections))
+                await until(lambda: any(c.write_blocked for c in proxy.server.connections))
                 assert status(await other.ask("post")) == 200
                 assert written < len(data) - (1 << 20), "the rest waits at its server"
-                (conn,) = [one for one in relay.upstream.exchanges.values()]
+                (conn,) = [one for one in proxy.upstream.exchanges.values()]
                 assert conn.connection is not None
                 assert conn.connection.reading_paused
                 digest = hashlib.sha256()
@@ -158,14 +158,14 @@
             await writer.drain()
 
     async def main() -> None:
-        async with RawServer(giving).up() as server, node([entry("s", server.port)]) as relay:
-            async with Client(relay) as client:
+        async with RawServer(giving).up() as server, node([entry("s", server.port)]) as proxy:
+            async with Client(proxy) as client:
                 client.send("post")
                 await client.reader.readuntil(b"\r\n\r\n")
-            await until(lambda: not relay.upstream.exchanges and not relay.node.requests)
-            await until(lambda: relay.upstream.open_count == 0)
-            assert relay.statistics().active_requests == 0
-            assert not relay.node.balancer.parts.shared.requests
+            await until(lambda: not proxy.upstream.exchanges and not proxy.node.requests)
+            await until(lambda: proxy.upstream.open_count == 0)
+            assert proxy.statistics().active_requests == 0
+            assert not proxy.node.balancer.parts.shared.requests
 
     run(main())
 
@@ -178,11 +178,11 @@
         writer.write(encode_raw_response("Content-Length: 30000000", byte_pattern(30_000_000)))
 
     async def main() -> None:
-        async with RawServer(giving).up() as server, node([entry("s", server.port)]) as relay:
-            async with Client(relay) as client:
+        async with RawServer(giving).up() as server, node([entry("s", server.port)]) as proxy:
+            async with Client(proxy) as client:
                 client.send("post")
-                await until(lambda: bool(relay.server.connections) and server.connections == 1)
-                await until(lambda: not relay.server.connections and not relay.upstream.exchanges)
+                await until(lambda: bool(proxy.server.connections) and server.connections == 1)
+                await until(lambda: not proxy.server.connections and not proxy.upstream.exchanges)
 
     run(main())
 
@@ -196,8 +196,8 @@
         writer.write(encode_raw_response("Content-Length: 30000000", byte_pattern(1000)))
 
     async def main() -> None:
-        async with RawServer(giving).up() as server, node([entry("s", server.port)]) as relay:
-            async with Client(relay) as client:
+        async with RawServer(giving).up() as server, node([entry("s", server.port)]) as proxy:
+            async with Client(proxy) as client:
                 client.send("post")
                 await client.reader.readuntil(b"\r\n\r\n")
                 with pytest.raises((asyncio.IncompleteReadError, ConnectionError)):
@@ -215,8 +215,8 @@
             writer.write(encode_raw_response(f"Content-Length: {len(data)}", data))
 
     async def main() -> None:
-        async with RawServer(giving).up() as server, node([entry("s", server.port)]) as relay:
-            async with Client(relay) as client:
+        async with RawServer(giving).up() as server, node([entry("s", server.port)]) as proxy:
+            async with Client(proxy) as client:
                 client.send("post")
                 client.send("post")
                 for _ in range(2):
