--- a/tests/http/test_attempt_deadlines.py
+++ b/tests/http/test_attempt_deadlines.py
@@ -1,4 +1,4 @@
-"""The time that a server is told is what its client has left when the attempt is written."""
+"""Request-Timeout-Ms of an attempt: the time that the client has left when the attempt is sent."""
 
 from __future__ import annotations
 
@@ -9,17 +9,17 @@
 
 from rosewheel.proxy import clock
 from rosewheel.proxy.proxy import Proxy
-from tests.http.test_disconnects_between_attempts import PATIENT
+from tests.http.test_disconnects_between_attempts import LONG_DEADLINE_CLASSES
 from tests.http.test_pipelining import request
 from tests.support.sockets import Client, FakeServer, Message, answer, entry, node, run, status, until
 
 TIMEOUT_MS = 60_000
 WAITED_MS = 20_000.0
-SLACK_MS = 150.0  # what the operators allow
+SLACK_MS = 150.0  # allowed excess of the timeout that a server receives
 
 
 class SteppedClock:
-    """The node's clock, which a test moves forward."""
+    """The node's clock, which a test can advance."""
 
     def __init__(self, monkeypatch: pytest.MonkeyPatch) -> None:
         self.ahead_ms = 0.0
@@ -28,29 +28,30 @@
 
 
 def hold_connects(proxy: Proxy, monkeypatch: pytest.MonkeyPatch) -> asyncio.Event:
-    """Let no connection to a server come up before the returned event is set."""
+    """Delay connecting to servers until the returned event is set."""
     gate = asyncio.Event()
     connect = proxy.upstream._connect
 
-    async def late(*arguments: Any) -> Any:
+    async def gated_connect(*arguments: Any) -> Any:
         await gate.wait()
         return await connect(*arguments)
 
-    monkeypatch.setattr(proxy.upstream, "_connect", late)
+    monkeypatch.setattr(proxy.upstream, "_connect", gated_connect)
     return gate
 
 
-def told_ms(message: Message) -> int:
+def timeout_ms_of(message: Message) -> int:
     return int(message.headers["request-timeout-ms"])
 
 
 @pytest.mark.parametrize("body", [b"", b"x" * 60_000])
-def test_a_connection_that_comes_up_late_costs_the_server_that_time(
-    body: bytes, monkeypatch: pytest.MonkeyPatch
-):
+def test_time_to_connect_reduces_the_timeout(body: bytes, monkeypatch: pytest.MonkeyPatch):
     async def main() -> None:
         time = SteppedClock(monkeypatch)
-        async with FakeServer().up() as server, node([entry("one", server.port)], classes=PATIENT) as proxy:
+        async with (
+            FakeServer().up() as server,
+            node([entry("one", server.port)], classes=LONG_DEADLINE_CLASSES) as proxy,
+        ):
             gate = hold_connects(proxy, monkeypatch)
             async with Client(proxy) as client:
                 client.send("post" if body else "read", timeout=TIMEOUT_MS, body=body)
@@ -58,17 +59,20 @@
                 time.ahead_ms = WAITED_MS
                 gate.set()
                 assert status(await client.answer()) == 200
-                assert told_ms(server.got[0]) <= TIMEOUT_MS - WAITED_MS + SLACK_MS
+                assert timeout_ms_of(server.got[0]) <= TIMEOUT_MS - WAITED_MS + SLACK_MS
 
     run(main())
 
 
-def test_nothing_is_sent_once_the_time_is_over(monkeypatch: pytest.MonkeyPatch):
-    """A connection comes up after the deadline, before the timer of the deadline has fired."""
+def test_nothing_is_sent_after_the_deadline(monkeypatch: pytest.MonkeyPatch):
+    """Covers a connection that is opened after the deadline, but before the timer of the deadline has fired."""
 
     async def main() -> None:
         time = SteppedClock(monkeypatch)
-        async with FakeServer().up() as server, node([entry("one", server.port)], classes=PATIENT) as proxy:
+        async with (
+            FakeServer().up() as server,
+            node([entry("one", server.port)], classes=LONG_DEADLINE_CLASSES) as proxy,
+        ):
             gate = hold_connects(proxy, monkeypatch)
             async with Client(proxy) as client:
                 client.send("post", timeout=TIMEOUT_MS)
@@ -82,7 +86,7 @@
     run(main())
 
 
-def test_a_retry_is_told_less(monkeypatch: pytest.MonkeyPatch):
+def test_time_of_the_first_attempt_reduces_the_timeout_of_a_retry(monkeypatch: pytest.MonkeyPatch):
     async def main() -> None:
         time = SteppedClock(monkeypatch)
 
@@ -91,18 +95,20 @@
             writer.write(answer(503, b"", Not_Started="1"))
 
         async with FakeServer(refuse).up() as one, FakeServer(refuse).up() as two:
-            async with node([entry("one", one.port), entry("two", two.port)], classes=PATIENT) as proxy:
+            async with node(
+                [entry("one", one.port), entry("two", two.port)], classes=LONG_DEADLINE_CLASSES
+            ) as proxy:
                 async with Client(proxy) as client:
                     client.send("read", timeout=TIMEOUT_MS)
                     await until(lambda: len(one.got) + len(two.got) >= 2)
-                    told = sorted(told_ms(message) for message in one.got + two.got)
-                    assert told[-2] <= TIMEOUT_MS - WAITED_MS + SLACK_MS
+                    timeouts_ms = sorted(timeout_ms_of(message) for message in one.got + two.got)
+                    assert timeouts_ms[-2] <= TIMEOUT_MS - WAITED_MS + SLACK_MS
 
     run(main())
 
 
-def test_a_request_that_waited_for_the_response_before_its_own_has_less_time():
-    """Its client counts from when it sent the request, not from when the node came to it."""
+def test_time_in_the_queue_of_pipelined_requests_reduces_the_timeout():
+    """The client's timeout starts when it sends the request, not when the node dispatches it."""
 
     async def main() -> None:
         gate = asyncio.Event()
@@ -113,7 +119,7 @@
 
         async with (
             FakeServer(respond).up() as server,
-            node([entry("one", server.port)], classes=PATIENT) as proxy,
+            node([entry("one", server.port)], classes=LONG_DEADLINE_CLASSES) as proxy,
         ):
             async with Client(proxy) as client:
                 client.writer.write(request("r0", timeout=TIMEOUT_MS) + request("r1", timeout=TIMEOUT_MS))
@@ -123,6 +129,6 @@
                 queued.completed_s -= WAITED_MS / 1000.0
                 gate.set()
                 assert status(await client.answer()) == status(await client.answer()) == 200
-                assert told_ms(server.got[1]) <= TIMEOUT_MS - WAITED_MS + SLACK_MS
+                assert timeout_ms_of(server.got[1]) <= TIMEOUT_MS - WAITED_MS + SLACK_MS
 
     run(main())
--- a/tests/http/test_body.py
+++ b/tests/http/test_body.py
@@ -1,90 +1,95 @@
-"""A body on its way: what is held, what is dropped, and what can be read again."""
+"""Request bodies: what is buffered, what is dropped, and what can be replayed."""
 
 from __future__ import annotations
 
 import pytest
 
-from rosewheel.http import body
+from rosewheel.http import body as body_module
 from rosewheel.http.body import BufferBudget, RequestBody
 
 
-def read_from(item: RequestBody, at: int) -> tuple[list[bytes], int]:
-    pieces = []
-    while (piece := item.segment(at)) is not None:
-        pieces.append(piece)
-        at += 1
-    return pieces, at
+def read_from(body: RequestBody, index: int) -> tuple[list[bytes], int]:
+    """Read the available segments from this index on; the second value is the index of the next one."""
+    segments = []
+    while (segment := body.segment(index)) is not None:
+        segments.append(segment)
+        index += 1
+    return segments, index
 
 
 def test_buffered_body_can_be_replayed():
     budget = BufferBudget(1000)
-    item = RequestBody(budget, lambda: None)
-    for piece in (b"a", b"b", b"c"):
-        item.append(piece)
-    item.finish()
+    body = RequestBody(budget, lambda: None)
+    for segment in (b"a", b"b", b"c"):
+        body.append(segment)
+    body.finish()
     for _ in range(2):
-        assert read_from(item, 0) == ([b"a", b"b", b"c"], 3)
-    assert item.replayable
-    assert (budget.used_bytes, item.buffered_bytes, item.received_bytes) == (3, 3, 3)
-    item.release()
-    assert (budget.used_bytes, item.buffered_bytes, item.replayable) == (0, 0, False)
-
-
-@pytest.mark.parametrize(("hold", "share"), [(4, 1000), (1000, 4)])
-def test_body_over_either_limit_is_streamed(monkeypatch: pytest.MonkeyPatch, hold: int, share: int):
-    """Guards memory: what has been passed on is let go of, and its writer is told that there is room."""
-    monkeypatch.setattr(body, "MAX_BUFFERED_BODY_BYTES", hold)
-    eased: list[int] = []
-    budget = BufferBudget(share)
-    item = RequestBody(budget, lambda: eased.append(item.buffered_bytes))
-    item.append(b"abc")
-    assert not item.streaming
-    item.append(b"def")
-    assert item.streaming
-    assert item.replayable, "nothing of it has been let go of yet"
-    pieces, at = read_from(item, 0)
-    assert pieces == [b"abc", b"def"]
-    assert (item.buffered_bytes, budget.used_bytes, eased, item.replayable) == (0, 0, [3, 0], False)
-    item.append(b"g")
-    assert read_from(item, at) == ([b"g"], 3)
+        assert read_from(body, 0) == ([b"a", b"b", b"c"], 3)
+    assert body.replayable
+    assert (budget.used_bytes, body.buffered_bytes, body.received_bytes) == (3, 3, 3)
+    body.release()
+    assert (budget.used_bytes, body.buffered_bytes, body.replayable) == (0, 0, False)
+
+
+@pytest.mark.parametrize(("max_buffered", "budget_limit"), [(4, 1000), (1000, 4)])
+def test_body_over_either_limit_is_streamed(
+    monkeypatch: pytest.MonkeyPatch, max_buffered: int, budget_limit: int
+):
+    """Guards against unbounded memory: segments are dropped once read, and the writer is notified of the space."""
+    monkeypatch.setattr(body_module, "MAX_BUFFERED_BODY_BYTES", max_buffered)
+    buffered_sizes: list[int] = []
+    budget = BufferBudget(budget_limit)
+    body = RequestBody(budget, lambda: buffered_sizes.append(body.buffered_bytes))
+    body.append(b"abc")
+    assert not body.streaming
+    body.append(b"def")
+    assert body.streaming
+    assert body.replayable, "no segment was dropped yet"
+    segments, index = read_from(body, 0)
+    assert segments == [b"abc", b"def"]
+    assert (body.buffered_bytes, budget.used_bytes, buffered_sizes, body.replayable) == (0, 0, [3, 0], False)
+    body.append(b"g")
+    assert read_from(body, index) == ([b"g"], 3)
 
 
 def test_reader_is_notified_of_data_and_end():
-    heard: list[tuple[int, bool]] = []
-    item = RequestBody(BufferBudget(1000), lambda: None)
-    item.on_data = lambda: heard.append((item.received_bytes, item.complete))
-    item.append(b"ab")
-    item.finish()
-    assert heard == [(2, False), (2, True)]
+    notices: list[tuple[int, bool]] = []
+    body = RequestBody(BufferBudget(1000), lambda: None)
+    body.on_data = lambda: notices.append((body.received_bytes, body.complete))
+    body.append(b"ab")
+    body.finish()
+    assert notices == [(2, False), (2, True)]
 
 
 def test_released_body_is_counted_and_not_kept():
-    """Guards memory after an early answer: the rest of the request still comes, and is read past."""
+    """Guards against buffering the rest of a body after an early response."""
     budget = BufferBudget(1000)
-    item = RequestBody(budget, lambda: None)
-    item.append(b"ab")
-    item.release()
-    item.append(b"cd")
-    assert (item.received_bytes, item.buffered_bytes, budget.used_bytes, list(item.segments)) == (4, 0, 0, [])
+    body = RequestBody(budget, lambda: None)
+    body.append(b"ab")
+    body.release()
+    body.append(b"cd")
+    assert (body.received_bytes, body.buffered_bytes, budget.used_bytes, list(body.segments)) == (4, 0, 0, [])
 
 
 def test_body_without_reader_is_buffered_up_to_its_share_again():
-    """Guards the news of a client's end, which stands behind its body, while the next attempt's connection comes up;
-    and memory: what has been dropped does not come back, and who is not there any more is not asked for more."""
-    eased: list[int] = []
-    body = RequestBody(BufferBudget(1 << 20), lambda: eased.append(1))
+    """Without a reader, more of the body is read, so that a disconnect behind it is noticed before the next attempt.
+
+    A body of which segments were dropped can't be replayed and stays limited to its window.
+    """
+    space_notices: list[int] = []
+    body = RequestBody(BufferBudget(1 << 20), lambda: space_notices.append(1))
     body.append(b"a")
     body.rewind()
     assert not body.reading_started
-    assert not eased  # nobody has read
+    assert not space_notices  # no reader has started
     assert body.segment(0) == b"a"
     assert body.reading_started
     body.rewind()
     assert not body.reading_started
-    assert len(eased) == 1
+    assert len(space_notices) == 1
     body.streaming = True
     body.append(b"b")
-    assert body.segment(1) == b"b"  # the first is dropped
+    assert body.segment(1) == b"b"  # drops the first segment
     body.rewind()
     assert body.reading_started
     assert not body.replayable
--- a/tests/http/test_disconnects_between_attempts.py
+++ b/tests/http/test_disconnects_between_attempts.py
@@ -31,7 +31,7 @@
 )
 
 # Patient enough that no deadline ends anything here; a key is remembered for longer than any test takes.
-PATIENT = tuple(
+LONG_DEADLINE_CLASSES = tuple(
     dataclasses.replace(
         kind,
         latency_objective_ms=60000,
@@ -77,7 +77,7 @@
 
         async with FakeServer(silent).up() as one, FakeServer(silent).up() as two:
             entries = [entry("one", one.port), entry("two", two.port)]
-            async with node(entries, classes=PATIENT) as proxy, Client(proxy) as client:
+            async with node(entries, classes=LONG_DEADLINE_CLASSES) as proxy, Client(proxy) as client:
                 client.send(service, id="first", timeout=60000)
                 await until(lambda: one.got or two.got)
                 await unread(proxy, client)
@@ -114,7 +114,7 @@
 
         async with FakeServer(full).up() as one, FakeServer(full).up() as two:
             entries = [entry("one", one.port), entry("two", two.port)]
-            async with node(entries, classes=PATIENT, may_cancel=cancel) as proxy:
+            async with node(entries, classes=LONG_DEADLINE_CLASSES, may_cancel=cancel) as proxy:
                 for name in ("one", "two"):  # so that a connection is at hand
                     proxy.upstream.check_health(name)
                 await until(lambda: len(proxy.upstream.idle_connections) == 2)
@@ -139,7 +139,7 @@
         free, slow = gated_handler()
         async with FakeServer(slow).up() as one, FakeServer(slow).up() as two:  # type: ignore[arg-type]
             entries = [entry("one", one.port), entry("two", two.port)]
-            async with node(entries, classes=PATIENT) as proxy, Client(proxy) as client:
+            async with node(entries, classes=LONG_DEADLINE_CLASSES) as proxy, Client(proxy) as client:
                 client.send("read", id="first", timeout=60000)
                 await until(lambda: one.got or two.got)
                 await unread(proxy, client)
@@ -190,7 +190,7 @@
     async def main() -> None:
         with crowded() as (listener, _):
             port = listener.getsockname()[1]
-            async with node([entry("s", port)], classes=PATIENT, may_cancel=cancel) as proxy:
+            async with node([entry("s", port)], classes=LONG_DEADLINE_CLASSES, may_cancel=cancel) as proxy:
                 async with Client(proxy) as client:
                     client.send("post", timeout=60000)
                     await until(lambda: proxy.upstream.connecting_count == 1)
@@ -213,7 +213,10 @@
     async def main() -> None:
         with crowded() as (listener, _):
             port = listener.getsockname()[1]
-            async with node([entry("s", port)], classes=PATIENT) as proxy, Client(proxy) as client:
+            async with (
+                node([entry("s", port)], classes=LONG_DEADLINE_CLASSES) as proxy,
+                Client(proxy) as client,
+            ):
                 client.send("post", id="first", timeout=60000)
                 await until(lambda: proxy.upstream.connecting_count == 1)
                 await unread(proxy, client)
@@ -248,7 +251,7 @@
     async def main() -> None:
         with crowded() as (listener, _), socket.socket() as sock:
             port = listener.getsockname()[1]
-            async with node([entry("s", port)], classes=PATIENT) as proxy:
+            async with node([entry("s", port)], classes=LONG_DEADLINE_CLASSES) as proxy:
                 listening = proxy.server.listening_socket
                 assert listening is not None
                 # The same for those whom it accepts.
