--- a/tests/http/test_client_disconnects.py
+++ b/tests/http/test_client_disconnects.py
@@ -1,4 +1,4 @@
-"""Clients that disconnect while their request waits: it is not forwarded."""
+"""Requests of clients that disconnect are cancelled and not forwarded."""
 
 from __future__ import annotations
 
@@ -29,31 +29,31 @@
 @pytest.mark.parametrize("how", ["close", "reset", "half"])
 @pytest.mark.parametrize("cancel", [True, False])
 def test_request_of_disconnected_client_is_not_sent_on_a_new_connection(how: str, cancel: bool):
-    """Seen by reading: where the settings allow no cancel, an attempt went out when its connection was up at last."""
+    """Guards against sending an attempt once its connection is open, also if the settings forbid cancellation."""
 
     async def main() -> None:
-        up, reached = asyncio.Event(), asyncio.Event()
+        may_connect, connecting = asyncio.Event(), asyncio.Event()
         async with FakeServer().up() as server, node([entry("s", server.port)], may_cancel=cancel) as proxy:
             connect = proxy.loop.create_connection
 
-            async def late(*args: object) -> object:
-                reached.set()
-                await up.wait()
+            async def gated_connect(*args: object) -> object:
+                connecting.set()
+                await may_connect.wait()
                 return await connect(*args)  # type: ignore[arg-type]
 
-            proxy.upstream.loop = PatchedLoop(proxy.loop, create_connection=late)  # type: ignore[assignment]
+            proxy.upstream.loop = PatchedLoop(proxy.loop, create_connection=gated_connect)  # type: ignore[assignment]
             async with Client(proxy) as client:
                 client.send("post")
-                await reached.wait()
+                await connecting.wait()
                 disconnect(client, how)
                 await until(lambda: not proxy.calls)
-                up.set()
+                may_connect.set()
                 await until(lambda: not proxy.node.requests and not proxy.upstream.exchanges)
                 assert proxy.upstream.connecting_count == 0
             async with Client(
                 proxy
-            ) as other:  # the slot of the first is free again, and nothing of it is on its way
-                assert status(await other.ask("post")) == 200
+            ) as next_client:  # the slot of the first request is free, and none of it is sent
+                assert status(await next_client.ask("post")) == 200
             assert len(server.got) == 1
             assert proxy.node.active_requests == 0
 
@@ -62,7 +62,7 @@
 
 @pytest.mark.parametrize("cancel", [True, False])
 def test_incomplete_body_ends_its_attempt_when_the_client_disconnects(cancel: bool):
-    """No deadline runs before a request's last byte, so that nothing else would ever end it."""
+    """Guards against an attempt that never ends, since a deadline starts only at the last byte of the request."""
 
     async def main() -> None:
         async with FakeServer().up() as server, node([entry("s", server.port)], may_cancel=cancel) as proxy:
@@ -81,33 +81,31 @@
 
 @pytest.mark.parametrize("how", ["close", "reset", "half"])
 def test_queued_request_of_disconnected_client_is_not_forwarded(how: str):
-    """While its connection is not read the loop does not hear of its end: what waits there went out when the
-    answer before it had come, however long the client had been gone."""
+    """While reading is paused the event loop does not report a disconnect, and queued requests were sent to servers."""
 
     async def main() -> None:
-        free, slow = gated_handler()
-        patient = dataclasses.replace(
-            NON_IDEMPOTENT, latency_objective_ms=60000, deadline_ms=60000
-        )  # no deadline ends the first one
+        gate, respond = gated_handler()
+        # No deadline ends the first request.
+        long_deadline = dataclasses.replace(NON_IDEMPOTENT, latency_objective_ms=60000, deadline_ms=60000)
         async with (
-            FakeServer(slow).up() as server,  # type: ignore[arg-type]
-            node([entry("s", server.port)], classes=(patient,)) as proxy,
+            FakeServer(respond).up() as server,  # type: ignore[arg-type]
+            node([entry("s", server.port)], classes=(long_deadline,)) as proxy,
         ):
             async with Client(proxy) as client:
                 proxy.budget.limit_bytes = CONNECTION_SHARE_DIVISOR * 16384
-                for at in range(3):
-                    client.send("post", id=f"r{at}", body=b"x" * 9000, timeout=60000)
+                for index in range(3):
+                    client.send("post", id=f"r{index}", body=b"x" * 9000, timeout=60000)
                 await until(lambda: len(server.got) == 1)
                 connection = next(iter(proxy.server.connections))
                 await until(lambda: connection.reading_paused)
                 disconnect(client, how)
-                await until(lambda: not proxy.server.connections)  # while its first request is still out
+                await until(lambda: not proxy.server.connections)  # while the first request is in flight
                 assert not proxy.calls
                 assert not proxy.node.requests
                 assert proxy.node.active_requests == proxy.budget.used_bytes == 0
-                free.set()
-            async with Client(proxy) as other:
-                assert status(await other.ask("post")) == 200
+                gate.set()
+            async with Client(proxy) as next_client:
+                assert status(await next_client.ask("post")) == 200
             assert [message.headers["request-id"] for message in server.got[:1]] == ["r0"]
             assert len(server.got) == 2
 
@@ -115,29 +113,29 @@
 
 
 def test_disconnect_is_seen_before_the_loop_reads_it(monkeypatch: pytest.MonkeyPatch):
-    """A request and the end of its connection may lie side by side before a loop that is late."""
+    """A late event loop can find a request and the disconnect behind it at the same time."""
     monkeypatch.setattr("rosewheel.http.idle_connections.REUSE_QUIET_PERIOD_S", -1.0)
 
     async def main() -> None:
         async with FakeServer().up() as server, node([entry("s", server.port)]) as proxy:
             async with Client(proxy) as client:
-                assert status(await client.ask("post")) == 200  # so that a connection is at hand
+                assert status(await client.ask("post")) == 200  # leaves an idle connection to the server
             await until(lambda: not proxy.server.connections)
-            came: list[DownstreamConnection] = []
-            joined = proxy.server.connection_opened
-            proxy.server.connection_opened = lambda connection: (came.append(connection), joined(connection))[
-                1
-            ]  # type: ignore[method-assign]
-            for ends in range(3):
-                with socket.create_connection(
-                    ("127.0.0.1", proxy.server.port)
-                ) as sock:  # no turn of the loop in here
+            accepted: list[DownstreamConnection] = []
+            connection_opened = proxy.server.connection_opened
+            proxy.server.connection_opened = lambda connection: (  # type: ignore[method-assign]
+                accepted.append(connection),
+                connection_opened(connection),
+            )[1]
+            for index in range(3):
+                # Connects, sends and closes before the event loop runs again.
+                with socket.create_connection(("127.0.0.1", proxy.server.port)) as sock:
                     sock.sendall(
                         b"POST / HTTP/1.1\r\nRequest-Id: %d\r\nRequest-Class: post\r\n"
-                        b"Request-Timeout-Ms: 2000\r\nContent-Length: 0\r\n\r\n" % ends
+                        b"Request-Timeout-Ms: 2000\r\nContent-Length: 0\r\n\r\n" % index
                     )
-                await until(lambda: bool(came) and not proxy.server.connections)
-                came.clear()
+                await until(lambda: bool(accepted) and not proxy.server.connections)
+                accepted.clear()
             async with Client(proxy) as client:
                 assert status(await client.ask("post")) == 200
             assert len(server.got) == 2
@@ -145,28 +143,28 @@
     run(main())
 
 
-def test_half_close_counts_at_once_with_unsent_data():
-    """The loop closes such a connection when all that was written has gone out, and tells of it only then."""
+def test_half_close_with_unsent_data_cancels_the_request_at_once():
+    """The event loop closes such a connection, and reports it, only once all unsent bytes are sent."""
 
     async def main() -> None:
-        free, slow = gated_handler()
-        async with FakeServer(slow).up() as server, node([entry("s", server.port)]) as proxy:  # type: ignore[arg-type]
+        gate, respond = gated_handler()
+        async with FakeServer(respond).up() as server, node([entry("s", server.port)]) as proxy:  # type: ignore[arg-type]
             async with Client(proxy) as client:
                 client.send("post")
                 await until(lambda: len(server.got) == 1)
                 connection = next(iter(proxy.server.connections))
-                assert not connection.eof_received()  # so that the loop closes it
+                assert not connection.eof_received()  # false makes the event loop close the connection
                 assert not proxy.calls
                 assert not proxy.node.requests
-            free.set()
+            gate.set()
 
     run(main())
 
 
 def test_many_disconnects_leave_nothing_behind():
     async def main() -> None:
-        free, slow = gated_handler()
-        async with FakeServer(slow).up() as server, node([entry("s", server.port)]) as proxy:  # type: ignore[arg-type]
+        gate, respond = gated_handler()
+        async with FakeServer(respond).up() as server, node([entry("s", server.port)]) as proxy:  # type: ignore[arg-type]
             clients = [Client(proxy) for _ in range(40)]
             for client in clients:
                 await client.__aenter__()
@@ -174,13 +172,13 @@
             await until(
                 lambda: proxy.node.active_requests + len(proxy.server.idle_connections) >= len(clients)
             )
-            for at, client in enumerate(clients):
-                disconnect(client, ("close", "reset", "half")[at % 3])
+            for index, client in enumerate(clients):
+                disconnect(client, ("close", "reset", "half")[index % 3])
             await until(lambda: not proxy.calls and not proxy.node.requests and not proxy.upstream.exchanges)
             await until(lambda: proxy.upstream.open_count == 0)
             assert proxy.node.active_requests == 0
             assert proxy.node.balancer.parts.shared.pool.load == 0.0
-            free.set()
+            gate.set()
             for client in clients:
                 client.writer.close()
 
