--- a/tests/http/test_connection_memory.py
+++ b/tests/http/test_connection_memory.py
@@ -1,4 +1,4 @@
-"""Memory of closed connections."""
+"""Closed connections are freed without the garbage collector."""
 
 from __future__ import annotations
 
@@ -20,13 +20,13 @@
 )
 
 
-def moved_to(proxy: Proxy, discovery: FakeDiscovery) -> NodeConfig:
-    """The configuration after its file has been changed to another discovery."""
+def with_discovery(proxy: Proxy, discovery: FakeDiscovery) -> NodeConfig:
+    """Return the node's configuration with the address of another discovery."""
     return dataclasses.replace(proxy.config, discovery_address=("127.0.0.1", discovery.port))
 
 
 def test_closed_connections_leave_no_reference_cycles():
-    """Guards memory on a long day: connections are ever new, and the collector comes seldom."""
+    """Guards against memory growth: connections are opened all the time, and the collector runs rarely."""
 
     async def main() -> None:
         async with FakeDiscovery().up() as discovery, FakeServer().up() as server:
@@ -34,25 +34,25 @@
                 await until(lambda: bool(discovery.writers))
                 async with Client(proxy) as client:
                     assert status(await client.ask()) == 200
-                    async with Client(proxy) as bad:
-                        bad.writer.write(b"noise\r\n\r\n")
-                        assert status(await bad.answer()) == 400
+                    async with Client(proxy) as invalid:
+                        invalid.writer.write(b"noise\r\n\r\n")
+                        assert status(await invalid.answer()) == 400
                     connection = next(iter(proxy.server.connections))
-                    left = [
-                        weakref.ref(one)
-                        for one in (connection, proxy.upstream.endpoints["s"].idle_connections[0])
+                    references = [
+                        weakref.ref(target)
+                        for target in (connection, proxy.upstream.endpoints["s"].idle_connections[0])
                     ]
-                    left.append(weakref.ref(proxy.discovery._connection))
+                    references.append(weakref.ref(proxy.discovery._connection))
                     del connection
                 gc.collect()
                 gc.disable()
                 try:
                     proxy.upstream.close_longest_idle()
-                    proxy.reload(moved_to(proxy, discovery))
+                    proxy.reload(with_discovery(proxy, discovery))
                     discovery.writers[0].transport.abort()
                     proxy.discovery.close()
                     await until(lambda: not proxy.server.connections and proxy.upstream.open_count == 0)
-                    await until(lambda: not any(ref() for ref in left))
+                    await until(lambda: not any(ref() for ref in references))
                 finally:
                     gc.enable()
 
--- a/tests/http/test_connection_reuse.py
+++ b/tests/http/test_connection_reuse.py
@@ -1,4 +1,4 @@
-"""Connections to servers between two requests: when they may carry the next one."""
+"""When a connection to a server may be reused for the next request."""
 
 from __future__ import annotations
 
@@ -14,25 +14,27 @@
 
 
 def test_late_second_response_is_discarded(monkeypatch: pytest.MonkeyPatch):
-    """Seen in join-brink by seed 13: one of 14 such answers, up to 4 ms late, crossed the next request on its
-    connection. The server here holds it until the next request has come."""
+    """Guards against taking a surplus response for the response to the next request on its connection.
+
+    The server sends it once it has received the next request.
+    """
 
     async def main() -> None:
-        late: list[asyncio.StreamWriter] = []
+        writers: list[asyncio.StreamWriter] = []
 
         async def handler(message: Message, writer: asyncio.StreamWriter) -> None:
-            if late:
-                late.pop().write(answer(200, b"of the one before"))
-            late.append(writer)
+            if writers:
+                writers.pop().write(answer(200, b"surplus"))
+            writers.append(writer)
             writer.write(answer(200, message.headers["request-id"].encode()))
 
         async with FakeServer(handler).up() as server, node([entry("s", server.port)]) as proxy:
             async with Client(proxy) as client:
-                for at in range(2):  # the second right behind the answer to the first
-                    got = await client.ask("post", id=f"r{at}")
-                    assert got.body == b"r%d" % at
+                for index in range(2):  # the second one is sent directly after the first response
+                    response = await client.ask("post", id=f"r{index}")
+                    assert response.body == b"r%d" % index
 
-    # The order is caused, whatever the pace of the machine.
+    # The quiet period never ends, so the result does not depend on the speed of the machine.
     monkeypatch.setattr(idle_connections, "REUSE_QUIET_PERIOD_S", 3600.0)
     run(main())
 
@@ -54,56 +56,54 @@
     run(main())
 
 
-@pytest.mark.usefixtures("settled")
-@pytest.mark.parametrize("rested_s", [0.0, 45.0])
-def test_connection_past_its_idle_timeout_is_not_used(rested_s: float):
-    """Where servers close soon, those too old were swept away half a second later, and used until then: what was
-    written to them ended as a reset, and an unsafe request with it. 50 s are stated, of which 40 are used."""
+@pytest.mark.usefixtures("immediate_reuse")
+@pytest.mark.parametrize("idle_s", [0.0, 45.0])
+def test_connection_past_its_idle_timeout_is_not_used(idle_s: float):
+    """Guards against reusing an expired connection before the sweep closes it. 40 of the configured 50 s are used."""
 
     async def main() -> None:
-        bounds = Limits(idle_timeout_ms=50_000.0, connect_timeout_ms=20_000.0)
-        async with FakeServer().up() as server, node([entry("s", server.port)], bounds=bounds) as proxy:
+        limits = Limits(idle_timeout_ms=50_000.0, connect_timeout_ms=20_000.0)
+        async with FakeServer().up() as server, node([entry("s", server.port)], bounds=limits) as proxy:
             proxy.upstream._sweep_timer.cancel()
             async with Client(proxy) as client:
                 assert status(await client.ask("post")) == 200
-                (conn,) = proxy.upstream.idle_connections
-                conn.idle_since_s = proxy.loop.time() - rested_s
+                (connection,) = proxy.upstream.idle_connections
+                connection.idle_since_s = proxy.loop.time() - idle_s
                 assert status(await client.ask("post")) == 200
-            assert server.connections == (2 if rested_s else 1)
+            assert server.connections == (2 if idle_s else 1)
 
     run(main())
 
 
 @pytest.fixture
-def settled(monkeypatch: pytest.MonkeyPatch) -> None:
+def immediate_reuse(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(idle_connections, "REUSE_QUIET_PERIOD_S", -1.0)
 
 
 def test_reuse_limit_never_exceeds_the_configured_timeout():
-    rest = IdleTimeout(0.5, large_fleet=True)
-    assert rest.reusable_for_s == rest.configured_s < 0.5
-    rest.new_connection_refused(1.0)
-    assert (
-        rest.reusable_for_s == rest.configured_s
-    )  # what is given back to others may still be used until then
-    rest.stale_connection_found(2.0, 0.2)
-    assert rest.reusable_for_s == 0.1
+    idle_timeout = IdleTimeout(0.5, large_fleet=True)
+    assert idle_timeout.reusable_for_s == idle_timeout.configured_s < 0.5
+    idle_timeout.new_connection_refused(1.0)
+    # After a rejection idle connections are closed earlier, but they may be reused until then.
+    assert idle_timeout.reusable_for_s == idle_timeout.configured_s
+    idle_timeout.stale_connection_found(2.0, 0.2)
+    assert idle_timeout.reusable_for_s == 0.1
 
 
-@pytest.mark.usefixtures("settled")
-def test_response_of_a_restarted_server_returns_no_connection():
-    """At the same address stands another process by now: what its predecessor had open is of no use to it."""
+@pytest.mark.usefixtures("immediate_reuse")
+def test_connection_to_a_replaced_server_is_not_reused():
+    """A server that was removed and added again at its address is another process, which has other connections."""
 
     async def main() -> None:
-        free = asyncio.Event()
+        gate = asyncio.Event()
 
-        async def slow(message: Message, writer: asyncio.StreamWriter) -> None:
-            await free.wait()
+        async def respond(message: Message, writer: asyncio.StreamWriter) -> None:
+            await gate.wait()
             writer.write(answer())
 
-        async with FakeServer(slow).up() as server, node([entry("s", server.port)]) as proxy:
+        async with FakeServer(respond).up() as server, node([entry("s", server.port)]) as proxy:
 
-            def told(state: ServerState) -> None:
+            def update_server(state: ServerState) -> None:
                 proxy.endpoints.list_updated(
                     EndpointListForm.DELTA, [(Server("s", "a", 0, state), ("127.0.0.1", server.port))]
                 )
@@ -111,9 +111,9 @@
             async with Client(proxy) as client:
                 client.send("post")
                 await until(lambda: len(server.got) == 1)
-                told(ServerState.REMOVED)
-                told(ServerState.UP)
-                free.set()
+                update_server(ServerState.REMOVED)
+                update_server(ServerState.UP)
+                gate.set()
                 assert status(await client.answer()) == 200
                 assert status(await client.ask("post")) == 200
             assert server.connections == 2
@@ -121,33 +121,35 @@
     run(main())
 
 
-@pytest.mark.usefixtures("settled")
-@pytest.mark.parametrize("again_ms", [None, 2000.0])
-def test_active_connection_is_closed_by_the_start_it_was_opened_under(again_ms: float | None):
-    """Its server drained while it answered, and came up again under a new start."""
+@pytest.mark.usefixtures("immediate_reuse")
+@pytest.mark.parametrize("restarted_ms", [None, 2000.0])
+def test_active_connection_is_reused_only_if_its_server_did_not_restart(restarted_ms: float | None):
+    """The server drains during a request, and is then listed with the same or another start time."""
 
     async def main() -> None:
-        free = asyncio.Event()
+        gate = asyncio.Event()
 
-        async def slow(message: Message, writer: asyncio.StreamWriter) -> None:
-            await free.wait()
+        async def respond(message: Message, writer: asyncio.StreamWriter) -> None:
+            await gate.wait()
             writer.write(answer())
 
-        async with FakeServer(slow).up() as server, node([entry("s", server.port)]) as proxy:
+        async with FakeServer(respond).up() as server, node([entry("s", server.port)]) as proxy:
 
-            def told(state: ServerState, launched_ms: float | None) -> None:
-                named = Server("s", "a", 0, state, launched_ms)
-                proxy.endpoints.list_updated(EndpointListForm.DELTA, [(named, ("127.0.0.1", server.port))])
+            def update_server(state: ServerState, launched_ms: float | None) -> None:
+                server_update = Server("s", "a", 0, state, launched_ms)
+                proxy.endpoints.list_updated(
+                    EndpointListForm.DELTA, [(server_update, ("127.0.0.1", server.port))]
+                )
 
             async with Client(proxy) as client:
-                first_ms = proxy.upstream.endpoints["s"].launched_ms
+                launched_at_ms = proxy.upstream.endpoints["s"].launched_ms
                 client.send("post")
                 await until(lambda: len(server.got) == 1)
-                told(ServerState.DRAINING, first_ms)
-                told(ServerState.UP, first_ms if again_ms is None else again_ms)
-                free.set()
+                update_server(ServerState.DRAINING, launched_at_ms)
+                update_server(ServerState.UP, launched_at_ms if restarted_ms is None else restarted_ms)
+                gate.set()
                 assert status(await client.answer()) == 200
                 assert status(await client.ask("post")) == 200
-            assert server.connections == (1 if again_ms is None else 2)
+            assert server.connections == (1 if restarted_ms is None else 2)
 
     run(main())
