--- a/rosewheel/http/downstream_connection.py
+++ b/rosewheel/http/downstream_connection.py
@@ -240,7 +240,7 @@
 
     def reject_incomplete_request(self) -> None:
         """Reject a request whose head has been incomplete for too long, which closes the connection."""
-        self._reject(BadRequestError(408, "timed out waiting for the request head"))
+        self._reject(BadRequestError(408, "the request did not arrive in time"))
 
     def close_if_stalled(self, now_s: float) -> None:
         """Close the connection if its client has stopped sending a request or reading a response.
@@ -260,7 +260,7 @@
         elif self.incoming_request is not None:
             # The timeout restarts with each part of the body, so a slow client is not rejected.
             if inactive_s >= RECEIVE_TIMEOUT_S and not self.reading_paused:
-                self._reject(BadRequestError(408, "timed out waiting for the request body"))
+                self._reject(BadRequestError(408, "the body did not arrive in time"))
         elif self.active_request is None and inactive_s >= RECEIVE_TIMEOUT_S:
             if self.is_receiving:
                 self.reject_incomplete_request()
--- a/rosewheel/http/request_reader.py
+++ b/rosewheel/http/request_reader.py
@@ -202,10 +202,10 @@
             cause = error.__context__
             if not isinstance(cause, BadRequestError):
                 log.error("request parsing failed", exc_info=cause)
-                cause = BadRequestError(400, "request could not be parsed")
+                cause = BadRequestError(400, "the request could not be read")
             self._reject(cause)
         except httptools.HttpParserError as error:
-            self._reject(BadRequestError(400, f"malformed request: {error}"))
+            self._reject(BadRequestError(400, f"not HTTP: {error}"))
         except BadRequestError as error:
             self._reject(error)
 
@@ -241,11 +241,11 @@
         """
         if self.phase is HEAD:
             if self.raw_bytes > MAX_HEAD_BYTES:
-                raise BadRequestError(431, f"request head exceeds {MAX_HEAD_BYTES} bytes")
+                raise BadRequestError(431, "a request without end")
             return
         body_bytes = self.incoming_request.body.received_bytes if self.incoming_request is not None else 0
         if self.raw_bytes > MAX_CHUNK_OVERHEAD_BYTES + MAX_CHUNK_OVERHEAD_FACTOR * body_bytes:
-            raise BadRequestError(413, "chunk framing too large for the size of the body")
+            raise BadRequestError(413, "a request without end")
 
     # ------------------------------------------------------------------------------------- callbacks of the parser
 
@@ -301,12 +301,12 @@
         size = len(self.target) + sum([len(name) + len(value) for name, value in self.headers])
         single = [name for name, _ in self.headers if name in SINGLE_VALUE_HEADERS]
         if len(single) > 1 and len(set(single)) < len(single):
-            raise BadRequestError(400, "duplicate header where only one value is allowed")
+            raise BadRequestError(400, "a header stands twice")
         if size > MAX_HEAD_BYTES:
-            raise BadRequestError(431, f"request head exceeds {MAX_HEAD_BYTES} bytes")
+            raise BadRequestError(431, "headers too large")
         self.is_http_1_0 = version == "1.0"
         if version not in ("1.1", "1.0"):
-            raise BadRequestError(400, "unsupported HTTP version")
+            raise BadRequestError(400, "not HTTP/1.1")
         if method == b"CONNECT":
             raise BadRequestError(405, "GET and POST only")
 
@@ -321,14 +321,14 @@
             if name == b"content-length":
                 content_length = int(value)
                 if content_length > MAX_BODY_BYTES:
-                    raise BadRequestError(413, f"request body exceeds {MAX_BODY_BYTES} bytes")
+                    raise BadRequestError(413, f"bodies hold at most {MAX_BODY_BYTES} bytes")
             elif name == b"transfer-encoding":
                 content_length = None
                 if value.strip().lower() != b"chunked" or version != "1.1":
-                    raise BadRequestError(400, "Transfer-Encoding must be chunked, and the version HTTP/1.1")
+                    raise BadRequestError(400, "Transfer-Encoding is not just chunked")
             elif name == b"expect":
                 if value.strip().lower() != b"100-continue":
-                    raise BadRequestError(417, "unsupported expectation in Expect")
+                    raise BadRequestError(417, "an expectation that is not known")
                 self.expects_continue = True
         return content_length
 
@@ -344,7 +344,7 @@
         self.expects_continue = False
         request.body.append(data)
         if request.body.received_bytes > MAX_BODY_BYTES:
-            raise BadRequestError(413, f"request body exceeds {MAX_BODY_BYTES} bytes")
+            raise BadRequestError(413, f"bodies hold at most {MAX_BODY_BYTES} bytes")
 
     def on_message_complete(self) -> None:
         """Queue the complete request; if it was dispatched already, report its end to the server."""
