--- a/rosewheel/http/downstream_connection.py
+++ b/rosewheel/http/downstream_connection.py
@@ -8,7 +8,7 @@
 from collections.abc import Callable
 from typing import Protocol, cast
 
-from rosewheel.http import half_close
+from rosewheel.http import connection_close
 from rosewheel.http.body import RequestBody
 from rosewheel.http.downstream_detach import DetachableConnection
 from rosewheel.http.errors import BadRequestError, RefusedRequestError
@@ -148,7 +148,7 @@
         transport = self.transport
         if transport is None or transport.is_closing() or self._on_detached is not None:
             return False
-        if not half_close.peer_has_closed(transport):
+        if not connection_close.peer_has_closed(transport):
             return False
         self._release_requests()
         if self.write_blocked:  # an orderly close would wait for a client that does not read
@@ -235,8 +235,8 @@
 
     def _has_unread_request(self, transport: asyncio.Transport) -> bool:
         """Return whether the operating system holds bytes that the loop has not read, and the client is connected."""
-        has_unread = half_close.pending_events(transport, select.POLLIN) & select.POLLIN
-        return bool(has_unread) and not half_close.peer_has_closed(transport)
+        has_unread = connection_close.pending_events(transport, select.POLLIN) & select.POLLIN
+        return bool(has_unread) and not connection_close.peer_has_closed(transport)
 
     def reject_incomplete_request(self) -> None:
         """Reject a request whose head has been incomplete for too long, which closes the connection."""
--- a/rosewheel/http/response_sender.py
+++ b/rosewheel/http/response_sender.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable
 from typing import Protocol
 
-from rosewheel.http import half_close
+from rosewheel.http import connection_close
 from rosewheel.http.errors import BadRequestError
 from rosewheel.http.request import DownstreamRequest
 from rosewheel.http.request_reader import RequestPhase, RequestReader, RequestReaderOwner
@@ -167,7 +167,7 @@
             return
         self.active_request, self._on_writable = None, None
         request.body.release()
-        half_close.reset(self.transport)
+        connection_close.reset(self.transport)
 
     def _close_when_request_complete(self) -> None:
         """Close the connection after a response, once the incoming request is complete.
@@ -229,6 +229,6 @@
         self.last_activity_s = self.server.loop.time()
         transport.write(encode_response(error.status, f"{error}\n".encode(), close=True))
         if has_unread_body or error.status in (413, 431):
-            half_close.close_after_lingering(transport, self.server.loop)
+            connection_close.close_after_lingering(transport, self.server.loop)
         else:
             transport.close()
