--- a/rosewheel/http/upstream_pool.py
+++ b/rosewheel/http/upstream_pool.py
@@ -49,7 +49,7 @@
     """The connections to all servers.
 
     Attributes:
-        bounds: Limits and timeouts.
+        limits: Limits and timeouts.
         monitor: Decides whether connections of another process may be adopted, and counts the verdicts.
         descriptor_available: Returns whether the process may open a descriptor, closing an idle connection if needed.
         on_attempt_ended: Called with id, attempt number, result, load report and body.
@@ -65,7 +65,7 @@
 
     def __init__(
         self,
-        bounds: Limits,
+        limits: Limits,
         descriptor_available: Callable[[], bool],
         on_attempt_ended: AttemptEndedCallback,
         on_health_checked: HealthCheckedCallback,
@@ -74,8 +74,8 @@
         large_fleet: bool = False,
         monitor: RuleMonitor | None = None,
     ) -> None:
-        super().__init__(IdleTimeout(bounds.idle_timeout_ms / 1000.0, large_fleet), bounds.max_sockets)
-        self.bounds = bounds
+        super().__init__(IdleTimeout(limits.idle_timeout_ms / 1000.0, large_fleet), limits.max_sockets)
+        self.limits = limits
         self.monitor = monitor or RuleMonitor()
         self.descriptor_available = descriptor_available
         self.on_attempt_ended = on_attempt_ended
@@ -88,15 +88,15 @@
         self.loop = asyncio.get_running_loop()
         self._sweep_timer = self.loop.call_later(SWEEP_INTERVAL_S, self._sweep)
 
-    def configure(self, bounds: Limits, large_fleet: bool) -> None:
+    def configure(self, limits: Limits, large_fleet: bool) -> None:
         """Apply new limits. A connection that is being opened keeps its timeout.
 
         Args:
-            bounds: The limits.
+            limits: The limits.
             large_fleet: So many nodes share the servers that their idle connections could exhaust a server's limit.
         """
-        self.bounds, self.max_descriptors = bounds, bounds.max_sockets
-        self.idle_timeout.configure(bounds.idle_timeout_ms / 1000.0, large_fleet)
+        self.limits, self.max_descriptors = limits, limits.max_sockets
+        self.idle_timeout.configure(limits.idle_timeout_ms / 1000.0, large_fleet)
 
     @property
     def descriptor_count(self) -> int:
@@ -210,7 +210,7 @@
                 exchange.connection.close()
             on_done(AttemptResult.TIMEOUT, None, b"")
 
-        timer = self.loop.call_later(self.bounds.health_check_timeout_ms / 1000.0, on_timeout)
+        timer = self.loop.call_later(self.limits.health_check_timeout_ms / 1000.0, on_timeout)
         self._send_or_connect(host, exchange)
 
     def _send_or_connect(self, host: str, exchange: Exchange) -> None:
@@ -220,7 +220,7 @@
             return
         # Read here, since new limits with a longer timeout, under which a retry could be late, may apply once the
         # task runs.
-        timeout_s = self.bounds.connect_timeout_ms / 1000.0
+        timeout_s = self.limits.connect_timeout_ms / 1000.0
         exchange.connect_task = self.loop.create_task(self._connect_and_send(host, exchange, timeout_s))
 
     async def _connect_and_send(self, host: str, exchange: Exchange, timeout_s: float) -> None:
--- a/tests/proxy/test_reconfiguration.py
+++ b/tests/proxy/test_reconfiguration.py
@@ -124,7 +124,7 @@
             with pytest.raises(ConfigError, match=r"^tier: 1 would need a new start of this node$"):
                 relay.reload(bad)
             assert relay.config is before
-            assert relay.upstream.bounds is before.limits
+            assert relay.upstream.limits is before.limits
             assert relay.node.limits is before.limits
             assert relay.discovery.address == before.discovery_address
             assert all(value is kept[key] for key, value in vars(relay.node.balancer).items())
@@ -162,7 +162,7 @@
                 idle_timeout_ms=500.0, connect_timeout_ms=7.0, max_sockets=200, memory_limit_mb=40.0
             )
             relay.configure(other(relay, balancer_count=100), bounds)
-            assert (relay.upstream.bounds, relay.node.limits) == (bounds, bounds)
+            assert (relay.upstream.limits, relay.node.limits) == (bounds, bounds)
             assert relay.upstream.idle_timeout.reusable_for_s == pytest.approx(0.4)
             assert relay.upstream.idle_timeout.large_fleet
             assert relay.upstream.idle_timeout.refusal_limit_s == 3.0
