--- a/tests/http/test_descriptor_limit.py
+++ b/tests/http/test_descriptor_limit.py
@@ -1,4 +1,4 @@
-"""A crowd that fills a node's descriptors while discovery is down: a real process under a small limit."""
+"""A node process with a low descriptor limit: many clients connect while discovery fails and restarts."""
 
 from __future__ import annotations
 
@@ -17,37 +17,45 @@
 from tests.support.scripted_discovery import RestartableDiscovery
 from tests.support.sockets import Client, FakeServer, Message, entry, read_message, run, status, until
 
-CROWD = 200
-LIMITED = """
+CONNECTION_COUNT = 200
+LIMITED_NODE = """
 import resource, runpy, sys
-most = int(sys.argv.pop(1))
-resource.setrlimit(resource.RLIMIT_NOFILE, (most, most))
+max_descriptors = int(sys.argv.pop(1))
+resource.setrlimit(resource.RLIMIT_NOFILE, (max_descriptors, max_descriptors))
 runpy.run_module("rosewheel", run_name="__main__", alter_sys=True)
 """
 
 
-class Held:
-    """A connection of a client that asks nothing, and goes on holding it."""
+class HeldConnection:
+    """A client's connection that stays open without sending a request."""
 
     def __init__(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.reader, self.writer = reader, writer
 
-    async def ends_or_answers(self) -> bool:
-        """Whether it is closed, or answered once it asks: nobody is accepted and left lying."""
+    async def is_closed_or_answered(self) -> bool:
+        """Send a health check, and return whether the node responds or closes the connection."""
         with contextlib.suppress(ConnectionError):
             self.writer.write(b"GET /_health HTTP/1.1\r\nHost: a\r\n\r\n")
-            got = await self.reader.read(64)
-            return not got or got.startswith(b"HTTP/1.1 ")
+            response = await self.reader.read(64)
+            return not response or response.startswith(b"HTTP/1.1 ")
         return True
 
 
 @contextlib.asynccontextmanager
-async def program(tmp_path: Path, row: object, most: int) -> AsyncIterator[asyncio.subprocess.Process]:
+async def limited_node(
+    tmp_path: Path, document: object, max_descriptors: int
+) -> AsyncIterator[asyncio.subprocess.Process]:
     path = tmp_path / "config.json"
-    path.write_bytes(orjson.dumps(row))
+    path.write_bytes(orjson.dumps(document))
     environ = {"LB_CONFIG": str(path), "PATH": "", "PYTHONPATH": str(ROOT)}
     process = await asyncio.create_subprocess_exec(
-        sys.executable, "-c", LIMITED, str(most), cwd=ROOT, env=environ, stderr=asyncio.subprocess.PIPE
+        sys.executable,
+        "-c",
+        LIMITED_NODE,
+        str(max_descriptors),
+        cwd=ROOT,
+        env=environ,
+        stderr=asyncio.subprocess.PIPE,
     )
     try:
         yield process
@@ -59,8 +67,8 @@
         print(errors.decode()[-4000:])
 
 
-async def asks(port: int, path: str) -> Message | None:
-    """One call of the operators' door."""
+async def call_admin(port: int, path: str) -> Message | None:
+    """Send a request to the admin server; None if the connection ended before the response."""
     with contextlib.suppress(ConnectionError):
         reader, writer = await asyncio.open_connection("127.0.0.1", port)
         writer.write(f"GET {path} HTTP/1.1\r\nHost: a\r\n\r\n".encode())
@@ -71,88 +79,91 @@
     return None
 
 
-async def served(port: int) -> None:
-    """A new client comes by, as often as its connection is closed unread, until it has an answer."""
+async def wait_until_served(port: int) -> None:
+    """Send a request on a new connection, and again as long as the connection is closed or the response is not 200."""
     while True:
         with contextlib.suppress(ConnectionError):
             async with Client(port=port) as client:
                 client.send(timeout=2000)
-                if (got := await client.answer()) is not None and status(got) == 200:
+                if (response := await client.answer()) is not None and status(response) == 200:
                     return
         await asyncio.sleep(0.01)
 
 
-@pytest.mark.parametrize("most", [64, 128])
+@pytest.mark.parametrize("max_descriptors", [64, 128])
 @pytest.mark.parametrize("mode", ["push", "ask"])
 def test_many_clients_exclude_neither_discovery_nor_servers_nor_operators(
-    tmp_path: Path, most: int, mode: str
+    tmp_path: Path, max_descriptors: int, mode: str
 ):
     async def main() -> None:
         async with FakeServer().up() as one, FakeServer().up() as two, contextlib.AsyncExitStack() as stack:
-            port, door = free_port(), free_port()
+            port, admin_port = free_port(), free_port()
             discovery = RestartableDiscovery()
             await discovery.begin("mute")
             stack.callback(discovery.end)
-            row = platform_document(
+            document = platform_document(
                 listen=f"127.0.0.1:{port}",
-                ops=f"127.0.0.1:{door}",
+                ops=f"127.0.0.1:{admin_port}",
                 discovery=f"127.0.0.1:{discovery.port}",
                 settings=PLATFORM_SETTINGS | {"registryMode": mode},
                 known={"seq": 1, "whole": True, "hosts": [entry("one", one.port)]},
-                limits={"sockets": most, "memory_mb": 200},
+                limits={"sockets": max_descriptors, "memory_mb": 200},
             )
-            process = await stack.enter_async_context(program(tmp_path, row, most))
+            process = await stack.enter_async_context(limited_node(tmp_path, document, max_descriptors))
             await until(lambda: discovery.asked > 0)
-            await served(port)
-            held: list[Held] = []
+            await wait_until_served(port)
+            connections: list[HeldConnection] = []
             stopped = asyncio.Event()
 
-            async def crowd() -> None:
-                """It comes all at once, and again for as long as the test goes on."""
+            async def open_connections() -> None:
+                """Open connections in bursts until the test stops."""
                 while not stopped.is_set():
                     with contextlib.suppress(OSError):
                         opening = [asyncio.open_connection("127.0.0.1", port) for _ in range(50)]
-                        for pair in await asyncio.gather(*opening, return_exceptions=True):
-                            if not isinstance(pair, BaseException):
-                                held.append(Held(*pair))
-                    while len(held) > 3 * CROWD:
-                        held.pop(0).writer.close()
+                        for streams in await asyncio.gather(*opening, return_exceptions=True):
+                            if not isinstance(streams, BaseException):
+                                connections.append(HeldConnection(*streams))
+                    while len(connections) > 3 * CONNECTION_COUNT:
+                        connections.pop(0).writer.close()
                     await asyncio.sleep(0.05)
 
-            crowding = asyncio.ensure_future(crowd())
-            await until(lambda: len(held) >= CROWD)
+            opening_task = asyncio.ensure_future(open_connections())
+            await until(lambda: len(connections) >= CONNECTION_COUNT)
             descriptors = Path(f"/proc/{process.pid}/fd")
-            assert len(list(descriptors.iterdir())) > most / 3  # those that are for clients are full
-            for _ in range(2):  # while it is stopped they all come up, and so are accepted in one turn
+            assert (
+                len(list(descriptors.iterdir())) > max_descriptors / 3
+            )  # all descriptors for clients are in use
+            for _ in range(2):
+                # The kernel accepts all connections while the process is stopped; the node then takes them at once.
                 process.send_signal(signal.SIGSTOP)
-                burst = [await asyncio.open_connection("127.0.0.1", port) for _ in range(CROWD)]
-                held.extend(Held(*pair) for pair in burst)
-                calls = [asyncio.ensure_future(asks(door, "/admin/stats")) for _ in range(3)]
-                true = [asyncio.ensure_future(served(port)) for _ in range(3)]
+                burst = [await asyncio.open_connection("127.0.0.1", port) for _ in range(CONNECTION_COUNT)]
+                connections.extend(HeldConnection(*streams) for streams in burst)
+                calls = [asyncio.ensure_future(call_admin(admin_port, "/admin/stats")) for _ in range(3)]
+                clients = [asyncio.ensure_future(wait_until_served(port)) for _ in range(3)]
                 process.send_signal(signal.SIGCONT)
                 assert [status(answer) for answer in await asyncio.gather(*calls)] == [200] * 3
-                await asyncio.gather(*true)
-            await served(port)
-            discovery.end()  # refused from now on
-            await served(port)
-            assert status(await asks(door, "/admin/stats")) == 200
+                await asyncio.gather(*clients)
+            await wait_until_served(port)
+            discovery.end()  # connections to discovery are refused from here on
+            await wait_until_served(port)
+            assert status(await call_admin(admin_port, "/admin/stats")) == 200
             await discovery.begin("mute")
-            await until(lambda: discovery.asked > 0)  # it found a descriptor for that
-            await served(port)
+            await until(lambda: discovery.asked > 0)  # a descriptor was free for discovery
+            await wait_until_served(port)
             discovery.end()
             discovery.host, discovery.dial = "two", f"127.0.0.1:{two.port}"
             await discovery.begin("served")
             await until(lambda: discovery.asked > 0)
             before = len(two.got)
-            while len(two.got) == before:  # a connection to a new server finds one too
-                await served(port)
-            assert status(await asks(door, "/admin/stats")) == 200
+            while len(two.got) == before:  # a descriptor is free for a connection to a new server
+                await wait_until_served(port)
+            assert status(await call_admin(admin_port, "/admin/stats")) == 200
             stopped.set()
-            await crowding
+            await opening_task
             async with asyncio.timeout(20.0):
-                assert all(await asyncio.gather(*(one.ends_or_answers() for one in held)))
+                assert all(await asyncio.gather(*(one.is_closed_or_answered() for one in connections)))
             assert process.returncode is None
-            for one_held in held:
-                one_held.writer.close()
+            for connection in connections:
+                connection.writer.close()
 
     run(main())
