--- a/tests/http/test_disconnects_between_attempts.py
+++ b/tests/http/test_disconnects_between_attempts.py
@@ -1,4 +1,4 @@
-"""Clients that disconnect before a retry, a hedge, or the end of a slow connect."""
+"""Clients that disconnect before a retry, a hedged request, or the end of a slow connect."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
     until,
 )
 
-# Patient enough that no deadline ends anything here; a key is remembered for longer than any test takes.
+# Deadlines and the dedup window are longer than any test takes.
 LONG_DEADLINE_CLASSES = tuple(
     dataclasses.replace(
         kind,
@@ -43,47 +43,47 @@
 
 
 @pytest.fixture
-def unasked(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Nobody asks the system for those that are not read: what holds then holds in between as well."""
+def no_disconnect_polling(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Disable the polling of paused connections, so that a disconnect is noticed only where a test expects it."""
     monkeypatch.setattr("rosewheel.http.downstream_server.PAUSED_CHECK_INTERVAL_S", 3600.0)
 
 
-async def unread(proxy: Proxy, client: Client) -> DownstreamConnection:
-    """Requests ahead of the answer that is due, until their connection is not read any more."""
+async def pause_reading_with_pipelined(proxy: Proxy, client: Client) -> DownstreamConnection:
+    """Pipeline requests behind the pending one until the node pauses reading."""
     (connection,) = proxy.server.connections
-    for at in range(MAX_PIPELINED_REQUESTS):
-        client.send("post", id=f"ahead-{at}", timeout=60000)
+    for index in range(MAX_PIPELINED_REQUESTS):
+        client.send("post", id=f"ahead-{index}", timeout=60000)
     await until(lambda: connection.reading_paused)
     return connection
 
 
-async def fail(server: FakeServer, how: str) -> None:
-    """End the attempt that is out so that another one may follow."""
-    if how == "full":
+async def fail_attempt(server: FakeServer, how: str) -> None:
+    """Fail the attempt in flight so that the policy may start another one."""
+    if how == "rejected":
         server.writers[-1].write(answer(503, b"", Not_Started="1"))
     else:
         server.writers[-1].transport.abort()  # type: ignore[union-attr]
 
 
-@pytest.mark.usefixtures("unasked")
+@pytest.mark.usefixtures("no_disconnect_polling")
 @pytest.mark.parametrize("how", ["close", "reset", "half"])
-@pytest.mark.parametrize(("service", "end"), [("post", "full"), ("read", "cut"), ("points", "cut")])
+@pytest.mark.parametrize(("service", "end"), [("post", "rejected"), ("read", "reset"), ("points", "reset")])
 def test_no_retry_for_a_disconnected_client(how: str, service: str, end: str):
-    """A retry, or the repeat of a keyed request: nobody had asked whether its client was still there."""
+    """Guards against a retry that starts without a check that the client is still connected."""
 
     async def main() -> None:
-        async def silent(message: Message, writer: asyncio.StreamWriter) -> None:
+        async def no_response(message: Message, writer: asyncio.StreamWriter) -> None:
             pass
 
-        async with FakeServer(silent).up() as one, FakeServer(silent).up() as two:
+        async with FakeServer(no_response).up() as one, FakeServer(no_response).up() as two:
             entries = [entry("one", one.port), entry("two", two.port)]
             async with node(entries, classes=LONG_DEADLINE_CLASSES) as proxy, Client(proxy) as client:
                 client.send(service, id="first", timeout=60000)
                 await until(lambda: one.got or two.got)
-                await unread(proxy, client)
+                await pause_reading_with_pipelined(proxy, client)
                 disconnect(client, how)
-                await asyncio.sleep(0)  # so that the system has been told
-                await fail(one if one.got else two, end)
+                await asyncio.sleep(0)  # lets the disconnect reach the operating system
+                await fail_attempt(one if one.got else two, end)
                 await until(lambda: not proxy.node.requests and not proxy.upstream.exchanges)
                 assert len(one.got) + len(two.got) == 1
                 assert (
@@ -98,25 +98,28 @@
 
 @pytest.mark.parametrize("cancel", [True, False])
 def test_no_retry_if_a_late_loop_reads_the_failure_first(cancel: bool, monkeypatch: pytest.MonkeyPatch):
-    """The end of the client and that of the attempt lie side by side, the attempt's before."""
+    """A late event loop finds the failure of the attempt and the disconnect at the same time, the failure first."""
     monkeypatch.setattr("rosewheel.http.idle_connections.REUSE_QUIET_PERIOD_S", -1.0)
 
     async def main() -> None:
         sock = socket.socket()
 
-        async def full(message: Message, writer: asyncio.StreamWriter) -> None:
+        async def reject_and_disconnect(message: Message, writer: asyncio.StreamWriter) -> None:
             if message.first.startswith("GET /_load"):
                 writer.write(answer())
                 return
-            # In one turn of the loop, which finds both at its next one.
+            # Both happen before the event loop runs again, so it finds them together.
             os.write(writer.get_extra_info("socket").fileno(), answer(503, b"", Not_Started="1"))
             sock.close()
 
-        async with FakeServer(full).up() as one, FakeServer(full).up() as two:
+        async with (
+            FakeServer(reject_and_disconnect).up() as one,
+            FakeServer(reject_and_disconnect).up() as two,
+        ):
             entries = [entry("one", one.port), entry("two", two.port)]
             async with node(entries, classes=LONG_DEADLINE_CLASSES, may_cancel=cancel) as proxy:
-                for name in ("one", "two"):  # so that a connection is at hand
-                    proxy.upstream.check_health(name)
+                for host in ("one", "two"):  # leaves an idle connection to each server
+                    proxy.upstream.check_health(host)
                 await until(lambda: len(proxy.upstream.idle_connections) == 2)
                 sock.connect(("127.0.0.1", proxy.server.port))
                 sock.sendall(
@@ -132,17 +135,17 @@
     run(main())
 
 
-@pytest.mark.usefixtures("unasked")
+@pytest.mark.usefixtures("no_disconnect_polling")
 @pytest.mark.parametrize("how", ["close", "reset", "half"])
 def test_no_hedge_for_a_disconnected_client(how: str):
     async def main() -> None:
-        free, slow = gated_handler()
-        async with FakeServer(slow).up() as one, FakeServer(slow).up() as two:  # type: ignore[arg-type]
+        gate, respond = gated_handler()
+        async with FakeServer(respond).up() as one, FakeServer(respond).up() as two:  # type: ignore[arg-type]
             entries = [entry("one", one.port), entry("two", two.port)]
             async with node(entries, classes=LONG_DEADLINE_CLASSES) as proxy, Client(proxy) as client:
                 client.send("read", id="first", timeout=60000)
                 await until(lambda: one.got or two.got)
-                await unread(proxy, client)
+                await pause_reading_with_pipelined(proxy, client)
                 disconnect(client, how)
                 await asyncio.sleep(0)
                 proxy.node.driver.apply(
@@ -152,15 +155,17 @@
                 await until(lambda: not proxy.node.requests and not proxy.upstream.exchanges)
                 assert proxy.upstream.connecting_count == 0
                 assert len(one.got) + len(two.got) == 1
-            free.set()
+            gate.set()
 
     run(main())
 
 
 @contextlib.contextmanager
-def crowded() -> Iterator[tuple[socket.socket, socket.socket]]:
-    """A listener whose queue is full, and who fills it: the next connection comes up when the queue is shorter and
-    the system has tried again, a second after its first try."""
+def full_backlog() -> Iterator[tuple[socket.socket, socket.socket]]:
+    """Return a listener with a full backlog, and the socket that fills it.
+
+    The next connect succeeds once the backlog has space and the kernel has retried it, one second after the first try.
+    """
     with socket.socket() as listener, socket.socket() as filler:
         listener.bind(("127.0.0.1", 0))
         listener.listen(0)
@@ -169,26 +174,26 @@
         yield listener, filler
 
 
-async def comes_up(listener: socket.socket, proxy: Proxy) -> bytes:
-    """Take who fills the queue, and then what the node opens: all that it writes there."""
+async def accept_and_read(listener: socket.socket, proxy: Proxy) -> bytes:
+    """Empty the backlog, accept the node's connection, and return all bytes that the node sends on it."""
     listener.accept()[0].close()
     loop = asyncio.get_running_loop()
     sock, _ = await loop.sock_accept(listener)
     with sock:
         sock.setblocking(False)
         await until(lambda: proxy.upstream.connecting_count == 0)
-        got = b""
+        received = b""
         with contextlib.suppress(ConnectionError):
-            while piece := await loop.sock_recv(sock, 65536):
-                got += piece
-        return got
+            while part := await loop.sock_recv(sock, 65536):
+                received += part
+        return received
 
 
 @pytest.mark.parametrize("cancel", [True, False])
 @pytest.mark.parametrize("how", ["close", "reset", "half"])
 def test_slow_connect_is_aborted_with_its_client(how: str, cancel: bool):
     async def main() -> None:
-        with crowded() as (listener, _):
+        with full_backlog() as (listener, _):
             port = listener.getsockname()[1]
             async with node([entry("s", port)], classes=LONG_DEADLINE_CLASSES, may_cancel=cancel) as proxy:
                 async with Client(proxy) as client:
@@ -205,13 +210,13 @@
     run(main())
 
 
-@pytest.mark.usefixtures("unasked")
+@pytest.mark.usefixtures("no_disconnect_polling")
 @pytest.mark.parametrize("how", ["close", "reset", "half"])
 def test_nothing_is_sent_on_a_connection_that_opens_late(how: str):
-    """It comes up a second after the client has left, and nobody has heard of that."""
+    """The connection to the server opens a second after the client's disconnect, which the loop has not reported."""
 
     async def main() -> None:
-        with crowded() as (listener, _):
+        with full_backlog() as (listener, _):
             port = listener.getsockname()[1]
             async with (
                 node([entry("s", port)], classes=LONG_DEADLINE_CLASSES) as proxy,
@@ -219,9 +224,9 @@
             ):
                 client.send("post", id="first", timeout=60000)
                 await until(lambda: proxy.upstream.connecting_count == 1)
-                await unread(proxy, client)
+                await pause_reading_with_pipelined(proxy, client)
                 disconnect(client, how)
-                assert await comes_up(listener, proxy) == b""
+                assert await accept_and_read(listener, proxy) == b""
                 assert not proxy.node.requests
                 assert not proxy.upstream.exchanges
                 assert proxy.upstream.open_count == 0
@@ -229,47 +234,48 @@
     run(main())
 
 
-async def push(sock: socket.socket, data: bytes, connection: DownstreamConnection) -> None:
-    """Hand all of it to the system, or as much as it takes while the node does not read."""
+async def send_without_blocking(sock: socket.socket, data: bytes, connection: DownstreamConnection) -> None:
+    """Write all data, or as much as the operating system accepts while the node does not read."""
     sock.setblocking(False)
     view = memoryview(data)
-    full = 0
-    while view and full < 20:  # it takes no more for so many turns while nothing is read
+    blocked_turns = 0
+    while view and blocked_turns < 20:  # gives up after 20 failed writes while reading is paused
         try:
             view = view[sock.send(view) :]
-            full = 0
+            blocked_turns = 0
         except BlockingIOError:
-            full += connection.reading_paused
+            blocked_turns += connection.reading_paused
             await asyncio.sleep(0.002)
 
 
-@pytest.mark.parametrize("way", ["body", "ahead"])
-def test_disconnect_behind_much_unread_data_is_seen(way: str):
-    """The end of a connection stands behind all that its client has sent: while that is not read, not even the
-    system of this machine has been told of it."""
+@pytest.mark.parametrize("sent", ["body", "ahead"])
+def test_disconnect_behind_much_unread_data_is_seen(sent: str):
+    """Guards against reading too little: a disconnect behind unread data is not visible, even to the system."""
 
     async def main() -> None:
-        with crowded() as (listener, _), socket.socket() as sock:
+        with full_backlog() as (listener, _), socket.socket() as sock:
             port = listener.getsockname()[1]
             async with node([entry("s", port)], classes=LONG_DEADLINE_CLASSES) as proxy:
                 listening = proxy.server.listening_socket
                 assert listening is not None
-                # The same for those whom it accepts.
+                # Accepted sockets inherit the size.
                 listening.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 65536)
                 sock.connect(("127.0.0.1", proxy.server.port))
                 head = b"POST / HTTP/1.1\r\nRequest-Class: post\r\nRequest-Timeout-Ms: 60000\r\n"
-                if way == "body":
+                if sent == "body":
                     start = head + b"Request-Id: r\r\nContent-Length: 20000000\r\n\r\n" + bytes(1_100_000)
                     rest = bytes(3_000_000)
                 else:
                     start = head + b"Request-Id: first\r\nContent-Length: 0\r\n\r\n"
-                    more = head + b"Request-Id: %d\r\nContent-Length: 900000\r\n\r\n" + bytes(900_000)
-                    rest = b"".join(more.replace(b"%d", b"%d" % at) for at in range(4))
+                    request_bytes = (
+                        head + b"Request-Id: %d\r\nContent-Length: 900000\r\n\r\n" + bytes(900_000)
+                    )
+                    rest = b"".join(request_bytes.replace(b"%d", b"%d" % index) for index in range(4))
                 await until(lambda: bool(proxy.server.connections))
                 (connection,) = proxy.server.connections
-                await push(sock, start, connection)
+                await send_without_blocking(sock, start, connection)
                 await until(lambda: proxy.upstream.connecting_count == 1)
-                await push(sock, rest, connection)
+                await send_without_blocking(sock, rest, connection)
                 sock.close()
                 await until(lambda: proxy.upstream.connecting_count == 0 or connection.reading_paused)
                 listener.accept()[0].close()
