--- a/tests/http/test_drain.py
+++ b/tests/http/test_drain.py
@@ -1,4 +1,4 @@
-"""Requests while a node drains."""
+"""Requests that arrive while a node drains."""
 
 from __future__ import annotations
 
@@ -21,62 +21,64 @@
 
 
 def test_drain_answers_all_accepted_requests():
-    """Guards against losing requests at a restart: old and new connections are served until they end."""
+    """Guards against losing requests at a restart: open and new connections are served before they are closed."""
 
     async def main() -> None:
-        free, slow = gated_handler()
-        async with FakeServer(slow).up() as server, node([entry("s", server.port)]) as proxy:
-            async with Client(proxy) as held, Client(proxy) as idle, Client(proxy) as quiet:
-                held.send("post")
+        gate, respond = gated_handler()
+        async with FakeServer(respond).up() as server, node([entry("s", server.port)]) as proxy:
+            async with Client(proxy) as active, Client(proxy) as idle, Client(proxy) as silent:
+                active.send("post")
                 await until(lambda: len(server.got) == 1)
-                stop = asyncio.ensure_future(proxy.drain())
+                drain = asyncio.ensure_future(proxy.drain())
                 await until(lambda: proxy.server.draining)
-                async with Client(proxy) as fresh:
-                    fresh.send()
+                async with Client(proxy) as new_client:
+                    new_client.send()
                     idle.send()
                     await until(lambda: len(server.got) == 3)
-                    free.set()
-                    for client in (held, idle, fresh):
-                        got = await client.answer()
-                        assert status(got) == 200
-                        assert await client.reader.read() == b""  # open until the end, then closed
-                assert await read_message(quiet.reader) is None
-                await stop
+                    gate.set()
+                    for client in (active, idle, new_client):
+                        response = await client.answer()
+                        assert status(response) == 200
+                        assert await client.reader.read() == b""  # closed after the response
+                assert await read_message(silent.reader) is None
+                await drain
                 with pytest.raises(OSError, match=r"refused|111"):
-                    await asyncio.open_connection("127.0.0.1", held.port)
+                    await asyncio.open_connection("127.0.0.1", active.port)
 
     run(main())
 
 
-def test_drain_accepts_only_what_it_can_answer(monkeypatch: pytest.MonkeyPatch):
-    """Guards requests against the end of the process: until then clients go on asking, however patient, but
-    with less time than they would have, and with too little they are refused and nothing is sent."""
+def test_drain_rejects_requests_that_it_has_no_time_for(monkeypatch: pytest.MonkeyPatch):
+    """Guards against requests that the end of the process interrupts.
+
+    The time left of the drain limits the timeout of a request; if it is too short, the request is rejected.
+    """
     monkeypatch.setattr("rosewheel.http.downstream_server.KEEP_OPEN_DURING_DRAIN_S", 60.0)
 
     async def main() -> None:
         async with FakeServer().up() as server, node([entry("s", server.port)]) as proxy:
-            async with Client(proxy) as early, Client(proxy) as late:
-                for client in (early, late):
+            async with Client(proxy) as first, Client(proxy) as second:
+                for client in (first, second):
                     assert status(await client.ask(timeout=5000)) == 200
-                stop = asyncio.ensure_future(proxy.drain())
+                drain = asyncio.ensure_future(proxy.drain())
                 await until(lambda: proxy.server.draining)
-                got = await early.ask("post", timeout=5000)
-                assert (status(got), got.headers.get("connection")) == (200, None)
-                proxy.server.drain_started_s -= 2.6  # as if so much of the 3.5 s had passed
-                assert status(await late.ask("post", timeout=5000)) == 503
-                assert await late.reader.read() == b""
-                assert status(await early.ask("post", timeout=600)) == 200
+                response = await first.ask("post", timeout=5000)
+                assert (status(response), response.headers.get("connection")) == (200, None)
+                proxy.server.drain_started_s -= 2.6  # simulates that 2.6 of the 3.5 s have passed
+                assert status(await second.ask("post", timeout=5000)) == 503
+                assert await second.reader.read() == b""
+                assert status(await first.ask("post", timeout=600)) == 200
                 proxy.server.closing = True
-                got = await early.ask("post", timeout=600)
-                assert (status(got), got.headers["connection"]) == (200, "close")
+                response = await first.ask("post", timeout=600)
+                assert (status(response), response.headers["connection"]) == (200, "close")
                 assert len(server.got) == 5
-                stop.cancel()
+                drain.cancel()
 
     run(main())
 
 
 def test_request_during_drain_is_answered_before_its_end(monkeypatch: pytest.MonkeyPatch):
-    """Guards the one final answer: the process ends before the patience of who asks late in a stop does."""
+    """Guards against a request without a response: the process may end before the client's timeout."""
     monkeypatch.setattr("rosewheel.http.downstream_server.KEEP_OPEN_DURING_DRAIN_S", 60.0)
 
     async def main() -> None:
--- a/tests/http/test_forwarding.py
+++ b/tests/http/test_forwarding.py
@@ -56,16 +56,16 @@
             node([entry("s", server.port)]) as proxy,
             Client(proxy) as client,
         ):
-            got = await client.ask("post", body=b"\x00debit", id="r-1", Idempotency_Key="k1")
-            assert (status(got), got.body) == (200, b"ok")
-        seen = server.got[0]
-        assert seen.first == "POST /api/k?x=1 HTTP/1.1"
-        assert (seen.body, seen.headers["request-id"], seen.headers["idempotency-key"]) == (
+            response = await client.ask("post", body=b"\x00debit", id="r-1", Idempotency_Key="k1")
+            assert (status(response), response.body) == (200, b"ok")
+        forwarded = server.got[0]
+        assert forwarded.first == "POST /api/k?x=1 HTTP/1.1"
+        assert (forwarded.body, forwarded.headers["request-id"], forwarded.headers["idempotency-key"]) == (
             b"\x00debit",
             "r-1",
             "k1",
         )
-        assert 900 < int(seen.headers["request-timeout-ms"]) <= 980
+        assert 900 < int(forwarded.headers["request-timeout-ms"]) <= 980
 
     run(main())
 
@@ -82,25 +82,25 @@
         (b"no HTTP at all\r\n\r\n", 502, 1),
     ],
 )
-def test_non_idempotent_request_is_retried_only_if_not_executed(first: bytes, final: int, tries: int):
+def test_non_idempotent_request_is_retried_only_if_not_executed(first_response: bytes, final_status: int, attempts: int):
     """Guards against doubled postings, and against failing what is known not to have run."""
 
     async def main() -> None:
-        calls = 0
+        request_count = 0
 
-        async def once(message: Message, writer: asyncio.StreamWriter) -> None:
-            nonlocal calls
-            calls += 1
-            writer.write(first if calls == 1 else answer())
-            if calls == 1 and b"Not-Started" not in first and not first.startswith(b"HTTP/1.1 50"):
+        async def respond_differently(message: Message, writer: asyncio.StreamWriter) -> None:
+            nonlocal request_count
+            request_count += 1
+            writer.write(first_response if request_count == 1 else answer())
+            if request_count == 1 and b"Not-Started" not in first_response and not first_response.startswith(b"HTTP/1.1 50"):
                 await writer.drain()
                 writer.close()
 
-        async with FakeServer(once).up() as one, FakeServer(once).up() as two:
+        async with FakeServer(respond_differently).up() as one, FakeServer(respond_differently).up() as two:
             servers = [entry("s1", one.port), entry("s2", two.port)]
             async with node(servers) as proxy, Client(proxy) as client:
-                assert status(await client.ask("post")) == final
-                assert len(one.got) + len(two.got) == tries
+                assert status(await client.ask("post")) == final_status
+                assert len(one.got) + len(two.got) == attempts
 
     run(main())
 
@@ -165,8 +165,8 @@
         changes = {"retry_after": True, "max_retry_after_ms": 1500.0}
         async with node([entry("down", closed_port())], **changes) as proxy, Client(proxy) as client:
             proxy.node.balancer.parts.table.cursor = 4
-            got = await client.ask("post")
-            assert (status(got), got.headers["retry-after"]) == (503, "0.600")
+            response = await client.ask("post")
+            assert (status(response), response.headers["retry-after"]) == (503, "0.600")
 
     run(main())
 
@@ -175,16 +175,16 @@
     """Guards the order of answers, and memory: what is sent ahead is left unread while an answer is owed."""
 
     async def main() -> None:
-        free, slow = gated_handler()
-        async with FakeServer(slow).up() as server, node([entry("s", server.port)]) as proxy:
+        gate, respond = gated_handler()
+        async with FakeServer(respond).up() as server, node([entry("s", server.port)]) as proxy:
             proxy.budget.limit_bytes = CONNECTION_SHARE_DIVISOR * 16384  # so that a connection may hold 16 KB
             async with Client(proxy) as client:
-                for at in range(3):
-                    client.send("post", id=f"r{at}", body=b"x" * 9000)
+                for index in range(3):
+                    client.send("post", id=f"r{index}", body=b"x" * 9000)
                 await until(lambda: len(server.got) == 1)
                 connection = next(iter(proxy.server.connections))
                 await until(lambda: connection.reading_paused)
-                free.set()
+                gate.set()
                 for _ in range(3):
                     assert status(await client.answer()) == 200
                 assert [message.headers["request-id"] for message in server.got] == ["r0", "r1", "r2"]
@@ -198,14 +198,14 @@
     """Guards the module against a second request of one id, and the first request against the second."""
 
     async def main() -> None:
-        free, slow = gated_handler()
-        async with FakeServer(slow).up() as server, node([entry("s", server.port)]) as proxy:
-            async with Client(proxy) as first, Client(proxy) as second:
-                first.send("post", id="same")
+        gate, respond = gated_handler()
+        async with FakeServer(respond).up() as server, node([entry("s", server.port)]) as proxy:
+            async with Client(proxy) as first_response, Client(proxy) as second:
+                first_response.send("post", id="same")
                 await until(lambda: len(server.got) == 1)
                 assert status(await second.ask("post", id="same")) == 409
-                free.set()
-                assert status(await first.answer()) == 200
+                gate.set()
+                assert status(await first_response.answer()) == 200
 
     run(main())
 
@@ -214,17 +214,17 @@
     """Guards the owner of an id: whoever else sends it is turned away, and its leaving changes nothing."""
 
     async def main() -> None:
-        free, slow = gated_handler()
-        async with FakeServer(slow).up() as server, node([entry("s", server.port)]) as proxy:
-            async with Client(proxy) as owner:
-                owner.send("post", id="same")
+        gate, respond = gated_handler()
+        async with FakeServer(respond).up() as server, node([entry("s", server.port)]) as proxy:
+            async with Client(proxy) as first_client:
+                first_client.send("post", id="same")
                 await until(lambda: len(server.got) == 1)
-                async with Client(proxy) as thief:
-                    assert status(await thief.ask("post", id="same")) == 409
-                    assert await thief.reader.read() == b""
+                async with Client(proxy) as duplicate:
+                    assert status(await duplicate.ask("post", id="same")) == 409
+                    assert await duplicate.reader.read() == b""
                 await until(lambda: len(proxy.server.connections) == 1)
-                free.set()
-                assert status(await owner.answer()) == 200
+                gate.set()
+                assert status(await first_client.answer()) == 200
                 assert len(server.got) == 1
 
     run(main())
@@ -244,12 +244,12 @@
             def faulty(now: float, event: Event) -> list[Action]:
                 if isinstance(event, AttemptFinished):
                     raise RuntimeError("a fault")
-                acts = handle(now, event)
+                actions = handle(now, event)
                 if isinstance(
                     event, RequestReceived
                 ):  # an attempt that ends at once, so that the fault comes early
-                    acts.append(CancelAttempt(event.id, 0))
-                return acts
+                    actions.append(CancelAttempt(event.id, 0))
+                return actions
 
             proxy.node.balancer.handle = faulty  # type: ignore[method-assign]
             assert status(await client.ask("post")) == 500
@@ -263,18 +263,18 @@
 def test_health_endpoint_needs_a_server():
     """Guards the start: a node is used once it has answered 200, so it must be able to serve by then."""
 
-    async def health(client: Client) -> int:
+    async def health_status(client: Client) -> int:
         client.writer.write(b"GET /_health HTTP/1.1\r\nHost: a\r\n\r\n")
         return status(await client.answer())
 
     async def main() -> None:
         async with FakeDiscovery().up() as discovery, FakeServer().up() as server:
             async with node([], discovery) as proxy, Client(proxy) as client:
-                assert await health(client) == 503
+                assert await health_status(client) == 503
                 await until(lambda: bool(discovery.writers))
                 discovery.tell(6, entry("s", server.port), whole=True)
                 await until(lambda: proxy.node.can_serve)
-                assert await health(client) == 200
+                assert await health_status(client) == 200
                 assert status(await client.ask()) == 200
 
     run(main())
