--- a/tests/http/test_forwarding.py
+++ b/tests/http/test_forwarding.py
@@ -1,4 +1,4 @@
-"""Requests on their way from a client to a server and back."""
+"""Requests that are forwarded to servers, and the responses to them."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
 
 @pytest.mark.usefixtures("no_quiet_period")
 def test_connections_are_kept_alive():
-    """Guards against a new handshake for each attempt (3056 for 2985 attempts on the first day)."""
+    """Guards against a new connection for each attempt."""
 
     async def main() -> None:
         async with (
@@ -48,7 +48,7 @@
 
 
 def test_request_is_forwarded_unchanged():
-    """Guards the forms that servers check: method, path, query, body, id, key and the time left."""
+    """Covers what servers depend on: method, target, body, id, idempotency key and timeout."""
 
     async def main() -> None:
         async with (
@@ -71,19 +71,21 @@
 
 
 @pytest.mark.parametrize(
-    ("first", "final", "tries"),
+    ("first_response", "final_status", "attempts"),
     [
         (answer(503, b"", Not_Started="1"), 200, 2),
         (answer(504, b"", Not_Started="1"), 200, 2),
         (answer(503, b""), 502, 1),
         (answer(500, b""), 502, 1),
-        (b"", 502, 1),  # the connection breaks
+        (b"", 502, 1),  # the connection ends without a response
         (b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf", 502, 1),
         (b"no HTTP at all\r\n\r\n", 502, 1),
     ],
 )
-def test_non_idempotent_request_is_retried_only_if_not_executed(first_response: bytes, final_status: int, attempts: int):
-    """Guards against doubled postings, and against failing what is known not to have run."""
+def test_non_idempotent_request_is_retried_only_if_not_executed(
+    first_response: bytes, final_status: int, attempts: int
+):
+    """Guards against executing a request twice, and against failing one that was not executed."""
 
     async def main() -> None:
         request_count = 0
@@ -92,7 +94,11 @@
             nonlocal request_count
             request_count += 1
             writer.write(first_response if request_count == 1 else answer())
-            if request_count == 1 and b"Not-Started" not in first_response and not first_response.startswith(b"HTTP/1.1 50"):
+            if (
+                request_count == 1
+                and b"Not-Started" not in first_response
+                and not first_response.startswith(b"HTTP/1.1 50")
+            ):
                 await writer.drain()
                 writer.close()
 
@@ -106,7 +112,7 @@
 
 
 def test_refused_connection_counts_as_not_executed():
-    """Guards an unsafe request against failing on a server that is down: the other one serves it."""
+    """Guards against failing a non-idempotent request because one server is down."""
 
     async def main() -> None:
         async with FakeServer().up() as server:
@@ -119,7 +125,7 @@
 
 
 def test_request_is_rejected_without_a_reachable_server():
-    """A refusal promises that nothing ran, and where no connection came up, nothing did."""
+    """A 503 states that the request was not executed, which holds if no connection could be opened."""
 
     async def main() -> None:
         async with node([entry("down", closed_port())]) as proxy, Client(proxy) as client:
@@ -129,7 +135,7 @@
 
 
 def test_expired_attempt_is_failed_and_aborted():
-    """Guards the one final answer: a silent server must not leave a request unanswered."""
+    """Guards against a request without a response because its server sends none."""
 
     async def main() -> None:
         async with FakeServer(never_respond).up() as server, node([entry("s", server.port)]) as proxy:
@@ -143,7 +149,7 @@
 
 
 def test_disconnected_client_ends_its_attempts():
-    """Guards the servers against work for nobody, and the node's tables against what is over."""
+    """Guards against work that no client waits for, and against entries that are never removed."""
 
     async def main() -> None:
         async with FakeServer(never_respond).up() as server, node([entry("s", server.port)]) as proxy:
@@ -159,7 +165,7 @@
 
 
 def test_rejection_has_retry_after():
-    """Retry-After comes from the module, in seconds."""
+    """Retry-After is set by the policy and sent in seconds."""
 
     async def main() -> None:
         changes = {"retry_after": True, "max_retry_after_ms": 1500.0}
@@ -172,12 +178,12 @@
 
 
 def test_pipelined_requests_are_answered_in_order():
-    """Guards the order of answers, and memory: what is sent ahead is left unread while an answer is owed."""
+    """Guards the order of responses, and memory: pipelined requests beyond the connection's share are not read."""
 
     async def main() -> None:
         gate, respond = gated_handler()
         async with FakeServer(respond).up() as server, node([entry("s", server.port)]) as proxy:
-            proxy.budget.limit_bytes = CONNECTION_SHARE_DIVISOR * 16384  # so that a connection may hold 16 KB
+            proxy.budget.limit_bytes = CONNECTION_SHARE_DIVISOR * 16384  # 16 KB for each connection
             async with Client(proxy) as client:
                 for index in range(3):
                     client.send("post", id=f"r{index}", body=b"x" * 9000)
@@ -195,23 +201,23 @@
 
 
 def test_request_id_in_flight_is_not_accepted_twice():
-    """Guards the module against a second request of one id, and the first request against the second."""
+    """The policy identifies requests by id, so a second one with the same id must not reach it."""
 
     async def main() -> None:
         gate, respond = gated_handler()
         async with FakeServer(respond).up() as server, node([entry("s", server.port)]) as proxy:
-            async with Client(proxy) as first_response, Client(proxy) as second:
-                first_response.send("post", id="same")
+            async with Client(proxy) as first, Client(proxy) as second:
+                first.send("post", id="same")
                 await until(lambda: len(server.got) == 1)
                 assert status(await second.ask("post", id="same")) == 409
                 gate.set()
-                assert status(await first_response.answer()) == 200
+                assert status(await first.answer()) == 200
 
     run(main())
 
 
 def test_duplicate_request_id_does_not_affect_the_first_request():
-    """Guards the owner of an id: whoever else sends it is turned away, and its leaving changes nothing."""
+    """Neither a second request with the id nor the disconnect of its client cancels the first request."""
 
     async def main() -> None:
         gate, respond = gated_handler()
@@ -231,7 +237,7 @@
 
 
 def test_policy_error_fails_one_request():
-    """Guards the node: an exception in a handler fails that request with 500 and nothing else."""
+    """Guards against an exception in the policy that fails more than one request."""
 
     async def main() -> None:
         async with (
@@ -245,10 +251,10 @@
                 if isinstance(event, AttemptFinished):
                     raise RuntimeError("a fault")
                 actions = handle(now, event)
-                if isinstance(
-                    event, RequestReceived
-                ):  # an attempt that ends at once, so that the fault comes early
-                    actions.append(CancelAttempt(event.id, 0))
+                if isinstance(event, RequestReceived):
+                    actions.append(
+                        CancelAttempt(event.id, 0)
+                    )  # ends the attempt, which raises the error at once
                 return actions
 
             proxy.node.balancer.handle = faulty  # type: ignore[method-assign]
@@ -261,7 +267,7 @@
 
 
 def test_health_endpoint_needs_a_server():
-    """Guards the start: a node is used once it has answered 200, so it must be able to serve by then."""
+    """Guards against a node that reports itself healthy, and so receives requests, before it can serve them."""
 
     async def health_status(client: Client) -> int:
         client.writer.write(b"GET /_health HTTP/1.1\r\nHost: a\r\n\r\n")
