--- a/tests/http/test_idle_connections.py
+++ b/tests/http/test_idle_connections.py
@@ -1,4 +1,4 @@
-"""Idle connections to servers: when they are closed, and when they are used again."""
+"""Idle connections to servers: when they are closed and when they are reused."""
 
 from __future__ import annotations
 
@@ -25,11 +25,11 @@
 
 
 def test_idle_connection_is_closed_before_its_server_closes_it():
-    """Guards against a write to a connection that is being closed: it is a reset, lost for a posting."""
+    """Guards against a request on a connection that the server is closing, which ends as a reset."""
 
     async def main() -> None:
-        bounds = Limits(idle_timeout_ms=1.0)
-        async with FakeServer().up() as server, node([entry("s", server.port)], bounds=bounds) as proxy:
+        limits = Limits(idle_timeout_ms=1.0)
+        async with FakeServer().up() as server, node([entry("s", server.port)], bounds=limits) as proxy:
             async with Client(proxy) as client:
                 assert status(await client.ask("post")) == 200
                 await until(lambda: server.closed == 1)
@@ -40,48 +40,48 @@
     run(main())
 
 
-@pytest.mark.parametrize(("siblings", "gives_back"), [(10, True), (4, False)])
+@pytest.mark.parametrize(("siblings", "closes_idle"), [(10, True), (4, False)])
 def test_idle_connections_are_closed_at_a_server_without_free_ones(
-    monkeypatch: pytest.MonkeyPatch, siblings: int, gives_back: bool
+    monkeypatch: pytest.MonkeyPatch, siblings: int, closes_idle: bool
 ):
-    """Guards the other nodes: what each of many keeps for later shuts them out of a server that has nothing to do."""
+    """Guards against idle connections of many nodes that use up the connections of a server with little load."""
     monkeypatch.setattr("rosewheel.node.idle_timeout.REFUSAL_SHARE", 0.0)
     monkeypatch.setattr("rosewheel.node.idle_timeout.MIN_REFUSAL_LIMIT_S", 0.0)
 
     async def main() -> None:
         gate = asyncio.Event()
 
-        async def bears_two(message: Message, writer: asyncio.StreamWriter) -> None:
+        async def serve_two_connections(message: Message, writer: asyncio.StreamWriter) -> None:
             if message.connection > 2:
                 writer.write(answer(503, b"", Not_Started="1"))
                 return
             await gate.wait()
             writer.write(answer())
 
-        async with FakeServer(bears_two).up() as server:
+        async with FakeServer(serve_two_connections).up() as server:
             async with (
                 node([entry("s", server.port)], balancer_count=siblings) as proxy,
                 contextlib.AsyncExitStack() as stack,
             ):
                 clients = [await stack.enter_async_context(Client(proxy)) for _ in range(3)]
-                for at, client in enumerate(clients):
+                for index, client in enumerate(clients):
                     client.send("post")
-                    await until(lambda at=at: len(server.got) == at + 1)
+                    await until(lambda index=index: len(server.got) == index + 1)
                 assert status(await clients[2].answer()) == 503
-                assert status(await clients[2].ask("post")) == 503, "a refusal, and no failure"
+                assert status(await clients[2].ask("post")) == 503, "rejected by the server, not failed"
                 gate.set()
                 for client in clients[:2]:
                     assert status(await client.answer()) == 200
-                if gives_back:
+                if closes_idle:
                     await until(lambda: server.closed == server.connections)
-                assert (proxy.upstream.idle_timeout.close_after_s == 0.0) is gives_back
+                assert (proxy.upstream.idle_timeout.close_after_s == 0.0) is closes_idle
 
     run(main())
 
 
 @pytest.mark.parametrize("data", [b"", b"HTTP/1.1 408 X\r\n\r\n"])
 def test_idle_connection_that_receives_data_or_ends_is_closed(data: bytes):
-    """Guards the next request against a stale answer or a dead connection."""
+    """Guards the next request against a surplus response or a closed connection."""
 
     async def main() -> None:
         async with (
@@ -102,29 +102,29 @@
 
 @pytest.mark.usefixtures("no_quiet_period")
 def test_idle_timeout_is_reduced_after_stale_connections(monkeypatch: pytest.MonkeyPatch):
-    """Guards unsafe requests where connections are forgotten without a word: one is lost, not each time."""
-    # A busy machine may be late to report the reset.
+    """Guards against losing a request to each connection that a server or a middlebox drops without closing it."""
+    # A busy machine may report the reset late.
     monkeypatch.setattr("rosewheel.http.upstream_connection.STALE_RESET_WINDOW_S", 1.0)
 
     async def main() -> None:
-        seen: dict[int, float] = {}
+        last_request_s: dict[int, float] = {}
 
-        async def forgetful(message: Message, writer: asyncio.StreamWriter) -> None:
-            now = asyncio.get_running_loop().time()
-            rested = now - seen.get(message.connection, now)
-            seen[message.connection] = now
-            if rested >= 0.1:
+        async def reset_after_idle(message: Message, writer: asyncio.StreamWriter) -> None:
+            now_s = asyncio.get_running_loop().time()
+            idle_s = now_s - last_request_s.get(message.connection, now_s)
+            last_request_s[message.connection] = now_s
+            if idle_s >= 0.1:
                 sock = writer.get_extra_info("socket")
                 sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
                 writer.transport.abort()
             else:
                 writer.write(answer())
 
-        async with FakeServer(forgetful).up() as server, node([entry("s", server.port)]) as proxy:
+        async with FakeServer(reset_after_idle).up() as server, node([entry("s", server.port)]) as proxy:
             async with Client(proxy) as client:
                 assert status(await client.ask("post")) == 200
                 await asyncio.sleep(0.15)
-                assert status(await client.ask("post")) == 502, "it may have run, whatever is likely"
+                assert status(await client.ask("post")) == 502, "it may have been executed"
                 assert 0.05 <= proxy.upstream.idle_timeout.stale_limit_s < 5.0
                 proxy.upstream.idle_timeout.stale_limit_s = 0.07
                 for _ in range(3):
@@ -132,23 +132,26 @@
                     await asyncio.sleep(0.15)
                 assert proxy.upstream.idle_timeout.stale_limit_s == 0.07
                 proxy.upstream.idle_timeout.stale_changed_at_s -= 60.0
-                await until(
-                    lambda: proxy.upstream.idle_timeout.stale_limit_s > 0.1
-                )  # it is tried again in time
+                # Without more stale connections the limit is relaxed.
+                await until(lambda: proxy.upstream.idle_timeout.stale_limit_s > 0.1)
 
     run(main())
 
 
 @pytest.mark.usefixtures("no_quiet_period")
 def test_unresponsive_server_receives_nothing_on_old_connections():
-    """Guards postings against a machine that vanished: its old connections swallow them, and then they may
-    have run; a new one never comes up, and then they did not."""
+    """Guards against a failed machine: requests on its open connections are lost and may have been executed.
+
+    A new connection fails before the request is sent.
+    """
 
     async def main() -> None:
         silent = False
 
         async def handler(message: Message, writer: asyncio.StreamWriter) -> None:
-            if len(server.got) >= 2 and not silent:  # both at once, so that there are two connections
+            if (
+                len(server.got) >= 2 and not silent
+            ):  # responds to both at once, so that there are two connections
                 for each in server.writers:
                     each.write(answer())
 
@@ -168,7 +171,7 @@
 
 
 def test_connection_end_is_seen_before_the_loop_reads_it():
-    """Guards the next request: between a server's close and the loop's reading of it a write is lost."""
+    """Guards against a request on a connection that the server has closed, before the event loop reports it."""
 
     async def main() -> None:
         loop = asyncio.get_running_loop()
@@ -182,42 +185,48 @@
                 assert status(await client.answer()) == 200
                 idle = proxy.upstream.endpoints["s"].idle_connections[0]
                 assert idle.is_usable()
-                peer.close()  # no turn of the loop between this and the next line
+                peer.close()  # the event loop does not run before the next line
                 assert not idle.is_usable()
 
     run(main())
 
 
 def test_idle_connections_free_descriptors_longest_idle_first():
-    """What rests is known by pool and over all pools; the two must never say different things."""
+    """The idle connections of each endpoint and those of all endpoints must always agree."""
 
     async def main() -> None:
         async with FakeServer(serve_ok).up() as server:
             async with (
-                node([entry(f"s{at}", server.port) for at in range(100)]) as proxy,
+                node([entry(f"s{index}", server.port) for index in range(100)]) as proxy,
                 Client(proxy) as client,
             ):
                 proxy.resources.max_descriptors = 9
                 upstream = proxy.upstream
 
-                def agrees() -> bool:
-                    by_pool = [conn for pool in upstream.endpoints.values() for conn in pool.idle_connections]
-                    times = [conn.idle_since_s for conn in upstream.idle_connections]
-                    return set(upstream.idle_connections) == set(by_pool) and times == sorted(times)
+                def indexes_agree() -> bool:
+                    by_endpoint = [
+                        connection
+                        for endpoint in upstream.endpoints.values()
+                        for connection in endpoint.idle_connections
+                    ]
+                    idle_since = [connection.idle_since_s for connection in upstream.idle_connections]
+                    return set(upstream.idle_connections) == set(by_endpoint) and idle_since == sorted(
+                        idle_since
+                    )
 
                 for _ in range(60):
                     assert status(await client.ask()) == 200
-                    assert agrees()
+                    assert indexes_agree()
                     assert proxy.resources.descriptor_count <= proxy.resources.max_descriptors
                 assert len(upstream.idle_connections) > 1
-                out = next(iter(upstream.idle_connections)).endpoint.host
-                upstream.set_cordoned(out, True)
-                assert agrees()
-                assert not upstream.endpoints[out].idle_connections
-                first = next(iter(upstream.idle_connections))
+                cordoned = next(iter(upstream.idle_connections)).endpoint.host
+                upstream.set_cordoned(cordoned, True)
+                assert indexes_agree()
+                assert not upstream.endpoints[cordoned].idle_connections
+                longest_idle = next(iter(upstream.idle_connections))
                 assert upstream.close_longest_idle()
-                assert first not in upstream.idle_connections
-                assert agrees()
+                assert longest_idle not in upstream.idle_connections
+                assert indexes_agree()
                 upstream.update([], is_snapshot=True)
                 assert not upstream.idle_connections
 
@@ -225,7 +234,7 @@
 
 
 def test_connection_is_not_reused_within_the_quiet_period():
-    """Guards the next request: a second copy may come a moment later, and is no answer to it."""
+    """Guards the next request against a late second copy of the previous response."""
 
     async def main() -> None:
         async def handler(message: Message, writer: asyncio.StreamWriter) -> None:
@@ -235,8 +244,8 @@
 
         async with FakeServer(handler).up() as server, node([entry("s", server.port)]) as proxy:
             async with Client(proxy) as client:
-                for at in range(20):
-                    got = await client.ask("post", body=b"%d" % at)
-                    assert (status(got), got.body) == (200, b"%d" % at)
+                for index in range(20):
+                    response = await client.ask("post", body=b"%d" % index)
+                    assert (status(response), response.body) == (200, b"%d" % index)
 
     run(main())
