--- a/tests/http/test_overload.py
+++ b/tests/http/test_overload.py
@@ -1,4 +1,4 @@
-"""Shedding of load by the responses of real servers."""
+"""Load shedding in response to errors and latencies of servers."""
 
 from __future__ import annotations
 
@@ -19,95 +19,95 @@
 )
 
 
-async def cursors(proxy: Proxy, client: Client, periods: int) -> list[int]:
-    """Ask one after another for so many of the module's periods; where the cursor stood at each answer."""
-    balancer, seen = proxy.node.balancer, []
+async def cursors_over_periods(proxy: Proxy, client: Client, periods: int) -> list[int]:
+    """Send requests one after another for a number of policy periods; return the cursor after each response."""
+    balancer, cursors = proxy.node.balancer, []
     until_period = balancer.parts.throughput.period_count + periods
     while balancer.parts.throughput.period_count < until_period:
         await client.ask("read")
-        seen.append(balancer.parts.table.cursor)
-    return seen
+        cursors.append(balancer.parts.table.cursor)
+    return cursors
 
 
-# Periods go by the shortest aim, and this one is asked for by nobody: thirty of them take less than a second.
-BRISK = (
+# The shortest latency objective determines the period. No request uses the second class, which makes periods short.
+SHORT_PERIOD_CLASSES = (
     ServiceClass("read", latency_objective_ms=1000, deadline_ms=2500, idempotency=Idempotency.NON_IDEMPOTENT),
     ServiceClass("brief", latency_objective_ms=200, deadline_ms=500, idempotency=Idempotency.NON_IDEMPOTENT),
 )
 
 
-def failing(every: list[int]) -> Handler:
-    """One in so many of its answers is a 500, as where an answer below was spoilt, or a call refused."""
+def failing_handler(error_interval: list[int]) -> Handler:
+    """Respond with a 500 to every n-th request, where n is the only element of the list; 0 for no errors."""
     count = 0
 
     async def handler(_message: Message, writer: asyncio.StreamWriter) -> None:
         nonlocal count
         count += 1
-        writer.write(answer(500 if every[0] and count % every[0] == 0 else 200))
+        writer.write(answer(500 if error_interval[0] and count % error_interval[0] == 0 else 200))
 
     return handler
 
 
 def test_baseline_errors_do_not_shed_load():
-    """Guards against a lock: answers spoilt below the front moved the cursor to its end in an idle pool."""
+    """Guards against shedding all load of an idle pool because of a constant rate of errors in a lower tier."""
 
     async def main() -> None:
         async with (
-            FakeServer(failing([10])).up() as server,
-            node([entry("s", server.port)], classes=BRISK) as proxy,
+            FakeServer(failing_handler([10])).up() as server,
+            node([entry("s", server.port)], classes=SHORT_PERIOD_CLASSES) as proxy,
             Client(proxy) as client,
         ):
-            await cursors(proxy, client, 40)
-            seen = await cursors(proxy, client, 20)
-            assert max(seen) <= 2
+            await cursors_over_periods(proxy, client, 40)
+            cursors = await cursors_over_periods(proxy, client, 20)
+            assert max(cursors) <= 2
 
     run(main())
 
 
 def test_errors_above_the_baseline_shed_load():
-    """Guards the tier below, whose refusals show at the front as errors only."""
+    """Guards the tier below, whose rejections are visible to this node only as errors."""
 
     async def main() -> None:
-        every = [10]
+        error_interval = [10]
         async with (
-            FakeServer(failing(every)).up() as server,
-            node([entry("s", server.port)], classes=BRISK) as proxy,
+            FakeServer(failing_handler(error_interval)).up() as server,
+            node([entry("s", server.port)], classes=SHORT_PERIOD_CLASSES) as proxy,
             Client(proxy) as client,
         ):
-            await cursors(proxy, client, 40)
-            every[0] = 2
-            seen = await cursors(proxy, client, 15)
-            assert max(seen) >= 5
+            await cursors_over_periods(proxy, client, 40)
+            error_interval[0] = 2
+            cursors = await cursors_over_periods(proxy, client, 15)
+            assert max(cursors) >= 5
 
     run(main())
 
 
 def test_fast_first_responses_do_not_block_a_node():
-    """Guards against a quiet latency learnt from ten lucky answers: the node shed three calls of four."""
+    """Guards against shedding load because the baseline latency was learned from a few fast responses."""
 
     async def main() -> None:
-        given = 0
+        response_count = 0
 
-        async def quick_then_usual(_message: Message, writer: asyncio.StreamWriter) -> None:
-            nonlocal given
-            given += 1
-            if given > 10:
-                await asyncio.sleep(0.05)  # a quarter of the aim: nothing is wrong
+        async def fast_at_first(_message: Message, writer: asyncio.StreamWriter) -> None:
+            nonlocal response_count
+            response_count += 1
+            if response_count > 10:
+                await asyncio.sleep(0.05)  # a quarter of the latency objective
             writer.write(answer())
 
-        brief = (
+        read_class = (
             ServiceClass(
                 "read", latency_objective_ms=200, deadline_ms=2000, idempotency=Idempotency.NON_IDEMPOTENT
             ),
         )
         async with (
-            FakeServer(quick_then_usual).up() as server,
-            node([entry("s", server.port)], classes=brief) as proxy,
+            FakeServer(fast_at_first).up() as server,
+            node([entry("s", server.port)], classes=read_class) as proxy,
             contextlib.AsyncExitStack() as stack,
         ):
             clients = [await stack.enter_async_context(Client(proxy)) for _ in range(6)]
-            await asyncio.gather(*(cursors(proxy, client, 40) for client in clients))
-            seen = await asyncio.gather(*(cursors(proxy, client, 20) for client in clients))
-            assert max(map(max, seen)) <= 3
+            await asyncio.gather(*(cursors_over_periods(proxy, client, 40) for client in clients))
+            cursors = await asyncio.gather(*(cursors_over_periods(proxy, client, 20) for client in clients))
+            assert max(map(max, cursors)) <= 3
 
     run(main())
--- a/tests/http/test_partial_request.py
+++ b/tests/http/test_partial_request.py
@@ -1,4 +1,4 @@
-"""Incomplete requests, and the bytes with which another parser reads them again."""
+"""Incomplete requests, and the bytes from which another parser reads them again (hot restart)."""
 
 from __future__ import annotations
 
@@ -13,14 +13,14 @@
 
 
 def incomplete(content_length: int | None, body: bytes = b"") -> DownstreamRequest:
-    buffered = RequestBody(BufferBudget(1000), lambda: None)
+    request_body = RequestBody(BufferBudget(1000), lambda: None)
     if body:
-        buffered.append(body)
+        request_body.append(body)
     headers = [(b"host", b"a"), (b"expect", b"100-continue")]
-    return DownstreamRequest(None, b"POST", b"/x", headers, buffered, content_length)  # type: ignore[arg-type]
+    return DownstreamRequest(None, b"POST", b"/x", headers, request_body, content_length)  # type: ignore[arg-type]
 
 
-def test_a_head_is_kept_as_received():
+def test_incomplete_head_is_encoded_as_received():
     partial = PartialRequest()
     partial.start(b"POST /x")
     partial.extend_head(b" HTTP/1.1\r\nhost:")
@@ -29,14 +29,14 @@
     assert partial.encode(None, is_http_1_0=False) == b"POST /x HTTP/1.1\r\nhost:"
 
 
-def test_a_head_that_began_within_a_read_is_unknown():
+def test_head_that_began_behind_another_request_is_not_replayable():
     partial = PartialRequest()
     partial.start(None)
     partial.extend_head(b" HTTP/1.1\r\n")
     assert not partial.replayable(None, response_pending=False)
 
 
-def test_a_body_of_known_length_is_encoded_without_the_expectation():
+def test_body_of_known_length_is_encoded_without_expect():
     partial, request = PartialRequest(), incomplete(5, b"abc")
     partial.start(HEAD + b"\r\nabc")
     partial.extend_body(HEAD + b"\r\nabc", request)
@@ -45,7 +45,7 @@
     assert partial.encode(request, is_http_1_0=True) == HEAD.replace(b"1.1", b"1.0") + b"\r\nabc"
 
 
-def test_a_chunked_body_is_encoded_in_other_chunks():
+def test_chunked_body_is_encoded_in_new_chunks():
     partial, request = PartialRequest(), incomplete(None, b"abcd")
     received = HEAD + b"\r\n2\r\nab\r\n4\r\ncd"
     partial.start(received)
@@ -55,7 +55,7 @@
 
 
 @pytest.mark.parametrize("change", ["dispatched", "dropped", "released", "upgrade"])
-def test_a_request_that_can_not_be_read_again_is_not_replayable(change: str):
+def test_dispatched_or_dropped_request_is_not_replayable(change: str):
     partial, request = PartialRequest(), incomplete(5, b"abc")
     if change == "dispatched":
         request.dispatched = True
@@ -69,7 +69,7 @@
     assert not partial.replayable(request, response_pending=False)
 
 
-def test_an_unknown_position_in_a_chunked_body_is_an_error():
+def test_unknown_position_in_a_chunked_body_is_an_error():
     partial, request = PartialRequest(), incomplete(None, b"ab")
     assert not partial.replayable(request, response_pending=False)
     with pytest.raises(ChunkedEncodingError):
