--- a/tests/http/test_attempt_deadlines.py
+++ b/tests/http/test_attempt_deadlines.py
@@ -10,7 +10,7 @@
 from rosewheel.proxy import clock
 from rosewheel.proxy.proxy import Proxy
 from tests.http.test_disconnects_between_attempts import LONG_DEADLINE_CLASSES
-from tests.http.test_pipelining import request
+from tests.http.test_pipelining import encode_request
 from tests.support.sockets import Client, FakeServer, Message, answer, entry, node, run, status, until
 
 TIMEOUT_MS = 60_000
@@ -122,7 +122,9 @@
             node([entry("one", server.port)], classes=LONG_DEADLINE_CLASSES) as proxy,
         ):
             async with Client(proxy) as client:
-                client.writer.write(request("r0", timeout=TIMEOUT_MS) + request("r1", timeout=TIMEOUT_MS))
+                client.writer.write(
+                    encode_request("r0", timeout=TIMEOUT_MS) + encode_request("r1", timeout=TIMEOUT_MS)
+                )
                 await until(lambda: len(server.got) == 1)
                 (connection,) = proxy.server.connections
                 (queued,) = connection.queued_requests
--- a/tests/http/test_pipelining.py
+++ b/tests/http/test_pipelining.py
@@ -1,4 +1,4 @@
-"""Clients that send requests ahead of the responses that are due: each gets its own, in order."""
+"""Pipelining: each request of a client gets its response, in order."""
 
 from __future__ import annotations
 
@@ -10,8 +10,8 @@
 from tests.support.sockets import Client, FakeServer, Message, answer, entry, node, run, status, until
 
 
-def request(id: str, service: str = "read", timeout: int = 10_000, body: bytes = b"") -> bytes:
-    """A request on the wire."""
+def encode_request(id: str, service: str = "read", timeout: int = 10_000, body: bytes = b"") -> bytes:
+    """Encode a request."""
     method = "GET" if service == "read" else "POST"
     head = f"{method} /{id} HTTP/1.1\r\nRequest-Id: {id}\r\nRequest-Class: {service}\r\n"
     return f"{head}Request-Timeout-Ms: {timeout}\r\nContent-Length: {len(body)}\r\n\r\n".encode() + body
@@ -22,8 +22,8 @@
     writer.write(answer(200, message.first.split()[1].encode()))
 
 
-async def responses(client: Client, count: int) -> list[tuple[int, bytes]]:
-    """Status and body of the next responses."""
+async def read_responses(client: Client, count: int) -> list[tuple[int, bytes]]:
+    """Read the next responses; return the status and body of each."""
     messages = [await client.answer() for _ in range(count)]
     return [(status(message), message.body if message else b"") for message in messages]
 
@@ -33,16 +33,16 @@
     async def main() -> None:
         async with FakeServer(echo_path).up() as server, node([entry("one", server.port)]) as proxy:
             async with Client(proxy) as client:
-                client.writer.write(b"".join(request(f"r{number}") for number in range(count)))
+                client.writer.write(b"".join(encode_request(f"r{number}") for number in range(count)))
                 expected = [(200, b"/r%d" % number) for number in range(count)]
-                assert await responses(client, count) == expected
+                assert await read_responses(client, count) == expected
                 assert proxy.budget.used_bytes == 0
 
     run(main())
 
 
 @pytest.mark.parametrize("count", [MAX_PIPELINED_REQUESTS + 1, 15, 40])
-def test_requests_behind_a_running_one_are_all_answered(count: int):
+def test_requests_behind_an_active_one_are_all_answered(count: int):
     async def main() -> None:
         gate = asyncio.Event()
 
@@ -52,16 +52,16 @@
 
         async with FakeServer(respond).up() as server, node([entry("one", server.port)]) as proxy:
             async with Client(proxy) as client:
-                client.writer.write(request("first"))
+                client.writer.write(encode_request("first"))
                 await until(lambda: bool(server.got))
-                client.writer.write(b"".join(request(f"r{number}") for number in range(count)))
+                client.writer.write(b"".join(encode_request(f"r{number}") for number in range(count)))
                 (connection,) = proxy.server.connections
                 await until(lambda: connection.reading_paused)
                 excess = len(connection.queued_requests) - MAX_PIPELINED_REQUESTS
-                assert 0 <= excess <= MAX_PARSED_BYTES // len(request("r0"))
+                assert 0 <= excess <= MAX_PARSED_BYTES // len(encode_request("r0"))
                 gate.set()
                 expected = [(200, b"/first")] + [(200, b"/r%d" % number) for number in range(count)]
-                assert await responses(client, count + 1) == expected
+                assert await read_responses(client, count + 1) == expected
 
     run(main())
 
@@ -71,14 +71,14 @@
     "too long": (b"GET /" + b"x" * 20_000 + b" HTTP/1.1\r\n", 431),
     "header twice": (b"GET / HTTP/1.1\r\nRequest-Id: a\r\nRequest-Id: b\r\n\r\n", 400),
     "no id": (b"GET / HTTP/1.1\r\n\r\n", 400),
-    "id in use": (request("first"), 409),
+    "id in use": (encode_request("first"), 409),
 }
 
 
 @pytest.mark.parametrize("kind", MALFORMED)
-@pytest.mark.parametrize("ahead", [0, 1, 3])
-def test_a_bad_request_costs_none_before_it_its_response(kind: str, ahead: int):
-    """The response of a running request was the error of the bad one; the queued ones got none."""
+@pytest.mark.parametrize("earlier_count", [0, 1, 3])
+def test_rejected_request_does_not_affect_the_responses_to_earlier_ones(kind: str, earlier_count: int):
+    """Guards against sending the error in place of the response to the active request, or dropping queued requests."""
     data, error_status = MALFORMED[kind]
 
     async def main() -> None:
@@ -90,15 +90,19 @@
 
         async with FakeServer(respond).up() as server, node([entry("one", server.port)]) as proxy:
             async with Client(proxy) as other, Client(proxy) as client:
-                other.writer.write(request("first"))  # its id is in use until its gate opens
+                other.writer.write(encode_request("first"))  # its id is in use until its gate opens
                 await until(lambda: len(server.got) == 1)
-                if ahead:
-                    client.writer.write(request("r0"))
+                if earlier_count:
+                    client.writer.write(encode_request("r0"))
                     await until(lambda: len(server.got) == 2)
-                client.writer.write(b"".join(request(f"r{number}") for number in range(1, ahead)) + data)
+                client.writer.write(
+                    b"".join(encode_request(f"r{number}") for number in range(1, earlier_count)) + data
+                )
                 await client.writer.drain()
                 gate.set()
-                assert await responses(client, ahead) == [(200, b"/r%d" % number) for number in range(ahead)]
+                assert await read_responses(client, earlier_count) == [
+                    (200, b"/r%d" % number) for number in range(earlier_count)
+                ]
                 assert status(await client.answer()) == error_status
                 assert await client.answer() is None
                 first_gate.set()
@@ -107,8 +111,8 @@
     run(main())
 
 
-def test_requests_that_were_read_behind_a_refused_one_are_answered():
-    """They are valid; behind a request that is not, what follows may be hidden (test_request_validation.py)."""
+def test_valid_requests_behind_a_refused_one_are_served():
+    """A refused request is valid, unlike a malformed one, behind which nothing is served (test_request_validation)."""
 
     async def main() -> None:
         gate = asyncio.Event()
@@ -120,12 +124,17 @@
 
         async with FakeServer(respond).up() as server, node([entry("one", server.port)]) as proxy:
             async with Client(proxy) as other, Client(proxy) as client:
-                other.writer.write(request("first"))
+                other.writer.write(encode_request("first"))
                 await until(lambda: len(server.got) == 1)
-                client.writer.write(request("r0") + request("first") + request("r1") + request("first"))
-                assert await responses(client, 1) == [(200, b"/r0")]
+                client.writer.write(
+                    encode_request("r0")
+                    + encode_request("first")
+                    + encode_request("r1")
+                    + encode_request("first")
+                )
+                assert await read_responses(client, 1) == [(200, b"/r0")]
                 assert status(await client.answer()) == 409
-                assert await responses(client, 1) == [(200, b"/r1")]
+                assert await read_responses(client, 1) == [(200, b"/r1")]
                 assert status(await client.answer()) == 409
                 assert await client.answer() is None
                 gate.set()
@@ -134,8 +143,8 @@
 
 
 @pytest.mark.parametrize("code", [400, 409])
-def test_a_rejected_request_whose_body_is_still_sent_gets_its_error(code: int):
-    """Its connection was closed with no response: the error was taken for a second one."""
+def test_rejected_request_with_an_incomplete_body_gets_its_error(code: int):
+    """Guards against closing the connection without the error response."""
 
     async def main() -> None:
         gate = asyncio.Event()
@@ -145,10 +154,10 @@
 
         async with FakeServer(respond).up() as server, node([entry("one", server.port)]) as proxy:
             async with Client(proxy) as other, Client(proxy) as client:
-                other.writer.write(request("first"))
+                other.writer.write(encode_request("first"))
                 await until(lambda: len(server.got) == 1)
                 service = "post" if code == 409 else "unknown"
-                head = request("first", service, body=bytes(3 << 20))
+                head = encode_request("first", service, body=bytes(3 << 20))
                 client.writer.write(head[: 2 << 20])
                 assert status(await client.answer()) == code
                 gate.set()
