--- a/tests/http/test_request_bodies.py
+++ b/tests/http/test_request_bodies.py
@@ -1,4 +1,4 @@
-"""Bodies of requests: buffered, streamed, interrupted and stalled."""
+"""Request bodies that are buffered, streamed, interrupted or stalled."""
 
 from __future__ import annotations
 
@@ -9,9 +9,7 @@
 
 from rosewheel.discovery.start_times import ServerStartTimes
 from rosewheel.http import body as body_module
-from rosewheel.http import downstream_connection as downstream_connection
-from rosewheel.http import upstream_connection as upstream_connection
-from rosewheel.http import upstream_pool as upstream_pool
+from rosewheel.http import downstream_connection, upstream_connection, upstream_pool
 from tests.support.raw_messages import (
     LARGE_BODY_BYTES,
     RawServer,
@@ -24,7 +22,7 @@
 
 @pytest.mark.parametrize("chunked", [False, True])
 def test_body_larger_than_the_buffer_arrives_unchanged(chunked: bool):
-    """Guards memory and the body: never more held than the bound of one connection, every byte passed on."""
+    """Guards against a streamed body that loses bytes, or is buffered beyond the limit for one connection."""
     received: list[tuple[str, bytes]] = []
     max_used_bytes = 0
 
@@ -37,7 +35,7 @@
     async def main() -> None:
         nonlocal max_used_bytes
         async with RawServer(respond).up() as server, node([entry("s", server.port)]) as proxy:
-            # What one connection may hold while that to the server comes up.
+            # Limits what the client's connection buffers while the one to the server is being opened.
             proxy.budget.limit_bytes = (
                 body_module.CONNECTION_SHARE_DIVISOR * body_module.MAX_BUFFERED_BODY_BYTES
             )
@@ -67,8 +65,7 @@
 
 
 def test_timeout_of_a_slow_body_starts_at_its_last_byte(monkeypatch: pytest.MonkeyPatch):
-    """Guards slow clients: a body that takes longer than the client's patience for the answer is no late one,
-    whether it is held or passes through."""
+    """Guards against a timeout that includes the time of the body, for a buffered and for a streamed one."""
 
     async def main() -> None:
         async with FakeServer().up() as server, node([entry("s", server.port)]) as proxy:
@@ -91,7 +88,7 @@
 
 
 def test_interrupted_non_idempotent_request_is_rejected_as_not_executed(monkeypatch: pytest.MonkeyPatch):
-    """Guards against a second sending of what is no longer here, and against a failure that is none."""
+    """Guards against retrying a body of which segments were dropped, and against a 502 for an unexecuted request."""
     monkeypatch.setattr(body_module, "MAX_BUFFERED_BODY_BYTES", 1000)
 
     async def close_early(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -103,14 +100,14 @@
             async with node([entry("s1", one.port)]) as proxy, Client(proxy) as client:
                 client.writer.write(encode_request_head("Content-Length: 1000000") + byte_pattern(100_000))
                 await until(lambda: one.connections == 1)
-                received = await client.answer()  # at once: the rest of the request is still to come
-                assert status(received) == 503
+                response = await client.answer()  # sent before the rest of the request is received
+                assert status(response) == 503
                 client.writer.write(byte_pattern(900_000))
                 proxy.endpoints.list_updated(
                     EndpointListForm.SNAPSHOT,
                     discovery.parse_endpoints([entry("s2", two.port)], ServerStartTimes()),
                 )
-                assert status(await client.ask("post")) == 200  # the rest was read past
+                assert status(await client.ask("post")) == 200  # the rest of the body was skipped
                 assert proxy.node.statistics.classes["post"].shed == 1
                 assert proxy.budget.used_bytes == 0
 
@@ -121,16 +118,16 @@
 
 
 def test_buffered_body_is_retried_elsewhere_if_not_executed():
-    async def close_early(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def reject(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         await reader.readuntil(b"\r\n\r\n")
         writer.write(answer(503, b"", Not_Started="1", Connection="close"))
 
     async def main() -> None:
-        async with RawServer(close_early).up() as one, FakeServer().up() as two:
+        async with RawServer(reject).up() as one, FakeServer().up() as two:
             servers = [entry("s1", one.port), entry("s2", two.port)]
             async with node(servers) as proxy, Client(proxy) as client:
-                for offset in range(6):
-                    assert status(await client.ask("post", body=byte_pattern(300_000), id=f"r{offset}")) == 200
+                for index in range(6):
+                    assert status(await client.ask("post", body=byte_pattern(300_000), id=f"r{index}")) == 200
                 assert [len(message.body) for message in two.got] == [300_000] * 6
                 assert one.connections > 0
 
@@ -143,7 +140,7 @@
 
     async def main() -> None:
         async with FakeServer().up() as server, node([entry("s", server.port)]) as proxy:
-            for size in (5, 500):  # held, and on its way to the server
+            for size in (5, 500):  # buffered, and streamed to the server
                 async with Client(proxy) as client:
                     client.writer.write(
                         encode_request_head("Content-Length: 1000").replace(b"big", b"%d" % size)
@@ -158,7 +155,7 @@
 
 
 def test_server_that_does_not_read_a_body_is_abandoned(monkeypatch: pytest.MonkeyPatch):
-    """Guards clients: before the last byte no deadline runs, so nothing else would end this."""
+    """Guards against a request that never ends, since a deadline starts only at its last byte."""
     monkeypatch.setattr(upstream_connection, "WRITE_STALL_TIMEOUT_S", 0.2)
     monkeypatch.setattr(upstream_pool, "SWEEP_INTERVAL_S", 0.05)
 
@@ -170,8 +167,8 @@
             async with Client(proxy) as client:
                 client.writer.write(encode_request_head(f"Content-Length: {30 << 20}"))
                 sending = asyncio.ensure_future(send_body(client.writer, 30 << 20))
-                assert status(await client.answer()) == 503, "it never ran"
-                await sending  # and the rest is read past
+                assert status(await client.answer()) == 503, "it was not executed"
+                await sending  # the rest of the body is skipped
                 assert status(await client.ask("post", id="next")) == 504
                 assert proxy.budget.used_bytes == 0
 
@@ -185,7 +182,7 @@
 
 
 def test_answered_request_gets_no_second_response(monkeypatch: pytest.MonkeyPatch):
-    """Guards the order of answers: the rest of a refused body stops on its way, and that is all."""
+    """Guards the order of responses: a rejected request whose body then stalls gets no second error."""
     monkeypatch.setattr(downstream_connection, "RECEIVE_TIMEOUT_S", 0.1)
     monkeypatch.setattr(body_module, "MAX_BUFFERED_BODY_BYTES", 10)
 
