--- a/tests/http/test_request_validation.py
+++ b/tests/http/test_request_validation.py
@@ -1,4 +1,4 @@
-"""Requests that are malformed, ambiguous or endless."""
+"""Requests that are malformed, ambiguous or too long."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 @pytest.mark.parametrize(
-    ("raw", "code"),
+    ("request_bytes", "code"),
     [
         (b"no HTTP\r\n\r\n", 400),
         (b"GET /x HTTP/1.1\r\nHost: a\r\n\r\n", 400),
@@ -37,13 +37,13 @@
         (b"GET /x HTTP/1.1\r\nConnection: Upgrade\r\nUpgrade: h2c\r\n\r\n", 400),
     ],
 )
-def test_invalid_request_gets_an_error_response(raw: bytes, code: int):
-    """Guards against a traceback, or the promise of a 429 or 503, for a request that can't be read."""
+def test_invalid_request_gets_an_error_response(request_bytes: bytes, code: int):
+    """Guards against a traceback, and against a 429 or 503 in place of the error, for an invalid request."""
 
     async def main() -> None:
         async with FakeServer().up() as server, node([entry("s", server.port)]) as proxy:
             async with Client(proxy) as client:
-                client.writer.write(raw)
+                client.writer.write(request_bytes)
                 assert status(await client.answer()) == code
             async with Client(proxy) as client:
                 assert status(await client.ask()) == 200
@@ -53,42 +53,39 @@
 
 
 CHUNKED = b"Transfer-Encoding: chunked\r\n"
-
-
-HIDDEN = b"GET /y HTTP/1.1\r\nRequest-Id: b\r\nRequest-Class: read\r\nRequest-Timeout-Ms: 900\r\n\r\n"
+SMUGGLED = b"GET /y HTTP/1.1\r\nRequest-Id: b\r\nRequest-Class: read\r\nRequest-Timeout-Ms: 900\r\n\r\n"
 
 
 @pytest.mark.parametrize(
-    "raw",
+    "request_bytes",
     [
-        TIMED_POST_HEAD + CHUNKED + b"Content-Length: 5\r\n\r\n0\r\n\r\n" + HIDDEN,
-        TIMED_POST_HEAD + b"Content-Length: 5\r\n" + CHUNKED + b"\r\n0\r\n\r\n" + HIDDEN,
-        TIMED_POST_HEAD + b"Content-Length: 0\r\nContent-Length: 0\r\n\r\n" + HIDDEN,
-        TIMED_POST_HEAD + b"Content-Length: -4\r\n\r\nabcd" + HIDDEN,
-        TIMED_POST_HEAD + b"Content-Length: +4\r\n\r\nabcd" + HIDDEN,
-        TIMED_POST_HEAD + b"Transfer-Encoding: gzip, chunked\r\n\r\n0\r\n\r\n" + HIDDEN,
-        TIMED_POST_HEAD + b"Transfer-Encoding : chunked\r\n\r\n0\r\n\r\n" + HIDDEN,
-        TIMED_POST_HEAD + CHUNKED + b"\r\nzz\r\nabcd\r\n0\r\n\r\n" + HIDDEN,
-        TIMED_POST_HEAD + CHUNKED + b"\r\n4\nabcd\n0\n\n" + HIDDEN,
-        TIMED_POST_HEAD.replace(b"1.1", b"1.0", 1) + CHUNKED + b"\r\n0\r\n\r\n" + HIDDEN,
-        TIMED_POST_HEAD.replace(b"1.1", b"2.0", 1) + b"Content-Length: 0\r\n\r\n" + HIDDEN,
-        TIMED_POST_HEAD.replace(b"\r\n", b"\n") + b"Content-Length: 0\n\n" + HIDDEN,
-        TIMED_POST_HEAD + b"Request-Id: c\r\nContent-Length: 0\r\n\r\n" + HIDDEN,
+        TIMED_POST_HEAD + CHUNKED + b"Content-Length: 5\r\n\r\n0\r\n\r\n" + SMUGGLED,
+        TIMED_POST_HEAD + b"Content-Length: 5\r\n" + CHUNKED + b"\r\n0\r\n\r\n" + SMUGGLED,
+        TIMED_POST_HEAD + b"Content-Length: 0\r\nContent-Length: 0\r\n\r\n" + SMUGGLED,
+        TIMED_POST_HEAD + b"Content-Length: -4\r\n\r\nabcd" + SMUGGLED,
+        TIMED_POST_HEAD + b"Content-Length: +4\r\n\r\nabcd" + SMUGGLED,
+        TIMED_POST_HEAD + b"Transfer-Encoding: gzip, chunked\r\n\r\n0\r\n\r\n" + SMUGGLED,
+        TIMED_POST_HEAD + b"Transfer-Encoding : chunked\r\n\r\n0\r\n\r\n" + SMUGGLED,
+        TIMED_POST_HEAD + CHUNKED + b"\r\nzz\r\nabcd\r\n0\r\n\r\n" + SMUGGLED,
+        TIMED_POST_HEAD + CHUNKED + b"\r\n4\nabcd\n0\n\n" + SMUGGLED,
+        TIMED_POST_HEAD.replace(b"1.1", b"1.0", 1) + CHUNKED + b"\r\n0\r\n\r\n" + SMUGGLED,
+        TIMED_POST_HEAD.replace(b"1.1", b"2.0", 1) + b"Content-Length: 0\r\n\r\n" + SMUGGLED,
+        TIMED_POST_HEAD.replace(b"\r\n", b"\n") + b"Content-Length: 0\n\n" + SMUGGLED,
+        TIMED_POST_HEAD + b"Request-Id: c\r\nContent-Length: 0\r\n\r\n" + SMUGGLED,
         TIMED_POST_HEAD + b"Content-Length: 60000000\r\n\r\n" + b"a" * 1000,
-        POST_HEAD + b"Request-Timeout-Ms: 1_0\r\n\r\n" + HIDDEN,
-        POST_HEAD + b"Request-Timeout-Ms: 1e3\r\n\r\n" + HIDDEN,
-        POST_HEAD + b"Request-Timeout-Ms: 99999999999\r\n\r\n" + HIDDEN,
-        TIMED_POST_HEAD + b"Work-Hint: inf\r\n\r\n" + HIDDEN,
+        POST_HEAD + b"Request-Timeout-Ms: 1_0\r\n\r\n" + SMUGGLED,
+        POST_HEAD + b"Request-Timeout-Ms: 1e3\r\n\r\n" + SMUGGLED,
+        POST_HEAD + b"Request-Timeout-Ms: 99999999999\r\n\r\n" + SMUGGLED,
+        TIMED_POST_HEAD + b"Work-Hint: inf\r\n\r\n" + SMUGGLED,
     ],
 )
-def test_ambiguous_request_is_rejected(raw: bytes):
-    """Guards against hidden requests: one error, a close, and nothing of it reaches a server. That holds for
-    all that came with it too."""
+def test_ambiguous_request_is_rejected(request_bytes: bytes):
+    """Guards against request smuggling: one error and a close; nothing of it or behind it reaches a server."""
 
     async def main() -> None:
         async with FakeServer().up() as server, node([entry("s", server.port)]) as proxy:
             async with Client(proxy) as client:
-                client.writer.write(raw)
+                client.writer.write(request_bytes)
                 assert 400 <= status(await client.answer()) < 500
                 assert await client.reader.read() == b""
             assert not server.got
@@ -101,19 +98,19 @@
 NOISE = b"\x00\xff noise\r\n\r\n"
 
 
-@pytest.mark.parametrize("at_once", [True, False])
-def test_invalid_bytes_after_a_pending_request_are_rejected_behind_its_response(at_once: bool):
-    """Guards the response of the valid request, and against whatever follows the invalid bytes."""
+@pytest.mark.parametrize("in_one_read", [True, False])
+def test_invalid_bytes_after_a_pending_request_are_rejected_behind_its_response(in_one_read: bool):
+    """Guards the response to the valid request, and against serving what follows the invalid bytes."""
 
     async def main() -> None:
         gate, respond = gated_handler()
         async with FakeServer(respond).up() as server, node([entry("s", server.port)]) as proxy:
             async with Client(proxy) as client:
-                valid = TIMED_POST_HEAD.replace(b"900", b"60000") + b"Content-Length: 0\r\n\r\n"
-                client.writer.write(valid + NOISE + HIDDEN if at_once else valid)
+                valid_request = TIMED_POST_HEAD.replace(b"900", b"60000") + b"Content-Length: 0\r\n\r\n"
+                client.writer.write(valid_request + NOISE + SMUGGLED if in_one_read else valid_request)
                 await until(lambda: len(server.got) == 1)
-                if not at_once:
-                    client.writer.write(NOISE + HIDDEN)
+                if not in_one_read:
+                    client.writer.write(NOISE + SMUGGLED)
                 (connection,) = proxy.server.connections
                 await until(lambda: connection.phase is RequestPhase.REJECTED)
                 gate.set()
@@ -128,28 +125,28 @@
 
 
 @pytest.mark.parametrize(
-    "raw",
+    "request_bytes",
     [
-        b"GET /x HTTP/1.1\r\nX: ",  # one header without end
-        b"GET /",  # a path without end
-        TIMED_POST_HEAD + CHUNKED + b"\r\n4;a=",  # a chunk's extension without end
-        b"",  # white space and nothing else
+        b"GET /x HTTP/1.1\r\nX: ",  # an endless header
+        b"GET /",  # an endless target
+        TIMED_POST_HEAD + CHUNKED + b"\r\n4;a=",  # an endless chunk extension
+        b"",  # endless blank lines
     ],
 )
-def test_endless_head_is_rejected(raw: bytes):
-    """Guards memory: the parser hands a header over only once it is whole."""
+def test_endless_head_is_rejected(request_bytes: bytes):
+    """Guards memory: the parser reports a header only once it is complete, so its size is limited before."""
 
     async def main() -> None:
         async with FakeServer().up() as server, node([entry("s", server.port)]) as proxy:
             async with Client(proxy) as client:
-                client.writer.write(raw)
+                client.writer.write(request_bytes)
                 with contextlib.suppress(ConnectionError):
                     for _ in range(400):
-                        client.writer.write((b"a" if raw else b"\r\n") * 4096)
+                        client.writer.write((b"a" if request_bytes else b"\r\n") * 4096)
                         await client.writer.drain()
                         if client.reader.at_eof():
                             break
-                if raw:
+                if request_bytes:
                     assert status(await client.answer()) in (413, 431)
                 await until(lambda: not proxy.server.connections)
 
