--- a/tests/http/test_response_encoding.py
+++ b/tests/http/test_response_encoding.py
@@ -1,4 +1,4 @@
-"""Heads of the node's own responses, byte by byte."""
+"""Encoding of the responses that the node writes to clients."""
 
 from __future__ import annotations
 
--- a/tests/http/test_responses.py
+++ b/tests/http/test_responses.py
@@ -1,4 +1,4 @@
-"""Responses of servers: framings, load reports, and those that are invalid."""
+"""Responses of servers: load reports, framings, surplus bytes and invalid responses."""
 
 from __future__ import annotations
 
@@ -27,25 +27,25 @@
 
 
 def test_load_reports_reach_the_policy_also_with_a_failure():
-    """Guards the ranking: a full server says how full it is in the very answer that turns a call away."""
+    """An overloaded server reports its load in the response that rejects a request, and the ranking needs it."""
 
     async def main() -> None:
-        async def full(message: Message, writer: asyncio.StreamWriter) -> None:
+        async def reject(message: Message, writer: asyncio.StreamWriter) -> None:
             writer.write(answer(503, b"", Not_Started="1", Server_Load="TEXT depth=41, load_share=0.5"))
 
         events: list[Event] = []
-        async with FakeServer(full).up() as server, node([entry("s", server.port)]) as proxy:
+        async with FakeServer(reject).up() as server, node([entry("s", server.port)]) as proxy:
             handle = proxy.node.balancer.handle
 
-            def listen(now: float, event: Event) -> list[Action]:
+            def record_event(now: float, event: Event) -> list[Action]:
                 events.append(event)
                 return handle(now, event)
 
-            proxy.node.balancer.handle = listen  # type: ignore[method-assign]
+            proxy.node.balancer.handle = record_event  # type: ignore[method-assign]
             async with Client(proxy) as client:
                 assert status(await client.ask("post")) == 503
-        ended = [event for event in events if isinstance(event, AttemptFinished)]
-        assert [(one.result, one.request_ended, one.report) for one in ended] == [
+        finished = [event for event in events if isinstance(event, AttemptFinished)]
+        assert [(event.result, event.request_ended, event.report) for event in finished] == [
             (AttemptResult.OVERLOADED, False, {"queue": 41.0, "util": 0.5})
         ]
 
@@ -66,65 +66,69 @@
     ],
 )
 def test_invalid_load_report_is_ignored(text: str, report: dict[str, float] | None):
-    """Guards the ranking: a figure past all reason would keep its server out for long."""
+    """Guards the ranking against an implausible value, which would exclude its server for long."""
     assert parse_load_report(text) == report
 
 
 @pytest.mark.usefixtures("no_quiet_period")
 @pytest.mark.parametrize(
-    ("raw", "kept"),
+    ("response_bytes", "reused"),
     [
         (b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\no\r\n1\r\nk\r\n0\r\n\r\n", True),
         (b"HTTP/1.1 200 OK\r\ncontent-length: 2\r\nConnection: close\r\n\r\nok", False),
-        (b"HTTP/1.1 200 OK\r\n\r\nok", False),  # such a body ends with its connection
+        (b"HTTP/1.1 200 OK\r\n\r\nok", False),  # the body ends with the connection
         (b"HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok", True),
     ],
 )
-def test_response_framings(raw: bytes, kept: bool):
-    """Guards whole answers against being taken for broken, and connections against reuse past their end."""
+def test_response_framings(response_bytes: bytes, reused: bool):
+    """Guards against failing complete responses, and against reusing connections that the server closes."""
 
     async def main() -> None:
         async def handler(message: Message, writer: asyncio.StreamWriter) -> None:
-            for at in range(0, len(raw), 7):  # in pieces, as a network brings them
-                writer.write(raw[at : at + 7])
+            for offset in range(0, len(response_bytes), 7):  # in small parts, as from a network
+                writer.write(response_bytes[offset : offset + 7])
                 await asyncio.sleep(0)
-            if not kept:
+            if not reused:
                 writer.close()
 
         async with FakeServer(handler).up() as server, node([entry("s", server.port)]) as proxy:
             async with Client(proxy) as client:
                 for _ in range(2):
-                    got = await client.ask("post")
-                    assert (status(got), got.body) == (200, b"ok")
-                assert server.connections == (1 if kept else 2)
+                    response = await client.ask("post")
+                    assert (status(response), response.body) == (200, b"ok")
+                assert server.connections == (1 if reused else 2)
 
     run(main())
 
 
-COPY = answer(body=b"mine")
+RESPONSE = answer(body=b"mine")
 
 
-@pytest.mark.parametrize("behind", [COPY, b"\x00\xff noise", b"HTTP/1.1 200 OK\r\nContent-Le", b"\r\n\r\n"])
-def test_complete_response_is_served_whatever_follows_it(behind: bytes):
-    """Guards an answer that is whole against what comes in one read with it, and the next request against
-    that: the connection is not used again. Blank lines alone are nothing, and harm no connection."""
+@pytest.mark.parametrize(
+    "surplus", [RESPONSE, b"\x00\xff noise", b"HTTP/1.1 200 OK\r\nContent-Le", b"\r\n\r\n"]
+)
+def test_complete_response_is_served_whatever_follows_it(surplus: bytes):
+    """Guards against surplus bytes in the same read that fail the response or are taken for the next one.
+
+    The connection is not reused, except after blank lines, which are ignored.
+    """
 
     async def main() -> None:
         async def handler(message: Message, writer: asyncio.StreamWriter) -> None:
-            writer.write(COPY + behind)
+            writer.write(RESPONSE + surplus)
 
         async with FakeServer(handler).up() as server, node([entry("s", server.port)]) as proxy:
             async with Client(proxy) as client:
                 for _ in range(2):
-                    got = await client.ask("post")
-                    assert (status(got), got.body) == (200, b"mine")
-                assert server.connections == 2 or not behind.strip()
+                    response = await client.ask("post")
+                    assert (status(response), response.body) == (200, b"mine")
+                assert server.connections == 2 or not surplus.strip()
 
     run(main())
 
 
 @pytest.mark.parametrize(
-    "raw",
+    "response_bytes",
     [
         b"\x1a\x9a noise\r\n\r\n",
         b"ICY 200 OK\r\nContent-Length: 2\r\n\r\nok",
@@ -137,24 +141,26 @@
         b"HTTP/1.1 200 OK\r\nTransfer-Encoding: gzip\r\n\r\nok",
         b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\no\r\nzz\r\nk\r\n0\r\n\r\n",
         b"HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nok",
-        b"HTTP/1.1 200 OK\r\nContent-Length: 200\r\n\r\nok",  # the rest never comes
+        b"HTTP/1.1 200 OK\r\nContent-Length: 200\r\n\r\nok",  # the body stays incomplete
         b"HTTP/1.1 200 OK\r\nContent-Le",
         b"HTTP/1.1 200 OK\r\n" + b"X-Pad: pppp\r\n" * 9000,
         b"HTTP/1.1 200 OK\r\nX-Pad: " + b"p" * 90000,
         b"HTTP/1.1 103 Early Hints\r\n\r\n" * 3000,
     ],
 )
-def test_invalid_response_fails_an_attempt_that_may_have_been_executed(raw: bytes):
-    """Guards against serving what is no answer, against a second posting, and against waiting for the rest
-    until the deadline where a repeat is allowed. The connection stays open on the server's side."""
+def test_invalid_response_fails_an_attempt_that_may_have_been_executed(response_bytes: bytes):
+    """Guards against forwarding an invalid response, and against a second execution of a non-idempotent request.
+
+    An idempotent one is retried without waiting for the deadline. The server keeps the connection open.
+    """
 
     async def main() -> None:
-        spoil = True
+        respond_invalid = True
 
         async def handler(message: Message, writer: asyncio.StreamWriter) -> None:
-            nonlocal spoil
-            writer.write(raw if spoil else answer())
-            spoil = False
+            nonlocal respond_invalid
+            writer.write(response_bytes if respond_invalid else answer())
+            respond_invalid = False
 
         async with FakeServer(handler).up() as one, FakeServer(handler).up() as two:
             servers = [entry("s1", one.port), entry("s2", two.port)]
@@ -162,7 +168,7 @@
                 started_s = proxy.loop.time()
                 assert status(await client.ask("post", timeout=3000)) == 502
                 assert len(one.got) + len(two.got) == 1
-                spoil = True
+                respond_invalid = True
                 assert status(await client.ask("read", timeout=3000)) == 200
                 assert len(one.got) + len(two.got) == 3
                 assert proxy.loop.time() - started_s < 1.9
