--- a/tests/http/test_slow_clients.py
+++ b/tests/http/test_slow_clients.py
@@ -1,4 +1,4 @@
-"""Crowds of clients that never finish a request, and a discovery that breaks off: who asks is served."""
+"""Clients with incomplete requests at the connection limit, and a discovery service that fails."""
 
 from __future__ import annotations
 
@@ -6,8 +6,7 @@
 
 import pytest
 
-from rosewheel.discovery import backoff as rewatch
-from rosewheel.discovery import watch_client as watch_module
+from rosewheel.discovery import backoff, watch_client
 from rosewheel.node.limits import Limits
 from tests.support.loops import PatchedLoop
 from tests.support.sockets import Client, FakeDiscovery, FakeServer, entry, node, run, status, until
@@ -16,7 +15,7 @@
 
 
 def test_longest_silent_partial_request_is_closed_and_a_slow_client_served():
-    """Guards clients that write slowly: under a crowd the oldest is not the one to go."""
+    """Guards slow clients: at the connection limit the longest silent connection is closed, not the oldest."""
 
     async def main() -> None:
         async with FakeServer().up() as server, node([entry("s", server.port)]) as proxy:
@@ -24,15 +23,15 @@
             async with Client(proxy) as slow, contextlib.AsyncExitStack() as stack:
                 slow.writer.write(HEAD[:1])
                 await until(lambda: len(proxy.server.partial_connections) == 1)
-                (true,) = proxy.server.partial_connections
-                for at in range(1, len(HEAD)):
+                (slow_connection,) = proxy.server.partial_connections
+                for index in range(1, len(HEAD)):
                     for connection in proxy.server.partial_connections:
-                        connection.last_received_s -= 1.0  # as if the pieces came one a second
-                    slow.writer.write(HEAD[at : at + 1])
-                    await until(lambda at=at: true.raw_bytes in (at + 1, 0))
-                    if at % 4 == 0:
-                        one = await stack.enter_async_context(Client(proxy))
-                        one.writer.write(HEAD[:20])
+                        connection.last_received_s -= 1.0  # simulates one byte a second
+                    slow.writer.write(HEAD[index : index + 1])
+                    await until(lambda index=index: slow_connection.raw_bytes in (index + 1, 0))
+                    if index % 4 == 0:
+                        partial_client = await stack.enter_async_context(Client(proxy))
+                        partial_client.writer.write(HEAD[:20])
                         await until(
                             lambda: all(connection.raw_bytes > 0 for connection in proxy.server.connections)
                         )
@@ -45,22 +44,22 @@
 def test_closed_partial_request_gets_a_response():
     async def main() -> None:
         async with FakeServer().up() as server, node([entry("s", server.port)]) as proxy:
-            async with Client(proxy) as half:
-                half.writer.write(HEAD[:20])
+            async with Client(proxy) as partial_client:
+                partial_client.writer.write(HEAD[:20])
                 await until(lambda: len(proxy.server.partial_connections) == 1)
                 (connection,) = proxy.server.partial_connections
                 connection.last_received_s -= 1.0
                 proxy.server.max_connections = 1
                 async with Client(proxy) as other:
                     assert status(await other.ask()) == 200
-                assert status(await half.answer()) == 408
+                assert status(await partial_client.answer()) == 408
 
     run(main())
 
 
 @pytest.mark.parametrize("sockets", [64, 192, 384, 1024])
 def test_connection_limits_stay_within_the_descriptors(sockets: int):
-    """Guards the limit also while a crowd is told that there is no room, and operators call."""
+    """The limits also leave descriptors for connections that get a 503 and for the admin server."""
 
     async def main() -> None:
         async with node([], bounds=Limits(max_sockets=sockets)) as proxy:
@@ -76,37 +75,35 @@
     run(main())
 
 
-def test_failing_discovery_is_retried_with_growing_backoff(
-    monkeypatch: pytest.MonkeyPatch,
-):
-    waits: list[float] = []
+def test_failing_discovery_is_retried_with_growing_backoff(monkeypatch: pytest.MonkeyPatch):
+    delays_s: list[float] = []
 
     async def main() -> None:
         async with FakeServer().up() as server, FakeDiscovery(refuse=6).up() as discovery:
             async with node([entry("s", server.port)], pushed=discovery) as proxy, Client(proxy) as client:
-                later = proxy.loop.call_later
+                call_later = proxy.loop.call_later
 
-                def noted(wait: float, call: object, *args: object) -> object:
-                    if call == proxy.endpoints.reopen_watch:
-                        waits.append(wait)
-                        wait = 0.0
-                    return later(wait, call, *args)  # type: ignore[arg-type]
+                def record_delay(delay_s: float, callback: object, *args: object) -> object:
+                    if callback == proxy.endpoints.reopen_watch:
+                        delays_s.append(delay_s)
+                        delay_s = 0.0
+                    return call_later(delay_s, callback, *args)  # type: ignore[arg-type]
 
-                proxy.loop = PatchedLoop(proxy.loop, call_later=noted)  # type: ignore[assignment]
+                proxy.loop = PatchedLoop(proxy.loop, call_later=record_delay)  # type: ignore[assignment]
                 await until(lambda: len(discovery.asked) == 7)
-                assert status(await client.ask()) == 200  # by the list as it was held
+                assert status(await client.ask()) == 200  # served by the endpoint list known so far
                 discovery.tell(9, entry("s", server.port), whole=True)
                 await until(lambda: proxy.endpoints.backoff.failed_watches == 0)
 
     run(main())
     grace_s = Limits().drain_notice_ms / 1000.0
-    assert waits[0] <= grace_s / rewatch.INITIAL_DELAY_DIVISOR
-    assert max(waits) > grace_s / rewatch.INITIAL_DELAY_DIVISOR
-    assert max(waits) <= grace_s / rewatch.MAX_DELAY_DIVISOR
+    assert delays_s[0] <= grace_s / backoff.INITIAL_DELAY_DIVISOR
+    assert max(delays_s) > grace_s / backoff.INITIAL_DELAY_DIVISOR
+    assert max(delays_s) <= grace_s / backoff.MAX_DELAY_DIVISOR
 
 
 def test_watch_without_response_fails_soon(monkeypatch: pytest.MonkeyPatch):
-    monkeypatch.setattr(watch_module, "FIRST_LINE_TIMEOUT_S", 0.05)
+    monkeypatch.setattr(watch_client, "FIRST_LINE_TIMEOUT_S", 0.05)
 
     async def main() -> None:
         async with FakeDiscovery(mute=True).up() as discovery, node([], pushed=discovery):
