--- a/tests/http/conftest.py
+++ b/tests/http/conftest.py
@@ -1,4 +1,4 @@
-"""Fixtures of the tests of HTTP connections."""
+"""Fixtures for the tests of HTTP connections."""
 
 from __future__ import annotations
 
@@ -9,5 +9,5 @@
 
 @pytest.fixture
 def no_quiet_period(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Connections may be used again at once, since these tests send faster than any server responds."""
+    """Allow immediate reuse of connections to servers, for tests that send requests without a pause."""
     monkeypatch.setattr(idle_connections, "REUSE_QUIET_PERIOD_S", -1.0)
--- a/tests/http/test_write_buffer.py
+++ b/tests/http/test_write_buffer.py
@@ -1,4 +1,4 @@
-"""Unsent writes, and peers that do not read."""
+"""Unsent writes of a transport, and detection of peers that do not read."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 @pytest.mark.parametrize("unsent", [0, 1, 3, 4, 6])
-def test_unsent_writes_hold_at_least_what_is_unsent(unsent: int):
+def test_kept_writes_include_all_unsent_bytes(unsent: int):
     writes = UnsentWrites()
     writes.append(b"ab", 2)
     writes.append(b"cdef", unsent)
@@ -24,12 +24,12 @@
     assert writes.tail(0) == b""
 
 
-def test_a_stall_is_measured_from_the_last_change():
+def test_stall_is_measured_from_the_last_change():
     progress = WriteProgress()
     progress.restart(10.0)
     assert progress.stalled_s(50, True, 11.0) == 0.0
     assert progress.stalled_s(50, True, 13.5) == 2.5
     assert progress.stalled_s(40, True, 14.0) == 0.0
     assert progress.stalled_s(40, True, 14.5) == 0.5
-    assert progress.stalled_s(40, False, 20.0) == 0.0  # there is nothing to take
+    assert progress.stalled_s(40, False, 20.0) == 0.0  # no bytes wait for the peer
     assert progress.stalled_s(40, True, 21.0) == 1.0
