--- a/rosewheel/proxy/__init__.py
+++ b/rosewheel/proxy/__init__.py
@@ -1,1 +1,1 @@
-"""Joins the node to its sockets: start, reload, drain, and state on disk."""
+"""Connects the node to its sockets: start, reload, drain, and state on disk."""
--- a/rosewheel/proxy/clock.py
+++ b/rosewheel/proxy/clock.py
@@ -1,4 +1,4 @@
-"""The clock of a node. Modules call `clock.now_ms()`, so that a test can replace it in one place."""
+"""Monotonic clock of a node. Modules call `clock.now_ms()` so that a test can replace it in one place."""
 
 from __future__ import annotations
 
@@ -6,5 +6,5 @@
 
 
 def now_ms() -> float:
-    """Returns milliseconds of a clock that only advances."""
+    """Returns the monotonic time in milliseconds."""
     return time.monotonic() * 1000.0
--- a/rosewheel/proxy/process.py
+++ b/rosewheel/proxy/process.py
@@ -1,4 +1,4 @@
-"""Runs one node from its start to its end: the event loop, signals, and the exit code."""
+"""Runs one process of a node: event loop, signal handlers and exit code."""
 
 from __future__ import annotations
 
@@ -24,30 +24,35 @@
 
 EXIT_OK = 0
 EXIT_BAD_CONFIGURATION = 2
-# Of the garbage collector, while the node serves: collections are seldom, since each one delays responses.
+# Garbage collector thresholds of a running node: high, because each collection delays responses.
 GC_THRESHOLDS = (20000, 20, 50)
 
 LoadConfig = Callable[[bool], NodeConfig]
-"""Reads the configuration; the argument says whether it is read again, while the node runs."""
+"""Reads the configuration. The argument is true for a reload, while the node runs."""
 
 
 class Reloadable(Protocol):
-    """What takes over a configuration that was read again."""
+    """An object that applies a reloaded configuration."""
 
     def reload(self, config: NodeConfig) -> None:
-        """Raises ConfigError, and changes nothing, where the configuration can't be applied."""
+        """Applies a configuration.
+
+        Raises:
+            ConfigError: It can't be applied. The old configuration stays in force.
+        """
 
 
 def run(load: LoadConfig) -> int:
-    """Serves until SIGTERM or SIGINT.
+    """Runs a node until SIGTERM or SIGINT.
 
     Args:
         load: Reads the configuration, at the start and at each SIGHUP.
 
     Returns:
-        The exit code: 0, or 2 after one line on standard error where the configuration is bad.
+        The exit code: 0 after a shutdown, or 2 if the configuration is invalid, with one line on standard error.
     """
-    # An early SIGHUP must not end a node that is still starting. It asks for nothing: the file is read after this.
+    # The default action of SIGHUP would end a process that is still starting. Ignoring it loses no reload, because
+    # the configuration is read afterwards.
     signal.signal(signal.SIGHUP, signal.SIG_IGN)
     try:
         uvloop.run(_serve(load(False), load))
@@ -77,9 +82,9 @@
 
 
 def _fleet_configuration(proxy: Proxy, config: NodeConfig) -> FleetConfiguration | None:
-    """Connects the node to the fleet's configuration where its file says so.
+    """Returns the node's subscription to the fleet's configuration, or None where its file has no table `control`.
 
-    Imported only then: it needs more libraries than `run` on the platform has.
+    The module is imported lazily, because it needs libraries that the platform does not have.
     """
     if config.control is None:
         return None
@@ -89,7 +94,7 @@
 
 
 def _reload(target: Reloadable, load: LoadConfig) -> None:
-    """Reads and applies the configuration again; the node goes on as it is where that fails."""
+    """Reads and applies the configuration again. On an error the old configuration stays in force."""
     try:
         target.reload(load(True))
     except ConfigError as error:
@@ -97,7 +102,7 @@
 
 
 def _tune_garbage_collector() -> None:
-    """Starts to collect, and exempts what lives as long as the node: that keeps pauses short."""
+    """Enables the garbage collector, and exempts the objects of the start from it to shorten its pauses."""
     gc.collect()
     gc.freeze()
     gc.set_threshold(*GC_THRESHOLDS)
--- a/rosewheel/proxy/proxy.py
+++ b/rosewheel/proxy/proxy.py
@@ -1,4 +1,4 @@
-"""One process of a node: connects the node to its sockets, starts it, reconfigures it and shuts it down."""
+"""One process of a node: connects the node to its sockets, and starts, reconfigures and drains the process."""
 
 from __future__ import annotations
 
@@ -40,20 +40,29 @@
 
 log = logging.getLogger("rosewheel.proxy")
 
-# Fields of the configuration that are applied at the start only, by their keys in the file.
-FIXED_KEYS = {"name": "name", "listen": "listen_address", "ops": "admin_address", "state": "state_folder"}
+# Configuration fields that change only with a restart, by their keys in the file.
+RESTART_ONLY_KEYS = {
+    "name": "name",
+    "listen": "listen_address",
+    "ops": "admin_address",
+    "state": "state_folder",
+}
 
 
 class Proxy:
-    """One process of a node. Implements `hot_restart.host.MigrationHost` and the operators' API."""
+    """One process of a node.
+
+    Implements `hot_restart.host.MigrationHost`, `admin.server.AdminBackend` and `reconfiguration.ConfigurableNode`.
+
+    Attributes:
+        shares_listener: Whether another process accepts clients from the same socket.
+    """
 
     def __init__(self, config: NodeConfig) -> None:
         self.config = config
         self.loop = asyncio.get_running_loop()
         self.stopped = False
-        self.shares_listener = (
-            config.inherited_descriptor is not None
-        )  # another process accepts from the same socket
+        self.shares_listener = config.inherited_descriptor is not None
         self.calls: dict[str, DownstreamRequest] = {}
         self.random = random.Random(config.seed)
         self.requests = RequestHandler(self)
@@ -108,7 +117,7 @@
     def _create_admin(self) -> AdminServer | None:
         if self.config.admin_address is None:
             return None
-        from rosewheel.admin.server import AdminServer  # imported here: every start would pay for it
+        from rosewheel.admin.server import AdminServer  # lazily, so that a node without it starts faster
 
         return AdminServer(self)
 
@@ -126,14 +135,15 @@
     # ----------------------------------------------------------- start, drain
 
     async def start(self) -> None:
-        """Starts to accept clients, with the known endpoint list and with what discovery pushes.
+        """Opens the sockets, restores the state of an earlier process, and starts to accept clients.
 
-        Where another process serves meanwhile, clients are accepted once discovery has answered.
+        Clients are accepted once discovery has sent an endpoint list, or after the timeout for it with the list that
+        the configuration contains.
 
         Raises:
             ConfigError: An address can't be bound.
         """
-        # The sockets first, so that a bad address ends the process before it has asked for anything.
+        # The sockets come first, so that an invalid address ends the process before it contacts discovery.
         inherited, admin_socket = self.config.inherited_descriptor, None
         if self.hot_restart.connect_to_predecessor() and inherited is None:
             listen, ops = self.config.listen_address, self.config.admin_address
@@ -141,7 +151,7 @@
             self.shares_listener = borrowed is not None
             inherited = None if borrowed is None else borrowed.detach()
         sock = open_listener(self.config.listen_address, inherited)
-        self.shared_state.start()  # before anything can be sent: cordoned servers stay cordoned
+        self.shared_state.start()  # restores the cordons before any request can be forwarded
         if self.admin is not None and self.config.admin_address is not None:
             await self.admin.start(admin_socket or bind(self.config.admin_address, "LB_OPS"))
         self.endpoints.apply_known_list()
@@ -154,7 +164,7 @@
         self.hot_restart.start_serving()
 
     def _restore_learned_state(self) -> None:
-        """Starts with what an earlier process of this node had learned, weighted by its age."""
+        """Restores what an earlier process of this node had learned, discounted by its age."""
         snapshot = self.snapshots.read()
         if snapshot is not None:
             age_ms = snapshot.age_ms
@@ -168,8 +178,8 @@
         return LearnedValues(learned, self.upstream.idle_timeout.stale_limit_s)
 
     async def drain(self) -> None:
-        """Answers the requests in flight, migrates connections to a successor, and closes everything."""
-        self.snapshots.close()  # a successor writes its own from now on
+        """Finishes the requests in flight, migrates connections to a successor if there is one, and closes the rest."""
+        self.snapshots.close()  # the successor writes the snapshots from now on
         migrates = self.hot_restart.begin_shutdown()
         remaining_ms = self.node.longest_remaining_deadline_ms(clock.now_ms())
         longest_ms = min(MAX_DRAIN_DEADLINE_MS, remaining_ms)
@@ -186,7 +196,7 @@
         self.effects.close()
 
     def _migrate_next(self) -> bool:
-        """Migrates what can be migrated now, and returns whether the migration continues."""
+        """Migrates the connections that can be migrated now; returns whether there may be more."""
         continues = self.hot_restart.migrate_next()
         return self.migration.arriving_count > 0 or (
             continues and (bool(self.server.connections) or not self.hot_restart.migration_finished)
@@ -195,20 +205,22 @@
     # ---------------------------------------------------------- configuration
 
     def reload(self, config: NodeConfig) -> None:
-        """Applies what may change while the node runs: the address of discovery, settings and limits.
+        """Applies what can change without a restart: settings, limits and the address of discovery.
 
         Raises:
-            ConfigError: Settings or limits can't be applied; nothing has changed then.
+            ConfigError: The settings or limits can't be applied. The old configuration stays in force.
         """
         try:
             self.configure(config.settings, config.limits)
         except ValueError as error:
             raise ConfigError(str(error)) from error
-        fixed = [
-            key for key, name in FIXED_KEYS.items() if getattr(config, name) != getattr(self.config, name)
+        ignored = [
+            key
+            for key, name in RESTART_ONLY_KEYS.items()
+            if getattr(config, name) != getattr(self.config, name)
         ]
-        if fixed:
-            log.warning("configuration keys ignored until a restart: keys=%s", ", ".join(fixed))
+        if ignored:
+            log.warning("configuration keys ignored until a restart: keys=%s", ", ".join(ignored))
         address_changed = config.discovery_address != self.config.discovery_address
         self.config = dataclasses.replace(self.config, discovery_address=config.discovery_address)
         log.info("configuration reloaded: discovery=%s:%d", *config.discovery_address)
@@ -219,58 +231,59 @@
         if not self.config.settings.poll_discovery:
             self.discovery.start()
 
-    def configure(self, settings: Settings, bounds: Limits) -> None:
-        """Applies settings and limits to all requests that are received from now on; the same ones change nothing.
+    def configure(self, settings: Settings, limits: Limits) -> None:
+        """Applies settings and limits to requests received from now on. Does nothing if neither has changed.
 
         Raises:
-            ValueError: They can't be applied, with the key that is the reason; nothing has changed then.
+            ValueError: They can't be applied; the message names the key. The old ones stay in force.
         """
         before = self.config
-        if settings == before.settings and bounds == before.limits:
+        if settings == before.settings and limits == before.limits:
             return
-        effects = self.node.configure(clock.now_ms(), settings, bounds)  # first: it alone may refuse
-        self.config = dataclasses.replace(before, settings=settings, limits=bounds)
-        self.upstream.configure(bounds, large_fleet=is_large_fleet(settings))
-        self.resources.divide(bounds.max_sockets)
+        effects = self.node.configure(clock.now_ms(), settings, limits)  # first: only this call may raise
+        self.config = dataclasses.replace(before, settings=settings, limits=limits)
+        self.upstream.configure(limits, large_fleet=is_large_fleet(settings))
+        self.resources.divide(limits.max_sockets)
         self.resources.close_excess_idle()
         self.apply(effects)
         log.info("configuration applied: classes=%d", len(settings.classes))
-        pushed_from_now = before.settings.poll_discovery and not settings.poll_discovery
-        if pushed_from_now and not self.discovery.is_open and not self.stopped:  # the policy polls no more
+        polling_ended = before.settings.poll_discovery and not settings.poll_discovery
+        # Only the policy reopens the watch while it polls discovery; from now on the proxy does.
+        if polling_ended and not self.discovery.is_open and not self.stopped:
             self.discovery.start()
 
     def set_fleet_cordons(self, servers: frozenset[str]) -> None:
-        """Replaces the set of servers that the fleet has cordoned; cordons of operators stay."""
+        """Replaces the set of servers that the fleet's configuration cordons; cordons by operators stay."""
         self.cordons.set_by_fleet(servers)
 
     # -------------------------------------------------------------- operators
 
     def serving(self) -> bool:
-        """Whether this process accepts clients and has a server to send to."""
+        """Returns whether this process accepts clients and has a server to forward requests to."""
         return self.server.listening and self.node.can_serve
 
     def statistics(self) -> StatisticsSnapshot:
-        """The statistics of this process at this moment."""
+        """Returns a snapshot of the statistics of this process."""
         return self.node.statistics_snapshot()
 
     async def cordon(self, server: str) -> bool:
-        """Cordons a server by hand, and returns whether it is known.
+        """Cordons a server on behalf of an operator; returns whether the server is known.
 
         Raises:
-            OSError: The cordon holds in this process, but could not be written for the next one.
+            OSError: The cordon is in force in this process, but could not be saved for later ones.
         """
         return await self._change_cordon(server, cordoned=True)
 
     async def uncordon(self, server: str) -> bool:
-        """Lifts a cordon that was set by hand, and returns whether the server is known.
+        """Lifts an operator's cordon; returns whether the server is known.
 
         Raises:
-            OSError: The change holds in this process, but could not be written for the next one.
+            OSError: The change is in force in this process, but could not be saved for later ones.
         """
         return await self._change_cordon(server, cordoned=False)
 
     def cordoned_by_fleet(self, server: str) -> bool:
-        """Whether the fleet has cordoned this server, whatever operators say."""
+        """Returns whether the fleet's configuration cordons this server."""
         return server in self.cordons.by_fleet
 
     async def _change_cordon(self, server: str, cordoned: bool) -> bool:
@@ -283,12 +296,12 @@
         self.upstream.set_cordoned(server, cordoned)
         self.apply(self.node.set_cordon(clock.now_ms(), server, cordoned))
 
-    # ------------------------------------------------------------------- parts
+    # -------------------------------------------------------------- components
 
     def apply(self, effects: list[NodeEffect]) -> None:
-        """Carries out what the node has decided."""
+        """Executes effects that the node has decided on."""
         self.effects.apply(effects)
 
     def can_hold(self, descriptors: int, idle: bool) -> bool:
-        """Whether this process may hold so many more descriptors; see `Resources.can_hold`."""
+        """Returns whether this process may open more descriptors; see `Resources.can_hold`."""
         return self.resources.can_hold(descriptors, idle)
