--- a/rosewheel/proxy/effects.py
+++ b/rosewheel/proxy/effects.py
@@ -1,4 +1,4 @@
-"""Carries out what the node decides, and wakes it when one of its timers is due."""
+"""Executes the effects that the node decides on, and calls the node when one of its timers is due."""
 
 from __future__ import annotations
 
@@ -28,11 +28,11 @@
 
 
 class EffectRunner:
-    """Carries out the effects of one node.
+    """Executes the effects of one node.
 
     Args:
-        parts: The sockets on which effects act.
-        on_attempt_finished: Called where an attempt ends before it is sent.
+        parts: The components of the proxy that effects act on.
+        on_attempt_finished: Called for an attempt that ends before it is sent.
     """
 
     def __init__(self, parts: ProxyParts, on_attempt_finished: AttemptHandler) -> None:
@@ -42,11 +42,11 @@
         self._timer_due_ms = 0.0
 
     def apply(self, effects: list[NodeEffect]) -> None:
-        """Carries out effects in order."""
+        """Executes effects in order."""
         for effect in effects:
             try:
-                self._carry_out(effect)
-            except Exception:  # a fault in one request must not end the others
+                self._execute(effect)
+            except Exception:  # an error in one request must not affect the others
                 log.exception("effect failed: type=%s", type(effect).__name__)
         self._start_timer()
 
@@ -55,7 +55,7 @@
         if self._timer is not None:
             self._timer.cancel()
 
-    def _carry_out(self, effect: NodeEffect) -> None:
+    def _execute(self, effect: NodeEffect) -> None:
         match effect:
             case StartAttempt():
                 self._start_attempt(effect)
@@ -70,7 +70,7 @@
 
     def _start_attempt(self, effect: StartAttempt) -> None:
         request = self._parts.calls.get(effect.id)
-        # Checked at each attempt: a loop that is late reads the end of a client after that of an attempt.
+        # Checked for each attempt: a busy event loop may read the client's disconnect only after this effect.
         if request is None or request.connection.close_if_disconnected():
             self._parts.loop.call_soon(
                 self._on_attempt_finished, effect.id, effect.attempt, AttemptResult.CANCELLED, None, b""
@@ -80,10 +80,10 @@
         rules = self._parts.node.rules
 
         def encode_head() -> bytes:
-            told_ms = rules.time_left_ms(clock.now_ms(), id, attempt)
+            timeout_ms = rules.time_left_ms(clock.now_ms(), id, attempt)
             is_client_known = self._parts.calls.get(id) is request
-            rules.check_sent(id, attempt, is_client_known, told_ms, self._client_left_ms(request))
-            return request.upstream_head(told_ms, length)
+            rules.check_sent(id, attempt, is_client_known, timeout_ms, self._client_time_left_ms(request))
+            return request.upstream_head(timeout_ms, length)
 
         def is_wanted() -> bool:
             return rules.may_send(clock.now_ms(), id, attempt, request.connection.is_connected())
@@ -92,8 +92,8 @@
             id, attempt, effect.server, encode_head, request.body, length is None, is_wanted
         )
 
-    def _client_left_ms(self, request: DownstreamRequest) -> float | None:
-        """What the client has left, by when its request was read; None if it was not complete then."""
+    def _client_time_left_ms(self, request: DownstreamRequest) -> float | None:
+        """Returns the rest of the client's timeout in milliseconds, or None if the request is not complete."""
         if request.completed_s is None:
             return None
         return request.timeout_ms - (self._parts.loop.time() - request.completed_s) * 1000.0
@@ -116,14 +116,14 @@
             connection.abort_response(request)
 
     def _start_timer(self) -> None:
-        """Starts the one timer of the event loop that stands for all timers of the node."""
+        """Schedules one event-loop timer for the node's earliest timer."""
         due_ms = self._parts.node.next_timer_ms()
         if due_ms is None or (self._timer is not None and self._timer_due_ms <= due_ms):
             return
         if self._timer is not None:
             self._timer.cancel()
         self._timer_due_ms = due_ms
-        # Rounded up to the loop's whole milliseconds: a timer that fires early would have to be started again.
+        # Rounded up to the event loop's resolution of 1 ms, so that the timer does not fire early.
         delay_ms = max(0, math.ceil(due_ms - clock.now_ms()))
         self._timer = self._parts.loop.call_later(delay_ms / 1000.0, self._timer_fired)
 
--- a/rosewheel/proxy/endpoints.py
+++ b/rosewheel/proxy/endpoints.py
@@ -13,20 +13,19 @@
 from rosewheel.proxy import clock
 from rosewheel.proxy.parts import ProxyParts
 
-# How long a process that takes over from another waits for discovery before it accepts clients with the known list.
+# How long a successor waits for discovery before it accepts clients with the known list.
 TAKEOVER_LIST_WAIT_S = 1.5
-# The same of any process where lists are pushed: what the agent has counts as known to it from its first moment.
-# An agent may say nothing for many seconds.
+# The same for any process where lists are pushed. Short, because discovery may send nothing for many seconds.
 PUSHED_LIST_WAIT_S = 0.5
 
 
 class EndpointUpdates:
-    """The endpoint list of one node.
+    """Applies the updates of one node's endpoint list.
 
     Attributes:
-        backoff: The delays between two watches.
+        backoff: The delays before a watch is reopened.
         list_received: Set once discovery has sent a list.
-        start_times: The starts of the servers in all lists of this process.
+        start_times: The start times of the servers in all lists that this process has received.
     """
 
     def __init__(self, parts: ProxyParts, rng: random.Random) -> None:
@@ -36,14 +35,14 @@
         self._parts = parts
 
     def apply_known_list(self) -> None:
-        """Applies the list that the configuration names as known."""
+        """Applies the endpoint list that the configuration contains."""
         known = parse_endpoints(self._parts.config.initial_endpoints.entries, self.start_times)
         self.list_updated(EndpointListForm.CACHED, known)
         if known:
             self.start_times.list_applied()
 
     async def wait_for_list(self, shares_listener: bool) -> None:
-        """Waits for discovery's first list, for a limited time.
+        """Waits for discovery's first list, at most `list_wait_s`.
 
         Args:
             shares_listener: Whether another process accepts clients from the same socket meanwhile.
@@ -55,13 +54,13 @@
                     await self.list_received.wait()
 
     def list_wait_s(self, shares_listener: bool) -> float:
-        """Returns how long clients wait for discovery's first list, in seconds."""
+        """Returns how long to wait for discovery's first list before accepting clients, in seconds."""
         if shares_listener:
             return TAKEOVER_LIST_WAIT_S
         return 0.0 if self._parts.config.settings.poll_discovery else PUSHED_LIST_WAIT_S
 
     def list_updated(self, form: EndpointListForm, endpoints: list[Endpoint]) -> None:
-        """The endpoint list has changed, or the watch on it has failed."""
+        """Handles a change of the endpoint list, or the failure of the watch on it."""
         if form is EndpointListForm.FAILED:
             self._watch_failed()
             return
@@ -74,20 +73,18 @@
         parts.apply(parts.node.update_endpoints(clock.now_ms(), form, servers))
 
     def watch_opened(self) -> None:
-        """A watch has been answered, though its first line may hold no change."""
+        """Handles the start of a watch's response, whose first line may contain no change."""
         self.backoff.reset()
         parts = self._parts
         if parts.config.settings.poll_discovery:
             parts.apply(parts.node.update_endpoints(clock.now_ms(), EndpointListForm.DELTA))
 
     def reopen_watch(self) -> None:
-        """Opens the next watch where lists are pushed."""
+        """Reopens the watch after the backoff delay, if lists are still pushed."""
         parts = self._parts
-        if (
-            parts.config.settings.poll_discovery
-        ):  # set since the last watch ended: now the policy decides when
+        if parts.config.settings.poll_discovery:  # changed during the delay: the policy opens watches now
             return
-        if not parts.discovery.is_open and not parts.stopped:  # a change of the address may have opened it
+        if not parts.discovery.is_open and not parts.stopped:  # a new discovery address may have opened it
             parts.discovery.start()
 
     def _watch_failed(self) -> None:
--- a/rosewheel/proxy/headers.py
+++ b/rosewheel/proxy/headers.py
@@ -1,4 +1,4 @@
-"""Numbers in the headers of a request."""
+"""Parses numbers in the headers of a request."""
 
 from __future__ import annotations
 
@@ -6,20 +6,20 @@
 
 from rosewheel.http.errors import BadRequestError
 
-WHOLE_NUMBER = re.compile("[0-9]{1,7}")  # in milliseconds: some hours, far past every class's deadline
+WHOLE_NUMBER = re.compile("[0-9]{1,7}")  # up to about 2.8 h in milliseconds, above the deadline of any class
 DECIMAL_NUMBER = re.compile(r"[0-9]{1,9}(\.[0-9]{1,9})?")
 
 
 def parse_number(text: str | None, name: str, form: re.Pattern[str]) -> float | None:
-    """Returns the number in a header, or None where the header is missing.
+    """Returns the number in a header, or None if the header is missing.
 
     Args:
         text: The value of the header.
-        name: Its name, for the error.
-        form: What the value must match: `float` alone takes `1_0`, `nan`, `1e9` and digits of other scripts too.
+        name: The name of the header, for the error.
+        form: The pattern of the value. `float` alone would accept `1_0`, `nan`, `1e9` and non-ASCII digits.
 
     Raises:
-        BadRequestError: The value is no number of this form.
+        BadRequestError: The value does not match the pattern.
     """
     if text is None:
         return None
--- a/rosewheel/proxy/parts.py
+++ b/rosewheel/proxy/parts.py
@@ -1,4 +1,4 @@
-"""The parts of a proxy, as its other parts see them."""
+"""The interface through which the components of a proxy reach each other."""
 
 from __future__ import annotations
 
@@ -21,21 +21,21 @@
 
 
 class ProxyParts(Protocol):
-    """What the parts of one proxy share.
+    """The components and the state that one proxy's components share.
 
     Attributes:
-        config: The configuration that is applied.
+        config: The configuration in force.
         loop: The event loop of the process.
-        stopped: Whether the process has ended its work.
-        node: The requests in flight, and the balancing policy.
+        stopped: Whether the process has finished its drain.
+        node: The requests in flight and the balancing policy.
         server: The connections of clients.
         upstream: The connections to servers.
-        budget: The memory for the bodies of requests.
+        budget: The memory budget for request bodies.
         discovery: The watch of the endpoint list.
-        admin: The admin server, where there is one.
-        shared_state: What the processes of this node share.
-        migration: The connections that leave for another process or arrive from one.
-        calls: The requests of clients by id, until each has its response.
+        admin: The admin server, if the configuration has an address for one.
+        shared_state: The persistent state that the processes of this node share.
+        migration: Migrates connections to and from another process of this node.
+        calls: The client requests without a final response, by id.
     """
 
     config: NodeConfig
@@ -52,4 +52,4 @@
     calls: dict[str, DownstreamRequest]
 
     def apply(self, effects: list[NodeEffect]) -> None:
-        """Carries out what the node has decided."""
+        """Executes effects that the node has decided on."""
--- a/rosewheel/proxy/requests.py
+++ b/rosewheel/proxy/requests.py
@@ -1,4 +1,4 @@
-"""Passes what happens to requests on the sockets to the node."""
+"""Reports the events of client requests to the node: arrival, completion, disconnects and responses."""
 
 from __future__ import annotations
 
@@ -17,26 +17,25 @@
 
 METHODS = (b"GET", b"POST")
 MAX_REQUEST_ID_LENGTH = 256
-# A shutdown takes as long as the longest deadline of a request, at most this, and DRAIN_MARGIN_MS. A request that
-# arrives during it has until then, and is rejected where that is less than its own deadline and less than
-# MIN_DRAIN_DEADLINE_MS: an attempt would hardly end in time.
+# A drain lasts as long as the longest request timeout so far, limited to MAX_DRAIN_DEADLINE_MS, plus DRAIN_MARGIN_MS.
+# A request that arrives during the drain has to finish by its end. It is rejected if that leaves less time than both
+# its own timeout and MIN_DRAIN_DEADLINE_MS, since an attempt would rarely finish.
 MAX_DRAIN_DEADLINE_MS = 3000.0
 DRAIN_MARGIN_MS = 500.0
 MIN_DRAIN_DEADLINE_MS = 1000.0
-# What a deadline loses between client and node. Measured: up to 1 ms each way, and at the 99th percentile 1.7 ms
-# from a request's arrival to its first attempt and 1.4 ms from a response's arrival to its client.
+# Subtracted from a client's timeout, for the network and for processing in the node.
 DEADLINE_MARGIN_MS = 5.0
 
 
 class RequestHandler:
-    """The requests of the clients of one node."""
+    """Handles the events of the client requests of one node."""
 
     def __init__(self, parts: ProxyParts) -> None:
         self._parts = parts
-        self._longest_deadline_ms = 0.0  # of the requests so far
+        self._longest_deadline_ms = 0.0  # of the requests received so far
 
     def received(self, call: DownstreamRequest) -> None:
-        """The head of a request has been read.
+        """Handles a request whose head has been read.
 
         Raises:
             BadRequestError: The request can't be accepted.
@@ -46,12 +45,12 @@
         try:
             effects = self._parts.node.receive_request(clock.now_ms(), request)
         except DuplicateRequestError as error:
-            raise RefusedRequestError(409, "this Request-Id is being served already") from error
+            raise RefusedRequestError(409, "a request with this Request-Id is already in flight") from error
         self._parts.calls[request.id] = call
         self._parts.apply(effects)
 
     def completed(self, call: DownstreamRequest) -> None:
-        """The last byte of a request, whose head came before, has been read."""
+        """Handles the end of a request whose body was still arriving at `received`."""
         parts = self._parts
         if parts.calls.get(call.id) is call:
             now_ms = clock.now_ms()
@@ -59,14 +58,14 @@
             parts.apply(parts.node.request_completed(now_ms, call.id, deadline_at_ms))
 
     def client_disconnected(self, call: DownstreamRequest) -> None:
-        """The client of a request has closed its connection."""
+        """Handles the disconnect of a request's client."""
         parts = self._parts
         if parts.calls.get(call.id) is not call:
             return
         del parts.calls[call.id]
         parts.apply(parts.node.client_disconnected(clock.now_ms(), call.id))
         for attempt in parts.node.attempts_in_flight(call.id):
-            # Spares servers work, also where the settings allow no cancellation: an unsent attempt has no effect.
+            # Applies even where the settings forbid cancellation: an unsent attempt has no effect on its server.
             if parts.upstream.cancel_unsent_attempt(call.id, attempt):
                 result = AttemptResult.CONNECT_FAILED
                 parts.apply(parts.node.attempt_finished(clock.now_ms(), call.id, attempt, result))
@@ -74,16 +73,16 @@
     def response_started(
         self, id: str, attempt: int, length: int | None, on_writable: Callable[[], None]
     ) -> ResponseSink | None:
-        """An attempt's response is too long to be held, and is passed on as it arrives.
+        """Handles the start of a response that is too long to buffer and is streamed to the client.
 
         Args:
             id: The id of the request.
             attempt: The number of the attempt.
-            length: The length of the response's body, where its head tells.
-            on_writable: Called when the client can take more.
+            length: The length of the response's body in bytes, if its head states it.
+            on_writable: Called when the client's connection accepts more data.
 
         Returns:
-            What takes the pieces of the body; None where nobody waits for them.
+            The sink for the body's data, or None if no client waits for it.
         """
         parts = self._parts
         call = parts.calls.get(id)
@@ -97,7 +96,7 @@
     def attempt_finished(
         self, id: str, attempt: int, result: AttemptResult, report: dict[str, float] | None, body: bytes
     ) -> None:
-        """An attempt has ended on its connection."""
+        """Handles the end of an attempt on its connection."""
         parts = self._parts
         call = parts.calls.get(id)
         if call is not None and not call.body.replayable:
@@ -107,7 +106,7 @@
     def health_check_finished(
         self, server: str, result: AttemptResult, latency_ms: float, report: dict[str, float] | None
     ) -> None:
-        """A health check of a server has ended."""
+        """Handles the end of a server's health check."""
         parts = self._parts
         parts.apply(parts.node.health_check_finished(clock.now_ms(), server, result, latency_ms, report))
 
@@ -137,26 +136,26 @@
         )
 
     def _waited_ms(self, call: DownstreamRequest) -> float:
-        """How long a complete request has waited for the responses before its own."""
+        """Returns how long a complete request has waited for earlier responses on its connection, in milliseconds."""
         if call.completed_s is None:
             return 0.0
         return (self._parts.loop.time() - call.completed_s) * 1000.0
 
     def _check_time_left(self, service: str, timeout_ms: float) -> None:
-        """Rejects a request during a shutdown that leaves too little time for its response."""
+        """Rejects a request during a drain that leaves too little time for its response."""
         self._longest_deadline_ms = max(self._longest_deadline_ms, min(timeout_ms, MAX_DRAIN_DEADLINE_MS))
         parts = self._parts
         if parts.server.draining and self._time_left_ms() < min(timeout_ms, MIN_DRAIN_DEADLINE_MS):
             parts.node.statistics.count_request(service, RequestOutcome.SHED)
-            raise RefusedRequestError(503, "this node stops before the answer could be there")
+            raise RefusedRequestError(503, "this node shuts down before the request could be completed")
 
     def _time_for_response_ms(self, timeout_ms: float) -> float:
-        """How long a client with this timeout waits from its request's last byte on, as seen from here."""
+        """Returns the time for a response, in milliseconds from the last byte of the request."""
         if self._parts.server.draining:
             timeout_ms = min(timeout_ms, self._time_left_ms())
         return max(1.0, timeout_ms - DEADLINE_MARGIN_MS)
 
     def _time_left_ms(self) -> float:
-        """How long this process still has for responses, once it shuts down."""
+        """Returns how long the current drain still lasts, in milliseconds."""
         draining_s = self._parts.server.drain_started_s - self._parts.loop.time()
         return draining_s * 1000.0 + self._longest_deadline_ms + DRAIN_MARGIN_MS
