--- a/rosewheel/proxy/cordons.py
+++ b/rosewheel/proxy/cordons.py
@@ -1,7 +1,7 @@
-"""The servers that receive no new requests, and who decided so: operators of this node, or the fleet's configuration.
+"""Cordons: servers that receive no new requests, by decision of an operator or of the fleet's configuration.
 
-The two sets are separate, because an operator who lifts a cordon can only speak for cordons set by hand: a server is
-cordoned while either set names it. A name that the endpoint list does not hold takes effect once the list holds it.
+Each source has a set of its own, so that lifting an operator's cordon does not lift the fleet's. A server is cordoned
+while it is in either set. The cordon of a server that is not in the endpoint list takes effect when it is added.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 
 
 class CordonSource(enum.Enum):
-    """Who has cordoned a server."""
+    """The source of a cordon."""
 
     OPERATOR = "operator"
     FLEET = "fleet"
@@ -26,7 +26,7 @@
     """The cordons of both sources.
 
     Args:
-        apply: Called for each server that a set gained or lost, with whether it is cordoned now by either source.
+        apply: Called for each server that was added to or removed from a set, with whether either set contains it now.
     """
 
     def __init__(self, apply: Callable[[str, bool], None]) -> None:
@@ -36,30 +36,29 @@
 
     @property
     def cordoned(self) -> frozenset[str]:
-        """The servers that either source has cordoned."""
+        """The servers that are cordoned by either source."""
         return self.by_operator | self.by_fleet
 
     def set_by_operator(self, servers: frozenset[str]) -> None:
-        """Replaces the set of servers that operators have cordoned."""
+        """Replaces the set of servers that operators cordon."""
         before, self.by_operator = self.by_operator, servers
         self._apply_changes(before, servers, CordonSource.OPERATOR)
 
     def set_by_fleet(self, servers: frozenset[str]) -> None:
-        """Replaces the set of servers that the fleet's configuration has cordoned."""
+        """Replaces the set of servers that the fleet's configuration cordons."""
         before, self.by_fleet = self.by_fleet, servers
         self._apply_changes(before, servers, CordonSource.FLEET)
 
     async def change_by_operator(self, server: str, cordoned: bool, shared_state: SharedState) -> None:
-        """Sets or lifts one operator's cordon, here and in the shared state.
+        """Sets or lifts an operator's cordon, in this process and in the shared state.
 
         Raises:
-            OSError: The shared state can't be written. The change holds in this process all the same.
+            OSError: The shared state can't be written. The change is in force in this process nevertheless.
         """
-        self.set_by_operator(
-            with_cordon(self.by_operator, server, cordoned)
-        )  # at once, whatever the file does
+        # Applied first, so that a slow or failing write does not delay it.
+        self.set_by_operator(with_cordon(self.by_operator, server, cordoned))
         await shared_state.set_cordon(server, cordoned)
-        # Again: while this call waited for the lock, a poll may have applied the file as it was before.
+        # Applied again: during the wait for the lock, a poll may have applied the old content of the file.
         self.set_by_operator(with_cordon(self.by_operator, server, cordoned))
 
     def _apply_changes(self, before: frozenset[str], after: frozenset[str], source: CordonSource) -> None:
--- a/rosewheel/proxy/reconfiguration.py
+++ b/rosewheel/proxy/reconfiguration.py
@@ -1,6 +1,6 @@
 """Applies the fleet's configuration to a node, on top of the node's own file.
 
-Imported only where the operator's file has a table `control`: `run` on the platform never needs it.
+Imported only if the operator's file has a table `control`, which the platform's configuration never has.
 """
 
 from __future__ import annotations
@@ -21,25 +21,33 @@
 
 
 class ConfigurableNode(Protocol):
-    """The node to which a configuration is applied."""
+    """A node that configurations can be applied to."""
 
-    def configure(self, settings: Settings, bounds: Limits) -> None:
-        """Applies settings and limits; raises ValueError, and changes nothing, where they can't hold."""
+    def configure(self, settings: Settings, limits: Limits) -> None:
+        """Applies settings and limits.
+
+        Raises:
+            ValueError: They can't be applied. The old ones stay in force.
+        """
 
     def set_fleet_cordons(self, servers: frozenset[str]) -> None:
-        """Replaces the set of servers that the fleet has cordoned."""
+        """Replaces the set of servers that the fleet's configuration cordons."""
 
     def reload(self, config: NodeConfig) -> None:
-        """Applies a configuration that was read again; raises ConfigError, and changes nothing, where it can't."""
+        """Applies a reloaded configuration.
+
+        Raises:
+            ConfigError: It can't be applied. The old configuration stays in force.
+        """
 
 
 class FleetConfiguration:
-    """Keeps a node at the newest configuration of the fleet.
+    """Keeps a node on the latest configuration of the fleet.
 
     Args:
         node: The node to configure.
-        config: The node's own configuration; its state folder holds the cached copy of the fleet's.
-        control: The service and the control machines that the configuration comes from.
+        config: The node's own configuration. The fleet's is cached in its state folder.
+        control: The service and the control machines to get the configuration from.
     """
 
     def __init__(self, node: ConfigurableNode, config: NodeConfig, control: ControlConfig) -> None:
@@ -52,18 +60,19 @@
         )
 
     def start(self) -> None:
-        """Applies the cached copy, if there is one, and connects to control; waits for no machine."""
+        """Applies the cached configuration, if there is one, and starts to connect to the control machines."""
         self._subscriber.start()
 
     def close(self) -> None:
-        """Disconnects from control."""
+        """Disconnects from the control machines."""
         self._subscriber.close()
 
     def reload(self, config: NodeConfig) -> None:
-        """Applies the node's own file, read again, below the fleet's configuration.
+        """Applies the reloaded file of the node, with the fleet's configuration on top of it.
 
         Raises:
-            ConfigError: The file names another control or service, or the two do not fit together; nothing changed.
+            ConfigError: The file names other control machines or another service, or the combination is invalid. The
+                old configuration stays in force.
         """
         control = config.control
         if control is None or (control.machines, control.service) != (
@@ -72,10 +81,10 @@
         ):
             raise ConfigError("control: changes only with a restart")
         try:
-            settings, bounds = apply_fleet_document(control.node_file, self._applied)
+            settings, limits = apply_fleet_document(control.node_file, self._applied)
         except ValueError as error:
-            raise ConfigError(f"with what control says: {error}") from error
-        self._node.reload(dataclasses.replace(config, settings=settings, limits=bounds))
+            raise ConfigError(f"combined with the fleet's configuration: {error}") from error
+        self._node.reload(dataclasses.replace(config, settings=settings, limits=limits))
         self._control = control
 
     def _apply(self, document: Document) -> None:
