--- a/rosewheel/proxy/resources.py
+++ b/rosewheel/proxy/resources.py
@@ -1,31 +1,34 @@
-"""Descriptors and memory: what this process may use of the node's, and what gives way where it holds too much."""
+"""Limits of this process on descriptors and memory, and which idle connections are closed to stay within them."""
 
 from __future__ import annotations
 
 from rosewheel.hot_restart.transfers import MAX_PENDING_OFFERS
 from rosewheel.proxy.parts import ProxyParts
 
-# Descriptors for everything but clients and servers: a share of all where there are few, within these bounds.
+# Descriptors reserved for everything except connections of clients and to servers: all descriptors of the process
+# divided by RESERVED_DIVISOR, but at least MIN_RESERVED_DESCRIPTORS and at most RESERVED_DESCRIPTORS.
 RESERVED_DESCRIPTORS = 40
 MIN_RESERVED_DESCRIPTORS = 24
 RESERVED_DIVISOR = 8
 MIN_DESCRIPTORS = 8
-# Clients past the limit that get a response saying so; the others are closed at once.
+# Clients over the limit that get an error response: all descriptors divided by the divisor, within these bounds. The
+# connections of any further clients are closed at once.
 MAX_CLIENTS_OVER_LIMIT = 16
 MIN_CLIENTS_OVER_LIMIT = 2
 CLIENTS_OVER_LIMIT_DIVISOR = 32
-BODY_MEMORY_SHARE = 0.15  # of the memory limit, for the bodies of requests
-CLIENT_SHARE = 0.85  # of the descriptors; idle clients give way to connections to servers too
+BODY_MEMORY_SHARE = 0.15  # share of the memory limit for request bodies
+CLIENT_SHARE = 0.85  # share of the descriptors that clients may hold
 MIN_CLIENTS = 6
 
 
 class Resources:
-    """The limits of one process, which shares those of its node while a hot restart lasts.
+    """The limits of one process. During a hot restart it shares its node's limits with another process.
 
     Attributes:
-        max_descriptors: How many descriptors the connections of clients and to servers may hold.
-        process_count: How many processes of this node live.
-        predecessor_descriptors: How many descriptors a predecessor still holds that gives them up.
+        max_descriptors: Maximum number of descriptors for connections of clients and to servers.
+        process_count: Number of running processes of this node.
+        predecessor_descriptors: Number of descriptors that a predecessor that is shutting down still holds, or None
+            if there is no such predecessor.
     """
 
     def __init__(self, parts: ProxyParts) -> None:
@@ -36,37 +39,37 @@
 
     @property
     def descriptor_count(self) -> int:
-        """How many descriptors the connections of clients and to servers hold."""
+        """The number of descriptors that connections of clients and to servers hold."""
         return len(self._parts.server.connections) + self._parts.upstream.descriptor_count
 
     def divide(self, max_sockets: int) -> None:
-        """Sets this process's limits from the node's.
+        """Sets the limits of this process to its part of the node's limits.
 
         Args:
-            max_sockets: The descriptors of the node, for all of its processes.
+            max_sockets: Maximum number of descriptors of the node, for all of its processes together.
         """
         parts = self._parts
         sockets = max_sockets // self.process_count
         if self.process_count > 1 and self.predecessor_descriptors is not None:
-            # An offered connection holds its descriptors twice, so the window counts for both processes.
+            # The descriptors of an offered connection are open in both processes until the offer is answered.
             unused = max_sockets - self.predecessor_descriptors - 2 * MAX_PENDING_OFFERS
             sockets = max(sockets, unused)
         memory_mb = int(parts.config.limits.memory_limit_mb / self.process_count * BODY_MEMORY_SHARE)
         parts.budget.limit_bytes = memory_mb << 20
         reserved = min(RESERVED_DESCRIPTORS, max(MIN_RESERVED_DESCRIPTORS, sockets // RESERVED_DIVISOR))
         if parts.admin is not None:
-            reserved += parts.admin.max_connections  # so that clients can't keep operators out
+            reserved += parts.admin.max_connections  # so that clients can't use up the operators' descriptors
         self.max_descriptors = max(MIN_DESCRIPTORS, sockets - reserved)
         over_limit = min(MAX_CLIENTS_OVER_LIMIT, sockets // CLIENTS_OVER_LIMIT_DIVISOR)
         parts.server.max_over_limit = max(MIN_CLIENTS_OVER_LIMIT, over_limit)
         parts.server.max_connections = max(MIN_CLIENTS, int(self.max_descriptors * CLIENT_SHARE))
 
     def can_hold(self, descriptors: int, idle: bool) -> bool:
-        """Whether this process may hold so many more descriptors.
+        """Returns whether this process may open more descriptors, if need be by closing an idle connection.
 
         Args:
-            descriptors: How many.
-            idle: Whether they are of an idle connection to a server: no other connection gives way to that.
+            descriptors: Number of additional descriptors.
+            idle: Whether they are for an idle connection to a server. No other connection is closed for one.
         """
         server = self._parts.server
         if len(server.connections) >= server.max_connections and not idle:
@@ -75,17 +78,17 @@
         return held + descriptors <= self.max_descriptors or (not idle and self.free_descriptor())
 
     def free_descriptor(self) -> bool:
-        """Makes room for one descriptor, if need be by closing an idle connection; returns whether there is room."""
+        """Frees one descriptor, if need be by closing an idle connection; returns whether one is available."""
         if self.descriptor_count < self.max_descriptors:
             return True
         return self._close_longest_idle()
 
     def close_excess_idle(self) -> None:
-        """Closes idle connections while this process holds too many descriptors; connections in use stay."""
+        """Closes idle connections until this process is within its limit; connections in use stay open."""
         while self.descriptor_count > self.max_descriptors:
             if not self._close_longest_idle():
                 break
 
     def _close_longest_idle(self) -> bool:
-        # Clients first: they connect again at no cost, while a new connection costs a server work.
+        # Clients come first: they reconnect cheaply, while a new connection to a server costs it work.
         return self._parts.server.close_longest_idle() or self._parts.upstream.close_longest_idle()
