--- a/rosewheel/proxy/errors.py
+++ b/rosewheel/proxy/errors.py
@@ -1,14 +1,14 @@
-"""Errors of the files that a node keeps between processes."""
+"""Errors in the files that a node keeps between processes."""
 
 from __future__ import annotations
 
 
 class StateError(Exception):
-    """A file that outlives a process can't be used. The message says why, for the log."""
+    """A persistent file can't be used. The message states the reason for the log."""
 
 
 class StateFileError(StateError):
-    """The file of cordons is no valid state file."""
+    """The state file with the cordons is invalid."""
 
 
 class SnapshotError(StateError):
@@ -16,8 +16,8 @@
 
 
 class SnapshotDamagedError(SnapshotError):
-    """The file is no snapshot, is incomplete, or fails its checksum."""
+    """The file is not a snapshot, is truncated, or does not match its checksum."""
 
 
 class SnapshotMismatchError(SnapshotError):
-    """The snapshot is intact, but of another format version, another node, or a time in the future."""
+    """The snapshot is intact, but has another format version, another node, or a time in the future."""
--- a/rosewheel/proxy/shared_state.py
+++ b/rosewheel/proxy/shared_state.py
@@ -1,7 +1,6 @@
-"""State that the processes of one node share and that outlives them: the servers that operators have cordoned.
+"""Persistent state that the processes of one node share: the servers that operators have cordoned.
 
-During a hot restart two processes poll the state file, and each applies what the other one has written. Another store
-could take the place of the file: a node needs `start`, `set_cordon`, `close` and the two callbacks.
+During a hot restart both processes poll the state file, and each applies the changes of the other.
 """
 
 from __future__ import annotations
@@ -16,9 +15,9 @@
 
 log = logging.getLogger("rosewheel.state")
 
-POLL_INTERVAL_S = 0.05  # how soon a process applies a change of the other one; a drain allows some hundred ms
+POLL_INTERVAL_S = 0.05  # interval of polls for changes that the other process has made
 POLLS_PER_PRESENCE_CHECK = 4
-LOCK_TIMEOUT_S = 0.3  # how long a change waits for one that the other process is making
+LOCK_TIMEOUT_S = 0.3  # limit of the wait for the other process to finish a change
 LOCK_RETRY_S = 0.01
 
 CordonsHandler = Callable[[frozenset[str]], None]
@@ -26,13 +25,13 @@
 
 
 class SharedState:
-    """Follows the state file of a folder, and announces this process to others of its node.
+    """Reads, polls and changes the state file, and detects another process of the node.
 
     Args:
-        folder: The folder that the processes of the node share. Without one nothing outlives this process.
+        folder: The state folder of the node. Without one no state is kept between processes.
         on_cordons_changed: Called with all cordoned servers when another process has changed the set.
         on_process_count_changed: Called with 2 when another process of this node appears, with 1 when it ends.
-        follow: Whether another process can exist. Without it the file is read once, at the start.
+        follow: Whether to poll, because another process can exist. If not, the file is read only at the start.
     """
 
     def __init__(
@@ -52,10 +51,10 @@
         self._applied_version: FileVersion | None = None
         self._timer: asyncio.TimerHandle | None = None
         self._poll_count = 0
-        self._presence_failed = False  # at the last try
+        self._presence_failed = False  # whether the last attempt to acquire the lock failed
 
     def start(self) -> None:
-        """Applies the state file, and polls it from now on where another process can exist."""
+        """Applies the state file, and starts to poll it if another process can exist."""
         if self._presence is None:
             return
         self._acquire_presence(self._presence)
@@ -65,7 +64,7 @@
             self._apply_file()
 
     def _acquire_presence(self, presence: PresenceLock) -> None:
-        """Announces this process; where that fails, for a moment or longer, the next check tries again."""
+        """Acquires the presence lock. After a failure the next presence check tries again."""
         try:
             presence.acquire()
         except OSError as error:
@@ -76,25 +75,25 @@
             self._presence_failed = False
 
     def follow(self) -> None:
-        """Starts to poll where another process exists after all."""
+        """Starts to poll, if this process does not poll yet."""
         if not self._follow and self._file is not None:
             self._follow = True
             self._poll()
 
     def close(self) -> None:
-        """Stops polling, and announces the end of this process."""
+        """Stops polling, and releases the presence lock."""
         if self._timer is not None:
             self._timer.cancel()
         if self._presence is not None:
             self._presence.release()
 
     async def set_cordon(self, server: str, cordoned: bool) -> None:
-        """Records whether a server is cordoned.
+        """Saves whether a server is cordoned.
 
-        Returns once another process that serves this node has had the time to apply it.
+        If the node has another process, waits long enough for it to apply the change.
 
         Raises:
-            OSError: The change can't be written, so it would not outlive this process.
+            OSError: The change can't be written, and later processes would not apply it.
         """
         if self._file is None:
             self._cordoned = with_cordon(self._cordoned, server, cordoned)
@@ -118,7 +117,7 @@
 
     def _replace_file(self, file: StateFile, server: str, cordoned: bool) -> None:
         record = self._read_file(file)
-        # Where the file is damaged or missing, the set that this process holds is the best one available.
+        # If the file is damaged or missing, the change is based on the set that this process has applied.
         current = self._cordoned if record is None else record.cordoned
         changed = with_cordon(current, server, cordoned)
         file.replace(StateRecord(changed))
@@ -132,7 +131,7 @@
         self._apply_file()
 
     def _apply_file(self) -> None:
-        """Applies the state file if it has changed since it was read last."""
+        """Applies the state file if it has changed since it was last read."""
         if self._file is None:
             return
         version = self._file.version()
@@ -152,7 +151,7 @@
             return None
 
     def _check_presence(self) -> None:
-        """Looks for another process of this node."""
+        """Checks whether the node has another process, and reports a change."""
         if self._presence is not None and not self._presence.is_open:
             self._acquire_presence(self._presence)
         has_sibling = self._presence.has_others() if self._presence is not None and self._follow else None
--- a/rosewheel/proxy/state_codec.py
+++ b/rosewheel/proxy/state_codec.py
@@ -1,4 +1,4 @@
-"""The file of cordons as bytes: JSON with a version and the ids of the cordoned servers."""
+"""Codec of the state file: JSON with a version and the ids of the cordoned servers."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from rosewheel.proxy.errors import StateFileError
 
 VERSION = 1
-MAX_FILE_BYTES = 1 << 20  # a larger file was not written by a node; bounds the memory that reading one takes
+MAX_FILE_BYTES = 1 << 20  # larger files are rejected, to limit the memory for reading one
 
 
 @dataclass(slots=True, frozen=True)
@@ -17,7 +17,7 @@
     """The content of the state file.
 
     Attributes:
-        cordoned: Ids of the servers that operators have cordoned by hand.
+        cordoned: Ids of the servers that operators have cordoned.
     """
 
     cordoned: frozenset[str]
@@ -29,19 +29,19 @@
 
 
 def decode_state(data: bytes) -> StateRecord:
-    """Returns the record that a state file holds.
+    """Returns the record in a state file.
 
     Raises:
-        StateFileError: The bytes are no state file of this version.
+        StateFileError: The content is not a state file of this version.
     """
     if len(data) > MAX_FILE_BYTES:
-        raise StateFileError("it is too long")
+        raise StateFileError(f"longer than {MAX_FILE_BYTES} bytes")
     try:
         content = orjson.loads(data)
     except orjson.JSONDecodeError as error:
         raise StateFileError(str(error)) from error
     if not isinstance(content, dict) or content.get("version") != VERSION:
-        raise StateFileError(f"not a state of version {VERSION}")
+        raise StateFileError(f"not a state file of version {VERSION}")
     servers = content.get("cordoned")
     if not isinstance(servers, list) or not all(isinstance(server, str) for server in servers):
         raise StateFileError("cordoned is not a list of ids")
--- a/rosewheel/proxy/state_file.py
+++ b/rosewheel/proxy/state_file.py
@@ -1,4 +1,4 @@
-"""The file of cordons on disk, and the two locks with which the processes of one node share its folder."""
+"""The state file on disk, and the two locks by which the processes of one node share its folder."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 class FileVersion(NamedTuple):
-    """Tells one version of a file from the next: each change replaces the file."""
+    """Identifies a version of the state file, which each change replaces."""
 
     inode: int
     modified_ns: int
@@ -33,7 +33,7 @@
         self._path = os.path.join(folder, STATE_NAME)
 
     def version(self) -> FileVersion | None:
-        """Returns the version that is in place, or None where there is no file."""
+        """Returns the current version, or None if there is no file."""
         try:
             found = os.stat(self._path)
         except OSError:
@@ -41,10 +41,10 @@
         return FileVersion(found.st_ino, found.st_mtime_ns, found.st_size)
 
     def read(self) -> StateRecord | None:
-        """Returns the content, or None where there is no file.
+        """Returns the content, or None if there is no file.
 
         Raises:
-            StateFileError: The file is damaged or of another version.
+            StateFileError: The file is damaged or has another version.
             OSError: The file can't be read.
         """
         try:
@@ -54,10 +54,10 @@
             return None
 
     def replace(self, record: StateRecord) -> None:
-        """Replaces the file in one step, so that a reader sees the old content or the new one.
+        """Replaces the file atomically.
 
         Raises:
-            OSError: The file can't be written; the old one stays in place.
+            OSError: The file can't be written. The old one stays in place.
         """
         part = os.path.join(self._folder, f"state.{os.getpid()}.part")
         try:
@@ -71,7 +71,7 @@
 
     @contextlib.contextmanager
     def locked(self) -> Iterator[None]:
-        """Holds the lock that guards a read and the replacement based on it against the other process.
+        """Holds the lock for a read-modify-write of the file.
 
         Raises:
             BlockingIOError: The other process holds the lock.
@@ -86,9 +86,9 @@
 
 
 class PresenceLock:
-    """A lock that all processes of a node hold together: the one that can get it exclusively is alone.
+    """A lock that all running processes of a node share. A process that can lock it exclusively is the only one.
 
-    The kernel releases it for a process that was killed.
+    The kernel releases the lock of a process that was killed.
     """
 
     def __init__(self, folder: str) -> None:
@@ -96,7 +96,7 @@
         self._descriptor: int | None = None
 
     def acquire(self) -> None:
-        """Announces this process.
+        """Takes the shared lock.
 
         Raises:
             OSError: The lock file can't be opened or locked.
@@ -107,11 +107,11 @@
 
     @property
     def is_open(self) -> bool:
-        """Whether the lock file is open; it is locked then, or will be by the next `has_others`."""
+        """Whether the lock file is open. It is then locked, or will be by the next `has_others`."""
         return self._descriptor is not None
 
     def has_others(self) -> bool | None:
-        """Returns whether another process of this node lives, or None where this one holds no lock."""
+        """Returns whether another process of this node runs, or None if the lock file is not open."""
         if self._descriptor is None:
             return None
         try:
@@ -124,7 +124,7 @@
         return others
 
     def release(self) -> None:
-        """Leaves; a second call does nothing."""
+        """Releases the lock; a second call does nothing."""
         if self._descriptor is not None:
             os.close(self._descriptor)
             self._descriptor = None
