--- a/rosewheel/proxy/snapshot_codec.py
+++ b/rosewheel/proxy/snapshot_codec.py
@@ -1,4 +1,4 @@
-"""A snapshot as bytes: a line with format, version, checksum and length, then JSON."""
+"""Codec of snapshot files: a header line with magic, format version, checksum and length, then JSON."""
 
 from __future__ import annotations
 
@@ -20,23 +20,26 @@
 from rosewheel.proxy.errors import SnapshotDamagedError, SnapshotMismatchError
 
 MAGIC = b"rosewheel-learned"
-MAX_FILE_BYTES = 16 << 20  # a larger file was not written by a node; bounds the memory that reading one takes
+MAX_FILE_BYTES = 16 << 20  # larger files are rejected, to limit the memory for reading one
 MAX_IDLE_TIMEOUT_S = 1e6
 
 
 class ClockReading(NamedTuple):
-    """Both clocks at one moment, in milliseconds: neither alone tells an age across processes."""
+    """Readings of both clocks at one moment, in milliseconds.
+
+    An age needs both: the wall clock may be set, and the monotonic clock restarts with the machine.
+    """
 
     monotonic_ms: float
     wall_ms: float
 
 
 class LearnedValues(NamedTuple):
-    """What one process has learned.
+    """The values that one process has learned.
 
     Attributes:
         learned: The learned state of the balancing policy.
-        idle_timeout_s: How long connections to servers may stay idle before they go stale.
+        idle_timeout_s: How long connections to servers can be idle before the servers close them.
     """
 
     learned: LearnedState
@@ -45,12 +48,12 @@
 
 @dataclass(slots=True, frozen=True)
 class Snapshot:
-    """LearnedState values of an earlier process.
+    """The values that an earlier process had learned.
 
     Attributes:
         learned: The learned state of the balancing policy.
-        age_ms: The time since the snapshot was taken.
-        idle_timeout_s: How long connections to servers may stay idle; infinite where nothing was learned of that.
+        age_ms: The age of the snapshot.
+        idle_timeout_s: How long connections to servers can be idle before the servers close them; infinite if unknown.
     """
 
     learned: LearnedState
@@ -59,7 +62,7 @@
 
 
 def read_clocks() -> ClockReading:
-    """Returns the monotonic clock and the time of day."""
+    """Returns the current readings of both clocks."""
     return ClockReading(time.monotonic() * 1000.0, time.time() * 1000.0)
 
 
@@ -77,16 +80,16 @@
 
 
 def decode_snapshot(data: bytes, node: str, now: ClockReading) -> Snapshot:
-    """Returns the snapshot that a file holds for this node.
+    """Returns the snapshot in a file of this node.
 
     Args:
         data: The content of the file.
-        node: The name of this node; a snapshot of another one is refused.
-        now: Both clocks, as `read_clocks` returns them.
+        node: The name of this node. Snapshots of other nodes are rejected.
+        now: The current readings of both clocks.
 
     Raises:
-        SnapshotDamagedError: The file is no complete snapshot.
-        SnapshotMismatchError: The snapshot is of another version or node, or lies in the future.
+        SnapshotDamagedError: The file is not a complete snapshot.
+        SnapshotMismatchError: The snapshot has another format version or node, or a time in the future.
     """
     content = _checked_content(data)
     try:
@@ -96,20 +99,22 @@
 
 
 def _checked_content(data: bytes) -> Any:
-    """Returns the JSON behind a header line that fits it."""
+    """Checks the header line, and returns the JSON content."""
     if len(data) > MAX_FILE_BYTES:
-        raise SnapshotDamagedError("too long")
+        raise SnapshotDamagedError(f"longer than {MAX_FILE_BYTES} bytes")
     header, newline, body = data.partition(b"\n")
     fields = header.split(b" ")
     if not newline or len(fields) != 4 or fields[0] != MAGIC:
         raise SnapshotDamagedError("not a snapshot")
     _, version, checksum, length = fields
     if version != b"%d" % FORMAT_VERSION:
-        raise SnapshotMismatchError(f"of version {version.decode('ascii', 'replace')}, not {FORMAT_VERSION}")
+        raise SnapshotMismatchError(
+            f"snapshot of version {version.decode('ascii', 'replace')}, not {FORMAT_VERSION}"
+        )
     if length != b"%d" % len(body):
-        raise SnapshotDamagedError("incomplete")
+        raise SnapshotDamagedError("incomplete snapshot")
     if checksum != b"%08x" % zlib.crc32(body):
-        raise SnapshotDamagedError("damaged")
+        raise SnapshotDamagedError("snapshot does not match its checksum")
     try:
         return orjson.loads(body)
     except orjson.JSONDecodeError as error:
@@ -118,11 +123,11 @@
 
 def _snapshot_from(content: Any, node: str, now: ClockReading) -> Snapshot:
     if content.get("node") != node:
-        raise SnapshotMismatchError(f"of another node, {content.get('node')!r}")
+        raise SnapshotMismatchError(f"snapshot of another node, {content.get('node')!r}")
     saved = ClockReading(float(content["monotonic_ms"]), float(content["wall_ms"]))
     age_ms = snapshot_age_ms(saved, now)
     if age_ms is None:
-        raise SnapshotMismatchError("from the future, by both clocks")
+        raise SnapshotMismatchError("snapshot from the future by both clocks")
     return Snapshot(
         learned_state_from_json(content["learned"]), age_ms, _idle_timeout_from(content.get("rest_s"))
     )
--- a/rosewheel/proxy/snapshots.py
+++ b/rosewheel/proxy/snapshots.py
@@ -1,7 +1,6 @@
-"""Writes what a node has learned to a file at intervals, and reads it when the next process starts.
+"""Periodically writes what a node has learned to a snapshot file, which the next process reads at its start.
 
-The file lies in the folder that outlives a process, and is replaced in one step: a reader finds the old version or the
-new one. A file that can't be used is renamed and logged, so that it can be examined and is not read again.
+The file is replaced atomically. A file that can't be used is renamed, so that it can be examined and is not read again.
 """
 
 from __future__ import annotations
@@ -27,21 +26,21 @@
 
 SNAPSHOT_NAME = "learned.snap"
 REJECTED_NAME = "learned.aside"
-PERIOD_S = 1.0  # the shortest time between two snapshots
-MAX_TIME_SHARE = 0.005  # of the process's time for snapshots: an expensive one is taken less often
+PERIOD_S = 1.0  # minimum time between two snapshots
+MAX_TIME_SHARE = 0.005  # maximum share of time spent on snapshots: expensive ones are taken less often
 
 TakeValues = Callable[[], LearnedValues]
 
 
 class SnapshotWriter:
-    """Writes snapshots from `start` until `close`. Without a folder it does nothing.
+    """Writes snapshots between `start` and `close`. Does nothing without a folder.
 
     Args:
-        folder: The folder that outlives a process.
-        node: The name of this node: only snapshots of the same one are read.
-        take: Returns what this process has learned.
-        on_disk: Whether the folder lies on a disk, where a write may take tens of milliseconds: then a thread
-            does it. Elsewhere the folder is in memory, and a write does not block the loop.
+        folder: The state folder of the node.
+        node: The name of this node. Snapshots of other nodes are rejected.
+        take: Returns the values that this process has learned.
+        on_disk: Whether the folder is on a disk, where a write may block for tens of milliseconds. It then runs in a
+            thread. If not, the folder is in memory, and the write runs on the event loop.
 
     Attributes:
         last_cost_s: How long the last snapshot took to take and write.
@@ -59,7 +58,7 @@
         self._closed = False
 
     def read(self) -> Snapshot | None:
-        """Returns the snapshot of an earlier process; None where there is none, or where it can't be used."""
+        """Returns the snapshot of an earlier process, or None if there is no usable one."""
         if self._path is None:
             return None
         try:
@@ -74,19 +73,19 @@
             return None
 
     def start(self) -> None:
-        """Writes the first snapshot after one period, and others from then on."""
+        """Starts to write snapshots, the first one after one period."""
         if self._path is not None:
             self._schedule()
 
     def close(self) -> None:
-        """Writes no more. The file stays: a successor may have replaced it with its own by now."""
+        """Stops writing. The file stays, since it may already be the successor's."""
         self._closed = True
         if self._timer is not None:
             self._timer.cancel()
             self._timer = None
 
     def write(self) -> None:
-        """Writes one snapshot now. A failure is logged once, until a write succeeds again."""
+        """Writes a snapshot now. Of consecutive failures only the first is logged."""
         if self._path is not None:
             started = time.perf_counter()
             self._written(started, self._replace_file(self._path, self._encode()))
@@ -96,13 +95,13 @@
         return encode_snapshot(self._node, learned, idle_timeout_s, read_clocks())
 
     def _replace_file(self, path: str, data: bytes) -> OSError | None:
-        """Replaces the file, or returns why it could not. Runs in a thread where the folder lies on a disk."""
+        """Replaces the file, and returns the error if that fails. Runs in a thread if the folder is on a disk."""
         part = os.path.join(os.path.dirname(path), f"learned.{os.getpid()}.part")
         try:
             with open(part, "wb") as file:
                 file.write(data)
-            # A write that was delayed past `close` must not replace the file of the successor. Where `close`
-            # happens between this check and the replacement, the successor's next snapshot restores its file.
+            # A write that is still running after `close` must not replace the successor's file. If `close` happens
+            # between this check and the replacement, the successor's next snapshot replaces the file again.
             if self._closed:
                 os.unlink(part)
             else:
@@ -141,7 +140,7 @@
 
 
 def _rename_rejected(path: str) -> None:
-    """Moves a file aside that can't be used."""
+    """Renames a file that can't be used."""
     try:
         os.replace(path, os.path.join(os.path.dirname(path), REJECTED_NAME))
     except OSError as error:
