--- a/tests/proxy/test_listener.py
+++ b/tests/proxy/test_listener.py
@@ -1,4 +1,4 @@
-"""The listening socket: bound here or inherited, and let go of without a harm to who else has it."""
+"""The listening socket: bound or inherited, shared with another process, and closed without affecting it."""
 
 from __future__ import annotations
 
@@ -22,59 +22,60 @@
         assert sock.getsockopt(socket.SOL_SOCKET, socket.SO_ACCEPTCONN)
 
 
-def test_an_inherited_socket_is_used_as_it_is():
-    with socket.create_server(("127.0.0.1", 0)) as held:
-        with open_listener(("127.0.0.1", 1), os.dup(held.fileno())) as sock:
-            assert sock.getsockname() == held.getsockname()
+def test_an_inherited_socket_is_used_unchanged():
+    with socket.create_server(("127.0.0.1", 0)) as listener:
+        with open_listener(("127.0.0.1", 1), os.dup(listener.fileno())) as sock:
+            assert sock.getsockname() == listener.getsockname()
 
 
-@pytest.mark.parametrize("make", [lambda: os.open(os.devnull, os.O_RDONLY), lambda: _plain(), lambda: 9999])
-def test_what_is_no_listening_socket_is_one_plain_line(make):
+@pytest.mark.parametrize(
+    "open_descriptor", [lambda: os.open(os.devnull, os.O_RDONLY), lambda: _unbound_socket(), lambda: 9999]
+)
+def test_an_inherited_descriptor_without_a_listening_socket_is_a_one_line_error(open_descriptor):
     with pytest.raises(ConfigError, match=r"^LB_INHERITED_FD: \d+: [^\n]+$"):
-        open_listener(("127.0.0.1", 1), make())
+        open_listener(("127.0.0.1", 1), open_descriptor())
 
 
-def _plain() -> int:
+def _unbound_socket() -> int:
     return socket.socket().detach()
 
 
-def test_an_address_in_use_is_one_plain_line():
-    with socket.create_server(("127.0.0.1", 0)) as held:
+def test_an_address_in_use_is_a_one_line_error():
+    with socket.create_server(("127.0.0.1", 0)) as listener:
         with pytest.raises(ConfigError, match=r"^LB_LISTEN: 127\.0\.0\.1:\d+: [^\n]+$"):
-            open_listener(held.getsockname(), None)
+            open_listener(listener.getsockname(), None)
 
 
-def test_an_upgrade_turns_no_caller_away():
-    """Guards callers while an old process ends beside a new one: what the old one took it answers, with
-    `Connection: close`, and whoever connects from then on finds the new one."""
+def test_no_client_is_rejected_while_two_processes_share_a_socket():
+    """The old process responds on its connections, with `Connection: close`; new clients reach the new process."""
 
     async def main() -> None:
-        with socket.create_server(("127.0.0.1", 0)) as held:
-            port = held.getsockname()[1]
+        with socket.create_server(("127.0.0.1", 0)) as listener:
+            port = listener.getsockname()[1]
             async with FakeServer().up() as server:
                 known = [entry("s", server.port)]
-                old = Proxy(config(known, inherited=os.dup(held.fileno())))
-                new = Proxy(config(known, inherited=os.dup(held.fileno())))
-                for relay in (old, new):
-                    relay.discovery.start = relay.endpoints.list_received.set  # type: ignore[method-assign]
+                old = Proxy(config(known, inherited=os.dup(listener.fileno())))
+                new = Proxy(config(known, inherited=os.dup(listener.fileno())))
+                for proxy in (old, new):
+                    proxy.discovery.start = proxy.endpoints.list_received.set  # type: ignore[method-assign]
                 await old.start()
-                async with Client(port=port) as early, Client(port=port) as quiet:
-                    assert status(await early.ask()) == 200
+                async with Client(port=port) as active, Client(port=port) as idle:
+                    assert status(await active.ask()) == 200
                     await until(lambda: len(old.server.connections) == 2)
                     assert (old.serving(), new.serving()) == (True, False)
                     await new.start()
                     assert new.serving()
-                    stop = asyncio.ensure_future(old.drain())
+                    draining = asyncio.ensure_future(old.drain())
                     await until(lambda: old.server.draining)
                     assert not old.serving()
                     for at in range(20):
                         async with Client(port=port) as client:
                             assert status(await client.ask(id=f"late-{at}")) == 200
                     assert len(old.server.connections) == 2
-                    for client in (early, quiet):
-                        got = await client.ask()
-                        assert (status(got), got.headers.get("connection")) == (200, "close")
-                    await stop
+                    for client in (active, idle):
+                        response = await client.ask()
+                        assert (status(response), response.headers.get("connection")) == (200, "close")
+                    await draining
                     assert not old.server.connections
                 async with Client(port=port) as client:
                     assert status(await client.ask()) == 200
@@ -84,43 +85,43 @@
     run(main())
 
 
-def test_no_client_waits_for_a_process_that_does_not_accept_yet():
-    """A request that lay in the system's queue was counted from when it was read, so servers were told too much."""
+def test_the_port_refuses_connections_until_the_process_accepts_them():
+    """Time in the kernel's accept queue is not counted against a request's deadline, so none may wait there."""
 
     async def main() -> None:
-        gate, waiting = asyncio.Event(), asyncio.Event()
+        list_received, waiting = asyncio.Event(), asyncio.Event()
 
         async def wait_for_list(_shares_listener: bool) -> None:
             waiting.set()
-            await gate.wait()
+            await list_received.wait()
 
         port = closed_port()
-        told = dataclasses.replace(config([]), listen_address=("127.0.0.1", port))
-        relay = Proxy(told)
-        relay.endpoints.wait_for_list = wait_for_list  # type: ignore[method-assign]
-        start = asyncio.create_task(relay.start())
+        node_config = dataclasses.replace(config([]), listen_address=("127.0.0.1", port))
+        proxy = Proxy(node_config)
+        proxy.endpoints.wait_for_list = wait_for_list  # type: ignore[method-assign]
+        start = asyncio.create_task(proxy.start())
         await waiting.wait()
         try:
             with pytest.raises(ConnectionRefusedError):
                 await asyncio.open_connection("127.0.0.1", port)
-            gate.set()
+            list_received.set()
             await start
             _, writer = await asyncio.open_connection("127.0.0.1", port)
             writer.close()
         finally:
-            gate.set()
+            list_received.set()
             await start
-            relay.discovery.close()
-            relay.upstream.close()
-            relay.server.close()
+            proxy.discovery.close()
+            proxy.upstream.close()
+            proxy.server.close()
 
     run(main())
 
 
-def test_an_address_that_another_process_takes_meanwhile_is_a_bad_configuration():
+def test_an_address_that_another_process_binds_during_the_start_is_a_configuration_error():
     async def main() -> None:
         port = closed_port()
-        relay = Proxy(dataclasses.replace(config([]), listen_address=("127.0.0.1", port)))
+        proxy = Proxy(dataclasses.replace(config([]), listen_address=("127.0.0.1", port)))
         other = socket.socket()
 
         async def wait_for_list(_shares_listener: bool) -> None:
@@ -128,10 +129,10 @@
             other.bind(("127.0.0.1", port))
             other.listen()
 
-        relay.endpoints.wait_for_list = wait_for_list  # type: ignore[method-assign]
+        proxy.endpoints.wait_for_list = wait_for_list  # type: ignore[method-assign]
         with other, pytest.raises(ConfigError, match=f"LB_LISTEN: 127.0.0.1:{port}"):
-            await relay.start()
-        relay.discovery.close()
-        relay.upstream.close()
+            await proxy.start()
+        proxy.discovery.close()
+        proxy.upstream.close()
 
     run(main())
--- a/tests/proxy/test_process_state.py
+++ b/tests/proxy/test_process_state.py
@@ -1,4 +1,4 @@
-"""What outlives a process, and what two processes of one node tell one another."""
+"""The shared state: kept for later processes, and exchanged between two processes of one node."""
 
 from __future__ import annotations
 
@@ -14,61 +14,67 @@
 from tests.support.sockets import run, until
 
 
-class Reader:
+class Process:
+    """The shared state of one process, and the calls of its two callbacks."""
+
     def __init__(self, folder: Path | None) -> None:
-        self.sets: list[frozenset[str]] = []
-        self.company: list[int] = []
-        self.state = SharedState(str(folder) if folder else None, self.sets.append, self.company.append)
+        self.cordons: list[frozenset[str]] = []
+        self.process_counts: list[int] = []
+        self.state = SharedState(
+            str(folder) if folder else None, self.cordons.append, self.process_counts.append
+        )
 
 
-def test_the_next_process_is_told(tmp_path: Path):
+def test_the_next_process_applies_saved_cordons(tmp_path: Path):
     async def main() -> None:
-        first = Reader(tmp_path)
+        first = Process(tmp_path)
         first.state.start()
         await first.state.set_cordon("s1", True)
         await first.state.set_cordon("s2", True)
         await first.state.set_cordon("s2", True)
         await first.state.set_cordon("s2", False)
         first.state.close()
-        second = Reader(tmp_path)
-        second.state.start()  # at once, before anything can be sent
-        assert second.sets == [frozenset({"s1"})]
+        second = Process(tmp_path)
+        second.state.start()  # applied before it returns
+        assert second.cordons == [frozenset({"s1"})]
         second.state.close()
-        assert not first.sets, "what a process put down itself it need not be told"
+        assert not first.cordons, "a process is not called back for its own changes"
 
     run(main())
 
 
-def test_two_processes_act_on_what_either_is_told(tmp_path: Path):
-    """Guards an upgrade: both serve, and an operator's call reaches one of them."""
+def test_two_processes_apply_each_others_changes(tmp_path: Path):
+    """During a hot restart both serve, and an operator's request reaches only one of them."""
 
     async def main() -> None:
-        old, new = Reader(tmp_path), Reader(tmp_path)
+        old, new = Process(tmp_path), Process(tmp_path)
         old.state.start()
         new.state.start()
-        await until(lambda: old.company == [2] and new.company == [2])
+        await until(lambda: old.process_counts == [2] and new.process_counts == [2])
         await old.state.set_cordon("s1", True)
-        assert new.sets[-1] == frozenset({"s1"}), "the yes comes once the other one knows"
+        assert new.cordons[-1] == frozenset({"s1"}), (
+            "the call returns after the other process has applied the change"
+        )
         await new.state.set_cordon("s2", True)
         await new.state.set_cordon("s1", False)
-        assert old.sets[-1] == frozenset({"s2"})
+        assert old.cordons[-1] == frozenset({"s2"})
         old.state.close()
-        await until(lambda: new.company == [2, 1])
+        await until(lambda: new.process_counts == [2, 1])
         new.state.close()
 
     run(main())
 
 
-def test_changes_of_both_at_once_are_all_kept(tmp_path: Path):
+def test_concurrent_changes_of_two_processes_are_all_saved(tmp_path: Path):
     async def main() -> None:
-        readers = [Reader(tmp_path), Reader(tmp_path)]
-        for reader in readers:
-            reader.state.start()
-        await asyncio.gather(*(readers[at % 2].state.set_cordon(f"s{at}", True) for at in range(10)))
-        held = orjson.loads((tmp_path / "state.json").read_bytes())
-        assert held == {"version": 1, "cordoned": sorted(f"s{at}" for at in range(10))}
-        for reader in readers:
-            reader.state.close()
+        processes = [Process(tmp_path), Process(tmp_path)]
+        for process in processes:
+            process.state.start()
+        await asyncio.gather(*(processes[at % 2].state.set_cordon(f"s{at}", True) for at in range(10)))
+        saved = orjson.loads((tmp_path / "state.json").read_bytes())
+        assert saved == {"version": 1, "cordoned": sorted(f"s{at}" for at in range(10))}
+        for process in processes:
+            process.state.close()
         assert not list(tmp_path.glob("*.part"))
 
     run(main())
@@ -86,50 +92,50 @@
         b" " * (1 << 21),
     ],
 )
-def test_a_damaged_file_is_survived_and_logged(tmp_path: Path, text: bytes, caplog: pytest.LogCaptureFixture):
-    """Guards the node against its own leavings: it starts, says so, and the next change mends the file."""
+def test_a_damaged_file_is_ignored_and_logged(tmp_path: Path, text: bytes, caplog: pytest.LogCaptureFixture):
+    """A damaged file must not keep a node from starting. The next change replaces it."""
     caplog.set_level(logging.ERROR)
     (tmp_path / "state.json").write_bytes(text)
 
     async def main() -> None:
-        reader = Reader(tmp_path)
-        reader.state.start()
-        assert reader.sets == []
+        process = Process(tmp_path)
+        process.state.start()
+        assert process.cordons == []
         assert "state file ignored, left in place" in caplog.text
-        await reader.state.set_cordon("s1", True)
-        reader.state.close()
-        following = Reader(tmp_path)
+        await process.state.set_cordon("s1", True)
+        process.state.close()
+        following = Process(tmp_path)
         following.state.start()
-        assert following.sets == [frozenset({"s1"})]
+        assert following.cordons == [frozenset({"s1"})]
         following.state.close()
 
     run(main())
 
 
-def test_damage_under_a_running_process_changes_nothing(tmp_path: Path):
+def test_damage_to_the_file_of_a_running_process_lifts_no_cordon(tmp_path: Path):
     async def main() -> None:
-        reader = Reader(tmp_path)
-        reader.state.start()
-        await reader.state.set_cordon("s1", True)
+        process = Process(tmp_path)
+        process.state.start()
+        await process.state.set_cordon("s1", True)
         (tmp_path / "state.json").write_bytes(b"{")
-        polls = reader.state._poll_count
-        await until(lambda: reader.state._poll_count > polls + 1)
-        assert reader.sets == []
-        await reader.state.set_cordon("s2", True)
-        held = orjson.loads((tmp_path / "state.json").read_bytes())
-        assert held["cordoned"] == ["s1", "s2"]
-        reader.state.close()
+        polls = process.state._poll_count
+        await until(lambda: process.state._poll_count > polls + 1)
+        assert process.cordons == []
+        await process.state.set_cordon("s2", True)
+        saved = orjson.loads((tmp_path / "state.json").read_bytes())
+        assert saved["cordoned"] == ["s1", "s2"]
+        process.state.close()
 
     run(main())
 
 
-def test_without_a_folder_nothing_is_kept(tmp_path: Path):
+def test_without_a_folder_nothing_is_saved(tmp_path: Path):
     async def main() -> None:
-        reader = Reader(None)
-        reader.state.start()
-        await reader.state.set_cordon("s1", True)
-        reader.state.close()
-        missing = Reader(tmp_path / "nowhere")
+        process = Process(None)
+        process.state.start()
+        await process.state.set_cordon("s1", True)
+        process.state.close()
+        missing = Process(tmp_path / "nowhere")
         missing.state.start()
         with pytest.raises(OSError, match="nowhere"):
             await missing.state.set_cordon("s1", True)
@@ -141,10 +147,10 @@
 def test_a_presence_lock_that_fails_at_the_start_is_tried_again(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ):
-    """Two processes paced warming servers as if each were alone, as long as both lived."""
+    """If neither process detects the other, both pace servers in slow start as if there were only one."""
 
     async def main() -> None:
-        old, new = Reader(tmp_path), Reader(tmp_path)
+        old, new = Process(tmp_path), Process(tmp_path)
         old.state.start()
         with monkeypatch.context() as patch:
 
@@ -153,9 +159,9 @@
 
             patch.setattr("rosewheel.proxy.state_file.os.open", fail)
             new.state.start()
-        await until(lambda: old.company == [2] and new.company == [2])
+        await until(lambda: old.process_counts == [2] and new.process_counts == [2])
         new.state.close()
-        await until(lambda: old.company == [2, 1])
+        await until(lambda: old.process_counts == [2, 1])
         old.state.close()
 
     run(main())
