--- a/tests/proxy/test_reconfiguration.py
+++ b/tests/proxy/test_reconfiguration.py
@@ -1,4 +1,4 @@
-"""Another configuration on the sockets: at SIGHUP, from the fleet, and with requests and lists in flight."""
+"""Reconfiguration of a running node: by SIGHUP, by the fleet, and with requests and endpoint lists in flight."""
 
 from __future__ import annotations
 
@@ -40,35 +40,34 @@
 )
 
 
-def other(relay: Proxy, **changes: Any) -> Settings:
-    return dataclasses.replace(relay.config.settings, **changes)
+def changed_settings(proxy: Proxy, **changes: Any) -> Settings:
+    return dataclasses.replace(proxy.config.settings, **changes)
 
 
-def lines_of(process: Any) -> Iterator[str]:
+def log_lines(process: Any) -> Iterator[str]:
     return iter(process.stderr.readline, "")
 
 
 @pytest.mark.parametrize("effect", ["free", "single_shot"])
-def test_sighup_with_other_classes_while_requests_are_in_flight(effect: str, tmp_path: Path):
-    """Guards a change of classes through the real program: what was taken under the old ones is answered under them,
-    the new one is served, the removed one refused, and a file that can't be applied changes nothing."""
+def test_sighup_changes_classes_while_requests_are_in_flight(effect: str, tmp_path: Path):
+    """Requests of a removed class still get their response; new ones are rejected. An invalid file changes nothing."""
 
     async def main() -> None:
-        free, slow = gated_handler()
+        gate, slow = gated_handler()
         port = free_port()
         async with FakeServer(slow).up() as server:
-            row = platform_document(
+            document = platform_document(
                 listen=f"127.0.0.1:{port}",
                 known={"seq": 1, "whole": True, "hosts": [entry("s", server.port)]},
                 settings=PLATFORM_SETTINGS | {"registryMode": "push", "invariants": {"drainGraceMs": 400.0}},
             )
 
-            async def refused(service: str) -> bool:
-                async with Client(port=port) as client:  # one of its own, since it ends with that
+            async def is_rejected(service: str) -> bool:
+                async with Client(port=port) as client:  # a new connection, since the rejection closes it
                     return status(await client.ask(service)) == 400
 
-            process = start_node(tmp_path, row)
-            lines = lines_of(process)
+            process = start_node(tmp_path, document)
+            log = log_lines(process)
             path = tmp_path / "config.json"
             try:
                 connected = await asyncio.to_thread(connect, process, port)
@@ -76,22 +75,22 @@
                 async with Client(port=port) as old, Client(port=port) as new:
                     old.send("post", id="old")
                     await until(lambda: len(server.got) == 1)
-                    late = {"name": "late", "aimMs": 900.0, "giveUpMs": 2000.0, "effect": effect}
-                    classes = [one for one in PLATFORM_SETTINGS["categories"] if one["name"] != "post"]
-                    wanted = row["settings"] | {"categories": [*classes, late]}
+                    added = {"name": "late", "aimMs": 900.0, "giveUpMs": 2000.0, "effect": effect}
+                    kept = [one for one in PLATFORM_SETTINGS["categories"] if one["name"] != "post"]
+                    changed = document["settings"] | {"categories": [*kept, added]}
 
-                    async def told(settings: dict[str, Any], line: str) -> None:
-                        path.write_bytes(orjson.dumps({**row, "settings": settings}))
+                    async def reload(settings: dict[str, Any], expected: str) -> None:
+                        path.write_bytes(orjson.dumps({**document, "settings": settings}))
                         process.send_signal(signal.SIGHUP)
-                        assert await asyncio.to_thread(lambda: any(line in one for one in lines))
+                        assert await asyncio.to_thread(lambda: any(expected in line for line in log))
 
-                    await told(wanted | {"locality": "b"}, "configuration not reloaded: error=zone: 'b'")
-                    assert await refused("late")
-                    await told(wanted, "configuration applied: classes=3")
-                    assert await refused("post")
+                    await reload(changed | {"locality": "b"}, "configuration not reloaded: error=zone: 'b'")
+                    assert await is_rejected("late")
+                    await reload(changed, "configuration applied: classes=3")
+                    assert await is_rejected("post")
                     new.send("late")
                     await until(lambda: len(server.got) == 2)
-                    free.set()
+                    gate.set()
                     for client in (old, new):
                         assert status(await client.answer()) == 200
                 process.send_signal(signal.SIGTERM)
@@ -104,150 +103,154 @@
     run(main())
 
 
-def test_a_reload_that_can_not_be_applied_leaves_the_whole_of_the_old_one():
-    """Also discovery's address and the sockets, which could have changed by themselves."""
+def test_a_reload_that_fails_changes_nothing():
+    """Not even the address of discovery and the socket limit, which would be valid by themselves."""
 
     async def main() -> None:
         async with (
             FakeServer().up() as server,
-            node([entry("s", server.port)]) as relay,
-            Client(relay) as client,
+            node([entry("s", server.port)]) as proxy,
+            Client(proxy) as client,
         ):
-            before = relay.config
-            kept = vars(relay.node.balancer).copy()
-            bad = dataclasses.replace(
+            before = proxy.config
+            balancer_before = vars(proxy.node.balancer).copy()
+            invalid = dataclasses.replace(
                 before,
                 discovery_address=("127.0.0.1", 2),
-                settings=other(relay, tier=1, classes=(IDEMPOTENT,)),
+                settings=changed_settings(proxy, tier=1, classes=(IDEMPOTENT,)),
                 limits=Limits(max_sockets=64, memory_limit_mb=33.0),
             )
             with pytest.raises(ConfigError, match=r"^tier: 1 would need a new start of this node$"):
-                relay.reload(bad)
-            assert relay.config is before
-            assert relay.upstream.bounds is before.limits
-            assert relay.node.limits is before.limits
-            assert relay.discovery.address == before.discovery_address
-            assert all(value is kept[key] for key, value in vars(relay.node.balancer).items())
+                proxy.reload(invalid)
+            assert proxy.config is before
+            assert proxy.upstream.bounds is before.limits
+            assert proxy.node.limits is before.limits
+            assert proxy.discovery.address == before.discovery_address
+            assert all(value is balancer_before[key] for key, value in vars(proxy.node.balancer).items())
             assert status(await client.ask("post")) == 200
 
     run(main())
 
 
-def test_the_same_configuration_again_is_none():
+def test_a_reload_without_changes_keeps_the_balancer_state():
     async def main() -> None:
-        async with node([]) as relay:
-            before = vars(relay.node.balancer).copy()
-            relay.reload(
-                dataclasses.replace(relay.config, seed=99, limits=dataclasses.replace(relay.config.limits))
+        async with node([]) as proxy:
+            before = vars(proxy.node.balancer).copy()
+            proxy.reload(
+                dataclasses.replace(proxy.config, seed=99, limits=dataclasses.replace(proxy.config.limits))
             )
-            assert all(value is before[key] for key, value in vars(relay.node.balancer).items())
+            assert all(value is before[key] for key, value in vars(proxy.node.balancer).items())
 
     run(main())
 
 
-def test_what_only_a_start_takes_over_is_said(caplog: pytest.LogCaptureFixture):
+def test_a_reload_logs_the_keys_that_need_a_restart(caplog: pytest.LogCaptureFixture):
     async def main() -> None:
-        async with node([]) as relay:
-            relay.reload(dataclasses.replace(relay.config, listen_address=("127.0.0.1", 9), name="x"))
+        async with node([]) as proxy:
+            proxy.reload(dataclasses.replace(proxy.config, listen_address=("127.0.0.1", 9), name="x"))
             assert "configuration keys ignored until a restart: keys=name, listen" in caplog.text
 
     run(main())
 
 
-def test_other_bounds_reach_all_that_keeps_to_them():
+def test_new_limits_reach_all_components():
     async def main() -> None:
-        async with node([]) as relay:
-            relay.upstream.idle_timeout.refusal_limit_s = 3.0
-            bounds = Limits(
+        async with node([]) as proxy:
+            proxy.upstream.idle_timeout.refusal_limit_s = 3.0
+            limits = Limits(
                 idle_timeout_ms=500.0, connect_timeout_ms=7.0, max_sockets=200, memory_limit_mb=40.0
             )
-            relay.configure(other(relay, balancer_count=100), bounds)
-            assert (relay.upstream.bounds, relay.node.limits) == (bounds, bounds)
-            assert relay.upstream.idle_timeout.reusable_for_s == pytest.approx(0.4)
-            assert relay.upstream.idle_timeout.large_fleet
-            assert relay.upstream.idle_timeout.refusal_limit_s == 3.0
-            assert relay.budget.limit_bytes == 6 << 20
-            assert relay.resources.max_descriptors < 200
-            assert relay.server.max_connections < relay.resources.max_descriptors
-            relay.configure(other(relay, balancer_count=1), bounds)
-            assert not relay.upstream.idle_timeout.large_fleet
-            assert relay.upstream.idle_timeout.refusal_limit_s == math.inf
+            proxy.configure(changed_settings(proxy, balancer_count=100), limits)
+            assert (proxy.upstream.bounds, proxy.node.limits) == (limits, limits)
+            assert proxy.upstream.idle_timeout.reusable_for_s == pytest.approx(0.4)
+            assert proxy.upstream.idle_timeout.large_fleet
+            assert proxy.upstream.idle_timeout.refusal_limit_s == 3.0
+            assert proxy.budget.limit_bytes == 6 << 20
+            assert proxy.resources.max_descriptors < 200
+            assert proxy.server.max_connections < proxy.resources.max_descriptors
+            proxy.configure(changed_settings(proxy, balancer_count=1), limits)
+            assert not proxy.upstream.idle_timeout.large_fleet
+            assert proxy.upstream.idle_timeout.refusal_limit_s == math.inf
 
     run(main())
 
 
-def test_fewer_sockets_than_are_open_close_what_is_idle_and_leave_what_is_in_use():
+def test_a_lower_socket_limit_closes_idle_connections_and_keeps_those_in_use():
     async def main() -> None:
-        free, slow = gated_handler()
-        async with FakeServer(slow).up() as server, node([entry("s", server.port)]) as relay:
+        gate, slow = gated_handler()
+        async with FakeServer(slow).up() as server, node([entry("s", server.port)]) as proxy:
             async with contextlib.AsyncExitStack() as stack:
-                clients = [await stack.enter_async_context(Client(relay)) for _ in range(40)]
+                clients = [await stack.enter_async_context(Client(proxy)) for _ in range(40)]
                 for client in clients[:6]:
                     client.send("read")
-                await until(lambda: len(server.got) == 6 and len(relay.server.connections) == 40)
-                for caller in relay.server.connections:
-                    caller.last_activity_s -= 10.0  # none of them is new, so each may be closed
-                relay.configure(
-                    relay.config.settings, dataclasses.replace(relay.config.limits, max_sockets=64)
+                await until(lambda: len(server.got) == 6 and len(proxy.server.connections) == 40)
+                for connection in proxy.server.connections:
+                    connection.last_activity_s -= 10.0  # past the grace period of new connections
+                proxy.configure(
+                    proxy.config.settings, dataclasses.replace(proxy.config.limits, max_sockets=64)
                 )
-                assert relay.resources.max_descriptors < 46
-                assert relay.resources.descriptor_count <= relay.resources.max_descriptors
-                relay.configure(
-                    relay.config.settings, dataclasses.replace(relay.config.limits, max_sockets=32)
+                assert proxy.resources.max_descriptors < 46
+                assert proxy.resources.descriptor_count <= proxy.resources.max_descriptors
+                proxy.configure(
+                    proxy.config.settings, dataclasses.replace(proxy.config.limits, max_sockets=32)
                 )
-                assert relay.resources.max_descriptors < 12  # 6 callers and 6 equipos' connections are in use
-                await until(lambda: len(relay.server.connections) == 6)
-                free.set()
+                assert (
+                    proxy.resources.max_descriptors < 12
+                )  # 6 clients and 6 connections to servers are in use
+                await until(lambda: len(proxy.server.connections) == 6)
+                gate.set()
                 for client in clients[:6]:
                     assert status(await client.answer()) == 200
 
     run(main())
 
 
-def test_lists_that_were_asked_for_come_unasked_and_the_other_way_round():
+def test_a_node_switches_between_polled_and_pushed_endpoint_lists():
     async def main() -> None:
-        async with FakeDiscovery().up() as discovery, node([], discovery) as relay:
+        async with FakeDiscovery().up() as discovery, node([], discovery) as proxy:
             await until(lambda: len(discovery.writers) == 1)
-            relay.configure(other(relay, poll_discovery=False), relay.config.limits)
-            assert relay.discovery.silence_timeout_s == SILENCE_TIMEOUT_S  # one time for both ways
-            assert relay.discovery.is_open
-            discovery.writers[-1].transport.abort()  # the module would wait for long; the agent costs nothing
+            proxy.configure(changed_settings(proxy, poll_discovery=False), proxy.config.limits)
+            assert proxy.discovery.silence_timeout_s == SILENCE_TIMEOUT_S  # the same in both modes
+            assert proxy.discovery.is_open
+            discovery.writers[
+                -1
+            ].transport.abort()  # the policy would wait long before it reopens the watch; the proxy does not
             await until(lambda: len(discovery.writers) == 2)
             discovery.writers[-1].transport.abort()
-            await until(lambda: not relay.discovery.is_open)  # the next look is set for a moment from now
-            relay.configure(other(relay, poll_discovery=True), relay.config.limits)
-            assert relay.discovery.silence_timeout_s == SILENCE_TIMEOUT_S
+            await until(lambda: not proxy.discovery.is_open)  # the reopening is scheduled
+            proxy.configure(changed_settings(proxy, poll_discovery=True), proxy.config.limits)
+            assert proxy.discovery.silence_timeout_s == SILENCE_TIMEOUT_S
             await until(lambda: len(discovery.writers) == 3)
-            watch = relay.discovery._connection
-            relay.endpoints.reopen_watch()  # the look that was set: it must not break off what the module has asked for
-            assert relay.discovery._connection is watch
-            relay.discovery.close()
-            relay.endpoints.reopen_watch()
-            assert not relay.discovery.is_open, "where lists are asked for the module says when"
+            watch = proxy.discovery._connection
+            proxy.endpoints.reopen_watch()  # the scheduled call, which must not replace the policy's watch
+            assert proxy.discovery._connection is watch
+            proxy.discovery.close()
+            proxy.endpoints.reopen_watch()
+            assert not proxy.discovery.is_open, "in polling mode the policy opens the watch"
 
     run(main())
 
 
-def test_a_change_between_the_choice_and_its_connection_gives_that_no_more_time(
+def test_a_connection_attempt_keeps_the_timeout_that_was_in_force_at_its_start(
     monkeypatch: pytest.MonkeyPatch,
 ):
-    """Guards a keyed repeat: it was chosen because its connection comes up within its window or not at all."""
+    """A retry with an idempotency key relies on that timeout to reach its server within the deduplication window."""
 
     async def main() -> None:
-        async with node([entry("s", 1)]) as relay:
-            waits: list[float] = []
+        async with node([entry("s", 1)]) as proxy:
+            timeouts: list[float] = []
             timeout = asyncio.timeout
 
-            def noted(delay: float) -> asyncio.Timeout:
-                waits.append(delay)
+            def recorded(delay: float) -> asyncio.Timeout:
+                timeouts.append(delay)
                 return timeout(delay)
 
-            monkeypatch.setattr("rosewheel.http.upstream_pool.asyncio.timeout", noted)
-            relay.configure(relay.config.settings, Limits(connect_timeout_ms=100.0))
-            relay.upstream.start_attempt("r", 0, "s", bytes)
-            relay.configure(relay.config.settings, Limits(connect_timeout_ms=5000.0))
-            await until(lambda: 0.1 in waits or 5.0 in waits)
-            assert 5.0 not in waits
+            monkeypatch.setattr("rosewheel.http.upstream_pool.asyncio.timeout", recorded)
+            proxy.configure(proxy.config.settings, Limits(connect_timeout_ms=100.0))
+            proxy.upstream.start_attempt("r", 0, "s", bytes)
+            proxy.configure(proxy.config.settings, Limits(connect_timeout_ms=5000.0))
+            await until(lambda: 0.1 in timeouts or 5.0 in timeouts)
+            assert 5.0 not in timeouts
 
     run(main())
 
@@ -255,91 +258,93 @@
 # --------------------------------------------------------------------- cordons
 
 
-class Outs:
-    """What is out, as it was carried out, and how often that was told."""
+class AppliedCordons:
+    """Cordons, and the set of servers for which they were applied."""
 
     def __init__(self) -> None:
-        self.now: set[str] = set()
-        self.cordons = Cordons(self.carry_out)
+        self.servers: set[str] = set()
+        self.cordons = Cordons(self.apply)
 
-    def carry_out(self, member: str, out: bool) -> None:
-        (self.now.add if out else self.now.discard)(member)
+    def apply(self, server: str, cordoned: bool) -> None:
+        (self.servers.add if cordoned else self.servers.discard)(server)
 
 
-def test_what_either_holds_is_out():
-    box = Outs()
-    box.cordons.set_by_operator(frozenset("ab"))
-    box.cordons.set_by_fleet(frozenset("bc"))
-    assert box.now == set("abc")
-    box.cordons.set_by_operator(frozenset())
-    assert box.now == set("bc")
-    box.cordons.set_by_operator(frozenset("c"))
-    box.cordons.set_by_fleet(frozenset())
-    assert box.now == set("c") == box.cordons.cordoned
+def test_a_server_is_cordoned_while_either_source_cordons_it():
+    applied = AppliedCordons()
+    applied.cordons.set_by_operator(frozenset("ab"))
+    applied.cordons.set_by_fleet(frozenset("bc"))
+    assert applied.servers == set("abc")
+    applied.cordons.set_by_operator(frozenset())
+    assert applied.servers == set("bc")
+    applied.cordons.set_by_operator(frozenset("c"))
+    applied.cordons.set_by_fleet(frozenset())
+    assert applied.servers == set("c") == applied.cordons.cordoned
 
 
-def test_a_cordon_that_can_not_be_kept_holds_here_all_the_same(tmp_path: Path):
+def test_a_cordon_that_cannot_be_saved_is_in_force_in_this_process(tmp_path: Path):
     async def main() -> None:
-        box = Outs()
-        state = SharedState(str(tmp_path / "gone"), box.cordons.set_by_operator, lambda _: None)
+        applied = AppliedCordons()
+        state = SharedState(str(tmp_path / "gone"), applied.cordons.set_by_operator, lambda _: None)
         with pytest.raises(OSError, match="gone"):
-            await box.cordons.change_by_operator("a", True, state)
-        assert box.now == {"a"}
+            await applied.cordons.change_by_operator("a", True, state)
+        assert applied.servers == {"a"}
 
     run(main())
 
 
-def test_the_fleets_cordons_and_those_by_hand_are_two(tmp_path: Path):
+def test_cordons_of_the_fleet_and_of_operators_are_separate(tmp_path: Path):
     async def main() -> None:
-        async with FakeServer().up() as one, FakeServer().up() as two, FakeDiscovery().up() as told:
+        async with FakeServer().up() as one, FakeServer().up() as two, FakeDiscovery().up() as discovery:
             known = [entry("one", one.port), entry("two", two.port)]
-            async with node(known, told, state=str(tmp_path)) as relay, Client(relay) as client:
-                await until(lambda: bool(told.writers))
-                relay.set_fleet_cordons(frozenset({"one", "later"}))
-                assert await relay.cordon("one")
+            async with node(known, discovery, state=str(tmp_path)) as proxy, Client(proxy) as client:
+                await until(lambda: bool(discovery.writers))
+                proxy.set_fleet_cordons(frozenset({"one", "later"}))
+                assert await proxy.cordon("one")
                 for _ in range(5):
                     assert status(await client.ask()) == 200
                 assert len(one.got) == 0
-                got = await respond_to(relay, "POST", "/admin/uncordon?member=one")
-                assert got.body == {"member": "one", "cordoned": True, "by": "fleet"}
-                assert relay.statistics().cordoned_endpoints == 1
+                response = await respond_to(proxy, "POST", "/admin/uncordon?member=one")
+                assert response.body == {"member": "one", "cordoned": True, "by": "fleet"}
+                assert proxy.statistics().cordoned_endpoints == 1
                 assert status(await client.ask()) == 200
                 assert len(one.got) == 0
-                # One that the list names only now is out from its first moment.
-                await relay.cordon("two")
-                told.tell(9, entry("later", two.port))
-                await until(lambda: "later" in relay.node.servers)
+                # A server is cordoned as soon as the list adds it.
+                await proxy.cordon("two")
+                discovery.tell(9, entry("later", two.port))
+                await until(lambda: "later" in proxy.node.servers)
                 assert status(await client.ask()) == 503
-                relay.set_fleet_cordons(frozenset())
-                assert relay.node.cordoned == {"two"}
+                proxy.set_fleet_cordons(frozenset())
+                assert proxy.node.cordoned == {"two"}
                 assert status(await client.ask()) == 200
-                got = await respond_to(relay, "POST", "/admin/uncordon?member=two")
-                assert got.body == {"member": "two", "cordoned": False}
-                # What outlives the process is what was said by hand.
-                relay.set_fleet_cordons(frozenset({"one"}))
-                assert await relay.cordon("two")
+                response = await respond_to(proxy, "POST", "/admin/uncordon?member=two")
+                assert response.body == {"member": "two", "cordoned": False}
+                # Only cordons by operators are saved.
+                proxy.set_fleet_cordons(frozenset({"one"}))
+                assert await proxy.cordon("two")
                 assert orjson.loads((tmp_path / "state.json").read_bytes())["cordoned"] == ["two"]
-                relay.cordons.set_by_operator(frozenset())  # as another process of this node was told
-                assert relay.node.cordoned == {"one"}
+                proxy.cordons.set_by_operator(frozenset())  # as after a change by another process
+                assert proxy.node.cordoned == {"one"}
 
     run(main())
 
 
-# -------------------------------------------------------------------- upgrades
+# ---------------------------------------------------------------- hot restarts
 
 
-def test_a_long_answer_of_a_class_that_the_new_process_does_not_have_goes_on(tmp_path: Path):
-    """Guards an upgrade that comes with other settings: it goes on in the new process, and is counted there."""
+def test_a_response_of_a_class_that_the_successor_does_not_have_is_migrated(tmp_path: Path):
+    """A hot restart may change the settings. The response continues in the successor, which counts it."""
 
     async def main() -> None:
         gate = asyncio.Event()
-        pieces = [LONG[at : at + 100_000] for at in range(0, len(LONG), 100_000)]
-        async with FakeServer(send_long(pieces, gate, "length")).up() as server:
+        chunks = [LONG[at : at + 100_000] for at in range(0, len(LONG), 100_000)]
+        async with FakeServer(send_long(chunks, gate, "length")).up() as server:
             async with bench([entry("s", server.port)], tmp_path) as nodes:
                 old = await nodes.next()
                 client = await slow_client(old, nodes.port)
                 old.configure(
-                    other(old, classes=(NON_IDEMPOTENT, dataclasses.replace(IDEMPOTENT, name="new"))),
+                    changed_settings(
+                        old, classes=(NON_IDEMPOTENT, dataclasses.replace(IDEMPOTENT, name="new"))
+                    ),
                     old.config.limits,
                 )
                 nodes.changes["classes"] = (NON_IDEMPOTENT,)
--- a/tests/proxy/test_shutdown.py
+++ b/tests/proxy/test_shutdown.py
@@ -1,4 +1,4 @@
-"""The end of a process: what crosses it, and that it is over before the platform's patience is."""
+"""The drain of a process: every request gets a response, and the drain ends before the platform kills the process."""
 
 from __future__ import annotations
 
@@ -8,16 +8,16 @@
 
 import pytest
 
-from rosewheel.http import downstream_server as callers_module
+from rosewheel.http import downstream_server
 from rosewheel.http.downstream_connection import DownstreamConnection
 from rosewheel.proxy.proxy import Proxy
 from tests.support.balancers import IDEMPOTENT, IDEMPOTENT_WITH_KEY, NON_IDEMPOTENT
 from tests.support.sockets import Client, FakeServer, Message, answer, entry, node, run, status, until
 
-KILLED_S = 0.7  # so long after the longest patience, counted as 3 s where it is longer
+KILL_DELAY_S = 0.7  # after the longest request timeout, limited to 3 s, the platform kills the process
 
 
-def ask_bytes(id: str, timeout_ms: int) -> bytes:
+def request_bytes(id: str, timeout_ms: int) -> bytes:
     return (
         f"POST / HTTP/1.1\r\nRequest-Id: {id}\r\nRequest-Class: post\r\n"
         f"Request-Timeout-Ms: {timeout_ms}\r\nContent-Length: 0\r\n\r\n"
@@ -25,133 +25,133 @@
 
 
 class Clock:
-    """The loop of a server, on a clock that only its own waits move."""
+    """The event loop of a server, on a simulated clock that only `sleep` advances."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop) -> None:
-        self._loop, self.passed = loop, 0.0
-        self._began = loop.time()
+        self._loop, self.elapsed_s = loop, 0.0
+        self._started_s = loop.time()
 
     def time(self) -> float:
-        return self._began + self.passed
+        return self._started_s + self.elapsed_s
 
     async def sleep(self, seconds: float) -> None:
-        self.passed += seconds
-        for _ in range(20):  # what was written meanwhile is read
+        self.elapsed_s += seconds
+        for _ in range(20):  # lets the event loop process pending I/O
             await asyncio.sleep(0)
 
     def __getattr__(self, name: str) -> object:
         return getattr(self._loop, name)
 
 
-def clocked(relay: Proxy, monkeypatch: pytest.MonkeyPatch) -> Clock:
-    clock = Clock(relay.loop)
-    relay.server.loop = relay.loop = clock  # type: ignore[assignment]
+def simulate_clock(proxy: Proxy, monkeypatch: pytest.MonkeyPatch) -> Clock:
+    clock = Clock(proxy.loop)
+    proxy.server.loop = proxy.loop = clock  # type: ignore[assignment]
     fake = type("asyncio", (), {"sleep": staticmethod(clock.sleep)})
-    monkeypatch.setattr(callers_module, "asyncio", fake)
+    monkeypatch.setattr(downstream_server, "asyncio", fake)
     return clock
 
 
-@pytest.mark.parametrize("give_up_ms", [150.0, 300.0, 700.0, 2500.0, 6000.0, 60000.0])
-def test_connections_are_closed_before_the_end_comes(monkeypatch: pytest.MonkeyPatch, give_up_ms: float):
-    """Clients send on every connection that stays open. Where patience is short, connections stayed open for 2 s,
-    past the platform's own end of the process: what came there at the last moment was taken and never answered."""
+@pytest.mark.parametrize("deadline_ms", [150.0, 300.0, 700.0, 2500.0, 6000.0, 60000.0])
+def test_connections_are_closed_before_the_platform_kills_the_process(
+    monkeypatch: pytest.MonkeyPatch, deadline_ms: float
+):
+    """A request on a connection that is still open when the process is killed would never get a response."""
     classes = tuple(
         dataclasses.replace(
-            kind, latency_objective_ms=min(kind.latency_objective_ms, give_up_ms), deadline_ms=give_up_ms
+            kind, latency_objective_ms=min(kind.latency_objective_ms, deadline_ms), deadline_ms=deadline_ms
         )
         for kind in (IDEMPOTENT, NON_IDEMPOTENT, IDEMPOTENT_WITH_KEY)
     )
 
     async def main() -> None:
-        async with FakeServer().up() as server, node([entry("s", server.port)], classes=classes) as relay:
-            async with Client(relay) as idle, Client(relay) as half:
-                assert status(await idle.ask("post", timeout=int(give_up_ms))) == 200
-                half.writer.write(b"POST / HTTP/1.1\r\nRequest-Id: x")
-                await until(lambda: any(caller.is_receiving for caller in relay.server.connections))
-                clock = clocked(relay, monkeypatch)
-                for caller in relay.server.connections:
-                    caller.last_activity_s = clock.time()
-                await relay.drain()
-                assert not relay.server.connections
-                assert clock.passed < min(give_up_ms / 1000.0, 3.0) + KILLED_S - 0.1
-                assert (
-                    clock.passed >= callers_module.ACCEPT_DURING_DRAIN_S
-                )  # new connections go on coming for so long
+        async with FakeServer().up() as server, node([entry("s", server.port)], classes=classes) as proxy:
+            async with Client(proxy) as idle, Client(proxy) as partial:
+                assert status(await idle.ask("post", timeout=int(deadline_ms))) == 200
+                partial.writer.write(b"POST / HTTP/1.1\r\nRequest-Id: x")
+                await until(lambda: any(connection.is_receiving for connection in proxy.server.connections))
+                clock = simulate_clock(proxy, monkeypatch)
+                for connection in proxy.server.connections:
+                    connection.last_activity_s = clock.time()
+                await proxy.drain()
+                assert not proxy.server.connections
+                assert clock.elapsed_s < min(deadline_ms / 1000.0, 3.0) + KILL_DELAY_S - 0.1
+                # New connections are accepted for this long.
+                assert clock.elapsed_s >= downstream_server.ACCEPT_DURING_DRAIN_S
 
     run(main())
 
 
 @pytest.mark.parametrize("timeout_ms", [150, 6000])
-def test_whatever_comes_after_sigterm_gets_its_answer(monkeypatch: pytest.MonkeyPatch, timeout_ms: int):
-    """In flight, sent on a connection that is there, on a new one: each is served, or refused while there is time."""
+def test_every_request_during_a_drain_gets_a_response(monkeypatch: pytest.MonkeyPatch, timeout_ms: int):
+    """This holds for a request in flight, one on an open connection and one on a new connection."""
 
     async def main() -> None:
-        free = asyncio.Event()
+        gate = asyncio.Event()
 
         async def slow(message: Message, writer: asyncio.StreamWriter) -> None:
-            await free.wait()
+            await gate.wait()
             writer.write(answer())
 
-        async with FakeServer(slow).up() as server, node([entry("s", server.port)]) as relay:
-            async with Client(relay) as flying, Client(relay) as there:
-                flying.send("post", timeout=2500)
+        async with FakeServer(slow).up() as server, node([entry("s", server.port)]) as proxy:
+            async with Client(proxy) as in_flight, Client(proxy) as connected:
+                in_flight.send("post", timeout=2500)
                 await until(lambda: len(server.got) == 1)
-                stopping = asyncio.ensure_future(relay.drain())
-                await until(lambda: relay.server.draining)
-                there.send("post", timeout=timeout_ms)
-                async with Client(relay) as fresh:
-                    fresh.send("post", timeout=timeout_ms)
+                draining = asyncio.ensure_future(proxy.drain())
+                await until(lambda: proxy.server.draining)
+                connected.send("post", timeout=timeout_ms)
+                async with Client(proxy) as new:
+                    new.send("post", timeout=timeout_ms)
                     await until(
                         lambda: (
-                            relay.node.active_requests + relay.server.rejected_count >= 3 or not relay.calls
+                            proxy.node.active_requests + proxy.server.rejected_count >= 3 or not proxy.calls
                         )
                     )
-                    free.set()
-                    for client in (flying, there, fresh):
+                    gate.set()
+                    for client in (in_flight, connected, new):
                         assert status(await client.answer()) in (200, 503, 504)
-                    stopping.cancel()
+                    draining.cancel()
 
     run(main())
 
 
-def test_a_request_that_lies_unread_keeps_its_connection_open():
-    """Closing on it would reset the connection: it was taken, and would get no answer."""
+def test_a_connection_with_an_unread_request_is_not_closed_as_idle():
+    """Closing it would reset the connection, and the request would get no response."""
 
     async def main() -> None:
-        async with FakeServer().up() as server, node([entry("s", server.port)]) as relay:
-            with socket.create_connection(("127.0.0.1", relay.server.port)) as sock:
-                await until(lambda: len(relay.server.connections) == 1)
-                caller: DownstreamConnection = next(iter(relay.server.connections))
-                sock.sendall(ask_bytes("late", 2000))  # no turn of the loop between this and the next line
-                assert not caller.close_if_idle(0.0)
+        async with FakeServer().up() as server, node([entry("s", server.port)]) as proxy:
+            with socket.create_connection(("127.0.0.1", proxy.server.port)) as sock:
+                await until(lambda: len(proxy.server.connections) == 1)
+                connection: DownstreamConnection = next(iter(proxy.server.connections))
+                sock.sendall(request_bytes("late", 2000))  # the event loop does not run before the next line
+                assert not connection.close_if_idle(0.0)
                 sock.setblocking(False)
-                got = await asyncio.wait_for(relay.loop.sock_recv(sock, 4096), 20.0)
-                assert got.startswith(b"HTTP/1.1 200 ")
-                assert caller.close_if_idle(0.0)  # and with nothing there it is
+                response = await asyncio.wait_for(proxy.loop.sock_recv(sock, 4096), 20.0)
+                assert response.startswith(b"HTTP/1.1 200 ")
+                assert connection.close_if_idle(0.0)  # no unread request any more
 
     run(main())
 
 
-def test_two_signals_and_a_new_configuration_during_a_stop_change_nothing_of_it():
+def test_reloads_during_and_after_a_drain_do_not_affect_it():
     async def main() -> None:
-        free = asyncio.Event()
+        gate = asyncio.Event()
 
         async def slow(message: Message, writer: asyncio.StreamWriter) -> None:
-            await free.wait()
+            await gate.wait()
             writer.write(answer())
 
-        async with FakeServer(slow).up() as server, node([entry("s", server.port)]) as relay:
-            async with Client(relay) as client:
+        async with FakeServer(slow).up() as server, node([entry("s", server.port)]) as proxy:
+            async with Client(proxy) as client:
                 client.send("post")
                 await until(lambda: len(server.got) == 1)
-                stopping = asyncio.ensure_future(relay.drain())
-                await until(lambda: relay.server.draining)
-                relay.reload(dataclasses.replace(relay.config, discovery_address=("127.0.0.1", 2)))
-                assert relay.config.discovery_address == ("127.0.0.1", 2)
-                free.set()
+                draining = asyncio.ensure_future(proxy.drain())
+                await until(lambda: proxy.server.draining)
+                proxy.reload(dataclasses.replace(proxy.config, discovery_address=("127.0.0.1", 2)))
+                assert proxy.config.discovery_address == ("127.0.0.1", 2)
+                gate.set()
                 assert status(await client.answer()) == 200
-                await stopping
-                relay.reload(dataclasses.replace(relay.config, discovery_address=("127.0.0.1", 3)))
-                assert not relay.discovery.is_open
+                await draining
+                proxy.reload(dataclasses.replace(proxy.config, discovery_address=("127.0.0.1", 3)))
+                assert not proxy.discovery.is_open
 
     run(main())
