--- a/rosewheel/hot_restart/errors.py
+++ b/rosewheel/hot_restart/errors.py
@@ -1,15 +1,15 @@
-"""Errors of a hot restart."""
+"""Errors in a hot restart."""
 
 from __future__ import annotations
 
 
 class HotRestartError(Exception):
-    """Something between the two processes of a hot restart went wrong."""
+    """Base class of the errors between the two processes of a hot restart."""
 
 
 class ProtocolError(HotRestartError):
-    """The other process sent what is no packet or message of this protocol."""
+    """The other process sent an invalid packet or message."""
 
 
 class MigrationError(HotRestartError):
-    """A connection of the other process can't be resumed here."""
+    """A connection of the other process can't be resumed in this process."""
--- a/rosewheel/hot_restart/host.py
+++ b/rosewheel/hot_restart/host.py
@@ -1,4 +1,4 @@
-"""What hot restart needs of the process that it runs in. `proxy` implements it."""
+"""The interfaces that hot restart needs from its process. `rosewheel.proxy` implements them."""
 
 from __future__ import annotations
 
@@ -15,15 +15,15 @@
 
 
 class MigrationHost(Protocol):
-    """The process whose connections a migration detaches, or on whose event loop it resumes them.
+    """The process whose connections are detached, or on whose event loop connections are resumed.
 
     Attributes:
         server: The connections of clients.
         upstream: The connections to servers.
         node: The requests in flight.
-        calls: The same requests by id, as their clients' connections know them.
-        random: A generator for choices that need no more than to differ.
-        stopped: Whether the process has ended its work.
+        calls: The client side of the requests in flight, by id.
+        random: A seeded random number generator.
+        stopped: Whether the process has finished its drain.
     """
 
     server: DownstreamServer
@@ -34,38 +34,43 @@
     stopped: bool
 
     def apply(self, effects: list[NodeEffect]) -> None:
-        """Carries out what the node has decided."""
+        """Executes effects that the node has decided on."""
 
     def can_hold(self, descriptors: int, idle: bool) -> bool:
-        """Whether this process may hold so many more descriptors, those of an idle connection or of one in use."""
+        """Returns whether this process may open more descriptors.
+
+        Args:
+            descriptors: Number of additional descriptors.
+            idle: Whether they are for an idle connection to a server.
+        """
 
 
 class SiblingHost(Protocol):
-    """What the process does about another process of its node, its sibling: the predecessor or the successor."""
+    """The process that reacts to events of a sibling: its predecessor or its successor."""
 
     @property
     def descriptor_count(self) -> int:
-        """How many descriptors the connections of clients and to servers hold."""
+        """The number of descriptors that connections of clients and to servers hold."""
 
     @property
     def loads_in_flight(self) -> dict[str, float]:
-        """The weight of the requests in flight from here, at each server that has any."""
+        """The weighted number of this process's requests in flight, by server."""
 
     @property
     def listening_sockets(self) -> list[socket.socket]:
-        """The sockets on which this process listens, for a successor to listen on as well."""
+        """The listening sockets of this process, which a successor shares."""
 
     def sibling_connected(self) -> None:
-        """Another process of the node exists."""
+        """Called when a sibling has connected."""
 
     def successor_connected(self) -> None:
-        """A successor has connected; a predecessor's descriptors are no concern from now on."""
+        """Called when a successor has connected. The descriptors of a predecessor no longer count."""
 
     def sibling_loads_changed(self, loads: Mapping[str, float]) -> None:
-        """The sibling has these requests in flight; none where there is no sibling any more."""
+        """Called with the sibling's requests in flight, by server; empty if there is no sibling any more."""
 
-    def predecessor_holds(self, descriptors: int | None) -> None:
-        """The predecessor, which gives up its connections, still holds this many descriptors, if it said so."""
+    def predecessor_descriptors_reported(self, descriptors: int | None) -> None:
+        """Called with the number of descriptors that a predecessor in shutdown still holds; None if not reported."""
 
-    def predecessor_leaves(self, descriptors: int | None) -> None:
-        """The predecessor starts no new requests from now on."""
+    def predecessor_shutting_down(self, descriptors: int | None) -> None:
+        """Called when the predecessor starts no new requests any more, with the descriptors that it still holds."""
--- a/rosewheel/hot_restart/messages.py
+++ b/rosewheel/hot_restart/messages.py
@@ -1,7 +1,7 @@
-"""What two processes of one node say to each other during a hot restart.
+"""The messages between two processes of one node during a hot restart.
 
-The predecessor is the process that serves already, the successor the one that replaces it. Messages go both ways over
-one connection; `messages_codec` maps them to the wire. Descriptors are sockets or pipes that come with a message.
+The predecessor is the running process, the successor the one that replaces it. Both send messages over one Unix
+socket, some with file descriptors (SCM_RIGHTS). `messages_codec` defines the wire format.
 """
 
 from __future__ import annotations
@@ -14,19 +14,19 @@
 PROTOCOL_VERSIONS = (1,)
 
 WireState = dict[str, Any]
-"""The state of one connection, as `http` gives it out and takes it back; its keys are those of the wire."""
+"""The state of one connection, as `rosewheel.http` exports and imports it. Its keys are those on the wire."""
 
 
 class ConnectionKind(enum.Enum):
-    """What a migrated connection is; the values are the words of the wire."""
+    """The kind of a migrated connection. The values are its names on the wire."""
 
     CLIENT = "caller"
     UPSTREAM = "equipo"
-    RESPONSE = "passage"  # a response in progress: the connection that it comes from and the client's
+    RESPONSE = "passage"  # a response in progress: the server's connection and the client's
 
     @property
     def descriptor_count(self) -> int:
-        """How many descriptors such a connection consists of."""
+        """The number of descriptors of such a connection."""
         return 2 if self is ConnectionKind.RESPONSE else 1
 
     @property
@@ -37,12 +37,14 @@
 
 @dataclass(slots=True, frozen=True)
 class Hello:
-    """Both processes, first. The predecessor's comes with the reading end of the pipe of its `Sender`.
+    """The first message of either process.
+
+    The predecessor's comes with the reading end of the revocation pipe of its `Sender`.
 
     Attributes:
-        versions: The versions of the protocol that the process speaks.
-        node: The name of its node.
-        pid: Its process id, for the log.
+        versions: The protocol versions that the process supports.
+        node: The name of the process's node.
+        pid: The process id, for the log.
     """
 
     versions: tuple[int, ...]
@@ -52,25 +54,25 @@
 
 @dataclass(slots=True, frozen=True)
 class Serving:
-    """The successor: it accepts clients from now on."""
+    """Sent by the successor: it has started to accept clients."""
 
 
 @dataclass(slots=True, frozen=True)
 class ShuttingDown:
-    """The predecessor: it accepts no clients from now on, and holds this many descriptors."""
+    """Sent by the predecessor: it has stopped accepting clients, and still holds this many descriptors."""
 
     descriptors_held: int | None
 
 
 @dataclass(slots=True, frozen=True)
 class Offer:
-    """The predecessor: a connection for the successor. Its descriptors come with the message.
+    """Sent by the predecessor: a connection for the successor, with the connection's descriptors.
 
     Attributes:
-        number: Identifies the offer in its receipt.
-        kind: What the connection is; None where this version does not know the kind.
-        state: Where the connection stands.
-        descriptors_held: How many descriptors the predecessor still holds.
+        number: Identifies the offer in its acknowledgement or rejection.
+        kind: The kind of the connection; None if this version does not know it.
+        state: The protocol state of the connection.
+        descriptors_held: Number of descriptors that the predecessor still holds.
     """
 
     number: int
@@ -81,14 +83,14 @@
 
 @dataclass(slots=True, frozen=True)
 class Accepted:
-    """The successor's receipt: from now on the connection of this offer is its own."""
+    """Sent by the successor as the acknowledgement of an offer: it owns the connection from now on."""
 
     number: int
 
 
 @dataclass(slots=True, frozen=True)
 class Rejected:
-    """The successor can't use the connection of this offer."""
+    """Sent by the successor: it can't use the connection of this offer."""
 
     number: int
     reason: str
@@ -96,24 +98,24 @@
 
 @dataclass(slots=True, frozen=True)
 class InFlight:
-    """Both processes, at intervals: the weight of the requests in flight at each server."""
+    """Sent by both processes periodically: the weighted number of their requests in flight, by server."""
 
     loads: dict[str, float] = field(default_factory=dict)
 
 
 @dataclass(slots=True, frozen=True)
-class BorrowListeners:
-    """The successor asks for the listening sockets of the predecessor."""
+class ListenersRequest:
+    """Sent by the successor: it requests the listening sockets of the predecessor."""
 
 
 @dataclass(slots=True, frozen=True)
-class LentListeners:
-    """The predecessor's answer; the sockets come with the message."""
+class ListenersResponse:
+    """Sent by the predecessor: its listening sockets, which come with the message."""
 
 
 @dataclass(slots=True, frozen=True)
 class UnknownMessage:
-    """A message of a later version, or one without the fields that it needs; it is ignored."""
+    """A message of a later version, or one without its required fields. It is ignored."""
 
     kind: str
 
@@ -126,12 +128,12 @@
     | Accepted
     | Rejected
     | InFlight
-    | BorrowListeners
-    | LentListeners
+    | ListenersRequest
+    | ListenersResponse
     | UnknownMessage
 )
 
 
 def newest_common_version(theirs: Iterable[int], ours: tuple[int, ...] = PROTOCOL_VERSIONS) -> int | None:
-    """Returns the newest version that both processes speak, or None."""
+    """Returns the newest version that both processes support, or None."""
     return max(set(theirs) & set(ours), default=None)
--- a/rosewheel/hot_restart/messages_codec.py
+++ b/rosewheel/hot_restart/messages_codec.py
@@ -1,6 +1,6 @@
-"""Messages of a hot restart as JSON: the one place that knows the words of the wire.
+"""Codec of hot restart messages: JSON objects, with the kind of a message under the key `t`.
 
-The kind of a message is under `t`. What a process does not know it ignores, so that a later version may say more.
+Unknown kinds and fields are ignored, so that a later version may add some.
 """
 
 from __future__ import annotations
@@ -13,11 +13,11 @@
 from rosewheel.hot_restart.errors import MigrationError, ProtocolError
 from rosewheel.hot_restart.messages import (
     Accepted,
-    BorrowListeners,
     ConnectionKind,
     Hello,
     InFlight,
-    LentListeners,
+    ListenersRequest,
+    ListenersResponse,
     Message,
     Offer,
     Rejected,
@@ -50,26 +50,26 @@
             return {"t": "no", "n": number, "why": reason}
         case InFlight(loads):
             return {"t": "beside", "loads": loads}
-        case BorrowListeners():
+        case ListenersRequest():
             return {"t": "lend"}
-        case LentListeners():
+        case ListenersResponse():
             return {"t": "lent"}
         case UnknownMessage(kind):
             return {"t": kind}
 
 
 def decode_message(content: bytes) -> Message:
-    """Returns the message that this JSON is.
+    """Decodes a message.
 
     Raises:
-        ProtocolError: It is no message, or an offer that can't be answered.
+        ProtocolError: The content is not a message, or is an offer without a valid number or state.
     """
     try:
         fields = orjson.loads(content)
     except orjson.JSONDecodeError as error:
-        raise ProtocolError("a message that is not JSON") from error
+        raise ProtocolError("message is not JSON") from error
     if not isinstance(fields, dict) or not isinstance(fields.get("t"), str):
-        raise ProtocolError("a message without a kind")
+        raise ProtocolError("message has no kind")
     return _message_from(fields["t"], fields)
 
 
@@ -91,9 +91,9 @@
             loads = fields["loads"].items()
             return InFlight({name: float(load) for name, load in loads if isinstance(load, int | float)})
         case "lend":
-            return BorrowListeners()
+            return ListenersRequest()
         case "lent":
-            return LentListeners()
+            return ListenersResponse()
     return UnknownMessage(kind)
 
 
@@ -110,7 +110,7 @@
 def _offer_from(fields: dict[str, Any]) -> Offer:
     number, state = fields.get("n"), fields.get("state") or {}
     if not isinstance(number, int) or not isinstance(state, dict):
-        raise ProtocolError("an offer without a number or a state")
+        raise ProtocolError("offer has no valid number or state")
     return Offer(number, _connection_kind(fields.get("kind")), state, _descriptor_count(fields))
 
 
@@ -128,12 +128,12 @@
 
 @dataclass(slots=True, frozen=True)
 class ResponseState:
-    """Where a response in progress stands.
+    """The state of a response in progress.
 
     Attributes:
-        request_id: The id of the request that it answers.
-        service: The class of that request.
-        server: The server that the response comes from.
+        request_id: The id of the request.
+        service: The class of the request.
+        server: The server that sends the response.
         client: The state of the client's connection.
         upstream: The state of the connection to the server.
     """
@@ -146,7 +146,7 @@
 
 
 def encode_response_state(state: ResponseState) -> WireState:
-    """Returns the state as it stands in an offer."""
+    """Returns the state as an offer contains it."""
     return {
         "id": state.request_id,
         "service": state.service,
@@ -157,7 +157,7 @@
 
 
 def decode_response_state(state: WireState) -> ResponseState:
-    """Returns the state that an offer holds.
+    """Returns the state in an offer.
 
     Raises:
         MigrationError: A field is missing.
@@ -167,10 +167,10 @@
             str(state["id"]), str(state["service"]), str(state["server"]), state["caller"], state["equipo"]
         )
     except KeyError as error:
-        raise MigrationError(f"the state of a response lacks {error}") from error
+        raise MigrationError(f"state of a response lacks {error}") from error
 
 
 def request_id_of(state: WireState) -> str | None:
-    """Returns the id of the request to which a response in progress belongs, if its state names one."""
+    """Returns the request id in the state of a response in progress, or None."""
     request_id = state.get("id")
     return request_id if isinstance(request_id, str) else None
--- a/rosewheel/hot_restart/service.py
+++ b/rosewheel/hot_restart/service.py
@@ -1,4 +1,4 @@
-"""Hot restart of one process: its connections to the process before it and to the process after it."""
+"""Hot restart of one process: its channels to the previous process of the node and to the next one."""
 
 from __future__ import annotations
 
@@ -14,11 +14,11 @@
 from rosewheel.hot_restart.messages import (
     PROTOCOL_VERSIONS,
     Accepted,
-    BorrowListeners,
     ConnectionKind,
     Hello,
     InFlight,
-    LentListeners,
+    ListenersRequest,
+    ListenersResponse,
     Offer,
     Rejected,
     Serving,
@@ -32,24 +32,24 @@
 
 log = logging.getLogger("rosewheel.hot_restart")
 
-IN_FLIGHT_INTERVAL_S = 0.05  # between two reports of what each process has in flight
-MAX_REPORTED_SERVERS = 500  # those with the most in flight; a packet is limited
-BORROW_TIMEOUT_S = 1.0  # how long a new process waits for the listening sockets of its predecessor
+IN_FLIGHT_INTERVAL_S = 0.05  # interval of the reports of requests in flight
+MAX_REPORTED_SERVERS = 500  # servers with the most requests in flight; keeps a report within one packet
+LISTENERS_TIMEOUT_S = 1.0  # how long a successor waits for the listening sockets of its predecessor
 
 
 class HotRestart:
-    """Connects the processes of one node: the predecessor, this process, the successor.
+    """Connects this process to its predecessor and its successor, the previous and the next process of the node.
 
     Args:
-        folder: The folder in which processes of the node find each other. Without one there is no hot restart.
+        folder: The state folder, where the processes of the node find each other. None disables hot restarts.
         node: The name of the node.
-        host: This process.
-        migration: The connections of this process.
+        host: Called with the events of the sibling processes.
+        migration: Detaches and resumes the connections of this process.
 
     Attributes:
-        predecessor: The channel to the process before this one, while it exists.
-        successor: The channel to the process after this one, while it exists.
-        sender: Migrates connections to the successor.
+        predecessor: The channel to the previous process, or None.
+        successor: The channel to the next process, or None.
+        sender: Offers connections to the successor.
         receiver: Takes over connections from the predecessor.
         successor_ready: Whether the successor accepts clients.
     """
@@ -69,13 +69,13 @@
         self._loop = asyncio.get_running_loop()
         self._listener: socket.socket | None = None
         self._report_timer: asyncio.TimerHandle | None = None
-        self._borrowed: asyncio.Future[list[int]] | None = None
-        self._greeted: set[Channel] = set()  # those with which a protocol version is agreed
+        self._listeners_received: asyncio.Future[list[int]] | None = None
+        self._negotiated: set[Channel] = set()  # channels whose protocol version is agreed
 
     # ---------------------------------------------------------------- start
 
     def connect_to_predecessor(self) -> bool:
-        """Connects to the process that serves this node, and returns whether there is one."""
+        """Connects to the running process of this node; returns whether there is one."""
         sock = connect(self._folder) if self._folder is not None else None
         if sock is None:
             return False
@@ -84,14 +84,14 @@
         self._report_in_flight()
         return True
 
-    async def borrow_listeners(self, *addresses: Address | None) -> list[socket.socket | None]:
-        """Asks the predecessor for its listening sockets.
+    async def request_listeners(self, *addresses: Address | None) -> list[socket.socket | None]:
+        """Requests the listening sockets of the predecessor.
 
         Returns:
-            For each address the socket that is bound there, or None.
+            The socket bound to each address, or None.
         """
         found: list[socket.socket | None] = [None] * len(addresses)
-        for descriptor in await self._borrow_descriptors():
+        for descriptor in await self._request_descriptors():
             sock = socket.socket(fileno=descriptor)
             bound = sock.getsockname()[:2]
             if bound in addresses:
@@ -100,24 +100,24 @@
                 sock.close()
         return found
 
-    async def _borrow_descriptors(self) -> list[int]:
+    async def _request_descriptors(self) -> list[int]:
         if self.predecessor is None:
             return []
-        self._borrowed = self._loop.create_future()
-        self.predecessor.send(BorrowListeners())
+        self._listeners_received = self._loop.create_future()
+        self.predecessor.send(ListenersRequest())
         try:
-            async with asyncio.timeout(BORROW_TIMEOUT_S):
-                return await self._borrowed
+            async with asyncio.timeout(LISTENERS_TIMEOUT_S):
+                return await self._listeners_received
         except TimeoutError:
-            log.warning("listening sockets not borrowed: reason=the predecessor does not answer")
+            log.warning("listening sockets not received: reason=the predecessor did not answer")
             return []
         finally:
-            self._borrowed = None
+            self._listeners_received = None
 
     def start_serving(self) -> None:
-        """Announces that this process accepts clients: to its predecessor, and to a successor that will start."""
+        """Announces to the predecessor that this process accepts clients, and listens for a successor."""
         self._is_serving = True
-        if self.predecessor is not None and self.predecessor in self._greeted:
+        if self.predecessor is not None and self.predecessor in self._negotiated:
             self.predecessor.send(Serving())
         if self._folder is None:
             return
@@ -139,7 +139,7 @@
         if not is_same_user(sock) or self._is_shutting_down:
             sock.close()
             return
-        # The latest process counts: an earlier one hangs, has died, or is replaced.
+        # A new successor replaces an earlier one, which hangs, has died, or is being replaced itself.
         if self.successor is not None:
             self.successor.close()
         self.successor = Channel(sock, self._message_received, self._channel_closed)
@@ -150,7 +150,7 @@
         )
         self._host.successor_connected()
         self.successor.send(self._hello(), descriptors=(reading_end,))
-        close_descriptors([reading_end])  # the first packet of a channel is sent at once
+        close_descriptors([reading_end])  # already sent: the first packet of a channel is never queued
         self._report_in_flight()
 
     # ------------------------------------------------------------- messages
@@ -158,27 +158,27 @@
     def _message_received(self, channel: Channel, received: ReceivedMessage) -> None:
         if isinstance(received.message, Hello):
             self._hello_received(channel, received.message, received.descriptors)
-        elif channel not in self._greeted:
-            close_descriptors(received.descriptors)  # no message counts before a version is agreed
+        elif channel not in self._negotiated:
+            close_descriptors(received.descriptors)  # ignored before a version is agreed
         elif not self._handle_message(channel, received):
-            close_descriptors(received.descriptors)  # of a later version, or out of turn
+            close_descriptors(received.descriptors)  # unknown or unexpected
 
     def _handle_message(self, channel: Channel, received: ReceivedMessage) -> bool:
-        """Handles a message by who sent it; returns whether it is one that this process expects."""
-        if channel is self.predecessor and self._predecessor_message(received):
+        """Handles a message according to its sender; returns whether the message was expected."""
+        if channel is self.predecessor and self._handle_predecessor_message(received):
             return True
-        if channel is self.successor and self._successor_message(received):
+        if channel is self.successor and self._handle_successor_message(received):
             return True
-        return self._sibling_message(channel, received)
+        return self._handle_sibling_message(channel, received)
 
-    def _predecessor_message(self, received: ReceivedMessage) -> bool:
-        """Handles what only a predecessor says; returns whether this message is such a one."""
+    def _handle_predecessor_message(self, received: ReceivedMessage) -> bool:
+        """Handles a message that only a predecessor sends; returns whether the message is one."""
         match received.message:
             case Offer() as offer if self.receiver is not None:
-                self._host.predecessor_holds(offer.descriptors_held)
+                self._host.predecessor_descriptors_reported(offer.descriptors_held)
                 self._offer_received(self.receiver, offer, received)
             case ShuttingDown(descriptors_held):
-                self._host.predecessor_leaves(descriptors_held)
+                self._host.predecessor_shutting_down(descriptors_held)
             case _:
                 return False
         return True
@@ -190,8 +190,8 @@
         connection = MigratedConnection(offer.kind, offer.state, received.descriptors, received.attachment)
         receiver.offered(offer.number, connection)
 
-    def _successor_message(self, received: ReceivedMessage) -> bool:
-        """Handles what only a successor says; returns whether this message is such a one."""
+    def _handle_successor_message(self, received: ReceivedMessage) -> bool:
+        """Handles a message that only a successor sends; returns whether the message is one."""
         match received.message:
             case Serving():
                 self.successor_ready = True
@@ -204,16 +204,18 @@
                 return False
         return True
 
-    def _sibling_message(self, channel: Channel, received: ReceivedMessage) -> bool:
-        """Handles what either process may say; returns whether this message is such a one."""
+    def _handle_sibling_message(self, channel: Channel, received: ReceivedMessage) -> bool:
+        """Handles a message that either process sends; returns whether the message is one."""
         match received.message:
             case InFlight(loads):
                 self._host.sibling_loads_changed(loads)
-            case BorrowListeners():
+            case ListenersRequest():
                 sockets = self._host.listening_sockets
-                channel.send(LentListeners(), descriptors=tuple(sock.fileno() for sock in sockets))
-            case LentListeners() if self._borrowed is not None and not self._borrowed.done():
-                self._borrowed.set_result(received.descriptors)
+                channel.send(ListenersResponse(), descriptors=tuple(sock.fileno() for sock in sockets))
+            case ListenersResponse() if (
+                self._listeners_received is not None and not self._listeners_received.done()
+            ):
+                self._listeners_received.set_result(received.descriptors)
             case _:
                 return False
         return True
@@ -229,7 +231,7 @@
             close_descriptors(descriptors)
             channel.close()
             return
-        self._greeted.add(channel)
+        self._negotiated.add(channel)
         self._host.sibling_connected()
         log.info("sibling process connected: pid=%s, protocol=%d", hello.pid, version)
         if channel is not self.predecessor or not descriptors:
@@ -238,11 +240,11 @@
         revocation_pipe, *others = descriptors
         close_descriptors(others)
         self.receiver = Receiver(channel, self._migration, revocation_pipe)
-        if self._is_serving:  # the predecessor was slow to answer
+        if self._is_serving:  # the predecessor answered only after this process had started to serve
             channel.send(Serving())
 
     def _report_in_flight(self) -> None:
-        """Reports to the other process what this one has in flight, at intervals while there is one."""
+        """Periodically reports the requests in flight of this process to its siblings, while there are any."""
         if self._report_timer is not None:
             self._report_timer.cancel()
             self._report_timer = None
@@ -254,17 +256,17 @@
         if not channels:
             self._host.sibling_loads_changed({})
             return
-        report = InFlight(_largest(self._host.loads_in_flight, MAX_REPORTED_SERVERS))
+        report = InFlight(_highest_loads(self._host.loads_in_flight, MAX_REPORTED_SERVERS))
         for channel in channels:
-            if channel in self._greeted:
+            if channel in self._negotiated:
                 channel.send(report)
         self._report_timer = self._loop.call_later(IN_FLIGHT_INTERVAL_S, self._report_in_flight)
 
     def _channel_closed(self, channel: Channel) -> None:
-        self._greeted.discard(channel)
+        self._negotiated.discard(channel)
         if channel is self.predecessor:
             if self.receiver is not None:
-                log.info("predecessor ended: received %s", _counts(self.receiver.received))
+                log.info("predecessor ended: received %s", _format_counts(self.receiver.received))
                 self.receiver.close()
             self.predecessor = self.receiver = None
             self._host.sibling_loads_changed({})
@@ -277,7 +279,7 @@
     # ------------------------------------------------------------------ end
 
     def begin_shutdown(self) -> bool:
-        """Stops listening for successors, and returns whether there is one that takes over."""
+        """Stops listening for successors; returns whether one takes over the connections."""
         self._is_shutting_down = True
         self._stop_listening()
         if not self.successor_ready or self.sender is None or self.successor is None:
@@ -286,42 +288,42 @@
         return True
 
     def migrate_next(self) -> bool:
-        """Migrates what can be migrated now, and returns whether the migration continues."""
+        """Migrates the connections that can be migrated now; returns whether the migration goes on."""
         sender = self.sender
         return sender is not None and (sender.offer_next() or sender.is_busy)
 
     @property
     def migration_finished(self) -> bool:
-        """Whether nothing is on its way to the successor."""
+        """Whether no connection is being detached or offered."""
         return self.sender is None or self.sender.ended or not self.sender.is_busy
 
     def _stop_listening(self) -> None:
-        # The socket's name in the folder stays: the successor has replaced it with its own, or will.
+        # The socket file is not deleted, since the successor replaces it with its own.
         if self._listener is not None:
             self._loop.remove_reader(self._listener)
             self._listener.close()
             self._listener = None
 
     def close(self) -> None:
-        """Closes both channels, and returns to this process what no successor has taken."""
+        """Closes both channels. Connections that the successor has not accepted return to this process."""
         self._stop_listening()
         if self._report_timer is not None:
             self._report_timer.cancel()
         if self.sender is not None:
-            migrated, returned = _counts(self.sender.migrated), self.sender.transfers.returned_count
+            migrated, returned = _format_counts(self.sender.migrated), self.sender.transfers.returned_count
             log.info("connections migrated: %s, returned=%d", migrated, returned)
         for channel in (self.predecessor, self.successor):
             if channel is not None:
                 channel.close()
 
 
-def _largest(loads: Mapping[str, float], count: int) -> dict[str, float]:
-    """The servers with the most in flight."""
+def _highest_loads(loads: Mapping[str, float], count: int) -> dict[str, float]:
+    """Returns the entries with the highest load."""
     if len(loads) <= count:
         return dict(loads)
     return dict(sorted(loads.items(), key=lambda item: -item[1])[:count])
 
 
-def _counts(counts: Mapping[ConnectionKind, int]) -> str:
-    """Counts by kind for a log line."""
+def _format_counts(counts: Mapping[ConnectionKind, int]) -> str:
+    """Formats counts by kind for a log line."""
     return ", ".join(f"{kind.label}={counts.get(kind, 0)}" for kind in ConnectionKind)
--- a/rosewheel/hot_restart/unix_socket.py
+++ b/rosewheel/hot_restart/unix_socket.py
@@ -1,4 +1,4 @@
-"""The Unix socket by which the processes of one node find each other: for their own user only."""
+"""The Unix socket that connects the processes of one node. Only processes of the same user are accepted."""
 
 from __future__ import annotations
 
@@ -18,10 +18,10 @@
 
 
 def listen(folder: str) -> socket.socket:
-    """Listens in place of the process that listened in this folder before; that one keeps its connections.
+    """Listens in this folder, in place of any process that did so before. Existing connections are not affected.
 
     Raises:
-        OSError: The socket can't be made there.
+        OSError: The socket can't be created there.
     """
     sock = socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET)
     part_name = f"handover.{os.getpid()}.part"
@@ -44,7 +44,7 @@
 
 
 def connect(folder: str) -> socket.socket | None:
-    """Connects to the process that listens in this folder; None where none of this user does."""
+    """Connects to the process of the same user that listens in this folder; returns None if there is none."""
     sock = socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET)
     sock.setblocking(False)
     try:
@@ -52,8 +52,8 @@
             sock.connect(f"{short}/{SOCKET_NAME}")
         if is_same_user(sock):
             return sock
-        log.warning("predecessor ignored: reason=its process is another user's")
-    except OSError as error:  # also where the backlog is full: that process hangs
+        log.warning("predecessor ignored: reason=it runs as another user")
+    except OSError as error:  # includes a full backlog, if that process hangs
         if not isinstance(error, FileNotFoundError | ConnectionRefusedError):
             log.warning("predecessor unreachable: error=%s", error)
     sock.close()
@@ -61,14 +61,14 @@
 
 
 def is_same_user(sock: socket.socket) -> bool:
-    """Whether the process at the other end runs under the user of this one."""
+    """Returns whether the process at the other end runs as the same user."""
     credentials = sock.getsockopt(socket.SOL_SOCKET, socket.SO_PEERCRED, PEER_CREDENTIALS.size)
     _, uid, _ = PEER_CREDENTIALS.unpack(credentials)
     return bool(uid == os.geteuid())
 
 
 def close_descriptors(descriptors: Iterable[int]) -> None:
-    """Closes descriptors. Others that refer to the same sockets are not affected."""
+    """Closes descriptors, ignoring errors. Duplicates of them stay open."""
     for descriptor in descriptors:
         with contextlib.suppress(OSError):
             os.close(descriptor)
@@ -76,7 +76,7 @@
 
 @contextlib.contextmanager
 def _short_path(folder: str) -> Iterator[str]:
-    """A short name of the folder: the path of a Unix socket is limited to about a hundred bytes."""
+    """Yields a short path of the folder, because the path of a Unix socket is limited to about 100 bytes."""
     descriptor = os.open(folder, os.O_RDONLY | os.O_DIRECTORY | os.O_CLOEXEC)
     try:
         yield f"/proc/self/fd/{descriptor}"
--- a/rosewheel/proxy/proxy.py
+++ b/rosewheel/proxy/proxy.py
@@ -147,9 +147,9 @@
         inherited, admin_socket = self.config.inherited_descriptor, None
         if self.hot_restart.connect_to_predecessor() and inherited is None:
             listen, ops = self.config.listen_address, self.config.admin_address
-            borrowed, admin_socket = await self.hot_restart.borrow_listeners(listen, ops)
-            self.shares_listener = borrowed is not None
-            inherited = None if borrowed is None else borrowed.detach()
+            client_socket, admin_socket = await self.hot_restart.request_listeners(listen, ops)
+            self.shares_listener = client_socket is not None
+            inherited = None if client_socket is None else client_socket.detach()
         sock = open_listener(self.config.listen_address, inherited)
         self.shared_state.start()  # restores the cordons before any request can be forwarded
         if self.admin is not None and self.config.admin_address is not None:
--- a/rosewheel/proxy/siblings.py
+++ b/rosewheel/proxy/siblings.py
@@ -62,13 +62,13 @@
         parts = self._parts
         parts.apply(parts.node.sibling_process_load(clock.now_ms(), dict(loads)))
 
-    def predecessor_holds(self, descriptors: int | None) -> None:
+    def predecessor_descriptors_reported(self, descriptors: int | None) -> None:
         """Applies the descriptor count of a predecessor that is shutting down: this process may use the rest."""
         if descriptors is not None:
             self._resources.predecessor_descriptors = descriptors
             self._resources.divide(self._parts.config.limits.max_sockets)
 
-    def predecessor_leaves(self, descriptors: int | None) -> None:
+    def predecessor_shutting_down(self, descriptors: int | None) -> None:
         """Handles the start of the predecessor's shutdown: from now on only this process starts requests."""
-        self.predecessor_holds(descriptors)
+        self.predecessor_descriptors_reported(descriptors)
         self._parts.apply(self._parts.node.process_count_changed(clock.now_ms(), 1))
--- a/tests/hot_restart/test_hot_restart.py
+++ b/tests/hot_restart/test_hot_restart.py
@@ -631,7 +631,7 @@
         async with newcomer(tmp_path) as (old, new, held, client):
             changes: dict[str, Any] = {}
             if case == "no room":
-                new.siblings.predecessor_holds = lambda held: None  # type: ignore[method-assign]
+                new.siblings.predecessor_descriptors_reported = lambda held: None  # type: ignore[method-assign]
                 new.server.max_connections = 0
             if case == "it stops too":
                 new.server.draining = True
@@ -660,7 +660,7 @@
                     assert status(await client.ask(id="a")) == 200
                     new = await node.next()
                     new.server.max_connections = 0
-                    new.siblings.predecessor_holds = lambda held: None  # type: ignore[method-assign]
+                    new.siblings.predecessor_descriptors_reported = lambda held: None  # type: ignore[method-assign]
                     stop = asyncio.ensure_future(old.drain())
                     await until(
                         lambda: (
@@ -731,7 +731,7 @@
             relay.siblings.process_count_changed(2)
             assert relay.node.balancer.parts.shared.process_count == 2
             half = relay.resources.max_descriptors
-            relay.siblings.predecessor_leaves(5)
+            relay.siblings.predecessor_shutting_down(5)
             assert relay.node.balancer.parts.shared.process_count == 1
             assert relay.resources.max_descriptors > half, "what the old one gives up is this one's"
             relay.siblings.process_count_changed(2)
--- a/tests/hot_restart/test_messages.py
+++ b/tests/hot_restart/test_messages.py
@@ -12,11 +12,11 @@
 from rosewheel.hot_restart.errors import MigrationError, ProtocolError
 from rosewheel.hot_restart.messages import (
     Accepted,
-    BorrowListeners,
     ConnectionKind,
     Hello,
     InFlight,
-    LentListeners,
+    ListenersRequest,
+    ListenersResponse,
     Message,
     Offer,
     Rejected,
@@ -57,8 +57,8 @@
     (Accepted(3), {"t": "took", "n": 3}),
     (Rejected(3, "no use"), {"t": "no", "n": 3, "why": "no use"}),
     (InFlight({"s": 1.5}), {"t": "beside", "loads": {"s": 1.5}}),
-    (BorrowListeners(), {"t": "lend"}),
-    (LentListeners(), {"t": "lent"}),
+    (ListenersRequest(), {"t": "lend"}),
+    (ListenersResponse(), {"t": "lent"}),
 ]
 
 
