--- a/rosewheel/hot_restart/channel.py
+++ b/rosewheel/hot_restart/channel.py
@@ -1,4 +1,4 @@
-"""One connection between two processes of a node, over which messages and descriptors are passed (SCM_RIGHTS)."""
+"""A connection between two processes of a node that carries messages and file descriptors (SCM_RIGHTS)."""
 
 from __future__ import annotations
 
@@ -18,18 +18,18 @@
 log = logging.getLogger("rosewheel.hot_restart")
 
 MAX_DESCRIPTORS_PER_MESSAGE = 4
-PACKETS_PER_READ = 64  # so that the loop serves clients in between
+PACKETS_PER_READ = 64  # limited, so that the event loop serves clients in between
 UNLIMITED_PACKETS = 1 << 20
 
 
 @dataclass(slots=True, frozen=True)
 class ReceivedMessage:
-    """A message with all that came with it.
+    """A received message with its attachment and descriptors.
 
     Attributes:
         message: The message.
-        attachment: Its bytes.
-        descriptors: Its descriptors; they belong to whoever gets this.
+        attachment: The bytes attached to it.
+        descriptors: The descriptors sent with it, owned by the message's handler.
     """
 
     message: Message
@@ -51,9 +51,9 @@
     """One connection to the other process.
 
     Args:
-        sock: A connected SOCK_SEQPACKET socket; the channel closes it.
+        sock: A connected SOCK_SEQPACKET socket, owned by the channel.
         on_message: Called with each message.
-        on_closed: Called once, after all that the other process had sent has been passed on.
+        on_closed: Called once, after `on_message` was called for all messages of the other process.
     """
 
     def __init__(self, sock: socket.socket, on_message: MessageHandler, on_closed: ClosedHandler) -> None:
@@ -70,9 +70,9 @@
         self._loop.add_reader(sock, self._readable)
 
     def send(self, message: Message, attachment: bytes = b"", descriptors: tuple[int, ...] = ()) -> None:
-        """Sends a message behind those that wait.
+        """Sends a message, or queues it behind earlier ones.
 
-        The descriptors must stay open until the other process has confirmed them.
+        The descriptors must stay open until the message is sent, which only an answer of the other process confirms.
         """
         *parts, last = encode_packets(message, attachment)
         self._queue += [_QueuedPacket(part, ()) for part in parts]
@@ -81,13 +81,13 @@
             self._flush()
 
     def try_send(self, message: Message) -> bool:
-        """Sends a message at once or not at all.
+        """Sends a message immediately, or not at all.
 
         Returns:
-            Whether the message is in the other process's queue. It is never sent later.
+            Whether the message was sent. It is never queued.
 
         Raises:
-            BrokenPipeError: The other process receives nothing any more.
+            BrokenPipeError: The other process has closed the connection or stopped receiving.
         """
         if self._queue or self._write_failed or not self.is_open:
             return False
@@ -98,7 +98,7 @@
         return True
 
     def stop_receiving(self) -> None:
-        """Makes the other process unable to send, after passing on all that it had sent."""
+        """Prevents the other process from sending, and handles the messages that it had already sent."""
         with contextlib.suppress(OSError):
             self._sock.shutdown(socket.SHUT_RD)
         self._receive(UNLIMITED_PACKETS)
@@ -126,7 +126,9 @@
                 self._waits_for_write = True
                 self._loop.add_writer(self._sock, self._flush)
             return
-        except OSError:  # the reader receives what was still sent, and then the end
+        except (
+            OSError
+        ):  # messages of the other process can still be read, followed by the end of the connection
             self._write_failed = True
             self._queue.clear()
         if self._waits_for_write:
@@ -147,7 +149,7 @@
             except BlockingIOError:
                 return
             except ConnectionResetError:
-                continue  # it ended with unread data of ours; what it had sent before can still be read
+                continue  # the other process ended with unread messages; those that it had sent can still be read
             except OSError as error:
                 log.warning("channel read failed: error=%s", error)
                 packet, descriptors, flags = b"", [], 0
@@ -156,7 +158,7 @@
                 self.close()
                 return
             if flags & (socket.MSG_CTRUNC | socket.MSG_TRUNC):
-                # This process has no room for all descriptors; without them the message's receiver refuses it.
+                # This process can't hold all descriptors. An offer without its descriptors is rejected.
                 close_descriptors(descriptors)
                 descriptors = []
             self._handle_packet(packet, descriptors)
@@ -174,6 +176,6 @@
             return
         try:
             self._on_message(self, ReceivedMessage(received.message, received.attachment, descriptors))
-        except Exception:  # a message from another process must not end this one
-            log.exception("channel closed: reason=a message could not be handled")
+        except Exception:  # a message of the other process must not end this one
+            log.exception("channel closed: reason=error while handling a message")
             self.close()
--- a/rosewheel/hot_restart/migration.py
+++ b/rosewheel/hot_restart/migration.py
@@ -1,4 +1,4 @@
-"""Detaches open connections from the event loop of one process, and resumes them in another, or in the same one."""
+"""Detaches open connections from the event loop of one process, and resumes them in the same or another process."""
 
 from __future__ import annotations
 
@@ -27,21 +27,21 @@
 
 log = logging.getLogger("rosewheel.hot_restart")
 
-# The share of migrations that begin with an idle connection to a server: the clients that were migrated so far need
-# some of these for their next requests.
+# Probability that an idle connection to a server is migrated before the next client. Clients that have migrated need
+# some of these connections for their next requests.
 IDLE_UPSTREAM_SHARE = 0.5
 
 
 @dataclass(slots=True, eq=False)
 class MigratedConnection:
-    """A connection, or the two ends of a response in progress, on no event loop.
+    """A detached connection, or both connections of a response in progress.
 
     Attributes:
-        kind: What it is.
-        state: Where it stands.
-        descriptors: Its sockets; they belong to whoever holds this.
-        pending_bytes: Bytes to be sent to the client, and behind them bytes read from it; the state says how many
-            are to be sent.
+        kind: The kind of the connection.
+        state: The protocol state of the connection.
+        descriptors: Its sockets, owned by the holder of this object.
+        pending_bytes: Unsent bytes for the client, followed by unprocessed bytes from it. The state contains the
+            number of the former.
     """
 
     kind: ConnectionKind
@@ -51,11 +51,11 @@
 
 
 DetachedHandler = Callable[[MigratedConnection | None], None]
-"""Gets a detached connection; None where the connection ended while it was being detached."""
+"""Receives a detached connection, or None if the connection ended during the detachment."""
 
 
 class Migration:
-    """The connections of one process that leave it or arrive."""
+    """Migrates the connections of one process to and from other processes."""
 
     def __init__(self, host: MigrationHost) -> None:
         self._host = host
@@ -64,7 +64,7 @@
 
     @property
     def arriving_count(self) -> int:
-        """The number of connections that this process owns and that are not on its event loop yet."""
+        """The number of connections that this process owns but has not attached to its event loop yet."""
         return len(self._arriving)
 
     # ------------------------------------------------------------ detaching
@@ -72,11 +72,11 @@
     def detach_next(self, on_detached: DetachedHandler) -> bool:
         """Starts to detach one connection.
 
-        Responses in progress come first, since their loss would be the greatest; then clients, and among these idle
-        connections to servers.
+        Responses in progress come first, since they would fail if they were not migrated. Clients and idle connections
+        to servers follow in random order.
 
         Returns:
-            Whether there was one that can be migrated now.
+            Whether there was a connection that can be migrated now.
         """
         host = self._host
         for client in host.server.connections:
@@ -90,15 +90,18 @@
             return True
         for client in host.server.connections:
             if client.active_request is None and client.detachable:
-                client.detach(functools.partial(_pass_on_client, on_detached))
+                client.detach(functools.partial(_deliver_client, on_detached))
                 return True
         return self._detach_idle_upstream(on_detached)
 
     def _detach_idle_upstream(self, on_detached: DetachedHandler) -> bool:
-        return self._host.upstream.detach_idle(functools.partial(_pass_on_upstream, on_detached))
+        return self._host.upstream.detach_idle(functools.partial(_deliver_upstream, on_detached))
 
     def _detach_response(self, client: DownstreamConnection, on_detached: DetachedHandler) -> bool:
-        """Detaches both ends of a response at once: neither is read or written from here on."""
+        """Starts to detach both connections of a response in progress; returns whether that is possible.
+
+        Neither connection is read or written from then on.
+        """
         call = client.active_request
         in_progress = self._host.node.response_in_progress(call.id) if call is not None else None
         if call is None or in_progress is None:
@@ -113,7 +116,7 @@
     # ------------------------------------------------------------- resuming
 
     def rejection_reason(self, connection: MigratedConnection) -> str:
-        """Returns why this process can't resume the connection; empty where it can."""
+        """Returns why this process can't resume the connection, or an empty string if it can."""
         host, kind = self._host, connection.kind
         if len(connection.descriptors) != kind.descriptor_count:
             return "descriptors are missing"
@@ -128,11 +131,12 @@
         return ""
 
     def resume(self, connection: MigratedConnection, returned: bool = False) -> None:
-        """Serves a connection on this process's event loop from here on.
+        """Resumes a connection on the event loop of this process.
 
         Args:
-            connection: The connection; it belongs to this process.
-            returned: Whether it was detached here, and the successor did not take it. It ends here then.
+            connection: The connection, owned by this process.
+            returned: Whether this process had detached it and the successor did not accept it. It is then closed after
+                its next response.
         """
         task = self._loop.create_task(self._resume(connection, returned))
         self._arriving.add(task)
@@ -151,7 +155,7 @@
                     await self._loop.connect_accepted_socket(lambda: client, sockets[0])
                 case ConnectionKind.RESPONSE:
                     await self._resume_response(connection, sockets, returned)
-        except Exception:  # a fault in one connection must not end the others
+        except Exception:  # an error in one connection must not affect the others
             log.exception("connection not resumed: kind=%s", connection.kind.label)
             for sock in sockets:
                 sock.close()
@@ -169,21 +173,21 @@
         host, state = self._host, decode_response_state(connection.state)
         client = self._resumed_client(state.client, connection.pending_bytes, returned)
         if not host.node.adopt_response(_now_ms(), state.request_id, state.service, state.server):
-            raise MigrationError(f"request {state.request_id} is in flight here")
+            raise MigrationError(f"request {state.request_id} is already in flight")
         upstream: UpstreamConnection | None = None
 
-        def client_can_receive() -> None:
+        def resume_upstream() -> None:
             if upstream is not None:
                 upstream.resume_response()
 
-        call = client.restore_response(state.request_id, client_can_receive)
+        call = client.restore_response(state.request_id, resume_upstream)
         host.calls[state.request_id] = call
         upstream = host.upstream.adopt_response(
             state.request_id, state.upstream, functools.partial(client.send_response_data, call)
         )
         client_socket, upstream_socket = sockets
         await self._loop.connect_accepted_socket(lambda: client, client_socket)
-        if host.calls.get(state.request_id) is not call:  # the client has disconnected meanwhile
+        if host.calls.get(state.request_id) is not call:  # the client has disconnected in the meantime
             upstream_socket.close()
             return
         await host.upstream.attach_socket(upstream, upstream_socket)
@@ -192,7 +196,7 @@
 
 
 class _ResponseDetachment:
-    """Waits until both ends of a response in progress are detached, and passes them on together."""
+    """Waits until both connections of a response in progress are detached, and delivers them together."""
 
     def __init__(
         self,
@@ -209,28 +213,28 @@
         self._on_detached = on_detached
         self._client: DetachedDownstream | None = None
         self._upstream: DetachedUpstream | None = None
-        self._ends_detached = 0
+        self._detached_count = 0
 
     def client_detached(self, client: DetachedDownstream | None) -> None:
-        """The client's connection is off the loop; None where it ended."""
+        """Handles the detached connection of the client; None if it ended."""
         self._client = client
-        self._end_detached()
+        self._one_detached()
 
     def upstream_detached(self, upstream: DetachedUpstream | None) -> None:
-        """The connection to the server is off the loop; None where it ended."""
+        """Handles the detached connection to the server; None if it ended."""
         self._upstream = upstream
-        self._end_detached()
+        self._one_detached()
 
-    def _end_detached(self) -> None:
-        self._ends_detached += 1
-        if self._ends_detached < 2:
+    def _one_detached(self) -> None:
+        self._detached_count += 1
+        if self._detached_count < 2:
             return
         if self._client is not None and self._upstream is not None:
-            self._pass_on(self._client, self._upstream)
+            self._deliver(self._client, self._upstream)
         else:
-            self._cut_off()
+            self._abort()
 
-    def _pass_on(self, client: DetachedDownstream, upstream: DetachedUpstream) -> None:
+    def _deliver(self, client: DetachedDownstream, upstream: DetachedUpstream) -> None:
         host = self._host
         host.calls.pop(self._request_id, None)
         host.apply(host.node.response_migrated(_now_ms(), self._request_id))
@@ -241,8 +245,8 @@
             MigratedConnection(ConnectionKind.RESPONSE, wire_state, descriptors, client.pending_bytes)
         )
 
-    def _cut_off(self) -> None:
-        """One end has ended: a client that is still there learns it by the end of its connection."""
+    def _abort(self) -> None:
+        """Ends the request after one of its connections has ended, and closes the other one."""
         host = self._host
         close_descriptors(end.fd for end in (self._client, self._upstream) if end is not None)
         call = host.calls.pop(self._request_id, None)
@@ -251,7 +255,7 @@
         self._on_detached(None)
 
 
-def _pass_on_client(on_detached: DetachedHandler, client: DetachedDownstream | None) -> None:
+def _deliver_client(on_detached: DetachedHandler, client: DetachedDownstream | None) -> None:
     if client is None:
         on_detached(None)
     else:
@@ -260,7 +264,7 @@
         )
 
 
-def _pass_on_upstream(on_detached: DetachedHandler, upstream: DetachedUpstream | None) -> None:
+def _deliver_upstream(on_detached: DetachedHandler, upstream: DetachedUpstream | None) -> None:
     if upstream is None:
         on_detached(None)
     else:
--- a/rosewheel/hot_restart/receiver.py
+++ b/rosewheel/hot_restart/receiver.py
@@ -19,11 +19,11 @@
 
     Args:
         channel: The channel to the predecessor.
-        migration: The connections of this process.
+        migration: Resumes connections in this process.
         revocation_pipe: The reading end of the pipe of the predecessor's `Sender`.
 
     Attributes:
-        received: How many connections of each kind this process has taken over.
+        received: Number of connections that this process has taken over, by kind.
     """
 
     def __init__(self, channel: Channel, migration: Migration, revocation_pipe: int) -> None:
@@ -33,20 +33,20 @@
         self._revocation_pipe = revocation_pipe
 
     def reject(self, number: int, descriptors: list[int], reason: str) -> None:
-        """Leaves an offered connection to the predecessor."""
+        """Rejects an offer, and closes its descriptors in this process."""
         close_descriptors(descriptors)
         self._channel.send(Rejected(number, reason))
 
     def offered(self, number: int, connection: MigratedConnection) -> None:
-        """Takes over a connection, or rejects it. It is the predecessor's until the receipt is in its queue."""
+        """Takes over a connection, or rejects it. The predecessor owns it until the acknowledgement is sent."""
         reason = self._migration.rejection_reason(connection)
         if reason:
             self.reject(number, connection.descriptors, reason)
             return
         try:
             if not self._channel.try_send(Accepted(number)):
-                # A receipt that waits here would be sent at a moment that this process does not know.
-                log.warning("migration stopped: reason=the predecessor does not read receipts")
+                # With a queued acknowledgement this process could not know when it owns the connection.
+                log.warning("migration stopped: reason=the predecessor does not read acknowledgements")
                 close_descriptors(connection.descriptors)
                 self._channel.close()
                 return
@@ -54,14 +54,15 @@
             if self._is_revoked():
                 close_descriptors(connection.descriptors)
                 return
-            # The predecessor was killed: nobody else owns what it had offered.
+            # The predecessor was killed, so this process owns the connection.
         self.received[connection.kind] += 1
         self._migration.resume(connection)
 
     def _is_revoked(self) -> bool:
-        """Whether the predecessor keeps what had no receipt.
+        """Returns whether the predecessor keeps the connections that were not acknowledged.
 
-        It says so before it stops to read receipts. A channel that ended without that byte means that it was killed.
+        It writes the revocation byte before it stops reading acknowledgements. If the channel ends without that byte,
+        the predecessor was killed.
         """
         try:
             return os.read(self._revocation_pipe, 1) != b""
@@ -69,5 +70,5 @@
             return False
 
     def close(self) -> None:
-        """Closes the pipe."""
+        """Closes the revocation pipe."""
         close_descriptors([self._revocation_pipe])
--- a/rosewheel/hot_restart/sender.py
+++ b/rosewheel/hot_restart/sender.py
@@ -1,4 +1,4 @@
-"""The predecessor's side of a migration: offers connections, and takes back those that are not accepted."""
+"""The predecessor's side of a migration: offers connections, and resumes those that are not accepted."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 from rosewheel.hot_restart.channel import Channel
 from rosewheel.hot_restart.messages import ConnectionKind, Offer
 from rosewheel.hot_restart.migration import MigratedConnection, Migration
-from rosewheel.hot_restart.transfers import TransferLedger
+from rosewheel.hot_restart.transfers import TransferTracker
 from rosewheel.hot_restart.unix_socket import close_descriptors
 
 log = logging.getLogger("rosewheel.hot_restart")
@@ -23,15 +23,15 @@
 
     Args:
         channel: The channel to the successor.
-        migration: The connections of this process.
-        revocation_pipe: The writing end of a pipe whose reading end the successor has. A byte in it says that
-            whatever had no receipt by then stays here.
-        count_descriptors: Returns how many descriptors this process holds.
+        migration: Detaches and resumes the connections of this process.
+        revocation_pipe: The writing end of a pipe whose reading end the successor has. A byte in it tells the successor
+            that this process keeps all connections that were not acknowledged.
+        count_descriptors: Returns the number of descriptors that this process holds.
 
     Attributes:
-        transfers: The offers and their receipts.
-        migrated: How many connections of each kind the successor has taken.
-        ended: Whether the channel is closed, or is being closed.
+        transfers: The offers and their answers.
+        migrated: Number of connections that the successor has accepted, by kind.
+        ended: Whether the channel is closed or being closed.
     """
 
     def __init__(
@@ -41,7 +41,7 @@
         revocation_pipe: int,
         count_descriptors: Callable[[], int],
     ) -> None:
-        self.transfers: TransferLedger[MigratedConnection] = TransferLedger()
+        self.transfers: TransferTracker[MigratedConnection] = TransferTracker()
         self.migrated: Counter[ConnectionKind] = Counter()
         self.ended = False
         self._channel = channel
@@ -53,19 +53,19 @@
 
     @property
     def is_busy(self) -> bool:
-        """Whether connections are being detached, or wait for their receipts."""
+        """Whether connections are being detached or offers are unanswered."""
         return bool(self._detaching_count or self.transfers.pending_count)
 
     def offer_next(self) -> bool:
-        """Offers as many connections as may be pending at a time.
+        """Offers connections until the limit of pending offers is reached.
 
         Returns:
-            Whether the channel still works.
+            Whether the channel is still in use.
         """
         if self.ended:
             return False
         if self.transfers.is_overdue(self._loop.time()):
-            log.warning("migration stopped: reason=the successor does not answer offers")
+            log.warning("migration stopped: reason=the successor did not answer an offer in time")
             self.revoke()
         while not self.ended and self._may_offer():
             self._detaching_count += 1
@@ -89,7 +89,7 @@
         self._channel.send(offer, connection.pending_bytes, tuple(connection.descriptors))
 
     def accepted(self, number: int) -> None:
-        """The successor owns the connection of this offer."""
+        """Handles the acknowledgement of an offer: the successor owns the connection."""
         connection = self.transfers.accept(number)
         if connection is None:
             return
@@ -99,12 +99,12 @@
             self.offer_next()
 
     def rejected(self, number: int, reason: str) -> None:
-        """The successor does not take the connection of this offer."""
+        """Handles the rejection of an offer."""
         connection = self.transfers.reject(number)
         if connection is None:
             return
         log.debug("connection rejected by successor: kind=%s, reason=%s", connection.kind.label, reason)
-        if connection.kind is ConnectionKind.UPSTREAM:  # neither process can use it any more
+        if connection.kind is ConnectionKind.UPSTREAM:  # this process no longer needs it either
             close_descriptors(connection.descriptors)
         else:
             self._migration.resume(connection, returned=True)
@@ -112,9 +112,10 @@
             self.offer_next()
 
     def revoke(self) -> None:
-        """Ends the migration: whatever has no receipt by now stays here.
+        """Ends the migration. This process keeps all connections that were not acknowledged.
 
-        The order matters: the successor is told, can't send receipts any more, and those that it had sent are read.
+        The order matters: the revocation byte first, then no further acknowledgements can be sent, then those already
+        sent are read.
         """
         self.ended = True
         with contextlib.suppress(OSError):
@@ -123,8 +124,8 @@
         self._channel.close()
 
     def channel_closed(self) -> None:
-        """The channel is closed, and all that the successor had sent has been handled. Called once."""
+        """Handles the end of the channel, after all messages of the successor. Called once."""
         self.ended = True
         close_descriptors([self._revocation_pipe])
-        for connection in self.transfers.take_back():
+        for connection in self.transfers.reclaim_pending():
             self._migration.resume(connection, returned=True)
--- a/rosewheel/hot_restart/transfers.py
+++ b/rosewheel/hot_restart/transfers.py
@@ -1,9 +1,9 @@
-"""Who owns a connection while it is passed from one process to another: a ledger without I/O.
+"""Tracks which process owns a connection during its transfer. Performs no I/O.
 
-Until its receipt is there an offered connection belongs to the sender, which does not use it meanwhile; from the
-receipt on it belongs to the receiver. The receiver sends the receipt before it uses the connection. A sender that
-waits no longer makes the receiver unable to send first, and then reads the receipts that had been sent: whatever is
-pending after that is its own again.
+An offered connection belongs to the sender, which does not use it, until the receiver has sent an acknowledgement.
+After that it belongs to the receiver, which sends the acknowledgement before it uses the connection. A sender that
+stops waiting first prevents further acknowledgements, and then reads those already sent. It then owns all connections
+that are still pending.
 """
 
 from __future__ import annotations
@@ -11,8 +11,8 @@
 from dataclasses import dataclass
 from typing import Generic, TypeVar
 
-MAX_PENDING_OFFERS = 16  # each holds its descriptors twice while it is pending
-RECEIPT_TIMEOUT_S = 0.6  # a receiver that does not answer an offer for this long hangs
+MAX_PENDING_OFFERS = 16  # limited, because both processes hold the descriptors of a pending offer
+ACK_TIMEOUT_S = 0.6  # a receiver that does not answer an offer within this time is considered hung
 
 Connection = TypeVar("Connection")
 
@@ -23,32 +23,30 @@
     offered_at_s: float
 
 
-class TransferLedger(Generic[Connection]):
-    """The offers of one sender. Times are seconds of one clock.
+class TransferTracker(Generic[Connection]):
+    """The offers of one sender. All times are seconds of the same monotonic clock.
 
     Attributes:
-        accepted_count: Connections that the receiver has taken.
-        returned_count: Connections that are the sender's again.
+        accepted_count: Number of connections that the receiver has accepted.
+        returned_count: Number of connections that the sender owns again.
     """
 
-    def __init__(
-        self, max_pending: int = MAX_PENDING_OFFERS, receipt_timeout_s: float = RECEIPT_TIMEOUT_S
-    ) -> None:
+    def __init__(self, max_pending: int = MAX_PENDING_OFFERS, ack_timeout_s: float = ACK_TIMEOUT_S) -> None:
         self.max_pending = max_pending
         self.accepted_count = 0
         self.returned_count = 0
-        self._receipt_timeout_s = receipt_timeout_s
+        self._ack_timeout_s = ack_timeout_s
         self._pending: dict[int, _PendingOffer[Connection]] = {}
         self._last_number = 0
 
     @property
     def has_room(self) -> bool:
-        """Whether another offer may be made now."""
+        """Whether another offer can be made now."""
         return len(self._pending) < self.max_pending
 
     @property
     def pending_count(self) -> int:
-        """The number of offers without a receipt."""
+        """The number of unanswered offers."""
         return len(self._pending)
 
     def offer(self, connection: Connection, now_s: float) -> int:
@@ -58,7 +56,7 @@
         return self._last_number
 
     def accept(self, number: int) -> Connection | None:
-        """Records a receipt, and returns the connection; None where no such offer is pending."""
+        """Records an acknowledgement; returns the connection, or None if no such offer is pending."""
         pending = self._pending.pop(number, None)
         if pending is None:
             return None
@@ -66,7 +64,7 @@
         return pending.connection
 
     def reject(self, number: int) -> Connection | None:
-        """Records a rejection: the connection, which this returns, is the sender's again."""
+        """Records a rejection; returns the connection, which the sender owns again, or None as `accept` does."""
         pending = self._pending.pop(number, None)
         if pending is None:
             return None
@@ -74,14 +72,14 @@
         return pending.connection
 
     def is_overdue(self, now_s: float) -> bool:
-        """Whether the oldest offer has waited for its receipt for too long."""
+        """Returns whether the oldest pending offer has waited longer than the timeout."""
         oldest = next(iter(self._pending.values()), None)
-        return oldest is not None and now_s - oldest.offered_at_s >= self._receipt_timeout_s
+        return oldest is not None and now_s - oldest.offered_at_s >= self._ack_timeout_s
 
-    def take_back(self) -> list[Connection]:
-        """Returns all pending connections: they are the sender's again.
+    def reclaim_pending(self) -> list[Connection]:
+        """Returns all pending connections, which the sender owns again.
 
-        To be called once no receipt can come any more, and all that were sent have been read.
+        Must be called only after all acknowledgements have been read and no more can arrive.
         """
         connections = [pending.connection for pending in self._pending.values()]
         self.returned_count += len(connections)
--- a/tests/hot_restart/test_transfers.py
+++ b/tests/hot_restart/test_transfers.py
@@ -10,7 +10,7 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, precondition, rule
 
-from rosewheel.hot_restart.transfers import TransferLedger
+from rosewheel.hot_restart.transfers import TransferTracker
 from rosewheel.http.chunk_tracker import ChunkTracker
 from rosewheel.http.errors import ChunkedEncodingError
 
@@ -24,7 +24,7 @@
 
     def __init__(self) -> None:
         super().__init__()
-        self.transfers: TransferLedger[int] = TransferLedger(max_pending=3, receipt_timeout_s=1.0)
+        self.transfers: TransferTracker[int] = TransferTracker(max_pending=3, ack_timeout_s=1.0)
         self.now = 0.0
         self.connections = 0
         self.offers: list[tuple[int, int]] = []  # not read by the receiver yet: number, connection
@@ -74,7 +74,7 @@
         self.channel_open = False
         while self.receipts:
             self.read_receipt()
-        self.at_sender.update(self.transfers.take_back())
+        self.at_sender.update(self.transfers.reclaim_pending())
 
     @precondition(lambda self: self.receiver_alive)
     @rule()
@@ -86,7 +86,7 @@
             self.channel_open = False
             while self.receipts:
                 self.read_receipt()
-            self.at_sender.update(self.transfers.take_back())
+            self.at_sender.update(self.transfers.reclaim_pending())
 
     @precondition(lambda self: self.sender_alive)
     @rule()
