--- a/tests/hot_restart/test_messages.py
+++ b/tests/hot_restart/test_messages.py
@@ -1,4 +1,4 @@
-"""Messages between two processes of one node: their form on the wire, and packets."""
+"""Messages between two processes of one node: the wire format and packets."""
 
 from __future__ import annotations
 
@@ -38,7 +38,7 @@
     encode_packets,
 )
 
-ON_THE_WIRE: list[tuple[Message, dict[str, Any]]] = [
+WIRE_MESSAGES: list[tuple[Message, dict[str, Any]]] = [
     (Hello((1, 2), "n0", 41), {"t": "hello", "versions": [1, 2], "node": "n0", "pid": 41}),
     (Serving(), {"t": "ready"}),
     (ShuttingDown(12), {"t": "leaving", "held": 12}),
@@ -62,9 +62,9 @@
 ]
 
 
-@pytest.mark.parametrize(("message", "fields"), ON_THE_WIRE, ids=lambda value: type(value).__name__)
-def test_messages_keep_their_form_on_the_wire(message: Message, fields: dict[str, Any]):
-    """An old release and a new one speak to each other during a hot restart."""
+@pytest.mark.parametrize(("message", "fields"), WIRE_MESSAGES, ids=lambda value: type(value).__name__)
+def test_wire_format_of_each_message(message: Message, fields: dict[str, Any]):
+    """Processes of different releases exchange these messages, so the format must not change."""
     assert orjson.loads(encode_message(message)) == fields
     assert decode_message(orjson.dumps(fields)) == message
 
@@ -83,19 +83,19 @@
         ({"t": "hello", "versions": [1, "2"], "node": 7, "pid": "x"}, Hello((1,), "", None)),
     ],
 )
-def test_fields_that_can_not_be_used_are_left_out(fields: dict[str, Any], message: Message):
+def test_unknown_kinds_and_invalid_fields_are_ignored(fields: dict[str, Any], message: Message):
     assert decode_message(orjson.dumps(fields)) == message
 
 
 @pytest.mark.parametrize(
     "content", [b"", b"{", b"[]", b"{}", b'{"t":1}', b'{"t":"give"}', b'{"t":"give","n":1,"state":[1]}']
 )
-def test_content_that_is_no_message_raises_a_protocol_error(content: bytes):
+def test_invalid_content_raises_a_protocol_error(content: bytes):
     with pytest.raises(ProtocolError):
         decode_message(content)
 
 
-def test_the_state_of_a_response_keeps_its_form_on_the_wire():
+def test_wire_format_of_the_state_of_a_response():
     state = ResponseState("r", "read", "s", {"unsent": 0}, {"host": "s"})
     fields = {"id": "r", "service": "read", "server": "s", "caller": {"unsent": 0}, "equipo": {"host": "s"}}
     assert encode_response_state(state) == fields
@@ -105,7 +105,7 @@
 
 
 @given(st.binary(max_size=100_000), st.dictionaries(st.text(max_size=5), st.integers(0, 9), max_size=4))
-def test_a_message_and_its_attachment_are_read_back(attachment: bytes, state: dict[str, int]):
+def test_a_message_and_its_attachment_round_trip(attachment: bytes, state: dict[str, int]):
     reader = PacketReader()
     offer = Offer(1, ConnectionKind.CLIENT, state, 0)
     packets = encode_packets(offer, attachment)
@@ -115,7 +115,7 @@
 
 
 @given(st.binary(max_size=200))
-def test_a_packet_of_any_bytes_is_read_or_raises_a_protocol_error(packet: bytes):
+def test_an_arbitrary_packet_is_decoded_or_raises_a_protocol_error(packet: bytes):
     try:
         received = PacketReader().feed(packet)
     except ProtocolError:
--- a/tests/proxy/test_reconfiguration.py
+++ b/tests/proxy/test_reconfiguration.py
@@ -22,7 +22,7 @@
 from rosewheel.proxy.cordons import Cordons
 from rosewheel.proxy.proxy import Proxy
 from rosewheel.proxy.shared_state import SharedState
-from tests.hot_restart.test_hot_restart import LONG, bench, read_long, send_long, slow_client
+from tests.hot_restart.test_hot_restart import LONG, node_processes, read_long, send_long, slow_client
 from tests.support.balancers import IDEMPOTENT, NON_IDEMPOTENT
 from tests.support.configurations import PLATFORM_SETTINGS, platform_document
 from tests.support.processes import connect, free_port, start_node
@@ -338,17 +338,17 @@
         gate = asyncio.Event()
         chunks = [LONG[at : at + 100_000] for at in range(0, len(LONG), 100_000)]
         async with FakeServer(send_long(chunks, gate, "length")).up() as server:
-            async with bench([entry("s", server.port)], tmp_path) as nodes:
-                old = await nodes.next()
-                client = await slow_client(old, nodes.port)
+            async with node_processes([entry("s", server.port)], tmp_path) as processes:
+                old = await processes.start_next()
+                client = await slow_client(old, processes.port)
                 old.configure(
                     changed_settings(
                         old, classes=(NON_IDEMPOTENT, dataclasses.replace(IDEMPOTENT, name="new"))
                     ),
                     old.config.limits,
                 )
-                nodes.changes["classes"] = (NON_IDEMPOTENT,)
-                new = await nodes.next()
+                processes.changes["classes"] = (NON_IDEMPOTENT,)
+                new = await processes.start_next()
                 await old.drain()
                 assert (len(old.calls), len(new.calls)) == (0, 1)
                 gate.set()
