--- a/rosewheel/admin/codec.py
+++ b/rosewheel/admin/codec.py
@@ -1,4 +1,4 @@
-"""Codec of the admin API: its paths, queries and JSON keys, as messages and back."""
+"""Codec of the admin API: maps paths, queries and JSON keys to messages and back."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
 @dataclass(slots=True, frozen=True)
 class _Route:
-    """The method of a path, and its request, made of the server that the query names, if the path takes one."""
+    """The method of a path, and the constructor of its request, with or without a server from the query."""
 
     method: str
     request: Callable[[], AdminRequest] | None = None
@@ -42,10 +42,10 @@
 
 
 def decode_request(method: str, target: str) -> AdminRequest:
-    """The request of this method and target.
+    """Decode the request with this method and target.
 
     Raises:
-        AdminError: there is no such request, or its query is wrong.
+        AdminError: The path, method or query is invalid.
     """
     path, _, query = target.partition("?")
     route = _ROUTES.get(path)
@@ -62,21 +62,21 @@
 
 
 def encode_response(response: Health | StatisticsSnapshot | CordonState) -> JsonResponse:
-    """The JSON of a response."""
+    """Encode a response as JSON."""
     match response:
         case Health(serving=serving):
             return JsonResponse(200 if serving else 503, {"serving": serving})
         case StatisticsSnapshot():
             return JsonResponse(200, encode_statistics(response))
         case CordonState(by_fleet=True):
-            # Guards operators: the server has no new requests yet.
+            # Tells the operator that the server still gets no new requests.
             return JsonResponse(200, {"member": response.server, "cordoned": True, "by": "fleet"})
         case CordonState():
             return JsonResponse(200, {"member": response.server, "cordoned": response.cordoned})
 
 
 def encode_error(error: AdminError) -> JsonResponse:
-    """The JSON of an error."""
+    """Encode an error as JSON."""
     body = {"error": str(error)}
     match error:
         case UnknownPathError() | UnknownServerError():
@@ -90,7 +90,7 @@
 
 
 def encode_statistics(snapshot: StatisticsSnapshot) -> dict[str, object]:
-    """Statistics by the keys of /admin/stats."""
+    """Map statistics to the keys of /admin/stats."""
     return {
         "responses": {
             name: {"ok": counters.ok, "shed": counters.shed, "errors": counters.errors}
--- a/rosewheel/admin/json_http.py
+++ b/rosewheel/admin/json_http.py
@@ -1,7 +1,7 @@
-"""Server side of an HTTP/1.1 connection that takes requests and responds with JSON, or with a stream of JSON lines.
+"""Server side of an HTTP/1.1 connection whose responses are JSON objects or streams of JSON lines.
 
-It decides nothing: complete requests go to a handler, in order, and its responses are written. Guards other clients
-against silent ones: a request has a deadline to arrive, and its response one to be received.
+A handler gets the complete requests of a connection in order. Timeouts for receiving a request and for sending the last
+response limit how long a stalled client can hold a connection.
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
 
 log = logging.getLogger("rosewheel.json_http")
 
-MAX_PIPELINED_REQUESTS = 16  # requests that may wait on one connection; further ones are ignored
+MAX_PIPELINED_REQUESTS = 16  # waiting requests per connection; further ones are ignored
 
 REASON_PHRASES = {
     200: "OK",
@@ -40,8 +40,8 @@
 
     Attributes:
         method: The HTTP method.
-        target: Path and query.
-        body: The body as it was received.
+        target: The path and query.
+        body: The body in bytes.
         keep_alive: Whether the connection stays open after the response.
     """
 
@@ -56,9 +56,9 @@
     """A response.
 
     Attributes:
-        status: One of `REASON_PHRASES`.
-        body: What orjson encodes; named tuples are encoded as lists.
-        allow: Value of the Allow header, with status 405.
+        status: A status code of `REASON_PHRASES`.
+        body: A value that orjson can encode; named tuples become lists.
+        allow: The value of the Allow header, for status 405.
     """
 
     status: int
@@ -71,10 +71,10 @@
     """Limits of one connection.
 
     Attributes:
-        max_request_bytes: Of one request, its body included.
-        receive_timeout_s: How long a request may take to arrive.
-        send_timeout_s: How long the client may take to receive the last response.
-        idle_timeout_s: How long a connection may be idle between requests; 0: it carries one request only.
+        max_request_bytes: Maximum size of a request, including its body.
+        receive_timeout_s: Time limit for receiving a request.
+        send_timeout_s: Time limit for sending the last response.
+        idle_timeout_s: Time limit between two requests; 0 allows only one request per connection.
     """
 
     max_request_bytes: int
@@ -84,25 +84,26 @@
 
 
 class RequestHandler(Protocol):
-    """Answers requests, and keeps track of connections."""
+    """Handles requests and the events of connections."""
 
     def connection_opened(self, connection: JsonConnection) -> None:
-        """A client has connected."""
+        """Handle a new connection."""
 
     def connection_closed(self, connection: JsonConnection) -> None:
-        """The connection is closed, for whatever reason."""
+        """Handle the end of a connection."""
 
     def handle(self, request: JsonRequest, connection: JsonConnection) -> Awaitable[JsonResponse | None]:
-        """Answer a request; None where the connection has become a stream."""
+        """Handle a request; returns its response, or None if the connection has become a stream."""
 
 
 class JsonConnection(asyncio.Protocol):
     """One connection of a client.
 
     Attributes:
-        transport: None before the connection is made, and after it is closed.
-        request_received: A complete request has arrived, and its response is not written yet, or it was the last.
-        streaming: The response is a stream, which ends with the connection.
+        transport: The transport, or None before the connection is made and after it is closed.
+        request_received: Whether a complete request has arrived whose response is not written yet, or the last response
+            has been written.
+        streaming: Whether the response is a stream, which ends with the connection.
     """
 
     def __init__(
@@ -120,11 +121,11 @@
         self._timer: asyncio.TimerHandle | None = None
         self._target, self._body = b"", b""
 
-    # ---------------------------------------------------------------- the connection
+    # ---------------------------------------------------------------- connection
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Called by the event loop when a client has connected."""
-        # A cast: the transports of uvloop do not derive from asyncio's classes.
+        # A cast, because the transports of uvloop do not derive from asyncio's classes.
         self.transport = cast(asyncio.Transport, transport)
         self._start_timer(self._limits.receive_timeout_s)
         self._handler.connection_opened(self)
@@ -134,16 +135,16 @@
         self.transport = None
         self._start_timer(None)
         self._handler.connection_closed(self)
-        # Guards memory: the parser and this object refer to one another, and the garbage collector runs rarely.
+        # Breaks the reference cycle with the parser, because the garbage collector runs rarely.
         del self._parser
 
     def abort(self) -> None:
-        """Close the connection at once; what was not sent yet is lost."""
+        """Close the connection at once. Unsent data is lost."""
         if self.transport is not None:
             self.transport.abort()
 
     def _start_timer(self, delay_s: float | None) -> None:
-        """Replace the connection's one timer; None: there is no deadline."""
+        """Replace the connection's only timer; None stops it."""
         if self._timer is not None:
             self._timer.cancel()
         self._timer = None if delay_s is None else self._loop.call_later(delay_s, self._timed_out)
@@ -153,12 +154,12 @@
         if self._last_response_written or idle:
             self.abort()
         elif not self.request_received:
-            self._respond_and_close(JsonResponse(408, {"error": "the call did not arrive in time"}))
+            self._respond_and_close(JsonResponse(408, {"error": "the request did not arrive in time"}))
 
     # ---------------------------------------------------------------- requests
 
     def data_received(self, data: bytes) -> None:
-        """Called by the event loop with bytes of requests."""
+        """Called by the event loop with received data."""
         if self._last_response_written or self.streaming or self.transport is None:
             return
         if self.request_received and not self._limits.idle_timeout_s:
@@ -169,24 +170,24 @@
         try:
             self._parser.feed_data(data)
         except httptools.HttpParserUpgrade:
-            pass  # upgrades are not supported: the request is answered as a plain one
+            pass  # protocol upgrades are not supported and are ignored
         except httptools.HttpParserError:
             if not self.request_received:
                 self._respond_and_close(JsonResponse(400, {"error": "not HTTP/1.1"}))
                 return
         if self._bytes_read > self._limits.max_request_bytes and not self.request_received:
-            self._respond_and_close(JsonResponse(413, {"error": "a call without end"}))
+            self._respond_and_close(JsonResponse(413, {"error": "the request is too large"}))
 
     def eof_received(self) -> bool:
-        """Called by the event loop when the client has closed its side.
+        """Called by the event loop when the client has closed its sending side.
 
         Returns:
-            Whether the connection stays open: a client that has sent its request still receives the response.
+            Whether to keep the connection open, so that the client still receives its response.
         """
         return self.request_received and not self.streaming
 
     def on_url(self, url: bytes) -> None:
-        """Called by the parser with a part of the target."""
+        """Called by the parser with a part of the request target."""
         self._target += url
 
     def on_body(self, data: bytes) -> None:
@@ -228,10 +229,10 @@
             return await self._handler.handle(request, self)
         except Exception:
             log.exception("request failed: method=%s, target=%.200s", request.method, request.target)
-            return JsonResponse(500, {"error": "a fault of the node"})
+            return JsonResponse(500, {"error": "internal error"})
 
     def _respond_and_close(self, response: JsonResponse) -> None:
-        """Write the last response of the connection."""
+        """Write a response, and close the connection after it."""
         if self._last_response_written:
             return
         self._last_response_written = self.request_received = True
@@ -254,29 +255,29 @@
     # ---------------------------------------------------------------- streams
 
     def start_stream(self) -> None:
-        """Begin a response without end, in chunks of the chunked transfer coding."""
+        """Start a streamed response with chunked transfer coding."""
         self.streaming = True
         self._start_timer(None)
         head = b"HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nCache-Control: no-store\r\n"
         self.write(head + b"Transfer-Encoding: chunked\r\n\r\n")
 
     def write(self, chunks: bytes) -> None:
-        """Write encoded chunks of a stream; ignored on a closed connection."""
+        """Write encoded chunks to a stream; does nothing on a closed connection."""
         if self.transport is not None and not self.transport.is_closing():
             self.transport.write(chunks)
 
     def set_acknowledgement_timeout(self, timeout_s: float) -> None:
-        """Close the connection where the client's TCP stack acknowledges nothing for so long (TCP_USER_TIMEOUT)."""
+        """Set the time after which unacknowledged data closes the connection (TCP_USER_TIMEOUT)."""
         sock = None if self.transport is None else self.transport.get_extra_info("socket")
         if sock is not None:
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, int(timeout_s * 1000.0))
 
     @property
     def unsent_bytes(self) -> int:
-        """Bytes that were written and not sent yet."""
+        """The number of bytes that were written and not sent yet."""
         return 0 if self.transport is None else self.transport.get_write_buffer_size()
 
 
 def encode_chunk(data: bytes) -> bytes:
-    """One chunk of the chunked transfer coding."""
+    """Encode one chunk of the chunked transfer coding."""
     return b"%x\r\n%b\r\n" % (len(data), data)
--- a/rosewheel/admin/messages.py
+++ b/rosewheel/admin/messages.py
@@ -1,4 +1,4 @@
-"""Requests and responses of the admin API, and the errors of its requests."""
+"""Requests, responses and errors of the admin API."""
 
 from __future__ import annotations
 
@@ -8,24 +8,24 @@
 
 @dataclass(slots=True, frozen=True)
 class GetHealth:
-    """Ask whether the process serves clients."""
+    """Request whether the process serves clients."""
 
 
 @dataclass(slots=True, frozen=True)
 class GetStatistics:
-    """Ask for the statistics of the process."""
+    """Request the statistics of the process."""
 
 
 @dataclass(slots=True, frozen=True)
 class CordonServer:
-    """Keep new requests from a server."""
+    """Request that a server gets no new requests."""
 
     server: str
 
 
 @dataclass(slots=True, frozen=True)
 class UncordonServer:
-    """Let a server have new requests again."""
+    """Request that a server gets new requests again."""
 
     server: str
 
@@ -47,7 +47,7 @@
     Attributes:
         server: The server's address.
         cordoned: Whether it is cordoned.
-        by_fleet: Only the fleet's configuration still cordons it.
+        by_fleet: Whether only the fleet's configuration cordons it, after an operator's cordon was lifted.
     """
 
     server: str
@@ -56,25 +56,25 @@
 
 
 class AdminError(Exception):
-    """A request of the admin API that can't be carried out; the text is for operators."""
+    """A request of the admin API failed. The message is for operators."""
 
 
 class UnknownPathError(AdminError):
-    """There is no such path."""
+    """The path is unknown."""
 
     def __init__(self, paths: Iterable[str]) -> None:
-        super().__init__("no such call; there are " + ", ".join(paths))
+        super().__init__("unknown path; available paths: " + ", ".join(paths))
 
 
 class MethodNotAllowedError(AdminError):
-    """The path takes another method.
+    """The path requires another method.
 
     Attributes:
-        allowed: That method.
+        allowed: The required method.
     """
 
     def __init__(self, path: str, allowed: str) -> None:
-        super().__init__(f"{path} takes {allowed}")
+        super().__init__(f"{path} requires {allowed}")
         self.allowed = allowed
 
 
@@ -82,18 +82,18 @@
     """The query does not name exactly one server."""
 
     def __init__(self, path: str) -> None:
-        super().__init__(f"{path} takes one member=ID")
+        super().__init__(f"{path} requires one parameter member=ID")
 
 
 class UnknownServerError(AdminError):
-    """The node knows no such server."""
+    """The server is unknown to the node."""
 
     def __init__(self, server: str) -> None:
-        super().__init__(f"no equipo {server[:200]!r} in the list")
+        super().__init__(f"no server {server[:200]!r} in the endpoint list")
 
 
 class CordonNotSavedError(AdminError):
-    """The cordon is in force, but a later process of this node would not know of it."""
+    """The change is in force in this process, but could not be saved for later processes of the node."""
 
     def __init__(self, reason: str) -> None:
-        super().__init__(f"in force here, but not kept for the next process: {reason}")
+        super().__init__(f"in force, but not saved for the next process: {reason}")
--- a/rosewheel/admin/server.py
+++ b/rosewheel/admin/server.py
@@ -1,8 +1,7 @@
-"""The admin server: one small HTTP/1.1 request per connection, on an address of its own.
+"""The admin server: one small HTTP/1.1 request per connection, on a separate address.
 
-It decides nothing: it reads a request, has the `AdminBackend` carry it out, and writes the response. Guards operators
-against clients that connect and send nothing: each has a deadline, and where there are too many connections, the
-oldest one without a request is closed.
+Requests are executed by an `AdminBackend`. So that clients that connect and send nothing can't keep operators out, each
+request has a deadline, and the oldest connection without a request is closed if there are too many.
 """
 
 from __future__ import annotations
@@ -30,45 +29,45 @@
 
 log = logging.getLogger("rosewheel.admin")
 
-MAX_CONNECTIONS = 12  # their descriptors are kept free of connections of clients and servers
-HANDLER_TIMEOUT_S = 0.9  # how long the backend may take
+MAX_CONNECTIONS = 12  # descriptors for them are reserved
+HANDLER_TIMEOUT_S = 0.9  # time limit of the backend for a request
 LISTEN_BACKLOG = 256
 LIMITS = ConnectionLimits(max_request_bytes=16 * 1024, receive_timeout_s=2.0, send_timeout_s=2.0)
 
 
 class AdminBackend(Protocol):
-    """The process that the admin server is about."""
+    """The process that the admin server reports on and controls."""
 
     def serving(self) -> bool:
-        """Whether this process accepts requests of clients."""
+        """Return whether this process serves clients."""
 
     def statistics(self) -> StatisticsSnapshot:
-        """The statistics of this process at this moment."""
+        """Return a snapshot of the statistics of this process."""
 
     async def cordon(self, server: str, /) -> bool:
-        """Cordon a server by hand.
+        """Cordon a server on behalf of an operator.
 
         Returns:
-            False where no such server is known.
+            Whether the server is known.
 
         Raises:
-            OSError: the cordon is in force here, but would not outlive this process.
+            OSError: The cordon is in force in this process, but could not be saved for later ones.
         """
 
     async def uncordon(self, server: str, /) -> bool:
-        """Lift the cordon of a server by hand; returns and raises like `cordon`."""
+        """Lift an operator's cordon of a server; returns and raises like `cordon`."""
 
     def cordoned_by_fleet(self, server: str, /) -> bool:
-        """Whether the fleet's configuration cordons a server, whatever was done by hand."""
+        """Return whether the fleet's configuration cordons a server."""
 
 
 async def respond_to(backend: AdminBackend, method: str, target: str) -> JsonResponse:
-    """Carry out a request of the admin API; errors become responses."""
+    """Execute a request of the admin API; errors become error responses."""
     try:
         request = decode_request(method, target)
         try:
             async with asyncio.timeout(HANDLER_TIMEOUT_S):
-                return encode_response(await _carry_out(backend, request))
+                return encode_response(await _execute(backend, request))
         except OSError as error:  # includes TimeoutError
             reason = str(error) or "timed out"
             log.error("request failed: method=%s, target=%.200s, reason=%s", method, target, reason)
@@ -77,9 +76,7 @@
         return encode_error(error)
 
 
-async def _carry_out(
-    backend: AdminBackend, request: AdminRequest
-) -> Health | StatisticsSnapshot | CordonState:
+async def _execute(backend: AdminBackend, request: AdminRequest) -> Health | StatisticsSnapshot | CordonState:
     match request:
         case GetHealth():
             return Health(backend.serving())
@@ -100,7 +97,7 @@
     """Accepts connections of operators.
 
     Attributes:
-        max_connections: How many it holds at most.
+        max_connections: Maximum number of open connections.
         connections: The open connections, the oldest first.
     """
 
@@ -113,22 +110,22 @@
         self._listener: asyncio.Server | None = None
 
     async def start(self, sock: socket.socket) -> None:
-        """Accept connections on this bound socket."""
+        """Start to accept connections on a bound socket."""
         self._listener = await self._loop.create_server(
             lambda: JsonConnection(self, self._limits, self._loop), sock=sock, backlog=LISTEN_BACKLOG
         )
 
     @property
     def listening_socket(self) -> socket.socket | None:
-        """The socket, for another process to accept from as well; None before the start."""
+        """The listening socket, which a successor shares; None before the start."""
         return self._listener.sockets[0] if self._listener is not None else None
 
     @property
     def port(self) -> int:
-        """The port that it listens at.
+        """The port of the listening socket.
 
         Raises:
-            RuntimeError: it has not started.
+            RuntimeError: The server has not started.
         """
         sock = self.listening_socket
         if sock is None:
@@ -143,19 +140,19 @@
             connection.abort()
 
     def connection_opened(self, connection: JsonConnection) -> None:
-        """Part of `RequestHandler`."""
+        """Track a connection, and close another one if there are too many. Implements `RequestHandler`."""
         self.connections[connection] = None
         if len(self.connections) > MAX_CONNECTIONS:
-            silent = (one for one in self.connections if not one.request_received)
-            dropped = next(silent, next(iter(self.connections)))
-            dropped.abort()
-            # At once, before it is reported as closed: the next connection must not drop the same one.
-            self.connections.pop(dropped, None)
+            without_request = (one for one in self.connections if not one.request_received)
+            closed = next(without_request, next(iter(self.connections)))
+            closed.abort()
+            # Removed before its end is reported, so that the next connection does not close the same one.
+            self.connections.pop(closed, None)
 
     def connection_closed(self, connection: JsonConnection) -> None:
-        """Part of `RequestHandler`."""
+        """Stop tracking a connection. Implements `RequestHandler`."""
         self.connections.pop(connection, None)
 
     async def handle(self, request: JsonRequest, connection: JsonConnection) -> JsonResponse:
-        """Part of `RequestHandler`."""
+        """Execute a request. Implements `RequestHandler`."""
         return await respond_to(self._backend, request.method, request.target)
--- a/tests/admin/test_admin_server.py
+++ b/tests/admin/test_admin_server.py
@@ -1,4 +1,4 @@
-"""The admin server: its responses, and that silent clients do not keep others out."""
+"""The admin server: its responses, its timeouts, and its limit of connections."""
 
 from __future__ import annotations
 
@@ -19,35 +19,35 @@
 
 
 class FakeBackend:
-    """Knows one server, `s 1`."""
+    """A backend that knows one server, `s 1`."""
 
     def __init__(self) -> None:
-        self.up = True
-        self.out = False
-        self.fleet: set[str] = set()
-        self.fails: Exception | None = None
+        self.is_serving = True
+        self.cordoned = False
+        self.fleet_cordons: set[str] = set()
+        self.error: Exception | None = None
 
     def serving(self) -> bool:
-        return self.up
+        return self.is_serving
 
     def statistics(self) -> StatisticsSnapshot:
         return STATISTICS
 
-    async def cordon(self, member: str) -> bool:
-        return self._set(member, True)
+    async def cordon(self, server: str) -> bool:
+        return self._set_cordon(server, True)
 
-    async def uncordon(self, member: str) -> bool:
-        return self._set(member, False)
+    async def uncordon(self, server: str) -> bool:
+        return self._set_cordon(server, False)
 
-    def cordoned_by_fleet(self, member: str) -> bool:
-        return member in self.fleet
+    def cordoned_by_fleet(self, server: str) -> bool:
+        return server in self.fleet_cordons
 
-    def _set(self, member: str, out: bool) -> bool:
-        if self.fails is not None:
-            raise self.fails
-        if member == "s 1":
-            self.out = out
-        return member == "s 1"
+    def _set_cordon(self, server: str, cordoned: bool) -> bool:
+        if self.error is not None:
+            raise self.error
+        if server == "s 1":
+            self.cordoned = cordoned
+        return server == "s 1"
 
 
 STATISTICS = StatisticsSnapshot(
@@ -71,14 +71,14 @@
         server.close()
 
 
-async def call(port: int, raw: bytes) -> tuple[int, Message, bytes]:
+async def send_request(port: int, raw: bytes) -> tuple[int, Message, bytes]:
     reader, writer = await asyncio.open_connection("127.0.0.1", port)
     writer.write(raw)
-    got = await read_message(reader)
-    assert got is not None
-    rest = await reader.read()  # to the end: one request per connection
+    response = await read_message(reader)
+    assert response is not None
+    rest = await reader.read()  # until the connection is closed after the response
     writer.close()
-    return int(got.first.split()[1]), got, rest
+    return int(response.first.split()[1]), response, rest
 
 
 @pytest.mark.parametrize(
@@ -101,9 +101,9 @@
 )
 def test_status_of_each_request(method: str, target: str, status: int):
     async def main() -> None:
-        reply = await respond_to(FakeBackend(), method, target)
-        assert reply.status == status
-        assert bool(reply.allow) is (status == 405)
+        response = await respond_to(FakeBackend(), method, target)
+        assert response.status == status
+        assert bool(response.allow) is (status == 405)
 
     run(main())
 
@@ -111,18 +111,18 @@
 def test_a_process_that_does_not_serve_is_not_healthy():
     async def main() -> None:
         backend = FakeBackend()
-        backend.up = False
+        backend.is_serving = False
         assert (await respond_to(backend, "GET", "/admin/health")).status == 503
 
     run(main())
 
 
 def test_a_cordon_that_cannot_be_saved_is_an_error():
-    """Guards operators who rely on it over an upgrade."""
+    """Operators must learn that the cordon would be lost at the next restart."""
 
     async def main() -> None:
         backend = FakeBackend()
-        backend.fails = PermissionError("read-only")
+        backend.error = PermissionError("read-only")
         assert (await respond_to(backend, "POST", "/admin/cordon?member=s%201")).status == 500
 
     run(main())
@@ -132,9 +132,11 @@
     async def main() -> None:
         backend = FakeBackend()
         async with running(backend) as server:
-            status, got, rest = await call(server.port, b"GET /admin/stats HTTP/1.1\r\nHost: a\r\n\r\n")
-            assert (status, rest, got.headers["connection"]) == (200, b"", "close")
-            assert orjson.loads(got.body) == {
+            status, response, rest = await send_request(
+                server.port, b"GET /admin/stats HTTP/1.1\r\nHost: a\r\n\r\n"
+            )
+            assert (status, rest, response.headers["connection"]) == (200, b"", "close")
+            assert orjson.loads(response.body) == {
                 "responses": {"read": {"ok": 5, "shed": 2, "errors": 1}},
                 "tries": 9,
                 "active": 3,
@@ -144,12 +146,14 @@
                 "violations": {},
             }
             raw = b"POST /admin/cordon?member=s%201 HTTP/1.1\r\nHost: a\r\nContent-Length: 2\r\n\r\n{}"
-            assert (await call(server.port, raw))[0] == 200
-            assert backend.out
-            assert (await call(server.port, b"\x00\x01nonsense\r\n\r\n"))[0] == 400
-            assert (await call(server.port, b"GET /admin/health HTTP/1.1\r\nX: " + b"a" * 20000))[0] == 413
-            backend.fails = RuntimeError("a fault")
-            assert (await call(server.port, raw))[0] == 500
+            assert (await send_request(server.port, raw))[0] == 200
+            assert backend.cordoned
+            assert (await send_request(server.port, b"\x00\x01nonsense\r\n\r\n"))[0] == 400
+            assert (await send_request(server.port, b"GET /admin/health HTTP/1.1\r\nX: " + b"a" * 20000))[
+                0
+            ] == 413
+            backend.error = RuntimeError("a fault")
+            assert (await send_request(server.port, raw))[0] == 500
 
     run(main())
 
@@ -161,25 +165,25 @@
             for byte in b"GET /admin/health HTTP/1.1\r\nHost: a\r\n\r\n":
                 writer.write(bytes([byte]))
                 await asyncio.sleep(0)
-            writer.write_eof()  # a client that has sent its request may close its side
-            got = await read_message(reader)
-            assert got is not None
-            assert got.first == "HTTP/1.1 200 OK"
+            writer.write_eof()  # a client may close its sending side after the request
+            response = await read_message(reader)
+            assert response is not None
+            assert response.first == "HTTP/1.1 200 OK"
             writer.close()
 
     run(main())
 
 
-def test_silent_clients_do_not_keep_others_out():
-    """Guards operators behind many clients that connect and send nothing: the limit holds, a request is answered."""
+def test_clients_that_send_no_request_do_not_block_others():
+    """The limit of connections holds, and a further client still gets a response."""
 
     async def main() -> None:
         async with running(FakeBackend()) as server, contextlib.AsyncExitStack() as stack:
-            for at in range(4 * admin_server.MAX_CONNECTIONS):
+            for index in range(4 * admin_server.MAX_CONNECTIONS):
                 _, writer = await asyncio.open_connection("127.0.0.1", server.port)
                 stack.callback(writer.close)
-                writer.write(b"GET /admin" if at % 2 else b"")
-            assert (await call(server.port, b"GET /admin/health HTTP/1.1\r\n\r\n"))[0] == 200
+                writer.write(b"GET /admin" if index % 2 else b"")
+            assert (await send_request(server.port, b"GET /admin/health HTTP/1.1\r\n\r\n"))[0] == 200
             assert len(server.connections) <= admin_server.MAX_CONNECTIONS
 
     run(main())
@@ -190,7 +194,7 @@
 
     async def main() -> None:
         async with running(FakeBackend(), limits) as server:
-            assert (await call(server.port, b"GET /admin"))[0] == 408
+            assert (await send_request(server.port, b"GET /admin"))[0] == 408
             await until(lambda: not server.connections)
 
     run(main())
