--- a/rosewheel/proxy/requests.py
+++ b/rosewheel/proxy/requests.py
@@ -45,7 +45,7 @@
         try:
             effects = self._parts.node.receive_request(clock.now_ms(), request)
         except DuplicateRequestError as error:
-            raise RefusedRequestError(409, "a request with this Request-Id is already in flight") from error
+            raise RefusedRequestError(409, "this Request-Id is being served already") from error
         self._parts.calls[request.id] = call
         self._parts.apply(effects)
 
@@ -147,7 +147,7 @@
         parts = self._parts
         if parts.server.draining and self._time_left_ms() < min(timeout_ms, MIN_DRAIN_DEADLINE_MS):
             parts.node.statistics.count_request(service, RequestOutcome.SHED)
-            raise RefusedRequestError(503, "this node shuts down before the request could be completed")
+            raise RefusedRequestError(503, "this node stops before the answer could be there")
 
     def _time_for_response_ms(self, timeout_ms: float) -> float:
         """Returns the time for a response, in milliseconds from the last byte of the request."""
