--- a/rosewheel/hot_restart/host.py
+++ b/rosewheel/hot_restart/host.py
@@ -21,7 +21,7 @@
         server: The connections of clients.
         upstream: The connections to servers.
         node: The requests in flight.
-        calls: The client side of the requests in flight, by id.
+        client_requests: The client side of the requests in flight, by id.
         random: A seeded random number generator.
         stopped: Whether the process has finished its drain.
     """
@@ -29,7 +29,7 @@
     server: DownstreamServer
     upstream: UpstreamPool
     node: Node
-    calls: dict[str, DownstreamRequest]
+    client_requests: dict[str, DownstreamRequest]
     random: random.Random
     stopped: bool
 
--- a/rosewheel/hot_restart/migration.py
+++ b/rosewheel/hot_restart/migration.py
@@ -181,13 +181,13 @@
                 upstream.resume_response()
 
         call = client.restore_response(state.request_id, resume_upstream)
-        host.calls[state.request_id] = call
+        host.client_requests[state.request_id] = call
         upstream = host.upstream.adopt_response(
             state.request_id, state.upstream, functools.partial(client.send_response_data, call)
         )
         client_socket, upstream_socket = sockets
         await self._loop.connect_accepted_socket(lambda: client, client_socket)
-        if host.calls.get(state.request_id) is not call:  # the client has disconnected in the meantime
+        if host.client_requests.get(state.request_id) is not call:  # the client has disconnected
             upstream_socket.close()
             return
         await host.upstream.attach_socket(upstream, upstream_socket)
@@ -236,7 +236,7 @@
 
     def _deliver(self, client: DetachedDownstream, upstream: DetachedUpstream) -> None:
         host = self._host
-        host.calls.pop(self._request_id, None)
+        host.client_requests.pop(self._request_id, None)
         host.apply(host.node.response_migrated(_now_ms(), self._request_id))
         state = ResponseState(self._request_id, self._service, self._server, client.state, upstream.state)
         descriptors = [client.fd, upstream.fd]
@@ -249,7 +249,7 @@
         """Ends the request after one of its connections has ended, and closes the other one."""
         host = self._host
         close_descriptors(end.fd for end in (self._client, self._upstream) if end is not None)
-        call = host.calls.pop(self._request_id, None)
+        call = host.client_requests.pop(self._request_id, None)
         if call is not None:
             host.apply(host.node.client_disconnected(_now_ms(), self._request_id))
         self._on_detached(None)
--- a/rosewheel/proxy/effects.py
+++ b/rosewheel/proxy/effects.py
@@ -69,7 +69,7 @@
                 self._parts.upstream.check_health(effect.server)
 
     def _start_attempt(self, effect: StartAttempt) -> None:
-        request = self._parts.calls.get(effect.id)
+        request = self._parts.client_requests.get(effect.id)
         # Checked for each attempt: a busy event loop may read the client's disconnect only after this effect.
         if request is None or request.connection.close_if_disconnected():
             self._parts.loop.call_soon(
@@ -81,7 +81,7 @@
 
         def encode_head() -> bytes:
             timeout_ms = rules.time_left_ms(clock.now_ms(), id, attempt)
-            is_client_known = self._parts.calls.get(id) is request
+            is_client_known = self._parts.client_requests.get(id) is request
             rules.check_sent(id, attempt, is_client_known, timeout_ms, self._client_time_left_ms(request))
             return request.upstream_head(timeout_ms, length)
 
@@ -99,7 +99,7 @@
         return request.timeout_ms - (self._parts.loop.time() - request.completed_s) * 1000.0
 
     def _send_response(self, effect: SendResponse) -> None:
-        request, monitor = self._parts.calls.pop(effect.id, None), self._parts.node.rules.monitor
+        request, monitor = self._parts.client_requests.pop(effect.id, None), self._parts.node.rules.monitor
         reason = Reason.CLIENT_DISCONNECTED if request is None else Reason.ALLOWED
         if not monitor.is_allowed(Act.RESPOND, reason) or request is None:
             return
--- a/rosewheel/proxy/parts.py
+++ b/rosewheel/proxy/parts.py
@@ -35,7 +35,7 @@
         admin: The admin server, if the configuration has an address for one.
         shared_state: The persistent state that the processes of this node share.
         migration: Migrates connections to and from another process of this node.
-        calls: The client requests without a final response, by id.
+        client_requests: The client requests without a final response, by id.
     """
 
     config: NodeConfig
@@ -49,7 +49,7 @@
     admin: AdminServer | None
     shared_state: SharedState
     migration: Migration
-    calls: dict[str, DownstreamRequest]
+    client_requests: dict[str, DownstreamRequest]
 
     def apply(self, effects: list[NodeEffect]) -> None:
         """Executes effects that the node has decided on."""
--- a/rosewheel/proxy/proxy.py
+++ b/rosewheel/proxy/proxy.py
@@ -63,7 +63,7 @@
         self.loop = asyncio.get_running_loop()
         self.stopped = False
         self.shares_listener = config.inherited_descriptor is not None
-        self.calls: dict[str, DownstreamRequest] = {}
+        self.client_requests: dict[str, DownstreamRequest] = {}
         self.random = random.Random(config.seed)
         self.requests = RequestHandler(self)
         self.effects = EffectRunner(self, self.requests.attempt_finished)
--- a/rosewheel/proxy/requests.py
+++ b/rosewheel/proxy/requests.py
@@ -46,13 +46,13 @@
             effects = self._parts.node.receive_request(clock.now_ms(), request)
         except DuplicateRequestError as error:
             raise RefusedRequestError(409, "this Request-Id is being served already") from error
-        self._parts.calls[request.id] = call
+        self._parts.client_requests[request.id] = call
         self._parts.apply(effects)
 
     def completed(self, call: DownstreamRequest) -> None:
         """Handles the end of a request whose body was still arriving at `received`."""
         parts = self._parts
-        if parts.calls.get(call.id) is call:
+        if parts.client_requests.get(call.id) is call:
             now_ms = clock.now_ms()
             deadline_at_ms = now_ms + self._time_for_response_ms(call.timeout_ms)
             parts.apply(parts.node.request_completed(now_ms, call.id, deadline_at_ms))
@@ -60,9 +60,9 @@
     def client_disconnected(self, call: DownstreamRequest) -> None:
         """Handles the disconnect of a request's client."""
         parts = self._parts
-        if parts.calls.get(call.id) is not call:
+        if parts.client_requests.get(call.id) is not call:
             return
-        del parts.calls[call.id]
+        del parts.client_requests[call.id]
         parts.apply(parts.node.client_disconnected(clock.now_ms(), call.id))
         for attempt in parts.node.attempts_in_flight(call.id):
             # Applies even where the settings forbid cancellation: an unsent attempt has no effect on its server.
@@ -85,7 +85,7 @@
             The sink for the body's data, or None if no client waits for it.
         """
         parts = self._parts
-        call = parts.calls.get(id)
+        call = parts.client_requests.get(id)
         effects = parts.node.response_started(clock.now_ms(), id, attempt) if call is not None else None
         if call is None or effects is None:
             return None
@@ -98,7 +98,7 @@
     ) -> None:
         """Handles the end of an attempt on its connection."""
         parts = self._parts
-        call = parts.calls.get(id)
+        call = parts.client_requests.get(id)
         if call is not None and not call.body.replayable:
             parts.node.request_body_discarded(id)
         parts.apply(parts.node.attempt_finished(clock.now_ms(), id, attempt, result, report, body))
--- a/tests/hot_restart/test_hot_restart.py
+++ b/tests/hot_restart/test_hot_restart.py
@@ -157,8 +157,8 @@
                 client = await slow_client(old, processes.port)
                 new = await processes.start_next()
                 await old.drain()
-                assert not old.calls
-                assert len(new.calls) == 1
+                assert not old.client_requests
+                assert len(new.client_requests) == 1
                 assert new.node.active_requests == 1
                 gate.set()
                 async with asyncio.timeout(20):
@@ -183,8 +183,12 @@
     await asyncio.get_running_loop().sock_connect(sock, ("127.0.0.1", port))
     client.reader, client.writer = await asyncio.open_connection(sock=sock, limit=4096)
     client.send(id=f"long-{number}")
-    await until(lambda: f"long-{number}" in old.calls and old.calls[f"long-{number}"].response_started)
-    connection = old.calls[f"long-{number}"].connection
+    await until(
+        lambda: (
+            f"long-{number}" in old.client_requests and old.client_requests[f"long-{number}"].response_started
+        )
+    )
+    connection = old.client_requests[f"long-{number}"].connection
     await until(lambda: connection.write_blocked)
     return client
 
@@ -383,7 +387,7 @@
 
                 await until(lambda: complete_count() == 2 - accepted)
                 await draining
-                assert not old.calls
+                assert not old.client_requests
                 assert complete_count() == 2 - accepted, "an accepted response is not continued"
                 new.die()
                 await asyncio.gather(*reads, return_exceptions=True)
--- a/tests/http/test_client_disconnects.py
+++ b/tests/http/test_client_disconnects.py
@@ -46,7 +46,7 @@
                 client.send("post")
                 await reached.wait()
                 disconnect(client, how)
-                await until(lambda: not relay.calls)
+                await until(lambda: not relay.client_requests)
                 up.set()
                 await until(lambda: not relay.node.requests and not relay.upstream.exchanges)
                 assert relay.upstream.connecting_count == 0
@@ -102,7 +102,7 @@
                 await until(lambda: connection.reading_paused)
                 disconnect(client, how)
                 await until(lambda: not relay.server.connections)  # while its first request is still out
-                assert not relay.calls
+                assert not relay.client_requests
                 assert not relay.node.requests
                 assert relay.node.active_requests == relay.budget.used_bytes == 0
                 free.set()
@@ -156,7 +156,7 @@
                 await until(lambda: len(server.got) == 1)
                 connection = next(iter(relay.server.connections))
                 assert not connection.eof_received()  # so that the loop closes it
-                assert not relay.calls
+                assert not relay.client_requests
                 assert not relay.node.requests
             free.set()
 
@@ -176,7 +176,9 @@
             )
             for at, client in enumerate(clients):
                 disconnect(client, ("close", "reset", "half")[at % 3])
-            await until(lambda: not relay.calls and not relay.node.requests and not relay.upstream.exchanges)
+            await until(
+                lambda: not relay.client_requests and not relay.node.requests and not relay.upstream.exchanges
+            )
             await until(lambda: relay.upstream.open_count == 0)
             assert relay.node.active_requests == 0
             assert relay.node.balancer.parts.shared.pool.load == 0.0
--- a/tests/http/test_forwarding.py
+++ b/tests/http/test_forwarding.py
@@ -137,7 +137,7 @@
                 assert status(await client.ask("post", timeout=120)) == 504
                 await until(lambda: server.closed == 1)
                 assert not relay.node.requests
-                assert not relay.calls
+                assert not relay.client_requests
 
     run(main())
 
@@ -152,7 +152,7 @@
                 await until(lambda: len(server.got) == 1)
             await until(lambda: server.closed == 1)
             assert not relay.node.requests
-            assert not relay.calls
+            assert not relay.client_requests
             assert not relay.upstream.exchanges
 
     run(main())
@@ -255,7 +255,7 @@
             assert status(await client.ask("post")) == 500
             relay.node.balancer.handle = handle  # type: ignore[method-assign]
             assert status(await client.ask("post")) == 200
-            assert not relay.calls
+            assert not relay.client_requests
 
     run(main())
 
--- a/tests/proxy/test_reconfiguration.py
+++ b/tests/proxy/test_reconfiguration.py
@@ -350,7 +350,7 @@
                 processes.changes["classes"] = (NON_IDEMPOTENT,)
                 new = await processes.start_next()
                 await old.drain()
-                assert (len(old.calls), len(new.calls)) == (0, 1)
+                assert (len(old.client_requests), len(new.client_requests)) == (0, 1)
                 gate.set()
                 async with asyncio.timeout(WAIT_S):
                     assert await read_long(client.reader) == LONG
--- a/tests/proxy/test_shutdown.py
+++ b/tests/proxy/test_shutdown.py
@@ -103,7 +103,8 @@
                     new.send("post", timeout=timeout_ms)
                     await until(
                         lambda: (
-                            proxy.node.active_requests + proxy.server.rejected_count >= 3 or not proxy.calls
+                            proxy.node.active_requests + proxy.server.rejected_count >= 3
+                            or not proxy.client_requests
                         )
                     )
                     gate.set()
