--- a/rosewheel/proxy/parts.py
+++ b/rosewheel/proxy/context.py
@@ -1,4 +1,4 @@
-"""The interface through which the components of a proxy reach each other."""
+"""The context of a proxy: the interface through which its components reach each other and their shared state."""
 
 from __future__ import annotations
 
@@ -20,8 +20,10 @@
     from rosewheel.admin.server import AdminServer
 
 
-class ProxyParts(Protocol):
-    """The components and the state that one proxy's components share.
+class ProxyContext(Protocol):
+    """Gives the components of one proxy access to each other, to the configuration and to the event loop.
+
+    `Proxy` implements it.
 
     Attributes:
         config: The configuration in force.
--- a/rosewheel/proxy/effects.py
+++ b/rosewheel/proxy/effects.py
@@ -20,7 +20,7 @@
 from rosewheel.node.rule_monitor import Act, Reason, Rule
 from rosewheel.policy.events import AttemptResult
 from rosewheel.proxy import clock
-from rosewheel.proxy.parts import ProxyParts
+from rosewheel.proxy.context import ProxyContext
 
 log = logging.getLogger("rosewheel.proxy")
 
@@ -31,12 +31,12 @@
     """Executes the effects of one node.
 
     Args:
-        parts: The components of the proxy that effects act on.
+        context: The components of the proxy that effects act on.
         on_attempt_finished: Called for an attempt that ends before it is sent.
     """
 
-    def __init__(self, parts: ProxyParts, on_attempt_finished: AttemptHandler) -> None:
-        self._parts = parts
+    def __init__(self, context: ProxyContext, on_attempt_finished: AttemptHandler) -> None:
+        self._context = context
         self._on_attempt_finished = on_attempt_finished
         self._timer: asyncio.TimerHandle | None = None
         self._timer_due_ms = 0.0
@@ -60,35 +60,35 @@
             case StartAttempt():
                 self._start_attempt(effect)
             case AbortAttempt():
-                self._parts.upstream.abort_attempt(effect.id, effect.attempt)
+                self._context.upstream.abort_attempt(effect.id, effect.attempt)
             case SendResponse():
                 self._send_response(effect)
             case OpenEndpointWatch():
-                self._parts.discovery.start()
+                self._context.discovery.start()
             case StartHealthCheck():
-                self._parts.upstream.check_health(effect.server)
+                self._context.upstream.check_health(effect.server)
 
     def _start_attempt(self, effect: StartAttempt) -> None:
-        request = self._parts.client_requests.get(effect.id)
+        request = self._context.client_requests.get(effect.id)
         # Checked for each attempt: a busy event loop may read the client's disconnect only after this effect.
         if request is None or request.connection.close_if_disconnected():
-            self._parts.loop.call_soon(
+            self._context.loop.call_soon(
                 self._on_attempt_finished, effect.id, effect.attempt, AttemptResult.CANCELLED, None, b""
             )
             return
         id, attempt, length = effect.id, effect.attempt, request.forwarded_length
-        rules = self._parts.node.rules
+        rules = self._context.node.rules
 
         def encode_head() -> bytes:
             timeout_ms = rules.time_left_ms(clock.now_ms(), id, attempt)
-            is_client_known = self._parts.client_requests.get(id) is request
+            is_client_known = self._context.client_requests.get(id) is request
             rules.check_sent(id, attempt, is_client_known, timeout_ms, self._client_time_left_ms(request))
             return request.upstream_head(timeout_ms, length)
 
         def is_wanted() -> bool:
             return rules.may_send(clock.now_ms(), id, attempt, request.connection.is_connected())
 
-        self._parts.upstream.start_attempt(
+        self._context.upstream.start_attempt(
             id, attempt, effect.server, encode_head, request.body, length is None, is_wanted
         )
 
@@ -96,10 +96,13 @@
         """Returns the rest of the client's timeout in milliseconds, or None if the request is not complete."""
         if request.completed_s is None:
             return None
-        return request.timeout_ms - (self._parts.loop.time() - request.completed_s) * 1000.0
+        return request.timeout_ms - (self._context.loop.time() - request.completed_s) * 1000.0
 
     def _send_response(self, effect: SendResponse) -> None:
-        request, monitor = self._parts.client_requests.pop(effect.id, None), self._parts.node.rules.monitor
+        request, monitor = (
+            self._context.client_requests.pop(effect.id, None),
+            self._context.node.rules.monitor,
+        )
         reason = Reason.CLIENT_DISCONNECTED if request is None else Reason.ALLOWED
         if not monitor.is_allowed(Act.RESPOND, reason) or request is None:
             return
@@ -117,7 +120,7 @@
 
     def _start_timer(self) -> None:
         """Schedules one event-loop timer for the node's earliest timer."""
-        due_ms = self._parts.node.next_timer_ms()
+        due_ms = self._context.node.next_timer_ms()
         if due_ms is None or (self._timer is not None and self._timer_due_ms <= due_ms):
             return
         if self._timer is not None:
@@ -125,8 +128,8 @@
         self._timer_due_ms = due_ms
         # Rounded up to the event loop's resolution of 1 ms, so that the timer does not fire early.
         delay_ms = max(0, math.ceil(due_ms - clock.now_ms()))
-        self._timer = self._parts.loop.call_later(delay_ms / 1000.0, self._timer_fired)
+        self._timer = self._context.loop.call_later(delay_ms / 1000.0, self._timer_fired)
 
     def _timer_fired(self) -> None:
         self._timer = None
-        self.apply(self._parts.node.tick(clock.now_ms()))
+        self.apply(self._context.node.tick(clock.now_ms()))
--- a/rosewheel/proxy/endpoints.py
+++ b/rosewheel/proxy/endpoints.py
@@ -11,7 +11,7 @@
 from rosewheel.discovery.start_times import ServerStartTimes
 from rosewheel.policy.events import EndpointListForm
 from rosewheel.proxy import clock
-from rosewheel.proxy.parts import ProxyParts
+from rosewheel.proxy.context import ProxyContext
 
 # How long a successor waits for discovery before it accepts clients with the known list.
 TAKEOVER_LIST_WAIT_S = 1.5
@@ -28,15 +28,15 @@
         start_times: The start times of the servers in all lists that this process has received.
     """
 
-    def __init__(self, parts: ProxyParts, rng: random.Random) -> None:
+    def __init__(self, context: ProxyContext, rng: random.Random) -> None:
         self.backoff = WatchBackoff(rng)
         self.list_received = asyncio.Event()
         self.start_times = ServerStartTimes()
-        self._parts = parts
+        self._context = context
 
     def apply_known_list(self) -> None:
         """Applies the endpoint list that the configuration contains."""
-        known = parse_endpoints(self._parts.config.initial_endpoints.entries, self.start_times)
+        known = parse_endpoints(self._context.config.initial_endpoints.entries, self.start_times)
         self.list_updated(EndpointListForm.CACHED, known)
         if known:
             self.start_times.list_applied()
@@ -57,7 +57,7 @@
         """Returns how long to wait for discovery's first list before accepting clients, in seconds."""
         if shares_listener:
             return TAKEOVER_LIST_WAIT_S
-        return 0.0 if self._parts.config.settings.poll_discovery else PUSHED_LIST_WAIT_S
+        return 0.0 if self._context.config.settings.poll_discovery else PUSHED_LIST_WAIT_S
 
     def list_updated(self, form: EndpointListForm, endpoints: list[Endpoint]) -> None:
         """Handles a change of the endpoint list, or the failure of the watch on it."""
@@ -67,32 +67,34 @@
         if form is not EndpointListForm.CACHED:
             self.list_received.set()
             self.backoff.reset()
-        parts = self._parts
-        parts.upstream.update(endpoints, is_snapshot=form is not EndpointListForm.DELTA)
+        context = self._context
+        context.upstream.update(endpoints, is_snapshot=form is not EndpointListForm.DELTA)
         servers = tuple(server for server, _ in endpoints)
-        parts.apply(parts.node.update_endpoints(clock.now_ms(), form, servers))
+        context.apply(context.node.update_endpoints(clock.now_ms(), form, servers))
 
     def watch_opened(self) -> None:
         """Handles the start of a watch's response, whose first line may contain no change."""
         self.backoff.reset()
-        parts = self._parts
-        if parts.config.settings.poll_discovery:
-            parts.apply(parts.node.update_endpoints(clock.now_ms(), EndpointListForm.DELTA))
+        context = self._context
+        if context.config.settings.poll_discovery:
+            context.apply(context.node.update_endpoints(clock.now_ms(), EndpointListForm.DELTA))
 
     def reopen_watch(self) -> None:
         """Reopens the watch after the backoff delay, if lists are still pushed."""
-        parts = self._parts
-        if parts.config.settings.poll_discovery:  # changed during the delay: the policy opens watches now
+        context = self._context
+        if context.config.settings.poll_discovery:  # changed during the delay: the policy opens watches now
             return
-        if not parts.discovery.is_open and not parts.stopped:  # a new discovery address may have opened it
-            parts.discovery.start()
+        if (
+            not context.discovery.is_open and not context.stopped
+        ):  # a new discovery address may have opened it
+            context.discovery.start()
 
     def _watch_failed(self) -> None:
-        parts = self._parts
-        if parts.config.settings.poll_discovery:
-            parts.apply(parts.node.update_endpoints(clock.now_ms(), EndpointListForm.FAILED))
+        context = self._context
+        if context.config.settings.poll_discovery:
+            context.apply(context.node.update_endpoints(clock.now_ms(), EndpointListForm.FAILED))
             return
-        duration_s = parts.loop.time() - parts.discovery.started_s
-        drain_notice_s = parts.config.limits.drain_notice_ms / 1000.0
+        duration_s = context.loop.time() - context.discovery.started_s
+        drain_notice_s = context.config.limits.drain_notice_ms / 1000.0
         delay_s = self.backoff.next_delay_s(duration_s, drain_notice_s)
-        parts.loop.call_later(delay_s, self.reopen_watch)
+        context.loop.call_later(delay_s, self.reopen_watch)
--- a/rosewheel/proxy/requests.py
+++ b/rosewheel/proxy/requests.py
@@ -12,8 +12,8 @@
 from rosewheel.node.statistics import RequestOutcome
 from rosewheel.policy.events import AttemptResult, RequestReceived
 from rosewheel.proxy import clock
+from rosewheel.proxy.context import ProxyContext
 from rosewheel.proxy.headers import DECIMAL_NUMBER, WHOLE_NUMBER, parse_number
-from rosewheel.proxy.parts import ProxyParts
 
 METHODS = (b"GET", b"POST")
 MAX_REQUEST_ID_LENGTH = 256
@@ -30,8 +30,8 @@
 class RequestHandler:
     """Handles the events of the client requests of one node."""
 
-    def __init__(self, parts: ProxyParts) -> None:
-        self._parts = parts
+    def __init__(self, context: ProxyContext) -> None:
+        self._context = context
         self._longest_deadline_ms = 0.0  # of the requests received so far
 
     def received(self, call: DownstreamRequest) -> None:
@@ -43,32 +43,32 @@
         request = self._parse(call)
         call.id = request.id
         try:
-            effects = self._parts.node.receive_request(clock.now_ms(), request)
+            effects = self._context.node.receive_request(clock.now_ms(), request)
         except DuplicateRequestError as error:
             raise RefusedRequestError(409, "this Request-Id is being served already") from error
-        self._parts.client_requests[request.id] = call
-        self._parts.apply(effects)
+        self._context.client_requests[request.id] = call
+        self._context.apply(effects)
 
     def completed(self, call: DownstreamRequest) -> None:
         """Handles the end of a request whose body was still arriving at `received`."""
-        parts = self._parts
-        if parts.client_requests.get(call.id) is call:
+        context = self._context
+        if context.client_requests.get(call.id) is call:
             now_ms = clock.now_ms()
             deadline_at_ms = now_ms + self._time_for_response_ms(call.timeout_ms)
-            parts.apply(parts.node.request_completed(now_ms, call.id, deadline_at_ms))
+            context.apply(context.node.request_completed(now_ms, call.id, deadline_at_ms))
 
     def client_disconnected(self, call: DownstreamRequest) -> None:
         """Handles the disconnect of a request's client."""
-        parts = self._parts
-        if parts.client_requests.get(call.id) is not call:
+        context = self._context
+        if context.client_requests.get(call.id) is not call:
             return
-        del parts.client_requests[call.id]
-        parts.apply(parts.node.client_disconnected(clock.now_ms(), call.id))
-        for attempt in parts.node.attempts_in_flight(call.id):
+        del context.client_requests[call.id]
+        context.apply(context.node.client_disconnected(clock.now_ms(), call.id))
+        for attempt in context.node.attempts_in_flight(call.id):
             # Applies even where the settings forbid cancellation: an unsent attempt has no effect on its server.
-            if parts.upstream.cancel_unsent_attempt(call.id, attempt):
+            if context.upstream.cancel_unsent_attempt(call.id, attempt):
                 result = AttemptResult.CONNECT_FAILED
-                parts.apply(parts.node.attempt_finished(clock.now_ms(), call.id, attempt, result))
+                context.apply(context.node.attempt_finished(clock.now_ms(), call.id, attempt, result))
 
     def response_started(
         self, id: str, attempt: int, length: int | None, on_writable: Callable[[], None]
@@ -84,31 +84,31 @@
         Returns:
             The sink for the body's data, or None if no client waits for it.
         """
-        parts = self._parts
-        call = parts.client_requests.get(id)
-        effects = parts.node.response_started(clock.now_ms(), id, attempt) if call is not None else None
+        context = self._context
+        call = context.client_requests.get(id)
+        effects = context.node.response_started(clock.now_ms(), id, attempt) if call is not None else None
         if call is None or effects is None:
             return None
         call.connection.start_response(call, length, on_writable)
-        parts.apply(effects)
+        context.apply(effects)
         return functools.partial(call.connection.send_response_data, call)
 
     def attempt_finished(
         self, id: str, attempt: int, result: AttemptResult, report: dict[str, float] | None, body: bytes
     ) -> None:
         """Handles the end of an attempt on its connection."""
-        parts = self._parts
-        call = parts.client_requests.get(id)
+        context = self._context
+        call = context.client_requests.get(id)
         if call is not None and not call.body.replayable:
-            parts.node.request_body_discarded(id)
-        parts.apply(parts.node.attempt_finished(clock.now_ms(), id, attempt, result, report, body))
+            context.node.request_body_discarded(id)
+        context.apply(context.node.attempt_finished(clock.now_ms(), id, attempt, result, report, body))
 
     def health_check_finished(
         self, server: str, result: AttemptResult, latency_ms: float, report: dict[str, float] | None
     ) -> None:
         """Handles the end of a server's health check."""
-        parts = self._parts
-        parts.apply(parts.node.health_check_finished(clock.now_ms(), server, result, latency_ms, report))
+        context = self._context
+        context.apply(context.node.health_check_finished(clock.now_ms(), server, result, latency_ms, report))
 
     def _parse(self, call: DownstreamRequest) -> RequestReceived:
         if call.method not in METHODS:
@@ -116,7 +116,7 @@
         id, service = call.header(b"request-id"), call.header(b"request-class")
         if not id or len(id) > MAX_REQUEST_ID_LENGTH:
             raise BadRequestError(400, "Request-Id is missing or too long")
-        if service not in self._parts.node.service_names:
+        if service not in self._context.node.service_names:
             raise BadRequestError(400, "Request-Class is missing or unknown")
         timeout_ms = parse_number(call.header(b"request-timeout-ms"), "Request-Timeout-Ms", WHOLE_NUMBER)
         if timeout_ms is None or timeout_ms <= 0:
@@ -139,23 +139,23 @@
         """Returns how long a complete request has waited for earlier responses on its connection, in milliseconds."""
         if call.completed_s is None:
             return 0.0
-        return (self._parts.loop.time() - call.completed_s) * 1000.0
+        return (self._context.loop.time() - call.completed_s) * 1000.0
 
     def _check_time_left(self, service: str, timeout_ms: float) -> None:
         """Rejects a request during a drain that leaves too little time for its response."""
         self._longest_deadline_ms = max(self._longest_deadline_ms, min(timeout_ms, MAX_DRAIN_DEADLINE_MS))
-        parts = self._parts
-        if parts.server.draining and self._time_left_ms() < min(timeout_ms, MIN_DRAIN_DEADLINE_MS):
-            parts.node.statistics.count_request(service, RequestOutcome.SHED)
+        context = self._context
+        if context.server.draining and self._time_left_ms() < min(timeout_ms, MIN_DRAIN_DEADLINE_MS):
+            context.node.statistics.count_request(service, RequestOutcome.SHED)
             raise RefusedRequestError(503, "this node stops before the answer could be there")
 
     def _time_for_response_ms(self, timeout_ms: float) -> float:
         """Returns the time for a response, in milliseconds from the last byte of the request."""
-        if self._parts.server.draining:
+        if self._context.server.draining:
             timeout_ms = min(timeout_ms, self._time_left_ms())
         return max(1.0, timeout_ms - DEADLINE_MARGIN_MS)
 
     def _time_left_ms(self) -> float:
         """Returns how long the current drain still lasts, in milliseconds."""
-        draining_s = self._parts.server.drain_started_s - self._parts.loop.time()
+        draining_s = self._context.server.drain_started_s - self._context.loop.time()
         return draining_s * 1000.0 + self._longest_deadline_ms + DRAIN_MARGIN_MS
--- a/rosewheel/proxy/resources.py
+++ b/rosewheel/proxy/resources.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from rosewheel.hot_restart.transfers import MAX_PENDING_OFFERS
-from rosewheel.proxy.parts import ProxyParts
+from rosewheel.proxy.context import ProxyContext
 
 # Descriptors reserved for everything except connections of clients and to servers: all descriptors of the process
 # divided by RESERVED_DIVISOR, but at least MIN_RESERVED_DESCRIPTORS and at most RESERVED_DESCRIPTORS.
@@ -31,16 +31,16 @@
             if there is no such predecessor.
     """
 
-    def __init__(self, parts: ProxyParts) -> None:
+    def __init__(self, context: ProxyContext) -> None:
         self.max_descriptors = 0
         self.process_count = 1
         self.predecessor_descriptors: int | None = None
-        self._parts = parts
+        self._context = context
 
     @property
     def descriptor_count(self) -> int:
         """The number of descriptors that connections of clients and to servers hold."""
-        return len(self._parts.server.connections) + self._parts.upstream.descriptor_count
+        return len(self._context.server.connections) + self._context.upstream.descriptor_count
 
     def divide(self, max_sockets: int) -> None:
         """Sets the limits of this process to its part of the node's limits.
@@ -48,21 +48,23 @@
         Args:
             max_sockets: Maximum number of descriptors of the node, for all of its processes together.
         """
-        parts = self._parts
+        context = self._context
         sockets = max_sockets // self.process_count
         if self.process_count > 1 and self.predecessor_descriptors is not None:
             # The descriptors of an offered connection are open in both processes until the offer is answered.
             unused = max_sockets - self.predecessor_descriptors - 2 * MAX_PENDING_OFFERS
             sockets = max(sockets, unused)
-        memory_mb = int(parts.config.limits.memory_limit_mb / self.process_count * BODY_MEMORY_SHARE)
-        parts.budget.limit_bytes = memory_mb << 20
+        memory_mb = int(context.config.limits.memory_limit_mb / self.process_count * BODY_MEMORY_SHARE)
+        context.budget.limit_bytes = memory_mb << 20
         reserved = min(RESERVED_DESCRIPTORS, max(MIN_RESERVED_DESCRIPTORS, sockets // RESERVED_DIVISOR))
-        if parts.admin is not None:
-            reserved += parts.admin.max_connections  # so that clients can't use up the operators' descriptors
+        if context.admin is not None:
+            reserved += (
+                context.admin.max_connections
+            )  # so that clients can't use up the operators' descriptors
         self.max_descriptors = max(MIN_DESCRIPTORS, sockets - reserved)
         over_limit = min(MAX_CLIENTS_OVER_LIMIT, sockets // CLIENTS_OVER_LIMIT_DIVISOR)
-        parts.server.max_over_limit = max(MIN_CLIENTS_OVER_LIMIT, over_limit)
-        parts.server.max_connections = max(MIN_CLIENTS, int(self.max_descriptors * CLIENT_SHARE))
+        context.server.max_over_limit = max(MIN_CLIENTS_OVER_LIMIT, over_limit)
+        context.server.max_connections = max(MIN_CLIENTS, int(self.max_descriptors * CLIENT_SHARE))
 
     def can_hold(self, descriptors: int, idle: bool) -> bool:
         """Returns whether this process may open more descriptors, if need be by closing an idle connection.
@@ -71,10 +73,10 @@
             descriptors: Number of additional descriptors.
             idle: Whether they are for an idle connection to a server. No other connection is closed for one.
         """
-        server = self._parts.server
+        server = self._context.server
         if len(server.connections) >= server.max_connections and not idle:
             return False
-        held = self.descriptor_count + self._parts.migration.arriving_count
+        held = self.descriptor_count + self._context.migration.arriving_count
         return held + descriptors <= self.max_descriptors or (not idle and self.free_descriptor())
 
     def free_descriptor(self) -> bool:
@@ -91,4 +93,4 @@
 
     def _close_longest_idle(self) -> bool:
         # Clients come first: they reconnect cheaply, while a new connection to a server costs it work.
-        return self._parts.server.close_longest_idle() or self._parts.upstream.close_longest_idle()
+        return self._context.server.close_longest_idle() or self._context.upstream.close_longest_idle()
--- a/rosewheel/proxy/siblings.py
+++ b/rosewheel/proxy/siblings.py
@@ -6,7 +6,7 @@
 from collections.abc import Mapping
 
 from rosewheel.proxy import clock
-from rosewheel.proxy.parts import ProxyParts
+from rosewheel.proxy.context import ProxyContext
 from rosewheel.proxy.resources import Resources
 
 
@@ -16,8 +16,8 @@
     Implements `hot_restart.host.SiblingHost`.
     """
 
-    def __init__(self, parts: ProxyParts, resources: Resources) -> None:
-        self._parts = parts
+    def __init__(self, context: ProxyContext, resources: Resources) -> None:
+        self._context = context
         self._resources = resources
 
     @property
@@ -28,30 +28,33 @@
     @property
     def loads_in_flight(self) -> dict[str, float]:
         """The weighted number of this process's requests in flight, by server."""
-        return self._parts.node.server_loads
+        return self._context.node.server_loads
 
     @property
     def listening_sockets(self) -> list[socket.socket]:
         """The listening sockets of this process, which a successor shares."""
-        admin = self._parts.admin
-        sockets = (self._parts.server.listening_socket, admin.listening_socket if admin is not None else None)
+        admin = self._context.admin
+        sockets = (
+            self._context.server.listening_socket,
+            admin.listening_socket if admin is not None else None,
+        )
         return [sock for sock in sockets if sock is not None]
 
     def process_count_changed(self, processes: int) -> None:
         """Divides the node's descriptors, memory and pacing among its running processes."""
-        resources, parts = self._resources, self._parts
+        resources, context = self._resources, self._context
         resources.process_count = processes
         if processes == 1:
             resources.predecessor_descriptors = None
         # A predecessor that is shutting down still runs, but starts no requests.
         deciding = processes if resources.predecessor_descriptors is None else 1
-        parts.apply(parts.node.process_count_changed(clock.now_ms(), deciding))
-        resources.divide(parts.config.limits.max_sockets)
+        context.apply(context.node.process_count_changed(clock.now_ms(), deciding))
+        resources.divide(context.config.limits.max_sockets)
         resources.close_excess_idle()
 
     def sibling_connected(self) -> None:
         """Handles the connection of a sibling process: starts to poll the shared state."""
-        self._parts.shared_state.follow()
+        self._context.shared_state.follow()
 
     def successor_connected(self) -> None:
         """Handles the connection of a successor: the descriptors of an earlier predecessor no longer count."""
@@ -59,16 +62,16 @@
 
     def sibling_loads_changed(self, loads: Mapping[str, float]) -> None:
         """Applies the sibling's report of its requests in flight, by server."""
-        parts = self._parts
-        parts.apply(parts.node.sibling_process_load(clock.now_ms(), dict(loads)))
+        context = self._context
+        context.apply(context.node.sibling_process_load(clock.now_ms(), dict(loads)))
 
     def predecessor_descriptors_reported(self, descriptors: int | None) -> None:
         """Applies the descriptor count of a predecessor that is shutting down: this process may use the rest."""
         if descriptors is not None:
             self._resources.predecessor_descriptors = descriptors
-            self._resources.divide(self._parts.config.limits.max_sockets)
+            self._resources.divide(self._context.config.limits.max_sockets)
 
     def predecessor_shutting_down(self, descriptors: int | None) -> None:
         """Handles the start of the predecessor's shutdown: from now on only this process starts requests."""
         self.predecessor_descriptors_reported(descriptors)
-        self._parts.apply(self._parts.node.process_count_changed(clock.now_ms(), 1))
+        self._context.apply(self._context.node.process_count_changed(clock.now_ms(), 1))
