--- a/rosewheel/hot_restart/migration.py
+++ b/rosewheel/hot_restart/migration.py
@@ -102,13 +102,13 @@
 
         Neither connection is read or written from then on.
         """
-        call = client.active_request
-        in_progress = self._host.node.response_in_progress(call.id) if call is not None else None
-        if call is None or in_progress is None:
+        request = client.active_request
+        in_progress = self._host.node.response_in_progress(request.id) if request is not None else None
+        if request is None or in_progress is None:
             return False
         service, server, attempt = in_progress
-        detachment = _ResponseDetachment(self._host, call.id, service, server, on_detached)
-        if not self._host.upstream.detach_response(call.id, attempt, detachment.upstream_detached):
+        detachment = _ResponseDetachment(self._host, request.id, service, server, on_detached)
+        if not self._host.upstream.detach_response(request.id, attempt, detachment.upstream_detached):
             return False
         client.detach(detachment.client_detached)
         return True
@@ -180,14 +180,14 @@
             if upstream is not None:
                 upstream.resume_response()
 
-        call = client.restore_response(state.request_id, resume_upstream)
-        host.client_requests[state.request_id] = call
+        request = client.restore_response(state.request_id, resume_upstream)
+        host.client_requests[state.request_id] = request
         upstream = host.upstream.adopt_response(
-            state.request_id, state.upstream, functools.partial(client.send_response_data, call)
+            state.request_id, state.upstream, functools.partial(client.send_response_data, request)
         )
         client_socket, upstream_socket = sockets
         await self._loop.connect_accepted_socket(lambda: client, client_socket)
-        if host.client_requests.get(state.request_id) is not call:  # the client has disconnected
+        if host.client_requests.get(state.request_id) is not request:  # the client has disconnected
             upstream_socket.close()
             return
         await host.upstream.attach_socket(upstream, upstream_socket)
@@ -249,8 +249,8 @@
         """Ends the request after one of its connections has ended, and closes the other one."""
         host = self._host
         close_descriptors(end.fd for end in (self._client, self._upstream) if end is not None)
-        call = host.client_requests.pop(self._request_id, None)
-        if call is not None:
+        request = host.client_requests.pop(self._request_id, None)
+        if request is not None:
             host.apply(host.node.client_disconnected(_now_ms(), self._request_id))
         self._on_detached(None)
 
--- a/rosewheel/proxy/requests.py
+++ b/rosewheel/proxy/requests.py
@@ -34,41 +34,41 @@
         self._context = context
         self._longest_deadline_ms = 0.0  # of the requests received so far
 
-    def received(self, call: DownstreamRequest) -> None:
+    def received(self, request: DownstreamRequest) -> None:
         """Handles a request whose head has been read.
 
         Raises:
             BadRequestError: The request can't be accepted.
         """
-        request = self._parse(call)
-        call.id = request.id
+        event = self._parse(request)
+        request.id = event.id
         try:
-            effects = self._context.node.receive_request(clock.now_ms(), request)
+            effects = self._context.node.receive_request(clock.now_ms(), event)
         except DuplicateRequestError as error:
             raise RefusedRequestError(409, "this Request-Id is being served already") from error
-        self._context.client_requests[request.id] = call
+        self._context.client_requests[event.id] = request
         self._context.apply(effects)
 
-    def completed(self, call: DownstreamRequest) -> None:
+    def completed(self, request: DownstreamRequest) -> None:
         """Handles the end of a request whose body was still arriving at `received`."""
         context = self._context
-        if context.client_requests.get(call.id) is call:
+        if context.client_requests.get(request.id) is request:
             now_ms = clock.now_ms()
-            deadline_at_ms = now_ms + self._time_for_response_ms(call.timeout_ms)
-            context.apply(context.node.request_completed(now_ms, call.id, deadline_at_ms))
+            deadline_at_ms = now_ms + self._time_for_response_ms(request.timeout_ms)
+            context.apply(context.node.request_completed(now_ms, request.id, deadline_at_ms))
 
-    def client_disconnected(self, call: DownstreamRequest) -> None:
+    def client_disconnected(self, request: DownstreamRequest) -> None:
         """Handles the disconnect of a request's client."""
         context = self._context
-        if context.client_requests.get(call.id) is not call:
+        if context.client_requests.get(request.id) is not request:
             return
-        del context.client_requests[call.id]
-        context.apply(context.node.client_disconnected(clock.now_ms(), call.id))
-        for attempt in context.node.attempts_in_flight(call.id):
+        del context.client_requests[request.id]
+        context.apply(context.node.client_disconnected(clock.now_ms(), request.id))
+        for attempt in context.node.attempts_in_flight(request.id):
             # Applies even where the settings forbid cancellation: an unsent attempt has no effect on its server.
-            if context.upstream.cancel_unsent_attempt(call.id, attempt):
+            if context.upstream.cancel_unsent_attempt(request.id, attempt):
                 result = AttemptResult.CONNECT_FAILED
-                context.apply(context.node.attempt_finished(clock.now_ms(), call.id, attempt, result))
+                context.apply(context.node.attempt_finished(clock.now_ms(), request.id, attempt, result))
 
     def response_started(
         self, id: str, attempt: int, length: int | None, on_writable: Callable[[], None]
@@ -85,21 +85,21 @@
             The sink for the body's data, or None if no client waits for it.
         """
         context = self._context
-        call = context.client_requests.get(id)
-        effects = context.node.response_started(clock.now_ms(), id, attempt) if call is not None else None
-        if call is None or effects is None:
+        request = context.client_requests.get(id)
+        effects = context.node.response_started(clock.now_ms(), id, attempt) if request is not None else None
+        if request is None or effects is None:
             return None
-        call.connection.start_response(call, length, on_writable)
+        request.connection.start_response(request, length, on_writable)
         context.apply(effects)
-        return functools.partial(call.connection.send_response_data, call)
+        return functools.partial(request.connection.send_response_data, request)
 
     def attempt_finished(
         self, id: str, attempt: int, result: AttemptResult, report: dict[str, float] | None, body: bytes
     ) -> None:
         """Handles the end of an attempt on its connection."""
         context = self._context
-        call = context.client_requests.get(id)
-        if call is not None and not call.body.replayable:
+        request = context.client_requests.get(id)
+        if request is not None and not request.body.replayable:
             context.node.request_body_discarded(id)
         context.apply(context.node.attempt_finished(clock.now_ms(), id, attempt, result, report, body))
 
@@ -110,36 +110,36 @@
         context = self._context
         context.apply(context.node.health_check_finished(clock.now_ms(), server, result, latency_ms, report))
 
-    def _parse(self, call: DownstreamRequest) -> RequestReceived:
-        if call.method not in METHODS:
+    def _parse(self, request: DownstreamRequest) -> RequestReceived:
+        if request.method not in METHODS:
             raise BadRequestError(405, "GET and POST only")
-        id, service = call.header(b"request-id"), call.header(b"request-class")
+        id, service = request.header(b"request-id"), request.header(b"request-class")
         if not id or len(id) > MAX_REQUEST_ID_LENGTH:
             raise BadRequestError(400, "Request-Id is missing or too long")
         if service not in self._context.node.service_names:
             raise BadRequestError(400, "Request-Class is missing or unknown")
-        timeout_ms = parse_number(call.header(b"request-timeout-ms"), "Request-Timeout-Ms", WHOLE_NUMBER)
+        timeout_ms = parse_number(request.header(b"request-timeout-ms"), "Request-Timeout-Ms", WHOLE_NUMBER)
         if timeout_ms is None or timeout_ms <= 0:
             raise BadRequestError(400, "Request-Timeout-Ms is missing or not positive")
-        call.timeout_ms = timeout_ms
-        timeout_ms -= self._waited_ms(call)
+        request.timeout_ms = timeout_ms
+        timeout_ms -= self._waited_ms(request)
         self._check_time_left(service, timeout_ms)
-        hint = parse_number(call.header(b"work-hint"), "Work-Hint", DECIMAL_NUMBER)
+        hint = parse_number(request.header(b"work-hint"), "Work-Hint", DECIMAL_NUMBER)
         return RequestReceived(
             id=id,
             service=service,
             deadline_at_ms=clock.now_ms() + self._time_for_response_ms(timeout_ms),
-            tenant=call.header(b"tenant") or None,
+            tenant=request.header(b"tenant") or None,
             cost_hint_ms=None if hint is None else hint / 1000.0,
-            is_retry=call.header(b"client-retry") == "1",
-            complete=call.body.complete,
+            is_retry=request.header(b"client-retry") == "1",
+            complete=request.body.complete,
         )
 
-    def _waited_ms(self, call: DownstreamRequest) -> float:
+    def _waited_ms(self, request: DownstreamRequest) -> float:
         """Returns how long a complete request has waited for earlier responses on its connection, in milliseconds."""
-        if call.completed_s is None:
+        if request.completed_s is None:
             return 0.0
-        return (self._context.loop.time() - call.completed_s) * 1000.0
+        return (self._context.loop.time() - request.completed_s) * 1000.0
 
     def _check_time_left(self, service: str, timeout_ms: float) -> None:
         """Rejects a request during a drain that leaves too little time for its response."""
