--- a/rosewheel/__main__.py
+++ b/rosewheel/__main__.py
@@ -1,4 +1,4 @@
-"""Starts one real node: `python -m rosewheel`. Ends with 0 after SIGTERM, with 2 on bad configuration."""
+"""Runs a node: `python -m rosewheel`. The exit code is 0 after SIGTERM and 2 for an invalid configuration."""
 
 from __future__ import annotations
 
@@ -7,9 +7,9 @@
 
 
 def main() -> int:
-    """Run a node by the platform's configuration; returns its exit code."""
-    # Objects that imports create live as long as the process, so collections during the start would find nothing. The
-    # imports are in this function because the collector has to be off before them.
+    """Run a node with the configuration of the platform; return the exit code."""
+    # Garbage collections during the imports would only cost time, because imported objects live as long as the
+    # process. The imports are in this function so that the collector is disabled before them.
     gc.disable()
     from rosewheel import logs
     from rosewheel.config.platform import load_platform_config
--- a/rosewheel/listener.py
+++ b/rosewheel/listener.py
@@ -1,7 +1,7 @@
-"""The listening socket of a node: bound here, or inherited from the platform.
+"""Opens the listening socket of a node, or takes over an inherited one.
 
-During a hot restart the old and the new process accept from one inherited socket. A process that stops to listen
-therefore only closes its descriptor: `shutdown()` would end the socket for both.
+During a hot restart the old and the new process accept from the same socket. A process that stops listening therefore
+only closes its descriptor, because `shutdown()` would affect both processes.
 """
 
 from __future__ import annotations
@@ -14,26 +14,30 @@
 from rosewheel.config.errors import ConfigError
 
 LISTEN_KEY = "LB_LISTEN"
-BACKLOG = 1024  # connections that wait to be accepted; a planned restart brings thousands at once
+BACKLOG = 1024  # accept queue; large, because many clients reconnect at once after a restart
 
 
 def open_listener(address: Address, inherited: int | None) -> socket.socket:
-    """Return the clients' socket: the inherited descriptor's, which listens, or one that is bound to the address.
+    """Return the socket for clients: the inherited one, which already listens, or one bound to the address.
 
-    A bound one listens only once it is accepted from: a request in the system's queue would lose time that nobody
-    counts.
+    A bound socket does not listen yet. While it waits in the accept queue, a request would lose time that does not
+    count against its deadline.
+
+    Args:
+        address: The host and port to bind if no descriptor is inherited.
+        inherited: The inherited descriptor, or None.
 
     Raises:
-        ConfigError: there is none; the text is one line.
+        ConfigError: The address can't be bound, or the descriptor is not a listening TCP socket.
     """
     return bind(address, LISTEN_KEY) if inherited is None else _adopt(inherited)
 
 
 def start_listening(sock: socket.socket) -> None:
-    """Have a bound socket listen; nothing changes for one that does already.
+    """Make a bound socket listen. Does not change a socket that already listens.
 
     Raises:
-        ConfigError: Another process listens at its address by now.
+        ConfigError: Another process has started to listen on the address.
     """
     try:
         sock.listen(BACKLOG)
@@ -43,14 +47,14 @@
 
 
 def bind(address: Address, key: str) -> socket.socket:
-    """Open a socket at an address.
+    """Return a socket bound to an address.
 
     Args:
-        address: host and port.
-        key: the configuration key of the address, for the error.
+        address: The host and port.
+        key: The configuration key of the address, for the error.
 
     Raises:
-        ConfigError: the address can't be bound.
+        ConfigError: The address can't be bound.
     """
     host, port = address
     try:
--- a/rosewheel/logs.py
+++ b/rosewheel/logs.py
@@ -1,6 +1,6 @@
-"""Logging to standard error: plain lines, or JSON lines on request, at most `LINES_PER_S` of either.
+"""Logging to standard error as plain or JSON lines, limited to `LINES_PER_S` lines per second.
 
-The platform's `run` uses the standard library alone; structlog is imported only for JSON lines.
+structlog is imported only for JSON lines. Plain lines, which the platform uses, need only the standard library.
 """
 
 from __future__ import annotations
@@ -8,18 +8,18 @@
 import logging
 
 LINES_PER_S = 50
-PLAIN = "%(asctime)s %(levelname)s %(name)s %(message)s"
+PLAIN_FORMAT = "%(asctime)s %(levelname)s %(name)s %(message)s"
 
 
-class Bounded(logging.Filter):
-    """Drops the records of a second beyond `LINES_PER_S`, so that a fault can't fill the log."""
+class RateLimitFilter(logging.Filter):
+    """Drops records beyond `LINES_PER_S` in each second, so that a repeated error can't flood the log."""
 
     def __init__(self) -> None:
         super().__init__()
         self.second, self.lines = 0.0, 0
 
     def filter(self, record: logging.LogRecord) -> bool:
-        """Whether the record is among the first `LINES_PER_S` of its second."""
+        """Return whether the record is among the first `LINES_PER_S` of its second."""
         second = record.created // 1.0
         if second != self.second:
             self.second, self.lines = second, 0
@@ -28,21 +28,21 @@
 
 
 def start(json: bool = False, level: str = "info") -> None:
-    """Start to log to standard error.
+    """Configure logging to standard error.
 
     Args:
-        json: write JSON lines with `timestamp`, `level`, `logger`, `event` and the record's own fields.
-        level: the lowest level that is written.
+        json: Whether to write JSON lines with `timestamp`, `level`, `logger`, `event` and the record's extra fields.
+        level: The lowest level that is written.
     """
     handler = logging.StreamHandler()
-    handler.addFilter(Bounded())
-    handler.setFormatter(_json() if json else logging.Formatter(PLAIN))
+    handler.addFilter(RateLimitFilter())
+    handler.setFormatter(_json_formatter() if json else logging.Formatter(PLAIN_FORMAT))
     root = logging.getLogger()
     root.handlers[:] = [handler]
     root.setLevel(level.upper())
 
 
-def _json() -> logging.Formatter:
+def _json_formatter() -> logging.Formatter:
     import structlog
 
     shared: list[structlog.typing.Processor] = [
