--- a/rosewheel/adapter.py
+++ b/rosewheel/adapter.py
@@ -1,6 +1,6 @@
-"""The simulator's adapter: reads batches on standard input, and writes replies on standard output.
+"""Adapter for the simulator: reads batches of events from standard input, and writes replies to standard output.
 
-It hosts the balancers of many nodes in one process, which share nothing; all decisions are those of `rosewheel.policy`.
+It runs the independent balancers of many nodes in one process.
 """
 
 from __future__ import annotations
@@ -37,11 +37,11 @@
 
 
 class HostedNode:
-    """One node: its balancer, and the names of the values in the load reports that it gets.
+    """One node: its balancer, and the field names of its load reports.
 
     Attributes:
-        balancer: The policy of this node.
-        report_fields: The names, in the order of the values.
+        balancer: The balancer of the node.
+        report_fields: The names of the values in a load report, in order.
     """
 
     def __init__(self, start: NodeStart, now_ms: float) -> None:
@@ -54,7 +54,7 @@
 
     Attributes:
         nodes: The running nodes, by number.
-        catalogs: Lists of servers that events refer to, by number.
+        catalogs: The lists of servers that events refer to, by number.
         now_ms: The time of the current batch.
     """
 
@@ -64,12 +64,12 @@
         self.now_ms = 0.0
 
     def handle(self, row: JsonObject) -> list[JsonObject]:
-        """Handle one event, and return the lines of the actions that follow from it.
+        """Handle an event, and return the resulting actions.
 
-        A node that fails on an event is stopped, and reported by a PANIC; the others go on.
+        If a node fails on an event, the node is stopped and reported with a PANIC. Other nodes are not affected.
 
         Raises:
-            SimulatorWireError: the event names no node.
+            SimulatorWireError: The event has no node number.
         """
         kind = row.get("kind")
         if kind == CATALOG:
@@ -101,7 +101,7 @@
 
 
 class BatchReader:
-    """Follows the lines of batches, and collects the reply of each.
+    """Reads batches line by line, and collects their replies.
 
     Attributes:
         host: The nodes that handle the events.
@@ -114,17 +114,17 @@
         self._reply: list[bytes] = []
 
     def read(self, line: bytes) -> bytes:
-        """Handle one line; returns the complete reply at the end of a batch, and nothing before that.
+        """Handle a line; return the reply at the end of a batch, and empty bytes before it.
 
         Raises:
-            SimulatorWireError: the line is not a part of the wire, or not in its place.
+            SimulatorWireError: The line is invalid or out of order.
         """
         row = decode_line(line)
         kind = row.get("kind")
         if kind == FRAME:
             self._begin_batch(row)
         elif not self._in_batch:
-            raise SimulatorWireError(f"{kind!r} stands outside a batch")
+            raise SimulatorWireError(f"{kind!r} outside a batch")
         elif kind == GO:
             return self._end_batch()
         else:
@@ -132,17 +132,17 @@
         return b""
 
     def close(self) -> None:
-        """The input has ended.
+        """Handle the end of the input.
 
         Raises:
-            SimulatorWireError: it ended within a batch.
+            SimulatorWireError: The input ended within a batch.
         """
         if self._in_batch:
             raise SimulatorWireError("the input ended within a batch")
 
     def _begin_batch(self, row: JsonObject) -> None:
         if self._in_batch:
-            raise SimulatorWireError("a batch begins within a batch")
+            raise SimulatorWireError("FRAME within a batch")
         start = decode_batch_start(row)
         self.host.now_ms, self._sequence = start.now_ms, start.sequence
         self._in_batch, self._reply = True, []
@@ -163,7 +163,7 @@
     """Reply to batches until the input ends.
 
     Raises:
-        SimulatorWireError: the input is not the simulator's wire.
+        SimulatorWireError: The input is invalid.
     """
     reader = BatchReader(NodeHost())
     for line in source:
@@ -175,7 +175,7 @@
 
 
 def main() -> int:
-    """Run the adapter on standard input and output; returns the status to exit with."""
+    """Run the adapter on standard input and output; return the exit code."""
     try:
         run(sys.stdin.buffer, sys.stdout.buffer)
     except SimulatorWireError as error:
--- a/rosewheel/simulator_codec.py
+++ b/rosewheel/simulator_codec.py
@@ -1,7 +1,8 @@
-"""Codec of the simulator's wire: JSON lines in batches, as events and actions of the policy.
+"""Codec of the simulator's wire protocol: maps batches of JSON lines to events and actions of the policy.
 
-A batch begins with FRAME, which holds its time and number, and ends with GO; the reply ends with READY. In between
-each line is an event of one node, or a CATALOG: a list of servers that later MEMBERSHIP events refer to by number.
+A batch starts with FRAME, which contains the time and the number of the batch, and ends with GO. Each line between them
+is an event of one node, or a CATALOG: a numbered list of servers to which later MEMBERSHIP events refer. The reply
+contains the actions, and ends with READY.
 """
 
 from __future__ import annotations
@@ -44,10 +45,10 @@
 
 FRAME, GO, CATALOG = "FRAME", "GO", "CATALOG"
 POWER_ON, STOP = "POWER_ON", "STOP"
-IGNORED_EVENTS = ("PEER",)  # messages between nodes: none are sent
-MAX_PANIC_TEXT = 500  # characters of the text of a PANIC
+IGNORED_EVENTS = ("PEER",)  # messages between nodes, which this implementation never sends
+MAX_PANIC_TEXT_LENGTH = 500  # characters
 
-# Codes of results; an unknown one is an error for a health check, and a fault of the simulator for an attempt.
+# An unknown code counts as an error of a health check, and as invalid input for an attempt.
 RESULT_BY_CODE = {
     0: AttemptResult.OK,
     255: AttemptResult.ERROR,
@@ -61,7 +62,7 @@
 
 
 class SimulatorWireError(Exception):
-    """Input that is not the simulator's wire, and that can't be attributed to a node."""
+    """Invalid input that can't be attributed to a node."""
 
 
 @dataclass(slots=True, frozen=True)
@@ -69,8 +70,8 @@
     """The first line of a batch.
 
     Attributes:
-        now_ms: The time of all its events.
-        sequence: Its number, in whatever form it was received; the reply repeats it.
+        now_ms: The time of all events of the batch.
+        sequence: The number of the batch, which the reply repeats unchanged.
     """
 
     now_ms: float
@@ -79,32 +80,32 @@
 
 @dataclass(slots=True, frozen=True)
 class NodeStart:
-    """A node starts: its settings and the seed of its random draws."""
+    """The settings of a node that starts, and the seed of its random numbers."""
 
     settings: Settings
     seed: int
 
 
 def decode_line(line: bytes) -> JsonObject:
-    """The object of one line.
+    """Decode a line.
 
     Raises:
-        SimulatorWireError: it is not an object in JSON.
+        SimulatorWireError: The line is not a JSON object.
     """
     try:
         row = orjson.loads(line)
     except orjson.JSONDecodeError as error:
         raise SimulatorWireError(f"not a line of JSON: {error}: {line[:200]!r}") from error
     if not isinstance(row, dict):
-        raise SimulatorWireError(f"not an object: {line[:200]!r}")
+        raise SimulatorWireError(f"not a JSON object: {line[:200]!r}")
     return row
 
 
 def decode_batch_start(row: JsonObject) -> BatchStart:
-    """The time and the number of a batch.
+    """Decode the first line of a batch.
 
     Raises:
-        SimulatorWireError: one of them is missing.
+        SimulatorWireError: The time or the number is missing.
     """
     if not isinstance(row.get("nowMs"), int | float) or "seq" not in row:
         raise SimulatorWireError("FRAME lacks nowMs or seq")
@@ -112,38 +113,38 @@
 
 
 def decode_node_number(row: JsonObject) -> int:
-    """The node that an event is about.
+    """Return the node number of an event.
 
     Raises:
-        SimulatorWireError: the event names none.
+        SimulatorWireError: The event has none.
     """
     number = row.get("node")
     if not isinstance(number, int):
-        raise SimulatorWireError(f"event {row.get('kind')!r} names no node")
+        raise SimulatorWireError(f"event {row.get('kind')!r} has no node number")
     return number
 
 
 def decode_catalog(row: JsonObject) -> tuple[int, tuple[Server, ...]]:
-    """The number of a catalog, and its servers."""
+    """Decode a catalog: its number and its servers."""
     return row["ref"], tuple(_decode_server(server) for server in row["rows"])
 
 
 def decode_node_start(row: JsonObject) -> NodeStart:
-    """The settings and the seed of a node that starts."""
+    """Decode the start of a node."""
     config, seed = row["config"], row["seed"]
     return NodeStart(settings_from_json(config), seed)
 
 
 def decode_event(row: JsonObject, report_fields: tuple[str, ...], catalogs: Catalogs) -> Event:
-    """An event of a running node.
+    """Decode an event of a running node.
 
     Args:
-        row: The event's line.
-        report_fields: Names of the values in a load report, in order; they are a setting of the node.
-        catalogs: The catalogs so far, by number.
+        row: The decoded line of the event.
+        report_fields: The names of the values in a load report, in order, as the settings of the node define them.
+        catalogs: The catalogs received so far, by number.
 
     Raises:
-        ValueError, KeyError, TypeError: the line is no event, or a value in it is missing or wrong.
+        ValueError, KeyError, TypeError: The kind is unknown, or a value is missing or invalid.
     """
     kind = str(row.get("kind"))
     match kind:
@@ -205,7 +206,7 @@
 
 
 def _decode_report(values: list[object] | None, report_fields: tuple[str, ...]) -> dict[str, float] | None:
-    """A load report by the names of its values; what is not a number is left out."""
+    """Map the values of a load report to their names; values that are not numbers are left out."""
     if not values:
         return None
     pairs = zip(report_fields, values, strict=False)
@@ -221,7 +222,7 @@
 
 
 def encode_action(node: int, action: Action) -> JsonObject:
-    """The line of an action of this node."""
+    """Encode an action of a node."""
     match action:
         case ForwardRequest():
             row: JsonObject = {"kind": "ISSUE", "txn": action.id, "server": action.server}
@@ -243,16 +244,16 @@
 
 
 def encode_panic(node: int, kind: object, error: Exception) -> JsonObject:
-    """The line that says that a node failed on an event, and stopped."""
+    """Encode the report that a node has failed on an event and was stopped."""
     text = f"{kind}: {type(error).__name__}: {error}"
-    return {"kind": "PANIC", "node": node, "bodyText": text[:MAX_PANIC_TEXT]}
+    return {"kind": "PANIC", "node": node, "bodyText": text[:MAX_PANIC_TEXT_LENGTH]}
 
 
 def encode_ready(sequence: object) -> JsonObject:
-    """The last line of a reply."""
+    """Encode the end of a reply."""
     return {"kind": "READY", "seq": sequence}
 
 
 def encode_line(row: JsonObject) -> bytes:
-    """One line, without its end."""
+    """Encode a line, without the line break."""
     return orjson.dumps(row)
--- a/tests/test_adapter.py
+++ b/tests/test_adapter.py
@@ -1,4 +1,4 @@
-"""The simulator's adapter on batches of its wire."""
+"""The simulator's adapter: replies to batches of events, and errors."""
 
 from __future__ import annotations
 
@@ -52,26 +52,26 @@
     return b"".join(orjson.dumps(row) + b"\n" for row in rows)
 
 
-def talk(*batches: bytes) -> list[dict[str, Any]]:
+def replies_to(*batches: bytes) -> list[dict[str, Any]]:
     sink = io.BytesIO()
     run(io.BytesIO(b"".join(batches)), sink)
     return [orjson.loads(line) for line in sink.getvalue().splitlines()]
 
 
-def of(rows: list[dict[str, Any]], kind: str) -> list[dict[str, Any]]:
+def rows_of_kind(rows: list[dict[str, Any]], kind: str) -> list[dict[str, Any]]:
     return [row for row in rows if row["kind"] == kind]
 
 
 def test_an_empty_batch_is_answered():
-    assert talk(batch(8412.25, 1)) == [{"kind": "READY", "seq": 1}]
+    assert replies_to(batch(8412.25, 1)) == [{"kind": "READY", "seq": 1}]
 
 
 def test_a_first_batch_watches_discovery_and_forwards():
-    rows = talk(batch(1000.0, 1, catalog(), *start(), request("q1")))
+    rows = replies_to(batch(1000.0, 1, catalog(), *start(), request("q1")))
     assert rows[-1] == {"kind": "READY", "seq": 1}
-    assert len(of(rows, "OBSERVE")) == 1
-    assert len(of(rows, "SLEEP")) == 1
-    issue = of(rows, "ISSUE")[0]
+    assert len(rows_of_kind(rows, "OBSERVE")) == 1
+    assert len(rows_of_kind(rows, "SLEEP")) == 1
+    issue = rows_of_kind(rows, "ISSUE")[0]
     assert issue["node"] == 0
     assert issue["txn"] == "q1"
     assert issue["server"].startswith("10.0.0.")
@@ -79,7 +79,7 @@
 
 
 @pytest.mark.parametrize(
-    ("lane", "rc", "answer"),
+    ("lane", "rc", "action"),
     [
         ("read", 255, "ISSUE"),
         ("post", 255, "FINISH_ERROR"),
@@ -92,19 +92,19 @@
         ("points", 255, "ISSUE"),
     ],
 )
-def test_each_result_of_each_idempotency(lane, rc, answer):
+def test_the_action_after_each_result_by_idempotency(lane, rc, action):
     host = NodeHost()
     host.now_ms = 1000.0
     rows = [row for event in (catalog(), *start(), request("q", lane=lane)) for row in host.handle(event)]
-    server = of(rows, "ISSUE")[0]["server"]
-    assert [row["kind"] for row in host.handle(returned("q", server, rc, False))] == [answer]
+    server = rows_of_kind(rows, "ISSUE")[0]["server"]
+    assert [row["kind"] for row in host.handle(returned("q", server, rc, False))] == [action]
 
 
 def test_results_and_disconnects_of_ended_requests_have_no_actions():
     host = NodeHost()
     host.now_ms = 1000.0
     rows = [row for event in (catalog(), *start(), request("q")) for row in host.handle(event)]
-    server = of(rows, "ISSUE")[0]["server"]
+    server = rows_of_kind(rows, "ISSUE")[0]["server"]
     assert [row["kind"] for row in host.handle({"kind": "LAPSED", "node": 0, "txn": "q"})] == ["RETRACT"]
     assert host.handle({"kind": "LAPSED", "node": 0, "txn": "q"}) == []
     assert host.handle(returned("q", server, 0, True, telemetry=[3, 0.5])) == []
@@ -114,11 +114,11 @@
     host = NodeHost()
     host.now_ms = 1000.0
     rows = [row for event in (catalog(), *start(), request("q")) for row in host.handle(event)]
-    server = of(rows, "ISSUE")[0]["server"]
+    server = rows_of_kind(rows, "ISSUE")[0]["server"]
     host.handle(returned("q", server, 0, True, telemetry=[3, None]))
-    peer = host.nodes[0].balancer.parts.shared.pool.servers[server]
-    assert peer.reported_queue == 3
-    assert peer.utilisation is None
+    reporting_server = host.nodes[0].balancer.parts.shared.pool.servers[server]
+    assert reporting_server.reported_queue == 3
+    assert reporting_server.utilisation is None
 
 
 def test_a_reused_catalog_number_refers_to_the_latest_catalog():
@@ -137,7 +137,7 @@
     assert host.nodes[0].balancer.parts.shared.requests == {}
 
 
-def test_forms_of_the_endpoint_list():
+def test_each_form_of_the_endpoint_list():
     host = NodeHost()
     host.now_ms = 1000.0
     for event in (catalog(), *start()):
@@ -152,12 +152,12 @@
     assert list(host.nodes[0].balancer.parts.shared.pool.servers) == ["10.0.0.0:1"]
 
 
-def test_other_events_are_handled():
+def test_events_without_actions():
     host = NodeHost()
     host.now_ms = 1000.0
     for event in (catalog(), *start()):
         host.handle(event)
-    quiet = [
+    events_without_actions = [
         {"kind": "PEER", "node": 0, "by": 1, "contents": "aGk="},
         {
             "kind": "HEALTH",
@@ -175,9 +175,9 @@
             "server": "10.0.0.1:1",
             "attempt": 0,
         },
-        {"kind": "ALARM", "node": 0, "name": "not ours"},
+        {"kind": "ALARM", "node": 0, "name": "unknown"},
     ]
-    assert [host.handle(event) for event in quiet] == [[], [], [], []]
+    assert [host.handle(event) for event in events_without_actions] == [[], [], [], []]
     assert host.nodes[0].balancer.parts.shared.pool.servers["10.0.0.1:1"].reported_queue == 4
 
 
@@ -197,25 +197,25 @@
         {"kind": "NONSENSE", "node": 3},
     ],
 )
-def test_an_error_at_a_node_is_reported_as_its_panic(event, capsys):
+def test_an_error_of_a_node_is_reported_as_a_panic(event, capsys):
     rows = NodeHost().handle(event)
     assert [(row["kind"], row["node"]) for row in rows] == [("PANIC", 3)]
     assert rows[0]["bodyText"]
     assert capsys.readouterr().out == ""
 
 
-def test_an_unknown_event_at_a_running_node_is_its_panic():
+def test_an_unknown_event_of_a_running_node_is_reported_as_a_panic():
     host = NodeHost()
     for event in (catalog(), *start()):
         host.handle(event)
     assert host.handle({"kind": "NONSENSE", "node": 0})[0]["kind"] == "PANIC"
 
 
-def test_a_request_of_an_unknown_class_is_a_panic():
+def test_a_request_of_an_unknown_class_is_reported_as_a_panic():
     host = NodeHost()
     for event in (catalog(), *start()):
         host.handle(event)
-    assert host.handle(request("q", lane="unheard of"))[0]["kind"] == "PANIC"
+    assert host.handle(request("q", lane="unknown"))[0]["kind"] == "PANIC"
 
 
 @pytest.mark.parametrize(
@@ -247,18 +247,18 @@
     assert b"not a line of JSON" in bad.stderr
 
 
-def test_nodes_in_one_process_act_as_in_separate_ones():
+def test_nodes_in_one_process_act_as_in_separate_processes():
     def events(node: int) -> list[dict[str, Any]]:
-        made = [catalog(), *start(node)]
-        made += [request(f"n{node}-{at}", node, ("read", "post", "points")[at % 3]) for at in range(30)]
-        return [*made, {"kind": "ALARM", "node": node, "name": "period"}]
+        rows = [catalog(), *start(node)]
+        rows += [request(f"n{node}-{at}", node, ("read", "post", "points")[at % 3]) for at in range(30)]
+        return [*rows, {"kind": "ALARM", "node": node, "name": "period"}]
 
-    def played(nodes: list[int]) -> dict[int, list[dict[str, Any]]]:
+    def actions_by_node(nodes: list[int]) -> dict[int, list[dict[str, Any]]]:
         host = NodeHost()
         host.now_ms = 1000.0
-        mixed = [row for rows in zip(*(events(node) for node in nodes), strict=True) for row in rows]
-        acts = [act for event in mixed for act in host.handle(event)]
-        return {node: [act for act in acts if act["node"] == node] for node in nodes}
+        interleaved = [row for rows in zip(*(events(node) for node in nodes), strict=True) for row in rows]
+        actions = [action for event in interleaved for action in host.handle(event)]
+        return {node: [action for action in actions if action["node"] == node] for node in nodes}
 
-    together = played([0, 1, 2])
-    assert together == {node: played([node])[node] for node in range(3)}
+    together = actions_by_node([0, 1, 2])
+    assert together == {node: actions_by_node([node])[node] for node in range(3)}
