--- a/rosewheel/hot_restart/channel.py
+++ b/rosewheel/hot_restart/channel.py
@@ -126,9 +126,7 @@
                 self._waits_for_write = True
                 self._loop.add_writer(self._sock, self._flush)
             return
-        except (
-            OSError
-        ):  # messages of the other process can still be read, followed by the end of the connection
+        except OSError:  # the messages of the other process can still be read
             self._write_failed = True
             self._queue.clear()
         if self._waits_for_write:
--- a/rosewheel/hot_restart/messages.py
+++ b/rosewheel/hot_restart/messages.py
@@ -1,7 +1,7 @@
 """The messages between two processes of one node during a hot restart.
 
-The predecessor is the running process, the successor the one that replaces it. Both send messages over one Unix
-socket, some with file descriptors (SCM_RIGHTS). `messages_codec` defines the wire format.
+The predecessor is the process that serves the node, the successor the one that replaces it. Both send messages over
+one Unix socket, some with file descriptors (SCM_RIGHTS). `messages_codec` defines the wire format.
 """
 
 from __future__ import annotations
--- a/rosewheel/listener.py
+++ b/rosewheel/listener.py
@@ -20,8 +20,8 @@
 def open_listener(address: Address, inherited: int | None) -> socket.socket:
     """Return the socket for clients: the inherited one, which already listens, or one bound to the address.
 
-    A bound socket does not listen yet. While it waits in the accept queue, a request would lose time that does not
-    count against its deadline.
+    A bound socket does not listen before `start_listening`, because the time that a request waits in the accept queue
+    does not count against its deadline.
 
     Args:
         address: The host and port to bind if no descriptor is inherited.
--- a/rosewheel/proxy/endpoints.py
+++ b/rosewheel/proxy/endpoints.py
@@ -13,9 +13,10 @@
 from rosewheel.proxy import clock
 from rosewheel.proxy.context import ProxyContext
 
-# How long a successor waits for discovery before it accepts clients with the known list.
+# How long a successor waits for discovery's first list before it accepts clients with the list of its configuration.
 TAKEOVER_LIST_WAIT_S = 1.5
-# The same for any process where lists are pushed. Short, because discovery may send nothing for many seconds.
+# How long a process without a predecessor waits for that list if lists are pushed. The node counts as knowing it from
+# its start, but discovery may send nothing for many seconds.
 PUSHED_LIST_WAIT_S = 0.5
 
 
@@ -84,9 +85,8 @@
         context = self._context
         if context.config.settings.poll_discovery:  # changed during the delay: the policy opens watches now
             return
-        if (
-            not context.discovery.is_open and not context.stopped
-        ):  # a new discovery address may have opened it
+        # A change of the discovery address may already have opened it.
+        if not context.discovery.is_open and not context.stopped:
             context.discovery.start()
 
     def _watch_failed(self) -> None:
--- a/rosewheel/proxy/resources.py
+++ b/rosewheel/proxy/resources.py
@@ -58,9 +58,8 @@
         context.budget.limit_bytes = memory_mb << 20
         reserved = min(RESERVED_DESCRIPTORS, max(MIN_RESERVED_DESCRIPTORS, sockets // RESERVED_DIVISOR))
         if context.admin is not None:
-            reserved += (
-                context.admin.max_connections
-            )  # so that clients can't use up the operators' descriptors
+            # Clients can't use up the descriptors of operators.
+            reserved += context.admin.max_connections
         self.max_descriptors = max(MIN_DESCRIPTORS, sockets - reserved)
         over_limit = min(MAX_CLIENTS_OVER_LIMIT, sockets // CLIENTS_OVER_LIMIT_DIVISOR)
         context.server.max_over_limit = max(MIN_CLIENTS_OVER_LIMIT, over_limit)
