--- a/tests/hot_restart/test_hot_restart.py
+++ b/tests/hot_restart/test_hot_restart.py
@@ -165,8 +165,8 @@
                     assert await read_long(client.reader) == LONG
                 assert new.statistics().classes["read"].ok == 1
                 assert old.statistics().classes["read"].ok == 0
-                got = await client.ask(id="small-1")
-                assert status(got) == 200
+                response = await client.ask(id="small-1")
+                assert status(response) == 200
                 assert len(new.server.connections) == 1
                 assert server.connections >= 1
                 await client.__aexit__()
@@ -220,9 +220,9 @@
             await until(lambda: len(server.got) == before + len(senders))
             gate.set()
             for client in senders:
-                got = await client.answer()
-                assert got is not None
-                assert (status(got), got.headers.get("connection")) == (200, None)
+                response = await client.answer()
+                assert response is not None
+                assert (status(response), response.headers.get("connection")) == (200, None)
             await until(lambda: len(proxy.upstream.idle_connections) == len(senders))
 
         async with FakeServer(serve).up() as server:
@@ -333,7 +333,7 @@
         if ready:
             self.send(t="ready")
 
-    def die(self) -> None:
+    def kill(self) -> None:
         """Closes all descriptors, as SIGKILL does."""
         self.sock.close()
         for fds in self.fds.values():
@@ -364,7 +364,7 @@
                     if step != "negotiated":
                         await until(lambda: old.hot_restart.successor_ready)
                 if step in STEPS[:3]:
-                    new.die()
+                    new.kill()
                     await until(lambda: old.hot_restart.successor is None)
                 draining = asyncio.ensure_future(old.drain())
                 accepted = 0
@@ -377,7 +377,7 @@
                         assert old.hot_restart.sender is not None
                         await until(lambda: old.hot_restart.sender.transfers.accepted_count == 1)
                     if "hung" not in step:
-                        new.die()
+                        new.kill()
                 gate.set()
                 reads = [asyncio.ensure_future(read_long(client.reader)) for client in slow]
 
@@ -389,7 +389,7 @@
                 await draining
                 assert not old.client_requests
                 assert complete_count() == 2 - accepted, "an accepted response is not continued"
-                new.die()
+                new.kill()
                 await asyncio.gather(*reads, return_exceptions=True)
                 for client in (*slow, idle):
                     await client.__aexit__()
@@ -413,7 +413,7 @@
                     while (offer := await new.receive("give"))["kind"] != "caller":
                         new.send(t="no", n=offer["n"], why="of no use")
                     new.send(t="took", n=offer["n"])
-                    new.die()
+                    new.kill()
                     await draining
                     assert old.hot_restart.sender is not None
                     assert old.hot_restart.sender.migrated == {ConnectionKind.CLIENT: 1}
@@ -439,10 +439,10 @@
                     )
                     draining = asyncio.ensure_future(old.drain())
                     await until(lambda: old.server.draining)
-                    got = await client.ask(id="b")
-                    assert (status(got), got.headers.get("connection")) == (200, "close")
+                    response = await client.ask(id="b")
+                    assert (status(response), response.headers.get("connection")) == (200, "close")
                     await draining
-                    new.die()
+                    new.kill()
 
     run(main())
 
@@ -487,15 +487,15 @@
         head = await reader.readuntil(b"\r\n\r\n")
         if b"chunked" in head.lower():
             while int(line := await reader.readuntil(b"\r\n"), 16):
-                got.append(await reader.readexactly(int(line, 16)))
+                bodies.append(await reader.readexactly(int(line, 16)))
                 await reader.readexactly(2)
             await reader.readexactly(2)
         else:
             length = int(head.lower().split(b"content-length:")[1].split(b"\r\n")[0])
-            got.append(await reader.readexactly(length))
+            bodies.append(await reader.readexactly(length))
         writer.write(answer())
 
-    got: list[bytes] = []
+    bodies: list[bytes] = []
 
     async def main() -> None:
         server = await asyncio.start_server(serve, "127.0.0.1", 0)
@@ -520,8 +520,8 @@
                 await client.writer.drain()
                 client.writer.write(third)
                 assert status(await client.answer()) == 200
-                assert sum(map(len, got)) == size
-                assert size != 19 or b"".join(got) == b"abc0123456789abcdef"
+                assert sum(map(len, bodies)) == size
+                assert size != 19 or b"".join(bodies) == b"abc0123456789abcdef"
         server.close()
 
     run(main())
@@ -569,7 +569,7 @@
         os.write(self.revocation_pipe, b"1")
         self.sock.shutdown(socket.SHUT_RD)
 
-    def die(self) -> None:
+    def kill(self) -> None:
         for sock in (self.sock, self.listener):
             sock.close()
         with contextlib.suppress(OSError):
@@ -595,7 +595,7 @@
                 client_socket, _ = listener.accept()
                 yield old, new, client_socket, client
                 await client.__aexit__()
-                old.die()
+                old.kill()
 
 
 def test_the_offer_of_a_killed_predecessor_is_accepted(tmp_path: Path):
@@ -605,7 +605,7 @@
         async with new_process(tmp_path) as (old, new, client_socket, client):
             old.offer(1, client_socket)
             client_socket.close()
-            old.die()
+            old.kill()
             assert status(await client.ask()) == 200
             assert len(new.server.connections) == 1
 
@@ -677,8 +677,8 @@
                             and old.hot_restart.sender.transfers.returned_count > 0
                         )
                     )
-                    got = await client.ask(id="b")
-                    assert (status(got), got.headers.get("connection")) == (200, "close")
+                    response = await client.ask(id="b")
+                    assert (status(response), response.headers.get("connection")) == (200, "close")
                     await draining
 
     run(main())
@@ -699,8 +699,8 @@
                     await new.start()
                     draining = asyncio.ensure_future(old.drain())
                     await until(lambda: old.server.draining)
-                    got = await client.ask(id="b")
-                    assert (status(got), got.headers.get("connection")) == (200, "close")
+                    response = await client.ask(id="b")
+                    assert (status(response), response.headers.get("connection")) == (200, "close")
                     await draining
         assert not list(tmp_path.glob("handover.*.part"))
 
@@ -722,8 +722,8 @@
                 assert new.server.port == address[1]
                 await until(lambda: old.hot_restart.successor_ready)
                 await old.drain()
-                got = await client.ask(id="b")
-                assert (status(got), got.headers.get("connection")) == (200, None)
+                response = await client.ask(id="b")
+                assert (status(response), response.headers.get("connection")) == (200, None)
                 async with Client(port=address[1]) as other:
                     assert status(await other.ask(id="c")) == 200
             close_process(new)
--- a/tests/proxy/test_reconfiguration.py
+++ b/tests/proxy/test_reconfiguration.py
@@ -194,9 +194,8 @@
                 proxy.configure(
                     proxy.config.settings, dataclasses.replace(proxy.config.limits, max_sockets=32)
                 )
-                assert (
-                    proxy.resources.max_descriptors < 12
-                )  # 6 clients and 6 connections to servers are in use
+                # 6 clients and 6 connections to servers are in use.
+                assert proxy.resources.max_descriptors < 12
                 await until(lambda: len(proxy.server.connections) == 6)
                 gate.set()
                 for client in clients[:6]:
@@ -212,9 +211,8 @@
             proxy.configure(changed_settings(proxy, poll_discovery=False), proxy.config.limits)
             assert proxy.discovery.silence_timeout_s == SILENCE_TIMEOUT_S  # the same in both modes
             assert proxy.discovery.is_open
-            discovery.writers[
-                -1
-            ].transport.abort()  # the policy would wait long before it reopens the watch; the proxy does not
+            # The policy would wait long before it reopens the watch. The proxy does not.
+            discovery.writers[-1].transport.abort()
             await until(lambda: len(discovery.writers) == 2)
             discovery.writers[-1].transport.abort()
             await until(lambda: not proxy.discovery.is_open)  # the reopening is scheduled
--- a/tests/proxy/test_startup.py
+++ b/tests/proxy/test_startup.py
@@ -87,7 +87,7 @@
     return subprocess.Popen(
         [sys.executable, *flags, *run],
         cwd=ROOT,
-        # Set because `-S` skips `site`, where an editable install would import further modules.
+        # Replaces the paths of `site`, which `-S` skips: with it an editable install would import further modules.
         env={**os.environ, "LB_CONFIG": str(path), "PYTHONPATH": sysconfig.get_path("purelib")},
         stderr=subprocess.PIPE,
         text=True,
@@ -136,9 +136,8 @@
         assert health(host, port) == b"HTTP/1.1 200 OK"
         process.send_signal(signal.SIGTERM)
         _, rest = process.communicate(timeout=WAIT_S)
-    names |= imported_modules(
-        rest.splitlines(keepends=True)
-    )  # includes imports for a response and for the shutdown
+    # Includes imports for a response and for the shutdown.
+    names |= imported_modules(rest.splitlines(keepends=True))
     assert process.returncode == 0
     assert "rosewheel.proxy.proxy" in names
     tops = {name.partition(".")[0] for name in names}
