--- a/rosewheel/proxy/requests.py
+++ b/rosewheel/proxy/requests.py
@@ -1,4 +1,4 @@
-"""Passes what happens to requests on the sockets to the node."""
+"""Reports the events of client requests to the node: arrival, completion, disconnects and responses."""
 
 from __future__ import annotations
 
@@ -12,151 +12,150 @@
 from rosewheel.node.statistics import RequestOutcome
 from rosewheel.policy.events import AttemptResult, RequestReceived
 from rosewheel.proxy import clock
+from rosewheel.proxy.context import ProxyContext
 from rosewheel.proxy.headers import DECIMAL_NUMBER, WHOLE_NUMBER, parse_number
-from rosewheel.proxy.parts import ProxyParts
 
 METHODS = (b"GET", b"POST")
 MAX_REQUEST_ID_LENGTH = 256
-# A shutdown takes as long as the longest deadline of a request, at most this, and DRAIN_MARGIN_MS. A request that
-# arrives during it has until then, and is rejected where that is less than its own deadline and less than
-# MIN_DRAIN_DEADLINE_MS: an attempt would hardly end in time.
+# A drain lasts as long as the longest request timeout so far, limited to MAX_DRAIN_DEADLINE_MS, plus DRAIN_MARGIN_MS.
+# A request that arrives during the drain has to finish by its end. It is rejected if that leaves less time than both
+# its own timeout and MIN_DRAIN_DEADLINE_MS, since an attempt would rarely finish.
 MAX_DRAIN_DEADLINE_MS = 3000.0
 DRAIN_MARGIN_MS = 500.0
 MIN_DRAIN_DEADLINE_MS = 1000.0
-# What a deadline loses between client and node. Measured: up to 1 ms each way, and at the 99th percentile 1.7 ms
-# from a request's arrival to its first attempt and 1.4 ms from a response's arrival to its client.
+# Subtracted from a client's timeout, for the network and for processing in the node.
 DEADLINE_MARGIN_MS = 5.0
 
 
 class RequestHandler:
-    """The requests of the clients of one node."""
+    """Handles the events of the client requests of one node."""
 
-    def __init__(self, parts: ProxyParts) -> None:
-        self._parts = parts
-        self._longest_deadline_ms = 0.0  # of the requests so far
+    def __init__(self, context: ProxyContext) -> None:
+        self._context = context
+        self._longest_deadline_ms = 0.0  # of the requests received so far
 
-    def received(self, call: DownstreamRequest) -> None:
-        """The head of a request has been read.
+    def received(self, request: DownstreamRequest) -> None:
+        """Handles a request whose head has been read.
 
         Raises:
             BadRequestError: The request can't be accepted.
         """
-        request = self._parse(call)
-        call.id = request.id
+        event = self._parse(request)
+        request.id = event.id
         try:
-            effects = self._parts.node.receive_request(clock.now_ms(), request)
+            effects = self._context.node.receive_request(clock.now_ms(), event)
         except DuplicateRequestError as error:
             raise RefusedRequestError(409, "this Request-Id is being served already") from error
-        self._parts.calls[request.id] = call
-        self._parts.apply(effects)
+        self._context.client_requests[event.id] = request
+        self._context.apply(effects)
 
-    def completed(self, call: DownstreamRequest) -> None:
-        """The last byte of a request, whose head came before, has been read."""
-        parts = self._parts
-        if parts.calls.get(call.id) is call:
+    def completed(self, request: DownstreamRequest) -> None:
+        """Handles the end of a request whose body was still arriving at `received`."""
+        context = self._context
+        if context.client_requests.get(request.id) is request:
             now_ms = clock.now_ms()
-            deadline_at_ms = now_ms + self._time_for_response_ms(call.timeout_ms)
-            parts.apply(parts.node.request_completed(now_ms, call.id, deadline_at_ms))
+            deadline_at_ms = now_ms + self._time_for_response_ms(request.timeout_ms)
+            context.apply(context.node.request_completed(now_ms, request.id, deadline_at_ms))
 
-    def client_disconnected(self, call: DownstreamRequest) -> None:
-        """The client of a request has closed its connection."""
-        parts = self._parts
-        if parts.calls.get(call.id) is not call:
+    def client_disconnected(self, request: DownstreamRequest) -> None:
+        """Handles the disconnect of a request's client."""
+        context = self._context
+        if context.client_requests.get(request.id) is not request:
             return
-        del parts.calls[call.id]
-        parts.apply(parts.node.client_disconnected(clock.now_ms(), call.id))
-        for attempt in parts.node.attempts_in_flight(call.id):
-            # Spares servers work, also where the settings allow no cancellation: an unsent attempt has no effect.
-            if parts.upstream.cancel_unsent_attempt(call.id, attempt):
+        del context.client_requests[request.id]
+        context.apply(context.node.client_disconnected(clock.now_ms(), request.id))
+        for attempt in context.node.attempts_in_flight(request.id):
+            # Applies even where the settings forbid cancellation: an unsent attempt has no effect on its server.
+            if context.upstream.cancel_unsent_attempt(request.id, attempt):
                 result = AttemptResult.CONNECT_FAILED
-                parts.apply(parts.node.attempt_finished(clock.now_ms(), call.id, attempt, result))
+                context.apply(context.node.attempt_finished(clock.now_ms(), request.id, attempt, result))
 
     def response_started(
         self, id: str, attempt: int, length: int | None, on_writable: Callable[[], None]
     ) -> ResponseSink | None:
-        """An attempt's response is too long to be held, and is passed on as it arrives.
+        """Handles the start of a response that is too long to buffer and is streamed to the client.
 
         Args:
             id: The id of the request.
             attempt: The number of the attempt.
-            length: The length of the response's body, where its head tells.
-            on_writable: Called when the client can take more.
+            length: The length of the response's body in bytes, if its head states it.
+            on_writable: Called when the client's connection accepts more data.
 
         Returns:
-            What takes the pieces of the body; None where nobody waits for them.
+            The sink for the body's data, or None if no client waits for it.
         """
-        parts = self._parts
-        call = parts.calls.get(id)
-        effects = parts.node.response_started(clock.now_ms(), id, attempt) if call is not None else None
-        if call is None or effects is None:
+        context = self._context
+        request = context.client_requests.get(id)
+        effects = context.node.response_started(clock.now_ms(), id, attempt) if request is not None else None
+        if request is None or effects is None:
             return None
-        call.connection.start_response(call, length, on_writable)
-        parts.apply(effects)
-        return functools.partial(call.connection.send_response_data, call)
+        request.connection.start_response(request, length, on_writable)
+        context.apply(effects)
+        return functools.partial(request.connection.send_response_data, request)
 
     def attempt_finished(
         self, id: str, attempt: int, result: AttemptResult, report: dict[str, float] | None, body: bytes
     ) -> None:
-        """An attempt has ended on its connection."""
-        parts = self._parts
-        call = parts.calls.get(id)
-        if call is not None and not call.body.replayable:
-            parts.node.request_body_discarded(id)
-        parts.apply(parts.node.attempt_finished(clock.now_ms(), id, attempt, result, report, body))
+        """Handles the end of an attempt on its connection."""
+        context = self._context
+        request = context.client_requests.get(id)
+        if request is not None and not request.body.replayable:
+            context.node.request_body_discarded(id)
+        context.apply(context.node.attempt_finished(clock.now_ms(), id, attempt, result, report, body))
 
     def health_check_finished(
         self, server: str, result: AttemptResult, latency_ms: float, report: dict[str, float] | None
     ) -> None:
-        """A health check of a server has ended."""
-        parts = self._parts
-        parts.apply(parts.node.health_check_finished(clock.now_ms(), server, result, latency_ms, report))
+        """Handles the end of a server's health check."""
+        context = self._context
+        context.apply(context.node.health_check_finished(clock.now_ms(), server, result, latency_ms, report))
 
-    def _parse(self, call: DownstreamRequest) -> RequestReceived:
-        if call.method not in METHODS:
+    def _parse(self, request: DownstreamRequest) -> RequestReceived:
+        if request.method not in METHODS:
             raise BadRequestError(405, "GET and POST only")
-        id, service = call.header(b"request-id"), call.header(b"request-class")
+        id, service = request.header(b"request-id"), request.header(b"request-class")
         if not id or len(id) > MAX_REQUEST_ID_LENGTH:
             raise BadRequestError(400, "Request-Id is missing or too long")
-        if service not in self._parts.node.service_names:
+        if service not in self._context.node.service_names:
             raise BadRequestError(400, "Request-Class is missing or unknown")
-        timeout_ms = parse_number(call.header(b"request-timeout-ms"), "Request-Timeout-Ms", WHOLE_NUMBER)
+        timeout_ms = parse_number(request.header(b"request-timeout-ms"), "Request-Timeout-Ms", WHOLE_NUMBER)
         if timeout_ms is None or timeout_ms <= 0:
             raise BadRequestError(400, "Request-Timeout-Ms is missing or not positive")
-        call.timeout_ms = timeout_ms
-        timeout_ms -= self._waited_ms(call)
+        request.timeout_ms = timeout_ms
+        timeout_ms -= self._waited_ms(request)
         self._check_time_left(service, timeout_ms)
-        hint = parse_number(call.header(b"work-hint"), "Work-Hint", DECIMAL_NUMBER)
+        hint = parse_number(request.header(b"work-hint"), "Work-Hint", DECIMAL_NUMBER)
         return RequestReceived(
             id=id,
             service=service,
             deadline_at_ms=clock.now_ms() + self._time_for_response_ms(timeout_ms),
-            tenant=call.header(b"tenant") or None,
+            tenant=request.header(b"tenant") or None,
             cost_hint_ms=None if hint is None else hint / 1000.0,
-            is_retry=call.header(b"client-retry") == "1",
-            complete=call.body.complete,
+            is_retry=request.header(b"client-retry") == "1",
+            complete=request.body.complete,
         )
 
-    def _waited_ms(self, call: DownstreamRequest) -> float:
-        """How long a complete request has waited for the responses before its own."""
-        if call.completed_s is None:
+    def _waited_ms(self, request: DownstreamRequest) -> float:
+        """Returns how long a complete request has waited for earlier responses on its connection, in milliseconds."""
+        if request.completed_s is None:
             return 0.0
-        return (self._parts.loop.time() - call.completed_s) * 1000.0
+        return (self._context.loop.time() - request.completed_s) * 1000.0
 
     def _check_time_left(self, service: str, timeout_ms: float) -> None:
-        """Rejects a request during a shutdown that leaves too little time for its response."""
+        """Rejects a request during a drain that leaves too little time for its response."""
         self._longest_deadline_ms = max(self._longest_deadline_ms, min(timeout_ms, MAX_DRAIN_DEADLINE_MS))
-        parts = self._parts
-        if parts.server.draining and self._time_left_ms() < min(timeout_ms, MIN_DRAIN_DEADLINE_MS):
-            parts.node.statistics.count_request(service, RequestOutcome.SHED)
+        context = self._context
+        if context.server.draining and self._time_left_ms() < min(timeout_ms, MIN_DRAIN_DEADLINE_MS):
+            context.node.statistics.count_request(service, RequestOutcome.SHED)
             raise RefusedRequestError(503, "this node stops before the answer could be there")
 
     def _time_for_response_ms(self, timeout_ms: float) -> float:
-        """How long a client with this timeout waits from its request's last byte on, as seen from here."""
-        if self._parts.server.draining:
+        """Returns the time for a response, in milliseconds from the last byte of the request."""
+        if self._context.server.draining:
             timeout_ms = min(timeout_ms, self._time_left_ms())
         return max(1.0, timeout_ms - DEADLINE_MARGIN_MS)
 
     def _time_left_ms(self) -> float:
-        """How long this process still has for responses, once it shuts down."""
-        draining_s = self._parts.server.drain_started_s - self._parts.loop.time()
+        """Returns how long the current drain still lasts, in milliseconds."""
+        draining_s = self._context.server.drain_started_s - self._context.loop.time()
         return draining_s * 1000.0 + self._longest_deadline_ms + DRAIN_MARGIN_MS
--- a/tests/http/test_client_disconnects.py
+++ b/tests/http/test_client_disconnects.py
@@ -46,7 +46,7 @@
                 client.send("post")
                 await connecting.wait()
                 disconnect(client, how)
-                await until(lambda: not proxy.calls)
+                await until(lambda: not proxy.client_requests)
                 may_connect.set()
                 await until(lambda: not proxy.node.requests and not proxy.upstream.exchanges)
                 assert proxy.upstream.connecting_count == 0
@@ -100,7 +100,7 @@
                 await until(lambda: connection.reading_paused)
                 disconnect(client, how)
                 await until(lambda: not proxy.server.connections)  # while the first request is in flight
-                assert not proxy.calls
+                assert not proxy.client_requests
                 assert not proxy.node.requests
                 assert proxy.node.active_requests == proxy.budget.used_bytes == 0
                 gate.set()
@@ -154,7 +154,7 @@
                 await until(lambda: len(server.got) == 1)
                 connection = next(iter(proxy.server.connections))
                 assert not connection.eof_received()  # false makes the event loop close the connection
-                assert not proxy.calls
+                assert not proxy.client_requests
                 assert not proxy.node.requests
             gate.set()
 
@@ -174,7 +174,9 @@
             )
             for index, client in enumerate(clients):
                 disconnect(client, ("close", "reset", "half")[index % 3])
-            await until(lambda: not proxy.calls and not proxy.node.requests and not proxy.upstream.exchanges)
+            await until(
+                lambda: not proxy.client_requests and not proxy.node.requests and not proxy.upstream.exchanges
+            )
             await until(lambda: proxy.upstream.open_count == 0)
             assert proxy.node.active_requests == 0
             assert proxy.node.balancer.parts.shared.pool.load == 0.0
--- a/tests/http/test_forwarding.py
+++ b/tests/http/test_forwarding.py
@@ -143,7 +143,7 @@
                 assert status(await client.ask("post", timeout=120)) == 504
                 await until(lambda: server.closed == 1)
                 assert not proxy.node.requests
-                assert not proxy.calls
+                assert not proxy.client_requests
 
     run(main())
 
@@ -158,7 +158,7 @@
                 await until(lambda: len(server.got) == 1)
             await until(lambda: server.closed == 1)
             assert not proxy.node.requests
-            assert not proxy.calls
+            assert not proxy.client_requests
             assert not proxy.upstream.exchanges
 
     run(main())
@@ -261,7 +261,7 @@
             assert status(await client.ask("post")) == 500
             proxy.node.balancer.handle = handle  # type: ignore[method-assign]
             assert status(await client.ask("post")) == 200
-            assert not proxy.calls
+            assert not proxy.client_requests
 
     run(main())
 
