--- a/rosewheel/cli/control.py
+++ b/rosewheel/cli/control.py
@@ -14,7 +14,7 @@
 from rosewheel.cli.control_calls import EXIT_NOT_DONE, call_machine, exit_bad_input
 from rosewheel.cli.control_serve import serve
 from rosewheel.control.codec.calls import (
-    decode_change_answer,
+    decode_change_response,
     decode_history,
     encode_promote,
     encode_put,
@@ -117,7 +117,7 @@
     """Make the machine at this address the one that writes."""
     request = PromoteRequest(force, author or _user())
     row = call_machine(machine, "POST", PROMOTE_PATH, encode_promote(request), follow_leader=False)
-    answer = decode_change_answer(row)
+    answer = decode_change_response(row)
     for lost in answer.lost or ():
         click.echo(f"lost: {lost}", err=True)
     verb = "writes from" if answer.changed else "writes already, at"
@@ -140,7 +140,7 @@
 
 
 def _print_change(row: JsonObject) -> None:
-    answer = decode_change_answer(row)
+    answer = decode_change_response(row)
     if answer.changed:
         click.echo(f"version {answer.revision.number}")
     else:
--- a/rosewheel/control/codec/calls.py
+++ b/rosewheel/control/codec/calls.py
@@ -7,11 +7,11 @@
 from rosewheel.control.codec.paths import HISTORY_PATH
 from rosewheel.control.codec.values import (
     JsonObject,
-    decode_answer_revision,
     decode_epoch,
+    decode_response_revision,
     decode_revision,
-    encode_answer_revision,
     encode_epoch,
+    encode_response_revision,
     encode_revision,
     malformed_on_error,
 )
@@ -19,10 +19,10 @@
 from rosewheel.control.documents import Document
 from rosewheel.control.errors import MalformedMessageError
 from rosewheel.control.messages import (
-    ChangeAnswer,
-    ErrorAnswer,
+    ChangeResponse,
+    ErrorResponse,
     Heartbeat,
-    HistoryAnswer,
+    HistoryResponse,
     MachineState,
     PromoteRequest,
     PutRequest,
@@ -74,7 +74,7 @@
     }
 
 
-def encode_fence_answer(state: MachineState) -> JsonObject:
+def encode_fence_response(state: MachineState) -> JsonObject:
     """Return the answer to a fence."""
     return encode_machine_state(state) | {"fenced": state.is_fenced}
 
@@ -210,18 +210,18 @@
 
 def encode_configuration(revision: Revision, document: Document) -> JsonObject:
     """Return the answer to a call for the document."""
-    return encode_answer_revision(revision) | {"config": document}
+    return encode_response_revision(revision) | {"config": document}
 
 
-def encode_change_answer(answer: ChangeAnswer) -> JsonObject:
+def encode_change_response(answer: ChangeResponse) -> JsonObject:
     """Return the answer to a put, rollback or promotion."""
-    row = encode_answer_revision(answer.revision) | {"changed": answer.changed}
+    row = encode_response_revision(answer.revision) | {"changed": answer.changed}
     if answer.lost is not None:
         row["lost"] = list(answer.lost)
     return row
 
 
-def decode_change_answer(row: JsonObject) -> ChangeAnswer:
+def decode_change_response(row: JsonObject) -> ChangeResponse:
     """Read the answer to a put, rollback or promotion.
 
     Raises:
@@ -229,12 +229,12 @@
     """
     with malformed_on_error():
         lost = row.get("lost")
-        return ChangeAnswer(
-            decode_answer_revision(row), bool(row["changed"]), None if lost is None else tuple(lost)
+        return ChangeResponse(
+            decode_response_revision(row), bool(row["changed"]), None if lost is None else tuple(lost)
         )
 
 
-def encode_history(answer: HistoryAnswer) -> JsonObject:
+def encode_history(answer: HistoryResponse) -> JsonObject:
     """Return the answer to a history call."""
     return {
         "machine": answer.machine,
@@ -243,7 +243,7 @@
     }
 
 
-def decode_history(row: JsonObject) -> HistoryAnswer:
+def decode_history(row: JsonObject) -> HistoryResponse:
     """Read the answer to a history call.
 
     Raises:
@@ -251,11 +251,11 @@
     """
     with malformed_on_error():
         changes = tuple(_decode_history_change(value) for value in row["versions"])
-        return HistoryAnswer(str(row["machine"]), int(row["oldest"]), changes)
+        return HistoryResponse(str(row["machine"]), int(row["oldest"]), changes)
 
 
 def _encode_history_change(change: Change) -> JsonObject:
-    return encode_answer_revision(change.revision) | {
+    return encode_response_revision(change.revision) | {
         "at_s": change.created_at_s,
         "by": change.author,
         "note": change.note,
@@ -264,10 +264,10 @@
 
 
 def _decode_history_change(row: Any) -> Change:
-    return Change(decode_answer_revision(row), row["patch"], row["by"], row["note"], row["at_s"])
+    return Change(decode_response_revision(row), row["patch"], row["by"], row["note"], row["at_s"])
 
 
-def encode_error(answer: ErrorAnswer) -> JsonObject:
+def encode_error(answer: ErrorResponse) -> JsonObject:
     """Return the answer to a call that failed."""
     row: JsonObject = {"error": answer.text}
     if answer.leader is not None:
@@ -279,10 +279,10 @@
     return row
 
 
-def decode_error(row: object) -> ErrorAnswer:
+def decode_error(row: object) -> ErrorResponse:
     """Read the answer to a call that failed; one of another form gives an empty text."""
     if not isinstance(row, dict):
-        return ErrorAnswer("")
-    return ErrorAnswer(
+        return ErrorResponse("")
+    return ErrorResponse(
         str(row.get("error", "")), row.get("writer"), row.get("address") or "", row.get("version")
     )
--- a/rosewheel/control/codec/status.py
+++ b/rosewheel/control/codec/status.py
@@ -7,11 +7,11 @@
 from rosewheel.control.codec.paths import STATUS_PATH
 from rosewheel.control.codec.values import (
     JsonObject,
-    decode_answer_revision,
     decode_epoch,
+    decode_response_revision,
     decode_revision,
-    encode_answer_revision,
     encode_epoch,
+    encode_response_revision,
     encode_revision,
     malformed_on_error,
 )
@@ -66,7 +66,7 @@
         "asked": report.contacted,
         "machine": report.machine,
         "problem": report.problem,
-        **encode_answer_revision(report.committed),
+        **encode_response_revision(report.committed),
         "written": report.last_number,
         "seen": encode_epoch(report.highest_epoch_seen),
         "machines": [_encode_machine(machine) for machine in report.machines],
@@ -92,7 +92,7 @@
         "away": report.disconnected_count,
         "longest_behind_s": round(report.longest_behind_s, SECONDS_DIGITS),
         "versions": [
-            encode_answer_revision(count.revision) | {"nodes": count.nodes} for count in report.revisions
+            encode_response_revision(count.revision) | {"nodes": count.nodes} for count in report.revisions
         ],
         "behind_nodes": [_encode_node(node) for node in report.behind],
         "refused_nodes": [_encode_node(node) for node in report.rejected],
@@ -134,7 +134,7 @@
             contacted=row["asked"],
             machine=row["machine"],
             problem=row["problem"],
-            committed=decode_answer_revision(row),
+            committed=decode_response_revision(row),
             last_number=int(row["written"]),
             highest_epoch_seen=decode_epoch(row["seen"]),
             machines=tuple(_decode_machine(value) for value in row["machines"]),
@@ -159,7 +159,7 @@
         disconnected_count=row["away"],
         longest_behind_s=row["longest_behind_s"],
         revisions=tuple(
-            RevisionCount(decode_answer_revision(value), value["nodes"]) for value in row["versions"]
+            RevisionCount(decode_response_revision(value), value["nodes"]) for value in row["versions"]
         ),
         behind=_decode_nodes(row["behind_nodes"]),
         rejected=_decode_nodes(row["refused_nodes"]),
--- a/rosewheel/control/codec/values.py
+++ b/rosewheel/control/codec/values.py
@@ -61,12 +61,12 @@
     raise MalformedMessageError(f"{value!r} is no epoch")
 
 
-def encode_answer_revision(revision: Revision) -> JsonObject:
+def encode_response_revision(revision: Revision) -> JsonObject:
     """Return a revision as the fields `version`, `epoch` and `writer` of an answer to operators."""
     return {"version": revision.number, "epoch": revision.epoch_number, "writer": revision.leader}
 
 
-def decode_answer_revision(row: JsonObject) -> Revision:
+def decode_response_revision(row: JsonObject) -> Revision:
     """Read a revision from the fields of an answer to operators.
 
     Raises:
--- a/rosewheel/control/machine_api.py
+++ b/rosewheel/control/machine_api.py
@@ -28,9 +28,9 @@
 from rosewheel.control.machine_parts import MachineParts
 from rosewheel.control.machine_status import StatusReporter
 from rosewheel.control.messages import (
-    ChangeAnswer,
-    ErrorAnswer,
-    HistoryAnswer,
+    ChangeResponse,
+    ErrorResponse,
+    HistoryResponse,
     MachineState,
     NodeStatus,
     WatchRequest,
@@ -106,7 +106,7 @@
         if route is None:
             return _error_response(404, "no such call; there are " + ", ".join(self._routes))
         if request.method != route.method:
-            error = ErrorAnswer(f"{path} takes {route.method}")
+            error = ErrorResponse(f"{path} takes {route.method}")
             return JsonResponse(405, codec.encode_error(error), allow=route.method)
         query = {key: values[-1] for key, values in parse_qs(query_text, keep_blank_values=True).items()}
         try:
@@ -132,7 +132,7 @@
         address = ""
         if leader in self._settings.peers:
             address = "{}:{}".format(*self._settings.peers[leader])
-        return JsonResponse(409, codec.encode_error(ErrorAnswer(str(error), leader, address)))
+        return JsonResponse(409, codec.encode_error(ErrorResponse(str(error), leader, address)))
 
     # ------------------------------------------------------------------- nodes, machines
 
@@ -189,7 +189,7 @@
         epoch = codec.decode_fence(row)
         await self._store.observe_epoch(epoch)
         is_fenced = self._store.replica.highest_epoch_seen == epoch
-        return JsonResponse(200, codec.encode_fence_answer(self._state(is_fenced)))
+        return JsonResponse(200, codec.encode_fence_response(self._state(is_fenced)))
 
     def _state(self, is_fenced: bool = False) -> MachineState:
         replica = self._store.replica
@@ -216,16 +216,16 @@
 
     async def _change_response(self, change: Change | None) -> JsonResponse:
         if change is None:
-            answer = ChangeAnswer(self._store.replica.last, changed=False)
+            answer = ChangeResponse(self._store.replica.last, changed=False)
         else:
             await self._store.wait_committed(change.revision, COMMIT_TIMEOUT_S)
-            answer = ChangeAnswer(change.revision, changed=True)
-        return JsonResponse(200, codec.encode_change_answer(answer))
+            answer = ChangeResponse(change.revision, changed=True)
+        return JsonResponse(200, codec.encode_change_response(answer))
 
     async def _history(self, query: JsonObject) -> JsonResponse:
         limit = codec.decode_history_limit(query)
         history = self._store.replica.history
-        answer = HistoryAnswer(
+        answer = HistoryResponse(
             self._settings.name,
             oldest=history.snapshot.revision.number,
             changes=tuple(reversed(history.changes[-limit:])),
@@ -239,7 +239,7 @@
 
     async def _promote(self, row: JsonObject) -> JsonResponse:
         answer = await self._promotion.run(codec.decode_promote(row))
-        return JsonResponse(200, codec.encode_change_answer(answer))
+        return JsonResponse(200, codec.encode_change_response(answer))
 
 
 def _json_object(body: bytes) -> JsonObject:
@@ -250,4 +250,4 @@
 
 
 def _error_response(status: int, text: str, current: int | None = None) -> JsonResponse:
-    return JsonResponse(status, codec.encode_error(ErrorAnswer(text, current=current)))
+    return JsonResponse(status, codec.encode_error(ErrorResponse(text, current=current)))
--- a/rosewheel/control/messages.py
+++ b/rosewheel/control/messages.py
@@ -181,7 +181,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class ChangeAnswer:
+class ChangeResponse:
     """Answer to a put, rollback or promotion.
 
     Attributes:
@@ -196,7 +196,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class HistoryAnswer:
+class HistoryResponse:
     """The last changes, newest first.
 
     Attributes:
@@ -211,7 +211,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class ErrorAnswer:
+class ErrorResponse:
     """Answer to a call that failed.
 
     Attributes:
--- a/rosewheel/control/promotion.py
+++ b/rosewheel/control/promotion.py
@@ -11,7 +11,7 @@
 from rosewheel.control.errors import HigherEpochSeenError, HttpCallError
 from rosewheel.control.heartbeats import PeerHeartbeat
 from rosewheel.control.machine_parts import MachineParts
-from rosewheel.control.messages import ChangeAnswer, Heartbeat, MachineState, PromoteRequest
+from rosewheel.control.messages import ChangeResponse, Heartbeat, MachineState, PromoteRequest
 from rosewheel.control.revisions import Revision
 
 # How long a change may take to reach another machine. One that turns to a new leader needs 2 s.
@@ -26,7 +26,7 @@
         """Promote the machine of these parts."""
         self._name, self._store, self._peers = parts.name, parts.store, parts.peers
 
-    async def run(self, request: PromoteRequest) -> ChangeAnswer:
+    async def run(self, request: PromoteRequest) -> ChangeResponse:
         """Begin an epoch of this machine above all that were seen.
 
         Raises:
@@ -37,7 +37,7 @@
         """
         replica = self._store.replica
         if replica.is_leader:
-            return ChangeAnswer(replica.last, changed=False)
+            return ChangeResponse(replica.last, changed=False)
         # Peers are asked before they are fenced, so that nothing changes where this machine may not be promoted.
         heartbeat = Heartbeat(self._name, replica.highest_epoch_seen, replica.last)
         states = await self._call_peers(HEARTBEAT_PATH, encode_heartbeat(heartbeat))
@@ -53,7 +53,7 @@
         lost = self._lost_revisions(peer_revisions)
         if peer_revisions:
             await self._store.wait_committed(change.revision, COMMIT_TIMEOUT_S)
-        return ChangeAnswer(change.revision, changed=True, lost=lost)
+        return ChangeResponse(change.revision, changed=True, lost=lost)
 
     async def _check_fenced(self, states: Mapping[str, MachineState]) -> None:
         for peer, state in states.items():
--- a/tests/control/test_codec.py
+++ b/tests/control/test_codec.py
@@ -12,12 +12,12 @@
 from rosewheel.control.codec.status import decode_status, encode_status, status_target
 from rosewheel.control.errors import CachedDocumentError, MalformedMessageError
 from rosewheel.control.messages import (
-    ChangeAnswer,
+    ChangeResponse,
     ConfigurationUpdate,
-    ErrorAnswer,
+    ErrorResponse,
     FleetReport,
     Heartbeat,
-    HistoryAnswer,
+    HistoryResponse,
     MachineReport,
     MachineState,
     NodeAcknowledgement,
@@ -149,7 +149,7 @@
     state = MachineState("c1", "ab", epoch, last, is_fenced=True)
     answer = row | {"boot": "ab"}
     assert calls.encode_machine_state(state) == answer
-    assert calls.encode_fence_answer(state) == answer | {"fenced": True}
+    assert calls.encode_fence_response(state) == answer | {"fenced": True}
     assert calls.decode_machine_state(answer | {"fenced": True}) == state
     assert calls.encode_fence(epoch) == {"epoch": [2, "c2"]}
     assert calls.decode_fence({"epoch": [2, "c2"]}) == epoch
@@ -172,14 +172,14 @@
 
 def test_answers_to_operators():
     revision = {"version": 3, "epoch": 1, "writer": "c1"}
-    answer = ChangeAnswer(Revision(1, "c1", 3), changed=True, lost=("c2 held version 2",))
+    answer = ChangeResponse(Revision(1, "c1", 3), changed=True, lost=("c2 held version 2",))
     row = revision | {"changed": True, "lost": ["c2 held version 2"]}
-    assert calls.encode_change_answer(answer) == row
-    assert calls.decode_change_answer(row) == answer
-    unchanged = ChangeAnswer(Revision(1, "c1", 3), changed=False)
-    assert calls.encode_change_answer(unchanged) == revision | {"changed": False}
+    assert calls.encode_change_response(answer) == row
+    assert calls.decode_change_response(row) == answer
+    unchanged = ChangeResponse(Revision(1, "c1", 3), changed=False)
+    assert calls.encode_change_response(unchanged) == revision | {"changed": False}
     change = Change(Revision(1, "c1", 3), {"a": 1}, "ana", "why", 12.5)
-    history = HistoryAnswer("c1", 0, (change,))
+    history = HistoryResponse("c1", 0, (change,))
     history_row = {
         "machine": "c1",
         "oldest": 0,
@@ -187,11 +187,11 @@
     }
     assert calls.encode_history(history) == history_row
     assert calls.decode_history(history_row) == history
-    not_leader = ErrorAnswer("c1 writes, not c2", "c1", "10.0.1.5:8600")
+    not_leader = ErrorResponse("c1 writes, not c2", "c1", "10.0.1.5:8600")
     not_leader_row = {"error": "c1 writes, not c2", "writer": "c1", "address": "10.0.1.5:8600"}
     assert calls.encode_error(not_leader) == not_leader_row
     assert calls.decode_error(not_leader_row) == not_leader
-    assert calls.encode_error(ErrorAnswer("no", current=3)) == {"error": "no", "version": 3}
+    assert calls.encode_error(ErrorResponse("no", current=3)) == {"error": "no", "version": 3}
 
 
 def test_the_status_report():
