--- a/rosewheel/control/errors.py
+++ b/rosewheel/control/errors.py
@@ -1,4 +1,4 @@
-"""Errors of the fleet's configuration. Each has the facts as fields; its text is one plain line."""
+"""Exceptions of the control plane. Each carries its details as attributes and has a one-line message."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 class InvalidDocumentError(ControlError, ValueError):
-    """A document or patch that nodes could not apply; the text begins with the key."""
+    """Nodes could not apply a document or patch; the message begins with the key."""
 
 
 class CachedDocumentError(ControlError, ValueError):
@@ -29,7 +29,7 @@
 
 
 class StaleUpdateError(ControlError, ValueError):
-    """A node was sent an earlier revision than it has received.
+    """A node was sent an earlier revision than the last one it received.
 
     Attributes:
         revision: The revision that was sent.
@@ -37,7 +37,7 @@
     """
 
     def __init__(self, revision: Revision, received: Revision) -> None:
-        super().__init__(f"{revision} is from before {received}")
+        super().__init__(f"{revision} is older than {received}")
         self.revision, self.received = revision, received
 
 
@@ -45,11 +45,11 @@
 
 
 class OutOfSequenceError(ControlError, ValueError):
-    """A change does not follow the last revision.
+    """A change does not directly follow the last revision.
 
     Attributes:
         revision: The change's revision.
-        last: The revision that it was to follow.
+        last: The last revision.
     """
 
     def __init__(self, revision: Revision, last: Revision) -> None:
@@ -58,15 +58,15 @@
 
 
 class RevisionConflictError(ControlError):
-    """A change was made for another revision than the current one.
+    """A change expected a revision other than the current one.
 
     Attributes:
         current: Number of the current revision.
-        expected: Number that the caller expected.
+        expected: Number of the expected revision.
     """
 
     def __init__(self, current: int, expected: int) -> None:
-        super().__init__(f"version is {current}, not {expected}")
+        super().__init__(f"version conflict: the current version is {current}, not {expected}")
         self.current, self.expected = current, expected
 
 
@@ -74,13 +74,13 @@
     """A revision was never written, or is no longer retained.
 
     Attributes:
-        number: The number that was asked for.
+        number: The requested number.
         oldest: Number of the oldest retained revision.
-        newest: Number of the newest one.
+        newest: Number of the newest revision.
     """
 
     def __init__(self, number: int, oldest: int, newest: int) -> None:
-        super().__init__(f"version {number} is not kept; {oldest} to {newest} are")
+        super().__init__(f"version {number} is not retained; retained versions are {oldest} to {newest}")
         self.number, self.oldest, self.newest = number, oldest, newest
 
 
@@ -88,15 +88,15 @@
 
 
 class NotLeaderError(ControlError):
-    """Another machine leads, or none that this machine knows of.
+    """This machine is not the leader.
 
     Attributes:
-        machine: This machine.
-        leader: The leader, empty where none is known.
+        machine: Name of this machine.
+        leader: Name of the leader; empty if unknown.
     """
 
     def __init__(self, machine: str, leader: str, text: str = "") -> None:
-        super().__init__(text or f"{leader or 'no machine'} writes, not {machine}")
+        super().__init__(text or f"{machine} is not the leader; the leader is {leader or 'unknown'}")
         self.machine, self.leader = machine, leader
 
 
@@ -104,7 +104,7 @@
     """Another machine was promoted during the promotion of this one."""
 
     def __init__(self, machine: str, leader: str) -> None:
-        super().__init__(machine, leader, f"{leader} was promoted meanwhile")
+        super().__init__(machine, leader, f"promotion of {machine} superseded: {leader} was promoted")
 
 
 class WriteUnavailableError(ControlError):
@@ -112,33 +112,33 @@
 
 
 class PreviousChangeUncommittedError(WriteUnavailableError):
-    """The previous change has no copy on another machine yet.
+    """The previous change is not replicated yet.
 
     Attributes:
         number: Number of the previous revision.
     """
 
     def __init__(self, number: int) -> None:
-        super().__init__(f"version {number} is held by no other machine yet")
+        super().__init__(f"version {number} is not replicated to another machine yet")
         self.number = number
 
 
 class PeersNotContactedError(WriteUnavailableError):
-    """The first leader has not had contact with all peers before its first change.
+    """The initial leader has not been in contact with all peers before its first change.
 
     Attributes:
-        peers: The peers that it has not had contact with.
+        peers: The peers without contact.
     """
 
     def __init__(self, peers: Sequence[str]) -> None:
         super().__init__(
-            f"before the first version all have to be heard of, and {', '.join(peers)} is not yet"
+            f"the first version requires contact with all machines; not contacted yet: {', '.join(peers)}"
         )
         self.peers = tuple(peers)
 
 
 class LeaderLogLostError(WriteUnavailableError):
-    """The first leader has an empty log while peers have revisions: its disk was lost.
+    """The initial leader has an empty log but peers have revisions, so its disk was lost.
 
     Attributes:
         machine: The leader.
@@ -147,7 +147,7 @@
 
     def __init__(self, machine: str, peers: Sequence[str]) -> None:
         super().__init__(
-            f"{', '.join(peers)} hold versions, and {machine} none: promote one of those that do"
+            f"{machine} has an empty log, but peers have versions; promote one of them: {', '.join(peers)}"
         )
         self.machine, self.peers = machine, tuple(peers)
 
@@ -156,7 +156,7 @@
 
 
 class NotReplicatedError(ControlError):
-    """A change is in the leader's log, but is not known to have a copy on another machine.
+    """A change is in the leader's log but not known to be replicated.
 
     Attributes:
         revision: The change's revision.
@@ -168,18 +168,18 @@
 
 
 class ReplicationTimeoutError(NotReplicatedError):
-    """No other machine has acknowledged a change in time. It is committed once one does."""
+    """No other machine acknowledged a change in time. The change is committed once one does."""
 
     def __init__(self, revision: Revision) -> None:
         super().__init__(
             revision,
-            f"{revision} is written here, but no other machine has it yet: it is in force nowhere, "
-            "and will be once one has",
+            f"{revision} is in the leader's log but not replicated to another machine yet; "
+            "nodes receive it once it is",
         )
 
 
 class ReplicationSupersededError(NotReplicatedError):
-    """Another machine was promoted before a change had a second copy.
+    """Another machine was promoted before a change was replicated.
 
     Attributes:
         leader: The new leader.
@@ -188,7 +188,7 @@
     def __init__(self, revision: Revision, leader: str) -> None:
         super().__init__(
             revision,
-            f"{leader} was promoted before another machine had {revision}: whether it holds is not known",
+            f"{leader} was promoted before {revision} was replicated; the change may be lost",
         )
         self.leader = leader
 
@@ -198,7 +198,7 @@
 
 
 class FencedError(SuffixRejectedError):
-    """A log suffix is of a lower epoch than one that this machine has seen.
+    """A log suffix ends in a lower epoch than the highest that this machine has seen.
 
     Attributes:
         revision: The suffix's last revision.
@@ -206,12 +206,12 @@
     """
 
     def __init__(self, revision: Revision, epoch: Epoch) -> None:
-        super().__init__(f"{revision} is from before epoch {epoch.number} ({epoch.leader})")
+        super().__init__(f"{revision} is older than epoch {epoch.number} ({epoch.leader})")
         self.revision, self.epoch = revision, epoch
 
 
 class StaleSuffixError(SuffixRejectedError):
-    """A log suffix leads to nothing newer than this machine has.
+    """A log suffix does not end after this machine's last revision.
 
     Attributes:
         revision: The suffix's last revision.
@@ -219,7 +219,7 @@
     """
 
     def __init__(self, revision: Revision, last: Revision) -> None:
-        super().__init__(f"{revision} is not after {last}")
+        super().__init__(f"{revision} is not newer than {last}")
         self.revision, self.last = revision, last
 
 
@@ -227,49 +227,53 @@
 
 
 class NotPromotableError(ControlError):
-    """A machine may not be promoted: others have, or may have, changes that it lacks."""
+    """A machine may not be promoted because peers have, or may have, changes that it lacks."""
 
 
 class PeersAheadError(NotPromotableError):
     """Peers have changes that this machine lacks.
 
     Attributes:
-        machine: This machine.
-        last: Its last revision.
-        ahead: The peers' last revisions.
+        machine: Name of this machine.
+        last: Last revision of this machine.
+        ahead: Last revisions of the peers that are ahead.
     """
 
     def __init__(self, machine: str, last: Revision, ahead: Mapping[str, Revision]) -> None:
-        peers = ", ".join(f"{peer} holds {revision}" for peer, revision in sorted(ahead.items()))
-        super().__init__(f"{machine} holds {last}, but {peers}")
+        peers = ", ".join(f"{peer} has {revision}" for peer, revision in sorted(ahead.items()))
+        super().__init__(f"{machine} has {last}, but {peers}")
         self.machine, self.last, self.ahead = machine, last, dict(ahead)
 
 
 class PromotionQuorumError(NotPromotableError):
-    """Too few machines with revisions answered, so a committed change may be unknown here.
+    """Too few machines reported revisions, so a committed change may be missing here.
 
     Attributes:
-        silent: Machines that did not answer, or have an empty log.
-        known: How many machines have revisions, this one included.
-        required: How many must.
+        silent: Machines that did not respond or have an empty log.
+        known: Number of machines that reported revisions, including this one.
+        required: Number of machines required.
     """
 
     def __init__(self, silent: Sequence[str], known: int, required: int) -> None:
         names = ", ".join(silent) or "all"
-        super().__init__(f"what {names} held is not known: {known} of {required} machines could say")
+        super().__init__(
+            f"promotion quorum not reached: {known} of {required} machines reported versions; missing: {names}"
+        )
         self.silent, self.known, self.required = tuple(silent), known, required
 
 
 class HigherEpochSeenError(NotPromotableError):
-    """A peer has seen an epoch above the one that the promotion was to begin.
+    """A peer has seen a higher epoch than the promotion's.
 
     Attributes:
-        peer: The peer.
-        epoch: The epoch that it has seen.
+        peer: Name of the peer.
+        epoch: The highest epoch that the peer has seen.
     """
 
     def __init__(self, peer: str, epoch: Epoch) -> None:
-        super().__init__(f"{peer} has seen epoch {epoch.number} ({epoch.leader}): try again")
+        super().__init__(
+            f"{peer} has already seen epoch {epoch.number} ({epoch.leader}); retry the promotion"
+        )
         self.peer, self.epoch = peer, epoch
 
 
@@ -281,17 +285,17 @@
 
 
 class LogDamagedError(LogUnusableError):
-    """A record in the middle of the log does not match its checksum.
+    """A record of the log does not match its checksum.
 
     Attributes:
         path: The log file.
-        offset: Where the damaged record begins, in bytes.
-        good_records: How many records before it are good.
+        offset: Offset of the corrupt record, in bytes.
+        valid_records: Number of valid records before it.
     """
 
-    def __init__(self, path: Path, offset: int, good_records: int) -> None:
-        super().__init__(f"{path}: damaged at byte {offset}, after {good_records} good records")
-        self.path, self.offset, self.good_records = path, offset, good_records
+    def __init__(self, path: Path, offset: int, valid_records: int) -> None:
+        super().__init__(f"{path}: corrupt record at byte {offset}, after {valid_records} valid records")
+        self.path, self.offset, self.valid_records = path, offset, valid_records
 
 
 class LogLockedError(LogUnusableError):
@@ -302,20 +306,22 @@
     """
 
     def __init__(self, directory: Path) -> None:
-        super().__init__(f"{directory}: another process has it")
+        super().__init__(f"{directory}: the log is in use by another process")
         self.directory = directory
 
 
 class LogWriteError(ControlError, OSError):
-    """A write or sync failed; the log accepts no more until all its records are on a new file.
+    """A write or sync failed; the log accepts no records until its accepted ones are on a new file.
 
     Attributes:
         path: The log's file or directory.
-        reason: What the system said.
+        reason: The system's error message.
     """
 
     def __init__(self, path: Path, reason: str) -> None:
-        super().__init__(f"{path}: {reason}: nothing is accepted until the disk is written again")
+        super().__init__(
+            f"{path}: log write failed: {reason}; no changes are accepted until a write succeeds"
+        )
         self.path, self.reason = path, reason
 
 
@@ -323,11 +329,11 @@
 
 
 class HttpCallError(ControlError):
-    """A call had no answer, or one that is not HTTP with JSON.
+    """A call got no response, or one that is not JSON over HTTP.
 
     Attributes:
-        address: The address that was called.
-        reason: Why there is no answer.
+        address: Address of the called machine.
+        reason: Cause of the failure.
     """
 
     def __init__(self, address: Address, reason: str) -> None:
@@ -336,14 +342,14 @@
 
 
 class PeerRejectedCallError(ControlError):
-    """A peer answered a call with an error.
+    """A peer responded to a call with an error.
 
     Attributes:
-        peer: The peer.
-        status: HTTP status of the answer.
-        reason: The peer's own text, or the status.
+        peer: Name of the peer.
+        status: HTTP status of the response.
+        reason: The peer's error message; may be empty.
     """
 
     def __init__(self, peer: str, status: int, reason: str) -> None:
-        super().__init__(f"{peer}: {reason or status}")
+        super().__init__(f"{peer} rejected the call: {reason or status}")
         self.peer, self.status, self.reason = peer, status, reason
--- a/tests/control/test_control_processes.py
+++ b/tests/control/test_control_processes.py
@@ -148,7 +148,7 @@
     """Put a change. Before the first revision all machines must have been contacted, which takes a moment."""
     for _ in range(MAX_ATTEMPTS):
         result = run_command("put", str(path), "--at", machine, "--by", "ana")
-        if "heard of" not in result[2]:
+        if "not contacted yet" not in result[2]:
             return result
     raise AssertionError(result)
 
@@ -223,7 +223,7 @@
         assert put(change, addresses[1]) == (0, "version 1", "")
         assert put(change, addresses[2]) == (0, "nothing changes: version 1 stays", "")
         code, _, errors = run_command("put", str(change), "--at", addresses[0], "--version", "7")
-        assert (code, errors) == (1, "rosewheel: version is 1, not 7")
+        assert (code, errors) == (1, "rosewheel: version conflict: the current version is 1, not 7")
         change.write_text('{"limits": null}')
         assert put(change, addresses[0])[1] == "version 2"
         assert run_command("rollback", "1", "--at", addresses[0])[1] == "version 3"
@@ -262,7 +262,7 @@
             "--writer: no machine 'c9'",
         ),
         (["--config", "BAD"], "listen: "),
-        (["--name", "c1", "--listen", "127.0.0.1:1", "--dir", "DAMAGED"], "damaged at byte "),
+        (["--name", "c1", "--listen", "127.0.0.1:1", "--dir", "DAMAGED"], "corrupt record at byte "),
     ],
 )
 def test_a_machine_that_cannot_start_prints_the_reason_in_one_line(
--- a/tests/control/test_durable_log.py
+++ b/tests/control/test_durable_log.py
@@ -72,7 +72,7 @@
         other = data.draw(st.integers(0, 255).filter(lambda value: value != content[offset]))
         damaged = content[:offset] + bytes([other]) + content[offset + 1 :]
         with pytest.raises(
-            LogDamagedError, match=r"control\.log: damaged at byte \d+, after \d+ good records"
+            LogDamagedError, match=r"control\.log: corrupt record at byte \d+, after \d+ valid records"
         ):
             read_log_of(directory, damaged)
         assert (directory / LOG_FILE_NAME).read_bytes() == damaged, "a damaged log is left unchanged"
@@ -165,7 +165,7 @@
 
 def test_a_second_process_is_refused(tmp_path: Path):
     log = DurableLog(tmp_path / "new")
-    with pytest.raises(LogLockedError, match="another process has it"):
+    with pytest.raises(LogLockedError, match="in use by another process"):
         DurableLog(tmp_path / "new")
     log.close()
     DurableLog(tmp_path / "new").close()
--- a/tests/control/test_history.py
+++ b/tests/control/test_history.py
@@ -87,7 +87,7 @@
         changes = history.changes_after(revision)
         if revision.number < history.snapshot.revision.number:
             assert changes is None
-            with pytest.raises(UnknownRevisionError, match="are"):
+            with pytest.raises(UnknownRevisionError, match="is not retained; retained versions are"):
                 history.rollback_patch(revision.number)
             continue
         assert document is not None
@@ -109,7 +109,7 @@
 
 def test_a_change_for_another_revision_conflicts_and_a_gap_is_refused():
     history = history_of([{"a": 1}])
-    with pytest.raises(RevisionConflictError, match="version is 1, not 0"):
+    with pytest.raises(RevisionConflictError, match="the current version is 1, not 0"):
         history.draft(Epoch(1, "c1"), PutRequest({}, expected=0))
     for revision in (Revision(1, "c1", 3), Revision(1, "c1", 1), Revision(0, "", 2)):
         with pytest.raises(OutOfSequenceError, match="does not follow"):
--- a/tests/control/test_machine.py
+++ b/tests/control/test_machine.py
@@ -148,9 +148,12 @@
                 *(cluster.put("c1", {"limits": {"max_open": value}}, 0) for value in (5, 6))
             )
             assert sorted(code for code, _ in answers) == [200, 409]
-            assert next(body["error"] for code, body in answers if code == 409) == "version is 1, not 0"
+            assert next(body["error"] for code, body in answers if code == 409) == (
+                "version conflict: the current version is 1, not 0"
+            )
             code, body = await cluster.put("c2", LIMITS, 1)
-            assert (code, body["error"], body["writer"]) == (409, "c1 writes, not c2", "c1")
+            assert (code, body["writer"]) == (409, "c1")
+            assert body["error"] == "c2 is not the leader; the leader is c1"
             assert body["address"] == "{}:{}".format(*cluster.routes["c2", "c1"].address)
 
     run(main())
@@ -171,7 +174,7 @@
             changes = [(change["version"], change["note"], change["by"]) for change in history["versions"]]
             assert changes == [(3, "back to version 1", ""), (2, "why", "ana")]
             code, body = await cluster.call("c1", "POST", "/control/rollback", {"to": 9, "version": 3})
-            assert (code, body["error"]) == (404, "version 9 is not kept; 0 to 3 are")
+            assert (code, body["error"]) == (404, "version 9 is not retained; retained versions are 0 to 3")
 
     run(main())
 
@@ -253,7 +256,7 @@
             assert (await cluster.put("c1", {"cordons": ["entrada-1"]}))[0] == 200
             code, body = await cluster.call("c3", "POST", "/control/promote", {})
             assert code == 409, "what the leader has acknowledged meanwhile is not known there"
-            assert "held is not known" in body["error"]
+            assert "promotion quorum not reached" in body["error"]
             assert {cluster.nodes[name].applied.number for name in far_nodes} == {0}
             cluster.heal(near | near_nodes, far | far_nodes)
             await until(lambda: applied_numbers(cluster) == {2} and all_committed(cluster, 2))
@@ -312,7 +315,7 @@
             # The partitioned leader writes, but no other machine has the change: no node is shown it.
             code, body = await cluster.put("c1", {"limits": {"max_open": 1}})
             assert code == 503
-            assert "no other machine has it yet" in body["error"]
+            assert "not replicated to another machine yet" in body["error"]
             code, body = await cluster.call("c2", "POST", "/control/promote", {"by": "ana"})
             assert (code, body["epoch"], body["version"], body["lost"]) == (200, 2, 2, [])
             assert (await cluster.put("c2", {"limits": {"max_open": 600}}))[0] == 200
@@ -329,7 +332,7 @@
             ]
             assert 1 not in values, "an uncommitted change was applied nowhere"
             code, body = await cluster.put("c1", LIMITS)
-            assert (code, body["error"]) == (409, "c2 writes, not c1")
+            assert (code, body["error"]) == (409, "c1 is not the leader; the leader is c2")
             # The epoch and the document are on its disk.
             await cluster.stop("c1")
             await cluster.start("c1")
@@ -354,9 +357,7 @@
             replication.close()  # so that it does not catch up
             code, body = await cluster.call("c3", "POST", "/control/promote", {})
             assert code == 409
-            assert (
-                "c3 holds version 1 of epoch 1 (c1), but c2 holds version 2 of epoch 1 (c1)" in body["error"]
-            )
+            assert "c3 has version 1 of epoch 1 (c1), but c2 has version 2 of epoch 1 (c1)" in body["error"]
             code, body = await cluster.call("c3", "POST", "/control/promote", {"force": True})
             assert (code, body["version"], body["epoch"]) == (200, 2, 2)
             assert body["lost"] == ["c2 held version 2 of epoch 1 (c1)"]
@@ -378,9 +379,9 @@
             machine.watches.close()
             await until(lambda: machine.store.replica.highest_epoch_seen == Epoch(3, "c2"))
             code, body = await cluster.put("c1", {"cordons": ["x"]})
-            assert (code, body["error"]) == (409, "c2 writes, not c1")
+            assert (code, body["error"]) == (409, "c1 is not the leader; the leader is c2")
             line = {"seq": 9, "epoch": 2, "writer": "c9", "whole": True, "config": {}}
-            with pytest.raises(StaleUpdateError, match="is from before version 1 of epoch 3"):
+            with pytest.raises(StaleUpdateError, match="is older than version 1 of epoch 3"):
                 node._decode(line)
             assert node.applied == later
 
@@ -460,7 +461,9 @@
             await until(lambda: set(cluster.machines["c1"].store.replica.peer_revisions) == {"c2", "c3"})
             code, body = await cluster.put("c1", LIMITS, 0)
             assert code == 503
-            assert body["error"] == "c2, c3 hold versions, and c1 none: promote one of those that do"
+            assert body["error"] == (
+                "c1 has an empty log, but peers have versions; promote one of them: c2, c3"
+            )
             assert (await cluster.call("c2", "POST", "/control/promote", {}))[0] == 200
             await until(lambda: all_committed(cluster, 3))
             expected = {"limits": {"max_open": 6}}
--- a/tests/control/test_replica.py
+++ b/tests/control/test_replica.py
@@ -319,7 +319,9 @@
     c1, c2, c3 = started_machines("c1", "c2", "c3")
     revision = c1.put({"a": 1})
     assert c1.replica.committed == INITIAL_REVISION
-    with pytest.raises(PreviousChangeUncommittedError, match="version 1 is held by no other machine"):
+    with pytest.raises(
+        PreviousChangeUncommittedError, match="version 1 is not replicated to another machine"
+    ):
         c1.put({"a": 2})
     assert c2.follow(c1)
     assert c2.replica.committed == revision
@@ -359,13 +361,13 @@
     c2.follow(c1)
     c1.exchange_heartbeat(c2)
     with pytest.raises(
-        PeersAheadError, match=r"c3 holds version 1 of epoch 1 \(c1\), but c2 holds version 2 of epoch 1"
+        PeersAheadError, match=r"c3 has version 1 of epoch 1 \(c1\), but c2 has version 2 of epoch 1"
     ):
         c3.promote([c2, c4])
     epochs = {c2.replica.highest_epoch_seen, c3.replica.highest_epoch_seen}
     assert epochs == {Epoch(1, "c1")}, "asking has changed nothing"
     with pytest.raises(
-        PromotionQuorumError, match="what c1, c2 held is not known: 2 of 3 machines could say"
+        PromotionQuorumError, match="quorum not reached: 2 of 3 machines reported versions; missing: c1, c2"
     ):
         c3.promote([c4])
     c3.promote([c2, c4], force=True)
@@ -382,7 +384,7 @@
     revision = c2.promote([c3, c4])
     assert not c3.follow(c1), "a suffix of a lower epoch is refused"
     c1.exchange_heartbeat(c4)
-    with pytest.raises(NotLeaderError, match="c2 writes, not c1"):
+    with pytest.raises(NotLeaderError, match="c1 is not the leader; the leader is c2"):
         c1.put({"a": 3})
     converge(machines)
     assert {machine.replica.committed for machine in machines} == {revision}
@@ -395,13 +397,15 @@
     c1.put({"a": 1})
     converge(machines)
     empty = Machine("c1", ("c1", "c2", "c3"))
-    with pytest.raises(PeersNotContactedError, match="c2, c3 is not yet"):
+    with pytest.raises(PeersNotContactedError, match="not contacted yet: c2, c3"):
         empty.put({"a": 9})
     empty.exchange_heartbeat(c2)
     empty.exchange_heartbeat(c3)
-    with pytest.raises(LeaderLogLostError, match="c2, c3 hold versions, and c1 none"):
+    with pytest.raises(
+        LeaderLogLostError, match="c1 has an empty log, but peers have versions; promote one of them: c2, c3"
+    ):
         empty.put({"a": 9})
-    with pytest.raises(PromotionQuorumError, match="what c1, c3 held is not known: 1 of 2"):
+    with pytest.raises(PromotionQuorumError, match="1 of 2 machines reported versions; missing: c1, c3"):
         c2.promote([empty])  # the answer of a machine without revisions does not count
     c2.promote([empty, c3])
     converge([empty, c2, c3])
