--- a/rosewheel/control/replica.py
+++ b/rosewheel/control/replica.py
@@ -1,13 +1,14 @@
-"""The replication rules between control machines: leadership, commitment of changes, and following.
+"""Replication rules of the control machines: leadership, commit and following. No I/O and no clock.
 
-No I/O and no clock. `appended`, `suffix_appended` and `epoch_observed` are called once their records are on disk, and
-nothing is sent to other machines before that.
+The caller writes records to disk before it reports them with `appended`, `suffix_appended` or `epoch_observed`, and
+sends nothing to other machines before that.
 
-- One machine leads. Every revision carries the epoch of its leader. A machine that has seen an epoch takes nothing of a
-  lower one, and a leader that sees a higher one accepts no more changes.
-- A change is committed once the leader and one more machine have it on disk. Nodes are shown committed revisions only,
-  so a change that is lost with its leader was applied nowhere.
-- A promotion needs answers from so many machines that one of them has every committed change (`promotion_rules.py`).
+- One machine leads. Every revision carries the epoch of its leader. A machine accepts nothing from an epoch lower than
+  the highest it has seen, and a leader that sees a higher epoch stops accepting changes.
+- A change is committed once the leader and at least one other machine have it on disk. Nodes receive committed
+  revisions only, so a change that is lost with its leader was applied nowhere.
+- A promotion requires responses from a quorum in which at least one machine has every committed change
+  (`promotion_rules.py`).
 """
 
 from __future__ import annotations
@@ -40,20 +41,20 @@
     Snapshot,
 )
 
-FIRST_EPOCH_NUMBER = 1  # of the leader that is configured for an empty fleet
+FIRST_EPOCH_NUMBER = 1  # epoch of the configured initial leader
 
 
 class Replica:
-    """One machine's part in the replication.
+    """The replication state of one control machine.
 
     Attributes:
-        name: This machine.
-        peers: The other machines.
+        name: Name of this machine.
+        peers: Names of the other machines.
         history: All revisions in this machine's log, committed or not.
-        highest_epoch_seen: Nothing of a lower epoch is taken.
-        started_empty: The log had no records.
-        peer_revisions: Last revisions on the peers' disks, as last reported.
-        uncommitted_count: How many of the last revisions may be on no other machine's disk.
+        highest_epoch_seen: Fencing threshold; data from a lower epoch is rejected.
+        started_empty: Whether the log had no records at startup.
+        peer_revisions: Last revision on each peer's disk, as last reported.
+        uncommitted_count: Number of newest revisions that are not known to be on another machine's disk.
     """
 
     def __init__(
@@ -62,10 +63,10 @@
         """Rebuild the state from the records of the log.
 
         Args:
-            name: This machine.
-            peers: The other machines.
-            initial_leader: Leads the first epoch. Counts only for an empty log, since records on disk are newer than
-                a command line.
+            name: Name of this machine.
+            peers: Names of the other machines.
+            initial_leader: Leader of the first epoch. Ignored unless the log is empty, since the log is more recent
+                than the command line.
             records: The log's records, oldest first.
         """
         self.name, self.peers = name, tuple(peers)
@@ -91,9 +92,10 @@
         self.highest_epoch_seen = max(self.highest_epoch_seen, self.last.epoch)
 
     def _uncommitted_at_start(self) -> int:
-        """Count the last revisions that this machine may have written just before it stopped, without a second copy.
+        """Return the number of newest revisions that may have no second copy after a restart.
 
-        A leader writes a change only once the previous one is committed; only a promotion does not wait.
+        A leader appends a change only once the previous one is committed, except for the first change of an epoch,
+        which a promotion appends without waiting.
         """
         count, changes = 0, self.history.changes
         for index in range(len(changes) - 1, -1, -1):
@@ -113,29 +115,30 @@
 
     @property
     def is_leader(self) -> bool:
-        """Whether this machine may write.
+        """Whether this machine may accept changes.
 
-        The epoch must be its own, and its promotion complete: the first revision of an epoch is written once enough
-        machines take nothing older.
+        The highest epoch seen must be its own, and the log must have a revision of that epoch, which a promotion
+        writes as its last step. Before the first revision of the first epoch, all peers must have reported an empty
+        log instead.
         """
         if self.highest_epoch_seen.leader != self.name:
             return False
         if self.last.epoch == self.highest_epoch_seen:
             return True
-        return self.highest_epoch_seen.number == FIRST_EPOCH_NUMBER and not self.uncontacted_peers
+        return self.highest_epoch_seen.number == FIRST_EPOCH_NUMBER and not self.peers_not_known_empty
 
     @property
-    def uncontacted_peers(self) -> list[str]:
-        """Peers that are not known to have an empty log.
+    def peers_not_known_empty(self) -> list[str]:
+        """Peers that have not reported an empty log.
 
-        The leader of the first epoch needs that of all before it writes the first revision. Otherwise a leader that has
-        lost its disk would begin again beside the revisions that the others have of it.
+        The initial leader writes the first revision only when there are none. Otherwise a leader that lost its disk
+        would start a second history with the same revision numbers.
         """
         return [peer for peer in self.peers if self.peer_revisions.get(peer) != INITIAL_REVISION]
 
     @property
     def committed(self) -> Revision:
-        """The newest revision that nodes are shown."""
+        """The newest committed revision, which is the one nodes receive."""
         if not self.uncommitted_count:
             return self.last
         return self.history.revision_numbered(self.last.number - self.uncommitted_count)
@@ -145,32 +148,32 @@
         """The document of the newest committed revision."""
         document = self.history.document_at(self.committed)
         if document is None:
-            raise RuntimeError(f"{self.committed} is committed and not retained")
+            raise RuntimeError(f"committed revision is not retained: {self.committed}")
         return document
 
     @property
     def log_records(self) -> list[LogRecord]:
-        """All records that a compacted log needs."""
+        """The records of a compacted log."""
         return [self.history.snapshot, *self.history.changes, self.epoch_record]
 
     @property
     def epoch_record(self) -> EpochObserved:
-        """The record of the highest epoch that this machine has seen."""
+        """The log record of the highest epoch that this machine has seen."""
         return EpochObserved(self.highest_epoch_seen)
 
     # ----------------------------------------------------------------------- leading
 
     def draft(self, request: PutRequest, created_at_s: float = 0.0) -> Change:
-        """Return the change to append for a request.
+        """Return the change that a request makes, without appending it.
 
         Args:
-            request: The patch, and who makes it.
-            created_at_s: Time of day, in seconds since 1970.
+            request: The patch, its expected revision and its author.
+            created_at_s: Unix time in seconds.
 
         Raises:
-            NotLeaderError: This machine does not lead.
-            WriteUnavailableError: It leads, and can't accept a change yet.
-            RevisionConflictError: The request was made for another revision than the last one.
+            NotLeaderError: This machine is not the leader.
+            WriteUnavailableError: This machine is the leader but can't accept a change yet.
+            RevisionConflictError: The expected revision is not the last one.
         """
         if not self.is_leader:
             raise self._not_leader_error()
@@ -186,13 +189,13 @@
         return NotLeaderError(self.name, leader if leader != self.name else "")
 
     def _first_change_error(self) -> WriteUnavailableError:
-        peers_with_revisions = [peer for peer in self.uncontacted_peers if peer in self.peer_revisions]
+        peers_with_revisions = [peer for peer in self.peers_not_known_empty if peer in self.peer_revisions]
         if peers_with_revisions:
             return LeaderLogLostError(self.name, peers_with_revisions)
-        return PeersNotContactedError(self.uncontacted_peers)
+        return PeersNotContactedError(self.peers_not_known_empty)
 
     def appended(self, change: Change) -> None:
-        """A change of this leader is in its log."""
+        """Update the state after a change of this leader was written to its log."""
         self.history.append(change)
         if change.unreplicated or not self.peers:
             self.uncommitted_count = 0
@@ -201,10 +204,10 @@
         self._update_committed()
 
     def replica_ack(self, peer: str, revision: Revision) -> bool:
-        """A peer has a revision on disk.
+        """Record that a peer has a revision on disk.
 
         Returns:
-            Whether more revisions are committed by it.
+            Whether this committed more revisions.
         """
         if peer not in self.peers:
             return False
@@ -221,8 +224,10 @@
     # --------------------------------------------------------------------- following
 
     def log_suffix(self, revision: Revision) -> LogSuffix | None:
-        """Return the log after a follower's last revision; None where this machine has nothing newer for it."""
-        # A replaced leader must not pass on its uncommitted changes.
+        """Return the log after a follower's last revision; None if this machine has nothing newer to send.
+
+        Only the leader sends uncommitted changes: those of a replaced leader must not spread.
+        """
         offered = self.last if self.is_leader else self.committed
         if revision >= offered:
             return None
@@ -234,12 +239,12 @@
         return LogSuffix(tuple(changes[: len(changes) - surplus]), snapshot)
 
     def validate_suffix(self, suffix: LogSuffix) -> None:
-        """Check that another machine's suffix may be appended.
+        """Check that a log suffix from another machine may be appended.
 
         Raises:
-            FencedError: It is of a lower epoch than one that this machine has seen.
-            StaleSuffixError: It leads to nothing newer.
-            OutOfSequenceError: Its changes do not follow one another, or this machine's last revision.
+            FencedError: The suffix ends in a lower epoch than the highest seen.
+            StaleSuffixError: The suffix does not end after this machine's last revision.
+            OutOfSequenceError: A change does not directly follow the previous revision.
         """
         if suffix.last.epoch < self.highest_epoch_seen:
             raise FencedError(suffix.last, self.highest_epoch_seen)
@@ -251,39 +256,39 @@
             last = change.revision
 
     def suffix_appended(self, suffix: LogSuffix) -> None:
-        """A validated suffix is in this machine's log."""
+        """Update the state after a validated suffix was written to this machine's log."""
         if suffix.snapshot is not None:
             self.history = RevisionHistory(suffix.snapshot)
         for change in suffix.changes:
             self.history.append(change)
         self.highest_epoch_seen = max(self.highest_epoch_seen, self.last.epoch)
-        self.uncommitted_count = 0  # the machine that sent it has it too
+        self.uncommitted_count = 0  # the sender has the second copy
 
     def trim(self, retained: int = RETAINED_REVISIONS) -> None:
-        """Replace all but the newest changes by a snapshot."""
+        """Replace all but the newest changes with a snapshot."""
         self.history.trim(retained)
 
     # --------------------------------------------------------------------- promotion
 
     def next_epoch(self, seen_by_peers: Iterable[Epoch]) -> Epoch:
-        """Return an epoch of this machine above all that it and its peers have seen."""
+        """Return an epoch of this machine that is above all epochs it and its peers have seen."""
         highest = max(epoch.number for epoch in (self.highest_epoch_seen, *seen_by_peers))
         return Epoch(highest + 1, self.name)
 
     def check_promotable(self, peer_revisions: Mapping[str, Revision]) -> None:
-        """Check that this machine may lead, by the last revisions of the peers that answered.
+        """Check that this machine may be promoted, given the last revisions of the peers that responded.
 
         Raises:
-            NotPromotableError: A peer has more, or too few answered.
+            NotPromotableError: A peer has a later revision, or too few peers responded.
         """
         check_promotable(self.name, self.last, self.peers, peer_revisions)
 
     def epoch_observed(self, epoch: Epoch) -> None:
-        """An epoch was seen, and its record is in the log."""
+        """Update the highest epoch seen after its record was written to the log."""
         self.highest_epoch_seen = max(self.highest_epoch_seen, epoch)
 
     def draft_promotion(self, epoch: Epoch, created_at_s: float, author: str, unreplicated: bool) -> Change:
-        """Return the first change of this machine's epoch. It changes nothing, and gives others something to follow.
+        """Return the first change of this machine's epoch. Its patch is empty; peers and nodes learn the epoch from it.
 
         Raises:
             PromotionSupersededError: A higher epoch was seen.
