--- a/rosewheel/control/history.py
+++ b/rosewheel/control/history.py
@@ -1,7 +1,4 @@
-"""The chain of revisions that one machine has: append, document of a revision, changes since, rollback.
-
-No I/O and no clock.
-"""
+"""The revisions of one machine's log, with the document of each. No I/O and no clock."""
 
 from __future__ import annotations
 
@@ -14,17 +11,17 @@
 
 
 class RevisionHistory:
-    """A snapshot and the changes after it, each of which makes the revision that follows the one before.
+    """A snapshot and the consecutive changes after it.
 
     Attributes:
         snapshot: The oldest retained revision.
-        changes: The changes after it, oldest first.
+        changes: The changes after the snapshot, oldest first.
     """
 
     def __init__(self, snapshot: Snapshot | None = None) -> None:
         self.snapshot = snapshot or Snapshot()
         self.changes: list[Change] = []
-        # One document a revision, the snapshot's first. They share the parts that did not change.
+        # One document per revision, the snapshot's first. Unchanged parts are shared between documents.
         self._documents: list[Document] = [self.snapshot.document or {}]
 
     @property
@@ -41,22 +38,22 @@
         """Append a change.
 
         Raises:
-            OutOfSequenceError: It does not follow the last revision.
+            OutOfSequenceError: The change does not directly follow the last revision.
         """
         check_sequence(change.revision, self.last)
         self.changes.append(change)
         self._documents.append(apply_patch(self._documents[-1], change.patch))
 
     def draft(self, epoch: Epoch, request: PutRequest, created_at_s: float = 0.0) -> Change:
-        """Return the change that a request would make, without appending it.
+        """Return the change that a request makes, without appending it.
 
         Args:
             epoch: The leader's epoch.
-            request: The patch against the last document, and who makes it.
-            created_at_s: The leader's time of day, in seconds since 1970.
+            request: The patch against the last document, its expected revision and its author.
+            created_at_s: Unix time of the leader, in seconds.
 
         Raises:
-            RevisionConflictError: The request was made for another revision than the last one.
+            RevisionConflictError: The expected revision is not the last one.
         """
         if request.expected != self.last.number:
             raise RevisionConflictError(self.last.number, request.expected)
@@ -70,47 +67,50 @@
         )
 
     def document_at(self, revision: Revision) -> Document | None:
-        """Return the document of a revision; None where it is on another branch or not retained."""
+        """Return the document of a revision; None if the revision is on another branch or not retained."""
         index = revision.number - self.snapshot.revision.number
         if not 0 <= index <= len(self.changes):
             return None
         return self._documents[index] if self._revision_at(index) == revision else None
 
     def contains(self, revision: Revision) -> bool:
-        """Return whether a revision is retained and on this branch."""
+        """Return whether a revision is on this branch and retained."""
         return self.document_at(revision) is not None
 
     def revision_numbered(self, number: int) -> Revision:
-        """Return the revision of a number on this branch.
+        """Return the revision that has this number on this branch.
 
         Raises:
-            UnknownRevisionError: It is not retained.
+            UnknownRevisionError: No retained revision has this number.
         """
         return self._revision_at(self._index_of(number))
 
     def rollback_patch(self, number: int) -> Document:
-        """Return the patch that leads from the last document back to that of a revision.
+        """Return the patch from the last document to the document of an earlier revision.
 
         Raises:
-            UnknownRevisionError: The revision is not retained.
+            UnknownRevisionError: No retained revision has this number.
         """
         return make_patch(self.last_document, self._documents[self._index_of(number)])
 
     def changes_after(self, revision: Revision) -> list[Change] | None:
-        """Return the changes after a revision; None where only a snapshot can help."""
+        """Return the changes after a revision; None if the revision is on another branch or not retained."""
         if not self.contains(revision):
             return None
         return self.changes[revision.number - self.snapshot.revision.number :]
 
     def created_at_s(self, number: int) -> float:
-        """Return when a revision was written, or the oldest retained one where that is newer."""
+        """Return the Unix time at which a revision was written, in seconds.
+
+        A number outside the retained range gives the time of the nearest retained revision.
+        """
         index = number - self.snapshot.revision.number
         if index <= 0 or not self.changes:
             return self.snapshot.created_at_s
         return self.changes[min(index, len(self.changes)) - 1].created_at_s
 
     def trim(self, retained: int = RETAINED_REVISIONS) -> None:
-        """Replace all but the newest changes by a snapshot."""
+        """Replace all but the newest changes with a snapshot."""
         surplus = len(self.changes) - retained
         if surplus > 0:
             last = self.changes[surplus - 1]
@@ -118,7 +118,7 @@
             del self.changes[:surplus], self._documents[:surplus]
 
     def _index_of(self, number: int) -> int:
-        """Return the index of a revision's document."""
+        """Return the index of a revision in `_documents`."""
         oldest = self.snapshot.revision.number
         if not 0 <= number - oldest <= len(self.changes):
             raise UnknownRevisionError(number, oldest, self.last.number)
@@ -129,10 +129,10 @@
 
 
 def check_sequence(revision: Revision, last: Revision) -> None:
-    """Check that a revision may follow another.
+    """Check that a revision may directly follow `last`.
 
     Raises:
-        OutOfSequenceError: Its number is not the next one, or its epoch is lower.
+        OutOfSequenceError: The number is not the next one, or the epoch is lower.
     """
     if revision.number != last.number + 1 or revision.epoch < last.epoch:
         raise OutOfSequenceError(revision, last)
