--- a/rosewheel/control/durable_log.py
+++ b/rosewheel/control/durable_log.py
@@ -1,9 +1,9 @@
-"""An append-only log on disk: records that `append` has returned from survive any loss of power.
+"""Append-only log on disk. Records survive a crash or power loss once `append` has returned.
 
 A record on disk is a header (length of the body, checksum of that length, checksum of the body) and the body, which
-ends with a newline. A crash can leave a last record that is cut short, or whose end was never written and reads as
-zeros. That record was acknowledged to nobody and is truncated. Any other mismatch is damage, and is left for people to
-look at.
+ends with a newline. A crash can leave an incomplete last record: cut short, or with an unwritten end that reads as
+zeros. Such a record was never acknowledged and is truncated on opening. Any other mismatch is corruption: the log
+refuses to open and leaves the file unchanged for inspection.
 """
 
 from __future__ import annotations
@@ -20,25 +20,25 @@
 from rosewheel.control.errors import LogDamagedError, LogLockedError, LogWriteError
 
 LOG_FILE_NAME = "control.log"
-REWRITE_FILE_NAME = "control.part"  # becomes the log by a rename
+REWRITE_FILE_NAME = "control.part"  # new log content, renamed to the log once synced
 LOCK_FILE_NAME = "control.lock"
 
-RECORD_HEADER = struct.Struct("<III")  # length of the body, crc32 of that length, crc32 of the body
+RECORD_HEADER = struct.Struct("<III")  # length of the body, crc32 of the length, crc32 of the body
 BODY_LENGTH = struct.Struct("<I")
-BODY_END = b"\n"  # no body ends in a zero, so unwritten space is not mistaken for a record
-MAX_BODY_BYTES = 64 << 20  # guards memory: a longer record was not written here
+BODY_END = b"\n"  # a body never ends in a zero byte, which distinguishes it from unwritten space
+MAX_BODY_BYTES = 64 << 20  # limits memory use; no valid record is longer
 
 
 class DurableLog:
-    """The log of one directory, open in one process at a time.
+    """The log in one directory, which only one process can have open.
 
     Attributes:
-        directory: Created if it is missing.
+        directory: Directory of the log, created if missing.
         path: The log file.
-        size: Bytes of all records.
-        record_count: How many records there are.
-        truncated_bytes: Bytes of an incomplete last record that were cut off when the log was opened.
-        failure: Why no records were accepted at the last call; None once they were.
+        size: Total size of the records, in bytes.
+        record_count: Number of records.
+        truncated_bytes: Bytes of an incomplete last record that were truncated on opening.
+        failure: Error after which the file must be rewritten before it accepts more records; None if there is none.
     """
 
     def __init__(self, directory: str | Path) -> None:
@@ -47,7 +47,7 @@
         Raises:
             LogDamagedError: A record does not match its checksum.
             LogLockedError: Another process has the log open.
-            OSError: The directory can't be used.
+            OSError: The directory or a file can't be used.
         """
         self.directory = Path(directory)
         self.path = self.directory / LOG_FILE_NAME
@@ -88,7 +88,7 @@
         return records
 
     def take_records(self) -> list[bytes]:
-        """Return the records that were found on disk, oldest first, and release the log's own reference to them."""
+        """Return the records found on opening, oldest first, and release the log's reference to them."""
         records, self._records = self._records, []
         return records
 
@@ -96,8 +96,8 @@
         """Write and sync records.
 
         Raises:
-            LogWriteError: None of them counts. No more are accepted before all earlier ones are on a new file, since
-                the content of the disk is not known.
+            LogWriteError: None of the records was accepted. The next call first rewrites all accepted records to a new
+                file, since the content of the old one is unknown.
         """
         self._recover()
         framed = [_frame(record) for record in records]
@@ -106,7 +106,7 @@
             self._write(data)
             self._sync()
         except OSError as error:
-            # After a failed sync the system may have dropped the pages, so what is on the disk is not known.
+            # After a failed fsync the kernel may have dropped dirty pages, so the content on disk is unknown.
             self.failure = LogWriteError(self.path, error.strerror or str(error))
             with contextlib.suppress(OSError):
                 os.ftruncate(self._file, self.size)
@@ -126,11 +126,11 @@
         os.fsync(self._file)
 
     def rewrite(self, records: Iterable[bytes]) -> None:
-        """Replace all records by others; a crash leaves either all of the old or all of the new ones.
+        """Replace all records atomically: after a crash the log has either all old or all new records.
 
         Raises:
-            OSError: The old records stay, and more can be appended.
-            LogWriteError: Which ones a crash would leave is not known; no more are accepted before that is.
+            OSError: The new file could not be written. The old records stay, and more can be appended.
+            LogWriteError: The rename could not be synced, so either version may survive a crash. The next call retries.
         """
         self._recover()
         framed = [_frame(record) for record in records]
@@ -148,7 +148,7 @@
             raise self.failure from error
 
     def _write_replacement(self, data: bytes) -> int:
-        """Write a new log file, sync it and rename it to the log's name; return its descriptor."""
+        """Write and sync a new log file, rename it to the log, and return its descriptor."""
         replacement = self.directory / REWRITE_FILE_NAME
         file = os.open(replacement, os.O_RDWR | os.O_CREAT | os.O_TRUNC | os.O_CLOEXEC, 0o600)
         try:
@@ -163,10 +163,10 @@
         return file
 
     def _recover(self) -> None:
-        """After a failure, write all accepted records to a new file: the system may have dropped pages of the old one.
+        """Rewrite all accepted records to a new file if the last write failed.
 
         Raises:
-            LogWriteError: The disk still fails, or the records can't be read back.
+            LogWriteError: The disk still fails, or the accepted records can't be read back.
         """
         if self.failure is None:
             return
@@ -197,7 +197,7 @@
 
 
 def _read_records(data: bytes, path: Path) -> tuple[list[bytes], int]:
-    """Return the records, and the offset at which the last complete one ends."""
+    """Return the complete records and the offset at which the last one ends."""
     records: list[bytes] = []
     offset, end = 0, len(data)
     while offset + RECORD_HEADER.size <= end:
@@ -220,7 +220,7 @@
 
 
 def _is_unwritten(data: bytes, offset: int, size: int) -> bool:
-    """Return whether a record of this size ends in zeros and only zeros follow: allocated space, never written."""
+    """Return whether a record of this size ends in zeros and only zeros follow, as in allocated but unwritten space."""
     return len(data[offset:].rstrip(b"\0")) < size
 
 
