--- a/rosewheel/control/heartbeats.py
+++ b/rosewheel/control/heartbeats.py
@@ -1,4 +1,4 @@
-"""Heartbeats to the other control machines. Those to the leader carry the statuses of nodes too."""
+"""Heartbeats between control machines. Heartbeats to the leader also carry node statuses."""
 
 from __future__ import annotations
 
@@ -17,9 +17,9 @@
 
 log = logging.getLogger("rosewheel.control")
 
-HEARTBEAT_INTERVAL_S = 1.0  # between two heartbeats; the next is sent at once where there is something new
-HEARTBEAT_BACKOFF_S = 0.25  # before the next one to a peer that does not answer
-LOST_AFTER_S = 6.0  # a peer that is silent for so long counts as lost
+HEARTBEAT_INTERVAL_S = 1.0  # longest wait between two heartbeats; `notify` sends the next one at once
+HEARTBEAT_BACKOFF_S = 0.25  # wait before a notified heartbeat to an unreachable peer
+LOST_AFTER_S = 6.0  # a peer without contact for this long is considered lost
 
 
 class HeartbeatOwner(Protocol):
@@ -29,20 +29,20 @@
     store: Store
 
     def take_node_statuses(self, all_nodes: bool) -> list[NodeStatus]:
-        """Return the statuses that changed since the last call, or all that the machine has first-hand."""
+        """Return the node statuses that changed since the last call, or all of nodes that watch this machine."""
 
     def peer_lost(self, peer: str) -> None:
-        """A peer has been silent for `LOST_AFTER_S`."""
+        """Handle a peer that had no contact for `LOST_AFTER_S`."""
 
 
 class PeerHeartbeat:
-    """The heartbeats to one peer, on a connection that is kept.
+    """Sends heartbeats to one peer over a persistent connection.
 
     Attributes:
-        peer: The peer.
-        address: Its address.
-        client: Makes the calls to it.
-        last_contact_s: Loop time at which it last answered or called, or at which this object was made.
+        peer: Name of the peer.
+        address: Address of the peer.
+        client: HTTP client for calls to the peer.
+        last_contact_s: Loop time of the last contact in either direction; initially the time of construction.
         last_revision: The peer's last revision; None before the first contact.
     """
 
@@ -53,7 +53,7 @@
         self._loop = asyncio.get_running_loop()
         self.last_contact_s = self._loop.time()
         self.last_revision: Revision | None = None
-        # The peer's process that has all statuses of this machine's nodes; empty for none.
+        # Process of the peer that has received the statuses of all nodes watching this machine; empty if none has.
         self._informed_process_id = ""
         self._is_unreachable = False
         self._loss_reported = False
@@ -61,7 +61,7 @@
         self._task = self._loop.create_task(self._run())
 
     def notify(self) -> None:
-        """Send the next heartbeat at once."""
+        """Send the next heartbeat without waiting for the interval."""
         self._due.set()
 
     def close(self) -> None:
@@ -136,16 +136,16 @@
 
     def _note_process(self, state: MachineState, carried_statuses: bool) -> None:
         if self._informed_process_id and self._informed_process_id != state.process_id:
-            self.notify()  # the peer has restarted and knows nothing of nodes yet
+            self.notify()  # the peer restarted and has lost all node statuses
             self._informed_process_id = ""
         else:
             self._informed_process_id = state.process_id if carried_statuses else ""
 
     async def peer_reported(self, highest_epoch_seen: Epoch, last: Revision) -> None:
-        """Take the peer's own state, from its answer or from its own heartbeat.
+        """Process the peer's state, from its response to a heartbeat or from a heartbeat of its own.
 
         Raises:
-            OSError: A higher epoch can't be written to the log.
+            OSError: A higher epoch could not be written to the log.
         """
         self.last_contact_s = self._loop.time()
         self.last_revision = last
--- a/rosewheel/control/machine.py
+++ b/rosewheel/control/machine.py
@@ -1,4 +1,4 @@
-"""A control machine: its store, the nodes that it knows of, its peers, and the address at which it is called."""
+"""A control machine: connects the store, node registry, watches, heartbeats and HTTP listener."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 log = logging.getLogger("rosewheel.control")
 
 MAINTENANCE_INTERVAL_S = 1.0
-EXPIRY_INTERVAL_S = 60.0  # between two looks for nodes that have been disconnected for long
+EXPIRY_INTERVAL_S = 60.0  # between two removals of expired nodes
 LISTEN_BACKLOG = 1024
 PROCESS_ID_BYTES = 8
 
@@ -31,13 +31,13 @@
     """One control machine.
 
     Attributes:
-        settings: What it was started with.
-        name: Its name.
-        store: Its replica and log.
-        nodes: The nodes that it knows of.
-        watches: The watches that are open here.
-        heartbeats: The other machines by name; empty before `start`.
-        replication: The watch by which it follows; None before `start`.
+        settings: The startup settings.
+        name: Name of the machine.
+        store: The replica and its log.
+        nodes: The nodes known to this machine.
+        watches: The watches open at this machine.
+        heartbeats: Heartbeats to the other machines, by name; empty before `start`.
+        replication: The watch that receives the leader's log; None before `start`.
     """
 
     def __init__(self, settings: MachineSettings, durable_log: DurableLog) -> None:
@@ -45,6 +45,7 @@
 
         Raises:
             OSError: The log can't be written.
+            MalformedMessageError: A log record can't be decoded.
         """
         self.settings, self.name = settings, settings.name
         self._loop = asyncio.get_running_loop()
@@ -65,13 +66,13 @@
         self._maintenance_timer: asyncio.TimerHandle | None = None
 
     async def start(self, sock: socket.socket | None = None) -> None:
-        """Listen, and begin heartbeats and replication.
+        """Start the listener, the heartbeats and the replication.
 
         Args:
-            sock: A socket that is bound to the machine's address; None to bind one.
+            sock: A socket bound to the machine's address; None to bind one.
 
         Raises:
-            OSError: The address can't be used.
+            OSError: The address can't be bound.
         """
         self._listener = await self._listen(sock)
         for peer, address in self.settings.peers.items():
@@ -90,17 +91,17 @@
 
     @property
     def port(self) -> int:
-        """The port that the machine listens at.
+        """The port of the listener.
 
         Raises:
-            RuntimeError: It was not started.
+            RuntimeError: The machine was not started.
         """
         if self._listener is None:
-            raise RuntimeError("the machine was not started")
+            raise RuntimeError("control machine was not started")
         return int(self._listener.sockets[0].getsockname()[1])
 
     async def close(self) -> None:
-        """Stop everything, and close the log once the operation in progress has ended."""
+        """Stop all activity and close the log once the operation in progress has ended."""
         if self._maintenance_timer is not None:
             self._maintenance_timer.cancel()
         if self._listener is not None:
@@ -114,7 +115,7 @@
         await self.store.close()
 
     def _run_maintenance(self) -> None:
-        """Periodic maintenance: forget old nodes, and check whom to follow."""
+        """Remove expired nodes and reselect the replication source; runs periodically."""
         self._maintenance_timer = self._loop.call_later(MAINTENANCE_INTERVAL_S, self._run_maintenance)
         now_s = self._loop.time()
         if now_s // EXPIRY_INTERVAL_S != (now_s - MAINTENANCE_INTERVAL_S) // EXPIRY_INTERVAL_S:
@@ -123,7 +124,7 @@
             self.replication.reconcile()
 
     def _store_changed(self) -> None:
-        """Send new revisions to the watches, and report this machine's last one to the leader."""
+        """Send new revisions to the watches and report this machine's last revision to the leader."""
         self.watches.publish()
         if self.replication is not None:
             self.replication.reconcile()
@@ -134,11 +135,11 @@
     # ----------------------------------------------------------------- for heartbeats
 
     def take_node_statuses(self, all_nodes: bool) -> list[NodeStatus]:
-        """Return the statuses that changed since the last call, or all that this machine has first-hand."""
-        changed = self.nodes.take_changes()  # all include the changed ones, so these are taken in any case
+        """Return the node statuses that changed since the last call, or all of nodes that watch this machine."""
+        changed = self.nodes.take_changes()  # cleared in both cases: the full list includes the changes
         return self.nodes.statuses_of_machine(self.name) if all_nodes else changed
 
     def peer_lost(self, peer: str) -> None:
-        """A peer is silent, so its nodes move to other machines."""
+        """Mark the nodes of a lost peer as disconnected; they fail over to other machines."""
         log.warning("peer lost: peer=%s", peer)
         self.nodes.machine_lost(peer, self._loop.time())
--- a/rosewheel/control/store.py
+++ b/rosewheel/control/store.py
@@ -1,4 +1,4 @@
-"""A replica with its log: each record is on disk before the replica counts it. One operation runs after the other."""
+"""A replica with its log: operations run one at a time, and write to disk before they update the replica."""
 
 from __future__ import annotations
 
@@ -32,11 +32,11 @@
 
     Attributes:
         log: The log on disk.
-        replica: The state that the log records.
+        replica: The replication state recorded in the log.
     """
 
     def __init__(self, durable_log: DurableLog, replica: Replica, on_change: Callable[[], None]) -> None:
-        """Join a replica to its log.
+        """Combine a replica with its log.
 
         Args:
             durable_log: The log that `replica` was rebuilt from.
@@ -61,14 +61,14 @@
 
         Args:
             durable_log: The log.
-            name: The machine.
-            peers: The other machines.
-            initial_leader: Leads where the log is empty.
+            name: Name of the machine.
+            peers: Names of the other machines.
+            initial_leader: Leader of the first epoch; ignored unless the log is empty.
             on_change: Called after each operation that changed the replica.
 
         Raises:
             OSError: The log can't be written.
-            MalformedMessageError: A record is not one of this format.
+            MalformedMessageError: A log record can't be decoded.
         """
         records = [decode_log_record(body) for body in durable_log.take_records()]
         replica = Replica(name, peers, initial_leader, records)
@@ -93,23 +93,26 @@
         """Write a change to this machine's log.
 
         Returns:
-            The change; None where the document would stay the same.
+            The change; None if the patch does not change the document.
 
         Raises:
             InvalidDocumentError: Nodes could not apply the new document.
-            NotLeaderError: This machine does not lead.
-            WriteUnavailableError: It can't accept a change yet.
-            RevisionConflictError: The patch was made for another revision.
+            NotLeaderError: This machine is not the leader.
+            WriteUnavailableError: This machine is the leader but can't accept a change yet.
+            RevisionConflictError: The expected revision is not the last one.
             OSError: The log can't be written.
         """
         async with self._lock:
             return await self._put(request)
 
     async def rollback(self, request: RollbackRequest) -> Change | None:
-        """Write a change that leads back to an earlier revision; otherwise as `put`.
+        """Write a change that restores the document of an earlier revision.
+
+        Returns:
+            As of `put`.
 
         Raises:
-            UnknownRevisionError: The revision is not retained.
+            UnknownRevisionError: The revision is not retained. Other exceptions are those of `put`.
         """
         async with self._lock:
             patch = self.replica.history.rollback_patch(request.target)
@@ -129,17 +132,21 @@
         return change
 
     def _changes_document(self, patch: Document) -> bool:
-        """Return whether a patch changes the document; InvalidDocumentError where nodes could not apply the new one."""
+        """Return whether a patch changes the document.
+
+        Raises:
+            InvalidDocumentError: Nodes could not apply the new document.
+        """
         before = self.replica.history.last_document
         document = apply_patch(before, patch)
         validate_document(document)
         return bool(make_patch(before, document))
 
     async def wait_committed(self, revision: Revision, timeout_s: float) -> None:
-        """Wait until another machine has a revision on disk too.
+        """Wait until a revision is committed.
 
         Raises:
-            ReplicationTimeoutError: None had it in time.
+            ReplicationTimeoutError: No other machine acknowledged it in time.
             ReplicationSupersededError: Another machine was promoted first.
         """
         if self._is_committed(revision):
@@ -160,11 +167,11 @@
     # --------------------------------------------------------------- from other machines
 
     async def append_suffix(self, suffix: LogSuffix) -> None:
-        """Append another machine's log suffix.
+        """Append a log suffix from another machine.
 
         Raises:
-            SuffixRejectedError: It must not be appended.
-            OutOfSequenceError: Its changes do not follow one another.
+            SuffixRejectedError: The suffix is fenced or stale.
+            OutOfSequenceError: A change does not directly follow the previous revision.
             OSError: The log can't be written.
         """
         async with self._lock:
@@ -172,14 +179,14 @@
             if suffix.snapshot is None:
                 await self._append(suffix.changes)
             else:
-                # In one step: other machines count on the complete suffix.
+                # Atomic, since acknowledging the suffix's last revision covers all of it.
                 await self._rewrite([suffix.snapshot, *suffix.changes, self.replica.epoch_record])
             self.replica.suffix_appended(suffix)
             await self._compact()
             self._notify()
 
     async def observe_epoch(self, epoch: Epoch) -> None:
-        """Note an epoch that another machine or a node has seen, on disk before anything is done by it.
+        """Record an epoch that another machine or a node has seen. An epoch that is not the highest is ignored.
 
         Raises:
             OSError: The log can't be written.
@@ -197,23 +204,23 @@
             self._notify()
 
     def replica_ack(self, peer: str, revision: Revision) -> None:
-        """A peer has a revision on disk."""
+        """Record that a peer has a revision on disk."""
         if self.replica.replica_ack(peer, revision):
             self._notify()
 
     async def begin_epoch(
         self, epoch: Epoch, peer_revisions: Mapping[str, Revision], force: bool, author: str
     ) -> Change:
-        """Write the first revision of this machine's epoch, the last step of its promotion.
+        """Write the first revision of this machine's epoch, which is the last step of its promotion.
 
         Args:
-            epoch: The epoch, which enough machines have seen.
-            peer_revisions: The last revisions of those machines.
-            force: Lead even where they have more, or are too few.
-            author: Who promotes.
+            epoch: The epoch at which the peers were fenced.
+            peer_revisions: Last revisions of the fenced peers.
+            force: Skip the check that this machine may be promoted.
+            author: Author of the promotion.
 
         Raises:
-            NotPromotableError: A peer has more, or too few answered.
+            NotPromotableError: A peer has a later revision, or too few peers were fenced.
             PromotionSupersededError: A higher epoch was seen.
             OSError: The log can't be written.
         """
@@ -225,7 +232,7 @@
             await self._append([change])
             self.replica.appended(change)
             log.warning(
-                "leadership taken: revision=%d epoch=%d leader=%s",
+                "leadership acquired: revision=%d epoch=%d leader=%s",
                 *(change.revision.number, epoch.number, epoch.leader),
             )
             self._notify()
@@ -250,7 +257,7 @@
             await self._rewrite(self.replica.log_records)
 
     def _notify(self) -> None:
-        """Complete the waiters that can be, and tell the owner."""
+        """Resolve the waiters of committed or superseded revisions, then call `on_change`."""
         for waiter in self._waiters:
             if waiter.future.done():
                 continue
