--- a/rosewheel/control/documents.py
+++ b/rosewheel/control/documents.py
@@ -1,7 +1,7 @@
-"""Configuration documents: merge patches (RFC 7396), and the part of a document that concerns one service.
+"""Configuration documents: merge patches (RFC 7396), and the document that applies to one service.
 
-A document holds the operator's tables as plain JSON values, `cordons`, and under `services.NAME` the values that
-apply to one service only.
+A document has the operator's tables as plain JSON values, the list `cordons`, and under `services.NAME` the values that
+override them for one service.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 
 
 def apply_patch(document: object, patch: Document) -> Document:
-    """Return the document with a merge patch applied; parts that the patch leaves alone are shared, not copied."""
+    """Return the document with a merge patch applied; unchanged parts are shared with the original."""
     result = dict(document) if isinstance(document, dict) else {}
     for key, value in patch.items():
         if value is None:
@@ -42,7 +42,7 @@
 
 
 def document_for_service(document: Document, service: str) -> Document:
-    """Return the document of one service: the common part, overridden by the service's own values."""
+    """Return the document of one service: the common values, overridden by the service's own."""
     common = {key: value for key, value in document.items() if key != "services"}
     services = document.get("services")
     own = services.get(service) if isinstance(services, dict) else None
@@ -59,7 +59,7 @@
 
 
 def _identical(one: Any, other: Any) -> bool:
-    """Return whether two JSON values are equal in type too: 1, 1.0 and True are equal to Python."""
+    """Return whether two JSON values are equal in value and type; Python's `==` does not tell 1, 1.0 and True apart."""
     if type(one) is not type(other):
         return False
     if isinstance(one, dict):
--- a/rosewheel/control/revisions.py
+++ b/rosewheel/control/revisions.py
@@ -1,4 +1,4 @@
-"""Names of revisions, and the records that lead from one revision of the configuration to the next."""
+"""Epochs, revisions and the log records of the configuration's history."""
 
 from __future__ import annotations
 
@@ -9,12 +9,12 @@
 
 
 class Epoch(NamedTuple):
-    """The term of one leader, used as a fencing token. Epochs are ordered.
+    """The term of one leader, used as a fencing token. Epochs are totally ordered.
 
-    The leader's name orders two epochs of the same number, which can begin on either side of a network partition.
+    Two sides of a network partition can begin epochs of the same number; the leader's name breaks the tie.
 
     Attributes:
-        number: Counts promotions; 0 means that no leader is known.
+        number: Promotion counter; 0 if no leader is known.
         leader: Name of the control machine that leads in this epoch.
     """
 
@@ -23,14 +23,14 @@
 
 
 class Revision(NamedTuple):
-    """One revision of the configuration on one branch of its history. Revisions are ordered.
+    """Identifies one revision of the configuration. Revisions are totally ordered.
 
-    An epoch has one leader, so no two documents ever have the same revision.
+    Only the leader of an epoch writes its revisions, so two different documents never have the same revision.
 
     Attributes:
         epoch_number: Number of the epoch in which the revision was written.
-        leader: The leader of that epoch.
-        number: Counts revisions; operators see it as the version.
+        leader: Leader of that epoch.
+        number: Revision counter, which operators see as the version.
     """
 
     epoch_number: int
@@ -43,7 +43,7 @@
         return Epoch(self.epoch_number, self.leader)
 
     def __str__(self) -> str:
-        """The form in messages to operators."""
+        """Return the form used in messages to operators."""
         if not self.epoch_number:
             return f"version {self.number}"
         return f"version {self.number} of epoch {self.epoch_number} ({self.leader})"
@@ -55,15 +55,15 @@
 
 @dataclass(slots=True, frozen=True)
 class Change:
-    """The step from one revision to the next.
+    """Log record of one change to the document.
 
     Attributes:
-        revision: The revision that the change makes.
+        revision: The revision that the change creates.
         patch: JSON merge patch (RFC 7396) against the previous revision's document.
-        author: Who made the change.
-        note: Why it was made.
-        created_at_s: The leader's time of day, in seconds since 1970.
-        unreplicated: The change was acknowledged without a copy on another machine.
+        author: Author of the change.
+        note: Reason for the change.
+        created_at_s: Unix time of the leader, in seconds.
+        unreplicated: Whether the change was acknowledged without a copy on another machine.
     """
 
     revision: Revision
@@ -76,12 +76,12 @@
 
 @dataclass(slots=True, frozen=True)
 class Snapshot:
-    """The oldest retained revision with its complete document.
+    """Log record of the oldest retained revision with its complete document.
 
     Attributes:
         revision: The revision of the document.
-        document: The document; None stands for an empty one.
-        created_at_s: When the revision was written, in seconds since 1970.
+        document: The document; None for an empty one.
+        created_at_s: Unix time at which the revision was written, in seconds.
     """
 
     revision: Revision = INITIAL_REVISION
@@ -91,7 +91,7 @@
 
 @dataclass(slots=True, frozen=True)
 class EpochObserved:
-    """Record of the highest epoch that a machine has seen. It is on disk before the machine acts on the epoch."""
+    """Log record of the highest epoch that a machine has seen, written before the machine acts on the epoch."""
 
     epoch: Epoch
 
@@ -101,23 +101,23 @@
 
 @dataclass(slots=True, frozen=True)
 class LogSuffix:
-    """What one machine sends to another that follows it.
+    """The part of the log that one machine sends to a follower.
 
     Attributes:
-        changes: Changes after the receiver's last revision, or after the snapshot.
-        snapshot: Replaces the receiver's history; None where the changes alone are enough.
+        changes: Changes after the receiver's last revision, or after the snapshot if there is one.
+        snapshot: Replaces the receiver's history; None if the changes continue it.
     """
 
     changes: tuple[Change, ...]
     snapshot: Snapshot | None = None
 
     def __len__(self) -> int:
-        """Count the changes, for the watch's log line."""
+        """Return the number of changes, for the watch's log line."""
         return len(self.changes)
 
     @property
     def last(self) -> Revision:
-        """The receiver's last revision once it has taken the suffix."""
+        """The receiver's last revision after it appends the suffix."""
         if self.changes:
             return self.changes[-1].revision
         return self.snapshot.revision if self.snapshot is not None else INITIAL_REVISION
