--- a/rosewheel/control/promotion.py
+++ b/rosewheel/control/promotion.py
@@ -14,31 +14,30 @@
 from rosewheel.control.messages import ChangeResponse, Heartbeat, MachineState, PromoteRequest
 from rosewheel.control.revisions import Revision
 
-# How long a change may take to reach another machine. One that turns to a new leader needs 2 s.
-COMMIT_TIMEOUT_S = 4.0
+COMMIT_TIMEOUT_S = 4.0  # limit of the wait for a commit; a follower needs up to 2 s to switch to a new leader
 PEER_CALL_TIMEOUT_S = 1.5
 
 
 class Promotion:
-    """Promotes this machine."""
+    """Promotes this machine to leader."""
 
     def __init__(self, parts: MachineParts) -> None:
-        """Promote the machine of these parts."""
+        """Set the machine to promote."""
         self._name, self._store, self._peers = parts.name, parts.store, parts.peers
 
     async def run(self, request: PromoteRequest) -> ChangeResponse:
-        """Begin an epoch of this machine above all that were seen.
+        """Promote this machine: fence the peers at a new epoch, then write the first revision of that epoch.
 
         Raises:
-            NotPromotableError: Others have more, or may have. Nothing has changed unless peers were fenced already.
-            PromotionSupersededError: Another machine was promoted meanwhile.
-            NotReplicatedError: No other machine has the first revision of the epoch yet.
+            NotPromotableError: Peers have, or may have, later revisions. Peers may already be fenced.
+            PromotionSupersededError: Another machine was promoted in the meantime.
+            NotReplicatedError: The first revision of the epoch is not replicated yet.
             OSError: The log can't be written.
         """
         replica = self._store.replica
         if replica.is_leader:
             return ChangeResponse(replica.last, changed=False)
-        # Peers are asked before they are fenced, so that nothing changes where this machine may not be promoted.
+        # Check before fencing, so that a promotion that is not allowed leaves the current leader in place.
         heartbeat = Heartbeat(self._name, replica.highest_epoch_seen, replica.last)
         states = await self._call_peers(HEARTBEAT_PATH, encode_heartbeat(heartbeat))
         if not request.force:
@@ -47,7 +46,7 @@
         await self._store.observe_epoch(epoch)
         fenced = await self._call_peers(FENCE_PATH, encode_fence(epoch))
         await self._check_fenced(fenced)
-        # Fenced peers take nothing older, so what they have now is all that can have been committed.
+        # Fenced peers accept nothing from older epochs, so they already have every change that is committed there.
         peer_revisions = _last_revisions(fenced)
         change = await self._store.begin_epoch(epoch, peer_revisions, request.force, request.author)
         lost = self._lost_revisions(peer_revisions)
