--- a/rosewheel/control/replication_source.py
+++ b/rosewheel/control/replication_source.py
@@ -1,6 +1,6 @@
-"""Which machine a follower watches: the leader, or another follower while the leader can't be reached.
+"""Selects the machine from which a follower replicates. No I/O and no clock.
 
-No I/O and no clock.
+The source is the leader, or another follower while the leader is unreachable.
 """
 
 from __future__ import annotations
@@ -9,44 +9,47 @@
 from enum import Enum, auto
 from random import Random
 
-LEADER_RETURN_S = 1.0  # how long a follower is watched at least before the leader is tried again
+LEADER_RETURN_S = 1.0  # least time to watch another follower before a switch back to the leader
 
 
 class SourceAction(Enum):
-    """What to do with the watch."""
+    """The action to take on the replication watch."""
 
     KEEP = auto()
     STOP = auto()
-    OPEN = auto()  # at `ReplicationSource.current`
+    OPEN = auto()  # open a watch at `ReplicationSource.current`
 
 
 class ReplicationSource:
-    """Selects the machine to watch.
+    """The machine to watch.
 
     Attributes:
-        current: The machine that is watched; empty for none.
+        current: Name of the watched machine; empty if there is none.
     """
 
     def __init__(self, name: str, peers: Sequence[str], random: Random) -> None:
         """Start without a watch.
 
         Args:
-            name: This machine.
-            peers: The other machines.
-            random: Chooses among followers.
+            name: Name of this machine.
+            peers: Names of the other machines.
+            random: Random source for the choice among followers.
         """
         self.current = ""
         self._name, self._peers, self._random = name, tuple(peers), random
-        self._leader = ""  # as of the last call of `reconcile`
+        self._leader = ""  # leader at the last call of `reconcile`
         self._selected_at_s = 0.0
 
     def reconcile(self, leader: str, leader_alive: bool, now_s: float) -> SourceAction:
-        """Select the source after a change, or periodically.
+        """Reselect the source; called after each change of the replica and periodically.
 
         Args:
-            leader: The leader of the highest epoch seen; empty where none is known.
-            leader_alive: Whether it has been in contact.
-            now_s: Present time in seconds.
+            leader: Leader of the highest epoch seen; empty if none is known.
+            leader_alive: Whether the leader has been in contact recently.
+            now_s: Current time, in seconds.
+
+        Returns:
+            The action to take on the watch.
         """
         known_leader, self._leader = self._leader, leader
         if leader in ("", self._name) or not self._peers:
@@ -66,21 +69,21 @@
         )
 
     def select(self, peer: str, now_s: float) -> None:
-        """A watch is opened at a peer."""
+        """Record that a watch is opened at a peer."""
         self.current, self._selected_at_s = peer, now_s
 
     def stop(self) -> None:
-        """The watch is closed."""
+        """Record that the watch is closed."""
         self.current = ""
 
     def after_failure(self, leader: str, alive: Sequence[str]) -> str:
-        """Return the peer to watch after the current one failed.
+        """Return the peer to watch after the watch at the current one failed.
 
-        The leader is tried after each other machine, so that it is watched again as soon as it can be.
+        Every other attempt goes to the leader, so that replication from it resumes as soon as it is reachable.
 
         Args:
-            leader: The leader of the highest epoch seen.
-            alive: Peers that have been in contact.
+            leader: Leader of the highest epoch seen.
+            alive: Peers that have been in contact recently.
         """
         if self.current != leader and leader in self._peers:
             return leader
--- a/rosewheel/control/replication_watch.py
+++ b/rosewheel/control/replication_watch.py
@@ -1,4 +1,4 @@
-"""The watch by which a follower receives the leader's log."""
+"""The watch through which a follower receives the leader's log."""
 
 from __future__ import annotations
 
@@ -26,15 +26,15 @@
 
 
 class ReplicationWatch:
-    """Watches the leader, or another follower while the leader can't be reached, and appends their log."""
+    """Watches the replication source and appends the log suffixes that it sends."""
 
     def __init__(self, name: str, store: Store, peers: Mapping[str, PeerHeartbeat]) -> None:
         """Start without a watch.
 
         Args:
-            name: This machine.
-            store: Receives the log suffixes.
-            peers: The other machines.
+            name: Name of this machine.
+            store: Store to which log suffixes are appended.
+            peers: Heartbeats to the other machines, by name.
         """
         self._name, self._store, self._peers = name, store, peers
         self._loop = asyncio.get_running_loop()
@@ -48,11 +48,11 @@
 
     @property
     def source(self) -> str:
-        """The machine that is watched; empty for none."""
+        """Name of the watched machine; empty if there is none."""
         return self._source.current
 
     def reconcile(self) -> None:
-        """Open, close or keep the watch. Called after each change of the store, and periodically."""
+        """Open, close or keep the watch; called after each change of the store and periodically."""
         if self._closed:
             return
         leader = self._leader
@@ -70,7 +70,7 @@
         return self._store.replica.highest_epoch_seen.leader
 
     def close(self) -> None:
-        """Close the watch for good."""
+        """Close the watch; `reconcile` has no effect afterwards."""
         self._closed = True
         self._stop()
 
