--- a/rosewheel/control/machine_parts.py
+++ b/rosewheel/control/machine_parts.py
@@ -1,4 +1,4 @@
-"""The parts of one control machine that its API, status and promotion work on."""
+"""The parts of a control machine that its HTTP API, status report and promotion share."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
     """A monotonic clock, such as an event loop."""
 
     def time(self) -> float:
-        """Return seconds from an arbitrary start."""
+        """Return the time in seconds since an arbitrary start."""
 
 
 @dataclass(slots=True, frozen=True)
@@ -25,12 +25,12 @@
     """Parts of a control machine.
 
     Attributes:
-        settings: What it was started with.
-        store: Its replica and log.
-        nodes: The nodes that it knows of.
-        watches: The watches that are open here.
-        peers: The other machines by name; empty before the machine has started.
-        clock: The clock of `nodes` and `peers`.
+        settings: The startup settings.
+        store: The replica and its log.
+        nodes: The nodes known to the machine.
+        watches: The watches open at the machine.
+        peers: Heartbeats to the other machines, by name; empty until the machine is started.
+        clock: Clock of the times in `nodes` and `peers`.
     """
 
     settings: MachineSettings
@@ -42,5 +42,5 @@
 
     @property
     def name(self) -> str:
-        """The machine's name."""
+        """Name of the machine."""
         return self.settings.name
--- a/rosewheel/control/machine_settings.py
+++ b/rosewheel/control/machine_settings.py
@@ -10,14 +10,14 @@
 
 @dataclass(slots=True, frozen=True)
 class MachineSettings:
-    """Settings that a control machine is started with.
+    """Startup settings of a control machine.
 
     Attributes:
-        name: Its name, the same on all machines.
-        listen: Address for nodes, machines and operators.
+        name: Name of the machine, by which all other machines know it.
+        listen: Address to listen on, for nodes, machines and operators.
         data_dir: Directory of the log.
-        peers: Addresses of the other machines by name.
-        initial_leader: Leads at first; counts only where the log is empty.
+        peers: Addresses of the other machines, by name.
+        initial_leader: Leader of the first epoch; ignored unless the log is empty.
     """
 
     name: str
--- a/rosewheel/control/machine_status.py
+++ b/rosewheel/control/machine_status.py
@@ -1,4 +1,4 @@
-"""A control machine's status report: the machines, and the nodes that it knows of."""
+"""Status report of a control machine: the control machines and the nodes."""
 
 from __future__ import annotations
 
@@ -16,19 +16,19 @@
 
 
 class StatusReporter:
-    """Makes status reports. The leader knows all nodes, so other machines ask it."""
+    """Makes status reports. Only the leader knows all nodes, so other machines relay its report."""
 
     def __init__(self, parts: MachineParts) -> None:
-        """Report on these parts."""
+        """Set the machine to report on."""
         self._parts = parts
         self._name, self._store = parts.name, parts.store
 
     async def answer(self, local_only: bool, all_nodes: bool) -> JsonObject:
-        """Return the leader's report, or this machine's own where the leader can't be asked.
+        """Return the leader's report, or this machine's own if the leader is unknown or does not respond.
 
         Args:
-            local_only: Do not ask the leader.
-            all_nodes: List each node.
+            local_only: Whether to return this machine's own report without a call to the leader.
+            all_nodes: Whether to list all nodes.
         """
         replica = self._store.replica
         leader = self._parts.peers.get(replica.highest_epoch_seen.leader)
@@ -44,18 +44,18 @@
                     return relay_status(body, self._name)
             except HttpCallError as error:
                 problem = (
-                    f"the writer {leader.peer} does not answer, so this is what {self._name} knows: {error}"
+                    f"the leader {leader.peer} does not respond; this report is from {self._name}: {error}"
                 )
         elif leader is None and not replica.is_leader:
-            problem = f"no machine writes: this is what {self._name} knows"
+            problem = f"no active leader is known; this report is from {self._name}"
         return encode_status(self.report(all_nodes, problem))
 
     def report(self, all_nodes: bool, problem: str = "") -> StatusReport:
         """Return this machine's own report.
 
         Args:
-            all_nodes: List each node.
-            problem: Why this is not the leader's report; empty for none.
+            all_nodes: Whether to list all nodes.
+            problem: Why this is not the leader's report; empty if there is no problem.
         """
         replica, failure = self._store.replica, self._store.log.failure
         return StatusReport(
