--- a/rosewheel/control/messages.py
+++ b/rosewheel/control/messages.py
@@ -1,4 +1,4 @@
-"""Messages between nodes, control machines and operators, as typed values. `codec/` maps them to their JSON."""
+"""Messages between nodes, control machines and operators. `codec/` encodes them as JSON."""
 
 from __future__ import annotations
 
@@ -12,17 +12,17 @@
 
 @dataclass(slots=True, frozen=True)
 class NodeStatus:
-    """What a node has last acknowledged.
+    """The last reported state of a node.
 
     Attributes:
-        node: The node's name.
-        service: The service that it balances.
-        machine: The control machine that it watches.
-        stamp: Grows with each message of the node, so that the order of arrival does not matter.
-        applied: The revision that it has applied.
-        rejected: A later revision that it could not apply.
-        reason: Why it could not.
-        connected: Whether it has a watch open at `machine`.
+        node: Name of the node.
+        service: The service that the node balances.
+        machine: The control machine that the node watches.
+        stamp: Increases with each message of the node; orders messages that arrive out of order.
+        applied: The applied revision.
+        rejected: A later revision that the node could not apply; None if there is none.
+        reason: Why the revision was rejected; empty if none was.
+        connected: Whether the node has a watch open at `machine`.
     """
 
     node: str
@@ -37,7 +37,7 @@
 
 @dataclass(slots=True, frozen=True)
 class NodeAcknowledgement:
-    """A node's own report after a change; attributes as of `NodeStatus`."""
+    """A node's acknowledgement of a change. The attributes are those of `NodeStatus`."""
 
     node: str
     service: str
@@ -49,15 +49,15 @@
 
 @dataclass(slots=True, frozen=True)
 class WatchRequest:
-    """Opens a watch of a node or of another control machine.
+    """Request of a node or of another control machine to open a watch.
 
     Attributes:
         received: The last revision that the caller has received.
         peer: Name of the control machine that follows; empty for a node.
         node: Name of the node; empty for a control machine.
-        service: The service of the node.
+        service: The service that the node balances.
         stamp: The node's stamp, as in `NodeStatus`.
-        received_is_applied: The node has applied `received`.
+        received_is_applied: Whether the node has applied `received`.
     """
 
     received: Revision
@@ -70,12 +70,12 @@
 
 @dataclass(slots=True, frozen=True)
 class ConfigurationUpdate:
-    """One line of a node's watch.
+    """One update on a node's watch.
 
     Attributes:
-        revision: The revision that the node has after the update.
-        is_snapshot: `content` is the complete document; otherwise a merge patch against the previous one.
-        content: What concerns the node's service.
+        revision: The node's revision after the update.
+        is_snapshot: Whether `content` is the complete document; otherwise it is a merge patch against the previous one.
+        content: Document or patch of the node's service.
     """
 
     revision: Revision
@@ -83,7 +83,7 @@
     content: Document
 
     def __len__(self) -> int:
-        """Count the tables, for the watch's log line."""
+        """Return the number of tables, for the watch's log line."""
         return len(self.content)
 
 
@@ -92,14 +92,14 @@
 
 @dataclass(slots=True, frozen=True)
 class Heartbeat:
-    """Sent by each control machine to each other one.
+    """Periodic message from each control machine to every other one.
 
     Attributes:
-        machine: The sender.
-        highest_epoch_seen: By the sender.
+        machine: Name of the sender.
+        highest_epoch_seen: Highest epoch that the sender has seen.
         last: Last revision on the sender's disk.
-        node_statuses: What the sender knows of nodes; None where the receiver does not lead.
-        includes_all_nodes: `node_statuses` has all nodes that watch the sender; otherwise the changed ones.
+        node_statuses: Node statuses known to the sender; None unless the receiver is the leader.
+        includes_all_nodes: Whether `node_statuses` has all nodes that watch the sender; otherwise only changed ones.
     """
 
     machine: str
@@ -111,14 +111,14 @@
 
 @dataclass(slots=True, frozen=True)
 class MachineState:
-    """A control machine's answer to a heartbeat or fence.
+    """A control machine's response to a heartbeat or fence.
 
     Attributes:
-        machine: The machine that answers.
-        process_id: Random identity of its process, which changes at a restart.
-        highest_epoch_seen: By that machine.
+        machine: Name of the responding machine.
+        process_id: Random identifier of its process, new after each restart.
+        highest_epoch_seen: Highest epoch that the machine has seen.
         last: Last revision on its disk.
-        is_fenced: It takes nothing below the epoch of the fence; False in answers to heartbeats.
+        is_fenced: Whether the machine rejects everything below the epoch of the fence; False for a heartbeat.
     """
 
     machine: str
@@ -133,14 +133,14 @@
 
 @dataclass(slots=True, frozen=True)
 class PutRequest:
-    """A change of the document.
+    """Request to change the document.
 
     Attributes:
         patch: The merge patch.
-        expected: Number of the revision that the patch was made for.
-        author: Who makes the change.
-        note: Why.
-        unreplicated: Acknowledge without a copy on another machine.
+        expected: Number of the revision that the patch is based on.
+        author: Author of the change.
+        note: Reason for the change.
+        unreplicated: Whether to acknowledge the change without a copy on another machine.
     """
 
     patch: Document
@@ -152,13 +152,13 @@
 
 @dataclass(slots=True, frozen=True)
 class RollbackRequest:
-    """A new revision with the document of an earlier one.
+    """Request to write a new revision with the document of an earlier one.
 
     Attributes:
         target: Number of the earlier revision.
-        expected: Number of the current revision.
-        author: Who rolls back.
-        unreplicated: Acknowledge without a copy on another machine.
+        expected: Number of the current revision, as known to the caller.
+        author: Author of the rollback.
+        unreplicated: Whether to acknowledge the change without a copy on another machine.
     """
 
     target: int
@@ -169,11 +169,11 @@
 
 @dataclass(slots=True, frozen=True)
 class PromoteRequest:
-    """Makes the machine that receives it the leader.
+    """Request to promote the receiving machine to leader.
 
     Attributes:
-        force: Also where that loses changes, or may.
-        author: Who promotes.
+        force: Whether to promote even if changes are or may be lost.
+        author: Author of the promotion.
     """
 
     force: bool = False
@@ -182,12 +182,12 @@
 
 @dataclass(slots=True, frozen=True)
 class ChangeResponse:
-    """Answer to a put, rollback or promotion.
+    """Response to a put, rollback or promotion.
 
     Attributes:
-        revision: The new revision, or the current one where nothing changed.
-        changed: Whether there is a new one.
-        lost: After a promotion, the revisions of peers that the new leader lacks, as text; None otherwise.
+        revision: The new revision, or the current one if nothing changed.
+        changed: Whether a new revision was written.
+        lost: After a promotion, one line per peer whose last revision the new leader does not have; otherwise None.
     """
 
     revision: Revision
@@ -197,12 +197,12 @@
 
 @dataclass(slots=True, frozen=True)
 class HistoryResponse:
-    """The last changes, newest first.
+    """Response to a history request.
 
     Attributes:
-        machine: The machine that answers.
+        machine: Name of the responding machine.
         oldest: Number of the oldest retained revision.
-        changes: The changes.
+        changes: The last changes, newest first.
     """
 
     machine: str
@@ -212,13 +212,13 @@
 
 @dataclass(slots=True, frozen=True)
 class ErrorResponse:
-    """Answer to a call that failed.
+    """Response to a failed call.
 
     Attributes:
-        text: One plain line.
-        leader: The machine to call instead; None where another machine would not help.
-        leader_address: Its address; empty where it is not known.
-        current: Number of this machine's last revision; None where it does not matter.
+        text: One-line error message.
+        leader: Name of the leader, which is to be called instead; None if the failure has another cause.
+        leader_address: Address of the leader; empty if unknown.
+        current: Number of the responding machine's last revision; None if not relevant.
     """
 
     text: str
@@ -235,9 +235,9 @@
     """One node in the status report.
 
     Attributes:
-        status: The node's last acknowledgement.
-        unchanged_for_s: Seconds for which the applied and rejected revisions have been the same.
-        behind_for_s: Seconds for which the node has lacked a committed revision; 0 where it lacks none.
+        status: The last reported state of the node.
+        unchanged_for_s: Time since the applied or rejected revision changed, in seconds.
+        behind_for_s: Time for which the node has lacked a committed revision, in seconds; 0 if it is up to date.
     """
 
     status: NodeStatus
@@ -247,7 +247,7 @@
 
 @dataclass(slots=True, frozen=True)
 class RevisionCount:
-    """How many nodes have applied a revision."""
+    """Number of nodes that have applied a revision."""
 
     revision: Revision
     nodes: int
@@ -255,20 +255,20 @@
 
 @dataclass(slots=True, frozen=True)
 class FleetReport:
-    """The nodes of a fleet by the revision that they have applied.
+    """Summary of the nodes by applied revision.
 
     Attributes:
-        nodes: How many nodes are known.
-        up_to_date: How many are connected and have applied the committed revision.
-        behind_count: How many are connected and have not.
-        rejected_count: How many could not apply a revision.
-        disconnected_count: How many have no watch open.
-        longest_behind_s: The longest time for which a connected node has been behind, in seconds.
-        revisions: Nodes by applied revision, newest first.
-        behind: Nodes that are connected and behind.
-        rejected: Nodes that could not apply a revision.
-        disconnected: Nodes without a watch.
-        all_nodes: Each node; None where they were not asked for.
+        nodes: Number of known nodes.
+        up_to_date: Number of connected nodes that have applied the committed revision.
+        behind_count: Number of connected nodes that have not.
+        rejected_count: Number of nodes that rejected a revision.
+        disconnected_count: Number of nodes without an open watch.
+        longest_behind_s: Longest `behind_for_s` of a connected node, in seconds.
+        revisions: Node counts by applied revision, newest first.
+        behind: Connected nodes that are behind.
+        rejected: Nodes that rejected a revision.
+        disconnected: Nodes without an open watch.
+        all_nodes: All nodes; None if not requested.
     """
 
     nodes: int
@@ -289,10 +289,10 @@
     """One control machine in the status report.
 
     Attributes:
-        machine: Its name.
+        machine: Name of the machine.
         last: Last revision on its disk; None before the first contact.
-        last_contact_s: Seconds since the last contact; None before the first.
-        is_leader: Whether it leads.
+        last_contact_s: Time since the last contact, in seconds; None before the first.
+        is_leader: Whether the machine is the leader.
     """
 
     machine: str
@@ -303,15 +303,15 @@
 
 @dataclass(slots=True, frozen=True)
 class StatusReport:
-    """Answer to `rosewheel control status`.
+    """Response to a status request.
 
     Attributes:
-        contacted: The machine that was called.
-        machine: The machine whose knowledge this is.
-        problem: Why the report may be incomplete, or the machine accepts no changes; empty for none.
-        committed: The revision that nodes are shown.
-        last_number: Number of the last revision in the log.
-        highest_epoch_seen: By `machine`.
+        contacted: Name of the machine that was called.
+        machine: Name of the machine that made the report.
+        problem: Why the report may be incomplete or no changes are accepted; empty if there is no problem.
+        committed: The newest committed revision, as known to `machine`.
+        last_number: Number of the last revision in the log of `machine`.
+        highest_epoch_seen: Highest epoch that `machine` has seen.
         machines: The control machines.
         fleet: The nodes.
     """
