--- a/rosewheel/control/fleet_report.py
+++ b/rosewheel/control/fleet_report.py
@@ -1,4 +1,4 @@
-"""Report of the nodes by the revision that they have applied. No I/O and no clock."""
+"""Report of the nodes by applied revision. No I/O and no clock."""
 
 from __future__ import annotations
 
@@ -9,19 +9,19 @@
 from rosewheel.control.node_registry import NodeEntry, NodeRegistry
 from rosewheel.control.revisions import INITIAL_REVISION, Revision
 
-MAX_LISTED = 50  # entries of each list of a report
+MAX_LISTED = 50  # default limit of entries in each list of a report
 
 
 class FleetReporter:
-    """Makes the report of one moment."""
+    """Makes the report for one point in time."""
 
     def __init__(self, committed: Revision, now_s: float, age_s: Callable[[int], float]) -> None:
-        """Set the revision and the clocks that nodes are compared with.
+        """Set the reference revision and times.
 
         Args:
-            committed: The revision that nodes are shown.
-            now_s: Present time of the registry's clock, in seconds.
-            age_s: Tells how many seconds ago a revision number was written.
+            committed: The newest committed revision.
+            now_s: Current time of the registry's clock, in seconds.
+            age_s: Returns the age of a revision by its number, in seconds.
         """
         self._committed, self._now_s, self._age_s = committed, now_s, age_s
 
@@ -32,8 +32,8 @@
 
         Args:
             registry: The nodes.
-            include_all: List each node.
-            max_listed: Bound of each list, apart from that of all nodes.
+            include_all: Whether to list all nodes.
+            max_listed: Limit of entries in each list except that of all nodes.
         """
         connected = [entry for entry in registry if entry.status.connected]
         behind = [entry for entry in connected if self._is_behind(entry)]
@@ -57,13 +57,13 @@
         return entry.status.applied < self._committed
 
     def _behind_for_s(self, entry: NodeEntry) -> float:
-        """Return for how long a node has lacked the revision after its own."""
+        """Return for how long a node has lacked the revision after its applied one, in seconds."""
         applied = entry.status.applied
         if applied == INITIAL_REVISION:
             return self._now_s - entry.unchanged_since_s
         missing = applied.number + 1
         if applied.epoch_number != self._committed.epoch_number:
-            # On another branch a node's revision may have a higher number than the committed one.
+            # A revision on a discarded branch may have a higher number than the committed one.
             missing = min(missing, self._committed.number)
         return self._age_s(missing)
 
--- a/rosewheel/control/node_registry.py
+++ b/rosewheel/control/node_registry.py
@@ -1,7 +1,7 @@
-"""What each node has acknowledged. No I/O and no clock: times are seconds of the machine that has the registry.
+"""The latest status of each node. No I/O and no clock: times are passed in, in seconds of the local clock.
 
-Nodes acknowledge to the machine that they watch. Machines pass changed statuses on in batches, so the leader has those
-of all. A node stamps its messages, so the later of two statuses counts in whichever order they arrive.
+Nodes acknowledge to the machine that they watch. Machines forward changed statuses to the leader in batches, so the
+leader knows all nodes. Nodes stamp their messages, so the latest status wins in any order of arrival.
 """
 
 from __future__ import annotations
@@ -12,7 +12,7 @@
 from rosewheel.control.messages import NodeStatus
 from rosewheel.control.revisions import INITIAL_REVISION
 
-NODE_EXPIRY_S = 24 * 3600.0  # a disconnected node is no longer counted after this time
+NODE_EXPIRY_S = 24 * 3600.0  # time after which a disconnected node is removed
 
 
 @dataclass(slots=True)
@@ -21,8 +21,8 @@
 
     Attributes:
         status: The latest status.
-        updated_at_s: When the last message about the node arrived.
-        unchanged_since_s: Since when its applied and rejected revisions have been the same.
+        updated_at_s: Time of the last message about the node.
+        unchanged_since_s: Time of the last change of the applied or rejected revision.
     """
 
     status: NodeStatus
@@ -34,17 +34,17 @@
     """The latest status of each node.
 
     Attributes:
-        expiry_s: How long a disconnected node is counted.
-        entries: By the node's name.
+        expiry_s: Time after which a disconnected node is removed, in seconds.
+        entries: Entries by the name of the node.
     """
 
     def __init__(self, expiry_s: float = NODE_EXPIRY_S) -> None:
         self.expiry_s = expiry_s
         self.entries: dict[str, NodeEntry] = {}
-        self._changed: dict[str, None] = {}  # names, in the order of the changes
+        self._changed: dict[str, None] = {}  # ordered set of the names of changed nodes
 
     def __len__(self) -> int:
-        """Count the nodes."""
+        """Return the number of nodes."""
         return len(self.entries)
 
     def __iter__(self) -> Iterator[NodeEntry]:
@@ -55,14 +55,14 @@
         """Record a status unless a later one is known.
 
         Returns:
-            Whether it changed anything.
+            Whether the node's status changed.
         """
         entry = self.entries.get(status.node)
         if entry is None:
             self.entries[status.node] = NodeEntry(status, now_s, now_s)
         else:
             known = entry.status
-            # The machine that a node has left may report it after the next machine did.
+            # A report from the node's previous machine may arrive after one from its current machine.
             if status.stamp < known.stamp or (
                 status.stamp == known.stamp and status.machine != known.machine
             ):
@@ -77,14 +77,14 @@
         return True
 
     def connected(self, node: str, service: str, machine: str, stamp: int, now_s: float) -> None:
-        """A node has opened a watch at a machine. What it has applied stays as last reported."""
+        """Record that a node has opened a watch at a machine, and keep its last reported revisions."""
         entry = self.entries.get(node)
         known = entry.status if entry is not None else NodeStatus(node, service, machine, 0, INITIAL_REVISION)
         status = replace(known, service=service, machine=machine, stamp=stamp, connected=True)
         self.record(status, now_s)
 
     def disconnected(self, node: str, machine: str, now_s: float) -> None:
-        """A node's watch at a machine has ended."""
+        """Record that a node's watch at a machine has ended; ignored if the node has moved to another machine."""
         entry = self.entries.get(node)
         if entry is not None and entry.status.machine == machine and entry.status.connected:
             entry.status = replace(entry.status, connected=False)
@@ -92,26 +92,26 @@
             self._changed[node] = None
 
     def machine_lost(self, machine: str, now_s: float) -> None:
-        """A machine is silent, so its nodes move to others."""
+        """Record that the watches of all nodes at a lost machine have ended."""
         for node, entry in self.entries.items():
             if entry.status.machine == machine:
                 self.disconnected(node, machine, now_s)
 
     def take_changes(self) -> list[NodeStatus]:
-        """Return the statuses that changed since the last call."""
+        """Return the statuses that changed since the last call, and mark them as unchanged."""
         statuses = [self.entries[node].status for node in self._changed if node in self.entries]
         self._changed.clear()
         return statuses
 
     def statuses_of_machine(self, machine: str) -> list[NodeStatus]:
-        """Return all statuses that a machine has first-hand, for a leader that knows nothing yet."""
+        """Return the statuses of all nodes that watch a machine, for a new or restarted leader."""
         return [entry.status for entry in self if entry.status.machine == machine]
 
     def expire(self, now_s: float) -> int:
-        """Forget nodes that have been disconnected for `expiry_s`.
+        """Remove nodes that have been disconnected for `expiry_s`.
 
         Returns:
-            How many.
+            Number of removed nodes.
         """
         expired = [
             node
