--- a/rosewheel/control/machine_selection.py
+++ b/rosewheel/control/machine_selection.py
@@ -1,7 +1,7 @@
-"""Which control machine a node watches. No I/O and no clock.
+"""Selects the control machine that a node watches, by rendezvous hashing. No I/O and no clock.
 
-Rendezvous hashing: a node's order of the machines follows a hash of both names. The nodes of a lost machine spread over
-the others alike, and no other node moves. Waits are drawn from the node's own seed.
+Each node orders the machines by a hash of both names. The nodes of a lost machine spread evenly over the others, and no
+other node moves. Backoffs are drawn from a per-node seed, so that nodes do not reconnect at the same time.
 """
 
 from __future__ import annotations
@@ -12,8 +12,7 @@
 
 from rosewheel.control.timing import MIN_BACKOFF_SHARE, RECONNECT_BACKOFF_S
 
-# Range of the wait, in seconds, until a node that had to move tries its preferred machine again.
-RETURN_INTERVAL_S = (60.0, 240.0)
+RETURN_INTERVAL_S = (60.0, 240.0)  # range of the wait before a node tries its preferred machine again
 
 
 def rendezvous_order(node: str, machines: Iterable[str]) -> list[str]:
@@ -30,20 +29,20 @@
 
     Attributes:
         order: All machines, the preferred one first.
-        index: Position of the current machine in `order`.
-        random: Source of the node's waits.
+        index: Index of the current machine in `order`.
+        random: Random source of the node's waits.
     """
 
     def __init__(self, node: str, machines: Iterable[str], seed: int) -> None:
         """Start with the preferred machine.
 
         Raises:
-            ValueError: There are no machines.
+            ValueError: `machines` is empty.
         """
         self.random = Random(seed)
         self.order = rendezvous_order(node, machines)
         if not self.order:
-            raise ValueError("no control machine")
+            raise ValueError("no control machines given")
         self.index = 0
 
     @property
@@ -53,14 +52,14 @@
 
     @property
     def is_preferred(self) -> bool:
-        """Whether the current machine is the first of the node's order."""
+        """Whether the current machine is the first in the node's order."""
         return self.index == 0
 
     def fail_over(self) -> float:
         """Make the next machine of the order current.
 
         Returns:
-            Backoff in seconds before it is tried.
+            Backoff before the attempt, in seconds.
         """
         self.index = (self.index + 1) % len(self.order)
         return RECONNECT_BACKOFF_S * self.random.uniform(MIN_BACKOFF_SHARE, 1.0)
@@ -70,5 +69,5 @@
         self.index = 0
 
     def draw_return_wait_s(self) -> float:
-        """Return how long to wait before the preferred machine is tried again, in seconds."""
+        """Return a random wait before the next attempt at the preferred machine, in seconds."""
         return self.random.uniform(*RETURN_INTERVAL_S)
