--- a/rosewheel/control/machine_api.py
+++ b/rosewheel/control/machine_api.py
@@ -1,4 +1,4 @@
-"""HTTP API of a control machine: watches of nodes and machines, heartbeats, and the calls of operators."""
+"""HTTP API of a control machine: watches of nodes and machines, heartbeats, and operator requests."""
 
 from __future__ import annotations
 
@@ -42,7 +42,7 @@
 
 log = logging.getLogger("rosewheel.control")
 
-# A call carries a change, or a batch of statuses: those of all 540 nodes are 120 kB.
+# The largest bodies are a document and a batch of node statuses (120 kB for 540 nodes).
 CALL_LIMITS = ConnectionLimits(
     max_request_bytes=4 * MAX_DOCUMENT_BYTES, receive_timeout_s=5.0, send_timeout_s=5.0, idle_timeout_s=30.0
 )
@@ -54,14 +54,14 @@
 
 
 class MachineApi:
-    """Answers calls; the handler of its connections."""
+    """Handles the requests of all connections to one control machine."""
 
     def __init__(self, parts: MachineParts, process_id: str) -> None:
         """Set up the routes.
 
         Args:
-            parts: Of this machine.
-            process_id: Random identity of this process.
+            parts: Parts of the machine.
+            process_id: Random identifier of this process.
         """
         self._process_id = process_id
         self._settings, self._store, self._nodes = parts.settings, parts.store, parts.nodes
@@ -89,24 +89,24 @@
     # -------------------------------------------------------------------- connections
 
     def connection_opened(self, connection: JsonConnection) -> None:
-        """A connection was opened."""
+        """Register a new connection."""
         self._connections[connection] = None
 
     def connection_closed(self, connection: JsonConnection) -> None:
-        """A connection has ended."""
+        """Remove an ended connection; if it was a node's watch, record that the node is disconnected."""
         self._connections.pop(connection, None)
         node = self._watches.closed(connection)
         if node:
             self._nodes.disconnected(node, self._settings.name, self._clock.time())
 
     async def handle(self, request: JsonRequest, connection: JsonConnection) -> JsonResponse | None:
-        """Return the answer to a call; None where the connection has become a watch."""
+        """Return the response to a request; None if the connection has become a watch."""
         path, _, query_text = request.target.partition("?")
         route = self._routes.get(path)
         if route is None:
-            return _error_response(404, "no such call; there are " + ", ".join(self._routes))
+            return _error_response(404, "unknown path; the paths are " + ", ".join(self._routes))
         if request.method != route.method:
-            error = ErrorResponse(f"{path} takes {route.method}")
+            error = ErrorResponse(f"{path} requires method {route.method}")
             return JsonResponse(405, codec.encode_error(error), allow=route.method)
         query = {key: values[-1] for key, values in parse_qs(query_text, keep_blank_values=True).items()}
         try:
@@ -121,11 +121,11 @@
             return _error_response(409, str(error), self._store.replica.last.number)
         except (WriteUnavailableError, NotReplicatedError) as error:
             return _error_response(503, str(error), self._store.replica.last.number)
-        except ValueError as error:  # the request's own fault: malformed, or an invalid document
+        except ValueError as error:  # malformed request or invalid document
             return _error_response(400, str(error))
         except OSError as error:
             log.error("call failed: %s, path=%s", error, path)
-            return _error_response(500, f"{self._settings.name} can't keep it: {error}")
+            return _error_response(500, f"{self._settings.name} could not write to its log: {error}")
 
     def _not_leader_response(self, error: NotLeaderError) -> JsonResponse:
         leader = self._store.replica.highest_epoch_seen.leader
@@ -138,11 +138,13 @@
 
     async def _open_watch(self, request: WatchRequest, connection: JsonConnection) -> JsonResponse | None:
         if request.peer not in self._settings.peers and not request.node:
-            return _error_response(400, "who follows? node=NAME")
-        # A node or follower that has seen a later epoch makes it known here.
+            return _error_response(
+                400, "a watch requires the parameter node, or peer with the name of a control machine"
+            )
+        # The watcher may have seen a higher epoch than this machine.
         await self._store.observe_epoch(request.received.epoch)
         if connection.transport is None:
-            return None  # it has disconnected meanwhile
+            return None  # disconnected in the meantime
         if not request.peer:
             self._note_connected(request)
         node = "" if request.peer else request.node
@@ -178,7 +180,7 @@
         peer = self._peers.get(heartbeat.machine)
         if peer is None:
             name = self._settings.name
-            raise MalformedMessageError(f"machine: {heartbeat.machine!r} is no peer of {name}")
+            raise MalformedMessageError(f"machine: {heartbeat.machine!r} is not a peer of {name}")
         await peer.peer_reported(heartbeat.highest_epoch_seen, heartbeat.last)
         now_s = self._clock.time()
         for status in heartbeat.node_statuses or ():
@@ -245,7 +247,7 @@
 def _json_object(body: bytes) -> JsonObject:
     row = orjson.loads(body or b"{}")
     if not isinstance(row, dict):
-        raise MalformedMessageError("not an object")
+        raise MalformedMessageError("body is not a JSON object")
     return row
 
 
