--- a/rosewheel/control/acknowledgement.py
+++ b/rosewheel/control/acknowledgement.py
@@ -1,4 +1,4 @@
-"""A node's acknowledgements to the control machine that it watches."""
+"""Acknowledgements of a node to the control machine that it watches."""
 
 from __future__ import annotations
 
@@ -14,14 +14,14 @@
 from rosewheel.control.messages import NodeAcknowledgement
 from rosewheel.control.timer import Timer
 
-# Nodes acknowledge at random moments within this time, in seconds, so that those of one machine do not do it at once.
-# Changes that follow one another quickly are acknowledged together.
+# Upper bound of the random delay of an acknowledgement. It spreads the load on the machine when many nodes apply the
+# same change, and combines the acknowledgements of changes in quick succession.
 SPREAD_S = 0.4
-RETRY_RANGE_S = (1.0, 2.0)  # wait after an acknowledgement that failed
+RETRY_RANGE_S = (1.0, 2.0)  # range of the wait after a failed acknowledgement
 
 
 class AcknowledgementSender:
-    """Sends the node's state after each change until the machine has it."""
+    """Sends the node's state to the control machine after each change, and retries until it is received."""
 
     def __init__(
         self,
@@ -32,18 +32,18 @@
         """Start with nothing to send.
 
         Args:
-            make_acknowledgement: Returns the node's present state.
-            random: Source of the waits.
-            on_acknowledged: Called once the machine has the node's present state.
+            make_acknowledgement: Returns the node's current state.
+            random: Random source of the delays.
+            on_acknowledged: Called once the machine has the node's current state.
         """
         self._make, self._random, self._on_acknowledged = make_acknowledgement, random, on_acknowledged
         self._client: JsonHttpClient | None = None
         self._timer = Timer()
         self._task: asyncio.Task[None] | None = None
-        self._is_current = False  # whether the machine has the node's present state
+        self._is_current = False  # whether the machine has the node's current state
 
     def use_machine(self, address: Address) -> None:
-        """Send to this machine from now on."""
+        """Send to the machine at this address from now on."""
         if self._client is not None:
             if self._client.address == address:
                 return
@@ -51,13 +51,13 @@
         self._client = JsonHttpClient(address)
 
     def schedule(self) -> None:
-        """The node's state has changed: send it within `SPREAD_S`."""
+        """Send the node's changed state within `SPREAD_S`."""
         self._is_current = False
         if not self._timer.is_running and (self._task is None or self._task.done()):
             self._timer.start(self._random.uniform(0.0, SPREAD_S), self._start)
 
     def close(self) -> None:
-        """Send nothing more."""
+        """Cancel pending acknowledgements and close the connection."""
         self._timer.cancel()
         if self._client is not None:
             self._client.close()
@@ -69,7 +69,7 @@
 
     async def _send(self) -> None:
         while not self._is_current and self._client is not None:
-            self._is_current = True  # unless the state changes during the call
+            self._is_current = True  # `schedule` resets it if the state changes during the call
             if not await self._call(self._client):
                 self._is_current = False
                 self._timer.start(self._random.uniform(*RETRY_RANGE_S), self._start)
@@ -83,6 +83,6 @@
             status, _ = await client.call("POST", ACKNOWLEDGE_PATH, body)
         except HttpCallError:
             status = 0
-        # A kept connection would take a descriptor here, and one for each node on the machine, to save a connect.
+        # Not kept open: an idle connection would cost the machine one descriptor per node.
         client.close()
         return status == 200
--- a/rosewheel/control/cached_document.py
+++ b/rosewheel/control/cached_document.py
@@ -1,4 +1,4 @@
-"""The file in which a node keeps the last document that it applied, to start with while no machine can be reached."""
+"""File with the last document that a node applied, from which it starts while no control machine is reachable."""
 
 from __future__ import annotations
 
@@ -14,18 +14,18 @@
 
 log = logging.getLogger("rosewheel.control")
 
-MAX_FILE_BYTES = 16 << 20  # guards memory: a longer file was not written here
+MAX_FILE_BYTES = 16 << 20  # limits memory use; no valid file is longer
 
 
 class CachedDocumentFile:
-    """Saves the applied document of a subscription, in a thread: requests must not wait for a disk."""
+    """Saves the applied document of a subscription, in a thread so that disk I/O does not block the event loop."""
 
     def __init__(self, path: Path, service: str, subscription: Subscription) -> None:
-        """Set the file and its source.
+        """Set the file and the state to save.
 
         Args:
             path: The file.
-            service: The service of the node; a file of another service is not loaded.
+            service: The service of the node; a file of another service is rejected.
             subscription: The state to save.
         """
         self._path, self._service, self._subscription = path, service, subscription
@@ -36,18 +36,18 @@
         """Read the file.
 
         Raises:
-            CachedDocumentError: It can't be used.
-            OSError: It can't be read.
+            CachedDocumentError: The content is invalid or of another service.
+            OSError: The file can't be read.
         """
         with self._path.open("rb") as file:
             return decode_cached_document(file.read(MAX_FILE_BYTES + 1), self._service)
 
     def mark_saved(self, revision: Revision) -> None:
-        """The file has this revision already."""
+        """Record that the file already has this revision."""
         self._saved = revision
 
     def save(self) -> None:
-        """Begin to save the applied document. A save in progress includes it."""
+        """Start to save the applied document, unless a save is in progress, which then saves it too."""
         if self._task is None or self._task.done():
             self._task = asyncio.get_running_loop().create_task(self._save())
 
@@ -64,10 +64,10 @@
 
 
 def write_atomically(path: Path, data: bytes) -> None:
-    """Write a file so that a crash leaves the old content or the new one.
+    """Replace the content of a file atomically: a crash leaves either the old or the new content.
 
     Raises:
-        OSError: The old content stays.
+        OSError: The file could not be written. The old content stays.
     """
     part = path.with_name(f"{path.name}.{os.getpid()}.part")
     try:
--- a/rosewheel/control/subscriber.py
+++ b/rosewheel/control/subscriber.py
@@ -1,8 +1,7 @@
-"""The node's side: receives the configuration of the node's service from one control machine and applies it.
+"""Receives the configuration of a node's service from a control machine and applies it.
 
-It costs a node one open connection, a timer, and a short call for each change. Requests never wait for it. The applied
-revision stays until the next one, also while no control machine can be reached, and a node starts with its cached
-document.
+A node keeps one watch open and sends a short call for each change. If no control machine is reachable, the node keeps
+the applied revision, and starts from its cached document.
 """
 
 from __future__ import annotations
@@ -28,7 +27,7 @@
 
 log = logging.getLogger("rosewheel.control")
 
-MAX_RETURN_BACKOFF = 16.0  # bound of the factor by which waits for the preferred machine grow
+MAX_RETURN_BACKOFF = 16.0  # largest backoff factor of the wait before a return to the preferred machine
 
 ApplyDocument = Callable[[Document], None]
 
@@ -41,11 +40,11 @@
     """Subscribes a node to its configuration.
 
     Attributes:
-        name: The node's name.
-        service: The service that it balances.
-        machines: Addresses of the control machines by name.
-        state: What was received and applied.
-        selection: Which machine is watched.
+        name: Name of the node.
+        service: The service that the node balances.
+        machines: Addresses of the control machines, by name.
+        state: The received and applied configuration.
+        selection: Selects the machine to watch.
     """
 
     def __init__(
@@ -62,15 +61,15 @@
         """Set up without I/O.
 
         Args:
-            name: The node's name, which no other node has.
-            service: The service that it balances.
-            machines: Addresses of the control machines by name.
-            seed: Of the waits.
-            cache_path: File for the last applied document; None to save none.
-            apply: Applies the complete document that concerns the node. Raises ValueError, with everything as before,
-                where it can't; the control machines receive the reason.
+            name: Name of the node, unique in the fleet.
+            service: The service that the node balances.
+            machines: Addresses of the control machines, by name.
+            seed: Random seed of the node's waits.
+            cache_path: File for the last applied document; None to disable the cache.
+            apply: Applies the complete document of the node's service. If it can't, it raises ValueError and changes
+                nothing; the message is reported to the control machines.
             on_update: Called with the applied revision after each update.
-            on_acknowledged: Called with the applied revision once a control machine has it.
+            on_acknowledged: Called with the applied revision once a control machine has received the acknowledgement.
         """
         self.name, self.service, self.machines = name, service, dict(machines)
         self.state = Subscription()
@@ -81,18 +80,18 @@
             self._acknowledgement, self.selection.random, lambda: on_acknowledged(self.state.applied)
         )
         self._stamp = 0
-        self._return_attempts = 0  # to the preferred machine, since it was lost
+        self._return_attempts = 0  # attempts to return to the preferred machine since its last update
         self._closed = False
         self._reopen_timer, self._return_timer = Timer(), Timer()
         self._watch_client: WatchClient[ConfigurationUpdate] | None = None
 
     def start(self) -> None:
-        """Apply the saved document, if it is good, and open a watch."""
+        """Apply the cached document, if it is valid, and open a watch."""
         self._load_cache()
         self._open()
 
     def close(self) -> None:
-        """Close the watch and send nothing more."""
+        """Close the watch and cancel pending acknowledgements."""
         self._closed = True
         self._reopen_timer.cancel()
         self._return_timer.cancel()
@@ -102,7 +101,7 @@
 
     @property
     def machine(self) -> str:
-        """The control machine that is watched."""
+        """Name of the control machine that is watched."""
         return self.selection.current
 
     @property
@@ -112,7 +111,7 @@
 
     @property
     def rejected(self) -> Revision | None:
-        """A later revision that the node could not apply."""
+        """A later revision that the node could not apply; None if there is none."""
         return self.state.rejected
 
     # -------------------------------------------------------------------------- watch
@@ -131,7 +130,7 @@
                 on_failure=self._watch_failed,
             )
         self._watch_client.change_address(address)
-        # The subscription checks the order of revisions, since their numbers may fall in a later epoch.
+        # Revision numbers may decrease in a later epoch, so the subscription checks their order instead.
         self._watch_client.revision = 0
         self._watch_client.start()
         if not self.state.received_is_applied:
@@ -151,12 +150,12 @@
         return encode_watch_target(request)
 
     def _watch_failed(self) -> None:
-        """Watch the next machine of this node's order after a backoff."""
+        """Watch the next machine in the node's order after a backoff."""
         if not self._closed:
             self._reopen_timer.start(self.selection.fail_over(), self._open)
 
     def _try_preferred(self) -> None:
-        """Watch the preferred machine; if it is still lost, the watch fails over to the next one."""
+        """Watch the preferred machine; if it is still lost, the watch fails over again."""
         self._return_attempts += 1
         if not self.selection.is_preferred:
             self.selection.return_to_preferred()
@@ -211,7 +210,7 @@
         )
 
     def _next_stamp(self) -> int:
-        """Return a stamp above all earlier ones, over restarts too as long as the clock is not set back."""
+        """Return a stamp above all earlier ones, also across restarts unless the clock was set back."""
         self._stamp = max(self._stamp + 1, int(time.time() * 1000.0))
         return self._stamp
 
--- a/rosewheel/control/subscription.py
+++ b/rosewheel/control/subscription.py
@@ -11,23 +11,25 @@
 
 
 class UpdateEffect(Enum):
-    """How a node reacts to an update."""
+    """The action that a node takes on an update."""
 
     APPLY = auto()  # apply the received document
-    SAVE = auto()  # save the new epoch: nothing older may be taken after a restart either
+    SAVE = auto()  # save the new epoch, so that older updates are rejected after a restart too
     NONE = auto()
 
 
 class Subscription:
-    """The state of one node. Patches are merged into the received document, whether or not that could be applied.
+    """The configuration state of one node.
+
+    Patches are merged into the received document, even if that document could not be applied.
 
     Attributes:
-        received: The last revision that was received.
-        received_document: Its document.
-        applied: The last revision that was applied.
-        applied_document: Its document.
-        rejected: A later revision that could not be applied.
-        reason: Why it could not.
+        received: The last received revision.
+        received_document: Document of `received`.
+        applied: The last applied revision.
+        applied_document: Document of `applied`.
+        rejected: A later revision that could not be applied; None if there is none.
+        reason: Why the revision was rejected; empty if none was.
     """
 
     def __init__(self) -> None:
@@ -40,25 +42,25 @@
 
     @property
     def received_is_applied(self) -> bool:
-        """Whether the node has applied all that it has received."""
+        """Whether the last received revision is applied."""
         return self.applied == self.received and self.rejected is None
 
     def restore(self, revision: Revision, document: Document) -> None:
-        """Continue from a revision that was applied before a restart."""
+        """Restore a revision that was applied before a restart."""
         self.received = self.applied = revision
         self.received_document = self.applied_document = document
 
     def check(self, update: ConfigurationUpdate) -> None:
-        """Check that an update is of the epoch and order that the node has seen.
+        """Check that an update is not older than the last received revision.
 
         Raises:
-            StaleUpdateError: It is of a lower epoch, or of an earlier revision of this one.
+            StaleUpdateError: The update is of a lower epoch, or of an earlier revision in the same epoch.
         """
         if update.revision < self.received:
             raise StaleUpdateError(update.revision, self.received)
 
     def receive(self, update: ConfigurationUpdate) -> UpdateEffect:
-        """Take an update that was checked."""
+        """Merge a checked update into the received document, and return the action to take."""
         if update.is_snapshot:
             self.received_document = update.content
         else:
@@ -72,10 +74,10 @@
         return UpdateEffect.SAVE if previous.epoch != update.revision.epoch else UpdateEffect.NONE
 
     def mark_applied(self) -> None:
-        """The received document was applied."""
+        """Record that the received document was applied."""
         self.applied, self.applied_document = self.received, self.received_document
         self.rejected, self.reason = None, ""
 
     def mark_rejected(self, reason: str) -> None:
-        """The received document could not be applied; the one before stays."""
+        """Record that the received document could not be applied; the applied one stays in use."""
         self.rejected, self.reason = self.received, reason
