--- a/rosewheel/control/timer.py
+++ b/rosewheel/control/timer.py
@@ -1,4 +1,4 @@
-"""A one-shot timer that can be started again."""
+"""A restartable one-shot timer on the event loop."""
 
 from __future__ import annotations
 
@@ -7,18 +7,18 @@
 
 
 class Timer:
-    """Calls back once after each start, unless it is cancelled or started again before."""
+    """Calls a function once after a delay, unless it is cancelled or restarted first."""
 
     def __init__(self) -> None:
         self._handle: asyncio.TimerHandle | None = None
 
     @property
     def is_running(self) -> bool:
-        """Whether a call is due."""
+        """Whether a call is pending."""
         return self._handle is not None
 
     def start(self, wait_s: float, callback: Callable[[], None]) -> None:
-        """Call back after `wait_s` seconds, in place of any call that is due."""
+        """Call `callback` after `wait_s` seconds, instead of a pending call."""
         self.cancel()
         self._handle = asyncio.get_running_loop().call_later(wait_s, self._expire, callback)
 
@@ -27,7 +27,7 @@
         callback()
 
     def cancel(self) -> None:
-        """Drop the call that is due."""
+        """Cancel the pending call, if there is one."""
         if self._handle is not None:
             self._handle.cancel()
             self._handle = None
--- a/rosewheel/control/watch_client.py
+++ b/rosewheel/control/watch_client.py
@@ -25,12 +25,12 @@
     on_update: Callable[[Update], None],
     on_failure: Callable[[], None],
 ) -> WatchClient[Update]:
-    """Return a client with the time limits of control; its watch is not opened yet.
+    """Return a watch client with the timeouts of the control plane. The watch is not opened yet.
 
     Args:
-        address: The control machine.
-        target: Returns path and query at each opening.
-        decode: Reads the object of a line. What it raises as ValueError ends the watch.
+        address: Address of the control machine.
+        target: Returns the path and query each time the watch is opened.
+        decode: Decodes the JSON object of a line; a ValueError from it ends the watch.
         on_update: Called with each update.
         on_failure: Called once when the watch has ended, unless it was closed.
     """
--- a/rosewheel/control/watches.py
+++ b/rosewheel/control/watches.py
@@ -1,4 +1,4 @@
-"""The watches that are open at a control machine: of nodes, by their service, and of machines that follow."""
+"""The watches open at a control machine: those of nodes, and those of machines that replicate its log."""
 
 from __future__ import annotations
 
@@ -16,8 +16,8 @@
 from rosewheel.control.timing import KEEPALIVE_INTERVAL_S
 
 KEEPALIVE = encode_chunk(b"\n")
-TCP_USER_TIMEOUT_S = 10.0  # unacknowledged data for so long: the other end's machine is gone without a word
-MAX_UNSENT_BYTES = 4 << 20  # a watch that reads more slowly is closed
+TCP_USER_TIMEOUT_S = 10.0  # a connection with unacknowledged data for this long is closed
+MAX_UNSENT_BYTES = 4 << 20  # a watch with more unsent data is closed
 
 
 @dataclass(slots=True, eq=False)
@@ -25,12 +25,12 @@
     """One open watch.
 
     Attributes:
-        connection: The HTTP connection that carries it.
-        sent: The last revision that it has been sent.
-        service: The node's service.
-        node: The node; empty for a machine.
-        peer: The machine that follows; empty for a node.
-        is_queued: It waits for its start.
+        connection: The HTTP connection of the watch.
+        sent: The last revision sent.
+        service: The service of the node.
+        node: Name of the node; empty for a machine.
+        peer: Name of the machine that follows; empty for a node.
+        is_queued: Whether the watch is delayed by the pacer; nothing is sent to it until it starts.
     """
 
     connection: JsonConnection
@@ -42,16 +42,16 @@
 
 
 class UpdateEncoder:
-    """Encodes the lines of nodes' watches, once for all nodes of the same service and revision."""
+    """Encodes updates for nodes, once for all nodes of the same service and revision."""
 
     def __init__(self, replica: Replica) -> None:
         self._replica = replica
-        self._committed: Revision | None = None  # the revision that the caches are for
+        self._committed: Revision | None = None  # committed revision of the cached lines and documents
         self._lines: dict[tuple[str, Revision], bytes] = {}
         self._documents: dict[str, Document] = {}
 
     def line(self, service: str, sent: Revision) -> bytes:
-        """Return the line, as a chunk, that brings a node of a service from a revision to the committed one."""
+        """Return the encoded chunk that updates a node of a service from its last sent to the committed revision."""
         committed = self._replica.committed
         if committed != self._committed:
             self._committed = committed
@@ -75,11 +75,11 @@
 
 
 class WatchPublisher:
-    """Sends changes to all open watches.
+    """Sends new revisions to all open watches.
 
     Attributes:
-        watches: All open watches by their connection.
-        connection_by_node: The connection of each node's newest watch.
+        watches: All open watches, by connection.
+        connection_by_node: Connection of each node's newest watch.
     """
 
     def __init__(self, replica: Replica, loop: asyncio.AbstractEventLoop) -> None:
@@ -91,7 +91,7 @@
         self._timer = loop.call_later(KEEPALIVE_INTERVAL_S, self._send_keepalives)
 
     def open(self, watch: Watch) -> None:
-        """Begin the answer at once, and its content when the pacer allows: many nodes may connect at once."""
+        """Start the response at once, and send the first update when the pacer permits."""
         connection = watch.connection
         self.watches[connection] = watch
         if watch.node:
@@ -110,10 +110,10 @@
         self._send(watch)
 
     def closed(self, connection: JsonConnection) -> str:
-        """A connection has ended.
+        """Remove the watch of an ended connection.
 
         Returns:
-            The node whose newest watch it was; empty for any other connection.
+            Name of the node whose newest watch it was; empty otherwise.
         """
         watch = self.watches.pop(connection, None)
         if watch is None or self.connection_by_node.get(watch.node) is not connection:
