--- a/rosewheel/control/validation.py
+++ b/rosewheel/control/validation.py
@@ -1,4 +1,4 @@
-"""Validation of changes by the types and bounds by which nodes apply them."""
+"""Validation of changes against the types and bounds that nodes enforce when they apply them."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 MAX_DOCUMENT_BYTES = 1 << 20
 
-# What each node's own file has, and a document need not have.
+# Stands for a node's own file, which has the required tables that a document may omit.
 PLACEHOLDER_NODE_FILE: dict[str, Any] = {"class": [{"name": "any", "aim_ms": 1.0, "give_up_ms": 1.0}]}
 
 
@@ -18,7 +18,7 @@
     """Check that nodes of every service could apply a document.
 
     Raises:
-        InvalidDocumentError: One plain line that begins with the key.
+        InvalidDocumentError: A value is invalid; the message begins with its key.
     """
     _validate_tables({key: value for key, value in document.items() if key != "services"})
     services = document.get("services", {})
@@ -35,13 +35,13 @@
 
 
 def validate_patch(patch: Document) -> None:
-    """Check the depth of a patch.
+    """Check the nesting depth of a patch.
 
     Raises:
-        InvalidDocumentError: It is nested too deep.
+        InvalidDocumentError: The patch is nested too deeply.
     """
     if nesting_exceeds(patch):
-        raise InvalidDocumentError("a patch that is nested too deep")
+        raise InvalidDocumentError("patch: nested too deeply")
 
 
 def _validate_tables(tables: Document) -> None:
