--- a/rosewheel/control/codec/__init__.py
+++ b/rosewheel/control/codec/__init__.py
@@ -1,1 +1,1 @@
-"""JSON of the log, the cached document, watches and calls. Only these modules know its keys and list positions."""
+"""JSON encoding of the log, the cached document, watches and calls. Only these modules know the keys on the wire."""
--- a/rosewheel/control/codec/cached_document.py
+++ b/rosewheel/control/codec/cached_document.py
@@ -1,4 +1,4 @@
-"""Format of the file in which a node keeps the last document that it applied: a header line, then JSON."""
+"""Encoding of the file with the last document that a node applied: a header line, then JSON."""
 
 from __future__ import annotations
 
@@ -22,30 +22,30 @@
 
 
 def encode_cached_document(service: str, revision: Revision, document: Document) -> bytes:
-    """Return the content of the file. The header is the format, crc32 and length of the JSON."""
+    """Return the content of the file. The header has a magic word, the format, and crc32 and length of the JSON."""
     body = orjson.dumps({"service": service, "at": encode_revision(revision), "document": document})
     return b"%b %d %08x %d\n" % (MAGIC, FORMAT, zlib.crc32(body), len(body)) + body
 
 
 def decode_cached_document(data: bytes, service: str) -> tuple[Revision, Document]:
-    """Read the content of the file.
+    """Decode the content of the file.
 
     Raises:
-        CachedDocumentError: It is incomplete, damaged, of another format or of another service.
+        CachedDocumentError: The content is incomplete, corrupt, of another format or of another service.
     """
     header, newline, body = data.partition(b"\n")
     fields = header.split(b" ")
     if not newline or len(fields) != 4 or fields[0] != MAGIC or fields[1] != b"%d" % FORMAT:
-        raise CachedDocumentError("not a cached document of this format")
+        raise CachedDocumentError(f"header is not that of a cached document in format {FORMAT}")
     if fields[3] != b"%d" % len(body):
-        raise CachedDocumentError("incomplete")
+        raise CachedDocumentError("length does not match the header")
     if fields[2] != b"%08x" % zlib.crc32(body):
-        raise CachedDocumentError("damaged")
+        raise CachedDocumentError("checksum does not match the header")
     try:
         with malformed_on_error():
             row: JsonObject = orjson.loads(body)
             if row["service"] != service:
-                raise CachedDocumentError(f"of another service, {row['service']!r}")
+                raise CachedDocumentError(f"document is of another service, {row['service']!r}")
             return decode_revision(row["at"]), decode_document(row["document"])
     except MalformedMessageError as error:
         raise CachedDocumentError(str(error)) from error
--- a/rosewheel/control/codec/calls.py
+++ b/rosewheel/control/codec/calls.py
@@ -1,4 +1,4 @@
-"""JSON of the calls between machines and of operators, and of their answers."""
+"""JSON encoding of the calls between machines, the calls of operators, and their responses."""
 
 from __future__ import annotations
 
@@ -36,7 +36,7 @@
 
 
 def encode_heartbeat(heartbeat: Heartbeat) -> JsonObject:
-    """Return the body of a heartbeat."""
+    """Encode the body of a heartbeat."""
     row: JsonObject = {
         "machine": heartbeat.machine,
         "seen": encode_epoch(heartbeat.highest_epoch_seen),
@@ -49,10 +49,10 @@
 
 
 def decode_heartbeat(row: JsonObject) -> Heartbeat:
-    """Read the body of a heartbeat.
+    """Decode the body of a heartbeat.
 
     Raises:
-        MalformedMessageError: It is none.
+        MalformedMessageError: A field is missing or invalid.
     """
     with malformed_on_error():
         return Heartbeat(
@@ -65,7 +65,7 @@
 
 
 def encode_machine_state(state: MachineState) -> JsonObject:
-    """Return the answer to a heartbeat."""
+    """Encode the response to a heartbeat."""
     return {
         "machine": state.machine,
         "boot": state.process_id,
@@ -75,15 +75,15 @@
 
 
 def encode_fence_response(state: MachineState) -> JsonObject:
-    """Return the answer to a fence."""
+    """Encode the response to a fence."""
     return encode_machine_state(state) | {"fenced": state.is_fenced}
 
 
 def decode_machine_state(row: JsonObject) -> MachineState:
-    """Read the answer to a heartbeat or fence.
+    """Decode the response to a heartbeat or fence.
 
     Raises:
-        MalformedMessageError: It is none.
+        MalformedMessageError: A field is missing or invalid.
     """
     with malformed_on_error():
         return MachineState(
@@ -96,15 +96,15 @@
 
 
 def encode_fence(epoch: Epoch) -> JsonObject:
-    """Return the body of a fence: the receiver is to take nothing below this epoch."""
+    """Encode the body of a fence, which tells the receiver to reject everything below this epoch."""
     return {"epoch": encode_epoch(epoch)}
 
 
 def decode_fence(row: JsonObject) -> Epoch:
-    """Read the body of a fence.
+    """Decode the body of a fence.
 
     Raises:
-        MalformedMessageError: It is none.
+        MalformedMessageError: The epoch is missing or invalid.
     """
     with malformed_on_error():
         return decode_epoch(row["epoch"])
@@ -114,7 +114,7 @@
 
 
 def encode_put(request: PutRequest) -> JsonObject:
-    """Return the body of a put."""
+    """Encode the body of a put."""
     return {
         "patch": request.patch,
         "version": request.expected,
@@ -125,15 +125,15 @@
 
 
 def decode_put(row: JsonObject) -> PutRequest:
-    """Read the body of a put.
+    """Decode the body of a put.
 
     Raises:
-        MalformedMessageError: It is none.
+        MalformedMessageError: A field is missing or invalid.
     """
     with malformed_on_error():
         patch = row["patch"]
         if not isinstance(patch, dict):
-            raise MalformedMessageError("a patch is an object")
+            raise MalformedMessageError("patch: not an object")
         return PutRequest(
             patch,
             _revision_number(row, "version"),
@@ -144,7 +144,7 @@
 
 
 def encode_rollback(request: RollbackRequest) -> JsonObject:
-    """Return the body of a rollback."""
+    """Encode the body of a rollback."""
     return {
         "to": request.target,
         "version": request.expected,
@@ -154,10 +154,10 @@
 
 
 def decode_rollback(row: JsonObject) -> RollbackRequest:
-    """Read the body of a rollback.
+    """Decode the body of a rollback.
 
     Raises:
-        MalformedMessageError: It is none.
+        MalformedMessageError: A field is missing or invalid.
     """
     with malformed_on_error():
         return RollbackRequest(
@@ -169,30 +169,30 @@
 
 
 def encode_promote(request: PromoteRequest) -> JsonObject:
-    """Return the body of a promotion."""
+    """Encode the body of a promotion."""
     return {"force": request.force, "by": request.author}
 
 
 def decode_promote(row: JsonObject) -> PromoteRequest:
-    """Read the body of a promotion."""
+    """Decode the body of a promotion."""
     return PromoteRequest(force=row.get("force") is True, author=str(row.get("by", "")))
 
 
 def decode_config_service(query: JsonObject) -> str:
-    """Read the service whose part of the document is asked for; empty for the complete document."""
+    """Decode the service whose document is requested; empty for the complete document."""
     return str(query.get("service", ""))
 
 
 def history_target(limit: int) -> str:
-    """Return path and query of a history call."""
+    """Return the path and query of a history call."""
     return f"{HISTORY_PATH}?most={limit}"
 
 
 def decode_history_limit(query: JsonObject) -> int:
-    """Read how many changes a history call asks for.
+    """Decode the number of changes that a history call requests.
 
     Raises:
-        MalformedMessageError: It is no number.
+        MalformedMessageError: The value is not a number.
     """
     with malformed_on_error():
         return max(1, int(query.get("most", DEFAULT_HISTORY_LENGTH)))
@@ -205,16 +205,16 @@
     return value
 
 
-# ------------------------------------------------------------------------- answers to operators
+# ----------------------------------------------------------------------- responses to operators
 
 
 def encode_configuration(revision: Revision, document: Document) -> JsonObject:
-    """Return the answer to a call for the document."""
+    """Encode the response to a call for the document."""
     return encode_response_revision(revision) | {"config": document}
 
 
 def encode_change_response(answer: ChangeResponse) -> JsonObject:
-    """Return the answer to a put, rollback or promotion."""
+    """Encode the response to a put, rollback or promotion."""
     row = encode_response_revision(answer.revision) | {"changed": answer.changed}
     if answer.lost is not None:
         row["lost"] = list(answer.lost)
@@ -222,10 +222,10 @@
 
 
 def decode_change_response(row: JsonObject) -> ChangeResponse:
-    """Read the answer to a put, rollback or promotion.
+    """Decode the response to a put, rollback or promotion.
 
     Raises:
-        MalformedMessageError: It is none.
+        MalformedMessageError: A field is missing or invalid.
     """
     with malformed_on_error():
         lost = row.get("lost")
@@ -235,7 +235,7 @@
 
 
 def encode_history(answer: HistoryResponse) -> JsonObject:
-    """Return the answer to a history call."""
+    """Encode the response to a history call."""
     return {
         "machine": answer.machine,
         "oldest": answer.oldest,
@@ -244,10 +244,10 @@
 
 
 def decode_history(row: JsonObject) -> HistoryResponse:
-    """Read the answer to a history call.
+    """Decode the response to a history call.
 
     Raises:
-        MalformedMessageError: It is none.
+        MalformedMessageError: A field is missing or invalid.
     """
     with malformed_on_error():
         changes = tuple(_decode_history_change(value) for value in row["versions"])
@@ -268,7 +268,7 @@
 
 
 def encode_error(answer: ErrorResponse) -> JsonObject:
-    """Return the answer to a call that failed."""
+    """Encode the response to a failed call."""
     row: JsonObject = {"error": answer.text}
     if answer.leader is not None:
         row["writer"] = answer.leader
@@ -280,7 +280,7 @@
 
 
 def decode_error(row: object) -> ErrorResponse:
-    """Read the answer to a call that failed; one of another form gives an empty text."""
+    """Decode the response to a failed call; a response in another form gives an empty text."""
     if not isinstance(row, dict):
         return ErrorResponse("")
     return ErrorResponse(
--- a/rosewheel/control/codec/log_records.py
+++ b/rosewheel/control/codec/log_records.py
@@ -1,4 +1,4 @@
-"""JSON of the log's records, and of the log suffixes that machines send to one another."""
+"""JSON encoding of the log records, and of the log suffixes that machines send to followers."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 def encode_log_record(record: LogRecord) -> bytes:
-    """Return the body of a record in the log."""
+    """Encode the body of a log record."""
     match record:
         case Change():
             return orjson.dumps(_encode_change(record))
@@ -31,10 +31,10 @@
 
 
 def decode_log_record(body: bytes) -> LogRecord:
-    """Read the body of a record in the log.
+    """Decode the body of a log record.
 
     Raises:
-        MalformedMessageError: It is none.
+        MalformedMessageError: The kind is unknown, or a field is missing or invalid.
     """
     with malformed_on_error():
         row: JsonObject = orjson.loads(body)
@@ -46,11 +46,11 @@
             case "seen":
                 return EpochObserved(decode_epoch(row["epoch"]))
             case kind:
-                raise MalformedMessageError(f"{kind!r} is no kind of record")
+                raise MalformedMessageError(f"kind: {kind!r} is unknown")
 
 
 def encode_log_suffix(suffix: LogSuffix) -> bytes:
-    """Return the line of a follower's watch, without its newline."""
+    """Encode a line of a follower's watch, without its newline."""
     row: JsonObject = {"seq": suffix.last.number, "whole": suffix.snapshot is not None}
     row["changes"] = [_encode_change(change) for change in suffix.changes]
     if suffix.snapshot is not None:
@@ -59,10 +59,10 @@
 
 
 def decode_log_suffix(row: JsonObject) -> LogSuffix:
-    """Read the object of a line of a follower's watch.
+    """Decode the JSON object of a line of a follower's watch.
 
     Raises:
-        MalformedMessageError: It is no log suffix.
+        MalformedMessageError: A field is missing or invalid.
     """
     with malformed_on_error():
         snapshot = row.get("base")
--- a/rosewheel/control/codec/status.py
+++ b/rosewheel/control/codec/status.py
@@ -1,4 +1,4 @@
-"""JSON of the status report."""
+"""JSON encoding of the status report, and of the call for it."""
 
 from __future__ import annotations
 
@@ -25,35 +25,35 @@
 )
 from rosewheel.control.revisions import Revision
 
-SECONDS_DIGITS = 1  # decimal places of times in the report
+SECONDS_DIGITS = 1  # decimal places of durations in the report
 
 
 # ----------------------------------------------------------------------------------- calls
 
 
 def status_target(local_only: bool = False, all_nodes: bool = False) -> str:
-    """Return path and query of a status call.
+    """Return the path and query of a status call.
 
     Args:
-        local_only: The machine is to answer by its own knowledge, without asking the leader.
-        all_nodes: The report is to list each node.
+        local_only: Whether to request the called machine's own report instead of the leader's.
+        all_nodes: Whether to list all nodes.
     """
     options = [*(["here=1"] if local_only else []), *(["all=1"] if all_nodes else [])]
     return STATUS_PATH + ("?" + "&".join(options) if options else "")
 
 
 def decode_local_only(query: JsonObject) -> bool:
-    """Read whether the machine is to answer by its own knowledge."""
+    """Decode whether the called machine's own report is requested."""
     return query.get("here") == "1"
 
 
 def decode_all_nodes(query: JsonObject) -> bool:
-    """Read whether the report is to list each node."""
+    """Decode whether the report is to list all nodes."""
     return query.get("all") == "1"
 
 
 def relay_status(row: JsonObject, contacted: str) -> JsonObject:
-    """Return the leader's answer as the contacted machine passes it on."""
+    """Return the leader's encoded report as relayed by the contacted machine."""
     return row | {"asked": contacted}
 
 
@@ -61,7 +61,7 @@
 
 
 def encode_status(report: StatusReport) -> JsonObject:
-    """Return the status report."""
+    """Encode a status report."""
     return {
         "asked": report.contacted,
         "machine": report.machine,
@@ -124,10 +124,10 @@
 
 
 def decode_status(row: JsonObject) -> StatusReport:
-    """Read a status report. It does not name the leaders of nodes' revisions, nor nodes' stamps; these are empty.
+    """Decode a status report. Stamps and the leaders of nodes' revisions are not encoded; they are zero and empty.
 
     Raises:
-        MalformedMessageError: It is none.
+        MalformedMessageError: A field is missing or invalid.
     """
     with malformed_on_error():
         return StatusReport(
--- a/rosewheel/control/codec/values.py
+++ b/rosewheel/control/codec/values.py
@@ -1,4 +1,4 @@
-"""JSON of the values that several messages share: revisions, epochs, documents."""
+"""JSON encoding of the values that several messages share: revisions, epochs and documents."""
 
 from __future__ import annotations
 
@@ -16,58 +16,58 @@
 
 @contextlib.contextmanager
 def malformed_on_error() -> Iterator[None]:
-    """Raise MalformedMessageError in place of the errors of missing and mistyped fields."""
+    """Convert the exceptions raised by missing and mistyped fields to MalformedMessageError."""
     try:
         yield
     except ControlError:
         raise
     except KeyError as error:
-        raise MalformedMessageError(f"missing: {error}") from error
+        raise MalformedMessageError(f"missing field: {error}") from error
     except (TypeError, ValueError, OverflowError) as error:
         raise MalformedMessageError(str(error)) from error
 
 
 def encode_revision(revision: Revision) -> JsonArray:
-    """Return `[epoch number, leader, number]`."""
+    """Encode a revision as `[epoch number, leader, number]`."""
     return [revision.epoch_number, revision.leader, revision.number]
 
 
 def decode_revision(value: object) -> Revision:
-    """Read `[epoch number, leader, number]`.
+    """Decode a revision from `[epoch number, leader, number]`.
 
     Raises:
-        MalformedMessageError: It is none.
+        MalformedMessageError: The value has another form.
     """
     match value:
         case [int(epoch_number), str(leader), int(number)]:
             return Revision(epoch_number, leader, number)
-    raise MalformedMessageError(f"{value!r} is no position")
+    raise MalformedMessageError(f"{value!r} is not a revision")
 
 
 def encode_epoch(epoch: Epoch) -> JsonArray:
-    """Return `[number, leader]`."""
+    """Encode an epoch as `[number, leader]`."""
     return [epoch.number, epoch.leader]
 
 
 def decode_epoch(value: object) -> Epoch:
-    """Read `[number, leader]`.
+    """Decode an epoch from `[number, leader]`.
 
     Raises:
-        MalformedMessageError: It is none.
+        MalformedMessageError: The value has another form.
     """
     match value:
         case [int(number), str(leader)]:
             return Epoch(number, leader)
-    raise MalformedMessageError(f"{value!r} is no epoch")
+    raise MalformedMessageError(f"{value!r} is not an epoch")
 
 
 def encode_response_revision(revision: Revision) -> JsonObject:
-    """Return a revision as the fields `version`, `epoch` and `writer` of an answer to operators."""
+    """Encode a revision as the fields `version`, `epoch` and `writer` of a response to operators."""
     return {"version": revision.number, "epoch": revision.epoch_number, "writer": revision.leader}
 
 
 def decode_response_revision(row: JsonObject) -> Revision:
-    """Read a revision from the fields of an answer to operators.
+    """Decode a revision from the fields of a response to operators.
 
     Raises:
         KeyError: A field is missing.
@@ -76,10 +76,10 @@
 
 
 def decode_document(value: object) -> Document:
-    """Read a JSON object.
+    """Return a value as a document.
 
     Raises:
-        MalformedMessageError: It is none.
+        MalformedMessageError: The value is not a JSON object.
     """
     if not isinstance(value, dict):
         raise MalformedMessageError(f"{value!r} is not an object")
--- a/rosewheel/control/codec/watch.py
+++ b/rosewheel/control/codec/watch.py
@@ -1,4 +1,4 @@
-"""JSON of watches: their targets, the updates of a node's watch, acknowledgements and node statuses."""
+"""Encoding of watch targets, of updates on a node's watch, and of acknowledgements and node statuses."""
 
 from __future__ import annotations
 
@@ -20,16 +20,16 @@
 from rosewheel.control.messages import ConfigurationUpdate, NodeAcknowledgement, NodeStatus, WatchRequest
 from rosewheel.control.revisions import Revision
 
-MAX_NAME_LENGTH = 200  # characters of a node's or service's name
-MAX_NUMBER = 2**63 - 1  # larger ones can't be written to the log or passed on as JSON
-MAX_REASON_LENGTH = 300  # characters; a longer one is cut
+MAX_NAME_LENGTH = 200  # longest name of a node or service, in characters
+MAX_NUMBER = 2**63 - 1  # largest number that the log and messages can encode
+MAX_REASON_LENGTH = 300  # characters; a longer reason for a rejection is truncated
 
 
 # -------------------------------------------------------------------------- opening a watch
 
 
 def encode_watch_target(request: WatchRequest) -> str:
-    """Return path and query that open a watch."""
+    """Return the path and query that open a watch."""
     received = request.received
     since = f"since={received.number}&epoch={received.epoch_number}&writer={quote(received.leader)}"
     if request.peer:
@@ -47,10 +47,10 @@
 
 
 def decode_watch_request(query: Mapping[str, str]) -> WatchRequest:
-    """Read the query of a watch.
+    """Decode the query of a watch.
 
     Raises:
-        MalformedMessageError: A number is none, or a name is too long.
+        MalformedMessageError: A number is invalid or too large, or a name is too long.
     """
     with malformed_on_error():
         epoch_number, number = _query_number(query, "epoch"), _query_number(query, "since")
@@ -79,7 +79,7 @@
 
 
 def encode_update(update: ConfigurationUpdate) -> bytes:
-    """Return the line of a node's watch, without its newline."""
+    """Encode a line of a node's watch, without its newline."""
     revision = update.revision
     return orjson.dumps(
         {
@@ -93,10 +93,10 @@
 
 
 def decode_update(row: JsonObject) -> ConfigurationUpdate:
-    """Read the object of a line of a node's watch.
+    """Decode the JSON object of a line of a node's watch.
 
     Raises:
-        MalformedMessageError: It is no update.
+        MalformedMessageError: A field is missing or invalid.
     """
     with malformed_on_error():
         revision = decode_revision([row["epoch"], row["writer"], row["seq"]])
@@ -107,15 +107,15 @@
 
 
 def encode_acknowledgements(acknowledgements: Iterable[NodeAcknowledgement]) -> JsonObject:
-    """Return the body of an acknowledgement call."""
+    """Encode the body of an acknowledgement call."""
     return {"nodes": [_encode_acknowledgement(acknowledgement) for acknowledgement in acknowledgements]}
 
 
 def decode_acknowledgements(row: JsonObject) -> list[NodeAcknowledgement]:
-    """Read the body of an acknowledgement call.
+    """Decode the body of an acknowledgement call.
 
     Raises:
-        MalformedMessageError: It is none.
+        MalformedMessageError: A field is missing or invalid.
     """
     with malformed_on_error():
         return [_decode_acknowledgement(value) for value in row["nodes"]]
@@ -144,11 +144,11 @@
                 _decode_optional_revision(rejected),
                 str(reason)[:MAX_REASON_LENGTH],
             )
-    raise MalformedMessageError(f"{value!r} is no acknowledgement")
+    raise MalformedMessageError(f"{value!r} is not an acknowledgement")
 
 
 def encode_node_status(status: NodeStatus) -> JsonArray:
-    """Return a node's status as machines pass it on."""
+    """Encode a node's status as machines forward it in heartbeats."""
     return [
         status.node,
         status.service,
@@ -162,10 +162,10 @@
 
 
 def decode_node_status(value: object) -> NodeStatus:
-    """Read a node's status.
+    """Decode a node's status.
 
     Raises:
-        MalformedMessageError: It is none.
+        MalformedMessageError: The value is not a node's status.
     """
     match value:
         case [str(node), str(service), str(machine), int(stamp), applied, rejected, reason, connected]:
@@ -180,7 +180,7 @@
                 str(reason)[:MAX_REASON_LENGTH],
                 bool(connected),
             )
-    raise MalformedMessageError(f"{value!r} is no node's status")
+    raise MalformedMessageError(f"{value!r} is not a node's status")
 
 
 def _encode_optional_revision(revision: Revision | None) -> JsonArray | None:
@@ -193,4 +193,4 @@
 
 def _check_names(node: str, service: str) -> None:
     if not node or len(node) > MAX_NAME_LENGTH or len(service) > MAX_NAME_LENGTH:
-        raise MalformedMessageError("a name is empty or too long")
+        raise MalformedMessageError("node or service: name is empty or too long")
--- a/tests/control/test_codec.py
+++ b/tests/control/test_codec.py
@@ -85,7 +85,7 @@
     )
     assert encode_cached_document("fotos", revision, document) == content
     assert decode_cached_document(content, "fotos") == (revision, document)
-    with pytest.raises(CachedDocumentError, match="of another service, 'fotos'"):
+    with pytest.raises(CachedDocumentError, match="document is of another service, 'fotos'"):
         decode_cached_document(content, "puntos")
 
 
@@ -125,7 +125,7 @@
     line = b'{"seq":3,"epoch":1,"writer":"c1","whole":false,"config":{"a":null}}'
     assert watch.encode_update(update) == line
     assert watch.decode_update(orjson.loads(line)) == update
-    with pytest.raises(MalformedMessageError, match="missing: 'config'"):
+    with pytest.raises(MalformedMessageError, match="missing field: 'config'"):
         watch.decode_update({"seq": 3, "epoch": 1, "writer": "c1"})
 
 
@@ -187,8 +187,12 @@
     }
     assert calls.encode_history(history) == history_row
     assert calls.decode_history(history_row) == history
-    not_leader = ErrorResponse("c1 writes, not c2", "c1", "10.0.1.5:8600")
-    not_leader_row = {"error": "c1 writes, not c2", "writer": "c1", "address": "10.0.1.5:8600"}
+    not_leader = ErrorResponse("c2 is not the leader; the leader is c1", "c1", "10.0.1.5:8600")
+    not_leader_row = {
+        "error": "c2 is not the leader; the leader is c1",
+        "writer": "c1",
+        "address": "10.0.1.5:8600",
+    }
     assert calls.encode_error(not_leader) == not_leader_row
     assert calls.decode_error(not_leader_row) == not_leader
     assert calls.encode_error(ErrorResponse("no", current=3)) == {"error": "no", "version": 3}
--- a/tests/control/test_machine.py
+++ b/tests/control/test_machine.py
@@ -121,7 +121,7 @@
         ({"class": [{"name": "a", "give_up_ms": 5}]}, "class[0].aim_ms: missing"),
         ({"services": {"fotos": 1}}, "services.fotos: not a table"),
         ({"cordons": [None]}, "cordons: not a list of equipos' names"),
-        ("no object", "a patch is an object"),
+        ("no object", "patch: not an object"),
     ],
 )
 def test_an_invalid_change_names_its_key_and_is_not_written(tmp_path: Path, patch: Any, text: str):
