--- a/rosewheel/control/acknowledgement.py
+++ b/rosewheel/control/acknowledgement.py
@@ -16,8 +16,8 @@
 
 # Upper bound of the random delay of an acknowledgement. It spreads the load on the machine when many nodes apply the
 # same change, and combines the acknowledgements of changes in quick succession.
-SPREAD_S = 0.4
-RETRY_RANGE_S = (1.0, 2.0)  # range of the wait after a failed acknowledgement
+MAX_ACKNOWLEDGEMENT_DELAY_S = 0.4
+RETRY_WAIT_RANGE_S = (1.0, 2.0)  # range of the wait after a failed acknowledgement
 
 
 class AcknowledgementSender:
@@ -36,7 +36,11 @@
             random: Random source of the delays.
             on_acknowledged: Called once the machine has the node's current state.
         """
-        self._make, self._random, self._on_acknowledged = make_acknowledgement, random, on_acknowledged
+        self._make_acknowledgement, self._random, self._on_acknowledged = (
+            make_acknowledgement,
+            random,
+            on_acknowledged,
+        )
         self._client: JsonHttpClient | None = None
         self._timer = Timer()
         self._task: asyncio.Task[None] | None = None
@@ -51,10 +55,10 @@
         self._client = JsonHttpClient(address)
 
     def schedule(self) -> None:
-        """Send the node's changed state within `SPREAD_S`."""
+        """Send the node's changed state within `MAX_ACKNOWLEDGEMENT_DELAY_S`."""
         self._is_current = False
         if not self._timer.is_running and (self._task is None or self._task.done()):
-            self._timer.start(self._random.uniform(0.0, SPREAD_S), self._start)
+            self._timer.start(self._random.uniform(0.0, MAX_ACKNOWLEDGEMENT_DELAY_S), self._start)
 
     def close(self) -> None:
         """Cancel pending acknowledgements and close the connection."""
@@ -72,13 +76,13 @@
             self._is_current = True  # `schedule` resets it if the state changes during the call
             if not await self._call(self._client):
                 self._is_current = False
-                self._timer.start(self._random.uniform(*RETRY_RANGE_S), self._start)
+                self._timer.start(self._random.uniform(*RETRY_WAIT_RANGE_S), self._start)
                 return
         if self._is_current:
             self._on_acknowledged()
 
     async def _call(self, client: JsonHttpClient) -> bool:
-        body = encode_acknowledgements([self._make()])
+        body = encode_acknowledgements([self._make_acknowledgement()])
         try:
             status, _ = await client.call("POST", ACKNOWLEDGE_PATH, body)
         except HttpCallError:
--- a/rosewheel/control/codec/cached_document.py
+++ b/rosewheel/control/codec/cached_document.py
@@ -18,13 +18,13 @@
 from rosewheel.control.revisions import Revision
 
 MAGIC = b"rosewheel-control"
-FORMAT = 1
+FORMAT_VERSION = 1
 
 
 def encode_cached_document(service: str, revision: Revision, document: Document) -> bytes:
     """Return the content of the file. The header has a magic word, the format, and crc32 and length of the JSON."""
     body = orjson.dumps({"service": service, "at": encode_revision(revision), "document": document})
-    return b"%b %d %08x %d\n" % (MAGIC, FORMAT, zlib.crc32(body), len(body)) + body
+    return b"%b %d %08x %d\n" % (MAGIC, FORMAT_VERSION, zlib.crc32(body), len(body)) + body
 
 
 def decode_cached_document(data: bytes, service: str) -> tuple[Revision, Document]:
@@ -35,8 +35,10 @@
     """
     header, newline, body = data.partition(b"\n")
     fields = header.split(b" ")
-    if not newline or len(fields) != 4 or fields[0] != MAGIC or fields[1] != b"%d" % FORMAT:
-        raise CachedDocumentError(f"header is not that of a cached document in format {FORMAT}")
+    if not newline or len(fields) != 4 or fields[0] != MAGIC or fields[1] != b"%d" % FORMAT_VERSION:
+        raise CachedDocumentError(
+            f"header is not that of a cached document in format version {FORMAT_VERSION}"
+        )
     if fields[3] != b"%d" % len(body):
         raise CachedDocumentError("length does not match the header")
     if fields[2] != b"%08x" % zlib.crc32(body):
--- a/rosewheel/control/heartbeats.py
+++ b/rosewheel/control/heartbeats.py
@@ -19,7 +19,7 @@
 
 HEARTBEAT_INTERVAL_S = 1.0  # longest wait between two heartbeats; `notify` sends the next one at once
 HEARTBEAT_BACKOFF_S = 0.25  # wait before a notified heartbeat to an unreachable peer
-LOST_AFTER_S = 6.0  # a peer without contact for this long is considered lost
+PEER_LOST_AFTER_S = 6.0  # a peer without contact for this long is considered lost
 
 
 class HeartbeatOwner(Protocol):
@@ -32,7 +32,7 @@
         """Return the node statuses that changed since the last call, or all of nodes that watch this machine."""
 
     def peer_lost(self, peer: str) -> None:
-        """Handle a peer that had no contact for `LOST_AFTER_S`."""
+        """Handle a peer that had no contact for `PEER_LOST_AFTER_S`."""
 
 
 class PeerHeartbeat:
@@ -71,8 +71,8 @@
 
     @property
     def alive(self) -> bool:
-        """Whether the peer has been in contact within `LOST_AFTER_S`."""
-        return self.last_revision is not None and self._loop.time() - self.last_contact_s < LOST_AFTER_S
+        """Whether the peer has been in contact within `PEER_LOST_AFTER_S`."""
+        return self.last_revision is not None and self._loop.time() - self.last_contact_s < PEER_LOST_AFTER_S
 
     async def _run(self) -> None:
         while True:
--- a/rosewheel/control/replication_source.py
+++ b/rosewheel/control/replication_source.py
@@ -9,7 +9,7 @@
 from enum import Enum, auto
 from random import Random
 
-LEADER_RETURN_S = 1.0  # least time to watch another follower before a switch back to the leader
+LEADER_RETURN_DELAY_S = 1.0  # least time to watch another follower before a switch back to the leader
 
 
 class SourceAction(Enum):
@@ -65,7 +65,7 @@
             self.current != leader
             and leader in self._peers
             and leader_alive
-            and now_s - self._selected_at_s > LEADER_RETURN_S
+            and now_s - self._selected_at_s > LEADER_RETURN_DELAY_S
         )
 
     def select(self, peer: str, now_s: float) -> None:
--- a/rosewheel/control/subscriber.py
+++ b/rosewheel/control/subscriber.py
@@ -27,7 +27,7 @@
 
 log = logging.getLogger("rosewheel.control")
 
-MAX_RETURN_BACKOFF = 16.0  # largest backoff factor of the wait before a return to the preferred machine
+MAX_RETURN_BACKOFF_FACTOR = 16.0  # for the wait before the node tries its preferred machine again
 
 ApplyDocument = Callable[[Document], None]
 
@@ -136,7 +136,7 @@
         if not self.state.received_is_applied:
             self._acknowledgements.schedule()
         if not self.selection.is_preferred and not self._return_timer.is_running:
-            backoff = min(MAX_RETURN_BACKOFF, 2.0**self._return_attempts)
+            backoff = min(MAX_RETURN_BACKOFF_FACTOR, 2.0**self._return_attempts)
             self._return_timer.start(self.selection.draw_return_wait_s() * backoff, self._try_preferred)
 
     def _target(self) -> str:
--- a/rosewheel/control/watches.py
+++ b/rosewheel/control/watches.py
@@ -15,7 +15,7 @@
 from rosewheel.control.revisions import Revision
 from rosewheel.control.timing import KEEPALIVE_INTERVAL_S
 
-KEEPALIVE = encode_chunk(b"\n")
+KEEPALIVE_CHUNK = encode_chunk(b"\n")
 TCP_USER_TIMEOUT_S = 10.0  # a connection with unacknowledged data for this long is closed
 MAX_UNSENT_BYTES = 4 << 20  # a watch with more unsent data is closed
 
@@ -98,7 +98,7 @@
             self.connection_by_node[watch.node] = connection
         connection.start_stream()
         connection.set_acknowledgement_timeout(TCP_USER_TIMEOUT_S)
-        connection.write(KEEPALIVE)
+        connection.write(KEEPALIVE_CHUNK)
         wait_s = 0.0 if watch.peer else self._pacer.reserve(self._loop.time())
         if wait_s > 0.0:
             self._loop.call_later(wait_s, self._start, watch)
@@ -154,4 +154,4 @@
             if connection.unsent_bytes > MAX_UNSENT_BYTES:
                 connection.abort()
             else:
-                connection.write(KEEPALIVE)
+                connection.write(KEEPALIVE_CHUNK)
--- a/tests/control/test_replication_source.py
+++ b/tests/control/test_replication_source.py
@@ -4,7 +4,7 @@
 
 from random import Random
 
-from rosewheel.control.replication_source import LEADER_RETURN_S, ReplicationSource, SourceAction
+from rosewheel.control.replication_source import LEADER_RETURN_DELAY_S, ReplicationSource, SourceAction
 
 PEERS = ["c1", "c2", "c3"]
 
@@ -55,7 +55,7 @@
     one = source()
     one.reconcile("c1", True, 0.0)
     one.select("c3", 1.0)
-    assert one.reconcile("c1", True, 1.0 + LEADER_RETURN_S) is SourceAction.KEEP
-    assert one.reconcile("c1", False, 2.1 + LEADER_RETURN_S) is SourceAction.KEEP
-    assert one.reconcile("c1", True, 2.1 + LEADER_RETURN_S) is SourceAction.OPEN
+    assert one.reconcile("c1", True, 1.0 + LEADER_RETURN_DELAY_S) is SourceAction.KEEP
+    assert one.reconcile("c1", False, 2.1 + LEADER_RETURN_DELAY_S) is SourceAction.KEEP
+    assert one.reconcile("c1", True, 2.1 + LEADER_RETURN_DELAY_S) is SourceAction.OPEN
     assert one.current == "c1"
