--- a/tests/control/test_codec.py
+++ b/tests/control/test_codec.py
@@ -1,4 +1,4 @@
-"""Forms on the wire and on disk: they stay as earlier releases wrote them."""
+"""Encodings on the wire and on disk, which must stay compatible with earlier releases."""
 
 from __future__ import annotations
 
@@ -170,7 +170,7 @@
             calls.decode_put(put_row | {"version": version})
 
 
-def test_answers_to_operators():
+def test_responses_to_operators():
     revision = {"version": 3, "epoch": 1, "writer": "c1"}
     answer = ChangeResponse(Revision(1, "c1", 3), changed=True, lost=("c2 held version 2",))
     row = revision | {"changed": True, "lost": ["c2 held version 2"]}
--- a/tests/control/test_durable_log.py
+++ b/tests/control/test_durable_log.py
@@ -1,4 +1,4 @@
-"""The durable log: cut off at any byte, damaged at any byte, and on a disk whose writes fail."""
+"""The durable log: truncation and corruption at any byte, and failing writes."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 def write_log(directory: Path, records: list[bytes]) -> tuple[bytes, list[int]]:
-    """Return the file's content, and where each record ends."""
+    """Write a log; return the content of its file and the offset at which each record ends."""
     log = DurableLog(directory)
     ends = []
     for record in records:
@@ -52,10 +52,10 @@
         directory = Path(name)
         content, ends = write_log(directory, records)
         cut = data.draw(st.integers(0, len(content)))
-        zeros = data.draw(st.sampled_from([0, 1, RECORD_HEADER.size, 5000]))  # allocated and never written
+        zeros = data.draw(st.sampled_from([0, 1, RECORD_HEADER.size, 5000]))  # allocated but unwritten space
         complete = [record for record, end in zip(records, ends, strict=True) if end <= cut]
         assert read_log_of(directory, content[:cut] + bytes(zeros)) == complete
-        # The next record takes the place of the incomplete one.
+        # The next record replaces the incomplete one.
         log = DurableLog(directory)
         log.append([b'{"after":"it"}'])
         log.close()
@@ -96,7 +96,7 @@
         patch.setattr(durable_log.os, "rename", fail)
         with pytest.raises(OSError, match="No space"):
             log.rewrite([b'{"b":1}'])
-    log.append([b'{"a":5}'])  # the old log goes on
+    log.append([b'{"a":5}'])  # the old file stays in use
     log.rewrite([b'{"b":1}', b'{"b":2}'])
     log.append([b'{"b":3}'])
     log.close()
@@ -105,10 +105,10 @@
 
 @pytest.mark.parametrize("call", ["fsync", "pwrite"])
 @pytest.mark.parametrize("code", [errno.EIO, errno.ENOSPC])
-def test_a_disk_that_fails_for_a_while_costs_no_accepted_record_and_takes_records_again(
+def test_accepted_records_survive_temporary_disk_failures_and_later_appends_succeed(
     call: str, code: int, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ):
-    """None of the failed records counts, and none is accepted before all that were are on a new file."""
+    """Failed records are discarded, and the accepted ones are rewritten to a new file before the next append."""
     log = DurableLog(tmp_path)
     log.append([b'{"a":1}'])
     first_file = os.stat(log.path).st_ino
@@ -132,7 +132,7 @@
     assert DurableLog(tmp_path).take_records() == [b'{"a":1}', b'{"a":3}', b'{"a":4}']
 
 
-def test_a_log_that_can_not_be_read_back_after_a_failure_accepts_nothing(
+def test_a_log_that_cannot_be_read_back_after_a_failure_accepts_no_records(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ):
     log = DurableLog(tmp_path)
--- a/tests/control/test_history.py
+++ b/tests/control/test_history.py
@@ -1,4 +1,4 @@
-"""Documents and revisions: patches, changes after a revision, rollback, the part of a service."""
+"""Documents and revision history: patches, documents of services, changes after a revision, rollback."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
 
 
 def identical(one: object, other: object) -> bool:
-    """Equal in type too: 1, 1.0 and True are equal to Python."""
+    """Return whether two values are equal in value and type; Python's `==` does not tell 1, 1.0 and True apart."""
     return repr(one) == repr(other) or (
         isinstance(one, dict)
         and isinstance(other, dict)
@@ -45,7 +45,7 @@
 def test_a_patch_turns_one_document_into_the_other(old: Document, new: Document):
     before = repr(old)
     assert identical(apply_patch(old, make_patch(old, new)), new)
-    assert repr(old) == before, "the original is not changed"
+    assert repr(old) == before, "the original document must not change"
     assert make_patch(new, new) == {}
 
 
@@ -76,7 +76,7 @@
 
 
 @given(st.lists(PATCHES, max_size=8), st.data())
-def test_changes_after_a_revision_lead_to_the_last_one_after_trimming_too(
+def test_changes_after_a_revision_give_the_last_document_also_after_trimming(
     patches: list[Document], data: st.DataObject
 ):
     history = history_of(patches)
--- a/tests/control/test_node_registry.py
+++ b/tests/control/test_node_registry.py
@@ -1,4 +1,4 @@
-"""The statuses of nodes, as nodes and machines pass them on, and the report made of them."""
+"""The node registry, forwarding of statuses to the leader, and the fleet report."""
 
 from __future__ import annotations
 
@@ -50,7 +50,7 @@
 
 
 @given(STATUSES, st.randoms())
-def test_the_status_with_the_highest_stamp_counts_in_any_order_of_arrival(
+def test_the_status_with_the_highest_stamp_wins_in_any_order_of_arrival(
     statuses: list[NodeStatus], random: Random
 ):
     registry, other = NodeRegistry(), NodeRegistry()
@@ -65,18 +65,18 @@
 
 
 @given(STATUSES)
-def test_batches_of_changes_give_the_leader_what_the_machine_knows(statuses: list[NodeStatus]):
+def test_forwarded_batches_give_the_leader_the_statuses_of_the_machine(statuses: list[NodeStatus]):
     machine, leader = NodeRegistry(), NodeRegistry()
 
-    def pass_on() -> None:
+    def forward_changes() -> None:
         for status in machine.take_changes():
             leader.record(decode_node_status(encode_node_status(status)), 0.0)
 
     for index, status in enumerate(statuses):
         machine.record(status, 0.0)
         if index % 3 == 0:
-            pass_on()
-    pass_on()
+            forward_changes()
+    forward_changes()
     assert machine.take_changes() == []
     assert statuses_by_node(leader) == statuses_by_node(machine)
 
@@ -92,7 +92,7 @@
     assert not registry.entries["n1"].status.connected
 
 
-def test_the_report_lists_nodes_that_are_behind_rejected_a_revision_or_are_disconnected():
+def test_the_report_lists_behind_rejecting_and_disconnected_nodes():
     registry = NodeRegistry()
     registry.record(node_status("good", applied=9), 0.0)
     registry.record(node_status("late", applied=7), 0.0)
@@ -122,7 +122,7 @@
     assert len(report.all_nodes) == 5
 
 
-def test_only_nodes_that_have_been_disconnected_for_long_expire():
+def test_only_nodes_that_have_been_disconnected_for_the_expiry_time_expire():
     registry = NodeRegistry()
     for node in ("here", "gone", "lost"):
         registry.record(node_status(node, machine="c3" if node == "lost" else "c2"), 0.0)
@@ -149,8 +149,8 @@
         decode_node_status(row)
 
 
-def test_each_changed_status_of_540_nodes_is_passed_on_once():
-    """Linear: as many statuses are passed on as nodes have changed, whatever the size of the fleet."""
+def test_each_changed_status_of_540_nodes_is_forwarded_once():
+    """The number of forwarded statuses is the number of changed nodes, regardless of the size of the fleet."""
     registry = NodeRegistry()
     for number in range(540):
         registry.record(node_status(f"n{number}", applied=1), 0.0)
--- a/tests/control/test_replica.py
+++ b/tests/control/test_replica.py
@@ -1,4 +1,4 @@
-"""The replication rules under partitions, restarts, a lost machine and promotions, in any order."""
+"""Replication rules under any sequence of partitions, restarts, promotions and the loss of one machine."""
 
 from __future__ import annotations
 
@@ -43,7 +43,7 @@
 
 @dataclass
 class Machine:
-    """A replica and its disk, as the store drives them."""
+    """A replica with a simulated disk, driven in the way the store drives it."""
 
     name: str
     names: tuple[str, ...] = NAMES
@@ -75,7 +75,7 @@
             self.replica.epoch_observed(epoch)
 
     def follow(self, other: Machine) -> bool:
-        """Append the other's log suffix; return whether there was one that could be appended."""
+        """Append the other machine's log suffix; return whether there was one that may be appended."""
         suffix = other.replica.log_suffix(self.replica.last)
         if suffix is None:
             return False
@@ -135,7 +135,7 @@
 
 
 def converge(machines: list[Machine]) -> None:
-    """Exchange heartbeats and log suffixes until no machine has anything new for another."""
+    """Exchange heartbeats and log suffixes until no machine has new records for another."""
     progress = True
     while progress:
         progress = False
@@ -146,13 +146,13 @@
                     one.exchange_heartbeat(other)
 
 
-# Which side of a partition each machine is on; the first one is on side 0.
+# Side of a partition for each machine; the first machine is always on side 0.
 SIDES = st.sampled_from([sides for sides in itertools.product((0, 1), repeat=4) if not sides[0]])
 SUBSETS = st.sets(MACHINES)
 
 
 class ReplicationMachine(RuleBasedStateMachine):
-    """Four machines, of which one may be lost for good, and three nodes. No promotion is forced."""
+    """Four machines, of which one may be lost permanently, and three nodes. No promotion is forced."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -176,7 +176,7 @@
 
     @rule(name=MACHINES, following=SUBSETS, reporting=SUBSETS)
     def put(self, name: str, following: set[str], reporting: set[str]) -> None:
-        """Each machine that believes to lead writes; some of those that it reaches follow, and some report it."""
+        """Put on `name` and on every machine that considers itself leader, then replicate to a part of the others."""
         for machine in self.machines.values():
             if machine.name != self.lost and (machine.replica.is_leader or machine.name == name):
                 self.put_count += 1
@@ -230,7 +230,7 @@
 
     @rule(name=MACHINES, fenced=SUBSETS)
     def begin_promotion(self, name: str, fenced: set[str]) -> None:
-        """Begin a promotion; other rules may run before it ends."""
+        """Begin a promotion and leave it in progress, so that other rules run before it ends."""
         if name != self.lost:
             with contextlib.suppress(NotPromotableError):
                 machine = self.machines[name]
@@ -274,7 +274,7 @@
 
     @invariant()
     def committed_revisions_are_in_every_later_epoch(self) -> None:
-        """Acknowledged changes are committed, and nodes apply committed revisions only: none of these is lost."""
+        """No committed revision is lost, and so no acknowledged change and no revision that a node has applied."""
         for name, machine in self.machines.items():
             if name != self.lost:
                 self.committed.add(machine.replica.committed)
@@ -286,7 +286,7 @@
                         assert replica.history.document_at(revision) is not None, (revision, machine.name)
 
     def teardown(self) -> None:
-        """All machines that are left converge to the same state."""
+        """Check that all remaining machines converge to the same state."""
         self.side = dict.fromkeys(NAMES, 0)
         left = [machine for name, machine in self.machines.items() if name != self.lost]
         converge(left)
@@ -299,7 +299,7 @@
             assert {machine.replica.last for machine in left} == {last}
             assert {machine.replica.committed for machine in left} == {last}
             assert all(node <= last for node in self.nodes)
-        else:  # a promotion did not end: the machine with the last revision can be promoted, and nothing is lost
+        else:  # a promotion did not end: the machine with the newest revision can be promoted without a loss
             best = max(left, key=lambda machine: machine.replica.last)
             others = [machine for machine in left if machine is not best]
             if all(machine.replica.last != INITIAL_REVISION for machine in left):
@@ -365,7 +365,7 @@
     ):
         c3.promote([c2, c4])
     epochs = {c2.replica.highest_epoch_seen, c3.replica.highest_epoch_seen}
-    assert epochs == {Epoch(1, "c1")}, "asking has changed nothing"
+    assert epochs == {Epoch(1, "c1")}, "a refused promotion must not fence any machine"
     with pytest.raises(
         PromotionQuorumError, match="quorum not reached: 2 of 3 machines reported versions; missing: c1, c2"
     ):
@@ -382,7 +382,7 @@
     converge(machines)
     c1.put({"a": "lost"})
     revision = c2.promote([c3, c4])
-    assert not c3.follow(c1), "a suffix of a lower epoch is refused"
+    assert not c3.follow(c1), "a suffix of a lower epoch must be refused"
     c1.exchange_heartbeat(c4)
     with pytest.raises(NotLeaderError, match="c1 is not the leader; the leader is c2"):
         c1.put({"a": 3})
@@ -392,7 +392,7 @@
     assert c2.put({"a": 3}).number == 3
 
 
-def test_a_leader_that_lost_its_disk_does_not_begin_again():
+def test_a_leader_that_lost_its_disk_does_not_start_a_second_history():
     c1, c2, c3 = machines = started_machines("c1", "c2", "c3")
     c1.put({"a": 1})
     converge(machines)
@@ -406,13 +406,13 @@
     ):
         empty.put({"a": 9})
     with pytest.raises(PromotionQuorumError, match="1 of 2 machines reported versions; missing: c1, c3"):
-        c2.promote([empty])  # the answer of a machine without revisions does not count
+        c2.promote([empty])  # a machine with an empty log does not count towards the quorum
     c2.promote([empty, c3])
     converge([empty, c2, c3])
     assert empty.replica.committed_document == {"a": 1}
 
 
-def test_a_compacted_log_gives_the_same_state():
+def test_a_compacted_log_restores_the_same_state():
     c1, c2 = started_machines("c1", "c2")
     for value in range(5):
         c1.put({"a": value})
--- a/tests/control/test_replication_source.py
+++ b/tests/control/test_replication_source.py
@@ -1,4 +1,4 @@
-"""Which machine a follower watches."""
+"""Selection of the machine that a follower watches."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
     assert one.current == "c2"
 
 
-def test_a_leader_and_a_machine_that_knows_no_leader_watch_nobody():
+def test_a_leader_and_a_machine_that_knows_no_leader_watch_no_machine():
     one = source()
     one.reconcile("c1", True, 0.0)
     for leader in ("c4", ""):
--- a/tests/control/test_subscription.py
+++ b/tests/control/test_subscription.py
@@ -1,4 +1,4 @@
-"""A node's subscription: which updates are applied, saved, rejected and refused."""
+"""A node's subscription: updates that are applied, saved, rejected by the node, or refused as stale."""
 
 from __future__ import annotations
 
@@ -33,7 +33,7 @@
     assert (subscription.applied.number, subscription.applied_document) == (2, {"b": 2})
 
 
-def test_a_change_of_another_service_moves_the_revision_only():
+def test_a_change_of_another_service_updates_only_the_revision():
     subscription = subscription_at(1, {"a": 1})
     assert subscription.receive(update(2, {})) is UpdateEffect.NONE
     assert subscription.applied.number == 2
