--- a/tests/control/test_control_processes.py
+++ b/tests/control/test_control_processes.py
@@ -1,4 +1,4 @@
-"""Control machines and nodes as processes: killed, started by the command, joined to a node."""
+"""Control machines and nodes as separate processes: crashes of the leader, the command line, node startup."""
 
 from __future__ import annotations
 
@@ -30,13 +30,13 @@
 from tests.support.processes import connect, free_port, start_command, start_node
 from tests.support.sockets import run, until
 
-WAIT_S = 60.0  # a good run never gets near it
+WAIT_S = 60.0  # timeout of a wait for a state of another process
 POLL_S = 0.01
 CHILD = Path(__file__).parent.parent / "support" / "control_child.py"
 
 
 async def put_until_accepted(client: JsonHttpClient, patch: dict[str, Any], version: int) -> None:
-    """Put a change. Before the first revision all machines must have been contacted; the test's time is the bound."""
+    """Put a change, and retry while the leader can't accept it, until the test times out."""
     code, body = 503, None
     while code == 503:
         request = {"patch": patch, "version": version}
@@ -48,7 +48,7 @@
 def test_no_acknowledged_change_is_lost_when_the_leader_is_killed_at_any_point_of_a_put(
     tmp_path: Path, point: str
 ):
-    """The leader c1 is a process that kills itself at that point; c2 runs here and follows it."""
+    """The leader c1 is a child process that kills itself at this point; c2 runs in the test and follows it."""
 
     async def start_leader(cluster: ControlCluster, point: str, nth: int) -> asyncio.subprocess.Process:
         address = "{}:{}".format(*cluster.addresses["c1"])
@@ -66,7 +66,9 @@
         async with control_cluster(tmp_path, 2) as cluster:
             await cluster.stop("c1")
             (tmp_path / "c1" / LOG_FILE_NAME).unlink()
-            process = await start_leader(cluster, point, 5)  # the first record is the epoch, then the changes
+            process = await start_leader(
+                cluster, point, 5
+            )  # the first record is the epoch, the others are changes
             acknowledged = []
             client = JsonHttpClient(cluster.addresses["c1"])
             with contextlib.suppress(HttpCallError):
@@ -80,7 +82,7 @@
             _, history = await client.call("GET", "/control/history?most=100")
             kept = [change["patch"] for change in reversed(history["versions"])]
             assert kept[:3] == acknowledged
-            # A change that was on disk and not acknowledged may stay; it is then the same on both machines.
+            # A change that was on disk but not acknowledged may be kept, and must then be the same on both machines.
             last = {"cordons": ["entrada-1"]}
             await put_until_accepted(client, last, len(kept))
             await until(lambda: cluster.machines["c2"].store.replica.last.number == len(kept) + 1)
@@ -93,7 +95,7 @@
     run(main())
 
 
-def test_the_self_killing_log_is_a_log_where_it_does_not_kill(tmp_path: Path):
+def test_the_self_killing_log_behaves_like_a_log_if_it_does_not_kill(tmp_path: Path):
     log = SelfKillingLog(tmp_path, "never", 0)
     log.append([b'{"a":1}'])
     log.close()
@@ -101,7 +103,7 @@
 
 
 def free_low_port() -> int:
-    """Return a free port outside the range from which the system picks: a machine takes a while to start on it."""
+    """Return a free port outside the ephemeral range, which stays free until a process starts and listens on it."""
     while True:
         with socket.socket() as sock, contextlib.suppress(OSError):
             sock.bind(("127.0.0.1", random.randrange(12000, 32000)))
@@ -112,7 +114,7 @@
 def serving_machines(
     tmp_path: Path, count: int = 2
 ) -> Iterator[tuple[list[str], list[subprocess.Popen[str]]]]:
-    """Run control machines by the command; yield their addresses and processes."""
+    """Run control machines with `rosewheel control serve`; yield their addresses and processes."""
     addresses = [f"127.0.0.1:{free_low_port()}" for _ in range(count)]
     peers = [f"--peer=c{index + 1}={address}" for index, address in enumerate(addresses)]
     processes = [
@@ -135,17 +137,17 @@
 
 
 def run_command(*arguments: str) -> tuple[int, str, str]:
-    """Run `rosewheel control`; return its exit code, output and errors."""
+    """Run `rosewheel control`; return its exit code, standard output and standard error."""
     process = start_command("control", *arguments)
     out, errors = process.communicate(timeout=60)
     return process.returncode, out.strip(), errors.strip()
 
 
-MAX_ATTEMPTS = 40  # of a command, each of which takes a good part of a second
+MAX_ATTEMPTS = 40  # attempts at a command whose result depends on another process
 
 
 def put(path: Path, machine: str) -> tuple[int, str, str]:
-    """Put a change. Before the first revision all machines must have been contacted, which takes a moment."""
+    """Put a change, and retry until all machines have been in contact, which the first change requires."""
     for _ in range(MAX_ATTEMPTS):
         result = run_command("put", str(path), "--at", machine, "--by", "ana")
         if "not contacted yet" not in result[2]:
@@ -154,7 +156,7 @@
 
 
 def status_until_applied(machine: str) -> str:
-    """Ask for the status until one node has applied the committed revision and all is well; return the output."""
+    """Run `status` until it succeeds and one node has applied the committed revision; return the output."""
     for _ in range(MAX_ATTEMPTS):
         result = run_command("status", "--all", "--at", machine)
         if result[0] == 0 and "in force at 1," in result[1]:
@@ -189,7 +191,7 @@
         code, out, errors = run_command("put", str(change), "--at", addresses[0])
         assert (code, out) == (2, "")
         assert errors.startswith("rosewheel: services.fotos.class[0].aim_ms: ")
-        # SIGHUP: the node's own file is read again under the configuration.
+        # SIGHUP reloads the node's own file, on which the configuration is applied again.
         path.write_text(own.replace("cold_from = 0.2", "cold_from = 0.3") + control)
         node.send_signal(signal.SIGHUP)
         assert any("configuration reloaded: " in line for line in lines)
@@ -197,7 +199,7 @@
         node.send_signal(signal.SIGHUP)
         assert any("control: changes only with a restart" in line for line in lines)
         path.write_text(own + control)
-        # A node that starts while no machine runs begins with its cached document.
+        # A node that starts while no control machine runs uses its cached document.
         node.send_signal(signal.SIGTERM)
         node.communicate(timeout=60)
         assert node.returncode == 0
@@ -209,14 +211,14 @@
         lines = iter(node.stderr.readline, "")
         assert any(f"{applied} source=cache" in line for line in lines)
         connect(node, port).close()
-        with urllib.request.urlopen(f"http://127.0.0.1:{admin_port}/admin/stats", timeout=60) as answer:
-            assert answer.status == 200
+        with urllib.request.urlopen(f"http://127.0.0.1:{admin_port}/admin/stats", timeout=60) as response:
+            assert response.status == 200
         node.send_signal(signal.SIGTERM)
         node.communicate(timeout=60)
         assert node.returncode == 0
 
 
-def test_the_verbs_answer_with_one_line_and_an_exit_code(tmp_path: Path):
+def test_commands_print_one_line_and_set_the_exit_code(tmp_path: Path):
     with serving_machines(tmp_path, 3) as (addresses, processes):
         change = tmp_path / "change.json"
         change.write_text('{"limits": {"max_open": 500}}')
@@ -284,23 +286,23 @@
 
 
 def socket_count(process: subprocess.Popen[str]) -> int:
-    """Sockets that a process holds."""
+    """Return the number of sockets that a process has open."""
     count = 0
     for path in Path(f"/proc/{process.pid}/fd").iterdir():
-        with contextlib.suppress(FileNotFoundError):  # closed meanwhile
+        with contextlib.suppress(FileNotFoundError):  # closed in the meantime
             count += os.readlink(path).startswith("socket:")
     return count
 
 
 def until_true(condition: Callable[[], bool]) -> None:
-    """Wait for a state of another process."""
+    """Wait until a condition on another process holds."""
     deadline = time.monotonic() + WAIT_S
     while not condition():
         assert time.monotonic() < deadline
         time.sleep(POLL_S)
 
 
-def test_run_on_the_platform_neither_calls_nor_imports_control(tmp_path: Path):
+def test_a_node_on_the_platform_neither_calls_nor_imports_control(tmp_path: Path):
     with socket.create_server(("127.0.0.1", 0)) as listener:
         address = "{}:{}".format(*listener.getsockname())
         port = free_port()
@@ -309,8 +311,8 @@
         )
         process = start_node(tmp_path, row, PYTHONPROFILEIMPORTTIME="1")
         connect(process, port).close()
-        # The listening socket and the pair that wakes the loop, and none for a watch: nothing listens at the address of
-        # its discovery. The connection above may be open for a moment still.
+        # Three sockets are expected: the listener and the event loop's wakeup pair. There is none for a watch, since
+        # nothing listens at the discovery address. The connection above may take a moment to close.
         until_true(lambda: socket_count(process) <= 3)
         process.send_signal(signal.SIGTERM)
         _, errors = process.communicate(timeout=60)
--- a/tests/control/test_machine.py
+++ b/tests/control/test_machine.py
@@ -30,7 +30,7 @@
 
 
 async def until_contacted(cluster: ControlCluster) -> None:
-    """Wait until all machines have had contact with one another."""
+    """Wait until all machines have been in contact with one another."""
     await until(
         lambda: all(
             heartbeat.last_revision is not None
@@ -41,7 +41,7 @@
 
 
 async def until_watching(cluster: ControlCluster, nodes: int) -> None:
-    """Wait for contact between all machines, start nodes, and wait until each has a watch."""
+    """Wait for contact between all machines, start nodes, and wait until each node has a watch."""
     await until_contacted(cluster)
     for index in range(nodes):
         await cluster.start_node(f"n{index}")
@@ -51,7 +51,7 @@
 
 
 async def until_status(cluster: ControlCluster, name: str, **expected: int) -> Any:
-    """Ask a machine for its status until these counts are as expected."""
+    """Poll a machine's status until its counts are as expected, and return it."""
     status = await cluster.status(name)
     while any(status[key] != count for key, count in expected.items()):
         status = await cluster.status(name)
@@ -81,7 +81,7 @@
                 sock = connection.transport.get_extra_info("socket")
                 timeout_ms = sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT)
                 assert timeout_ms == 10000, (
-                    "a node whose machine is lost does not look connected for a quarter of an hour"
+                    "a lost node must not stay connected for the system's default of about 15 minutes"
                 )
             assert cluster.documents["n0"] == LIMITS
             assert cluster.documents["n1"] == LIMITS | {"cordons": ["entrada-3"]}
@@ -96,7 +96,7 @@
             )
             await until(lambda: applied_numbers(cluster) == {2})
             assert all(len(documents) == 1 for documents in cluster.applied.values()), (
-                "a change of another service is not applied"
+                "a change of another service must not be applied"
             )
 
     run(main())
@@ -140,15 +140,15 @@
     run(main())
 
 
-def test_one_of_two_changes_for_the_same_revision_conflicts_and_a_follower_names_the_leader(tmp_path: Path):
+def test_concurrent_changes_conflict_and_a_follower_names_the_leader(tmp_path: Path):
     async def main() -> None:
         async with control_cluster(tmp_path, 2) as cluster:
             await until_contacted(cluster)
-            answers = await asyncio.gather(
+            responses = await asyncio.gather(
                 *(cluster.put("c1", {"limits": {"max_open": value}}, 0) for value in (5, 6))
             )
-            assert sorted(code for code, _ in answers) == [200, 409]
-            assert next(body["error"] for code, body in answers if code == 409) == (
+            assert sorted(code for code, _ in responses) == [200, 409]
+            assert next(body["error"] for code, body in responses if code == 409) == (
                 "version conflict: the current version is 1, not 0"
             )
             code, body = await cluster.put("c2", LIMITS, 1)
@@ -221,7 +221,7 @@
             node.close()
             cluster.partition({"n1"}, {"c1", "c2"})
             restarted = await cluster.start_node("n1", cache_path=cache)
-            assert restarted.applied.number == 1, "the document is applied when start returns"
+            assert restarted.applied.number == 1, "the cached document must be applied when start returns"
             assert cluster.documents["n1"] == LIMITS
             restarted.close()
             content = cache.read_bytes()
@@ -251,11 +251,11 @@
             assert near_nodes
             assert far_nodes
             cluster.partition(near | near_nodes, far | far_nodes)
-            assert (await cluster.put("c1", LIMITS))[0] == 200, "c2 has it too"
+            assert (await cluster.put("c1", LIMITS))[0] == 200, "c2 must replicate the change"
             await until(lambda: {cluster.nodes[name].applied.number for name in near_nodes} == {1})
             assert (await cluster.put("c1", {"cordons": ["entrada-1"]}))[0] == 200
             code, body = await cluster.call("c3", "POST", "/control/promote", {})
-            assert code == 409, "what the leader has acknowledged meanwhile is not known there"
+            assert code == 409, "c3 can't know which changes the leader has committed in the meantime"
             assert "promotion quorum not reached" in body["error"]
             assert {cluster.nodes[name].applied.number for name in far_nodes} == {0}
             cluster.heal(near | near_nodes, far | far_nodes)
@@ -312,7 +312,7 @@
             await until(lambda: all_committed(cluster, 1) and applied_numbers(cluster) == {1})
             others = set(cluster.names[1:])
             cluster.partition({"c1"}, others)
-            # The partitioned leader writes, but no other machine has the change: no node is shown it.
+            # The partitioned leader writes the change, but can't replicate it, so no node receives it.
             code, body = await cluster.put("c1", {"limits": {"max_open": 1}})
             assert code == 503
             assert "not replicated to another machine yet" in body["error"]
@@ -330,10 +330,10 @@
                 for documents in cluster.applied.values()
                 for document in documents
             ]
-            assert 1 not in values, "an uncommitted change was applied nowhere"
+            assert 1 not in values, "an uncommitted change must not be applied"
             code, body = await cluster.put("c1", LIMITS)
             assert (code, body["error"]) == (409, "c1 is not the leader; the leader is c2")
-            # The epoch and the document are on its disk.
+            # The epoch and the document survive a restart of c1.
             await cluster.stop("c1")
             await cluster.start("c1")
             assert cluster.machines["c1"].store.replica.highest_epoch_seen == Epoch(2, "c2")
@@ -354,7 +354,7 @@
             cluster.heal({"c2"}, {"c3"})
             replication = cluster.machines["c3"].replication
             assert replication is not None
-            replication.close()  # so that it does not catch up
+            replication.close()  # keeps c3 behind c2
             code, body = await cluster.call("c3", "POST", "/control/promote", {})
             assert code == 409
             assert "c3 has version 1 of epoch 1 (c1), but c2 has version 2 of epoch 1 (c1)" in body["error"]
@@ -367,7 +367,7 @@
     run(main())
 
 
-def test_a_node_that_has_seen_a_later_epoch_takes_no_earlier_update_and_makes_the_epoch_known(tmp_path: Path):
+def test_a_node_rejects_updates_of_a_lower_epoch_and_reports_its_epoch_to_the_machine(tmp_path: Path):
     async def main() -> None:
         async with control_cluster(tmp_path / "one", 1) as cluster:
             node = await cluster.start_node("n1")
@@ -393,7 +393,7 @@
 ):
     monkeypatch.setattr(store, "RETAINED_REVISIONS", 5)
     monkeypatch.setattr(replica.Replica, "trim", lambda self: self.history.trim(5))
-    # Syncs are covered by test_durable_log. Here some hundred syncs on a busy disk took 40 s, which is the bound.
+    # Hundreds of syncs on a busy disk can exceed the test's time limit; test_durable_log covers syncs.
     monkeypatch.setattr("rosewheel.control.durable_log.os.fsync", lambda file: None)
 
     async def main() -> None:
@@ -402,8 +402,8 @@
             assert (await cluster.put("c1", LIMITS))[0] == 200
             await until(lambda: all_committed(cluster, 1) and applied_numbers(cluster) == {1})
             await cluster.stop("c3")
-            away = cluster.nodes["n0"]
-            away.close()
+            disconnected = cluster.nodes["n0"]
+            disconnected.close()
             for index in range(30):
                 assert (await cluster.put("c1", {"limits": {"max_open": 100 + index}}))[0] == 200
             assert cluster.machines["c1"].store.log.record_count <= 12
@@ -412,8 +412,8 @@
             expected = {"limits": {"max_open": 129}}
             assert cluster.machines["c3"].store.replica.committed_document == expected
             cluster.machines["c1"].store.replica.trim()
-            away._closed = False
-            away._open()
+            disconnected._closed = False
+            disconnected._open()
             await until(lambda: applied_numbers(cluster) == {31})
             assert cluster.documents["n0"] == expected
             await cluster.stop("c1")
@@ -423,7 +423,7 @@
     run(main())
 
 
-def test_followers_turn_to_a_restarted_leader_before_a_change_times_out(tmp_path: Path):
+def test_followers_return_to_a_restarted_leader_before_a_change_times_out(tmp_path: Path):
     def sources(cluster: ControlCluster) -> set[str]:
         replications = [cluster.machines[name].replication for name in ("c2", "c3")]
         return {replication.source for replication in replications if replication is not None}
@@ -433,7 +433,7 @@
             await until_contacted(cluster)
             for index in range(2):
                 await cluster.stop("c1")
-                await until(lambda: sources(cluster) == {"c2", "c3"})  # they follow one another meanwhile
+                await until(lambda: sources(cluster) == {"c2", "c3"})  # they watch each other in the meantime
                 await cluster.start("c1")
                 peer_revisions = cluster.machines["c1"].store.replica.peer_revisions
                 await until(lambda known=peer_revisions: set(known) == {"c2", "c3"})
@@ -443,7 +443,7 @@
     run(main())
 
 
-def test_a_replacement_machine_gets_everything_and_a_leader_that_lost_its_disk_writes_nothing(tmp_path: Path):
+def test_a_replacement_machine_gets_the_log_and_a_leader_that_lost_its_disk_accepts_no_change(tmp_path: Path):
     async def main() -> None:
         async with control_cluster(tmp_path, 3) as cluster:
             await until_contacted(cluster)
@@ -472,7 +472,7 @@
     run(main())
 
 
-def test_nodes_make_their_epoch_known_to_empty_machines_and_follow_once_one_is_promoted(tmp_path: Path):
+def test_nodes_report_their_epoch_to_empty_machines_and_follow_the_one_that_is_promoted(tmp_path: Path):
     async def main() -> None:
         async with control_cluster(tmp_path, 2) as cluster:
             await until_contacted(cluster)
