--- a/rosewheel/control/heartbeats.py
+++ b/rosewheel/control/heartbeats.py
@@ -29,7 +29,7 @@
     store: Store
 
     def take_node_statuses(self, all_nodes: bool) -> list[NodeStatus]:
-        """Return the node statuses that changed since the last call, or all of nodes that watch this machine."""
+        """Return the node statuses that changed since the last call, or those of all nodes that watch this machine."""
 
     def peer_lost(self, peer: str) -> None:
         """Handle a peer that had no contact for `PEER_LOST_AFTER_S`."""
--- a/rosewheel/control/machine.py
+++ b/rosewheel/control/machine.py
@@ -135,7 +135,7 @@
     # ----------------------------------------------------------------- for heartbeats
 
     def take_node_statuses(self, all_nodes: bool) -> list[NodeStatus]:
-        """Return the node statuses that changed since the last call, or all of nodes that watch this machine."""
+        """Return the node statuses that changed since the last call, or those of all nodes that watch this machine."""
         changed = self.nodes.take_changes()  # cleared in both cases: the full list includes the changes
         return self.nodes.statuses_of_machine(self.name) if all_nodes else changed
 
--- a/rosewheel/control/promotion.py
+++ b/rosewheel/control/promotion.py
@@ -46,7 +46,7 @@
         await self._store.observe_epoch(epoch)
         fenced = await self._call_peers(FENCE_PATH, encode_fence(epoch))
         await self._check_fenced(fenced)
-        # Fenced peers accept nothing from older epochs, so they already have every change that is committed there.
+        # Once fenced, peers accept nothing from older epochs, so these are their last revisions of those epochs.
         peer_revisions = _last_revisions(fenced)
         change = await self._store.begin_epoch(epoch, peer_revisions, request.force, request.author)
         lost = self._lost_revisions(peer_revisions)
@@ -69,7 +69,7 @@
         )
 
     async def _call_peers(self, path: str, body: JsonObject) -> dict[str, MachineState]:
-        """Return the states of the peers that answered."""
+        """Return the states of the peers that responded."""
         peers = list(self._peers.values())
         states = await asyncio.gather(*(_call_peer(peer, path, body) for peer in peers))
         return {peer.peer: state for peer, state in zip(peers, states, strict=True) if state is not None}
