--- a/rosewheel/control/codec/calls.py
+++ b/rosewheel/control/codec/calls.py
@@ -213,11 +213,11 @@
     return encode_response_revision(revision) | {"config": document}
 
 
-def encode_change_response(answer: ChangeResponse) -> JsonObject:
+def encode_change_response(response: ChangeResponse) -> JsonObject:
     """Encode the response to a put, rollback or promotion."""
-    row = encode_response_revision(answer.revision) | {"changed": answer.changed}
-    if answer.lost is not None:
-        row["lost"] = list(answer.lost)
+    row = encode_response_revision(response.revision) | {"changed": response.changed}
+    if response.lost is not None:
+        row["lost"] = list(response.lost)
     return row
 
 
@@ -234,12 +234,12 @@
         )
 
 
-def encode_history(answer: HistoryResponse) -> JsonObject:
+def encode_history(response: HistoryResponse) -> JsonObject:
     """Encode the response to a history call."""
     return {
-        "machine": answer.machine,
-        "oldest": answer.oldest,
-        "versions": [_encode_history_change(change) for change in answer.changes],
+        "machine": response.machine,
+        "oldest": response.oldest,
+        "versions": [_encode_history_change(change) for change in response.changes],
     }
 
 
@@ -267,15 +267,15 @@
     return Change(decode_response_revision(row), row["patch"], row["by"], row["note"], row["at_s"])
 
 
-def encode_error(answer: ErrorResponse) -> JsonObject:
+def encode_error(response: ErrorResponse) -> JsonObject:
     """Encode the response to a failed call."""
-    row: JsonObject = {"error": answer.text}
-    if answer.leader is not None:
-        row["writer"] = answer.leader
-    if answer.leader_address:
-        row["address"] = answer.leader_address
-    if answer.current is not None:
-        row["version"] = answer.current
+    row: JsonObject = {"error": response.text}
+    if response.leader is not None:
+        row["writer"] = response.leader
+    if response.leader_address:
+        row["address"] = response.leader_address
+    if response.current is not None:
+        row["version"] = response.current
     return row
 
 
--- a/rosewheel/control/machine_api.py
+++ b/rosewheel/control/machine_api.py
@@ -218,30 +218,30 @@
 
     async def _change_response(self, change: Change | None) -> JsonResponse:
         if change is None:
-            answer = ChangeResponse(self._store.replica.last, changed=False)
+            response = ChangeResponse(self._store.replica.last, changed=False)
         else:
             await self._store.wait_committed(change.revision, COMMIT_TIMEOUT_S)
-            answer = ChangeResponse(change.revision, changed=True)
-        return JsonResponse(200, codec.encode_change_response(answer))
+            response = ChangeResponse(change.revision, changed=True)
+        return JsonResponse(200, codec.encode_change_response(response))
 
     async def _history(self, query: JsonObject) -> JsonResponse:
         limit = codec.decode_history_limit(query)
         history = self._store.replica.history
-        answer = HistoryResponse(
+        response = HistoryResponse(
             self._settings.name,
             oldest=history.snapshot.revision.number,
             changes=tuple(reversed(history.changes[-limit:])),
         )
-        return JsonResponse(200, codec.encode_history(answer))
+        return JsonResponse(200, codec.encode_history(response))
 
     async def _status(self, query: JsonObject) -> JsonResponse:
         return JsonResponse(
-            200, await self._status_reporter.answer(decode_local_only(query), decode_all_nodes(query))
+            200, await self._status_reporter.encoded_report(decode_local_only(query), decode_all_nodes(query))
         )
 
     async def _promote(self, row: JsonObject) -> JsonResponse:
-        answer = await self._promotion.run(codec.decode_promote(row))
-        return JsonResponse(200, codec.encode_change_response(answer))
+        response = await self._promotion.run(codec.decode_promote(row))
+        return JsonResponse(200, codec.encode_change_response(response))
 
 
 def _json_object(body: bytes) -> JsonObject:
--- a/rosewheel/control/machine_status.py
+++ b/rosewheel/control/machine_status.py
@@ -23,7 +23,7 @@
         self._parts = parts
         self._name, self._store = parts.name, parts.store
 
-    async def answer(self, local_only: bool, all_nodes: bool) -> JsonObject:
+    async def encoded_report(self, local_only: bool, all_nodes: bool) -> JsonObject:
         """Return the leader's report, or this machine's own if the leader is unknown or does not respond.
 
         Args:
--- a/rosewheel/control/promotion.py
+++ b/rosewheel/control/promotion.py
@@ -77,10 +77,10 @@
 
 async def _call_peer(peer: PeerHeartbeat, path: str, body: JsonObject) -> MachineState | None:
     try:
-        status, answer = await peer.client.call("POST", path, body, PEER_CALL_TIMEOUT_S)
+        status, response = await peer.client.call("POST", path, body, PEER_CALL_TIMEOUT_S)
     except HttpCallError:
         return None
-    return decode_machine_state(answer) if status == 200 else None
+    return decode_machine_state(response) if status == 200 else None
 
 
 def _last_revisions(states: Mapping[str, MachineState]) -> dict[str, Revision]:
--- a/tests/control/test_codec.py
+++ b/tests/control/test_codec.py
@@ -147,10 +147,10 @@
     assert calls.encode_heartbeat(full) == full_row
     assert calls.decode_heartbeat(full_row) == full
     state = MachineState("c1", "ab", epoch, last, is_fenced=True)
-    answer = row | {"boot": "ab"}
-    assert calls.encode_machine_state(state) == answer
-    assert calls.encode_fence_response(state) == answer | {"fenced": True}
-    assert calls.decode_machine_state(answer | {"fenced": True}) == state
+    response = row | {"boot": "ab"}
+    assert calls.encode_machine_state(state) == response
+    assert calls.encode_fence_response(state) == response | {"fenced": True}
+    assert calls.decode_machine_state(response | {"fenced": True}) == state
     assert calls.encode_fence(epoch) == {"epoch": [2, "c2"]}
     assert calls.decode_fence({"epoch": [2, "c2"]}) == epoch
 
@@ -172,10 +172,10 @@
 
 def test_responses_to_operators():
     revision = {"version": 3, "epoch": 1, "writer": "c1"}
-    answer = ChangeResponse(Revision(1, "c1", 3), changed=True, lost=("c2 held version 2",))
+    response = ChangeResponse(Revision(1, "c1", 3), changed=True, lost=("c2 held version 2",))
     row = revision | {"changed": True, "lost": ["c2 held version 2"]}
-    assert calls.encode_change_response(answer) == row
-    assert calls.decode_change_response(row) == answer
+    assert calls.encode_change_response(response) == row
+    assert calls.decode_change_response(row) == response
     unchanged = ChangeResponse(Revision(1, "c1", 3), changed=False)
     assert calls.encode_change_response(unchanged) == revision | {"changed": False}
     change = Change(Revision(1, "c1", 3), {"a": 1}, "ana", "why", 12.5)
