--- a/rosewheel/control/acknowledgement.py
+++ b/rosewheel/control/acknowledgement.py
@@ -36,11 +36,8 @@
             random: Random source of the delays.
             on_acknowledged: Called once the machine has the node's current state.
         """
-        self._make_acknowledgement, self._random, self._on_acknowledged = (
-            make_acknowledgement,
-            random,
-            on_acknowledged,
-        )
+        self._make_acknowledgement = make_acknowledgement
+        self._random, self._on_acknowledged = random, on_acknowledged
         self._client: JsonHttpClient | None = None
         self._timer = Timer()
         self._task: asyncio.Task[None] | None = None
