--- a/tests/control/test_codec.py
+++ b/tests/control/test_codec.py
@@ -1,4 +1,4 @@
-"""Forms on the wire and on disk: they stay as earlier releases wrote them."""
+"""Encodings on the wire and on disk, which must stay compatible with earlier releases."""
 
 from __future__ import annotations
 
@@ -12,12 +12,12 @@
 from rosewheel.control.codec.status import decode_status, encode_status, status_target
 from rosewheel.control.errors import CachedDocumentError, MalformedMessageError
 from rosewheel.control.messages import (
-    ChangeAnswer,
+    ChangeResponse,
     ConfigurationUpdate,
-    ErrorAnswer,
+    ErrorResponse,
     FleetReport,
     Heartbeat,
-    HistoryAnswer,
+    HistoryResponse,
     MachineReport,
     MachineState,
     NodeAcknowledgement,
@@ -85,7 +85,7 @@
     )
     assert encode_cached_document("fotos", revision, document) == content
     assert decode_cached_document(content, "fotos") == (revision, document)
-    with pytest.raises(CachedDocumentError, match="of another service, 'fotos'"):
+    with pytest.raises(CachedDocumentError, match="document is of another service, 'fotos'"):
         decode_cached_document(content, "puntos")
 
 
@@ -125,7 +125,7 @@
     line = b'{"seq":3,"epoch":1,"writer":"c1","whole":false,"config":{"a":null}}'
     assert watch.encode_update(update) == line
     assert watch.decode_update(orjson.loads(line)) == update
-    with pytest.raises(MalformedMessageError, match="missing: 'config'"):
+    with pytest.raises(MalformedMessageError, match="missing field: 'config'"):
         watch.decode_update({"seq": 3, "epoch": 1, "writer": "c1"})
 
 
@@ -147,10 +147,10 @@
     assert calls.encode_heartbeat(full) == full_row
     assert calls.decode_heartbeat(full_row) == full
     state = MachineState("c1", "ab", epoch, last, is_fenced=True)
-    answer = row | {"boot": "ab"}
-    assert calls.encode_machine_state(state) == answer
-    assert calls.encode_fence_answer(state) == answer | {"fenced": True}
-    assert calls.decode_machine_state(answer | {"fenced": True}) == state
+    response = row | {"boot": "ab"}
+    assert calls.encode_machine_state(state) == response
+    assert calls.encode_fence_response(state) == response | {"fenced": True}
+    assert calls.decode_machine_state(response | {"fenced": True}) == state
     assert calls.encode_fence(epoch) == {"epoch": [2, "c2"]}
     assert calls.decode_fence({"epoch": [2, "c2"]}) == epoch
 
@@ -170,16 +170,16 @@
             calls.decode_put(put_row | {"version": version})
 
 
-def test_answers_to_operators():
+def test_responses_to_operators():
     revision = {"version": 3, "epoch": 1, "writer": "c1"}
-    answer = ChangeAnswer(Revision(1, "c1", 3), changed=True, lost=("c2 held version 2",))
+    response = ChangeResponse(Revision(1, "c1", 3), changed=True, lost=("c2 held version 2",))
     row = revision | {"changed": True, "lost": ["c2 held version 2"]}
-    assert calls.encode_change_answer(answer) == row
-    assert calls.decode_change_answer(row) == answer
-    unchanged = ChangeAnswer(Revision(1, "c1", 3), changed=False)
-    assert calls.encode_change_answer(unchanged) == revision | {"changed": False}
+    assert calls.encode_change_response(response) == row
+    assert calls.decode_change_response(row) == response
+    unchanged = ChangeResponse(Revision(1, "c1", 3), changed=False)
+    assert calls.encode_change_response(unchanged) == revision | {"changed": False}
     change = Change(Revision(1, "c1", 3), {"a": 1}, "ana", "why", 12.5)
-    history = HistoryAnswer("c1", 0, (change,))
+    history = HistoryResponse("c1", 0, (change,))
     history_row = {
         "machine": "c1",
         "oldest": 0,
@@ -187,11 +187,15 @@
     }
     assert calls.encode_history(history) == history_row
     assert calls.decode_history(history_row) == history
-    not_leader = ErrorAnswer("c1 writes, not c2", "c1", "10.0.1.5:8600")
-    not_leader_row = {"error": "c1 writes, not c2", "writer": "c1", "address": "10.0.1.5:8600"}
+    not_leader = ErrorResponse("c2 is not the leader; the leader is c1", "c1", "10.0.1.5:8600")
+    not_leader_row = {
+        "error": "c2 is not the leader; the leader is c1",
+        "writer": "c1",
+        "address": "10.0.1.5:8600",
+    }
     assert calls.encode_error(not_leader) == not_leader_row
     assert calls.decode_error(not_leader_row) == not_leader
-    assert calls.encode_error(ErrorAnswer("no", current=3)) == {"error": "no", "version": 3}
+    assert calls.encode_error(ErrorResponse("no", current=3)) == {"error": "no", "version": 3}
 
 
 def test_the_status_report():
