--- a/rosewheel/http/connection_close.py
+++ b/rosewheel/http/connection_close.py
@@ -7,9 +7,7 @@
 import socket
 import struct
 
-LINGERING_CLOSE_S = (
-    0.5  # time for which a connection stays open after its response while the client still sends
-)
+LINGERING_CLOSE_S = 0.5  # time between closing the sending side and closing the connection
 
 
 def pending_events(transport: asyncio.Transport, event_mask: int) -> int:
--- a/rosewheel/http/downstream_connection.py
+++ b/rosewheel/http/downstream_connection.py
@@ -22,7 +22,7 @@
 
 STREAM_WINDOW_BYTES = 64 * 1024  # buffer for a streamed request body, and for the unsent bytes of a response
 RECEIVE_TIMEOUT_S = (
-    2.6  # for a complete head, the next bytes of a body, and the first byte of a new connection
+    2.6  # longest time until the first byte, until a complete head, and between parts of a body
 )
 SEND_STALL_TIMEOUT_S = 30.0  # a client that takes no byte of its response for this long is disconnected
 KEEP_ALIVE_TIMEOUT_S = 5.0  # idle time after which a connection is closed
@@ -107,7 +107,7 @@
             self.data_received(received)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Drop the requests, or hand the connection over if it was detached."""
+        """Drop the requests; if the connection was detached, pass it to the callback."""
         self.server.connection_closed(self)
         if self._on_detached is not None and self._finish_detach(exc):
             return
@@ -211,7 +211,7 @@
         if self.reading_paused and not pause:
             self.last_activity_s = (
                 self.server.loop.time()
-            )  # the pause must not count toward the client's timeout
+            )  # a pause by the node is no inactivity of the client
         return pause
 
     # ---------------------------------------------------------------------------------------- idle and stalled
@@ -324,9 +324,7 @@
             if self.closing_after_request and self.incoming_request is None:
                 self.transport.close()
             if self.unparsed and self.active_request is None:
-                self.server.loop.call_soon(
-                    self._dispatch_next
-                )  # deferred, so that other connections are served
+                self.server.loop.call_soon(self._dispatch_next)  # deferred to let other connections proceed
             if self._is_idle():
                 self.server.mark_idle(self)
             self._update_backpressure()
--- a/rosewheel/http/downstream_server.py
+++ b/rosewheel/http/downstream_server.py
@@ -16,21 +16,23 @@
 
 log = logging.getLogger("rosewheel.downstream")
 
-SWEEP_INTERVAL_S = 0.25  # between two checks for stalled connections
-PAUSED_CHECK_INTERVAL_S = 0.1  # between two checks for disconnects on connections with paused reading
+SWEEP_INTERVAL_S = 0.25  # time between two checks for stalled connections
+PAUSED_CHECK_INTERVAL_S = 0.1  # time between two checks of connections with paused reading for a disconnect
 MIN_IDLE_BEFORE_RECLAIM_S = 0.2  # idle time after which a connection may be closed to free a descriptor
-MIN_SILENCE_BEFORE_RECLAIM_S = (
-    0.3  # the same for a connection without a complete request so far, or within a head
-)
-ACCEPT_DURING_DRAIN_S = 0.6  # after SIGTERM, new connections are accepted for this long
+# Time without received bytes after which a connection that has sent no complete request, or only a part of a head, may
+# be closed to free a descriptor.
+MIN_SILENCE_BEFORE_RECLAIM_S = 0.3
+ACCEPT_DURING_DRAIN_S = 0.6  # time after SIGTERM during which new connections are accepted
 # After SIGTERM, open connections may send requests for this long, since other nodes may still be starting; but only
 # until the margin before the longest request timeout, as the drain ends soon after that.
 KEEP_OPEN_DURING_DRAIN_S = 2.0
 DRAIN_DEADLINE_MARGIN_S = 0.1
-NEW_CONNECTION_GRACE_S = 0.2  # during a drain, time in which a new connection may send its first request
-NEW_CONNECTION_GRACE_SHARE = 0.2  # upper limit of this time, as a share of the longest request timeout
+# Time in which a new connection may send its first request during a drain, and its limit as a share of the longest
+# request timeout.
+NEW_CONNECTION_GRACE_S = 0.2
+NEW_CONNECTION_GRACE_SHARE = 0.2
 DRAIN_RESPONSE_GRACE_S = (
-    0.4  # this long after the longest request timeout, connections without a request are aborted
+    0.4  # time after the longest request timeout when connections without a request are aborted
 )
 DRAIN_POLL_INTERVAL_S = 0.02
 MIGRATION_POLL_INTERVAL_S = 0.005
--- a/rosewheel/http/request_reader.py
+++ b/rosewheel/http/request_reader.py
@@ -19,13 +19,13 @@
 
 MAX_BODY_BYTES = 32 << 20
 MAX_HEAD_BYTES = 16 * 1024
-# A chunked body may take this many bytes on the wire, plus the factor times its decoded size: size lines and trailers
-# count, and small chunks carry several bytes of framing per byte of data.
+# Limit for the bytes of a chunked body on the wire: this number, plus the factor times the decoded size. Small chunks
+# need several bytes of framing per byte of data.
 MAX_CHUNK_OVERHEAD_BYTES = 256 * 1024
 MAX_CHUNK_OVERHEAD_FACTOR = 16
 MAX_PIPELINED_REQUESTS = 8  # complete requests that one connection queues behind the active one
-# Bytes passed to the parser at once, except within a body of known length. Limits are checked between two such parts,
-# so they bound by how much the queue limits can be exceeded.
+# Bytes passed to the parser at once, except within a body of known length. The queue limits are checked between two
+# such parts, and can be exceeded by the requests in one of them.
 MAX_PARSED_BYTES = 2048
 MAX_PARSED_CHUNKED_BYTES = 16 * 1024
 
--- a/rosewheel/http/response_reader.py
+++ b/rosewheel/http/response_reader.py
@@ -15,9 +15,9 @@
 
 log = logging.getLogger("rosewheel.upstream")
 
-MAX_RESPONSE_BYTES = 32 << 20  # of the body
+MAX_RESPONSE_BYTES = 32 << 20  # limit for the body
 STREAM_THRESHOLD_BYTES = 64 * 1024  # a longer body is streamed
-MAX_RESPONSE_HEAD_BYTES = 16 * 1024  # including interim responses
+MAX_RESPONSE_HEAD_BYTES = 16 * 1024  # limit for the head and the interim responses before it
 
 ResponseSink = Callable[
     [bytes], bool
--- a/rosewheel/http/response_sender.py
+++ b/rosewheel/http/response_sender.py
@@ -132,9 +132,7 @@
         self._write_progress.restart(self.server.loop.time())
         self.response_chunked = content_length is None and not self.is_http_1_0
         if content_length is None and self.is_http_1_0:
-            self.close_after_response = (
-                True  # HTTP/1.0 has no chunked encoding: the body ends with the connection
-            )
+            self.close_after_response = True  # HTTP/1.0 has no chunked encoding; the body ends with the close
         close = self._must_close()
         if close:
             self.close_after_response = True
--- a/rosewheel/http/upstream_connection.py
+++ b/rosewheel/http/upstream_connection.py
@@ -21,14 +21,10 @@
 
 log = logging.getLogger("rosewheel.upstream")
 
-RECEIVE_BUFFER_BYTES = (
-    64 * 1024
-)  # receive buffer of the socket; bounds what the system holds of an unread response
+RECEIVE_BUFFER_BYTES = 64 * 1024  # receive buffer of the socket, which bounds the unread part of a response
 RESPONSE_PAUSE_TIMEOUT_S = 0.8  # longest pause within a buffered response
 STREAM_PAUSE_TIMEOUT_S = 15.0  # longest pause within a streamed response; longer, since it can't be retried
-PAUSE_CHECK_TOLERANCE_S = (
-    0.01  # a timeout that ends this soon is taken as ended: the loop's clock has milliseconds
-)
+PAUSE_CHECK_TOLERANCE_S = 0.01  # a timeout that ends this soon has ended: the loop's clock has milliseconds
 WRITE_STALL_TIMEOUT_S = 6.0  # a request of which the server takes no byte for this long is failed
 STALE_RESET_WINDOW_S = 0.02  # a reset this soon after a request shows that the idle connection was stale
 
--- a/rosewheel/http/upstream_pool.py
+++ b/rosewheel/http/upstream_pool.py
@@ -24,10 +24,8 @@
 
 log = logging.getLogger("rosewheel.upstream")
 
-SWEEP_INTERVAL_S = 0.5  # between two checks for stalled requests and expired idle connections
-START_TIME_TOLERANCE_MS = (
-    1000.0  # difference between the start times that two processes compute for one server
-)
+SWEEP_INTERVAL_S = 0.5  # time between two checks for stalled requests and expired idle connections
+START_TIME_TOLERANCE_MS = 1000.0  # largest difference between two processes' start times of one server
 UNRESPONSIVE_AFTER_S = 0.5  # a server that sends no byte for this long during an attempt may have failed
 
 AttemptEndedCallback = Callable[[str, int, AttemptResult, LoadReport | None, bytes], None]
--- a/tests/http/test_client_disconnects.py
+++ b/tests/http/test_client_disconnects.py
@@ -50,9 +50,8 @@
                 may_connect.set()
                 await until(lambda: not proxy.node.requests and not proxy.upstream.exchanges)
                 assert proxy.upstream.connecting_count == 0
-            async with Client(
-                proxy
-            ) as next_client:  # the slot of the first request is free, and none of it is sent
+            # The slot of the first request is free, and nothing of it is sent.
+            async with Client(proxy) as next_client:
                 assert status(await next_client.ask("post")) == 200
             assert len(server.got) == 1
             assert proxy.node.active_requests == 0
--- a/tests/http/test_descriptor_limit.py
+++ b/tests/http/test_descriptor_limit.py
@@ -130,9 +130,8 @@
             opening_task = asyncio.ensure_future(open_connections())
             await until(lambda: len(connections) >= CONNECTION_COUNT)
             descriptors = Path(f"/proc/{process.pid}/fd")
-            assert (
-                len(list(descriptors.iterdir())) > max_descriptors / 3
-            )  # all descriptors for clients are in use
+            # All descriptors for clients are in use.
+            assert len(list(descriptors.iterdir())) > max_descriptors / 3
             for _ in range(2):
                 # The kernel accepts all connections while the process is stopped; the node then takes them at once.
                 process.send_signal(signal.SIGSTOP)
--- a/tests/http/test_forwarding.py
+++ b/tests/http/test_forwarding.py
@@ -252,9 +252,8 @@
                     raise RuntimeError("a fault")
                 actions = handle(now, event)
                 if isinstance(event, RequestReceived):
-                    actions.append(
-                        CancelAttempt(event.id, 0)
-                    )  # ends the attempt, which raises the error at once
+                    # Ends the attempt, which raises the error at once.
+                    actions.append(CancelAttempt(event.id, 0))
                 return actions
 
             proxy.node.balancer.handle = faulty  # type: ignore[method-assign]
--- a/tests/http/test_idle_connections.py
+++ b/tests/http/test_idle_connections.py
@@ -149,9 +149,8 @@
         silent = False
 
         async def handler(message: Message, writer: asyncio.StreamWriter) -> None:
-            if (
-                len(server.got) >= 2 and not silent
-            ):  # responds to both at once, so that there are two connections
+            # Responds to both requests at once, so that each has its own connection.
+            if len(server.got) >= 2 and not silent:
                 for each in server.writers:
                     each.write(answer())
 
