--- a/rosewheel/http/downstream_connection.py
+++ b/rosewheel/http/downstream_connection.py
@@ -21,9 +21,7 @@
 log = logging.getLogger("rosewheel.downstream")
 
 STREAM_WINDOW_BYTES = 64 * 1024  # buffer for a streamed request body, and for the unsent bytes of a response
-RECEIVE_TIMEOUT_S = (
-    2.6  # longest time until the first byte, until a complete head, and between parts of a body
-)
+RECEIVE_TIMEOUT_S = 2.6  # limit for the first byte, for a complete head, and for a pause within a body
 SEND_STALL_TIMEOUT_S = 30.0  # a client that takes no byte of its response for this long is disconnected
 KEEP_ALIVE_TIMEOUT_S = 5.0  # idle time after which a connection is closed
 
@@ -209,9 +207,7 @@
         window_bytes = STREAM_WINDOW_BYTES if body.reading_started else max(STREAM_WINDOW_BYTES, share_bytes)
         pause = self.write_blocked or body.buffered_bytes > window_bytes
         if self.reading_paused and not pause:
-            self.last_activity_s = (
-                self.server.loop.time()
-            )  # a pause by the node is no inactivity of the client
+            self.last_activity_s = self.server.loop.time()  # the client was not inactive during the pause
         return pause
 
     # ---------------------------------------------------------------------------------------- idle and stalled
--- a/rosewheel/http/downstream_server.py
+++ b/rosewheel/http/downstream_server.py
@@ -31,9 +31,8 @@
 # request timeout.
 NEW_CONNECTION_GRACE_S = 0.2
 NEW_CONNECTION_GRACE_SHARE = 0.2
-DRAIN_RESPONSE_GRACE_S = (
-    0.4  # time after the longest request timeout when connections without a request are aborted
-)
+# Time after the longest request timeout at which a drain aborts connections without a request.
+DRAIN_RESPONSE_GRACE_S = 0.4
 DRAIN_POLL_INTERVAL_S = 0.02
 MIGRATION_POLL_INTERVAL_S = 0.005
 UNLIMITED_CONNECTIONS = 1 << 20
