--- a/rosewheel/config/__init__.py
+++ b/rosewheel/config/__init__.py
@@ -1,1 +1,1 @@
-"""Configuration of a node: the platform's environment and JSON file, and the operator's TOML file, as typed values."""
+"""Configuration of a node as typed values: the platform's variables and JSON file, or the operator's TOML file."""
--- a/rosewheel/config/address.py
+++ b/rosewheel/config/address.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-Address = tuple[str, int]  # (host, port), the form that the standard library's sockets take
+Address = tuple[str, int]  # (host, port), as in the socket module
 
 MAX_PORT = 65535
 
@@ -10,7 +10,7 @@
 def parse_address(text: object) -> Address:
     """Parse `host:port`.
 
-    The host is a numeric address, as no DNS is available where a node runs; an IPv6 address may stand in brackets.
+    The host is a numeric address, because no DNS is available where a node runs. An IPv6 address may be in brackets.
 
     Raises:
         ValueError: the text has another form, or the port is out of range.
--- a/rosewheel/config/environment.py
+++ b/rosewheel/config/environment.py
@@ -1,4 +1,4 @@
-"""What a node reads from its environment and from the system, for both sources of configuration."""
+"""Values that a node takes from environment variables and the system, with either source of configuration."""
 
 from __future__ import annotations
 
@@ -20,24 +20,24 @@
 
 
 def available_descriptors(requested: int) -> int:
-    """File descriptors that this process may hold: as many as requested, or the system's soft limit if it is less."""
+    """Return the number of requested file descriptors, or the process's soft limit if that is lower."""
     return min(requested, resource.getrlimit(resource.RLIMIT_NOFILE)[0])
 
 
 def inherited_descriptor(environ: Mapping[str, str]) -> int | None:
-    """The descriptor in LB_INHERITED_FD; None where the variable is absent or empty.
+    """Return the file descriptor in LB_INHERITED_FD, or None if the variable is unset or empty.
 
     Raises:
-        ConfigError: the variable holds no number.
+        ConfigError: the value is not a number.
     """
     text = environ.get("LB_INHERITED_FD")
     if not text:
         return None
     if not text.isascii() or not text.isdigit():
-        raise ConfigError(f"LB_INHERITED_FD: {text!r} is not a descriptor's number", "LB_INHERITED_FD")
+        raise ConfigError(f"LB_INHERITED_FD: {text!r} is not a file descriptor number", "LB_INHERITED_FD")
     return int(text)
 
 
 def random_seed() -> int:
-    """A seed from the system's random source."""
+    """Return a seed from the system's random source."""
     return int.from_bytes(os.urandom(SEED_BYTES), "big")
--- a/rosewheel/config/errors.py
+++ b/rosewheel/config/errors.py
@@ -1,4 +1,4 @@
-"""Errors of configuration files and values. All derive from `ConfigError`."""
+"""Errors in configuration files and values. All exceptions derive from `ConfigError`."""
 
 from __future__ import annotations
 
@@ -6,10 +6,10 @@
 
 
 class ConfigError(Exception):
-    """A configuration that can't be used. The text is one line.
+    """The configuration is invalid. The message is one line.
 
     Attributes:
-        key: the key with the bad value, such as `listen` or `LB_CONFIG`; empty where no single key is at fault.
+        key: the key with the invalid value, such as `listen` or `LB_CONFIG`; empty if no single key is at fault.
     """
 
     def __init__(self, message: str, key: str = "") -> None:
@@ -18,11 +18,11 @@
 
 
 class InvalidValueError(ConfigError, ValueError):
-    """One key has a value that can't be used, or is missing.
+    """A key has an invalid value or is missing.
 
     Attributes:
-        key: path of the key, such as `class[0].aim_ms`; empty for the value as a whole.
-        reason: what is wrong with its value.
+        key: path of the key, such as `class[0].aim_ms`; empty if the error concerns the whole table.
+        reason: what is wrong with the value.
     """
 
     def __init__(self, key: str, reason: str) -> None:
@@ -35,9 +35,9 @@
     """One error in a file.
 
     Attributes:
-        key: path of the key, such as `tier[0].kind[1].speed`; empty for the file as a whole.
-        line: line number from 1; None where it is not known.
-        message: what is wrong there.
+        key: path of the key, such as `tier[0].kind[1].speed`; empty if the error concerns the whole file.
+        line: line number, from 1; None if unknown.
+        message: what is wrong.
     """
 
     key: str
@@ -51,11 +51,11 @@
 
 
 class InvalidFileError(ConfigError):
-    """A file that can't be used.
+    """A configuration or scenario file is invalid.
 
     Attributes:
-        path: the file's path, or the name that stands for it.
-        problems: all errors that were found in it; at least one.
+        path: path of the file, or a name for text that was not read from a file.
+        problems: all errors found in the file; at least one.
     """
 
     def __init__(self, path: str, problems: list[Problem]) -> None:
@@ -64,5 +64,5 @@
         self.problems = problems
 
     def messages(self) -> list[str]:
-        """One line for each problem, with the file's path."""
+        """Return one line for each problem, with the path of the file."""
         return [f"{self.path}: {problem}" for problem in self.problems]
--- a/rosewheel/config/node_config.py
+++ b/rosewheel/config/node_config.py
@@ -1,4 +1,4 @@
-"""Configuration of one node, whichever source it was read from."""
+"""Configuration of one node, from either source."""
 
 from __future__ import annotations
 
@@ -9,16 +9,16 @@
 from rosewheel.node.limits import Limits
 from rosewheel.policy.settings import Settings
 
-if TYPE_CHECKING:  # needs msgspec, which a node on the platform does not have
+if TYPE_CHECKING:  # imports msgspec, which the platform does not have
     from rosewheel.config.operator_config import OperatorConfig
 
 
 @dataclass(slots=True, frozen=True)
 class ControlConfig:
-    """Where the fleet's configuration is fetched from. Only the operator's file can name it.
+    """The control machines that provide the fleet's configuration. Only the operator's file can name them.
 
     Attributes:
-        machines: addresses of the control machines by their names.
+        machines: addresses of the control machines, by name.
         service: name of the service that this node belongs to.
         node_file: the node's own file, to which the fleet's configuration is applied.
     """
@@ -30,11 +30,11 @@
 
 @dataclass(slots=True, frozen=True)
 class InitialEndpoints:
-    """The endpoint list with which a node starts.
+    """The endpoint list that a node uses until discovery has answered.
 
     Attributes:
-        revision: its revision in discovery; 0 where it is not known.
-        entries: its entries in discovery's JSON form, not yet checked (`discovery.catalog.entries_from` does that).
+        revision: revision of the list in discovery; 0 if unknown.
+        entries: entries in discovery's JSON form, not validated (`discovery.endpoint_list.parse_endpoints` does that).
     """
 
     revision: int = 0
@@ -43,24 +43,24 @@
 
 @dataclass(slots=True, frozen=True)
 class NodeConfig:
-    """All that a node needs at its start.
+    """Configuration with which a node starts or reloads.
 
     Attributes:
-        name: the node's name in logs and in messages to other processes.
-        listen_address: where clients connect.
-        discovery_address: where discovery answers.
-        seed: of the node's random source.
-        settings: settings of the decision module.
-        limits: limits that the node enforces by itself.
-        initial_endpoints: endpoint list until discovery has answered.
-        admin_address: where the admin server listens; None: no admin server.
-        inherited_descriptor: descriptor of a listening socket that the platform holds; None: the node binds its own.
-        state_folder: folder for files that outlive the process; None: nothing is kept.
-        state_on_disk: whether that folder lies on a disk, where a write may block; on the platform it is in memory.
+        name: name of the node in logs and in messages to other processes.
+        listen_address: address that clients connect to.
+        discovery_address: address of discovery.
+        seed: seed of the node's random number generator.
+        settings: settings of the policy.
+        limits: limits that the node enforces independently of its policy.
+        initial_endpoints: endpoint list to use until discovery has answered.
+        admin_address: address of the admin server; None to run without one.
+        inherited_descriptor: descriptor of a listening socket that the platform holds; None to bind a new one.
+        state_folder: folder for files that outlive the process; None to keep no files.
+        state_on_disk: whether that folder is on a disk, where a write may block; on the platform it is in memory.
         hot_restart_allowed: whether another process of this node may take over its connections, through a Unix socket
-            in the state folder. On the platform only with an inherited listening socket: without one no second
-            process of the node can run.
-        control: where the fleet's configuration is fetched from; None: from nowhere.
+            in the state folder. On the platform this requires an inherited listening socket, because no second
+            process of the node can run without one.
+        control: control machines that provide the fleet's configuration; None if there are none.
     """
 
     name: str
