--- a/rosewheel/config/operator_config.py
+++ b/rosewheel/config/operator_config.py
@@ -1,6 +1,6 @@
-"""The operator's file as one typed value, and the settings and limits that it stands for.
+"""The operator's configuration file as a typed value, and its conversion to settings and limits.
 
-It takes the place of the platform's JSON; `operator_file` reads it.
+The file replaces the platform's JSON. `operator_file` reads it.
 """
 
 from __future__ import annotations
@@ -10,9 +10,7 @@
 import msgspec
 from msgspec import field
 
-from rosewheel.config.environment import (
-    available_descriptors,
-)
+from rosewheel.config.environment import available_descriptors
 from rosewheel.config.errors import InvalidValueError
 from rosewheel.config.operator_tables import (
     ClassTable,
@@ -28,14 +26,14 @@
 from rosewheel.node.limits import Limits
 from rosewheel.policy.settings import InvalidSettingError, ServiceClass, Settings, Tenant
 
-REPORT_FIELDS = ("queue", "util")  # of a server's load report, in this order
+REPORT_FIELDS = ("queue", "util")  # fields of a server's load report, in order
 
 
 class OperatorConfig(ConfigTable, frozen=True, kw_only=True):
     """The operator's file.
 
     Attributes:
-        control: where the fleet's configuration is fetched from; None: from nowhere.
+        control: control machines that provide the fleet's configuration; None if there are none.
     """
 
     node: NodeTable
@@ -55,10 +53,10 @@
         try:
             self.to_settings()
         except InvalidSettingError as error:
-            raise InvalidValueError(_file_key(error.key), error.reason) from error
+            raise InvalidValueError(_file_key_path(error.key), error.reason) from error
 
     def to_settings(self) -> Settings:
-        """Settings of the decision module."""
+        """Return the settings of the policy."""
         routing = self.routing
         return Settings(
             classes=tuple(_service_class(row) for row in self.classes),
@@ -83,7 +81,7 @@
         )
 
     def to_limits(self) -> Limits:
-        """Limits that the node enforces by itself."""
+        """Return the limits that the node enforces independently of its policy."""
         return Limits(
             idle_timeout_ms=self.limits.connection_idle_ms,
             connect_timeout_ms=self.limits.connect_timeout_ms,
@@ -115,8 +113,8 @@
         raise InvalidValueError(key, "duplicate name")
 
 
-def _keys_of_settings() -> dict[str, str]:
-    """Keys of the file by the names of the settings that they become."""
+def _setting_keys() -> dict[str, str]:
+    """Return the keys of the file by the names of the corresponding settings."""
     keys = {item.name: f"routing.{item.encode_name}" for item in msgspec.structs.fields(RoutingTable)}
     keys["connect_timeout_ms"] = "limits.connect_timeout_ms"
     for table in (OperatorConfig, ClassTable, TenantTable):
@@ -124,7 +122,7 @@
     return keys
 
 
-def _file_key(path: str) -> str:
-    """A setting's path by the keys of the file: `classes[0].deadline_ms` is `class[0].give_up_ms`."""
-    keys = _keys_of_settings()
+def _file_key_path(path: str) -> str:
+    """Return a setting's path in the keys of the file: `class[0].give_up_ms` for `classes[0].deadline_ms`."""
+    keys = _setting_keys()
     return re.sub(r"[a-z_]+", lambda name: keys.get(name[0], name[0]), path)
--- a/rosewheel/config/operator_file.py
+++ b/rosewheel/config/operator_file.py
@@ -1,6 +1,6 @@
-"""Reads the operator's file as a node's configuration.
+"""Loads a node's configuration from the operator's TOML file.
 
-The platform's `LB_` variables override the file, as they override the JSON.
+The `LB_` variables override keys of the file, as they override keys of the platform's JSON.
 """
 
 from __future__ import annotations
@@ -20,16 +20,16 @@
 def load_operator_config(
     path: str, environ: Mapping[str, str] = os.environ, reload: bool = False
 ) -> NodeConfig:
-    """Read the operator's file.
+    """Load the operator's file.
 
     Args:
-        path: the file.
+        path: path of the file.
         environ: the environment variables.
-        reload: the node runs already. The file is then newer than the environment, so its discovery address overrides
-            LB_DISCOVERY.
+        reload: whether the node is already running. The file is then newer than the environment, so its discovery
+            address overrides LB_DISCOVERY.
 
     Raises:
-        ConfigError: it can't be used; the text is one line, with the first error.
+        ConfigError: the file or a variable is invalid; the message is one line, with the first error.
     """
     try:
         file = read_file(path, OperatorConfig)
@@ -37,7 +37,7 @@
         more = len(error.problems) - 1
         hint = f" (and {more} more: `rosewheel check {path}` lists all)" if more else ""
         raise ConfigError(error.messages()[0] + hint, error.key) from error
-    values = _overridden(file, environ, reload)
+    values = _apply_environment(file, environ, reload)
     return NodeConfig(
         name=values["name"],
         listen_address=_address(values, "listen"),
@@ -56,8 +56,8 @@
     )
 
 
-def _overridden(file: OperatorConfig, environ: Mapping[str, str], reload: bool) -> dict[str, str]:
-    """The values that the environment may override, by the keys of ENVIRONMENT_KEYS."""
+def _apply_environment(file: OperatorConfig, environ: Mapping[str, str], reload: bool) -> dict[str, str]:
+    """Return the values that the environment may override, by the keys in ENVIRONMENT_KEYS."""
     values = {
         "name": file.node.name,
         "listen": file.node.listen_address,
@@ -78,5 +78,5 @@
 
 
 def _endpoint_row(row: EndpointTable) -> dict[str, object]:
-    """The endpoint in discovery's JSON form."""
+    """Return the endpoint in discovery's JSON form."""
     return {"host": row.host, "dial": row.address, "site": row.zone, "block": row.cell, "health": "active"}
--- a/rosewheel/config/operator_tables.py
+++ b/rosewheel/config/operator_tables.py
@@ -1,7 +1,7 @@
 """Tables of the operator's TOML file, as typed values.
 
-Fields have the code's names. Where the file's key differs, `field(name=...)` holds it, and nothing else does.
-Every key has its unit in its name where it needs one, and a default where one makes sense.
+Fields are named as in the code; where the file's key differs, `field(name=...)` gives it. Names of quantities end in
+their unit, if they have one.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 from rosewheel.config.errors import InvalidValueError
 from rosewheel.policy.settings import DedupScope, Idempotency
 
-MAX_NUMBER = 1e15  # TOML has `inf`, for which no timer can be set
+MAX_NUMBER = 1e15  # excludes TOML's `inf`, which no timer accepts
 
 NonNegative = Annotated[float, Meta(ge=0, lt=MAX_NUMBER)]
 Positive = Annotated[float, Meta(gt=0, lt=MAX_NUMBER)]
@@ -26,13 +26,13 @@
 
 
 class ConfigTable(msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
-    """Base of the tables of a configuration file."""
+    """Base class of the tables of a configuration file."""
 
     def check_addresses(self, *names: str) -> None:
-        """Check that each of these fields holds an address or is empty.
+        """Check that each of these fields is empty or a valid address.
 
         Raises:
-            InvalidValueError: with the key of the first field that does not.
+            InvalidValueError: a field is neither; the error has the key of the first one.
         """
         keys = {item.name: item.encode_name for item in msgspec.structs.fields(self)}
         for name in names:
@@ -46,14 +46,14 @@
 
 
 class NodeTable(ConfigTable, frozen=True, kw_only=True):
-    """Table `node`: the process itself.
+    """Table `node`: name, addresses and state of the node.
 
     Attributes:
-        name: the node's name in logs.
-        listen_address: where clients connect.
-        admin_address: where the admin server listens; empty: no admin server.
-        seed: of the random source, hexadecimal; empty: a random one.
-        state_folder: for files that outlive the process; empty: $TMPDIR, or nothing is kept.
+        name: name of the node in logs.
+        listen_address: address that clients connect to.
+        admin_address: address of the admin server; empty to run without one.
+        seed: hexadecimal seed of the random number generator; empty for a random seed.
+        state_folder: folder for files that outlive the process; if empty, $TMPDIR, and without that no files are kept.
     """
 
     name: NonEmptyText = "node"
@@ -67,13 +67,13 @@
 
 
 class EndpointTable(ConfigTable, frozen=True, kw_only=True):
-    """Table `discovery.known`: an endpoint until discovery has answered.
+    """Table `discovery.known`: an endpoint to use until discovery has answered.
 
     Attributes:
-        host: the server's name.
-        address: where it accepts connections.
-        zone: its zone.
-        cell: its cell within the zone.
+        host: name of the server.
+        address: address of the server.
+        zone: zone of the server.
+        cell: number of its cell within the zone.
     """
 
     host: NonEmptyText
@@ -86,12 +86,12 @@
 
 
 class DiscoveryTable(ConfigTable, frozen=True, kw_only=True):
-    """Table `discovery`.
+    """Table `discovery`: the source of endpoint lists.
 
     Attributes:
-        address: where discovery answers.
-        poll: the node has to ask for the endpoint list; otherwise discovery pushes it.
-        initial_endpoints: endpoint list until discovery has answered.
+        address: address of discovery.
+        poll: whether the node polls the endpoint list; otherwise discovery pushes it.
+        initial_endpoints: endpoint list to use until discovery has answered.
     """
 
     address: NonEmptyText
@@ -103,14 +103,14 @@
 
 
 class LimitsTable(ConfigTable, frozen=True, kw_only=True):
-    """Table `limits`: what the node may use of its machine.
+    """Table `limits`: limits that the node enforces independently of its policy.
 
     Attributes:
-        memory_mb: memory of the process, in MiB.
-        sockets: file descriptors of the process; the system's own limit holds where it is lower.
-        max_open: requests that are open at one time.
-        connect_timeout_ms: how long a connection to a server may take to open.
-        connection_idle_ms: how long a connection to a server may be unused before the server may close it.
+        memory_mb: limit of memory, in MiB.
+        sockets: limit of file descriptors; the system's limit applies if it is lower.
+        max_open: limit of requests without a final response.
+        connect_timeout_ms: time that opening a connection to a server may take.
+        connection_idle_ms: how long servers keep an idle connection open.
     """
 
     memory_mb: Annotated[float, Meta(ge=32)] = 128.0
@@ -121,12 +121,12 @@
 
 
 class RoutingTable(ConfigTable, frozen=True, kw_only=True):
-    """Table `routing`: how the node forwards requests. `policy.settings.Settings` explains most of the fields.
+    """Table `routing`: how the node forwards requests. `policy.settings.Settings` documents the other fields.
 
     Attributes:
-        hedging: a second copy of a request may be sent to another server.
-        may_probe: the node may send health checks of its own.
-        drain_grace_ms: how soon a drain has to be noticed.
+        hedging: whether a request may have several attempts in flight at once.
+        may_probe: whether the node may send health checks.
+        drain_grace_ms: time within which the node has to learn that a server is draining.
     """
 
     zone: str = ""
@@ -149,7 +149,7 @@
 
 
 class ClassTable(ConfigTable, frozen=True, kw_only=True):
-    """Table `class`: a class of requests. `policy.settings.ServiceClass` explains the fields."""
+    """Table `class`: a class of requests. `policy.settings.ServiceClass` documents the fields."""
 
     name: NonEmptyText
     latency_objective_ms: Positive = field(name="aim_ms")
@@ -166,22 +166,22 @@
             raise InvalidValueError("aim_ms", "an answer is wanted after the client has given up")
         if self.idempotency is Idempotency.IDEMPOTENT_WITH_KEY and not self.dedup_window_ms:
             raise InvalidValueError(
-                "memory_ms", "a keyed class needs the time for which equipos drop repeats"
+                "memory_ms", "a keyed class needs the time for which servers remember a key"
             )
 
 
 class TenantTable(ConfigTable, frozen=True, kw_only=True):
-    """Table `tenant`: a customer's quota, in requests per second."""
+    """Table `tenant`: a tenant and its quota in requests per second."""
 
     name: NonEmptyText
     quota_per_s: NonNegative
 
 
 class ControlTable(ConfigTable, frozen=True, kw_only=True):
-    """Table `control`: where the fleet's configuration is fetched from.
+    """Table `control`: the control machines that provide the fleet's configuration.
 
     Attributes:
-        machines: the control machines, `NAME=ADDRESS:PORT` each.
+        machines: the control machines, each as `NAME=ADDRESS:PORT`.
         service: name of the service that this node belongs to.
     """
 
@@ -192,12 +192,18 @@
         self.addresses()
 
     def addresses(self) -> dict[str, Address]:
-        """Addresses of the control machines by their names. Raises InvalidValueError where one is malformed."""
+        """Return the addresses of the control machines by name.
+
+        Raises:
+            InvalidValueError: an entry is malformed or repeats a name.
+        """
         addresses: dict[str, Address] = {}
         for machine in self.machines:
             name, equals, address = machine.partition("=")
             if not equals or not name or name in addresses:
-                raise InvalidValueError("machines", f"{machine!r} is not NAME=ADDRESS:PORT, each name once")
+                raise InvalidValueError(
+                    "machines", f"{machine!r} is not NAME=ADDRESS:PORT with a unique name"
+                )
             try:
                 addresses[name] = parse_address(address)
             except ValueError as error:
@@ -206,7 +212,7 @@
 
 
 class LogTable(ConfigTable, frozen=True, kw_only=True):
-    """Table `log`: form and lowest level of log lines."""
+    """Table `log`: format and lowest level of log lines."""
 
     form: Literal["plain", "json"] = "plain"
     level: Literal["debug", "info", "warning", "error"] = "info"
