--- a/rosewheel/config/platform.py
+++ b/rosewheel/config/platform.py
@@ -1,4 +1,4 @@
-"""The platform's configuration of a node: `LB_` variables and the JSON file that LB_CONFIG names."""
+"""Loads a node's configuration on the platform: `LB_` variables and the JSON file that LB_CONFIG names."""
 
 from __future__ import annotations
 
@@ -23,19 +23,19 @@
 JsonObject = dict[str, Any]
 
 DEFAULT_SOCKETS = 1024
-MAX_NUMBER = 1e15  # larger times can't be added up in a float without loss
+MAX_NUMBER = 1e15  # sums of larger times lose precision in a float
 
 
 def load_platform_config(environ: Mapping[str, str] = os.environ, reload: bool = False) -> NodeConfig:
-    """Read the platform's configuration.
+    """Load the platform's configuration.
 
     Args:
         environ: the environment variables.
-        reload: the node runs already. The file is then newer than the environment, so its discovery address overrides
-            LB_DISCOVERY.
+        reload: whether the node is already running. The file is then newer than the environment, so its discovery
+            address overrides LB_DISCOVERY.
 
     Raises:
-        ConfigError: it can't be used; the text is one line.
+        ConfigError: the configuration is invalid; the message is one line.
     """
     path = environ.get("LB_CONFIG")
     if not path:
@@ -70,10 +70,10 @@
 
 
 def _node_config(document: JsonObject, descriptor: int | None, state_folder: str | None) -> NodeConfig:
-    # Settings are read before the rest, and the node's limits after them: the first bad key is the one reported.
-    settings_row: JsonObject = document["settings"]
-    settings = settings_from_json(settings_row)
-    limits = _limits(settings_row, optional_object(document, "limits"))
+    # The first invalid key is the one that is reported: settings come before limits, and both before the rest.
+    settings_data: JsonObject = document["settings"]
+    settings = settings_from_json(settings_data)
+    limits = _limits(settings_data, optional_object(document, "limits"))
     initial_endpoints = _initial_endpoints(document.get("known"))
     return NodeConfig(
         name=str(document.get("name") or ""),
@@ -90,10 +90,10 @@
     )
 
 
-def _limits(settings_row: JsonObject, limits_row: JsonObject) -> Limits:
-    """The node's limits; an absent key leaves its default."""
-    bounds = optional_object(settings_row, "bounds")
-    invariants = optional_object(settings_row, "invariants")
+def _limits(settings_data: JsonObject, limits_data: JsonObject) -> Limits:
+    """Return the limits of the node; absent keys have the default."""
+    bounds = optional_object(settings_data, "bounds")
+    invariants = optional_object(settings_data, "invariants")
     values: dict[str, Any] = {
         "idle_timeout_ms": _number(bounds, "connIdleMs"),
         "connect_timeout_ms": _number(bounds, "connectTimeoutMs"),
@@ -101,46 +101,46 @@
         "max_open_requests": _integer(bounds, "maxOpen"),
         "hedging_allowed": optional_flag(bounds, "secondCopies"),
         "health_checks_allowed": optional_flag(bounds, "mayProbe"),
-        "memory_limit_mb": _number(limits_row, "memory_mb"),
-        "max_sockets": available_descriptors(_integer(limits_row, "sockets") or DEFAULT_SOCKETS),
+        "memory_limit_mb": _number(limits_data, "memory_mb"),
+        "max_sockets": available_descriptors(_integer(limits_data, "sockets") or DEFAULT_SOCKETS),
     }
     return Limits(**{name: value for name, value in values.items() if value is not None})
 
 
-def _initial_endpoints(row: object) -> InitialEndpoints:
-    if not row:
+def _initial_endpoints(data: object) -> InitialEndpoints:
+    if not data:
         return InitialEndpoints()
-    if not isinstance(row, dict):
+    if not isinstance(data, dict):
         raise InvalidValueError("known", "not an object")
-    revision = row.get("seq")
-    return InitialEndpoints(revision if isinstance(revision, int) else 0, row.get("hosts"))
+    revision = data.get("seq")
+    return InitialEndpoints(revision if isinstance(revision, int) else 0, data.get("hosts"))
 
 
-def _number(row: JsonObject, key: str) -> float | None:
-    value = row.get(key)
+def _number(data: JsonObject, key: str) -> float | None:
+    value = data.get(key)
     if value is None:
         return None
     if isinstance(value, bool) or not isinstance(value, int | float) or not 0 <= value < MAX_NUMBER:
-        raise InvalidValueError(key, f"{value!r} is not a number from 0 on")
+        raise InvalidValueError(key, f"{value!r} is not a number from 0 to {MAX_NUMBER:g}")
     return float(value)
 
 
-def _integer(row: JsonObject, key: str) -> int | None:
-    value = _number(row, key)
+def _integer(data: JsonObject, key: str) -> int | None:
+    value = _number(data, key)
     if value is not None and value % 1:
-        raise InvalidValueError(key, f"{row[key]!r} is not a whole number")
+        raise InvalidValueError(key, f"{data[key]!r} is not a whole number")
     return None if value is None else int(value)
 
 
-def _address(row: JsonObject, key: str) -> Address:
+def _address(data: JsonObject, key: str) -> Address:
     try:
-        return parse_address(row[key])
+        return parse_address(data[key])
     except ValueError as error:
         raise InvalidValueError(key, str(error)) from error
 
 
 def _seed(value: object) -> int:
-    """Hexadecimal text or an integer; a random seed where there is none."""
+    """Return the seed, given as an integer or in hexadecimal, or a random one if it is absent."""
     if isinstance(value, int):
         return value
     if not isinstance(value, str) or not value:
