--- a/rosewheel/config/toml_file.py
+++ b/rosewheel/config/toml_file.py
@@ -1,4 +1,4 @@
-"""TOML files as typed values, with the line number of each error."""
+"""Reads TOML files as typed values, and reports each error with its line number."""
 
 from __future__ import annotations
 
@@ -19,17 +19,17 @@
 _LINE_IN_ERROR = re.compile(r"line (\d+)")
 
 
-def read_file(path: str | Path, kind: type[T]) -> T:
-    """Read a TOML file as a value of this type.
+def read_file(path: str | Path, struct_type: type[T]) -> T:
+    """Read a TOML file as a value of `struct_type`.
 
     Raises:
-        InvalidFileError: with all errors of the file.
+        InvalidFileError: the file is invalid; the exception has all of its errors.
     """
-    return parse_text(read_text(path), kind, str(path))
+    return parse_text(read_text(path), struct_type, str(path))
 
 
 def read_text(path: str | Path) -> str:
-    """The file's text. Raises InvalidFileError where it can't be read or is not UTF-8."""
+    """Return the text of a file. Raises InvalidFileError if it can't be read or is not UTF-8."""
     try:
         return Path(path).read_text(encoding="utf-8")
     except (OSError, UnicodeDecodeError) as error:
@@ -37,17 +37,17 @@
         raise InvalidFileError(str(path), [Problem("", None, reason)]) from error
 
 
-def parse_text(text: str, kind: type[T], name: str) -> T:
-    """Parse a TOML file's text as a value of this type; `name` stands for the file in errors.
+def parse_text(text: str, struct_type: type[T], name: str) -> T:
+    """Parse TOML text as a value of `struct_type`. Errors give `name` as the path of the file.
 
     Raises:
-        InvalidFileError: with all errors of the text.
+        InvalidFileError: the text is invalid; the exception has all of its errors.
     """
-    return convert_tables(parse_tables(text, name), kind, name, key_lines(text))
+    return convert_tables(parse_tables(text, name), struct_type, name, key_lines(text))
 
 
 def parse_tables(text: str, name: str) -> dict[str, Any]:
-    """The text as plain tables. Raises InvalidFileError where it is not TOML."""
+    """Parse TOML text as plain tables. Raises InvalidFileError if it is not TOML."""
     try:
         return tomllib.loads(text)
     except tomllib.TOMLDecodeError as error:
@@ -57,10 +57,10 @@
 
 
 def key_lines(text: str) -> dict[str, int]:
-    """Line numbers from 1 of tables and keys, by their paths.
+    """Return the line numbers, from 1, of tables and keys by their paths.
 
-    tomllib gives no positions. This reads line by line, and so misses keys within inline tables and strings of several
-    lines; an error there gets the line of the table round it.
+    tomllib reports no positions, so this scans the text line by line. It does not recognize multi-line strings, and
+    misses keys within inline tables; an error there is reported with the line of the enclosing table.
     """
     lines: dict[str, int] = {}
     array_lengths: dict[str, int] = {}
@@ -75,7 +75,7 @@
 
 
 def _table_path(header: str, is_array: bool, array_lengths: dict[str, int]) -> str:
-    """The path of the table that a header opens; counts the tables of each array so far."""
+    """Return the path of the table that a header opens. Counts the tables of each array in `array_lengths`."""
     path = ""
     names = [name.strip().strip("\"'") for name in header.split(".")]
     for position, name in enumerate(names):
--- a/rosewheel/config/typed_tables.py
+++ b/rosewheel/config/typed_tables.py
@@ -1,6 +1,6 @@
-"""Plain tables, as a TOML or JSON parser gives them, as typed values.
+"""Converts plain tables, as a TOML or JSON parser returns them, to structs.
 
-msgspec stops at the first wrong value. This walks the tables itself, so that all errors of a file are reported
+msgspec stops at the first invalid value. This module walks the tables itself, so that all errors of a file are reported
 together, each with its key and line.
 """
 
@@ -20,24 +20,24 @@
 
 
 def convert_tables(
-    tables: Mapping[str, object], kind: type[T], name: str, lines: Mapping[str, int] | None = None
+    tables: Mapping[str, object], struct_type: type[T], name: str, lines: Mapping[str, int] | None = None
 ) -> T:
     """Convert plain tables to a struct.
 
-    A struct's `__post_init__` may check its values together: it raises InvalidValueError, whose key is relative to
-    the struct's own table.
+    A struct's `__post_init__` may check its values together and raise InvalidValueError, with a key relative to the
+    struct's own table.
 
     Args:
-        tables: the tables by their keys.
-        kind: the type of the result.
-        name: the file's name in the errors.
-        lines: line numbers of keys, by the keys' paths (`toml_file.key_lines`).
+        tables: the tables by key.
+        struct_type: type of the result.
+        name: name of the file in errors.
+        lines: line numbers of keys, by path (`toml_file.key_lines`).
 
     Raises:
-        InvalidFileError: with all errors, ordered by line and key.
+        InvalidFileError: the tables are invalid; the exception has all of their errors, ordered by line and key.
     """
     converter = _Converter()
-    value = converter.table(kind, tables, "")
+    value = converter.convert(struct_type, tables, "")
     if converter.problems:
         problems = [
             Problem(item.key, _line_of(lines or {}, item.key), item.message) for item in converter.problems
@@ -47,94 +47,97 @@
 
 
 def join_key(path: str, key: str) -> str:
-    """The path of a key within the table at `path`."""
+    """Return the path of a key in the table at `path`."""
     return f"{path}.{key}" if path else key
 
 
 class _Converter:
-    """Converts tables and collects the problems that it finds."""
+    """Converts tables to structs and collects the problems in them."""
 
     def __init__(self) -> None:
         self.problems: list[Problem] = []
 
-    def table(self, kind: type[msgspec.Struct], given: object, path: str) -> msgspec.Struct | None:
-        """The struct; None, with at least one problem noted, where it can't be made."""
-        if not isinstance(given, dict):
-            self._note(path, "not a table")
+    def convert(self, struct_type: type[msgspec.Struct], data: object, path: str) -> msgspec.Struct | None:
+        """Return the struct, or None after adding at least one problem."""
+        if not isinstance(data, dict):
+            self._add_problem(path, "not a table")
             return None
         problems_before = len(self.problems)
-        values = self._fields(kind, given, path)
+        values = self._convert_fields(struct_type, data, path)
         if len(self.problems) > problems_before:
             return None
         try:
-            return kind(**values)
+            return struct_type(**values)
         except InvalidValueError as error:
-            self._note(join_key(path, error.key) if error.key else path, error.reason)
+            self._add_problem(join_key(path, error.key) if error.key else path, error.reason)
         except (TypeError, ValueError) as error:
-            self._note(path, str(error))
+            self._add_problem(path, str(error))
         return None
 
-    def _fields(self, kind: type[msgspec.Struct], given: dict[str, object], path: str) -> dict[str, Any]:
-        fields = {field.encode_name: field for field in msgspec.structs.fields(kind)}
-        hints = typing.get_type_hints(kind, include_extras=True)
-        for key in given:
+    def _convert_fields(
+        self, struct_type: type[msgspec.Struct], data: dict[str, object], path: str
+    ) -> dict[str, Any]:
+        fields = {field.encode_name: field for field in msgspec.structs.fields(struct_type)}
+        hints = typing.get_type_hints(struct_type, include_extras=True)
+        for key in data:
             if key not in fields:
-                self._note(join_key(path, key), "unknown key")
+                self._add_problem(join_key(path, key), "unknown key")
         values: dict[str, Any] = {}
         for key, field in fields.items():
-            if key in given:
-                values[field.name] = self._value(hints[field.name], given[key], join_key(path, key))
+            if key in data:
+                values[field.name] = self._convert_value(hints[field.name], data[key], join_key(path, key))
             elif field.required:
-                self._note(join_key(path, key), "missing")
+                self._add_problem(join_key(path, key), "missing")
         return values
 
-    def _value(self, hint: Any, given: object, path: str) -> Any:
-        struct = _struct_in(hint)
-        absent = given is None and type(None) in typing.get_args(hint)
-        if struct is not None and not absent:
-            return self.table(struct, given, path)
-        item_struct = _struct_of_items(hint)
+    def _convert_value(self, hint: Any, data: object, path: str) -> Any:
+        struct = _struct_of(hint)
+        is_none = data is None and type(None) in typing.get_args(hint)
+        if struct is not None and not is_none:
+            return self.convert(struct, data, path)
+        item_struct = _item_struct_of(hint)
         if item_struct is not None:
-            return self._array(item_struct, given, path)
+            return self._convert_array(item_struct, data, path)
         try:
-            return msgspec.convert(given, hint)
+            return msgspec.convert(data, hint)
         except msgspec.ValidationError as error:
-            self._note(path, str(error).replace(" - at `$`", ""))
+            self._add_problem(path, str(error).replace(" - at `$`", ""))
         return None
 
-    def _array(self, kind: type[msgspec.Struct], given: object, path: str) -> Sequence[msgspec.Struct | None]:
-        if not isinstance(given, list):
-            self._note(path, "not a list of tables")
+    def _convert_array(
+        self, struct_type: type[msgspec.Struct], data: object, path: str
+    ) -> Sequence[msgspec.Struct | None]:
+        if not isinstance(data, list):
+            self._add_problem(path, "not a list of tables")
             return ()
-        return tuple(self.table(kind, item, f"{path}[{index}]") for index, item in enumerate(given))
+        return tuple(self.convert(struct_type, item, f"{path}[{index}]") for index, item in enumerate(data))
 
-    def _note(self, path: str, message: str) -> None:
+    def _add_problem(self, path: str, message: str) -> None:
         self.problems.append(Problem(path, None, message))
 
 
-def _struct_in(hint: Any) -> type[msgspec.Struct] | None:
-    """The struct that a type hint names, by itself or as `Struct | None`."""
+def _struct_of(hint: Any) -> type[msgspec.Struct] | None:
+    """Return the struct that a type hint names, alone or as `Struct | None`."""
     if isinstance(hint, type) and issubclass(hint, msgspec.Struct):
         return hint
     if typing.get_origin(hint) in (typing.Union, types.UnionType):
         members = [member for member in typing.get_args(hint) if member is not type(None)]
-        return _struct_in(members[0]) if len(members) == 1 else None
+        return _struct_of(members[0]) if len(members) == 1 else None
     return None
 
 
-def _struct_of_items(hint: Any) -> type[msgspec.Struct] | None:
-    """The struct of which a type hint names a tuple or list."""
-    return _struct_in(typing.get_args(hint)[0]) if typing.get_origin(hint) in (tuple, list) else None
+def _item_struct_of(hint: Any) -> type[msgspec.Struct] | None:
+    """Return the struct that a type hint names as the item of a tuple or list."""
+    return _struct_of(typing.get_args(hint)[0]) if typing.get_origin(hint) in (tuple, list) else None
 
 
 def _line_of(lines: Mapping[str, int], key: str) -> int | None:
-    """The line of the key, or of the nearest table round it."""
+    """Return the line of the key, or of the innermost enclosing table that has one."""
     while key:
         for candidate in (key, f"{key}[0]"):
             if candidate in lines:
                 return lines[candidate]
         shorter = re.sub(r"(\[\d+\]|\.?[^.\[\]]+)$", "", key)
-        key = (
-            "" if shorter == key else shorter
-        )  # ends the loop at a key like `]`, which the pattern can't shorten
+        # The pattern can't shorten a key such as `]`; the loop ends there.
+        key = "" if shorter == key else shorter
     return None
