--- a/rosewheel/cli/experiment.py
+++ b/rosewheel/cli/experiment.py
@@ -9,7 +9,7 @@
 
 import click
 
-from rosewheel.cli.output import exit_by, exit_interrupted, exit_invalid_file, print_json
+from rosewheel.cli.output import exit_interrupted, exit_invalid_file, exit_with_result, print_json
 from rosewheel.cli.runner import run_until_interrupted
 from rosewheel.cli.scenario_options import (
     parse_variations,
@@ -89,7 +89,7 @@
     result = summaries[0] if len(summaries) == 1 else {"runs": len(summaries)}
     services = {row.variant: round(row.service, 4) for row in rows}
     print_json({**result, "ok": ok, "services": services, "report": str(page)})
-    exit_by(ok)
+    exit_with_result(ok)
 
 
 def rules_text(summary: RunSummary) -> str:
--- a/rosewheel/cli/output.py
+++ b/rosewheel/cli/output.py
@@ -1,4 +1,4 @@
-"""What the command prints, and the codes with which it exits."""
+"""Output and exit codes of the command."""
 
 from __future__ import annotations
 
@@ -12,45 +12,45 @@
 from rosewheel.config.errors import InvalidFileError
 
 EXIT_OK = 0
-EXIT_FAILED = 1  # a rule broke or a run failed
+EXIT_FAILED = 1  # a rule was violated or a run failed
 EXIT_BAD_INPUT = 2
 EXIT_INTERRUPTED = 130
 
 
 def print_error(message: str) -> None:
-    """Print one line on standard error."""
+    """Print a line on standard error."""
     click.echo(f"rosewheel: {message}", err=True)
 
 
 def print_file_errors(error: InvalidFileError) -> None:
-    """Print each error of a file on a line of its own."""
+    """Print one line for each error of a file."""
     for message in error.messages():
         print_error(message)
 
 
 def exit_invalid_file(error: InvalidFileError) -> NoReturn:
-    """End the command for a file that can't be used, with one line for each of its errors."""
+    """Exit because of an invalid file, with one line for each of its errors."""
     print_file_errors(error)
     sys.exit(EXIT_BAD_INPUT)
 
 
 def exit_interrupted(message: str = "interrupted") -> NoReturn:
-    """End the command after Ctrl-C."""
+    """Exit after Ctrl-C."""
     print_error(message)
     sys.exit(EXIT_INTERRUPTED)
 
 
 def exit_failed(message: str) -> NoReturn:
-    """End the command for a run that failed."""
+    """Exit because a run failed."""
     print_error(message)
     sys.exit(EXIT_FAILED)
 
 
-def exit_by(ok: bool) -> NoReturn:
-    """End the command by whether all rules were kept."""
+def exit_with_result(ok: bool) -> NoReturn:
+    """Exit with EXIT_OK if no rule was violated, otherwise with EXIT_FAILED."""
     sys.exit(EXIT_OK if ok else EXIT_FAILED)
 
 
 def print_json(row: Mapping[str, object]) -> None:
-    """Print an object as one line of JSON."""
+    """Print an object as a line of JSON."""
     click.echo(msgspec.json.encode(row).decode())
--- a/rosewheel/cli/scale.py
+++ b/rosewheel/cli/scale.py
@@ -10,7 +10,7 @@
 import click
 import uvloop
 
-from rosewheel.cli.output import EXIT_BAD_INPUT, exit_by, exit_failed, exit_interrupted, print_error
+from rosewheel.cli.output import EXIT_BAD_INPUT, exit_failed, exit_interrupted, exit_with_result, print_error
 from rosewheel.lab.run import interrupt_to_cancel
 from rosewheel.lab.scale.errors import InvalidOptionsError, ScaleRunError
 from rosewheel.lab.scale.options import CONFIG_CHANGES_PER_DAY, FAULT_NAMES, Options
@@ -81,7 +81,7 @@
         return
     summary = _run_or_exit(plan, out)
     click.echo(summary_line(summary).decode())
-    exit_by(summary.ok)
+    exit_with_result(summary.ok)
 
 
 def _run_or_exit(plan: Plan, out: Path | None) -> Summary:
--- a/rosewheel/cli/simulate.py
+++ b/rosewheel/cli/simulate.py
@@ -12,7 +12,13 @@
 import click
 
 from rosewheel.cli.experiment import RunSummary, rules_text
-from rosewheel.cli.output import exit_by, exit_failed, exit_interrupted, exit_invalid_file, print_json
+from rosewheel.cli.output import (
+    exit_failed,
+    exit_interrupted,
+    exit_invalid_file,
+    exit_with_result,
+    print_json,
+)
 from rosewheel.cli.scenario_options import (
     parse_variations,
     plan_option,
@@ -138,7 +144,7 @@
         result = {**result, "report": str(report.write_report(out, summaries, rows))}
     ok = all(summary["ok"] for summary in summaries)
     print_json({**result, "ok": ok, "services": {row.variant: round(row.service, 4) for row in rows}})
-    exit_by(ok)
+    exit_with_result(ok)
 
 
 def _variants_table(summaries: Sequence[RunSummary]) -> str:
--- a/rosewheel/cli/soak.py
+++ b/rosewheel/cli/soak.py
@@ -8,7 +8,7 @@
 import click
 import uvloop
 
-from rosewheel.cli.output import EXIT_BAD_INPUT, exit_by, exit_invalid_file, print_error, print_json
+from rosewheel.cli.output import EXIT_BAD_INPUT, exit_invalid_file, exit_with_result, print_error, print_json
 from rosewheel.config.errors import InvalidFileError
 from rosewheel.lab.soak.plan import draw_plan, encode_plan, keep_only, read_plan
 from rosewheel.lab.soak.planted_node import PLANTS
@@ -63,4 +63,4 @@
         return
     summary = uvloop.run(play(plan, plant, out))
     print_json(summary)
-    exit_by(bool(summary["ok"]))
+    exit_with_result(bool(summary["ok"]))
