--- a/rosewheel/cli/__init__.py
+++ b/rosewheel/cli/__init__.py
@@ -1,1 +1,1 @@
-"""The rosewheel command: one file a group of verbs."""
+"""The `rosewheel` command."""
--- a/rosewheel/cli/__main__.py
+++ b/rosewheel/cli/__main__.py
@@ -1,4 +1,4 @@
-"""`python -m rosewheel.cli`: the command, where its script is not on the path."""
+"""Runs the command as `python -m rosewheel.cli`, without its installed script."""
 
 from rosewheel.cli.main import main
 
--- a/rosewheel/cli/main.py
+++ b/rosewheel/cli/main.py
@@ -19,7 +19,7 @@
 def main() -> None:
     """A load balancer node, and a lab to test it under faults.
 
-    Exit codes: 0 done, 1 a rule broke or a run failed, 2 bad input (one plain line for each error).
+    Exit codes: 0 success, 1 a rule was violated or a run failed, 2 invalid input (one line for each error).
     """
 
 
--- a/rosewheel/cli/node.py
+++ b/rosewheel/cli/node.py
@@ -18,11 +18,13 @@
 
 @click.command()
 @click.option("--config", "path", type=click.Path(), help="The operator's TOML file.")
-@click.option("--json", "json_lines", is_flag=True, help="Log JSON lines, whatever the file says.")
+@click.option(
+    "--json", "json_lines", is_flag=True, help="Log JSON lines, even if the file selects plain lines."
+)
 def node(path: str | None, json_lines: bool) -> None:
-    """Run one node by the operator's TOML, or by the platform's LB_ variables where no file is named.
+    """Run one node, configured by the operator's TOML file or, without --config, by the platform's LB_ variables.
 
-    SIGHUP reads the file again, SIGTERM ends the node once it has answered what it took.
+    SIGHUP reloads the configuration. SIGTERM drains the node and ends it.
     """
     if path is None:
         logs.start(json_lines)
@@ -38,7 +40,7 @@
 @click.command()
 @click.argument("paths", nargs=-1, required=True, metavar="FILE...")
 def check(paths: tuple[str, ...]) -> None:
-    """Say of each configuration or scenario whether it can be used: `ok`, or each error with its line and key."""
+    """Check configuration and scenario files; print `ok`, or each error with its line and key."""
     ok = True
     for path in paths:
         try:
@@ -51,8 +53,8 @@
 
 
 def _check_file(path: str) -> None:
-    """Check a configuration, which has a table `node`, or else a scenario. Raises InvalidFileError."""
-    from rosewheel.lab import scenario  # imports numpy, which `rosewheel node` does without
+    """Check a file: a configuration if it has a table `node`, otherwise a scenario. Raises InvalidFileError."""
+    from rosewheel.lab import scenario  # imports numpy, which `rosewheel node` does not need
 
     bundled = "/" not in path and path in scenario.bundled_names()
     if not bundled and "node" in parse_tables(read_text(path), path):
--- a/rosewheel/cli/runner.py
+++ b/rosewheel/cli/runner.py
@@ -1,4 +1,4 @@
-"""Runs a coroutine of the lab on an event loop of its own."""
+"""Runs a coroutine of the lab in a new event loop."""
 
 from __future__ import annotations
 
@@ -15,10 +15,10 @@
 
 
 def run_until_interrupted(main: Coroutine[Any, Any, T]) -> T | None:
-    """Run it to its end or to Ctrl-C, which cancels it and so stops in order all that it started.
+    """Run a coroutine. Ctrl-C cancels it, so that its cleanup stops what it started.
 
     Returns:
-        Its result; None where it was interrupted.
+        The result, or None if the coroutine was interrupted.
 
     Raises:
         SystemExit: the run failed; the reason was printed.
