--- a/rosewheel/cli/control.py
+++ b/rosewheel/cli/control.py
@@ -1,4 +1,4 @@
-"""`rosewheel control`: runs the machines that hold the fleet's configuration, changes it, and reports on it."""
+"""`rosewheel control`: runs control machines, and shows or changes the fleet's configuration."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 import click
 
-from rosewheel.cli.control_calls import EXIT_NOT_DONE, call_machine, exit_bad_input
+from rosewheel.cli.control_calls import EXIT_FAILED, call_machine, exit_bad_input
 from rosewheel.cli.control_serve import serve
 from rosewheel.control.codec.calls import (
     decode_change_response,
@@ -36,14 +36,14 @@
 )
 from rosewheel.control.revisions import Change
 
-SHOWN_PATCH_LENGTH = 200  # characters of a patch in a line of the history
+SHOWN_PATCH_LENGTH = 200  # characters of a patch in a line of `history`
 
 
 @click.group()
 def control() -> None:
-    """The fleet's configuration: its machines, changes, status, and promotion of another writer.
+    """Run control machines, and show or change the fleet's configuration.
 
-    Exit codes: 0 done, 1 not done, 2 bad input (one plain line).
+    Exit codes: 0 success, 1 failure, 2 invalid input (one line).
     """
 
 
@@ -55,21 +55,21 @@
     required=True,
     envvar="ROSEWHEEL_CONTROL",
     metavar="ADDRESS:PORT",
-    help="A control machine.",
+    help="Address of a control machine.",
 )
 author_option = click.option(
-    "--by", "author", default=None, help="Who makes the change (default: the user of this shell)."
+    "--by", "author", default=None, help="Author of the change (default: the current user)."
 )
 unreplicated_option = click.option(
     "--alone",
     "unreplicated",
     is_flag=True,
-    help="Acknowledge it though no other machine holds it: it may be lost with this one.",
+    help="Accept the change without a copy on another machine; it may be lost with this one.",
 )
 expected_option = click.option(
-    "--version", "expected", type=int, help="The version that it was made for (default: the present one)."
+    "--version", "expected", type=int, help="Version that the change is based on (default: the current one)."
 )
-json_option = click.option("--json", "as_json", is_flag=True, help="Print the answer as JSON.")
+json_option = click.option("--json", "as_json", is_flag=True, help="Print the response as JSON.")
 
 
 # -------------------------------------------------------------------------------- changes
@@ -80,12 +80,12 @@
 @machine_option
 @expected_option
 @author_option
-@click.option("--note", default="", help="Why the change is made.")
+@click.option("--note", default="", help="Reason for the change.")
 @unreplicated_option
 def put(
     path: str, machine: str, expected: int | None, author: str | None, note: str, unreplicated: bool
 ) -> None:
-    """Make a change. FILE holds a merge patch, as TOML, or as JSON to remove a key (null)."""
+    """Apply the merge patch in FILE: TOML, or JSON (*.json), in which null removes a key."""
     patch = _read_patch(path)
     number = _current_number(machine) if expected is None else expected
     request = PutRequest(patch, number, author or _user(), note, unreplicated)
@@ -101,7 +101,7 @@
 def rollback(
     version: int, machine: str, expected: int | None, author: str | None, unreplicated: bool
 ) -> None:
-    """Make a new version with the content of VERSION."""
+    """Write a new version with the content of VERSION."""
     number = _current_number(machine) if expected is None else expected
     request = RollbackRequest(version, number, author or _user(), unreplicated)
     _print_change(call_machine(machine, "POST", ROLLBACK_PATH, encode_rollback(request)))
@@ -110,18 +110,20 @@
 @control.command()
 @machine_option
 @click.option(
-    "--force", is_flag=True, help="Also where others hold more, or too few answer: that may lose versions."
+    "--force",
+    is_flag=True,
+    help="Promote even if others hold newer versions or too few respond; versions may be lost.",
 )
 @author_option
 def promote(machine: str, force: bool, author: str | None) -> None:
-    """Make the machine at this address the one that writes."""
+    """Make the machine at this address the leader."""
     request = PromoteRequest(force, author or _user())
     row = call_machine(machine, "POST", PROMOTE_PATH, encode_promote(request), follow_leader=False)
-    answer = decode_change_response(row)
-    for lost in answer.lost or ():
+    response = decode_change_response(row)
+    for lost in response.lost or ():
         click.echo(f"lost: {lost}", err=True)
-    verb = "writes from" if answer.changed else "writes already, at"
-    revision = answer.revision
+    verb = "writes from" if response.changed else "already writes, at"
+    revision = response.revision
     click.echo(f"{revision.leader} {verb} version {revision.number} of epoch {revision.epoch_number}")
 
 
@@ -140,11 +142,11 @@
 
 
 def _print_change(row: JsonObject) -> None:
-    answer = decode_change_response(row)
-    if answer.changed:
-        click.echo(f"version {answer.revision.number}")
+    response = decode_change_response(row)
+    if response.changed:
+        click.echo(f"version {response.revision.number}")
     else:
-        click.echo(f"nothing changes: version {answer.revision.number} stays")
+        click.echo(f"nothing changes: version {response.revision.number} stays")
 
 
 def _user() -> str:
@@ -159,7 +161,7 @@
 
 @control.command()
 @machine_option
-@click.option("--most", "limit", default=20, show_default=True, help="How many versions.")
+@click.option("--most", "limit", default=20, show_default=True, help="Number of versions to list.")
 @json_option
 def history(machine: str, limit: int, as_json: bool) -> None:
     """List the versions, newest first."""
@@ -184,9 +186,9 @@
 @click.option("--all", "all_nodes", is_flag=True, help="List each node.")
 @json_option
 def status(machine: str, all_nodes: bool, as_json: bool) -> None:
-    """Show which version nodes get, which machines hold it, and which nodes have it in force.
+    """Show the current version, the machines that hold it, and the nodes that have applied it.
 
-    Ends with 1 if a node is behind or has refused a version, or if the writer can't be asked.
+    Exit code 1 if a node is behind or has rejected a version, or if the machine reports a problem.
     """
     row = call_machine(machine, "GET", status_target(all_nodes=all_nodes))
     report = decode_status(row)
@@ -194,17 +196,17 @@
         click.echo(json.dumps(row))
     else:
         _print_status(report)
-    is_complete = not (report.fleet.behind_count or report.fleet.rejected_count or report.problem)
-    sys.exit(0 if is_complete else EXIT_NOT_DONE)
+    is_converged = not (report.fleet.behind_count or report.fleet.rejected_count or report.problem)
+    sys.exit(0 if is_converged else EXIT_FAILED)
 
 
 def _print_status(report: StatusReport) -> None:
     committed = report.committed
-    click.echo(f"version {committed.number} of epoch {committed.epoch_number}, told by {report.machine}")
+    click.echo(f"version {committed.number} of epoch {committed.epoch_number}, reported by {report.machine}")
     if report.problem:
         click.echo(f"! {report.problem}")
     if report.last_number > committed.number:
-        click.echo(f"! version {report.last_number} is written, and held by no other machine yet")
+        click.echo(f"! version {report.last_number} is written, but not yet copied to another machine")
     for machine in report.machines:
         click.echo(_machine_line(machine))
     _print_fleet(report.fleet)
@@ -212,11 +214,11 @@
 
 def _machine_line(report: MachineReport) -> str:
     if report.last is None:
-        held = "nothing heard"
+        last = "no contact yet"
     else:
-        held = f"version {report.last.number} of epoch {report.last.epoch_number}"
-    contact = f", heard {report.last_contact_s:g} s ago" if report.last_contact_s else ""
-    return f"  {report.machine}: {held}{contact}{', writes' if report.is_leader else ''}"
+        last = f"version {report.last.number} of epoch {report.last.epoch_number}"
+    contact = f", last contact {report.last_contact_s:g} s ago" if report.last_contact_s else ""
+    return f"  {report.machine}: {last}{contact}{', leader' if report.is_leader else ''}"
 
 
 def _print_fleet(report: FleetReport) -> None:
@@ -235,7 +237,7 @@
     if report.behind_for_s:
         parts.append(f"behind for {report.behind_for_s:g} s")
     if node.rejected is not None:
-        parts.append(f"refused {node.rejected.number}: {node.reason}")
+        parts.append(f"rejected {node.rejected.number}: {node.reason}")
     if not node.connected:
-        parts.append("away")
+        parts.append("disconnected")
     return f"  {node.node} ({node.service}, at {node.machine}): {', '.join(parts)}"
--- a/rosewheel/cli/control_serve.py
+++ b/rosewheel/cli/control_serve.py
@@ -24,16 +24,16 @@
 from rosewheel.control.machine_settings import MachineSettings
 
 
-class ControlTable(ConfigTable, frozen=True, kw_only=True):
-    """The file of one control machine, in place of the options.
+class MachineConfig(ConfigTable, frozen=True, kw_only=True):
+    """The TOML file of a control machine, for options that the command line lacks.
 
     Attributes:
-        name: The machine's name.
-        listen: ADDRESS:PORT for nodes, machines and operators.
+        name: Name of the machine.
+        listen: Address to listen on, as ADDRESS:PORT, for nodes, machines and operators.
         dir: Directory of the log.
-        writer: The leader of an empty fleet.
-        peers: ADDRESS:PORT of the other machines by name.
-        log: Form and level of the log.
+        writer: Leader of the first epoch; ignored unless the log is empty.
+        peers: Addresses of the other machines, as ADDRESS:PORT, by name.
+        log: Format and level of the machine's log lines.
     """
 
     name: NonEmptyText
@@ -55,7 +55,7 @@
 
 @dataclass(slots=True, frozen=True)
 class _ServeOptions:
-    """The options of the command, with those of the file for which the command line has none."""
+    """The options of the command, from the command line or a file."""
 
     name: str | None
     listen: str | None
@@ -66,9 +66,9 @@
     log_level: str = "info"
 
     def with_file(self, path: str) -> _ServeOptions:
-        """Return the options over those of a file; ends the command where the file is bad."""
+        """Return the options, completed by those of a file. Exits if the file is invalid."""
         try:
-            table = read_file(path, ControlTable)
+            table = read_file(path, MachineConfig)
         except InvalidFileError as error:
             for line in error.messages():
                 click.echo(f"rosewheel: {line}", err=True)
@@ -84,12 +84,12 @@
         )
 
     def machine_settings(self) -> MachineSettings:
-        """Return the machine's settings; ends the command where an option is missing or bad."""
+        """Return the settings of the machine. Exits if an option is missing or invalid."""
         name = _required(self.name, "--name")
         listen = _required(self.listen, "--listen")
         data_dir = _required(self.data_dir, "--dir")
         peers = dict(_parse_peer(peer) for peer in self.peers)
-        peers.pop(name, None)  # the same list may be given to all machines
+        peers.pop(name, None)  # so that one list of peers serves for all machines
         if self.leader and self.leader != name and self.leader not in peers:
             exit_bad_input(f"--writer: no machine {self.leader!r}")
         address = parse_machine_address(listen, "--listen")
@@ -97,19 +97,28 @@
 
 
 @click.command()
-@click.option("--config", "path", type=click.Path(), help="A TOML file in place of the other options.")
-@click.option("--name", help="This machine's name.")
-@click.option("--listen", help="ADDRESS:PORT for nodes, machines and operators.")
 @click.option(
-    "--peer", "peers", multiple=True, metavar="NAME=ADDRESS:PORT", help="Another machine; repeat for each."
+    "--config",
+    "path",
+    type=click.Path(),
+    help="TOML file with options; those of the command line override it.",
+)
+@click.option("--name", help="Name of this machine.")
+@click.option("--listen", help="Address to listen on, as ADDRESS:PORT.")
+@click.option(
+    "--peer",
+    "peers",
+    multiple=True,
+    metavar="NAME=ADDRESS:PORT",
+    help="Another machine; repeat for each one.",
 )
 @click.option(
     "--writer",
     "leader",
     default="",
-    help="The machine that writes at first; counts only where --dir is empty.",
+    help="Initial leader; ignored unless --dir is empty.",
 )
-@click.option("--dir", "data_dir", type=click.Path(), help="The folder of the log.")
+@click.option("--dir", "data_dir", type=click.Path(), help="Directory of the log.")
 @click.option("--json", "json_lines", is_flag=True, help="Log JSON lines.")
 def serve(
     path: str | None,
