--- a/rosewheel/cli/demo.py
+++ b/rosewheel/cli/demo.py
@@ -1,4 +1,4 @@
-"""`rosewheel demo`: one node with emulated servers, discovery and a light load."""
+"""`rosewheel demo`: runs one node with emulated servers, discovery and a light load."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 NODE_NAME = "n0"
 PROGRESS_INTERVAL_S = 1.0
-NODE_STOP_TIMEOUT_S = 5.0  # after which the node's process is killed
+NODE_STOP_TIMEOUT_S = 5.0  # then the node's process is killed
 
 
 @click.command()
@@ -31,7 +31,7 @@
 @seed_option
 @seconds_option
 def demo(name: str, seed: int | None, seconds: float | None) -> None:
-    """A node, emulated servers, discovery and a light load on loopback, with live statistics. Ctrl-C ends it."""
+    """Run a node, emulated servers, discovery and a light load on loopback, with statistics. Ctrl-C ends it."""
     plan = load_plan(name, seed, seconds)
     with tempfile.TemporaryDirectory(prefix="rosewheel-demo-") as folder:
         run_until_interrupted(_run_demo(plan, Path(folder)))
@@ -39,7 +39,7 @@
 
 
 async def _run_demo(plan: Plan, folder: Path) -> None:
-    """Start all parts, then generate load to the end of the plan; stop all that was started, the newest first."""
+    """Start all parts and generate load until the end of the plan, then stop the parts in reverse order."""
     async with contextlib.AsyncExitStack() as cleanup:
         load_records = RecordWriter(folder / "load.jsonl")
         cleanup.callback(load_records.close)
@@ -83,9 +83,9 @@
 def _print_addresses(plan: Plan, emulator: Emulator, node: NodeProcess) -> None:
     host, port = node.listen_address
     service = plan.scenario.classes[0].name
-    click.echo(f"node      http://{host}:{port}   {len(emulator.fleet.hosts)} equipos behind it")
+    click.echo(f"node      http://{host}:{port}   {len(emulator.fleet.hosts)} servers behind it")
     if node.admin_address is not None:
-        click.echo(f"operators http://{node.admin_address[0]}:{node.admin_address[1]}/admin/stats")
+        click.echo(f"admin     http://{node.admin_address[0]}:{node.admin_address[1]}/admin/stats")
     click.echo(
         f'try       curl -si -X POST http://{host}:{port}/api/{service} -H "Request-Id: try-$RANDOM" '
         f'-H "Request-Class: {service}" -H "Request-Timeout-Ms: 3000" -d photo\n'
@@ -101,6 +101,6 @@
         in_time = sum(counts["in_time"] for counts in load.counts.values())
         queues = " ".join(f"{host.model.in_progress:2}" for host in emulator.fleet.hosts.values())
         click.echo(
-            f"{elapsed_s:5.0f} s  asked {requests:6}  in time {in_time:6}  open {len(load.open_operations):3}"
-            f"  at each equipo {queues}"
+            f"{elapsed_s:5.0f} s  requests {requests:6}  in time {in_time:6}  open {len(load.open_operations):3}"
+            f"  in progress at each server {queues}"
         )
--- a/tests/cli/test_command.py
+++ b/tests/cli/test_command.py
@@ -43,7 +43,7 @@
     assert process.stdout is not None
     lines = iter(process.stdout.readline, "")
     node = next(line for line in lines if line.startswith("node"))
-    assert any("asked" in line for line in lines)  # the load has begun
+    assert any("requests" in line for line in lines)  # the load has begun
     address = node.split("http://")[1].split()[0].split(":")
     with socket.create_connection((address[0], int(address[1])), timeout=60) as client:
         head = (
