--- a/rosewheel/cli/emulate.py
+++ b/rosewheel/cli/emulate.py
@@ -1,4 +1,4 @@
-"""`rosewheel emulate` and `rosewheel load`: the two halves of an experiment, against nodes that run by themselves."""
+"""`rosewheel emulate` and `rosewheel load`: servers and clients of an experiment, for nodes started separately."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 LATENCY_PERCENTILES = (50.0, 99.0)
 
 records_option = click.option(
-    "--out", type=click.Path(path_type=Path), help="Where records go; without it they are dropped."
+    "--out", type=click.Path(path_type=Path), help="Folder for records; without it they are discarded."
 )
 
 
@@ -35,7 +35,7 @@
 @plan_option
 @records_option
 def emulate(name: str, seed: int | None, seconds: float | None, only_plan: bool, out: Path | None) -> None:
-    """Emulated servers and discovery on loopback; prints where nodes find discovery, then injects the faults."""
+    """Run emulated servers and discovery on loopback; print the addresses of discovery, then inject faults."""
     plan = load_plan(name, seed, seconds)
     if only_plan:
         print_plan(plan)
@@ -51,11 +51,11 @@
     node_count = plan.scenario.nodes.count
     try:
         await emulator.start()
-        agents = {}
+        addresses = {}
         for number in range(node_count):
             host, port = await emulator.fleet.add_agent(f"n{number}").start()
-            agents[f"n{number}"] = f"{host}:{port}"
-        print_json({"discovery": agents, "settings": platform_settings(plan, 0, node_count)})
+            addresses[f"n{number}"] = f"{host}:{port}"
+        print_json({"discovery": addresses, "settings": platform_settings(plan, 0, node_count)})
         sys.stdout.flush()
         emulator.start_clock(now_ms())
         await asyncio.sleep(plan.scenario.seconds)
@@ -68,7 +68,7 @@
 
 @click.command()
 @click.argument("name", metavar="SCENARIO")
-@click.option("--target", required=True, help="The nodes, as address:port, separated by commas.")
+@click.option("--target", required=True, help="Nodes as ADDRESS:PORT, separated by commas.")
 @seed_option
 @seconds_option
 @plan_option
@@ -76,7 +76,7 @@
 def load(
     name: str, target: str, seed: int | None, seconds: float | None, only_plan: bool, out: Path | None
 ) -> None:
-    """Open-loop clients of a scenario against nodes that run already; the last line is the result as JSON."""
+    """Run open-loop clients of a scenario against running nodes; the last line is the result as JSON."""
     plan = load_plan(name, seed, seconds, emulated=False)
     if only_plan:
         print_plan(plan)
@@ -106,7 +106,7 @@
 
 
 def _print_load(generator: LoadGenerator) -> None:
-    """Print counts and latencies of the load so far as one line of JSON."""
+    """Print counts and latencies of the load so far as a line of JSON."""
     percentiles = {
         name: {
             f"p{percent:g}_ms": histogram.get_value_at_percentile(percent) for percent in LATENCY_PERCENTILES
--- a/rosewheel/cli/experiment.py
+++ b/rosewheel/cli/experiment.py
@@ -1,4 +1,4 @@
-"""`rosewheel experiment`: emulator, real nodes and load together."""
+"""`rosewheel experiment`: runs emulator, real nodes and load together."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 from rosewheel.lab import experiment as experiments
 from rosewheel.lab import plan as plans
 
-RunSummary = dict[str, Any]  # the lab's summary of one run, in the form of its JSON line
+RunSummary = dict[str, Any]  # summary of one run, in its JSON form
 
 
 @click.command()
@@ -34,7 +34,7 @@
 @plan_option
 @repeat_option
 @vary_option
-@click.option("--out", type=click.Path(path_type=Path), help="Where records and the report go.")
+@click.option("--out", type=click.Path(path_type=Path), help="Folder for records and the report.")
 def experiment(
     names: tuple[str, ...],
     seed: int | None,
@@ -44,7 +44,10 @@
     vary: tuple[str, ...],
     out: Path | None,
 ) -> None:
-    """Emulator, real nodes and load together: records, a table, and a page with plots. 1 where a rule broke."""
+    """Run emulator, real nodes and load together; write records, a table, and a page with plots.
+
+    Exit code 1 if a rule was violated.
+    """
     variants = _load_variants(names, vary, seconds)
     if only_plan:
         for variant in variants:
@@ -52,7 +55,7 @@
         return
     folder = out or Path(tempfile.mkdtemp(prefix="rosewheel-"))
     folder.mkdir(parents=True, exist_ok=True)
-    summaries = [_play_run(run, folder) for run in experiments.plan_runs(variants, seed, repeat, folder)]
+    summaries = [_execute_run(run, folder) for run in experiments.plan_runs(variants, seed, repeat, folder)]
     _report(folder, summaries)
 
 
@@ -68,18 +71,18 @@
     return variants
 
 
-def _play_run(run: experiments.PlannedRun, folder: Path) -> RunSummary:
-    click.echo(f"playing {run.variant.name}, seed {run.seed} ...", err=True)
+def _execute_run(run: experiments.PlannedRun, folder: Path) -> RunSummary:
+    click.echo(f"running {run.variant.name}, seed {run.seed} ...", err=True)
     summary = run_until_interrupted(experiments.play_run(run))
     if summary is None:
         exit_interrupted(f"interrupted; records so far are in {folder}")
-    void = "  VOID: the emulator was late" if summary["void"] else ""
+    void = "  VOID: the emulator or the clients were late" if summary["void"] else ""
     click.echo(f"  service {summary['service']:.3f}  rules {rules_text(summary)}{void}", err=True)
     return summary
 
 
 def _report(folder: Path, summaries: Sequence[RunSummary]) -> None:
-    """Write the report, print its table and the result as JSON, and exit by whether all rules were kept."""
+    """Write the report, print its table and the result as JSON, and exit with 1 if a rule was violated."""
     from rosewheel.lab import report  # imports matplotlib, which takes long to load
 
     rows = experiments.summarize(summaries)
@@ -93,6 +96,6 @@
 
 
 def rules_text(summary: RunSummary) -> str:
-    """`kept`, or the rules that a run broke and the nodes that crashed."""
-    broken = [name for name, violations in summary["rules"].items() if violations] + summary["crashed"]
-    return "kept" if not broken else "BROKEN: " + ", ".join(broken)
+    """Return `kept`, or the rules that a run violated and the nodes that crashed."""
+    violated = [name for name, violations in summary["rules"].items() if violations] + summary["crashed"]
+    return "kept" if not violated else "BROKEN: " + ", ".join(violated)
--- a/rosewheel/cli/scenario_options.py
+++ b/rosewheel/cli/scenario_options.py
@@ -1,4 +1,4 @@
-"""Options that the commands of the lab share, and the plans that they ask for."""
+"""Options that the commands of the lab share, and the plans made from them."""
 
 from __future__ import annotations
 
@@ -15,32 +15,32 @@
 from rosewheel.lab.plan import Plan
 from rosewheel.lab.plan_codec import plan_lines
 
-Variation = tuple[str, Sequence[object]]  # a scenario's key, and the values that it takes
+Variation = tuple[str, Sequence[object]]  # a key of a scenario file, and its values
 
-seed_option = click.option("--seed", type=int, help="In place of the scenario's own.")
-seconds_option = click.option("--seconds", type=float, help="In place of the scenario's own length.")
+seed_option = click.option("--seed", type=int, help="Seed, in place of the scenario's.")
+seconds_option = click.option("--seconds", type=float, help="Length of the run, in place of the scenario's.")
 plan_option = click.option(
-    "--plan", "only_plan", is_flag=True, help="Print the plan, one JSON object a line."
+    "--plan", "only_plan", is_flag=True, help="Print the plan, one JSON object per line, and run nothing."
 )
 repeat_option = click.option(
-    "--repeat", type=click.IntRange(1), default=1, show_default=True, help="Runs of each variant."
+    "--repeat", type=click.IntRange(1), default=1, show_default=True, help="Number of runs per variant."
 )
 vary_option = click.option(
-    "--vary", multiple=True, metavar="KEY=A,B", help="A scenario's key and the values it takes."
+    "--vary", multiple=True, metavar="KEY=A,B", help="Key of the scenario, and the values to run it with."
 )
 
 
 def load_plan(name: str, seed: int | None, seconds: float | None, emulated: bool = True) -> Plan:
-    """The plan of a scenario.
+    """Return the plan of a scenario.
 
     Args:
-        name: a bundled scenario, or a file's path.
-        seed: in place of the scenario's own.
-        seconds: length of the run, in place of the scenario's own.
-        emulated: its servers are to be emulated on sockets.
+        name: name of a bundled scenario, or path of a file.
+        seed: seed of the plan; None for the scenario's.
+        seconds: length of the run; None for the scenario's.
+        emulated: whether the servers are to be emulated on sockets.
 
     Raises:
-        SystemExit: the scenario can't be used; its errors were printed.
+        SystemExit: the scenario is invalid; its errors were printed.
     """
     changes = {} if seconds is None else {"seconds": seconds}
     try:
@@ -53,16 +53,16 @@
 
 
 def print_plan(plan: Plan) -> None:
-    """Print the plan, one JSON object a line."""
+    """Print a plan, one JSON object per line."""
     for line in plan_lines(plan):
         click.echo(line.decode())
 
 
 def parse_variations(vary: Sequence[str], seconds: float | None) -> list[Variation]:
-    """The changes of a scenario that `--vary` and `--seconds` name.
+    """Return the variations that `--vary` and `--seconds` name.
 
     Raises:
-        SystemExit: a text is not KEY=A,B; that was printed.
+        SystemExit: a value of `--vary` is not KEY=A,B; the error was printed.
     """
     variations = [_parse_variation(text) for text in vary]
     return variations if seconds is None else [*variations, ("seconds", [seconds])]
--- a/rosewheel/cli/scenarios.py
+++ b/rosewheel/cli/scenarios.py
@@ -1,4 +1,4 @@
-"""`rosewheel scenarios`: the scenarios that come with the program."""
+"""`rosewheel scenarios`: lists the bundled scenarios."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 @click.command()
 def scenarios() -> None:
-    """List the scenarios that come with the program."""
+    """List the bundled scenarios."""
     for name in lab_scenarios.bundled_names():
         scenario = lab_scenarios.load(name)
         click.echo(f"{name:24} {scenario.seconds:5.0f} s  {scenario.about}")
--- a/rosewheel/cli/simulate.py
+++ b/rosewheel/cli/simulate.py
@@ -1,4 +1,4 @@
-"""`rosewheel simulate`: scenarios in virtual time."""
+"""`rosewheel simulate`: runs scenarios in virtual time."""
 
 from __future__ import annotations
 
@@ -34,7 +34,7 @@
 from rosewheel.lab.simulation.simulate import check_simulated
 from rosewheel.lab.simulation.simulate import simulate as run_simulation
 
-PROGRESS_INTERVAL_S = 5.0  # wall clock
+PROGRESS_INTERVAL_S = 5.0  # wall-clock time
 
 
 @click.command()
@@ -44,8 +44,8 @@
 @plan_option
 @repeat_option
 @vary_option
-@click.option("--jobs", type=click.IntRange(1), default=1, show_default=True, help="Runs side by side.")
-@click.option("--out", type=click.Path(path_type=Path), help="Keep records there, with the report of them.")
+@click.option("--jobs", type=click.IntRange(1), default=1, show_default=True, help="Number of parallel runs.")
+@click.option("--out", type=click.Path(path_type=Path), help="Folder for records and the report.")
 def simulate(
     names: tuple[str, ...],
     seed: int | None,
@@ -56,9 +56,9 @@
     jobs: int,
     out: Path | None,
 ) -> None:
-    """Scenarios in virtual time: real nodes' decisions on one queue of events, no sockets, no waiting.
+    """Run scenarios in virtual time: the decisions of real nodes on one event queue, without sockets.
 
-    The same seed gives the same records byte for byte; their digest is printed. 1 where a rule broke.
+    The same seed gives the same records byte for byte; their digest is printed. Exit code 1 if a rule was violated.
     """
     try:
         variants = experiments.variants(names, parse_variations(vary, seconds))
@@ -71,11 +71,11 @@
         for run in runs:
             print_plan(plans.make(run.variant.scenario, run.seed))
         return
-    _report(_play_runs(runs, jobs, out is not None), out)
+    _report(_simulate_runs(runs, jobs, out is not None), out)
 
 
-def play_run(run: experiments.PlannedRun, keep_records: bool) -> RunSummary:
-    """One run, in whatever process this is called in."""
+def simulate_run(run: experiments.PlannedRun, keep_records: bool) -> RunSummary:
+    """Simulate one run in the calling process."""
     plan = plans.make(run.variant.scenario, run.seed)
     if keep_records:
         run.folder.mkdir(parents=True, exist_ok=True)
@@ -85,7 +85,7 @@
 
 
 def _progress_printer(run: experiments.PlannedRun, length_s: float) -> Callable[[float, int, float], None]:
-    """A callback for the simulation's progress that prints a line at most every PROGRESS_INTERVAL_S."""
+    """Return a progress callback that prints a line at most every PROGRESS_INTERVAL_S."""
     last_printed_s = time.monotonic()
 
     def progress(simulated_s: float, events: int, wall_s: float) -> None:
@@ -95,14 +95,14 @@
         last_printed_s = time.monotonic()
         click.echo(
             f"  {run.variant.name}, seed {run.seed}: {simulated_s:.1f} of {length_s:g} s, "
-            f"{events / wall_s:,.0f} events a second",
+            f"{events / wall_s:,.0f} events/s",
             err=True,
         )
 
     return progress
 
 
-def _play_runs(runs: Sequence[experiments.PlannedRun], jobs: int, keep_records: bool) -> list[RunSummary]:
+def _simulate_runs(runs: Sequence[experiments.PlannedRun], jobs: int, keep_records: bool) -> list[RunSummary]:
     summaries = []
     try:
         for summary in _summaries(runs, jobs, keep_records):
@@ -111,18 +111,18 @@
     except KeyboardInterrupt:
         exit_interrupted()
     except BrokenProcessPool:
-        exit_failed("a run was ended from outside; out of memory, as like as not")
+        exit_failed("the process of a run was killed, probably because memory ran out")
     return summaries
 
 
 def _summaries(runs: Sequence[experiments.PlannedRun], jobs: int, keep_records: bool) -> Iterator[RunSummary]:
-    """The runs' summaries, in the order of the runs."""
+    """Yield the summaries of the runs, in order."""
     if jobs == 1 or len(runs) == 1:
-        yield from (play_run(run, keep_records) for run in runs)
+        yield from (simulate_run(run, keep_records) for run in runs)
         return
-    # New interpreters: no state of this process may reach a run.
+    # New interpreters, so that no state of this process can affect a run.
     with ProcessPoolExecutor(jobs, mp_context=multiprocessing.get_context("spawn")) as pool:
-        yield from pool.map(play_run, runs, [keep_records] * len(runs))
+        yield from pool.map(simulate_run, runs, [keep_records] * len(runs))
 
 
 def _print_summary(summary: RunSummary) -> None:
@@ -134,7 +134,7 @@
 
 
 def _report(summaries: Sequence[RunSummary], out: Path | None) -> None:
-    """Print the table and the result as JSON, and exit by whether all rules were kept."""
+    """Print the table and the result as JSON, and exit with 1 if a rule was violated."""
     rows = experiments.summarize(summaries)
     click.echo(_variants_table(summaries))
     result = summaries[0] if len(summaries) == 1 else {"runs": len(summaries)}
@@ -148,26 +148,28 @@
 
 
 def _variants_table(summaries: Sequence[RunSummary]) -> str:
-    """One line a variant: means over its runs."""
+    """Return a table with a line for each variant: means over its runs."""
     width = max(8, *(len(summary["variant"]) for summary in summaries))
     lines = [f"{'variant':{width}}  runs  service  worst 10 s  wasted  fell  swing  tiers: max use over mean"]
     for name in dict.fromkeys(summary["variant"] for summary in summaries):
-        lines.append(_variant_line(name, width, [one for one in summaries if one["variant"] == name]))
+        lines.append(
+            _variant_line(name, width, [summary for summary in summaries if summary["variant"] == name])
+        )
     return "\n".join(lines)
 
 
 def _variant_line(name: str, width: int, summaries: Sequence[RunSummary]) -> str:
     tiers = summaries[0]["tiers"]
     balance = "  ".join(
-        f"{tier} {_mean([one['tiers'][tier]['balance'] for one in summaries]):.2f}" for tier in tiers
+        f"{tier} {_mean([summary['tiers'][tier]['balance'] for summary in summaries]):.2f}" for tier in tiers
     )
-    wasted = max(_mean([one["tiers"][tier]["wasted"] for one in summaries]) for tier in tiers)
-    swings = [one["swing"] for one in summaries if one["swing"] is not None]
+    wasted = max(_mean([summary["tiers"][tier]["wasted"] for summary in summaries]) for tier in tiers)
+    swings = [summary["swing"] for summary in summaries if summary["swing"] is not None]
     swing = f"{_mean(swings):5.2f}" if swings else "    -"
     return (
-        f"{name:{width}}  {len(summaries):4}  {_mean([one['service'] for one in summaries]):7.3f}  "
-        f"{_mean([one['worst_10_s'] for one in summaries]):10.3f}  {wasted:6.3f}  "
-        f"{_mean([one['fell'] for one in summaries]):4.1f}  {swing}  {balance}"
+        f"{name:{width}}  {len(summaries):4}  {_mean([summary['service'] for summary in summaries]):7.3f}  "
+        f"{_mean([summary['worst_10_s'] for summary in summaries]):10.3f}  {wasted:6.3f}  "
+        f"{_mean([summary['fell'] for summary in summaries]):4.1f}  {swing}  {balance}"
     )
 
 
