--- a/rosewheel/cli/scale.py
+++ b/rosewheel/cli/scale.py
@@ -1,4 +1,4 @@
-"""The verb `scale`: a fleet of simulated nodes beside real ones, with faults, on one machine."""
+"""`rosewheel scale`: runs a fleet of simulated and real nodes on one machine, and injects faults."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 from rosewheel.lab.scale.run import ScaleRun
 from rosewheel.lab.scale.summary import Summary
 
-ALLOWANCE_S = 180.0  # for start, convergence and shutdown, beyond the plan's own seconds
+ALLOWANCE_S = 180.0  # time for start, convergence and shutdown, added to the plan's length
 NO_FAULTS = "none"
 
 
@@ -31,15 +31,23 @@
     type=int,
     default=24,
     show_default=True,
-    help="How many nodes are processes of `rosewheel node`.",
+    help="Number of nodes that are `rosewheel node` processes.",
 )
 @click.option("--services", type=int, default=25, show_default=True, help="Number of services.")
 @click.option(
-    "--seconds", type=float, default=60.0, show_default=True, help="Length, without start and shutdown."
+    "--seconds",
+    type=float,
+    default=60.0,
+    show_default=True,
+    help="Length of the plan, without start and shutdown.",
 )
 @click.option("--seed", type=int, default=1, show_default=True, help="Seed of every random choice.")
 @click.option(
-    "--changes", type=int, default=CONFIG_CHANGES_PER_DAY, show_default=True, help="Configuration changes."
+    "--changes",
+    type=int,
+    default=CONFIG_CHANGES_PER_DAY,
+    show_default=True,
+    help="Number of configuration changes.",
 )
 @click.option(
     "--calls", type=float, default=20.0, show_default=True, help="Calls per second through each real node."
@@ -49,7 +57,7 @@
     "faults",
     default=",".join(FAULT_NAMES),
     show_default=True,
-    help=f"Faults to inject, or `{NO_FAULTS}`.",
+    help=f"Faults to inject, separated by commas, or `{NO_FAULTS}`.",
 )
 @click.option("--plan", "only_plan", is_flag=True, help="Print the plan, one JSON object per line.")
 @click.option("--out", type=click.Path(path_type=Path), help="Folder for records and rows.csv.")
@@ -67,7 +75,7 @@
 ) -> None:
     """Run a fleet on one machine and inject faults; the last line is the result as JSON.
 
-    Exit code 1 if a target that the run covers does not hold, 2 with one line of text for bad input.
+    Exit code 1 if a target that the run covers is missed, 2 (one line) for invalid input.
     """
     names = () if faults == NO_FAULTS else tuple(faults.split(","))
     try:
@@ -85,7 +93,7 @@
 
 
 def _run_or_exit(plan: Plan, out: Path | None) -> Summary:
-    """The run's summary; exits with 1 if the run failed, with 130 if it was interrupted."""
+    """Return the summary of the run. Exits with 1 if the run failed, with 130 if it was interrupted."""
     with tempfile.TemporaryDirectory(prefix="rosewheel-scale-") as temporary:
         folder = out or Path(temporary)
         try:
--- a/rosewheel/cli/soak.py
+++ b/rosewheel/cli/soak.py
@@ -1,4 +1,4 @@
-"""`rosewheel soak`: overlapping faults on real node processes, judged by the operators' rules."""
+"""`rosewheel soak`: tests node processes under overlapping faults against the operators' rules."""
 
 from __future__ import annotations
 
@@ -14,25 +14,27 @@
 from rosewheel.lab.soak.planted_node import PLANTS
 from rosewheel.lab.soak.run import play
 
-SECONDS = 60.0
-PROCESSES = 24
+DEFAULT_SECONDS = 60.0
+DEFAULT_PROCESSES = 24
 
 
 @click.group()
 def soak() -> None:
-    """Long runs with overlapping faults; the same seed gives the same plan."""
+    """Run soak tests with overlapping faults; the same seed gives the same plan."""
 
 
 @soak.command(name="node")
-@click.option("--seed", type=int, default=1, show_default=True, help="Of the plan and of all draws.")
-@click.option("--seconds", type=click.FloatRange(5.0, 3600.0), default=SECONDS, show_default=True)
-@click.option("--processes", type=click.IntRange(1, 100), default=PROCESSES, show_default=True)
-@click.option("--out", type=click.Path(path_type=Path), help="Keep configurations and logs there.")
-@click.option("--plan", "only_plan", is_flag=True, help="Print the plan, and play nothing.")
-@click.option("--replay", type=str, help="Play the plan in this file.")
-@click.option("--only", type=str, help="Keep only these faults of the plan: numbers, joined by commas.")
-@click.option("--plant", type=click.Choice(sorted(PLANTS)), help="Plant this fault into the nodes.")
-@click.option("--list-plants", is_flag=True, help="Print the names of all plants.")
+@click.option(
+    "--seed", type=int, default=1, show_default=True, help="Seed of the plan and of all random choices."
+)
+@click.option("--seconds", type=click.FloatRange(5.0, 3600.0), default=DEFAULT_SECONDS, show_default=True)
+@click.option("--processes", type=click.IntRange(1, 100), default=DEFAULT_PROCESSES, show_default=True)
+@click.option("--out", type=click.Path(path_type=Path), help="Folder for configurations and logs.")
+@click.option("--plan", "only_plan", is_flag=True, help="Print the plan, and run nothing.")
+@click.option("--replay", type=str, help="Run the plan in this file.")
+@click.option("--only", type=str, help="Numbers of the faults to keep, separated by commas.")
+@click.option("--plant", type=click.Choice(sorted(PLANTS)), help="Fault to plant in the code of the nodes.")
+@click.option("--list-plants", is_flag=True, help="Print the names of the faults that can be planted.")
 def soak_node(
     seed: int,
     seconds: float,
@@ -44,7 +46,10 @@
     plant: str | None,
     list_plants: bool,
 ) -> None:
-    """Node processes between emulated servers, discovery and clients; one line of JSON last, 1 on a breach."""
+    """Run node processes between emulated servers, discovery and clients.
+
+    The last line is the result as JSON. Exit code 1 if a rule was violated.
+    """
     if list_plants:
         click.echo("\n".join(PLANTS))
         return
