--- a/tests/config/test_fleet_document.py
+++ b/tests/config/test_fleet_document.py
@@ -1,4 +1,4 @@
-"""One document for all nodes over a node's own file: what it may set, and one plain line where it can't be used."""
+"""Fleet documents: the keys that they may set, and one-line errors for invalid documents."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 from rosewheel.policy.settings import Tenant
 from tests.support.configurations import OPERATOR_TOML
 
-OWN = OPERATOR_TOML.replace(
+NODE_FILE = OPERATOR_TOML.replace(
     "[routing]\n", '[limits]\nmax_open = 7\nsockets = 100\n[routing]\nzone = "a"\ntier = 1\n'
 )
 CLASS = {"name": "c", "aim_ms": 100, "give_up_ms": 200.0}
@@ -31,39 +31,38 @@
 }
 
 
-@pytest.mark.parametrize("base", [tomllib.loads(OWN), parse_text(OWN, OperatorConfig, "file")])
-def test_a_document_is_laid_over_the_nodes_own_file(base: Any) -> None:
-    settings, bounds = apply_fleet_document(base, DOCUMENT)
-    assert [kind.name for kind in settings.classes] == ["c"]
+@pytest.mark.parametrize(
+    "node_file", [tomllib.loads(NODE_FILE), parse_text(NODE_FILE, OperatorConfig, "file")]
+)
+def test_a_document_overrides_the_nodes_own_file(node_file: Any) -> None:
+    settings, limits = apply_fleet_document(node_file, DOCUMENT)
+    assert [item.name for item in settings.classes] == ["c"]
     assert settings.tenants == (Tenant("t", 4.0),)
     assert (settings.balancer_count, settings.may_cancel) == (30, False)
-    assert (settings.zone, settings.tier, settings.warm_up_initial_share) == (
-        "a",
-        1,
-        0.2,
-    )  # the file's, and its own
-    assert (bounds.max_open_requests, bounds.max_sockets) == (9, 100)
+    # Values that only the file has.
+    assert (settings.zone, settings.tier, settings.warm_up_initial_share) == ("a", 1, 0.2)
+    assert (limits.max_open_requests, limits.max_sockets) == (9, 100)
     assert cordoned_servers(DOCUMENT) == {"equipo-1"}
 
 
 def test_an_empty_document_leaves_the_file_as_it_is(tmp_path: Path) -> None:
     path = tmp_path / "node.toml"
-    path.write_text(OWN)
+    path.write_text(NODE_FILE)
     config = load_operator_config(str(path), {})
-    assert apply_fleet_document(parse_text(OWN, OperatorConfig, "file"), {}) == (
+    assert apply_fleet_document(parse_text(NODE_FILE, OperatorConfig, "file"), {}) == (
         config.settings,
         config.limits,
     )
     assert cordoned_servers({}) == frozenset()
 
 
-def test_a_document_is_checked_also_where_no_file_is_at_hand() -> None:
+def test_a_document_can_be_checked_without_a_nodes_file() -> None:
     settings, _ = apply_fleet_document({}, {"class": [CLASS]})
     assert settings.balancer_count == 1
 
 
 @pytest.mark.parametrize(
-    ("document", "said"),
+    ("document", "expected"),
     [
         ([], "document: not a table"),
         ({"node": {"listen": "127.0.0.1:1"}}, "node: is each node's own"),
@@ -90,10 +89,10 @@
         ({"cordons": [""]}, "cordons: not a list of equipos' names"),
     ],
 )
-def test_a_document_that_can_not_be_used_is_one_plain_line_with_the_key(document: Any, said: str) -> None:
+def test_an_invalid_document_is_reported_in_one_line_with_the_key(document: Any, expected: str) -> None:
     with pytest.raises(ValueError, match=r".*") as caught:
-        apply_fleet_document(tomllib.loads(OWN), document)
-    assert str(caught.value).startswith(said)
+        apply_fleet_document(tomllib.loads(NODE_FILE), document)
+    assert str(caught.value).startswith(expected)
     assert "\n" not in str(caught.value)
 
 
@@ -106,20 +105,18 @@
 
 
 @given(st.dictionaries(KEYS, VALUES) | VALUES, st.sampled_from(sorted(CLASS)), VALUES)
-def test_whatever_a_document_holds_it_is_used_or_refused_in_one_line(
-    document: Any, key: str, value: Any
-) -> None:
-    for one in (
+def test_any_document_is_applied_or_rejected_in_one_line(document: Any, key: str, value: Any) -> None:
+    for candidate in (
         document,
         {"class": [CLASS | {key: value}]},
         {"routing": {"siblings": value, "cold_ms": value}},
     ):
-        before = json.dumps(one, default=str)
-        said = "ok: used"
+        before = json.dumps(candidate, default=str)
+        message = "ok: applied"
         try:
-            apply_fleet_document(tomllib.loads(OWN), one)
+            apply_fleet_document(tomllib.loads(NODE_FILE), candidate)
         except ValueError as error:
-            said = str(error)
-        assert "\n" not in said
-        assert ": " in said
-        assert json.dumps(one, default=str) == before
+            message = str(error)
+        assert "\n" not in message
+        assert ": " in message
+        assert json.dumps(candidate, default=str) == before
