--- a/tests/cli/test_command.py
+++ b/tests/cli/test_command.py
@@ -1,4 +1,4 @@
-"""The command as an operator starts it: nodes by a TOML file, JSON lines, a demo that ends cleanly."""
+"""The command as an operator runs it: a node with a TOML file, the demo, and the limit of log lines."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 from tests.support.processes import connect, free_port, start_command
 
 
-def test_a_node_by_the_operators_file_serves_logs_json_and_keeps_a_bad_reload_out(tmp_path: Path) -> None:
+def test_a_node_with_an_operators_file_logs_json_and_rejects_an_invalid_reload(tmp_path: Path) -> None:
     port = free_port()
     path = tmp_path / "node.toml"
     good = OPERATOR_TOML.replace("7999", str(port)) + '[log]\nform = "json"\n'
@@ -23,7 +23,7 @@
     process = start_command("node", "--config", str(path))
     with connect(process, port) as client:
         client.sendall(b"GET /_health HTTP/1.1\r\nHost: a\r\n\r\n")
-        assert client.recv(4096).startswith(b"HTTP/1.1 503 ")  # it knows no equipo
+        assert client.recv(4096).startswith(b"HTTP/1.1 503 ")  # the node has no endpoints
     assert process.stderr is not None
     lines = iter(process.stderr.readline, "")
     assert any("serves" in json.loads(line)["event"] for line in lines)
@@ -38,21 +38,21 @@
     assert all(json.loads(line) for line in rest.splitlines())
 
 
-def test_the_demo_serves_a_request_by_hand_and_ends_cleanly_on_ctrl_c() -> None:
+def test_the_demo_serves_a_request_and_ends_cleanly_on_ctrl_c() -> None:
     process = start_command("demo")
     assert process.stdout is not None
     lines = iter(process.stdout.readline, "")
     node = next(line for line in lines if line.startswith("node"))
-    assert any("requests" in line for line in lines)  # the load has begun
+    assert any("requests" in line for line in lines)  # the load has started
     address = node.split("http://")[1].split()[0].split(":")
     with socket.create_connection((address[0], int(address[1])), timeout=60) as client:
         head = (
             "POST /api/subir-foto HTTP/1.1\r\nHost: a\r\nRequest-Id: by-hand\r\nRequest-Class: subir-foto\r\n"
         )
         client.sendall((head + "Request-Timeout-Ms: 3000\r\nContent-Length: 5\r\n\r\nphoto").encode())
-        got = client.recv(4096)
-    assert got.startswith(b"HTTP/1.1 200 ")
-    assert b"by-hand" in got
+        response = client.recv(4096)
+    assert response.startswith(b"HTTP/1.1 200 ")
+    assert b"by-hand" in response
     children = Path(f"/proc/{process.pid}/task/{process.pid}/children").read_text().split()
     assert len(children) == 1
     process.send_signal(signal.SIGINT)
@@ -64,8 +64,8 @@
 
 
 @pytest.mark.parametrize("json_lines", [False, True])
-def test_no_more_than_so_many_lines_a_second(json_lines: bool, capsys: pytest.CaptureFixture[str]) -> None:
-    """Guards the node against a fault that logs without end, in either form."""
+def test_log_lines_per_second_are_limited(json_lines: bool, capsys: pytest.CaptureFixture[str]) -> None:
+    """Guards against a repeated error that floods the log, in either format."""
     root = logging.getLogger()
     before = root.handlers[:], root.level
     try:
@@ -73,7 +73,7 @@
         handler = root.handlers[0]
         record = logging.LogRecord("x", logging.INFO, "", 0, "a line", None, None)
         for _ in range(logs.LINES_PER_S * 3):
-            handler.handle(record)  # all of one moment
+            handler.handle(record)  # all within the same second
         record.created += 1.0
         handler.handle(record)
     finally:
