--- a/tests/test_readability.py
+++ b/tests/test_readability.py
@@ -1,4 +1,4 @@
-"""Packages listed in pyproject.toml as readable stay so: small files, short functions, docstrings."""
+"""Packages that pyproject.toml lists as readable have short files, short functions, and docstrings."""
 
 from __future__ import annotations
 
@@ -11,8 +11,8 @@
 
 ROOT = Path(__file__).parent.parent
 READABLE: list[str] = tomllib.loads((ROOT / "pyproject.toml").read_text())["tool"]["rosewheel"]["readable"]
-LONGEST_FILE = 400  # lines
-LONGEST_FUNCTION = 40  # lines, the signature and the docstring included
+MAX_FILE_LINES = 400
+MAX_FUNCTION_LINES = 40  # including the signature and the docstring
 
 FILES = [path for name in READABLE for path in sorted((ROOT / "rosewheel" / name).glob("*.py"))]
 NAMES = [str(path.relative_to(ROOT / "rosewheel")) for path in FILES]
@@ -21,7 +21,7 @@
 
 
 def definitions(tree: ast.AST, within_functions: bool) -> Iterator[Definition]:
-    """Functions, methods and classes; those within functions, which no other code can name, only on request."""
+    """Yield functions, methods and classes, and with `within_functions` also those defined inside functions."""
     for node in ast.iter_child_nodes(tree):
         if isinstance(node, Definition):
             yield node
@@ -32,12 +32,12 @@
 @pytest.mark.parametrize("path", FILES, ids=NAMES)
 def test_files_and_functions_are_short(path: Path):
     text = path.read_text(encoding="utf-8")
-    assert text.count("\n") <= LONGEST_FILE
+    assert text.count("\n") <= MAX_FILE_LINES
     too_long = [
         node.name
         for node in definitions(ast.parse(text), within_functions=True)
         if not isinstance(node, ast.ClassDef)
-        and (node.end_lineno or node.lineno) - node.lineno + 1 > LONGEST_FUNCTION
+        and (node.end_lineno or node.lineno) - node.lineno + 1 > MAX_FUNCTION_LINES
     ]
     assert too_long == []
 
@@ -46,12 +46,12 @@
 def test_modules_and_public_definitions_have_docstrings(path: Path):
     tree = ast.parse(path.read_text(encoding="utf-8"))
     assert ast.get_docstring(tree)
-    without = [
+    undocumented = [
         node.name
         for node in definitions(tree, within_functions=False)
         if not node.name.startswith("_") and ast.get_docstring(node) is None
     ]
-    assert without == []
+    assert undocumented == []
 
 
 def test_every_listed_package_exists():
