--- a/rosewheel/config/fleet_document.py
+++ b/rosewheel/config/fleet_document.py
@@ -73,7 +73,7 @@
     """
     names = _require_object(document).get(CORDONS, [])
     if not isinstance(names, list) or not all(isinstance(name, str) and name for name in names):
-        raise InvalidValueError(CORDONS, "not a list of equipos' names")
+        raise InvalidValueError(CORDONS, "not a list of server names")
     return frozenset(names)
 
 
--- a/tests/config/test_fleet_document.py
+++ b/tests/config/test_fleet_document.py
@@ -85,8 +85,8 @@
         ({"class": [CLASS | {"give_up_ms": float("inf")}]}, "class[0].give_up_ms: Expected"),
         ({"class": [CLASS | {"aim_ms": 0}], "routing": {"cancel": 3}}, "class[0].aim_ms: Expected"),
         ({"tenant": [{"name": "t"}]}, "tenant[0].quota_per_s: missing"),
-        ({"cordons": "equipo-1"}, "cordons: not a list of equipos' names"),
-        ({"cordons": [""]}, "cordons: not a list of equipos' names"),
+        ({"cordons": "equipo-1"}, "cordons: not a list of server names"),
+        ({"cordons": [""]}, "cordons: not a list of server names"),
     ],
 )
 def test_an_invalid_document_is_reported_in_one_line_with_the_key(document: Any, expected: str) -> None:
--- a/tests/control/test_machine.py
+++ b/tests/control/test_machine.py
@@ -120,7 +120,7 @@
         ),
         ({"class": [{"name": "a", "give_up_ms": 5}]}, "class[0].aim_ms: missing"),
         ({"services": {"fotos": 1}}, "services.fotos: not a table"),
-        ({"cordons": [None]}, "cordons: not a list of equipos' names"),
+        ({"cordons": [None]}, "cordons: not a list of server names"),
         ("no object", "patch: not an object"),
     ],
 )
