--- a/rosewheel/config/fleet_document.py
+++ b/rosewheel/config/fleet_document.py
@@ -106,7 +106,7 @@
 
 
 def _node_only_error(key: str) -> InvalidValueError:
-    return InvalidValueError(key, "is each node's own, and not the document's to set")
+    return InvalidValueError(key, "can be set only in the node's own file")
 
 
 def _single_error(error: InvalidFileError) -> InvalidValueError:
--- a/tests/control/test_machine.py
+++ b/tests/control/test_machine.py
@@ -106,13 +106,16 @@
     ("patch", "text"),
     [
         ({"limits": {"max_open": "many"}}, "limits.max_open: Expected `int`, got `str`"),
-        ({"limits": {"memory_mb": 64}}, "limits.memory_mb: is each node's own"),
+        ({"limits": {"memory_mb": 64}}, "limits.memory_mb: can be set only in the node's own file"),
         ({"limits": {"max_opne": 1}}, "limits.max_opne: unknown key"),
         (
             {"services": {"fotos": {"routing": {"siblings": 0}}}},
             "services.fotos.routing.siblings: Expected `int` >= 1",
         ),
-        ({"services": {"fotos": {"node": {"name": "x"}}}}, "services.fotos.node: is each node's own"),
+        (
+            {"services": {"fotos": {"node": {"name": "x"}}}},
+            "services.fotos.node: can be set only in the node's own file",
+        ),
         ({"services": []}, "services: not a table"),
         (
             {"class": [{"name": "a", "aim_ms": 9, "give_up_ms": 5}]},
