--- a/rosewheel/config/operator_tables.py
+++ b/rosewheel/config/operator_tables.py
@@ -163,7 +163,7 @@
 
     def __post_init__(self) -> None:
         if self.latency_objective_ms > self.deadline_ms:
-            raise InvalidValueError("aim_ms", "an answer is wanted after the client has given up")
+            raise InvalidValueError("aim_ms", "longer than give_up_ms")
         if self.idempotency is Idempotency.IDEMPOTENT_WITH_KEY and not self.dedup_window_ms:
             raise InvalidValueError(
                 "memory_ms", "a keyed class needs the time for which servers remember a key"
--- a/rosewheel/lab/tables.py
+++ b/rosewheel/lab/tables.py
@@ -94,7 +94,7 @@
     def __post_init__(self) -> None:
         self._check_ranges("work_ms", "cv", "attempt_noise")
         if self.latency_objective_ms > self.deadline_ms:
-            raise InvalidValueError("aim_ms", "an answer is wanted after the client has given up")
+            raise InvalidValueError("aim_ms", "longer than give_up_ms")
 
 
 class OverloadSlowdownTable(
--- a/tests/config/test_fleet_document.py
+++ b/tests/config/test_fleet_document.py
@@ -81,7 +81,7 @@
         ({"class": []}, "class: no class of requests"),
         ({"class": {}}, "class: not a list of tables"),
         ({"class": [CLASS, CLASS]}, "class: duplicate name"),
-        ({"class": [CLASS | {"aim_ms": 900}]}, "class[0].aim_ms: an answer is wanted after"),
+        ({"class": [CLASS | {"aim_ms": 900}]}, "class[0].aim_ms: longer than give_up_ms"),
         ({"class": [CLASS | {"give_up_ms": float("inf")}]}, "class[0].give_up_ms: Expected"),
         ({"class": [CLASS | {"aim_ms": 0}], "routing": {"cancel": 3}}, "class[0].aim_ms: Expected"),
         ({"tenant": [{"name": "t"}]}, "tenant[0].quota_per_s: missing"),
--- a/tests/control/test_machine.py
+++ b/tests/control/test_machine.py
@@ -119,7 +119,7 @@
         ({"services": []}, "services: not a table"),
         (
             {"class": [{"name": "a", "aim_ms": 9, "give_up_ms": 5}]},
-            "class[0].aim_ms: an answer is wanted after",
+            "class[0].aim_ms: longer than give_up_ms",
         ),
         ({"class": [{"name": "a", "give_up_ms": 5}]}, "class[0].aim_ms: missing"),
         ({"services": {"fotos": 1}}, "services.fotos: not a table"),
--- a/tests/lab/test_scenario.py
+++ b/tests/lab/test_scenario.py
@@ -236,7 +236,7 @@
         ("7999", "port", "line 3: node.listen: '127.0.0.1:port' is not address:port"),
         ("memory_ms = 10000", "", "line 9: class[0].memory_ms: a keyed class needs"),
         ('seed = "8c1f"', 'seed = "xyz"', "line 4: node.seed: Expected"),
-        ("aim_ms = 2500", "aim_ms = 9000", "line 11: class[0].aim_ms: an answer is wanted after"),
+        ("aim_ms = 2500", "aim_ms = 9000", "line 11: class[0].aim_ms: longer than give_up_ms"),
         ("[routing]", "[rooting]", "line 7: rooting: unknown key"),
     ],
 )
