--- a/rosewheel/config/operator_config.py
+++ b/rosewheel/config/operator_config.py
@@ -47,7 +47,7 @@
 
     def __post_init__(self) -> None:
         if not self.classes:
-            raise InvalidValueError("class", "no class of requests")
+            raise InvalidValueError("class", "at least one class is needed")
         _check_unique("class", [row.name for row in self.classes])
         _check_unique("tenant", [row.name for row in self.tenants])
         try:
--- a/rosewheel/lab/scenario.py
+++ b/rosewheel/lab/scenario.py
@@ -81,7 +81,7 @@
 
     def __post_init__(self) -> None:
         if not self.classes:
-            raise InvalidValueError("class", "no class of requests")
+            raise InvalidValueError("class", "at least one class is needed")
         if self.chain and self.services:
             raise InvalidValueError("service", "a list of tiers stands in the file as well")
         if not self.tiers:
