--- a/rosewheel/cli/control.py
+++ b/rosewheel/cli/control.py
@@ -223,8 +223,9 @@
 
 def _print_fleet(report: FleetReport) -> None:
     click.echo(
-        f"nodes: {report.nodes}, in force at {report.up_to_date}, behind {report.behind_count} (the longest"
-        f" {report.longest_behind_s:g} s), refused by {report.rejected_count}, away {report.disconnected_count}"
+        f"nodes: {report.nodes}, up to date {report.up_to_date}, behind {report.behind_count}"
+        f" (longest {report.longest_behind_s:g} s), rejected by {report.rejected_count},"
+        f" disconnected {report.disconnected_count}"
     )
     exceptions = report.behind + report.rejected + report.disconnected
     for node in exceptions if report.all_nodes is None else report.all_nodes:
--- a/tests/control/test_control_processes.py
+++ b/tests/control/test_control_processes.py
@@ -159,7 +159,7 @@
     """Run `status` until it succeeds and one node has applied the committed revision; return the output."""
     for _ in range(MAX_ATTEMPTS):
         result = run_command("status", "--all", "--at", machine)
-        if result[0] == 0 and "in force at 1," in result[1]:
+        if result[0] == 0 and "up to date 1," in result[1]:
             return result[1]
     raise AssertionError(result)
 
