--- a/rosewheel/lab/server_model/server.py
+++ b/rosewheel/lab/server_model/server.py
@@ -1,4 +1,4 @@
-"""The model of one server: requests in, responses and calls to the next tier out."""
+"""Model of one server: admission, processing and deduplication of its requests."""
 
 from __future__ import annotations
 
@@ -26,32 +26,37 @@
 from rosewheel.lab.server_model.slowdown import SlowdownTracker
 from rosewheel.lab.server_model.spec import ServerSpec
 
-WARM_UP_STEP_MS = 100.0  # the capacity of a warming server is raised in steps of this length
+WARM_UP_STEP_MS = 100.0  # interval between two increases of the capacity of a warming server
 BUSY_SMOOTHING_MS = 500.0  # time constant of the smoothed busy share
 
 
 class LifecycleState(Enum):
-    """State of a server's process. Values are those of records."""
+    """State of a server process. The values are written to records."""
 
     UP = "up"
-    DRAINING = "draining"  # it finishes its requests and rejects new ones
+    DRAINING = "draining"  # finishes its requests and rejects new ones
     DOWN = "down"  # stopped, crashed or collapsed
 
 
 class EmulatedServer:
-    """One server. Every method takes the time first, never an earlier one than before, and returns actions.
+    """Model of one server.
 
-    `tick` has to be called at `next_due_ms()`; a later call does the same work later.
+    Methods that take `now` must be called in order of time. `tick` has to be called at `next_due_ms()`; a later call
+    has the same result. The caller carries out the actions that a method returns.
 
     Attributes:
-        started_ms: when a warming server started; minus infinity for one that is warm from the beginning.
+        started_ms: when the server started; minus infinity if it is warm from the beginning.
         jobs: jobs without a response, by id.
-        queued: jobs that wait for a slot.
-        awaiting_calls: jobs that wait for the next tier.
-        slow_factor: an injected fault; all work takes this many times as long.
-        neighbour_share: an injected fault; share of the machine that another program takes.
-        forced_error_share: an injected fault; share of the requests that fail at once.
-        arrived: requests so far; `ended` and `rejected` likewise.
+        queued: jobs that wait for a slot, in order of arrival.
+        processor: cores and the jobs that run on them.
+        awaiting_calls: number of jobs that wait for the next tier.
+        connection_count: number of open connections.
+        slow_factor: factor by which an injected fault lengthens all work.
+        neighbour_share: share of the machine that another program takes, by an injected fault.
+        forced_error_share: share of the requests that fail at once, by an injected fault.
+        arrived: number of requests received.
+        ended: number of requests answered or lost.
+        rejected: number of requests rejected.
     """
 
     def __init__(
@@ -78,30 +83,30 @@
         self._busy_share = 0.0
         self._slowdown = SlowdownTracker(spec)
         self._pauses = PauseSchedule(spec, rng, now)
-        self._reports = LoadReporter(spec, rng, now)
-        self._offered = OfferedLoadWindow(spec.overload_window_ms)
+        self._load_reporter = LoadReporter(spec, rng, now)
+        self._offered_load = OfferedLoadWindow(spec.overload_window_ms)
         self._set_rate()
 
     # ------------------------------------------------------------------ state
 
     @property
     def in_progress(self) -> int:
-        """Requests in progress."""
+        """Number of requests in progress, including those that wait for the next tier."""
         return len(self.processor.running) + self.awaiting_calls
 
     @property
     def queue_length(self) -> int:
-        """Requests that wait for a slot or for a core."""
+        """Number of requests that wait for a slot or a core."""
         return len(self.queued) + self.processor.waiting_for_core
 
     @property
     def work_done_ms(self) -> float:
-        """All work done so far."""
+        """Total work done so far."""
         return self.processor.work_done_ms
 
     @property
     def slowed_since_ms(self) -> float | None:
-        """When the current lasting slowdown began; None without one."""
+        """When the current overload slowdown began; None if there is none."""
         return self._slowdown.slowed_since_ms
 
     @property
@@ -116,17 +121,17 @@
         return spec.cores * spec.speed * (share / self._slowdown.factor)
 
     def warm_up_share(self, now: float) -> float:
-        """Share of its capacity that the server has by now, from `warm_up_initial_share` up to 1."""
+        """Return the share of its capacity that the server has by now, from `warm_up_initial_share` to 1."""
         return self.spec.warm_up_share(now - self.started_ms)
 
     def reported_queue(self, now: float) -> float:
-        """The queue length that the server reports: refreshed periodically, late and noisy."""
+        """Return the queue length of the latest visible load report."""
         if now > self._now:
             self._advance(max(self._now, min(now, self.next_due_ms())))
-        return self._reports.visible_queue(now)
+        return self._load_reporter.visible_queue(now)
 
     def next_due_ms(self) -> float:
-        """When `tick` has to be called next; infinity where nothing is due."""
+        """Return when `tick` has to be called next; infinity if nothing is due."""
         if self.state is LifecycleState.DOWN:
             return math.inf
         due = self._pauses.next_change_ms
@@ -138,9 +143,9 @@
     # ----------------------------------------------------------------- events
 
     def connect(self, now: float) -> bool:
-        """A new connection; False where the table of connections is full.
+        """Count a new connection. Return False if there are more than `max_connections`.
 
-        The work of its handshake is part of the first request on it.
+        The caller adds the work of the handshake to the first request on the connection.
         """
         self._advance(now)
         self.connection_count += 1
@@ -148,13 +153,13 @@
         return self.connection_count <= self.spec.max_connections
 
     def disconnect(self, now: float) -> None:
-        """A connection has ended."""
+        """Count a closed connection."""
         self._advance(now)
         self.connection_count -= 1
         self._set_rate()
 
     def arrive(self, now: float, job: Job) -> list[Action]:
-        """The last byte of a request has been received."""
+        """Admit, reject or answer a request whose last byte has been received."""
         self._advance(now)
         self.arrived += 1
         actions = self._check_collapse(now, sum(job.segments_ms), job.sender_informed)
@@ -171,7 +176,7 @@
         return [*actions, *self._admit(now, job)]
 
     def call_finished(self, now: float, job_id: int, succeeded: bool) -> list[Action]:
-        """The next tier has answered a call of this job."""
+        """Continue a job after its call to the next tier, or end it with an error if the call failed."""
         self._advance(now)
         job = self.jobs.get(job_id)
         if job is None or job.stage is not JobStage.AWAITING_CALL:
@@ -184,11 +189,11 @@
         else:
             actions = self._finish(job, JobResult.ERROR)
             actions += self._start_queued()
-        self._settle(now)
+        self._update_slowdown_and_rate(now)
         return actions
 
     def finish_duplicate(self, job_id: int) -> bool:
-        """The job that this duplicate repeats has ended; False where the duplicate is gone already."""
+        """Remove a duplicate after the job with its key has ended. Return False if it has been removed already."""
         job = self.jobs.pop(job_id, None)
         if job is None:
             return False
@@ -197,37 +202,37 @@
         return True
 
     def check_health(self, now: float) -> bool:
-        """A health check, answered beside the queue for a little work; False where new requests are rejected."""
+        """Process a health check, which bypasses the queue. Return False if new requests are rejected."""
         self._advance(now)
         if self.state is LifecycleState.UP and self.spec.health_check_work_ms > 0.0:
             self.processor.start(self.spec.health_check_work_ms, None)
-            self._settle(now)
+            self._update_slowdown_and_rate(now)
         return self.state is LifecycleState.UP
 
     def set_slow_factor(self, now: float, factor: float) -> None:
-        """Inject a fault: all work takes `factor` times as long; 1 heals it."""
+        """Inject a fault that lengthens all work by a factor; 1 ends it."""
         self._advance(now)
         self.slow_factor = factor
-        self._settle(now)
+        self._update_slowdown_and_rate(now)
 
     def set_neighbour_share(self, now: float, share: float) -> None:
-        """Inject a fault: another program takes this share of the machine; 0 heals it."""
+        """Inject a fault in which another program takes a share of the machine; 0 ends it."""
         self._advance(now)
         self.neighbour_share = share
-        self._settle(now)
+        self._update_slowdown_and_rate(now)
 
     def drain(self, now: float) -> None:
-        """Reject new requests from now on and finish the others."""
+        """Reject new requests and finish those in progress or queued."""
         self._advance(now)
         if self.state is LifecycleState.UP:
             self.state = LifecycleState.DRAINING
-        self._settle(now)
+        self._update_slowdown_and_rate(now)
 
     def stop(self, now: float) -> None:
-        """End the process with all its jobs; none of them gets a response."""
+        """End the process. Its jobs are lost without a response."""
         self._advance(now)
         self.state = LifecycleState.DOWN
-        # A duplicate of one of these jobs may wait at another server of the cell; it gets no response either.
+        # A duplicate that waits at another server of the cell for one of these jobs gets no response either.
         for job in self.jobs.values():
             if job.key is not None and job.dedup_entry is not None:
                 self.dedup_table.remove(job.key, job.dedup_entry)
@@ -239,7 +244,7 @@
         self._set_rate()
 
     def tick(self, now: float) -> list[Action]:
-        """Do everything that is due, at its own time: a late call changes no work and no order."""
+        """Process everything that is due, each at its own time, so that a late call has the same result."""
         actions: list[Action] = []
         while (due := self.next_due_ms()) <= now and self.state is not LifecycleState.DOWN:
             due = max(due, self._now)
@@ -248,9 +253,9 @@
             self._pauses.update(due, self.in_progress)
             finished = self._finish_due_segments()
             actions += finished
-            self._settle(due)
+            self._update_slowdown_and_rate(due)
             if due == before and not finished and self.next_due_ms() <= due:
-                break  # guards against a step that changes nothing
+                break  # no progress is possible at this time; prevents an endless loop
         self._advance(now)
         return actions
 
@@ -260,7 +265,7 @@
         elapsed_ms = now - self._now
         if elapsed_ms <= 0.0:
             return
-        self._reports.refresh(now, self.queue_length)
+        self._load_reporter.refresh(now, self.queue_length)
         self.processor.advance(elapsed_ms)
         busy = self.processor.busy_share
         self._busy_share = busy + (self._busy_share - busy) * math.exp(-elapsed_ms / BUSY_SMOOTHING_MS)
@@ -269,8 +274,8 @@
     def _set_rate(self) -> None:
         self.processor.set_capacity(self.capacity)
 
-    def _settle(self, now: float) -> None:
-        """After each event: the lasting slowdown, then the rate until the next event."""
+    def _update_slowdown_and_rate(self, now: float) -> None:
+        """Update the slowdown and the processing rate after an event."""
         if self.state is not LifecycleState.DOWN:
             self._slowdown.update(now, self.queue_length, self._busy_share)
         self._set_rate()
@@ -285,7 +290,7 @@
             actions.append(self._start(job))
         else:
             self.queued.append(job)
-        self._settle(now)
+        self._update_slowdown_and_rate(now)
         return actions
 
     def _start(self, job: Job) -> JobStarted:
@@ -298,7 +303,7 @@
         self.processor.start(job.segments_ms[job.segment], job)
 
     def _finish_due_segments(self) -> list[Action]:
-        """Jobs whose segment has ended call the next tier, or get their response."""
+        """Call the next tier for each job whose segment has ended, or finish it after its last segment."""
         actions: list[Action] = []
         for job in self.processor.pop_finished():
             if job is None:
@@ -326,9 +331,9 @@
         entry = job.dedup_entry
         if job.key is not None and entry is not None:
             entry.served = result is JobResult.SERVED
-            if not entry.served:  # it may have had its effect in part; a repeat executes it again
+            if not entry.served:  # the key of a failed request is not kept, so that a retry executes it again
                 self.dedup_table.remove(job.key, entry)
-            # The key may have expired meanwhile; duplicates from before get the response all the same.
+            # Waiting duplicates get the response even if the key has expired meanwhile.
             actions += [Reply(job_id, result) for job_id in entry.duplicate_jobs]
             entry.duplicate_jobs = []
         return actions
@@ -351,15 +356,15 @@
         return self._finish_at_once(job, JobResult.REJECTED)
 
     def _check_collapse(self, now: float, work_ms: float, sender_informed: bool) -> list[Action]:
-        """Stop a warming server that has been sent too much; rejected requests count."""
+        """Stop a warming server whose offered load, including rejected requests, exceeds its limit."""
         spec = self.spec
         if self.state is LifecycleState.DOWN or now - self.started_ms >= spec.warm_up_ms:
             return []
-        self._offered.add(now, work_ms, sender_informed)
+        self._offered_load.add(now, work_ms, sender_informed)
         capacity = spec.cores * spec.speed * self.warm_up_share(now)
         limit_ms = spec.overload_factor * capacity * spec.overload_window_ms + spec.overload_slack_ms
-        if self._offered.total_ms() <= limit_ms:
+        if self._offered_load.total_ms() <= limit_ms:
             return []
-        informed_share = self._offered.informed_share()
+        informed_share = self._offered_load.informed_share()
         self.stop(now)
         return [ServerCollapsed(informed_share)]
