--- a/rosewheel/lab/server_model/spec.py
+++ b/rosewheel/lab/server_model/spec.py
@@ -1,4 +1,4 @@
-"""The parameters of one server."""
+"""Parameters of one server."""
 
 from __future__ import annotations
 
@@ -8,14 +8,15 @@
 
 @dataclass(slots=True, frozen=True)
 class OverloadSlowdown:
-    """The lasting slowdown of an overloaded server.
+    """Slowdown of an overloaded server, which lasts beyond the overload.
 
     Attributes:
-        queue_per_core: it begins when more requests than this wait for each core
-        trigger_ms: for this long.
-        factor: how many times slower the server is.
-        recovery_ms: it ends when the busy share has stayed below `recovery_busy_share` for this long,
-        max_ms: or after this time.
+        queue_per_core: number of waiting requests per core above which a server is overloaded.
+        trigger_ms: duration of the overload after which the slowdown begins.
+        factor: factor by which the server is slowed.
+        recovery_ms: time below `recovery_busy_share` after which the slowdown ends.
+        recovery_busy_share: share of the cores in use below which a slowed server recovers.
+        max_ms: longest duration of a slowdown.
     """
 
     queue_per_core: float
@@ -28,24 +29,28 @@
 
 @dataclass(slots=True, frozen=True)
 class ServerSpec:
-    """The drawn parameters of one server.
+    """Parameters of one server.
 
     Attributes:
-        tier: index of its tier.
-        cell: the servers of a tier with the same cell share a deduplication table.
-        speed: speed of each core, as a factor of the reference core.
-        concurrency_limit: requests in progress at most, those that wait for the next tier included.
-        queue_limit: requests that wait for a slot at most; further ones are rejected.
+        tier: index of the tier.
+        cell: index of the cell; servers of one cell share a deduplication table.
+        speed: speed of each core, as a multiple of the reference core.
+        concurrency_limit: maximum number of requests in progress, including those that wait for the next tier.
+        queue_limit: maximum number of requests that wait for a slot; further ones are rejected.
         contention_factor: share by which each request in progress above `contention_threshold` lengthens all work.
-        warm_up_initial_share: share of its capacity that a started server has; it grows to 1 over `warm_up_ms`.
-        overload_factor: a warming server fails when it is sent more than this multiple of its capacity
-        overload_window_ms: in a window of this length,
-        overload_slack_ms: plus this much work, for chance.
+        warm_up_initial_share: share of its capacity that a server has at its start.
+        warm_up_ms: time over which the capacity grows to its full value.
+        slowdown: slowdown after overload; None if the server has none.
+        overload_factor: multiple of its capacity in `overload_window_ms` above which a warming server collapses.
+        overload_slack_ms: work by which a warming server may exceed that limit.
         pause_interval_ms: mean time between two pauses.
+        pause_ms: length of a pause with no request in progress.
         pause_growth: share by which a pause is longer when all slots are taken.
         error_rate: share of the requests that end with an error.
-        report_noise: coefficient of variation of the reported queue.
-        connection_overhead: share of the capacity that a full table of connections takes.
+        report_period_ms: time between two load reports.
+        report_delay_ms: time until a load report becomes visible.
+        report_noise: coefficient of variation of the reported queue length.
+        connection_overhead: share of the capacity that `max_connections` open connections take.
         handshake_work_ms: work for each new connection.
         health_check_work_ms: work for each health check.
     """
@@ -80,7 +85,7 @@
     health_check_work_ms: float = 0.0
 
     def warm_up_share(self, age_ms: float) -> float:
-        """Share of its capacity that a server of this age has, up to 1."""
+        """Return the share of its capacity that a server has at this age, from `warm_up_initial_share` to 1."""
         if age_ms >= self.warm_up_ms:
             return 1.0
         return self.warm_up_initial_share + (1.0 - self.warm_up_initial_share) * age_ms / self.warm_up_ms
