--- a/rosewheel/lab/server_model/jobs.py
+++ b/rosewheel/lab/server_model/jobs.py
@@ -1,4 +1,4 @@
-"""Jobs of a server, and the actions that its model returns."""
+"""Jobs of a server, and the actions that the model of the server returns."""
 
 from __future__ import annotations
 
@@ -9,34 +9,38 @@
 
 
 class JobStage(Enum):
-    """Where a job stands."""
+    """Stage of a job on its server."""
 
     QUEUED = "queued"
     RUNNING = "running"
-    AWAITING_CALL = "awaiting call"  # its slot is held while the next tier works
-    DUPLICATE = "duplicate"  # it repeats a key in progress and gets the response to the first job
+    AWAITING_CALL = "awaiting call"  # waits for the next tier and keeps its slot
+    DUPLICATE = "duplicate"  # has the key of a job in progress and gets the response to that one
     FINISHED = "finished"
 
 
 class JobResult(Enum):
-    """How a server answers a request. Values are those of records."""
+    """Result of a request at a server. The values are written to records."""
 
     SERVED = "served"
     ERROR = "error"
-    REJECTED = "turned away"  # it was not executed
+    REJECTED = "turned away"  # not executed
 
 
 @dataclass(slots=True, eq=False)
 class Job:
-    """A request at a server: segments of the server's own work, with a call to the next tier between each two.
+    """A request at a server.
+
+    Its work there consists of segments, with a call to the next tier after each but the last.
 
     Attributes:
+        segments_ms: work of each segment.
         key: deduplication key, if any.
-        dedup_window_ms: how long the cell remembers the key.
+        dedup_window_ms: how long the key is kept.
         sender_informed: whether discovery had notified the sender of this start of the server.
         segment: index of the current segment.
-        started: whether its work has begun, so that it may have had its effect.
-        dedup_entry: the entry of its key, for the first job with the key.
+        will_fail: whether the job ends with an error, drawn when it is admitted.
+        started: whether its work has begun, so that it may have had side effects.
+        dedup_entry: the entry of its key, if it is the first job with the key.
     """
 
     id: int
@@ -53,7 +57,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Reply:
-    """Send the response of a job."""
+    """Send the response to the request of a job."""
 
     job_id: int
     result: JobResult
@@ -61,10 +65,10 @@
 
 @dataclass(slots=True, frozen=True)
 class CallNextTier:
-    """Call the next tier for a job; the outcome is passed to `EmulatedServer.call_finished`.
+    """Call the next tier for a job. The outcome is passed to `EmulatedServer.call_finished`.
 
     Attributes:
-        call_number: number of the call among those of the job, from 0.
+        call_number: index of the call among the calls of the job.
     """
 
     job_id: int
@@ -73,17 +77,17 @@
 
 @dataclass(slots=True, frozen=True)
 class JobStarted:
-    """The work of a job has begun; from now on it may have its effect."""
+    """The work of a job has begun, so it may have side effects from now on."""
 
     job_id: int
 
 
 @dataclass(slots=True, frozen=True)
 class ServerCollapsed:
-    """A warming server has failed under more load than it bears.
+    """A warming server has failed because of overload.
 
     Attributes:
-        informed_share: share of that load from senders that had been notified of the server's start.
+        informed_share: share of the offered work that came from senders notified of this start of the server.
     """
 
     informed_share: float
