--- a/rosewheel/lab/server_model/processor.py
+++ b/rosewheel/lab/server_model/processor.py
@@ -1,8 +1,8 @@
-"""Processor sharing: jobs that share the cores of a server evenly.
+"""Processor sharing: all running jobs get an equal share of the cores of a server.
 
-Each running job gets the same rate, at most one core. So one number, the work that each running job has received
-since the beginning, stands for all of them, and a job ends when that number reaches the mark it was given at its
-start. An event costs O(log n), and a late look changes no end and no order.
+Every job is processed at the same rate, at most that of one core. One counter, the work done per job, therefore serves
+for all of them: a job ends when the counter reaches the value at its start plus its own work. An event costs O(log n).
+When `advance` is called affects neither the end times nor the order of jobs.
 """
 
 from __future__ import annotations
@@ -14,16 +14,16 @@
 
 from rosewheel.lab.server_model.jobs import Job
 
-ROUNDING_MS = 1e-6  # of the sums of late times
+ROUNDING_TOLERANCE_MS = 1e-6
 
 
 class RunningWork(NamedTuple):
-    """A segment of work on the cores, in order of its end.
+    """A running segment of work. Segments are ordered by their end.
 
     Attributes:
-        ends_at_work_ms: the work per job at which it ends.
-        sequence: order of the starts, for equal ends.
-        job: its job; None for the work of a health check.
+        ends_at_work_ms: value of the counter of work per job at which the segment ends.
+        sequence: number of the segment by start, which breaks ties.
+        job: the job of the segment; None for a health check.
     """
 
     ends_at_work_ms: float
@@ -35,8 +35,8 @@
     """The cores of a server and the work that runs on them.
 
     Attributes:
-        running: a heap by the end of the work.
-        work_done_ms: all work done so far.
+        running: heap of the running segments.
+        work_done_ms: total work done so far.
     """
 
     def __init__(self, cores: int) -> None:
@@ -44,12 +44,12 @@
         self.running: list[RunningWork] = []
         self.work_done_ms = 0.0
         self._work_per_job_ms = 0.0
-        self._rate = 0.0  # work per job and ms
+        self._rate = 0.0  # work per job and millisecond
         self._sequence = 0
 
     @property
     def waiting_for_core(self) -> int:
-        """Segments above the number of cores."""
+        """Number of running segments in excess of the cores."""
         return max(0, len(self.running) - self.cores)
 
     @property
@@ -58,33 +58,43 @@
         return min(1.0, len(self.running) / self.cores)
 
     def start(self, work_ms: float, job: Job | None) -> None:
-        """Put a segment of work on the cores."""
+        """Start a segment of work.
+
+        Args:
+            job: the job of the segment; None for a health check.
+        """
         self._sequence += 1
         heapq.heappush(self.running, RunningWork(self._work_per_job_ms + work_ms, self._sequence, job))
 
     def advance(self, elapsed_ms: float) -> None:
-        """Do the work of this time at the current rate."""
+        """Process the running segments for this time at the current rate."""
         if self.running:
             work_ms = self._rate * elapsed_ms
             self._work_per_job_ms += work_ms
             self.work_done_ms += work_ms * len(self.running)
 
     def set_capacity(self, capacity: float) -> None:
-        """Set the rate of each job by the work that all cores together do in a millisecond."""
+        """Set the rate per job.
+
+        Args:
+            capacity: work that all cores together do in a millisecond.
+        """
         core_share = min(1.0, self.cores / len(self.running)) if self.running else 0.0
         self._rate = capacity / self.cores * core_share
 
     def time_to_next_end_ms(self) -> float:
-        """Time until the next segment ends at the current rate; infinity where none runs."""
+        """Return the time until the next segment ends at the current rate; infinity if none runs."""
         if not self.running or self._rate <= 0.0:
             return math.inf
         return max(0.0, self.running[0].ends_at_work_ms - self._work_per_job_ms) / self._rate
 
     def pop_finished(self) -> Iterator[Job | None]:
-        """Remove the segments that have ended, in order, and give their jobs."""
-        while self.running and self.running[0].ends_at_work_ms <= self._work_per_job_ms + ROUNDING_MS:
+        """Remove the segments that have ended and yield their jobs in order of their end."""
+        while (
+            self.running and self.running[0].ends_at_work_ms <= self._work_per_job_ms + ROUNDING_TOLERANCE_MS
+        ):
             yield heapq.heappop(self.running).job
 
     def clear(self) -> None:
-        """Drop all work."""
+        """Remove all segments."""
         self.running.clear()
