--- a/rosewheel/lab/server_model/slowdown.py
+++ b/rosewheel/lab/server_model/slowdown.py
@@ -1,4 +1,4 @@
-"""When the lasting slowdown of an overloaded server begins and ends."""
+"""Tracks when the slowdown of an overloaded server begins and ends."""
 
 from __future__ import annotations
 
@@ -6,14 +6,14 @@
 
 from rosewheel.lab.server_model.spec import OverloadSlowdown, ServerSpec
 
-RECOVERY_POLL_MS = 50.0  # how often a slowed server checks whether it has been idle for long enough
+RECOVERY_POLL_MS = 50.0  # interval between two checks whether a slowed server has recovered
 
 
 class SlowdownTracker:
-    """The state of a server's slowdown.
+    """State of the overload slowdown of one server.
 
     Attributes:
-        slowed_since_ms: when the current slowdown began; None without one.
+        slowed_since_ms: when the current slowdown began; None if there is none.
     """
 
     def __init__(self, spec: ServerSpec) -> None:
@@ -24,13 +24,13 @@
 
     @property
     def factor(self) -> float:
-        """How many times slower the server is now."""
+        """Factor by which the server is slowed now; 1 if it is not."""
         if self.slowed_since_ms is None or self.parameters is None:
             return 1.0
         return self.parameters.factor
 
     def next_check_ms(self, now: float) -> float:
-        """When `update` has to be called next; infinity where nothing is due."""
+        """Return when `update` has to be called next; infinity if nothing is due."""
         if self.parameters is None:
             return math.inf
         if self.slowed_since_ms is not None:
@@ -40,7 +40,12 @@
         return math.inf
 
     def update(self, now: float, queue_length: int, busy_share: float) -> None:
-        """Begin or end the slowdown by the state of the server after an event."""
+        """Begin or end the slowdown after an event.
+
+        Args:
+            queue_length: requests that wait for a slot or a core.
+            busy_share: smoothed share of the cores in use.
+        """
         parameters = self.parameters
         if parameters is None:
             return
@@ -55,7 +60,8 @@
         elif self._overloaded_since_ms is None:
             self._overloaded_since_ms = now
         elif now >= self._overloaded_since_ms + parameters.trigger_ms:
-            # The same sum as in `next_check_ms`: another one may round to a moment that is never reached.
+            # The same sum as in `next_check_ms`. A difference could round to less than `trigger_ms` at the time
+            # of that check, which would then repeat without end.
             self.slowed_since_ms, self._idle_since_ms = now, None
 
     def _is_over(
