--- a/rosewheel/lab/server_model/__init__.py
+++ b/rosewheel/lab/server_model/__init__.py
@@ -1,6 +1,6 @@
-"""The model of one server: no sockets and no clock, (now, event) in, actions out.
+"""Model of one server, without I/O and without a clock: events with their times in, actions out.
 
-Work is measured in milliseconds of a reference core. All times are milliseconds of one clock that only advances.
+Work is measured in milliseconds of a reference core. All times are milliseconds of one monotonic clock.
 """
 
 from rosewheel.lab.server_model.dedup import DedupTable
--- a/rosewheel/lab/server_model/dedup.py
+++ b/rosewheel/lab/server_model/dedup.py
@@ -1,4 +1,4 @@
-"""The keys of requests that the servers of one cell remember together."""
+"""Deduplication of requests by key, shared by the servers of one cell."""
 
 from __future__ import annotations
 
@@ -8,11 +8,12 @@
 
 @dataclass(slots=True)
 class DedupEntry:
-    """A remembered key.
+    """State of a deduplication key.
 
     Attributes:
+        expires_at_ms: when the key is removed.
         served: whether the first request with the key has been served; until then it is in progress.
-        duplicate_jobs: jobs that wait for the response to the first request.
+        duplicate_jobs: ids of the jobs that wait for the response to the first request.
     """
 
     expires_at_ms: float
@@ -21,14 +22,14 @@
 
 
 class DedupTable:
-    """Remembered keys; each expires by itself."""
+    """Deduplication entries by key. Each expires at a time of its own."""
 
     def __init__(self) -> None:
         self.entries: dict[str, DedupEntry] = {}
         self._expirations: deque[tuple[float, str]] = deque()
 
     def find(self, now: float, key: str) -> DedupEntry | None:
-        """The entry of a key, after removal of expired ones."""
+        """Remove expired entries and return the entry of a key."""
         while self._expirations and self._expirations[0][0] <= now:
             expires_at_ms, expired_key = self._expirations.popleft()
             entry = self.entries.get(expired_key)
@@ -37,12 +38,12 @@
         return self.entries.get(key)
 
     def add(self, key: str, expires_at_ms: float) -> DedupEntry:
-        """Remember a key."""
+        """Add an entry for a key."""
         self.entries[key] = entry = DedupEntry(expires_at_ms)
         self._expirations.append((expires_at_ms, key))
         return entry
 
     def remove(self, key: str, entry: DedupEntry) -> None:
-        """Forget this entry; a later entry under the same key stays."""
+        """Remove an entry, unless a later one has replaced it under the same key."""
         if self.entries.get(key) is entry:
             del self.entries[key]
--- a/rosewheel/lab/server_model/load_report.py
+++ b/rosewheel/lab/server_model/load_report.py
@@ -1,4 +1,4 @@
-"""The queue length that a server reports: refreshed periodically, late, and noisy."""
+"""Load reports of a server: its queue length, sampled periodically, with noise and a delay."""
 
 from __future__ import annotations
 
@@ -10,19 +10,23 @@
 from rosewheel.lab.random_streams import lognormal_factor
 from rosewheel.lab.server_model.spec import ServerSpec
 
-MAX_BACKLOG_PERIODS = 10.0  # after a longer time without events one report is as good as hundreds
+MAX_BACKLOG_PERIODS = 10.0  # further reports that are overdue are skipped
 
 
 class LoadReporter:
-    """Reports of one server; each becomes visible after a delay."""
+    """Makes the load reports of one server, each of which becomes visible after a delay."""
 
     def __init__(self, spec: ServerSpec, rng: np.random.Generator, now: float) -> None:
         self.spec, self.rng = spec, rng
-        self._reports: deque[tuple[float, float]] = deque([(-math.inf, 0.0)])  # visible from, value
+        self._reports: deque[tuple[float, float]] = deque([(-math.inf, 0.0)])  # (visible from, queue length)
         self._next_ms = now
 
     def refresh(self, now: float, queue_length: int) -> None:
-        """Make the reports that are due. The queue has had this length since the last call."""
+        """Make the reports that are due.
+
+        Args:
+            queue_length: length of the queue since the last call.
+        """
         spec = self.spec
         while self._next_ms <= now:
             noise = lognormal_factor(self.rng, spec.report_noise)
@@ -32,7 +36,7 @@
                 self._next_ms = now
 
     def visible_queue(self, now: float) -> float:
-        """The latest visible report."""
+        """Return the queue length of the latest visible report."""
         while len(self._reports) > 1 and self._reports[1][0] <= now:
             self._reports.popleft()
         return self._reports[0][1]
--- a/rosewheel/lab/server_model/pauses.py
+++ b/rosewheel/lab/server_model/pauses.py
@@ -1,4 +1,4 @@
-"""Pauses of a server, as of a garbage collector: nothing runs until they are over."""
+"""Stop-the-world pauses of a server, such as those of a garbage collector."""
 
 from __future__ import annotations
 
@@ -10,10 +10,10 @@
 
 
 class PauseSchedule:
-    """Pauses at exponentially distributed intervals; longer ones while more requests are in progress.
+    """Pauses at exponentially distributed intervals, whose length grows with the requests in progress.
 
     Attributes:
-        paused: whether a pause is on.
+        paused: whether the server is paused.
         next_change_ms: when the next pause begins, or the current one ends.
     """
 
@@ -23,7 +23,7 @@
         self.next_change_ms = now + self._draw_interval_ms()
 
     def update(self, now: float, in_progress: int) -> None:
-        """Begin or end a pause that is due."""
+        """Begin or end a pause if that is due."""
         if now < self.next_change_ms:
             return
         if self.paused:
