--- a/rosewheel/lab/simulation/__init__.py
+++ b/rosewheel/lab/simulation/__init__.py
@@ -1,1 +1,1 @@
-"""The lab in virtual time: the same scenarios, models and nodes, driven by one queue of events, without sockets."""
+"""Discrete-event simulation of scenarios: the same server models and nodes as in the emulator, without sockets."""
--- a/rosewheel/lab/simulation/topology.py
+++ b/rosewheel/lab/simulation/topology.py
@@ -1,24 +1,24 @@
-"""Zones and regions of a simulated run: delays between two places, and partitions."""
+"""Network between the zones and regions of a simulated run: delays and partitions."""
 
 from __future__ import annotations
 
 from rosewheel.lab.scenario import Scenario
 
-# One way, with the work of both its ends: a request through an idle node on loopback takes under a millisecond more
-# than at the server alone, there and back over two connections.
-ONE_WAY_MS = 0.2
+ONE_WAY_MS = 0.2  # base delay of every message, including processing at both ends
 
 
 class Topology:
-    """Zones by their names; a scenario without regions has one."""
+    """Delays and partitions between zones. A scenario without regions counts as one region."""
 
     def __init__(self, scenario: Scenario) -> None:
         self.network = scenario.network
         self._region = {zone: region.name for region in scenario.regions for zone in region.zones}
-        self._isolated: dict[int, frozenset[str]] = {}  # by fault: zones that are cut off together
+        self._isolated: dict[
+            int, frozenset[str]
+        ] = {}  # zones that each fault cuts off, by index of the fault
 
     def one_way_ms(self, source: str, destination: str) -> float:
-        """The delay from one zone to another, with the work of both ends."""
+        """Return the delay from one zone to another, including processing at both ends."""
         network = self.network
         if source == destination:
             return ONE_WAY_MS + network.within_zone_ms
@@ -26,15 +26,19 @@
         return ONE_WAY_MS + (network.between_zones_ms if same_region else network.between_regions_ms)
 
     def separated(self, zone: str, other: str) -> bool:
-        """Whether a partition lies between two zones."""
+        """Return whether a partition separates two zones."""
         return zone != other and any(
             (zone in isolated) is not (other in isolated) for isolated in self._isolated.values()
         )
 
     def isolate(self, fault: int, zones: frozenset[str]) -> None:
-        """Separate these zones from all others until `heal`."""
+        """Partition zones from all others until `heal`.
+
+        Args:
+            fault: index of the fault in the scenario.
+        """
         self._isolated[fault] = zones
 
     def heal(self, fault: int) -> None:
-        """End the partition of this fault."""
+        """End the partition of a fault."""
         self._isolated.pop(fault, None)
