--- a/rosewheel/lab/simulation/connection_pools.py
+++ b/rosewheel/lab/simulation/connection_pools.py
@@ -1,7 +1,7 @@
-"""The connections of a simulated node to the servers of its tier.
+"""Connections of a simulated node to the servers of its tier.
 
-What the program's HTTP side does is done here in the same order and with the same limits: the connection used last is
-used first, idle connections time out, and a limit of sockets holds.
+Models the connection pool of `rosewheel.http` with the same order of operations and the same limits: the most recently
+used connection is reused first, idle connections time out, and the number of sockets is limited.
 """
 
 from __future__ import annotations
@@ -26,8 +26,10 @@
     """Connections to one server.
 
     Attributes:
-        accepts_requests: the server is up by the endpoint list.
-        idle: the connection used last is at the end.
+        accepts_requests: whether the endpoint list has the server as up.
+        launched_ms: start of the server by the endpoint list; None if it ran from the beginning.
+        last_response_ms: when the last response was received.
+        idle: idle connections, the most recently used at the end.
     """
 
     accepts_requests: bool
@@ -40,10 +42,12 @@
     """All connections of one node.
 
     Attributes:
-        by_server: the pool of each server of the endpoint list.
-        idle: idle connections of all pools, the longest idle first.
+        by_server: pool of each server in the endpoint list.
+        idle: idle connections of all pools, the least recently used first.
         open: all open connections.
-        connecting: connections that are being opened.
+        connecting: number of connections that are being opened.
+        max_connections: limit of open connections.
+        max_idle_per_server: limit of idle connections to one server.
     """
 
     def __init__(self, queue: EventQueue, limits: Limits, large_fleet: bool) -> None:
@@ -57,11 +61,11 @@
         self.idle_timeout = IdleTimeout(limits.idle_timeout_ms / 1000.0, large_fleet)
 
     def update(self, form: EndpointListForm, servers: Iterable[Server]) -> None:
-        """Follow the endpoint list: close connections to servers that drain, are gone, or were started again."""
+        """Apply an endpoint list. Idle connections to draining, removed and restarted servers are closed."""
         if form is not EndpointListForm.DELTA:
             listed = {server.address for server in servers}
             for address in [address for address in self.by_server if address not in listed]:
-                self.retire(self.by_server.pop(address))
+                self.close_idle(self.by_server.pop(address))
         for server in servers:
             if server.state is ServerState.REMOVED:
                 self._remove(server.address)
@@ -72,7 +76,7 @@
         pool = self.by_server.pop(address, None)
         if pool is not None:
             pool.accepts_requests = False
-            self.retire(pool)
+            self.close_idle(pool)
 
     def _update_server(self, server: Server) -> None:
         up = server.state is ServerState.UP
@@ -81,55 +85,58 @@
             self.by_server[server.address] = ConnectionPool(up, server.launched_ms)
             return
         if not up or pool.launched_ms != server.launched_ms:
-            self.retire(pool)
+            self.close_idle(pool)
         pool.accepts_requests, pool.launched_ms = up, server.launched_ms
 
     def take_idle(self, pool: ConnectionPool | None) -> Connection | None:
-        """The connection used last among those that have settled since their last response."""
+        """Take the most recently used connection that has been idle for `REUSE_QUIET_PERIOD_S`, if any."""
         if pool is None or not pool.accepts_requests:
             return None
-        settled_ms = self.queue.now - REUSE_QUIET_PERIOD_S * 1000.0
+        quiet_since_ms = self.queue.now - REUSE_QUIET_PERIOD_S * 1000.0
         for connection in reversed(pool.idle):
-            if connection.idle_since <= settled_ms:
+            if connection.idle_since_ms <= quiet_since_ms:
                 pool.idle.remove(connection)
                 del self.idle[connection]
                 return connection
         return None
 
     def reserve_slot(self) -> bool:
-        """Whether one more connection may be opened; closes the longest idle one where the limit is reached."""
+        """Return whether another connection may be opened.
+
+        At the limit, the least recently used idle connection is closed to make room.
+        """
         if len(self.open) + self.connecting < self.max_connections:
             return True
-        longest_idle = next(iter(self.idle), None)
-        if longest_idle is None:
+        least_recently_used = next(iter(self.idle), None)
+        if least_recently_used is None:
             return False
-        self.by_server[longest_idle.host.spec.name].idle.remove(longest_idle)
-        self.close(longest_idle)
+        self.by_server[least_recently_used.host.spec.name].idle.remove(least_recently_used)
+        self.close(least_recently_used)
         return True
 
     def release(self, connection: Connection, keep_open: bool) -> None:
-        """A response has been received: keep the connection for later, or close it."""
+        """Make a connection idle after a response, or close it."""
         pool = self.by_server.get(connection.host.spec.name)
         if pool is not None:
             pool.last_response_ms = self.queue.now
         if not keep_open or connection.reset_by_host or pool is None or not pool.accepts_requests:
             self.close(connection)
             return
-        connection.idle_since = self.queue.now
+        connection.idle_since_ms = self.queue.now
         pool.idle.append(connection)
         self.idle[connection] = None
         if len(pool.idle) > self.max_idle_per_server:
             self.close(pool.idle.pop(0))
 
     def discard(self, connection: Connection) -> None:
-        """Close a connection that the server has reset."""
+        """Remove a connection that the server has reset."""
         pool = self.by_server.get(connection.host.spec.name)
         if pool is not None and connection in pool.idle:
             pool.idle.remove(connection)
         self.close(connection)
 
     def close(self, connection: Connection) -> None:
-        """Close a connection; the server learns of it one delay later."""
+        """Close a connection. The server is notified one network delay later."""
         if connection.closed_by_node:
             return
         connection.closed_by_node = True
@@ -138,21 +145,21 @@
         if not connection.reset_by_host:
             self.queue.call_later(connection.one_way_ms, connection.host.connection_closed, connection)
 
-    def retire(self, pool: ConnectionPool) -> None:
-        """Close the idle connections of a pool."""
+    def close_idle(self, pool: ConnectionPool) -> None:
+        """Close all idle connections of a pool."""
         idle, pool.idle = pool.idle, []
         for connection in idle:
             self.close(connection)
 
     def sweep(self) -> None:
-        """Close connections that have been idle for too long."""
+        """Close connections that have exceeded the idle timeout."""
         self.idle_timeout.relax(self.queue.now / 1000.0)
-        oldest_ms = self.queue.now - self.idle_timeout.close_after_s * 1000.0
-        while self.idle and (connection := next(iter(self.idle))).idle_since <= oldest_ms:
+        expired_before_ms = self.queue.now - self.idle_timeout.close_after_s * 1000.0
+        while self.idle and (connection := next(iter(self.idle))).idle_since_ms <= expired_before_ms:
             self.by_server[connection.host.spec.name].idle.remove(connection)
             self.close(connection)
 
     def close_all(self) -> None:
-        """Close every connection."""
+        """Close all connections."""
         for connection in list(self.open):
             self.close(connection)
--- a/rosewheel/lab/simulation/network.py
+++ b/rosewheel/lab/simulation/network.py
@@ -1,7 +1,6 @@
-"""Connections, attempts and requests of a simulated run, as the parts hand them to each other.
+"""Connections, attempts and requests that nodes and server hosts of a simulated run exchange.
 
-A connection is opened by a node to a server. The node knows what it sends and receives, the server's host whether the
-connection still stands. Either may end it, and the other learns of that one delay later.
+A node opens a connection to a server. Either side may close it; the other side is notified one network delay later.
 """
 
 from __future__ import annotations
@@ -21,13 +20,15 @@
 
 @dataclass(slots=True, eq=False)
 class NodeRequest:
-    """A request at a node.
+    """A request that a client or server sends to a node.
 
     Attributes:
-        operation_id: identity of the client's operation, or of the call of a server.
-        timeout_ms: how long the sender waits.
+        operation_id: id of the client operation, or of the call of a server.
+        work_ms: work over all tiers.
+        dedup_key: key by which servers detect duplicates, if the class is idempotent with a key.
+        timeout_ms: time that the sender waits for the response.
         on_done: called with the outcome.
-        abandoned: the sender has closed its connection.
+        abandoned: whether the sender has closed its connection.
     """
 
     request_id: str
@@ -41,19 +42,19 @@
 
 
 class ConnectionHost(Protocol):
-    """The server's end of a connection."""
+    """Server side of a connection."""
 
     spec: ServerSpec
 
     def receive(self, connection: Connection, attempt: Attempt) -> None:
-        """An attempt has been received."""
+        """Process an attempt that has been received."""
 
     def connection_closed(self, connection: Connection) -> None:
-        """The node has closed the connection."""
+        """Process that the node has closed the connection."""
 
 
 class ConnectionNode(Protocol):
-    """The node's end of a connection."""
+    """Node side of a connection."""
 
     name: str
     zone: str
@@ -61,43 +62,45 @@
     def attempt_answered(
         self, attempt: Attempt, result: AttemptResult, report: LoadReport | None, keep_open: bool
     ) -> None:
-        """A response has been received, or the connection has ended in its place."""
+        """Process a response, or the end of the connection in place of one."""
 
     def connection_reset(self, connection: Connection) -> None:
-        """The server has reset the connection."""
+        """Process that the server has reset the connection."""
 
 
 @dataclass(slots=True, eq=False)
 class Connection:
-    """An open connection.
+    """A connection from a node to a server.
 
     Attributes:
-        idle_since: when its last response was received.
-        silent: a fault: whatever is sent, nothing is answered.
-        use_count: requests so far.
-        one_way_ms: delay from one end to the other.
-        attempt: the attempt in flight on it.
+        idle_since_ms: when the last response was received.
+        silent: whether everything sent on the connection is lost, by a fault.
+        fault: the injected fault that affects the connection, if any.
+        request_count: number of requests sent so far.
+        one_way_ms: delay from one side to the other.
+        attempt: the attempt in flight, if any.
     """
 
     host: ConnectionHost
     node: ConnectionNode
-    idle_since: float = 0.0
+    idle_since_ms: float = 0.0
     closed_by_node: bool = False
     reset_by_host: bool = False
     silent: bool = False
     fault: ConnectionFault | None = None
-    use_count: int = 0
+    request_count: int = 0
     one_way_ms: float = ONE_WAY_MS
     attempt: Attempt | None = None
 
 
 @dataclass(slots=True, eq=False)
 class Attempt:
-    """An attempt of a node in flight.
+    """An attempt of a node to have a request served.
 
     Attributes:
+        number: number of the attempt within its request.
         connection: None while the connection is being opened.
-        finished: it has ended, or its node has abandoned it.
+        finished: whether the attempt has ended or was cancelled.
     """
 
     request: NodeRequest
--- a/rosewheel/lab/simulation/node.py
+++ b/rosewheel/lab/simulation/node.py
@@ -1,4 +1,4 @@
-"""A node of a simulated run: the program's request handling and policy, with simulated connections."""
+"""A node process in a simulated run: the production request handling and policy over simulated connections."""
 
 from __future__ import annotations
 
@@ -31,28 +31,29 @@
 
 
 class NodeEnvironment(Protocol):
-    """What a node needs of the rest of the simulation."""
+    """Environment of a node: servers, network and event queue."""
 
     queue: EventQueue
     topology: Topology
 
     @property
     def hosts(self) -> Mapping[str, SimulatedServerHost]:
-        """All servers by name."""
+        """Hosts of all servers, by name."""
 
     def attempt_finished(self, node: SimulatedNode, result: AttemptResult) -> None:
-        """An attempt has ended, as its node sees it."""
+        """Count the result of an attempt."""
 
 
 class SimulatedNode:
     """One process of a node.
 
     Attributes:
-        node: the program's own request handling.
-        requests: requests in progress by id.
-        attempts: attempts in flight by request and number.
+        tier: index of the tier to which it sends.
+        node: the production request handling.
+        requests: requests in progress, by id.
+        attempts: attempts in flight, by id of the request and number of the attempt.
         pools: connections to servers.
-        dead: the process was killed.
+        dead: whether the process was killed.
     """
 
     def __init__(
@@ -77,7 +78,7 @@
     # ----------------------------------------------------------------- clients
 
     def submit(self, request: NodeRequest) -> None:
-        """A client has sent the last byte of a request."""
+        """Send a request to the node, which receives it one delay later."""
         self.queue.call_later(ONE_WAY_MS, self._receive, request)
 
     def _receive(self, request: NodeRequest) -> None:
@@ -93,7 +94,7 @@
         self.apply(self.node.receive_request(self.queue.now, received))
 
     def abandon(self, request: NodeRequest) -> None:
-        """The client has closed the connection of a request."""
+        """Abandon a request, whose sender closes its connection to the node."""
         request.abandoned = True
         self.queue.call_later(ONE_WAY_MS, self._client_disconnected, request)
 
@@ -105,7 +106,7 @@
     # --------------------------------------------------------------- discovery
 
     def receive_endpoint_list(self, form: EndpointListForm, servers: tuple[Server, ...]) -> None:
-        """Discovery has sent the endpoint list or changes of it."""
+        """Apply an endpoint list, or changes to it, from discovery."""
         if self.dead:
             return
         self.pools.update(form, servers)
@@ -114,7 +115,7 @@
     # ---------------------------------------------------------------- attempts
 
     def apply(self, effects: list[NodeEffect]) -> None:
-        """Carry out what the node's request handling returned, and schedule its next moment."""
+        """Carry out the effects that the request handling has returned, and schedule its next timer."""
         for effect in effects:
             match effect:
                 case StartAttempt():
@@ -122,11 +123,11 @@
                 case AbortAttempt():
                     self._cancel_attempt(effect.id, effect.attempt)
                 case SendResponse():
-                    self._answer(effect)
+                    self._respond(effect)
                 case StartHealthCheck():
                     self._start_health_check(effect.server)
                 case OpenEndpointWatch():
-                    pass  # the agent of discovery keeps the watch
+                    pass  # `SimulatedAgent` keeps the watch open
         due_ms = self.node.next_timer_ms()
         if due_ms is not None and due_ms < self._armed_ms:
             self._armed_ms = due_ms
@@ -138,20 +139,20 @@
         self._armed_ms = math.inf
         self.apply(self.node.tick(self.queue.now))
 
-    def _answer(self, answer: SendResponse) -> None:
-        request = self.requests.pop(answer.id, None)
+    def _respond(self, response: SendResponse) -> None:
+        request = self.requests.pop(response.id, None)
         if request is None or request.abandoned:
             return
-        # To the millisecond, as the program writes it.
-        retry_after_s = round(answer.retry_after_ms / 1000.0, 3) if answer.retry_after_ms > 0.0 else None
-        outcome = AttemptOutcome(answer.status, retry_after_s=retry_after_s)
+        # Rounded to the millisecond, like the response header.
+        retry_after_s = round(response.retry_after_ms / 1000.0, 3) if response.retry_after_ms > 0.0 else None
+        outcome = AttemptOutcome(response.status, retry_after_s=retry_after_s)
         self.queue.call_later(ONE_WAY_MS, request.on_done, outcome)
 
     def _start_attempt(self, effect: StartAttempt) -> None:
         request = self.requests.get(effect.id)
         if request is None:
             cancelled = AttemptResult.CANCELLED
-            self.queue.call_later(0.0, self._pass_on_result, effect.id, effect.attempt, cancelled, None)
+            self.queue.call_later(0.0, self._forward_result, effect.id, effect.attempt, cancelled, None)
             return
         attempt = Attempt(request, effect.attempt, effect.timeout_ms, self.queue.now)
         self.attempts[effect.id, effect.attempt] = attempt
@@ -168,7 +169,7 @@
             self.queue.call_later(0.0, self._connect_failed, attempt)
             return
         self.pools.connecting += 1
-        unreachable = host.isolated or self._separated(host)
+        unreachable = host.isolated or self._is_partitioned_from(host)
         delay_ms = self.limits.connect_timeout_ms if unreachable else 2.0 * self._one_way_ms(host)
         self.queue.call_later(delay_ms, self._connected, server, pool, host, attempt)
 
@@ -178,8 +179,8 @@
         self.pools.connecting -= 1
         if self.dead or attempt.finished:
             return
-        # The server may have left the list, or moved, while the connection was opened.
-        reachable = not host.isolated and host.listening and not self._separated(host)
+        # The server may have been removed from the list or started again while the connection was opened.
+        reachable = not host.isolated and host.listening and not self._is_partitioned_from(host)
         same_pool = self.pools.by_server.get(server) is pool
         if not reachable or not same_pool or not pool.accepts_requests:
             self._connect_failed(attempt)
@@ -196,24 +197,24 @@
     def _send(self, connection: Connection, attempt: Attempt) -> None:
         self.node.statistics.count_attempt()
         connection.attempt, attempt.connection = attempt, connection
-        connection.use_count += 1
+        connection.request_count += 1
         self.queue.call_later(connection.one_way_ms, connection.host.receive, connection, attempt)
 
     def attempt_answered(
         self, attempt: Attempt, result: AttemptResult, report: LoadReport | None, keep_open: bool
     ) -> None:
-        """A response has been received, or the connection has ended in its place."""
+        """Process a response, or the end of the connection in place of one."""
         connection = attempt.connection
         if self.dead or attempt.finished or connection is None:
             return
         connection.attempt = None
-        if result is AttemptResult.OVERLOADED and connection.use_count == 1:
+        if result is AttemptResult.OVERLOADED and connection.request_count == 1:
             self.pools.idle_timeout.new_connection_rejected(self.queue.now / 1000.0)
         self.pools.release(connection, keep_open)
         self._finish(attempt, result, report)
 
     def connection_reset(self, connection: Connection) -> None:
-        """The server has reset a connection."""
+        """Process that a server has reset a connection."""
         if self.dead or connection.closed_by_node:
             return
         self.pools.discard(connection)
@@ -226,30 +227,30 @@
         request_id = attempt.request.request_id
         del self.attempts[request_id, attempt.number]
         self.environment.attempt_finished(self, result)
-        self._pass_on_result(request_id, attempt.number, result, report)
+        self._forward_result(request_id, attempt.number, result, report)
 
-    def _pass_on_result(
+    def _forward_result(
         self, request_id: str, number: int, result: AttemptResult, report: LoadReport | None
     ) -> None:
         if not self.dead:
             self.apply(self.node.attempt_finished(self.queue.now, request_id, number, result, report))
 
     def _cancel_attempt(self, request_id: str, number: int) -> None:
-        """Cancel an attempt by closing its connection."""
+        """Cancel an attempt and close its connection."""
         attempt = self.attempts.pop((request_id, number), None)
         if attempt is None or attempt.finished:
             return
         attempt.finished = True
         self.environment.attempt_finished(self, AttemptResult.CANCELLED)
         connection = attempt.connection
-        if connection is None:  # it is still being opened
+        if connection is None:  # still being opened
             return
         connection.attempt = None
         pool = self.pools.by_server.get(connection.host.spec.name)
         self.pools.close(connection)
         silent_since_ms = self.queue.now - UNRESPONSIVE_AFTER_S * 1000.0
         if pool is not None and pool.last_response_ms <= attempt.started_ms <= silent_since_ms:
-            self.pools.retire(pool)  # as the program does: the machine may be unreachable
+            self.pools.close_idle(pool)  # the machine may be unreachable
 
     def _sweep(self) -> None:
         if not self.dead:
@@ -266,7 +267,7 @@
         host = self.environment.hosts.get(server)
         result, report = AttemptResult.CONNECT_FAILED, None
         delay_ms = self._delay_to(host)
-        if host is not None and (host.isolated or self._separated(host)):
+        if host is not None and (host.isolated or self._is_partitioned_from(host)):
             result, delay_ms = AttemptResult.TIMEOUT, self.limits.health_check_timeout_ms
         elif host is not None and host.listening:
             result, report = host.check_health()
@@ -279,7 +280,7 @@
             elapsed_ms = self.queue.now - started_ms
             self.apply(self.node.health_check_finished(self.queue.now, server, result, elapsed_ms, report))
 
-    # ---------------------------------------------------------------- distance
+    # ----------------------------------------------------------------- network
 
     def _one_way_ms(self, host: SimulatedServerHost) -> float:
         return self.environment.topology.one_way_ms(self.zone, host.spec.zone)
@@ -287,17 +288,21 @@
     def _delay_to(self, host: SimulatedServerHost | None) -> float:
         return ONE_WAY_MS if host is None else self._one_way_ms(host)
 
-    def _separated(self, host: SimulatedServerHost) -> bool:
+    def _is_partitioned_from(self, host: SimulatedServerHost) -> bool:
         return self.environment.topology.separated(self.zone, host.spec.zone)
 
-    # ------------------------------------------------------------ life and end
+    # ----------------------------------------------------------------- process
 
     def restore(self, learned: LearnedState, age_ms: float) -> None:
-        """Restore the learned state of an earlier process."""
+        """Restore the learned state of an earlier process.
+
+        Args:
+            age_ms: time since that state was saved.
+        """
         self.node.restore_learned_state(self.queue.now, learned, age_ms)
 
     def kill(self) -> None:
-        """Kill the process: the connections of its clients and its own end with it."""
+        """Kill the process. The connections of its clients and those to servers are closed."""
         self.dead = True
         for request in self.requests.values():
             if not request.abandoned:
--- a/rosewheel/lab/simulation/requests.py
+++ b/rosewheel/lab/simulation/requests.py
@@ -118,7 +118,7 @@
         spec, table = host.spec, self._classes[request.class_name]
         parameters = self._parameters[request.class_name]
         segments_ms = work_segments(self.plan, spec, parameters, request.work_ms, self._noise, call_count)
-        if connection.use_count == 1:
+        if connection.request_count == 1:
             segments_ms = (segments_ms[0] + spec.handshake_work_ms, *segments_ms[1:])
         self._last_job_id += 1
         self.received[spec.tier] += 1
