--- a/rosewheel/lab/simulation/host.py
+++ b/rosewheel/lab/simulation/host.py
@@ -1,4 +1,4 @@
-"""A server of a simulated run: the model of `server_model` with its connections and faults, without a socket."""
+"""Host of a simulated server: connects the model of `server_model` to simulated connections and faults."""
 
 from __future__ import annotations
 
@@ -25,11 +25,13 @@
 
 @dataclass(slots=True, eq=False)
 class SimulatedWork:
-    """A request that a server works on.
+    """A request in progress at a server.
 
     Attributes:
-        client_connected: False once its node has closed the connection.
-        call_targets: the tiers that it calls, in order of the calls.
+        received_ms: when its last byte was received.
+        deadline_ms: when the attempt of the node times out.
+        client_connected: False once the connection is closed or reset.
+        call_targets: indices of the tiers to call, in order of the calls.
     """
 
     host: SimulatedServerHost
@@ -43,26 +45,27 @@
 
 
 class HostOwner(Protocol):
-    """What hosts need of the rest of the simulation."""
+    """Handler of the requests of hosts and of the actions of their models."""
 
     def accept_request(
         self, host: SimulatedServerHost, connection: Connection, attempt: Attempt
     ) -> SimulatedWork:
-        """The work of a request."""
+        """Create the work of a received request."""
 
     def apply_actions(self, host: SimulatedServerHost, actions: list[Action]) -> None:
-        """Carry out what the model of the host returned."""
+        """Carry out the actions that the model of a host has returned."""
 
 
 class SimulatedServerHost:
-    """One server.
+    """Host of one simulated server, which survives restarts of the server process.
 
     Attributes:
-        reports: whether responses carry the load report.
+        reports: whether responses carry a load report.
+        model: model of the current process.
         listening: whether connections are accepted.
-        isolated: the machine is cut off from the network.
-        connections: in order of their opening, with the request in progress on each.
-        work: requests in progress by job.
+        isolated: whether the machine is cut off from the network.
+        connections: open connections in the order of their opening, with the request in progress on each.
+        work: requests in progress, by id of the job.
     """
 
     def __init__(
@@ -84,15 +87,15 @@
         self.work: dict[int, SimulatedWork] = {}
         self._faults = ConnectionFaults()
         self._started_ms = queue.now
-        self._earlier_uptime_ms = 0.0
-        self._earlier_work_ms = 0.0  # of the processes before this one
-        self._armed_ms = math.inf  # when the queue calls `_tick`
-        self._due_ms = self.model.next_due_ms()  # as of the model's last event
+        self._earlier_uptime_ms = 0.0  # of previous processes
+        self._earlier_work_ms = 0.0  # of previous processes
+        self._armed_ms = math.inf  # time of the scheduled `_tick`
+        self._due_ms = self.model.next_due_ms()  # as of the last event of the model
 
     # ----------------------------------------------------------- connections
 
     def connection_opened(self, connection: Connection) -> None:
-        """A node has opened a connection."""
+        """Add a connection that a node has opened."""
         self.connections[connection] = None
         connection.silent = self.isolated
         self._faults.affect_new(connection)
@@ -101,28 +104,28 @@
         self.arm()
 
     def connection_closed(self, connection: Connection) -> None:
-        """A node has closed a connection, or is gone. A cancelled request or one past its timeout stops no work."""
+        """Remove a connection that a node has closed. Work on a request in progress on it continues."""
         if connection not in self.connections:
             return
-        self._remove(connection)
+        self._remove_connection(connection)
         self.catch_up(self.queue.now)
         self.model.disconnect(self.queue.now)
         self.arm()
 
-    def _remove(self, connection: Connection) -> None:
+    def _remove_connection(self, connection: Connection) -> None:
         work = self.connections.pop(connection)
         if work is not None:
             work.client_connected = False
 
     def receive(self, connection: Connection, attempt: Attempt) -> None:
-        """An attempt has been received."""
+        """Process an attempt received on a connection."""
         if connection.reset_by_host or connection.silent or connection not in self.connections:
             return
         if connection.fault is not None and connection.fault.kind is ConnectionFaultKind.RESET:
             self.reset_connection(connection)
             return
         if self.model.connection_count > self.spec.max_connections:
-            self._answer(connection, attempt, AttemptResult.OVERLOADED, keep_open=False)
+            self._respond(connection, attempt, AttemptResult.OVERLOADED, keep_open=False)
             return
         work = self.owner.accept_request(self, connection, attempt)
         self.connections[connection] = self.work[work.job.id] = work
@@ -131,7 +134,7 @@
         self.arm()
 
     def reply(self, work: SimulatedWork, result: JobResult) -> None:
-        """Send the response of a request, as the fault of its connection has it."""
+        """Send the response to a request, subject to the fault of its connection."""
         connection = work.connection
         if self.connections.get(connection) is work:
             self.connections[connection] = None
@@ -139,13 +142,13 @@
             return
         fault, attempt_result = connection.fault, ATTEMPT_RESULTS[result]
         if fault is not None and fault.kind is ConnectionFaultKind.DELAY:
-            self.queue.call_later(fault.delay_ms, self._answer, connection, work.attempt, attempt_result)
+            self.queue.call_later(fault.delay_ms, self._respond, connection, work.attempt, attempt_result)
         elif fault is not None and fault.kind in BROKEN_RESPONSES:
-            self._answer(connection, work.attempt, AttemptResult.RESET, keep_open=False)
+            self._respond(connection, work.attempt, AttemptResult.RESET, keep_open=False)
         else:
-            self._answer(connection, work.attempt, attempt_result)
+            self._respond(connection, work.attempt, attempt_result)
 
-    def _answer(
+    def _respond(
         self, connection: Connection, attempt: Attempt, result: AttemptResult, keep_open: bool = True
     ) -> None:
         if connection.reset_by_host or connection.silent:
@@ -157,7 +160,7 @@
         )
 
     def check_health(self) -> tuple[AttemptResult, LoadReport | None]:
-        """The result of a health check."""
+        """Process a health check and return its result and the load report."""
         self.catch_up(self.queue.now)
         up = self.model.check_health(self.queue.now)
         self.arm()
@@ -172,7 +175,7 @@
         """Reset a connection."""
         if connection not in self.connections:
             return
-        self._remove(connection)
+        self._remove_connection(connection)
         connection.reset_by_host = True
         self.model.disconnect(self.queue.now)
         self.queue.call_later(connection.one_way_ms, connection.node.connection_reset, connection)
@@ -180,40 +183,40 @@
     # ----------------------------------------------------------------- faults
 
     def begin_fault(self, number: int, fault: ConnectionFault) -> None:
-        """Affect a share of the connections from now on, the open ones included."""
+        """Affect a share of the open connections and of those opened until `end_fault`."""
         self._faults.begin(number, fault, self.connections)
 
     def end_fault(self, number: int) -> None:
-        """Affect new connections no longer."""
+        """Stop affecting new connections. Those already affected remain so."""
         self._faults.end(number)
 
     def isolate(self) -> None:
-        """Cut the machine off: open connections fall silent, new ones never open."""
+        """Cut the machine off from the network. Nothing is received on open connections, and no new ones open."""
         self.isolated = True
         for connection in self.connections:
             connection.silent = True
 
     def rejoin(self) -> None:
-        """End the isolation; connections from before it are reset."""
+        """Reconnect the machine to the network. Connections from before the isolation are reset."""
         self.isolated = False
         for connection in list(self.connections):
             connection.silent = False
             self.reset_connection(connection)
 
     def lose_machine(self) -> None:
-        """Lose the machine with all its work: as `isolate`, but nothing goes on there."""
+        """Isolate the machine and end its process, whose work is lost."""
         self.isolate()
         self._stop()
 
     def set_partitioned(self, partitioned: bool, connections: list[Connection]) -> None:
-        """Begin or end a network partition that these connections cross; at its end they are reset."""
+        """Begin or end a network partition between the ends of these connections, which are reset when it ends."""
         for connection in connections:
             connection.silent = partitioned or self.isolated
             if not connection.silent:
                 self.reset_connection(connection)
 
     def terminate(self) -> None:
-        """End the process: connections are reset, new ones refused, and all its work is lost."""
+        """End the process. Its connections are reset, new ones are refused, and its work is lost."""
         self._stop()
         for connection in list(self.connections):
             self.reset_connection(connection)
@@ -226,7 +229,7 @@
         self.work.clear()
 
     def restart(self) -> None:
-        """Start a new process under the same name, which warms up."""
+        """Start a new process, which warms up."""
         self._earlier_work_ms += self.model.work_done_ms
         now = self.queue.now
         self.model = EmulatedServer(self.spec, self.dedup_table, self.rng, now, warming_up=True)
@@ -235,7 +238,7 @@
         self.arm()
 
     def utilization(self, now: float) -> float:
-        """The work done so far, as a share of what all cores could have done while it was up."""
+        """Return the work done so far as a share of what all cores could have done during the uptime."""
         uptime_ms = self._earlier_uptime_ms + (now - self._started_ms if self.listening else 0.0)
         work_ms = self._earlier_work_ms + self.model.work_done_ms
         return work_ms / (uptime_ms * self.spec.cores * self.spec.speed) if uptime_ms > 0.0 else 0.0
@@ -243,20 +246,20 @@
     # ------------------------------------------------------------------ timer
 
     def arm(self) -> None:
-        """After each event: schedule the model's next moment, unless an earlier one is scheduled."""
+        """Schedule the next tick of the model, unless one is scheduled before it. Called after each event."""
         self._due_ms = due_ms = self.model.next_due_ms()
         if due_ms < self._armed_ms:
             self._armed_ms = due_ms
             self.queue.call_at(due_ms, self._tick, due_ms)
 
     def catch_up(self, now: float) -> None:
-        """Do what was due before an event that has just happened."""
+        """Process what the model has due up to now, before an event is passed to it."""
         if self._due_ms <= now:
             self.owner.apply_actions(self, self.model.tick(now))
             self._due_ms = self.model.next_due_ms()
 
     def _tick(self, due_ms: float) -> None:
-        if due_ms != self._armed_ms:  # an earlier one has been scheduled since
+        if due_ms != self._armed_ms:  # replaced by an earlier tick
             return
         self._armed_ms = math.inf
         self.catch_up(self.queue.now)
