--- a/rosewheel/lab/simulation/clients.py
+++ b/rosewheel/lab/simulation/clients.py
@@ -1,4 +1,4 @@
-"""Open-loop clients of a simulated run, and the dispatcher that assigns them to nodes."""
+"""Open-loop clients of a simulated run, and the dispatcher that assigns their requests to nodes."""
 
 from __future__ import annotations
 
@@ -20,10 +20,12 @@
 
 
 class SimulatedDispatcher:
-    """The layer before the nodes; it learns late which nodes are dead.
+    """Load balancer in front of the nodes, which detects dead nodes with a delay.
 
     Attributes:
-        allowed_nodes: an injected fault; the nodes that get all clients, any node where it is empty.
+        notice_ms: time until a dead node is detected.
+        up: whether each node is considered alive, by name.
+        allowed_nodes: nodes to which an injected fault limits all requests; empty for no limit.
     """
 
     def __init__(self, queue: EventQueue, nodes: dict[str, SimulatedNode], notice_ms: float) -> None:
@@ -31,51 +33,56 @@
         self.up = dict.fromkeys(nodes, True)
         self.allowed_nodes: tuple[str, ...] = ()
         self._candidates: list[str] = []
-        self.refresh()
+        self.update_candidates()
 
-    def refresh(self) -> None:
-        """Recompute the candidates: all allowed nodes, where all of them seem dead."""
+    def update_candidates(self) -> None:
+        """Update the candidates: the allowed nodes that are up, or all allowed nodes if none is."""
         allowed = list(self.allowed_nodes or self.nodes)
         self._candidates = [name for name in allowed if self.up[name]] or allowed
 
     def candidates(self) -> list[str]:
-        """The nodes to which clients are assigned."""
+        """Return the names of the nodes to which requests are assigned."""
         return self._candidates
 
     def node_changed(self, name: str) -> None:
-        """A node has died or is back: the first is noticed late, the second at once."""
+        """Schedule the detection of a node that has died or is back. The latter is detected at once."""
         alive = not self.nodes[name].dead
-        self.queue.call_later(0.0 if alive else self.notice_ms, self._noticed, name, alive)
+        self.queue.call_later(0.0 if alive else self.notice_ms, self._detect_change, name, alive)
 
-    def _noticed(self, name: str, alive: bool) -> None:
+    def _detect_change(self, name: str, alive: bool) -> None:
         if self.nodes[name].dead is not alive:
             self.up[name] = alive
-            self.refresh()
+            self.update_candidates()
 
 
 class OperationOwner(Protocol):
-    """What an operation needs of the clients."""
+    """Interface of `SimulatedClients` to its operations."""
 
     plan: Plan
     queue: EventQueue
     dispatcher: SimulatedDispatcher
 
     def pick_node(self) -> str:
-        """Draw a node."""
+        """Return the name of a random node."""
 
     def retry_delay_ms(self, operation: SimulatedOperation, outcome: AttemptOutcome) -> float | None:
-        """Time until the next attempt; None where the client gives up."""
+        """Return the time until the next attempt; None if the client gives up."""
 
     def operation_finished(self, operation: SimulatedOperation) -> None:
-        """The operation has its final outcome."""
+        """Record an operation that has its final outcome."""
 
 
 class SimulatedOperation:
     """One operation of a client and its attempts.
 
     Attributes:
-        attempts: the attempts that have ended.
-        request: the attempt in flight.
+        table: request class.
+        attempts: records of the attempts that have ended.
+        request: request of the attempt in flight, if any.
+        target: node of the attempt in flight, if any.
+        sent_ms: when the last attempt was sent.
+        timeout_ms: timeout of each attempt.
+        timer: timeout of the last attempt.
     """
 
     __slots__ = (
@@ -100,7 +107,7 @@
         self.timer: ScheduledEvent | None = None
 
     def start_attempt(self) -> None:
-        """Send the request once more."""
+        """Send the request to a random node."""
         owner, arrival = self.owner, self.arrival
         node = owner.dispatcher.nodes[owner.pick_node()]
         self.sent_ms = owner.queue.now
@@ -112,7 +119,7 @@
             work_ms=arrival.work_ms,
             dedup_key=arrival.operation_id,
             timeout_ms=self.timeout_ms,
-            on_done=self._answered,
+            on_done=self._attempt_finished,
         )
         self.timer = owner.queue.call_later(self.timeout_ms + RESPONSE_SLACK_MS, self._abandon)
         node.submit(self.request)
@@ -120,11 +127,11 @@
     def _abandon(self) -> None:
         if self.request is not None and self.target is not None:
             self.target.abandon(self.request)
-        self._answered(AttemptOutcome(failure=AttemptFailure.NO_ANSWER))
+        self._attempt_finished(AttemptOutcome(failure=AttemptFailure.NO_ANSWER))
 
-    def _answered(self, outcome: AttemptOutcome) -> None:
+    def _attempt_finished(self, outcome: AttemptOutcome) -> None:
         request, target = self.request, self.target
-        if request is None or target is None:  # the attempt had been abandoned
+        if request is None or target is None:  # abandoned before
             return
         if self.timer is not None:
             self.owner.queue.cancel(self.timer)
@@ -152,12 +159,13 @@
 
 
 class SimulatedClients:
-    """All clients of a plan.
+    """All clients of a run, which start an operation at each arrival of the plan.
 
     Attributes:
         on_finished: called with each finished operation and whether it was served in time.
-        open_operations: operations without a final outcome.
-        extra_retries: an injected fault; retries above the usual number.
+        classes: request classes by name.
+        open_operations: number of operations without a final outcome.
+        extra_retries: number of retries that an injected fault adds to the usual limit.
     """
 
     def __init__(
@@ -174,7 +182,7 @@
         self.open_operations = 0
         self.extra_retries = 0
         self._record = record
-        self._random = random_stream(plan.seed, "run", "clients")
+        self._rng = random_stream(plan.seed, "run", "clients")
         self._next_arrival = 0
         if plan.arrivals:
             queue.call_at(plan.arrivals[0].at_ms, self._start_next)
@@ -185,13 +193,13 @@
         return self._next_arrival >= len(self.plan.arrivals) and self.open_operations == 0
 
     def pick_node(self) -> str:
-        """Draw a node."""
+        """Return the name of a random node."""
         nodes = self.plan.scenario.nodes
         weight = nodes.client_share if nodes.client_shares else None
-        return weighted_choice(self._random, self.dispatcher.candidates(), weight)
+        return weighted_choice(self._rng, self.dispatcher.candidates(), weight)
 
     def retry_delay_ms(self, operation: SimulatedOperation, outcome: AttemptOutcome) -> float | None:
-        """Time until the next attempt; None where the client gives up."""
+        """Return the time until the next attempt; None if the client gives up."""
         elapsed_ms = self.queue.now - operation.arrival.at_ms
         return retry_delay_ms(
             self.plan,
@@ -199,7 +207,7 @@
             outcome,
             len(operation.attempts),
             elapsed_ms,
-            self._random,
+            self._rng,
             self.extra_retries,
         )
 
@@ -213,7 +221,7 @@
         SimulatedOperation(self, arrival, self.classes[arrival.class_name]).start_attempt()
 
     def operation_finished(self, operation: SimulatedOperation) -> None:
-        """Record a finished operation."""
+        """Record an operation that has its final outcome."""
         last, table, arrival = operation.attempts[-1], operation.table, operation.arrival
         duration_ms = last.ended_ms - arrival.at_ms
         in_time = last.status == HTTP_OK and duration_ms <= table.latency_objective_ms
--- a/rosewheel/lab/simulation/fault_injector.py
+++ b/rosewheel/lab/simulation/fault_injector.py
@@ -1,4 +1,4 @@
-"""Steps of faults, carried out on simulated servers, nodes and zones."""
+"""Injects the faults of a plan into simulated servers, nodes and zones."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 class SimulatedFaultInjector(FaultInjector[SimulatedServerHost]):
-    """Carries out fault steps on a simulated fleet."""
+    """Injects fault steps into a simulated fleet."""
 
     def __init__(self, fleet: SimulatedFleet, dispatcher: SimulatedDispatcher) -> None:
         super().__init__(fleet.plan, fleet.hosts)
@@ -26,11 +26,11 @@
         self.outages = ZoneOutages(fleet, self.node_restarts)
 
     def now_ms(self) -> float:
-        """The time of the models."""
+        """Return the current virtual time."""
         return self.fleet.queue.now
 
     def record_step(self, kind: FaultKind, step: FaultStep) -> None:
-        """Record a step."""
+        """Record a fault step."""
         record = fault_step_record(kind, step, self.fleet.plan_time())
         self.fleet.record(RecordFile.SERVERS, record)
 
@@ -48,7 +48,7 @@
         self.fleet.launch(self.fleet.add_host(self.fleet.specs[name], warming_up=True))
 
     def crash(self, host: SimulatedServerHost) -> None:
-        """Kill the process of a server."""
+        """Kill a server process."""
         self.fleet.crash(host)
 
     def revive(self, host: SimulatedServerHost) -> None:
@@ -56,7 +56,7 @@
         self.fleet.launch(host)
 
     def set_unreachable(self, host: SimulatedServerHost, unreachable: bool, new_process: bool) -> None:
-        """Cut a machine off, or connect it again with its process or with a new one."""
+        """Cut a machine off from the network, or reconnect it with its process or a new one."""
         if unreachable:
             host.isolate()
             self.fleet.remove_endpoint(host, DiscoveryChange.SERVER_DIED)
@@ -68,33 +68,33 @@
             self.fleet.registries[host.spec.tier].update(self.fleet.endpoint(host), DiscoveryChange.ADD)
 
     def set_accepting(self, host: SimulatedServerHost, accepting: bool) -> None:
-        """Refuse connections, or accept them again."""
+        """Refuse or accept new connections."""
         if host.model.state is not LifecycleState.DOWN:
             host.listening = accepting
 
     def set_discovery_lag(self, extra_ms: float) -> None:
-        """Delay all changes of endpoint lists further."""
+        """Set the extra delay of all changes of endpoint lists."""
         for registry in self.fleet.registries:
             registry.extra_delay_ms = extra_ms
 
     def stall_discovery(self, stalled: bool) -> None:
-        """Stop discovery, watches staying open, or resume it."""
+        """Stall discovery, with watches still open, or resume it."""
         for registry in self.fleet.registries:
             registry.stall(stalled)
 
     def reset_watches(self, begins: bool) -> None:
-        """Break all watches at the beginning of the fault."""
+        """Close all watches when the fault begins."""
         for registry in self.fleet.registries if begins else ():
             registry.reset_watches()
 
     def report_in_storm(self, host: SimulatedServerHost, draining: bool) -> None:
-        """Report a server as draining or as up, without a cause."""
+        """List a running server as draining or as up, whatever its real state."""
         if host.model.state is LifecycleState.UP:
             state = ServerState.DRAINING if draining else ServerState.UP
             self._set_state(host, state, DiscoveryChange.STORM)
 
     def inject_into_nodes(self, step: FaultStep, fault: FaultTable, begins: bool) -> None:
-        """Carry out a fault of nodes, clients, zones or regions."""
+        """Begin or end a fault of nodes, clients, zones or regions."""
         match fault.kind:
             case FaultKind.NODE_CRASH | FaultKind.NODE_LOSS:
                 names = step.targets if fault.kind is FaultKind.NODE_LOSS else (f"n{fault.node_index}",)
@@ -105,16 +105,16 @@
                     self.node_restarts.upgrade(f"n{fault.node_index}")
             case FaultKind.CLIENT_SHIFT:
                 self.dispatcher.allowed_nodes = step.targets if begins else ()
-                self.dispatcher.refresh()
+                self.dispatcher.update_candidates()
             case FaultKind.ZONE_LOSS:
                 if begins:
-                    self.outages.lose(step)
+                    self.outages.lose_zones(step)
                 else:
-                    self.outages.restore(step)
+                    self.outages.restore_zones(step)
             case FaultKind.ZONE_PARTITION:
                 self.outages.set_partitioned(step, begins)
             case _:
-                pass  # part of the plan's arrivals, or carried out by the clients
+                pass  # part of the arrivals of the plan, or injected into the clients
 
     def _set_state(self, host: SimulatedServerHost, state: ServerState, change: DiscoveryChange) -> None:
         self.fleet.registries[host.spec.tier].set_state(host.spec.name, state, change)
--- a/rosewheel/lab/simulation/node_restarts.py
+++ b/rosewheel/lab/simulation/node_restarts.py
@@ -1,4 +1,4 @@
-"""Crashes and upgrades of the nodes that clients reach in a simulated run."""
+"""Crashes and upgrades of the nodes that clients use in a simulated run."""
 
 from __future__ import annotations
 
@@ -8,11 +8,13 @@
 from rosewheel.lab.simulation.node import SimulatedNode
 from rosewheel.policy.learned_state import LearnedState
 
-UPGRADE_OVERLAP_MS = 800.0  # two processes of one node side by side, until the old one accepts nothing new
+UPGRADE_OVERLAP_MS = (
+    800.0  # time from the start of the new process until the old one accepts no more requests
+)
 
 
 class NodeRestarts:
-    """Restarts nodes, with or without the learned state of the process before."""
+    """Restarts nodes, with or without the learned state of the previous process."""
 
     def __init__(self, fleet: SimulatedFleet, dispatcher: SimulatedDispatcher) -> None:
         self.fleet, self.dispatcher = fleet, dispatcher
@@ -20,7 +22,7 @@
         self.keep_learned_state = fleet.plan.scenario.nodes.keep_learned_state
 
     def crash(self, name: str, down_ms: float) -> None:
-        """Kill a node and start it again after this time; nothing where it is dead already."""
+        """Kill a node and restart it after a time. Does nothing if it is dead already."""
         node = self.fleet.nodes[name]
         if node.dead:
             return
@@ -39,7 +41,7 @@
         self.dispatcher.node_changed(name)
 
     def upgrade(self, name: str) -> None:
-        """Start a new process beside the old one, which accepts nothing new once the new one serves."""
+        """Start a new process that replaces the running one after `UPGRADE_OVERLAP_MS`."""
         old = self.fleet.nodes[name]
         if old.dead:
             return
@@ -48,10 +50,10 @@
             new.restore(old.node.learned_state(self.queue.now), 0.0)
         for process in (old, new):
             process.apply(process.node.process_count_changed(self.queue.now, 2))
-        self.queue.call_later(UPGRADE_OVERLAP_MS, self._upgraded, name, old, new)
+        self.queue.call_later(UPGRADE_OVERLAP_MS, self._finish_upgrade, name, old, new)
 
-    def _upgraded(self, name: str, old: SimulatedNode, new: SimulatedNode) -> None:
-        if old.dead:  # it was killed meanwhile, and another process has taken its place
+    def _finish_upgrade(self, name: str, old: SimulatedNode, new: SimulatedNode) -> None:
+        if old.dead:  # killed meanwhile and restarted as another process
             new.kill()
             return
         self.fleet.nodes[name] = new
--- a/rosewheel/lab/simulation/outages.py
+++ b/rosewheel/lab/simulation/outages.py
@@ -1,4 +1,4 @@
-"""Faults of a zone or region in a simulated run: everything in it is lost, or it is cut off for a time."""
+"""Outages of zones and regions in a simulated run: loss of all machines there, or a network partition."""
 
 from __future__ import annotations
 
@@ -12,17 +12,17 @@
 
 
 class ZoneOutages:
-    """Outages of zones and regions."""
+    """Begins and ends outages of zones and regions."""
 
     def __init__(self, fleet: SimulatedFleet, node_restarts: NodeRestarts) -> None:
         self.fleet, self.node_restarts = fleet, node_restarts
-        self._lost: dict[int, list[SimulatedServerHost]] = {}  # by fault
+        self._lost_hosts: dict[int, list[SimulatedServerHost]] = {}  # by index of the fault
 
-    def lose(self, step: FaultStep) -> None:
-        """All machines of the zones are lost at one moment, those of nodes too."""
+    def lose_zones(self, step: FaultStep) -> None:
+        """Lose all machines of the zones at once, including those of nodes."""
         fleet, zones = self.fleet, self._zones(step)
         lost = [host for host in fleet.hosts.values() if host.spec.zone in zones and host.listening]
-        self._lost[step.fault] = lost
+        self._lost_hosts[step.fault] = lost
         for host in lost:
             host.catch_up(fleet.queue.now)
             fleet.requests.lose_work(host)
@@ -33,14 +33,14 @@
             if node.zone in zones:
                 self.node_restarts.crash(name, fleet.plan.fault_duration_ms(step))
 
-    def restore(self, step: FaultStep) -> None:
-        """Start the lost servers again; they warm up."""
-        for host in self._lost.pop(step.fault, ()):
+    def restore_zones(self, step: FaultStep) -> None:
+        """Restart the lost servers, which warm up."""
+        for host in self._lost_hosts.pop(step.fault, ()):
             self.fleet.stop(host, DiscoveryChange.SERVER_DIED)
             self.fleet.launch(host)
 
     def set_partitioned(self, step: FaultStep, partitioned: bool) -> None:
-        """Begin or end a partition of the zones: only clients still reach the nodes there."""
+        """Begin or end a partition of the zones. Clients still reach the nodes there."""
         fleet, zones = self.fleet, self._zones(step)
         separated_before = {host: self._separated_connections(host) for host in fleet.hosts.values()}
         if partitioned:
@@ -49,16 +49,20 @@
             fleet.topology.heal(step.fault)
         for host, before in separated_before.items():
             after = self._separated_connections(host)
-            changed = after if partitioned else [link for link in before if link not in after]
+            changed = (
+                after if partitioned else [connection for connection in before if connection not in after]
+            )
             host.catch_up(fleet.queue.now)
             host.set_partitioned(partitioned, changed)
             host.arm()
-        inside = [host for host in fleet.hosts.values() if host.spec.zone in zones and not host.isolated]
+        hosts_in_zones = [
+            host for host in fleet.hosts.values() if host.spec.zone in zones and not host.isolated
+        ]
         for tier, registry in enumerate(fleet.registries):
             if partitioned:
                 registry.isolate(zones)
             else:
-                running = [fleet.endpoint(host) for host in inside if self._is_running(host, tier)]
+                running = [fleet.endpoint(host) for host in hosts_in_zones if self._is_running(host, tier)]
                 registry.heal(zones, running)
 
     @staticmethod
@@ -70,6 +74,8 @@
         return frozenset(zones_of(scenario, scenario.faults[step.fault]))
 
     def _separated_connections(self, host: SimulatedServerHost) -> list[Connection]:
-        """Connections of a host to nodes beyond a partition."""
+        """Return the connections of a host that cross a partition."""
         topology, zone = self.fleet.topology, host.spec.zone
-        return [link for link in host.connections if topology.separated(link.node.zone, zone)]
+        return [
+            connection for connection in host.connections if topology.separated(connection.node.zone, zone)
+        ]
