--- a/rosewheel/lab/simulation/requests.py
+++ b/rosewheel/lab/simulation/requests.py
@@ -1,4 +1,4 @@
-"""Requests at simulated servers: their work, their calls to the next tiers, their responses and records."""
+"""Requests at simulated servers: work, calls to the next tiers, responses and records."""
 
 from __future__ import annotations
 
@@ -36,11 +36,12 @@
 
 @dataclass(slots=True, frozen=True)
 class Notification:
-    """What a node was last notified of a server.
+    """Last notification of a node about a server.
 
     Attributes:
-        at_ms: when.
-        launched_ms: the start of the server; None for one that ran from the beginning.
+        state: state of the server in the notification.
+        at_ms: when the node was notified.
+        launched_ms: start of the server; None if it ran from the beginning.
     """
 
     state: ServerState
@@ -49,39 +50,39 @@
 
 
 class RequestFleet(Protocol):
-    """What the requests need of the fleet."""
+    """Interface of the fleet to `SimulatedRequests`."""
 
     plan: Plan
     queue: EventQueue
 
     def record(self, name: RecordFile, record: Record) -> None:
-        """Write a record."""
+        """Write a record to a file."""
 
     def plan_time(self) -> float:
-        """Now, as records have it."""
+        """Return the current time for records, in ms since the plan began."""
 
     def notification(self, node: str, server: str) -> Notification | None:
-        """What this node was last notified of this server."""
+        """Return the last notification of a node about a server, if any."""
 
     def launched_ms(self, host: SimulatedServerHost) -> float | None:
-        """The start of a server as discovery reports it."""
+        """Return the start of a server as reported by discovery; None if it ran from the beginning."""
 
     def local_node(self, server: str, tier: int) -> SimulatedNode | None:
-        """The node through which a server calls a tier."""
+        """Return the node that a server uses for calls to a tier; None if it is not running."""
 
     def cell_hosts(self, host: SimulatedServerHost) -> Iterable[SimulatedServerHost]:
-        """All servers of a server's cell."""
+        """Return the hosts of all servers in the cell of a host."""
 
     def crash(self, host: SimulatedServerHost) -> None:
-        """Kill the process of a server."""
+        """Kill a server process."""
 
 
 class SimulatedRequests:
-    """All requests at all servers.
+    """Handles the requests of all servers.
 
     Attributes:
-        received: requests that have reached servers, by tier.
-        served: served requests by tier.
+        received: number of requests received, by tier.
+        served: number of requests served, by tier.
     """
 
     def __init__(self, fleet: RequestFleet) -> None:
@@ -91,8 +92,8 @@
         self.served = [0] * tiers
         self._classes = {row.name: row for row in self.plan.scenario.classes}
         self._parameters = {row.name: row for row in self.plan.classes}
-        self._noise = random_stream(self.plan.seed, "run", "noise")
-        self._call_draws = random_stream(self.plan.seed, "run", "calls")
+        self._noise_rng = random_stream(self.plan.seed, "run", "noise")
+        self._call_rng = random_stream(self.plan.seed, "run", "calls")
         self._last_job_id = 0
 
     # ---------------------------------------------------------------- arrival
@@ -100,24 +101,24 @@
     def accept_request(
         self, host: SimulatedServerHost, connection: Connection, attempt: Attempt
     ) -> SimulatedWork:
-        """The work of a request at this server."""
+        """Create the work of a request at a server."""
         request, spec, now = attempt.request, host.spec, self.queue.now
-        targets = call_targets(self.plan, spec.tier, self._call_draws)
+        targets = call_targets(self.plan, spec.tier, self._call_rng)
         notification = self.fleet.notification(connection.node.name, spec.name)
-        job = self._job(host, connection, request, len(targets))
+        job = self._new_job(host, connection, request, len(targets))
         launched_ms = self.fleet.launched_ms(host)
         job.sender_informed = notification is not None and notification.launched_ms == launched_ms
         if notification is not None and notification.state is not ServerState.UP:
-            self._check_drain(host, connection, request, notification)
+            self._record_if_after_drain(host, connection, request, notification)
         deadline_ms = now + attempt.timeout_ms
         return SimulatedWork(host, connection, attempt, job, now, deadline_ms, call_targets=targets)
 
-    def _job(
+    def _new_job(
         self, host: SimulatedServerHost, connection: Connection, request: NodeRequest, call_count: int
     ) -> Job:
         spec, table = host.spec, self._classes[request.class_name]
         parameters = self._parameters[request.class_name]
-        segments_ms = work_segments(self.plan, spec, parameters, request.work_ms, self._noise, call_count)
+        segments_ms = work_segments(self.plan, spec, parameters, request.work_ms, self._noise_rng, call_count)
         if connection.request_count == 1:
             segments_ms = (segments_ms[0] + spec.handshake_work_ms, *segments_ms[1:])
         self._last_job_id += 1
@@ -126,14 +127,14 @@
         key = f"{request.class_name}/{request.dedup_key}" if keyed else None
         return Job(self._last_job_id, segments_ms, key, table.dedup_window_ms)
 
-    def _check_drain(
+    def _record_if_after_drain(
         self,
         host: SimulatedServerHost,
         connection: Connection,
         request: NodeRequest,
         notification: Notification,
     ) -> None:
-        """Record a request that reaches a server too long after its sender was notified of a drain or removal."""
+        """Record a request received too long after its sender was notified of a drain or removal."""
         rules = self.plan.scenario.rules
         over_ms = self.queue.now - notification.at_ms - rules.drain_ms - rules.drain_slack_ms
         if over_ms > 0.0:
@@ -150,13 +151,13 @@
     # ---------------------------------------------------------------- actions
 
     def apply_actions(self, host: SimulatedServerHost, actions: list[Action]) -> None:
-        """Carry out what the model of a server returned."""
+        """Carry out the actions that the model of a server has returned."""
         for action in actions:
             match action:
                 case Reply(job_id, result):
                     self._reply(host, job_id, result)
                 case CallNextTier(job_id, call_number):
-                    self._call(host, host.work[job_id], call_number)
+                    self._send_call(host, host.work[job_id], call_number)
                 case JobStarted():
                     pass
                 case ServerCollapsed(informed_share):
@@ -166,12 +167,12 @@
                     self.fleet.crash(host)
 
     def lose_work(self, host: SimulatedServerHost) -> None:
-        """The process of a server ends: record its requests as lost."""
+        """Record the requests of an ending server process as lost."""
         for work in host.work.values():
-            self._record(work, LOST_JOB)
+            self._record_job(work, LOST_JOB)
 
     def _reply(self, host: SimulatedServerHost, job_id: int, result: JobResult) -> None:
-        # A duplicate may wait at another server of the cell than the first job.
+        # A duplicate may wait at another server of the cell.
         work = host.work.pop(job_id, None) or self._pop_from_cell(host, job_id)
         if work is None:
             return
@@ -179,7 +180,7 @@
             work.host.model.finish_duplicate(job_id)
         if result is JobResult.SERVED:
             self.served[work.host.spec.tier] += 1
-        self._record(work, result.value)
+        self._record_job(work, result.value)
         work.host.reply(work, result)
 
     def _pop_from_cell(self, host: SimulatedServerHost, job_id: int) -> SimulatedWork | None:
@@ -189,7 +190,7 @@
                 return work
         return None
 
-    def _record(self, work: SimulatedWork, outcome: str) -> None:
+    def _record_job(self, work: SimulatedWork, outcome: str) -> None:
         request = work.attempt.request
         sender = work.connection.node.name
         identity = RequestIdentity(sender, request.class_name, request.operation_id, request.request_id)
@@ -207,14 +208,14 @@
 
     # ------------------------------------------------------------------ calls
 
-    def _call(self, host: SimulatedServerHost, work: SimulatedWork, number: int) -> None:
-        """One call to another tier, through the server's own node for it."""
+    def _send_call(self, host: SimulatedServerHost, work: SimulatedWork, number: int) -> None:
+        """Send a call to another tier through the local node for that tier."""
         request, job = work.attempt.request, work.job
         node = self.fleet.local_node(host.spec.name, work.call_targets[number])
         table = self._classes[request.class_name]
         propagate = self.plan.scenario.propagate_deadline
-        left_ms = work.deadline_ms - self.queue.now if propagate else table.deadline_ms
-        if node is None or left_ms < MIN_CALL_TIME_MS:
+        time_left_ms = work.deadline_ms - self.queue.now if propagate else table.deadline_ms
+        if node is None or time_left_ms < MIN_CALL_TIME_MS:
             self.queue.call_later(0.0, self.call_finished, host, host.model, job.id, False)
             return
         dedup_key = f"{job.key or request.request_id}.{number}"
@@ -226,20 +227,20 @@
             operation_id=dedup_key if keyed else f"{request.operation_id}/{job.id}.{number}",
             work_ms=request.work_ms,
             dedup_key=dedup_key,
-            timeout_ms=float(max(1, int(left_ms))),
+            timeout_ms=float(max(1, int(time_left_ms))),
             on_done=call.finish,
         )
-        call.send(call_request, left_ms)
+        call.send(call_request, time_left_ms)
 
     def call_finished(
         self, host: SimulatedServerHost, model: EmulatedServer, job_id: int, succeeded: bool
     ) -> None:
-        """A call of a job has ended.
+        """Pass the result of a call to the model of its server.
 
         Args:
-            model: the server's process that made the call.
+            model: model of the process that made the call.
         """
-        if host.model is not model:  # the server was started again since
+        if host.model is not model:  # the server has been restarted
             return
         host.catch_up(self.queue.now)
         self.apply_actions(host, host.model.call_finished(self.queue.now, job_id, succeeded))
@@ -247,7 +248,7 @@
 
 
 class _Call:
-    """A call of a server in flight; its first outcome counts."""
+    """A call of a server in flight. Outcomes after the first are ignored."""
 
     __slots__ = ("finished", "host", "job_id", "model", "node", "owner", "request", "timer")
 
@@ -261,13 +262,13 @@
         self.timer: ScheduledEvent | None = None
 
     def send(self, request: NodeRequest, timeout_ms: float) -> None:
-        """Send the request to the local node; it is abandoned after this time."""
+        """Send the request to the local node and abandon it after the timeout."""
         self.request = request
         self.timer = self.owner.queue.call_later(timeout_ms, self._abandon)
         self.node.submit(request)
 
     def finish(self, outcome: AttemptOutcome) -> None:
-        """The call has ended."""
+        """End the call with an outcome."""
         if self.finished:
             return
         self.finished = True
