--- a/rosewheel/lab/simulation/simulate.py
+++ b/rosewheel/lab/simulation/simulate.py
@@ -1,4 +1,4 @@
-"""One simulated run of a plan: records, their digest, and a summary."""
+"""Runs a plan in the simulation and returns a summary with the digest of all records."""
 
 from __future__ import annotations
 
@@ -25,21 +25,21 @@
 from rosewheel.lab.simulation.fleet import SimulatedFleet
 from rosewheel.lab.simulation.statistics import RunStatistics, tier_statistics
 
-START_DELAY_MS = 500.0  # between the start of the last node and the beginning of the plan
-SLICE_MS = 100.0  # of virtual time, between two calls of the progress function
-AFTER_RESTART_MS = 10_000.0
-MAX_TAIL_MS = 120_000.0  # after the last arrival no client waits for longer
+START_DELAY_MS = 500.0  # time between the start of the last node and the beginning of the plan
+RUN_STEP_MS = 100.0  # virtual time between two calls of the progress function
+AFTER_RESTART_MS = 10_000.0  # time after the restart of a node over which service is measured
+MAX_TAIL_MS = 120_000.0  # limit of the time after the plan in which operations may finish
 DIGEST_BYTES = 8
 
-Progress = Callable[[float, int, float], None]  # seconds simulated, events, seconds of wall clock
+Progress = Callable[[float, int, float], None]  # simulated s, number of events, wall-clock s
 
 
 class Recorder:
-    """Passes every record in order into the digest, the checker, and files if there is a folder.
+    """Passes records to the digest, the invariant checker, and files if there is a folder.
 
     Attributes:
-        restarts_ms: when nodes were back.
-        record_count: records so far.
+        restarts_ms: times at which restarted nodes began to serve.
+        record_count: number of records so far.
     """
 
     def __init__(self, checker: InvariantChecker, folder: Path | None) -> None:
@@ -53,7 +53,11 @@
             self._files = {name: RecordWriter(folder / f"{name}.jsonl") for name in RecordFile}
 
     def write(self, name: RecordFile, record: Record) -> None:
-        """Take a record."""
+        """Process a record.
+
+        Args:
+            name: file to which it is written.
+        """
         self.record_count += 1
         line = self._encode(record)
         self._hash.update(line)
@@ -64,7 +68,7 @@
             self._files[name].write_line(line)
 
     def close(self) -> str:
-        """Close the files; returns the digest of all records."""
+        """Close the files and return the digest of all records."""
         for file in self._files.values():
             file.close()
         return self._hash.hexdigest()
@@ -74,7 +78,7 @@
     """Check that a scenario can be simulated.
 
     Raises:
-        InvalidFileError: it needs what only real processes do.
+        InvalidFileError: The scenario has a fault that only the emulator can inject.
     """
     for index, fault in enumerate(scenario.faults):
         if fault.killed_process:
@@ -86,7 +90,7 @@
     """One run of a plan.
 
     Attributes:
-        clients: None until all nodes have started.
+        clients: clients of the run; None until all nodes have started.
     """
 
     def __init__(self, plan: Plan, folder: Path | None = None) -> None:
@@ -101,7 +105,7 @@
         self.fleet.start(self._begin)
 
     def _begin(self) -> None:
-        """All nodes have started: schedule clients and faults."""
+        """Schedule clients and faults after all nodes have started."""
         plan, queue = self.plan, self.queue
         dispatcher = SimulatedDispatcher(queue, self.fleet.nodes, plan.node_notice_ms)
         self.clients = clients = SimulatedClients(
@@ -124,17 +128,17 @@
 
     @property
     def finished(self) -> bool:
-        """Whether the plan's time is up and every operation has its outcome, or has waited longer than any can."""
+        """Whether the plan is over and no operation is open, or `MAX_TAIL_MS` have passed since its end."""
         end_ms = self.plan.scenario.seconds * 1000.0
         if self.clients is None or self.queue.now < end_ms:
             return False
         return self.clients.done or self.queue.now >= end_ms + MAX_TAIL_MS
 
     def run(self, progress: Progress | None = None) -> dict[str, Any]:
-        """Run to the end; returns the summary."""
+        """Run the plan to its end and return the summary."""
         started_s = time.monotonic()
         while not self.finished:
-            self.queue.run(self.queue.now + SLICE_MS)
+            self.queue.run(self.queue.now + RUN_STEP_MS)
             if progress is not None:
                 progress(self.queue.now / 1000.0, self.queue.processed, time.monotonic() - started_s)
         for record in self.statistics.latency_records():
@@ -142,7 +146,7 @@
         return {**self._summary(), "wall_s": round(time.monotonic() - started_s, 1)}
 
     def _summary(self) -> dict[str, Any]:
-        """The summary, which has keys in common with that of an experiment."""
+        """Return the summary, which shares keys with that of an experiment."""
         statistics, checker = self.statistics, self.checker
         digest, violations = self.recorder.close(), checker.finish()
         variation = statistics.rejection_variation()
@@ -170,7 +174,7 @@
         }
 
     def _service_after_restarts(self) -> float | None:
-        """Mean service in the time after each restart of a node; None without one."""
+        """Return the mean service in the windows after restarts of nodes; None without restarts."""
         end_ms = self.plan.scenario.seconds * 1000.0
         windows = [
             self.statistics.service(at_ms, at_ms + AFTER_RESTART_MS)
@@ -181,5 +185,10 @@
 
 
 def simulate(plan: Plan, folder: Path | None = None, progress: Progress | None = None) -> dict[str, Any]:
-    """Run a plan once; the same plan gives the same records byte for byte."""
+    """Run a plan and return the summary. The same plan gives byte-identical records.
+
+    Args:
+        folder: where records are written; None for no files.
+        progress: called after each step of the run.
+    """
     return Simulation(plan, folder).run(progress)
--- a/rosewheel/lab/simulation/statistics.py
+++ b/rosewheel/lab/simulation/statistics.py
@@ -1,4 +1,4 @@
-"""Statistics of a simulated run: service over time, latencies, attempts, and how evenly servers were used."""
+"""Statistics of a simulated run: service over time, latency, attempts, and utilization of servers."""
 
 from __future__ import annotations
 
@@ -16,34 +16,45 @@
 
 BIN_MS = 100.0
 BINS_PER_SECOND = 10
-WORST_WINDOW_MS = 10_000.0
-WORST_STEP_MS = 1000
+WORST_WINDOW_MS = 10_000.0  # length of the window with the worst service
+WORST_STEP_MS = 1000  # time between the starts of two such windows
 REJECTED_STATUS = 503
-MIN_REJECTIONS_PER_S = 10.0  # below that the variation of rejections says nothing
+MIN_REJECTIONS_PER_S = 10.0  # lowest mean rate for which the variation of rejections is meaningful
 MAX_LATENCY_MS = 60_000
-LATENCY_DIGITS = 3
+LATENCY_SIGNIFICANT_DIGITS = 3
 
 
 @dataclass(slots=True)
 class OperationCounts:
-    """Operations of one class."""
+    """Numbers of operations of one class.
+
+    Attributes:
+        offered: finished operations.
+        served: operations with a successful response.
+        in_time: served operations that met the latency objective.
+    """
 
     offered: int = 0
     served: int = 0
     in_time: int = 0
 
     def as_record(self) -> dict[str, int]:
-        """The counts by the keys of a summary."""
+        """Return the counts by their keys in a summary."""
         return {"asked": self.offered, "served": self.served, "in_time": self.in_time}
 
 
 class RunStatistics:
-    """Counts finished operations.
+    """Statistics of the finished operations of a run.
+
+    Weights are the priority weight of an operation times its work.
 
     Attributes:
-        offered_weight: priority weight times work, by bins of the planned moment; `earned_weight` likewise.
-        rejections: rejected attempts, by bins of their end.
-        attempts: attempts of all operations.
+        offered_weight: weight of all operations, by bins of the planned time.
+        earned_weight: weight of operations served in time, by bins of the planned time.
+        rejections: number of rejected attempts, by bins of the end of the attempt.
+        latency: latency histogram by class.
+        counts: numbers of operations by class.
+        attempts: number of attempts of all operations.
     """
 
     def __init__(self, plan: Plan) -> None:
@@ -52,12 +63,12 @@
         self.offered_weight, self.earned_weight = [0.0] * bins, [0.0] * bins
         self.rejections = [0] * bins
         names = [row.name for row in plan.scenario.classes]
-        self.latency = {name: HdrHistogram(1, MAX_LATENCY_MS, LATENCY_DIGITS) for name in names}
+        self.latency = {name: HdrHistogram(1, MAX_LATENCY_MS, LATENCY_SIGNIFICANT_DIGITS) for name in names}
         self.counts = {name: OperationCounts() for name in names}
         self.attempts = 0
 
     def record(self, operation: SimulatedOperation, in_time: bool) -> None:
-        """Count a finished operation."""
+        """Add a finished operation."""
         arrival, last = operation.arrival, operation.attempts[-1]
         served = last.status == HTTP_OK
         counts = self.counts[arrival.class_name]
@@ -78,26 +89,29 @@
                 self.rejections[end_bin] += 1
 
     def service(self, begin_ms: float, end_ms: float) -> float:
-        """Weight served in time over weight offered, of what was planned between these moments, to 100 ms."""
+        """Return the share of the weight served in time, of operations planned in an interval.
+
+        The ends of the interval are rounded to `BIN_MS`. Returns 1 if no operations were planned.
+        """
         first, last = round(begin_ms / BIN_MS), round(end_ms / BIN_MS)
         offered = sum(self.offered_weight[first:last])
         return sum(self.earned_weight[first:last]) / offered if offered else 1.0
 
     @property
     def measured_span(self) -> tuple[float, float]:
-        """From the end of the warm-up to that of the run, in ms."""
+        """Interval from the end of the warm-up to that of the run, in ms."""
         scenario = self.plan.scenario
         return scenario.warm_up_s * 1000.0, scenario.seconds * 1000.0 + BIN_MS
 
     def worst_window(self) -> float:
-        """Service in the worst `WORST_WINDOW_MS`, or of the whole span where that is shorter."""
+        """Return the service in the worst window of `WORST_WINDOW_MS`, or of the whole span if that is shorter."""
         begin, end = self.measured_span
         starts = range(round(begin), round(end - BIN_MS - WORST_WINDOW_MS) + 1, WORST_STEP_MS)
         windows = (self.service(start, start + WORST_WINDOW_MS) for start in starts)
         return min(windows, default=self.service(begin, end))
 
     def rejection_variation(self) -> float | None:
-        """The coefficient of variation of the rejections of each second; None where there are too few."""
+        """Return the coefficient of variation of rejections per second; None if there are too few."""
         first = round(self.measured_span[0] / BIN_MS)
         last = len(self.rejections) - BINS_PER_SECOND
         per_second = [
@@ -109,7 +123,7 @@
         return statistics.pstdev(per_second) / statistics.fmean(per_second)
 
     def latency_records(self) -> list[LatencyRecord]:
-        """Counts and quantiles of each class."""
+        """Return the counts and latency quantiles of each class as records."""
         records = []
         for name, histogram in self.latency.items():
             quantiles = [histogram.get_value_at_percentile(q) for q in (50.0, 90.0, 99.0, 99.9)]
@@ -118,7 +132,7 @@
         return records
 
     def class_summaries(self) -> dict[str, dict[str, object]]:
-        """Counts and quantiles of each class by the keys of a summary."""
+        """Return the counts and latency quantiles of each class by their keys in a summary."""
         return {
             name: {
                 **counts.as_record(),
@@ -130,7 +144,7 @@
 
 
 def tier_statistics(fleet: SimulatedFleet) -> dict[str, dict[str, object]]:
-    """Attempts and use of servers of each tier, by the keys of a summary."""
+    """Return the attempts and server utilization of each tier by their keys in a summary."""
     return {
         tier.name: _tier_statistics(
             [host for host in fleet.hosts.values() if host.spec.tier == index],
