--- a/tests/lab/test_graph.py
+++ b/tests/lab/test_graph.py
@@ -1,4 +1,4 @@
-"""Call graphs, zones and regions: their scenario files, and their simulation."""
+"""Call graphs, zones and regions: scenario files and simulation."""
 
 from __future__ import annotations
 
@@ -85,7 +85,7 @@
 zone = "sur-a"
 """
 
-# ---------------------------------------------------------------------- files
+# ------------------------------------------------------------- scenario files
 
 
 def problems(text: str) -> list[str]:
@@ -184,12 +184,12 @@
 
 @pytest.mark.parametrize("name", ["graph-chain", "graph-diamond", "graph-zone", "graph-region"])
 def test_the_emulator_rejects_a_graph_in_one_line_with_its_key(name: str) -> None:
-    for verb in ("experiment", "emulate"):
-        got = CliRunner().invoke(main, [verb, name])
-        assert got.exit_code == 2
-        assert got.output.count("\n") == 1
-        assert f"{name}: " in got.output
-        assert "`simulate` plays them" in got.output
+    for command in ("experiment", "emulate"):
+        result = CliRunner().invoke(main, [command, name])
+        assert result.exit_code == 2
+        assert result.output.count("\n") == 1
+        assert f"{name}: " in result.output
+        assert "`simulate` plays them" in result.output
 
 
 def test_the_emulator_rejects_the_loss_of_the_only_zone() -> None:
@@ -199,22 +199,22 @@
         experiment.check_emulated(quiet)
 
 
-# --------------------------------------------------------------------- shapes
+# ------------------------------------------------------------ graphs and plans
 
 
 @given(st.lists(st.sets(st.integers(0, 9)), min_size=10, max_size=10))
-def test_topological_order_has_callers_first_or_reports_a_cycle(called: list[set[int]]) -> None:
-    rows = [sorted(row) for row in called]
+def test_topological_order_has_callers_first_or_reports_a_cycle(callee_sets: list[set[int]]) -> None:
+    callees = [sorted(callee_set) for callee_set in callee_sets]
     try:
-        found = service_graph.topological_order(rows)
+        order = service_graph.topological_order(callees)
     except CallCycleError as error:
-        way = error.cycle
-        assert way[0] == way[-1]
-        assert all(to in rows[at] for at, to in itertools.pairwise(way))
+        cycle = error.cycle
+        assert cycle[0] == cycle[-1]
+        assert all(callee in callees[caller] for caller, callee in itertools.pairwise(cycle))
         return
-    place = {at: number for number, at in enumerate(found)}
-    assert sorted(found) == list(range(10))
-    assert all(place[at] < place[to] for at, row in enumerate(rows) for to in row)
+    position = {service: number for number, service in enumerate(order)}
+    assert sorted(order) == list(range(10))
+    assert all(position[caller] < position[callee] for caller, row in enumerate(callees) for callee in row)
 
 
 def test_mean_visits_are_summed_over_all_paths() -> None:
@@ -224,37 +224,37 @@
 
 
 def test_servers_alternate_between_zones_and_cells_lie_within_one_zone() -> None:
-    one = plan.make(parse_text(GOOD.replace("count = 6", "count = 40"), Scenario, "s"))
-    mine = [spec for spec in one.servers if spec.tier == 0]
-    assert Counter(spec.zone for spec in mine) == {"sur-a": 14, "sur-b": 13, "norte-a": 13}
-    assert len({(spec.cell, spec.zone) for spec in mine}) == len({spec.cell for spec in mine}) == 6
-    assert {spec.zone for spec in one.servers if spec.tier == 3} == {"sur-a", "norte-a"}
+    graph_plan = plan.make(parse_text(GOOD.replace("count = 6", "count = 40"), Scenario, "s"))
+    specs = [spec for spec in graph_plan.servers if spec.tier == 0]
+    assert Counter(spec.zone for spec in specs) == {"sur-a": 14, "sur-b": 13, "norte-a": 13}
+    assert len({(spec.cell, spec.zone) for spec in specs}) == len({spec.cell for spec in specs}) == 6
+    assert {spec.zone for spec in graph_plan.servers if spec.tier == 3} == {"sur-a", "norte-a"}
 
 
 def test_a_fault_of_a_zone_is_restricted_to_it() -> None:
-    one = plan.make(parse_text(GOOD, Scenario, "s"))
-    lost, failing = (next(step for step in one.steps if step.fault == at) for at in (0, 1))
-    assert sorted(lost.targets) == sorted(spec.name for spec in one.servers if spec.zone == "norte-a")
+    graph_plan = plan.make(parse_text(GOOD, Scenario, "s"))
+    lost, failing = (next(step for step in graph_plan.steps if step.fault == fault) for fault in (0, 1))
+    assert sorted(lost.targets) == sorted(spec.name for spec in graph_plan.servers if spec.zone == "norte-a")
     assert sorted(failing.targets) == ["archivo-0", "archivo-2"]
 
 
 def test_one_way_delays_and_partitions_follow_the_network_table() -> None:
-    areas = Topology(parse_text(GOOD, Scenario, "s"))
-    assert areas.one_way_ms("sur-a", "sur-a") == ONE_WAY_MS
-    assert areas.one_way_ms("sur-a", "sur-b") == ONE_WAY_MS + 1.0
-    assert areas.one_way_ms("sur-a", "norte-a") == ONE_WAY_MS + 8.0
-    areas.isolate(0, frozenset(["sur-a", "sur-b"]))
-    assert areas.separated("sur-b", "norte-a")
-    assert not areas.separated("sur-a", "sur-b")
-    areas.heal(0)
-    assert not areas.separated("sur-b", "norte-a")
+    topology = Topology(parse_text(GOOD, Scenario, "s"))
+    assert topology.one_way_ms("sur-a", "sur-a") == ONE_WAY_MS
+    assert topology.one_way_ms("sur-a", "sur-b") == ONE_WAY_MS + 1.0
+    assert topology.one_way_ms("sur-a", "norte-a") == ONE_WAY_MS + 8.0
+    topology.isolate(0, frozenset(["sur-a", "sur-b"]))
+    assert topology.separated("sur-b", "norte-a")
+    assert not topology.separated("sur-a", "sur-b")
+    topology.heal(0)
+    assert not topology.separated("sur-b", "norte-a")
 
 
 # ----------------------------------------------------------------------- runs
 
 
 def chain(depth: int, **changes: Any) -> Scenario:
-    """Each service calls the next one; three servers each."""
+    """Return a scenario in which each service calls the next one and has three servers."""
     rows: dict[str, Any] = {
         "name": "chain",
         "seconds": 6,
@@ -263,32 +263,32 @@
         "nodes": {"count": 2, "spread_s": 0.4},
         "service": [
             {
-                "name": f"s{at}",
+                "name": f"s{level}",
                 "work": 1.0 / depth,
                 "kind": [{"name": "a", "count": 3}],
-                "call": [{"to": f"s{at + 1}"}] if at + 1 < depth else [],
+                "call": [{"to": f"s{level + 1}"}] if level + 1 < depth else [],
             }
-            for at in range(depth)
+            for level in range(depth)
         ],
     }
     return msgspec.convert(rows | changes, Scenario)
 
 
-def jobs(one: plan.Plan, folder: Path) -> list[dict[str, Any]]:
-    assert simulate(one, folder)["ok"]
+def job_records(run_plan: plan.Plan, folder: Path) -> list[dict[str, Any]]:
+    assert simulate(run_plan, folder)["ok"]
     return [row for row in records.read_records(folder / "equipos.jsonl") if row["e"] == "job"]
 
 
 def test_a_request_twenty_levels_deep_is_executed_once_at_each_level(tmp_path: Path) -> None:
-    one = plan.make(chain(20))
-    by: dict[str, Counter[int]] = {}
-    for row in jobs(one, tmp_path):
+    chain_plan = plan.make(chain(20))
+    jobs_by_operation: dict[str, Counter[int]] = {}
+    for row in job_records(chain_plan, tmp_path):
         assert row["verdict"] == "served"
-        by.setdefault(row["op"].split("/")[0], Counter())[row["tier"]] += 1
-    assert set(by) == {item.operation_id for item in one.arrivals}
-    assert all(levels == dict.fromkeys(range(20), 1) for levels in by.values())
-    wishes = [row for row in records.read_records(tmp_path / "load.jsonl") if row["e"] == "op"]
-    assert all(row["in_time"] and len(row["tries"]) == 1 for row in wishes)
+        jobs_by_operation.setdefault(row["op"].split("/")[0], Counter())[row["tier"]] += 1
+    assert set(jobs_by_operation) == {arrival.operation_id for arrival in chain_plan.arrivals}
+    assert all(jobs == dict.fromkeys(range(20), 1) for jobs in jobs_by_operation.values())
+    operations = [row for row in records.read_records(tmp_path / "load.jsonl") if row["e"] == "op"]
+    assert all(row["in_time"] and len(row["tries"]) == 1 for row in operations)
 
 
 def test_a_list_of_tiers_equals_the_chain_of_the_same_services() -> None:
@@ -299,20 +299,21 @@
         service["call"] = [{"to": below["name"], "times": below["calls"]}]
     as_graph = msgspec.convert(rows | {"tier": [], "service": services}, Scenario)
     for seed in (1, 5):
-        one, other = (simulate(plan.make(loss, seed)) for loss in (msgspec.convert(rows, Scenario), as_graph))
-        assert one["digest"] == other["digest"]
-        assert one["events"] == other["events"]
+        of_tiers, of_graph = (
+            simulate(plan.make(variant, seed)) for variant in (msgspec.convert(rows, Scenario), as_graph)
+        )
+        assert of_tiers["digest"] == of_graph["digest"]
+        assert of_tiers["events"] == of_graph["events"]
 
 
 def test_a_service_on_several_paths_is_called_on_each(tmp_path: Path) -> None:
-    loss = parse_text(GOOD[: GOOD.index("[[trouble]]")], Scenario, "s")
-    one = plan.make(loss)
-    found: Counter[int] = Counter(row["tier"] for row in jobs(one, tmp_path))
-    means = service_graph.mean_visits(one.edges)
-    arrivals = len(one.arrivals)
-    assert found[0] == arrivals
-    # Of each of some 600 requests; the tolerance is far outside chance.
-    assert all(abs(found[at] / arrivals - mean) < 0.15 for at, mean in enumerate(means))
+    graph_plan = plan.make(parse_text(GOOD[: GOOD.index("[[trouble]]")], Scenario, "s"))
+    job_counts: Counter[int] = Counter(row["tier"] for row in job_records(graph_plan, tmp_path))
+    means = service_graph.mean_visits(graph_plan.edges)
+    arrivals = len(graph_plan.arrivals)
+    assert job_counts[0] == arrivals
+    # With some 600 requests, chance deviations are far smaller than the tolerance.
+    assert all(abs(job_counts[tier] / arrivals - mean) < 0.15 for tier, mean in enumerate(means))
     assert means[3] == pytest.approx(means[1] + 0.6)
     callers = {
         row["node"].split("-")[1]
@@ -337,7 +338,7 @@
 
 
 def regions(faults: list[dict[str, Any]], rate: float = 30.0) -> Scenario:
-    """A diamond of four services over two regions with three zones, classes of each idempotency."""
+    """Return a diamond of four services over two regions and three zones, with a class of each idempotency."""
     common = {"share": 1, "work_ms": 40, "cv": 0.8, "attempt_noise": 0.3, "aim_ms": 700, "give_up_ms": 2000}
     kind = {"name": "a", "count": 6, "cold_s": 4, "pause_ms": [0, 50], "error_rate": [0, 0.02]}
     calls = {"top": ["left", "right"], "left": ["bottom"], "right": ["bottom"], "bottom": []}
@@ -359,9 +360,9 @@
                 "work": 0.25,
                 "cell_size": 2,
                 "kind": [kind],
-                "call": [{"to": to, "times": 0.7} for to in below],
+                "call": [{"to": callee, "times": 0.7} for callee in callees],
             }
-            for name, below in calls.items()
+            for name, callees in calls.items()
         ],
         "trouble": faults,
     }
@@ -372,15 +373,13 @@
 
 
 def test_a_seed_reproduces_the_records_of_a_graph_with_a_zone_loss() -> None:
-    one, again = (simulate(plan.make(regions([LOSS]), 3)) for _ in range(2))
-    assert one["digest"] == again["digest"]
-    assert simulate(plan.make(regions([LOSS]), 4))["digest"] != one["digest"]
+    first, second = (simulate(plan.make(regions([LOSS]), 3)) for _ in range(2))
+    assert first["digest"] == second["digest"]
+    assert simulate(plan.make(regions([LOSS]), 4))["digest"] != first["digest"]
 
 
-@pytest.mark.parametrize(("kind", "back_cold"), [("loss", True), ("cut-off", False)])
-def test_a_region_receives_requests_again_after_its_outage(
-    kind: str, back_cold: bool, tmp_path: Path
-) -> None:
+@pytest.mark.parametrize(("kind", "warms_up"), [("loss", True), ("cut-off", False)])
+def test_a_region_receives_requests_again_after_its_outage(kind: str, warms_up: bool, tmp_path: Path) -> None:
     run = Simulation(plan.make(regions([LOSS | {"kind": kind}])), tmp_path)
     summary = run.run()
     assert summary["ok"], summary["rules"]
@@ -390,7 +389,7 @@
     before = [row for row in inside if row["came"] < 2000.0]
     during = [row for row in inside if 2000.0 <= row["came"] < 5000.0]
     assert before
-    assert any(row["came"] > 5500.0 for row in inside)  # after the outage
+    assert any(row["came"] > 5500.0 for row in inside)  # the outage ends at 5000
     if kind == "loss":
         assert not during
     else:  # servers there continue to serve the clients of their own zones
@@ -399,27 +398,27 @@
         assert all(nodes[row["node"]].zone != "norte-a" for row in during if row["came"] > 2010.0)
     hosts = [host for host in run.fleet.hosts.values() if host.spec.zone != "norte-a"]
     assert all(host.listening and not host.isolated for host in hosts)
-    assert all((host.model.started_ms > 5000.0) is back_cold for host in hosts)
-    truth = {name for registry in run.fleet.registries for name in registry.current}
-    assert truth == set(run.fleet.hosts)
+    assert all((host.model.started_ms > 5000.0) is warms_up for host in hosts)
+    listed = {name for registry in run.fleet.registries for name in registry.current}
+    assert listed == set(run.fleet.hosts)
     for agent in (agent for registry in run.fleet.registries for agent in registry.agents.values()):
         assert not agent.isolated
 
 
 def test_a_lost_machine_stops_working_and_an_isolated_one_does_not(monkeypatch: pytest.MonkeyPatch) -> None:
-    """The same run with an isolation in place of the loss: the servers continue to work."""
-    done = []
+    """The second run has an isolation in place of the loss."""
+    work_done_ms = []
     for _ in range(2):
         run = Simulation(plan.make(regions([LOSS], 60.0)))
         while not run.clients or run.queue.now < 2000.5:
             run.queue.run(run.queue.now + 0.5)
         lost = [host for host in run.fleet.hosts.values() if host.spec.zone != "norte-a"]
-        work = sum(host.model.work_done_ms for host in lost)
+        work_before_ms = sum(host.model.work_done_ms for host in lost)
         run.queue.run(3000.0)
-        done.append(sum(host.model.work_done_ms for host in lost) - work)
+        work_done_ms.append(sum(host.model.work_done_ms for host in lost) - work_before_ms)
         monkeypatch.setattr(SimulatedServerHost, "lose_machine", SimulatedServerHost.isolate)
-    assert done[0] == 0.0
-    assert done[1] > 0.0
+    assert work_done_ms[0] == 0.0
+    assert work_done_ms[1] > 0.0
 
 
 ZONE_FAULTS = st.fixed_dictionaries(
@@ -444,7 +443,7 @@
 
 @SHORT
 @given(
-    st.lists(st.builds(lambda one, place: one | place, ZONE_FAULTS, PLACES) | OTHER_FAULTS, max_size=4),
+    st.lists(st.builds(lambda fault, place: fault | place, ZONE_FAULTS, PLACES) | OTHER_FAULTS, max_size=4),
     st.sampled_from([10.0, 80.0]),
     st.integers(0, 1 << 30),
 )
@@ -466,9 +465,9 @@
 
 @pytest.mark.parametrize("name", ["graph-chain", "graph-diamond", "graph-zone", "graph-region"])
 def test_bundled_graphs_keep_the_rules(name: str) -> None:
-    """Short forms: each fault for two seconds, and the time right after it."""
+    """Runs are shortened; each fault lasts two seconds."""
     changes: dict[str, object] = {"seconds": 9, "clients.rate_per_s": 20}
-    for at in range(len(scenario.load(name).faults)):
-        changes |= {f"trouble.{at}.at_s": 2.0 + 3.0 * at, f"trouble.{at}.for_s": 2.0}
+    for index in range(len(scenario.load(name).faults)):
+        changes |= {f"trouble.{index}.at_s": 2.0 + 3.0 * index, f"trouble.{index}.for_s": 2.0}
     summary = simulate(plan.make(scenario.load(name, changes)))
     assert summary["ok"], summary["rules"]
--- a/tests/lab/test_simulation.py
+++ b/tests/lab/test_simulation.py
@@ -272,7 +272,7 @@
 
 @pytest.mark.parametrize("name", ["fleet-join", "fleet-zone", "fleet-disco", "fleet-below", "fleet-crowd"])
 def test_forty_nodes_keep_the_rules_when_most_servers_are_lost(name: str) -> None:
-    """Runs are cut short after the fault."""
+    """Runs are shortened to end soon after the fault."""
     summary = simulate(plan.make(scenario.load(name, {"seconds": 13})))
     assert summary["ok"]
     assert summary["fell"] == 0
