--- a/rosewheel/lab/simulation/connection_pools.py
+++ b/rosewheel/lab/simulation/connection_pools.py
@@ -26,8 +26,8 @@
     """Connections to one server.
 
     Attributes:
-        accepts_requests: whether the endpoint list has the server as up.
-        launched_ms: start of the server by the endpoint list; None if it ran from the beginning.
+        accepts_requests: whether the server is listed as up.
+        launched_ms: listed start of the server; None if it ran from the beginning.
         last_response_ms: when the last response was received.
         idle: idle connections, the most recently used at the end.
     """
--- a/rosewheel/lab/simulation/fleet.py
+++ b/rosewheel/lab/simulation/fleet.py
@@ -181,7 +181,7 @@
         return self._cells[host.spec.tier, host.spec.cell]
 
     def launch(self, host: SimulatedServerHost) -> None:
-        """Start a server process. After `PROCESS_START_MS` it has its local nodes, serves and is listed."""
+        """Start a server process with its local nodes. It serves and is listed after `PROCESS_START_MS`."""
         self.queue.call_later(PROCESS_START_MS, self._process_started, host)
 
     def _process_started(self, host: SimulatedServerHost) -> None:
--- a/rosewheel/lab/simulation/host.py
+++ b/rosewheel/lab/simulation/host.py
@@ -118,7 +118,7 @@
             work.client_connected = False
 
     def receive(self, connection: Connection, attempt: Attempt) -> None:
-        """Process an attempt received on a connection."""
+        """Handle an attempt received on a connection."""
         if connection.reset_by_host or connection.silent or connection not in self.connections:
             return
         if connection.fault is not None and connection.fault.kind is ConnectionFaultKind.RESET:
--- a/rosewheel/lab/simulation/network.py
+++ b/rosewheel/lab/simulation/network.py
@@ -47,10 +47,10 @@
     spec: ServerSpec
 
     def receive(self, connection: Connection, attempt: Attempt) -> None:
-        """Process an attempt that has been received."""
+        """Handle a received attempt."""
 
     def connection_closed(self, connection: Connection) -> None:
-        """Process that the node has closed the connection."""
+        """Handle the closing of the connection by the node."""
 
 
 class ConnectionNode(Protocol):
@@ -62,10 +62,10 @@
     def attempt_answered(
         self, attempt: Attempt, result: AttemptResult, report: LoadReport | None, keep_open: bool
     ) -> None:
-        """Process a response, or the end of the connection in place of one."""
+        """Handle a response, or the end of the connection in place of one."""
 
     def connection_reset(self, connection: Connection) -> None:
-        """Process that the server has reset the connection."""
+        """Handle a reset of the connection by the server."""
 
 
 @dataclass(slots=True, eq=False)
@@ -74,7 +74,7 @@
 
     Attributes:
         idle_since_ms: when the last response was received.
-        silent: whether everything sent on the connection is lost, by a fault.
+        silent: whether a fault drops everything sent on the connection.
         fault: the injected fault that affects the connection, if any.
         request_count: number of requests sent so far.
         one_way_ms: delay from one side to the other.
--- a/rosewheel/lab/simulation/node.py
+++ b/rosewheel/lab/simulation/node.py
@@ -203,7 +203,7 @@
     def attempt_answered(
         self, attempt: Attempt, result: AttemptResult, report: LoadReport | None, keep_open: bool
     ) -> None:
-        """Process a response, or the end of the connection in place of one."""
+        """Handle a response, or the end of the connection in place of one."""
         connection = attempt.connection
         if self.dead or attempt.finished or connection is None:
             return
@@ -214,7 +214,7 @@
         self._finish(attempt, result, report)
 
     def connection_reset(self, connection: Connection) -> None:
-        """Process that a server has reset a connection."""
+        """Handle a reset of a connection by its server."""
         if self.dead or connection.closed_by_node:
             return
         self.pools.discard(connection)
--- a/rosewheel/lab/simulation/node_restarts.py
+++ b/rosewheel/lab/simulation/node_restarts.py
@@ -8,9 +8,7 @@
 from rosewheel.lab.simulation.node import SimulatedNode
 from rosewheel.policy.learned_state import LearnedState
 
-UPGRADE_OVERLAP_MS = (
-    800.0  # time from the start of the new process until the old one accepts no more requests
-)
+UPGRADE_OVERLAP_MS = 800.0  # time from the start of the new process until it replaces the old one
 
 
 class NodeRestarts:
--- a/rosewheel/lab/simulation/statistics.py
+++ b/rosewheel/lab/simulation/statistics.py
@@ -89,9 +89,10 @@
                 self.rejections[end_bin] += 1
 
     def service(self, begin_ms: float, end_ms: float) -> float:
-        """Return the share of the weight served in time, of operations planned in an interval.
+        """Return the weight served in time as a share of the weight offered in an interval.
 
-        The ends of the interval are rounded to `BIN_MS`. Returns 1 if no operations were planned.
+        Operations count at their planned time. The ends of the interval are rounded to `BIN_MS`. Returns 1 if no
+        operations were planned.
         """
         first, last = round(begin_ms / BIN_MS), round(end_ms / BIN_MS)
         offered = sum(self.offered_weight[first:last])
