--- a/rosewheel/lab/server_host.py
+++ b/rosewheel/lab/server_host.py
@@ -231,7 +231,7 @@
             return
         connection.work = work
         self.catch_up(now := now_ms())
-        self.owner.apply_actions(self, self.model.arrive(now, work.job))
+        self.owner.apply_actions(self, self.model.submit(now, work.job))
         self.arm()
 
     def _answer_health_check(self, connection: HostConnection, path: bytes) -> None:
--- a/rosewheel/lab/server_model/server.py
+++ b/rosewheel/lab/server_model/server.py
@@ -158,7 +158,7 @@
         self.connection_count -= 1
         self._set_rate()
 
-    def arrive(self, now: float, job: Job) -> list[Action]:
+    def submit(self, now: float, job: Job) -> list[Action]:
         """Admit, reject or answer a request whose last byte has been received."""
         self._advance(now)
         self.arrived += 1
--- a/rosewheel/lab/simulation/host.py
+++ b/rosewheel/lab/simulation/host.py
@@ -130,7 +130,7 @@
         work = self.owner.accept_request(self, connection, attempt)
         self.connections[connection] = self.work[work.job.id] = work
         self.catch_up(self.queue.now)
-        self.owner.apply_actions(self, self.model.arrive(self.queue.now, work.job))
+        self.owner.apply_actions(self, self.model.submit(self.queue.now, work.job))
         self.arm()
 
     def reply(self, work: SimulatedWork, result: JobResult) -> None:
--- a/tests/lab/test_server_model.py
+++ b/tests/lab/test_server_model.py
@@ -108,7 +108,7 @@
         id = len(self.sent)
         self.sent.add(id)
         self.apply(self.server.tick(self.now))
-        self.apply(self.server.arrive(self.now, Job(id, tuple(work), key, dedup_window_ms=1000.0)))
+        self.apply(self.server.submit(self.now, Job(id, tuple(work), key, dedup_window_ms=1000.0)))
 
     @rule(succeeded=st.booleans())
     def finish_call(self, succeeded: bool) -> None:
@@ -174,7 +174,7 @@
         for id, (wait, work) in enumerate(arrivals):
             now += wait
             actions += server.tick(now) if step == math.inf else tick_until(server, now)
-            actions += server.arrive(now, Job(id, (work,)))
+            actions += server.submit(now, Job(id, (work,)))
         actions += tick_until(server, now + 1e5)
         replies.append([action for action in actions if isinstance(action, Reply)])
     assert replies[0] == replies[1]
@@ -182,7 +182,7 @@
 
 def send_jobs(server: EmulatedServer, now: float, count: int, work: float = 1e6) -> None:
     for id in range(count):
-        server.arrive(now, Job(id, (work,)))
+        server.submit(now, Job(id, (work,)))
 
 
 def test_the_overload_slowdown_begins_and_ends_by_its_parameters():
@@ -192,7 +192,7 @@
     tick_until(server, 1000.0)
     assert server.slowed_since_ms is None
     full = server.capacity
-    server.arrive(1000.0, Job(100, (1e6,)))
+    server.submit(1000.0, Job(100, (1e6,)))
     tick_until(server, 1000.0 + SLOWDOWN.trigger_ms - 1.0)
     assert server.slowed_since_ms is None
     tick_until(server, 1000.0 + SLOWDOWN.trigger_ms)
@@ -235,14 +235,14 @@
     )
     server = new_server(spec, warming_up=True)
     assert not any(
-        isinstance(action, ServerCollapsed) for action in server.arrive(0.0, Job(1, (limit_ms * 0.99,)))
+        isinstance(action, ServerCollapsed) for action in server.submit(0.0, Job(1, (limit_ms * 0.99,)))
     )
-    actions = server.arrive(0.0, Job(2, (limit_ms * 0.02,), sender_informed=False))
+    actions = server.submit(0.0, Job(2, (limit_ms * 0.02,), sender_informed=False))
     collapses = [action for action in actions if isinstance(action, ServerCollapsed)]
     assert len(collapses) == 1
     assert collapses[0].informed_share > 0.9
     assert server.state is LifecycleState.DOWN
-    assert server.arrive(1.0, Job(3, (1.0,))) == [Reply(3, JobResult.REJECTED)]
+    assert server.submit(1.0, Job(3, (1.0,))) == [Reply(3, JobResult.REJECTED)]
 
 
 def test_load_before_the_window_does_not_count_towards_a_collapse():
@@ -254,7 +254,7 @@
     )
     server = new_server(spec, warming_up=True)
     for number in range(5):
-        actions = server.arrive(number * spec.overload_window_ms, Job(number, (limit_ms * 0.9,)))
+        actions = server.submit(number * spec.overload_window_ms, Job(number, (limit_ms * 0.9,)))
         assert not any(isinstance(action, ServerCollapsed) for action in actions)
 
 
@@ -262,15 +262,15 @@
     dedup_table = DedupTable()
     first = new_server(SPEC, dedup_table=dedup_table)
     second = new_server(SPEC, dedup_table=dedup_table, seed=2)
-    actions = first.arrive(0.0, Job(1, (150.0,), "k", dedup_window_ms=1000.0))
+    actions = first.submit(0.0, Job(1, (150.0,), "k", dedup_window_ms=1000.0))
     assert actions == [JobStarted(1)]
-    assert second.arrive(10.0, Job(2, (150.0,), "k", dedup_window_ms=1000.0)) == []
+    assert second.submit(10.0, Job(2, (150.0,), "k", dedup_window_ms=1000.0)) == []
     actions = tick_until(first, 200.0)
     assert actions == [Reply(1, JobResult.SERVED), Reply(2, JobResult.SERVED)]
     assert second.finish_duplicate(2)
-    assert second.arrive(300.0, Job(3, (150.0,), "k", dedup_window_ms=1000.0)) == [Reply(3, JobResult.SERVED)]
+    assert second.submit(300.0, Job(3, (150.0,), "k", dedup_window_ms=1000.0)) == [Reply(3, JobResult.SERVED)]
     # The request is executed again after the deduplication window.
-    assert second.arrive(1001.0, Job(4, (150.0,), "k", dedup_window_ms=1000.0)) == [JobStarted(4)]
+    assert second.submit(1001.0, Job(4, (150.0,), "k", dedup_window_ms=1000.0)) == [JobStarted(4)]
 
 
 def test_load_reports_are_periodic_and_delayed():
@@ -291,7 +291,7 @@
     )
     server = new_server(spec)
     for number in range(30):
-        server.arrive(start, Job(number, (100_000.0,)))
+        server.submit(start, Job(number, (100_000.0,)))
     server.tick(server.next_due_ms())
     assert server.slowed_since_ms is not None
 
@@ -301,7 +301,7 @@
     server.forced_error_share = 0.5
     at_once = 0
     for id in range(100):
-        actions = server.arrive(id * 100.0, Job(id, (10.0,)))
+        actions = server.submit(id * 100.0, Job(id, (10.0,)))
         at_once += any(isinstance(action, Reply) and action.result is JobResult.ERROR for action in actions)
         tick_until(server, id * 100.0 + 99.0)
     assert 30 < at_once < 70
