--- a/rosewheel/lab/server_host.py
+++ b/rosewheel/lab/server_host.py
@@ -202,7 +202,7 @@
             connection.silent = True
         self._faults.affect_new(connection)
         self.catch_up(now := now_ms())
-        self.model.connect(now)
+        self.model.connection_opened(now)
         self.arm()
 
     def connection_closed(self, connection: HostConnection) -> None:
@@ -211,7 +211,7 @@
         if connection.work is not None:
             connection.work.client_connected = False
         self.catch_up(now := now_ms())
-        self.model.disconnect(now)
+        self.model.connection_closed(now)
         self.arm()
 
     def receive(self, connection: HostConnection, request: HttpRequest) -> None:
--- a/rosewheel/lab/server_model/server.py
+++ b/rosewheel/lab/server_model/server.py
@@ -142,7 +142,7 @@
 
     # ----------------------------------------------------------------- events
 
-    def connect(self, now: float) -> bool:
+    def connection_opened(self, now: float) -> bool:
         """Count a new connection. Return False if there are more than `max_connections`.
 
         The caller adds the work of the handshake to the first request on the connection.
@@ -152,7 +152,7 @@
         self._set_rate()
         return self.connection_count <= self.spec.max_connections
 
-    def disconnect(self, now: float) -> None:
+    def connection_closed(self, now: float) -> None:
         """Count a closed connection."""
         self._advance(now)
         self.connection_count -= 1
--- a/rosewheel/lab/simulation/host.py
+++ b/rosewheel/lab/simulation/host.py
@@ -100,7 +100,7 @@
         connection.silent = self.isolated
         self._faults.affect_new(connection)
         self.catch_up(self.queue.now)
-        self.model.connect(self.queue.now)
+        self.model.connection_opened(self.queue.now)
         self.arm()
 
     def connection_closed(self, connection: Connection) -> None:
@@ -109,7 +109,7 @@
             return
         self._remove_connection(connection)
         self.catch_up(self.queue.now)
-        self.model.disconnect(self.queue.now)
+        self.model.connection_closed(self.queue.now)
         self.arm()
 
     def _remove_connection(self, connection: Connection) -> None:
@@ -177,7 +177,7 @@
             return
         self._remove_connection(connection)
         connection.reset_by_host = True
-        self.model.disconnect(self.queue.now)
+        self.model.connection_closed(self.queue.now)
         self.queue.call_later(connection.one_way_ms, connection.node.connection_reset, connection)
 
     # ----------------------------------------------------------------- faults
