--- a/rosewheel/lab/emulated_fleet.py
+++ b/rosewheel/lab/emulated_fleet.py
@@ -139,7 +139,7 @@
 
     def stop(self, host: EmulatedServerHost) -> None:
         """End the process of a server, and its local node with it."""
-        self.requests.lose_work(host)
+        self.requests.record_lost_jobs(host)
         host.terminate()
         self.local_nodes.stop(host.spec)
 
--- a/rosewheel/lab/emulator_requests.py
+++ b/rosewheel/lab/emulator_requests.py
@@ -243,7 +243,7 @@
                     self.fleet.records.write(ServerCollapsedRecord(at_ms, host.spec.name, informed_share))
                     self.fleet.crash(host)
 
-    def lose_work(self, host: EmulatedServerHost) -> None:
+    def record_lost_jobs(self, host: EmulatedServerHost) -> None:
         """The process of a server ends: record its requests as lost."""
         for job_id in [job_id for job_id, work in self._work.items() if work.host is host]:
             self._record(self._work.pop(job_id), LOST_JOB, now_ms())
--- a/rosewheel/lab/simulation/fleet.py
+++ b/rosewheel/lab/simulation/fleet.py
@@ -200,7 +200,7 @@
 
     def stop(self, host: SimulatedServerHost, change: DiscoveryChange) -> None:
         """End a server process and its local nodes."""
-        self.requests.lose_work(host)
+        self.requests.record_lost_jobs(host)
         host.terminate()
         self.stop_local_nodes(host.spec)
         self.remove_endpoint(host, change)
--- a/rosewheel/lab/simulation/outages.py
+++ b/rosewheel/lab/simulation/outages.py
@@ -25,7 +25,7 @@
         self._lost_hosts[step.fault] = lost
         for host in lost:
             host.catch_up(fleet.queue.now)
-            fleet.requests.lose_work(host)
+            fleet.requests.record_lost_jobs(host)
             host.lose_machine()
             fleet.stop_local_nodes(host.spec)
             fleet.remove_endpoint(host, DiscoveryChange.SERVER_DIED)
--- a/rosewheel/lab/simulation/requests.py
+++ b/rosewheel/lab/simulation/requests.py
@@ -166,7 +166,7 @@
                     self.fleet.record(RecordFile.SERVERS, record)
                     self.fleet.crash(host)
 
-    def lose_work(self, host: SimulatedServerHost) -> None:
+    def record_lost_jobs(self, host: SimulatedServerHost) -> None:
         """Record the requests of an ending server process as lost."""
         for work in host.work.values():
             self._record_job(work, LOST_JOB)
