--- a/rosewheel/lab/discovery.py
+++ b/rosewheel/lab/discovery.py
@@ -200,7 +200,7 @@
         """
         self.loop = asyncio.get_running_loop()
         self.agents: dict[str, DiscoveryAgent] = {}
-        self.current: dict[str, DiscoveryEntry] = {}
+        self.endpoints: dict[str, DiscoveryEntry] = {}
         self.extra_delay_ms = 0.0
         self._draw_delay_ms = draw_delay_ms
         self._on_notified = on_notified
@@ -210,7 +210,7 @@
     def add_agent(self, node: str) -> DiscoveryAgent:
         """An agent for a node, which begins with the current list."""
         agent = DiscoveryAgent(node, self._notified)
-        agent.entries = dict(self.current)
+        agent.entries = dict(self.endpoints)
         self.agents[node] = agent
         return agent
 
@@ -223,9 +223,9 @@
     def update(self, entry: DiscoveryEntry, change: DiscoveryChange, at_once: bool = False) -> None:
         """Change the list; every agent learns of it after a delay of its own, or at once."""
         if entry.health == LEFT:
-            self.current.pop(entry.name, None)
+            self.endpoints.pop(entry.name, None)
         else:
-            self.current[entry.name] = entry
+            self.endpoints[entry.name] = entry
         first_delay_ms = 0.0 if at_once else self._draw_delay_ms(change) + self.extra_delay_ms
         for node, agent in self.agents.items():
             if at_once:
--- a/rosewheel/lab/simulation/discovery.py
+++ b/rosewheel/lab/simulation/discovery.py
@@ -85,7 +85,7 @@
     """Endpoint list of one tier, and the agents of all nodes that send to it.
 
     Attributes:
-        current: endpoint list without delays, by name of the server.
+        endpoints: endpoint list without delays, by name of the server.
         agents: agent of each node.
         extra_delay_ms: delay that an injected fault adds to every change.
     """
@@ -106,13 +106,13 @@
         """
         self.queue, self.plan, self.rng, self._on_notified = queue, plan, rng, on_notified
         self.was_notified = was_notified
-        self.current: dict[str, Server] = {}
+        self.endpoints: dict[str, Server] = {}
         self.agents: dict[SimulatedNode, SimulatedAgent] = {}
         self.extra_delay_ms = 0.0
 
     def add_agent(self, node: SimulatedNode) -> None:
         """Start the agent of a node with the current list, and send that list to the node."""
-        agent = SimulatedAgent(self.queue, node, self.current, self._on_notified)
+        agent = SimulatedAgent(self.queue, node, self.endpoints, self._on_notified)
         self.agents[node] = agent
         # The list replaces notifications of an earlier process of this node.
         for entry in agent.entries.values():
@@ -127,9 +127,9 @@
     def update(self, entry: Server, change: DiscoveryChange) -> None:
         """Change the list. The change reaches each agent after a delay of its own."""
         if entry.state is ServerState.REMOVED:
-            self.current.pop(entry.address, None)
+            self.endpoints.pop(entry.address, None)
         else:
-            self.current[entry.address] = entry
+            self.endpoints[entry.address] = entry
         first_ms = self.queue.now + self._draw_delay_ms(change) + self.extra_delay_ms
         for agent in self.agents.values():
             due_ms = max(agent.last_change_ms, first_ms + self._draw_delay_ms(DiscoveryChange.SPREAD))
@@ -141,7 +141,7 @@
 
     def set_state(self, name: str, state: ServerState, change: DiscoveryChange) -> None:
         """Change the state of a server. Does nothing if it is not listed or has that state."""
-        entry = self.current.get(name)
+        entry = self.endpoints.get(name)
         if entry is not None and entry.state is not state:
             self.update(dataclasses.replace(entry, state=state), change)
 
@@ -160,7 +160,7 @@
         """Cut zones off. Agents there do not notify their nodes, and servers there are removed from the list."""
         for agent in self.agents.values():
             agent.isolated = agent.isolated or agent.node.zone in zones
-        for entry in list(self.current.values()):
+        for entry in list(self.endpoints.values()):
             if entry.zone in zones:
                 self.set_state(entry.address, ServerState.REMOVED, DiscoveryChange.SERVER_DIED)
 
--- a/rosewheel/lab/simulation/fleet.py
+++ b/rosewheel/lab/simulation/fleet.py
@@ -69,7 +69,7 @@
         self._process_count = 0
         for spec in plan.servers:
             self.add_host(spec, warming_up=False).listening = True
-            self.registries[spec.tier].current[spec.name] = Server(spec.name, spec.zone, spec.cell)
+            self.registries[spec.tier].endpoints[spec.name] = Server(spec.name, spec.zone, spec.cell)
         self.queue.call_at(0.0, self._sample_servers)
 
     def start(self, on_ready: Callable[[], None]) -> None:
--- a/tests/lab/test_emulator.py
+++ b/tests/lab/test_emulator.py
@@ -291,7 +291,7 @@
             monkeypatch.setattr("time.time", lambda: wall() + 3600.0)
             emulator.fleet.crash(host)
             await emulator.fleet.revive(host)
-            born = emulator.fleet.registries[0].current[host.spec.name].launched_ms
+            born = emulator.fleet.registries[0].endpoints[host.spec.name].launched_ms
             assert born < (wall() + 1800.0) * 1000.0, (
                 "an hour ahead: it would look as if it had not started yet"
             )
--- a/tests/lab/test_graph.py
+++ b/tests/lab/test_graph.py
@@ -399,7 +399,7 @@
     hosts = [host for host in run.fleet.hosts.values() if host.spec.zone != "norte-a"]
     assert all(host.listening and not host.isolated for host in hosts)
     assert all((host.model.started_ms > 5000.0) is warms_up for host in hosts)
-    listed = {name for registry in run.fleet.registries for name in registry.current}
+    listed = {name for registry in run.fleet.registries for name in registry.endpoints}
     assert listed == set(run.fleet.hosts)
     for agent in (agent for registry in run.fleet.registries for agent in registry.agents.values()):
         assert not agent.isolated
--- a/tests/policy/test_slow_start.py
+++ b/tests/policy/test_slow_start.py
@@ -274,7 +274,7 @@
         lambda *_: False,
         random_stream(1, "x"),
     )
-    registry.current = {"old": Server("old"), "new": Server("new", launched_ms=5.0)}
+    registry.endpoints = {"old": Server("old"), "new": Server("new", launched_ms=5.0)}
     node = Mock()
     node.name = "n7"
     registry.add_agent(node)
