--- a/rosewheel/lab/emulated_fleet.py
+++ b/rosewheel/lab/emulated_fleet.py
@@ -123,8 +123,8 @@
         """A host that does not listen yet."""
         dedup_table = self._dedup_tables.setdefault((spec.tier, spec.cell), DedupTable())
         rng = random_stream(self.plan.seed, "run", "equipo", spec.name)
-        reports = self.plan.scenario.tiers[spec.tier].report.enabled
-        host = EmulatedServerHost(self.requests, spec, dedup_table, rng, warming_up, reports)
+        sends_load_reports = self.plan.scenario.tiers[spec.tier].report.enabled
+        host = EmulatedServerHost(self.requests, spec, dedup_table, rng, warming_up, sends_load_reports)
         self.hosts[spec.name] = host
         return host
 
--- a/rosewheel/lab/server_host.py
+++ b/rosewheel/lab/server_host.py
@@ -91,7 +91,7 @@
     """One server: its listening socket, its connections, and the timer that drives its model.
 
     Attributes:
-        reports: whether responses carry the load report.
+        sends_load_reports: whether responses carry the load report.
         isolated: the machine is cut off from the network.
     """
 
@@ -102,10 +102,10 @@
         dedup_table: DedupTable,
         rng: np.random.Generator,
         warming_up: bool,
-        reports: bool,
+        sends_load_reports: bool,
     ) -> None:
         self.owner, self.spec, self.dedup_table, self.rng = owner, spec, dedup_table, rng
-        self.reports = reports
+        self.sends_load_reports = sends_load_reports
         self.loop = asyncio.get_running_loop()
         self.model = EmulatedServer(spec, dedup_table, rng, now_ms(), warming_up)
         self.address: Address = ("127.0.0.1", 0)
@@ -237,7 +237,7 @@
     def _answer_health_check(self, connection: HostConnection, path: bytes) -> None:
         self.catch_up(now := now_ms())
         up = self.model.check_health(now)
-        body = self._load_report().encode() if path == LOAD_PATH and self.reports else b""
+        body = self._load_report().encode() if path == LOAD_PATH and self.sends_load_reports else b""
         connection.respond(200 if up else 503, body)
         self.arm()
 
@@ -249,7 +249,9 @@
         if not work.client_connected or connection.transport is None:
             return
         status = STATUS_BY_RESULT[result]
-        headers = b"Server-Load: TEXT %b\r\n" % self._load_report().encode() if self.reports else b""
+        headers = (
+            b"Server-Load: TEXT %b\r\n" % self._load_report().encode() if self.sends_load_reports else b""
+        )
         if result is JobResult.REJECTED:
             headers += NOT_STARTED_HEADER
         fault = connection.fault
--- a/rosewheel/lab/simulation/fleet.py
+++ b/rosewheel/lab/simulation/fleet.py
@@ -170,8 +170,10 @@
         cell = spec.tier, spec.cell
         dedup_table = self._dedup_tables.setdefault(cell, DedupTable())
         rng = random_stream(self.plan.seed, "run", "equipo", spec.name)
-        reports = self.plan.scenario.tiers[spec.tier].report.enabled
-        host = SimulatedServerHost(self.requests, self.queue, spec, dedup_table, rng, warming_up, reports)
+        sends_load_reports = self.plan.scenario.tiers[spec.tier].report.enabled
+        host = SimulatedServerHost(
+            self.requests, self.queue, spec, dedup_table, rng, warming_up, sends_load_reports
+        )
         self.hosts[spec.name] = host
         self._cells.setdefault(cell, []).append(host)
         return host
--- a/rosewheel/lab/simulation/host.py
+++ b/rosewheel/lab/simulation/host.py
@@ -60,7 +60,7 @@
     """Host of one simulated server, which survives restarts of the server process.
 
     Attributes:
-        reports: whether responses carry a load report.
+        sends_load_reports: whether responses carry a load report.
         model: model of the current process.
         listening: whether connections are accepted.
         isolated: whether the machine is cut off from the network.
@@ -76,10 +76,10 @@
         dedup_table: DedupTable,
         rng: np.random.Generator,
         warming_up: bool,
-        reports: bool,
+        sends_load_reports: bool,
     ) -> None:
         self.owner, self.queue, self.spec = owner, queue, spec
-        self.dedup_table, self.rng, self.reports = dedup_table, rng, reports
+        self.dedup_table, self.rng, self.sends_load_reports = dedup_table, rng, sends_load_reports
         self.model = EmulatedServer(spec, dedup_table, rng, queue.now, warming_up)
         self.listening = False
         self.isolated = False
@@ -167,7 +167,7 @@
         return (AttemptResult.OK if up else AttemptResult.ERROR), self._load_report()
 
     def _load_report(self) -> LoadReport | None:
-        if not self.reports:
+        if not self.sends_load_reports:
             return None
         return {"queue": round(self.model.reported_queue(self.queue.now), 3)}
 
