--- a/rosewheel/lab/discovery.py
+++ b/rosewheel/lab/discovery.py
@@ -184,7 +184,7 @@
     """The agents of all nodes that send to one tier, and the delays with which they learn.
 
     Attributes:
-        current: the true endpoint list.
+        endpoints: endpoint list without delays, by name of the server.
         extra_delay_ms: an injected fault; added to the delay of every change.
     """
 
