--- a/rosewheel/lab/scale/call_statistics.py
+++ b/rosewheel/lab/scale/call_statistics.py
@@ -44,7 +44,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class AddedLatency:
+class CallLatency:
     """Time of calls less the server's own, in ms; None without calls."""
 
     calls: int
@@ -67,8 +67,8 @@
 
     sent: int
     succeeded: int
-    through_node: AddedLatency
-    direct: AddedLatency
+    through_node: CallLatency
+    direct: CallLatency
     added_p50_ms: float | None
     added_p99_ms: float | None
 
@@ -119,11 +119,11 @@
             yield msgspec.convert(row, _Operation)
 
 
-def _latency(values_ms: list[float]) -> AddedLatency:
+def _latency(values_ms: list[float]) -> CallLatency:
     if not values_ms:
-        return AddedLatency(0, None, None)
+        return CallLatency(0, None, None)
     p50_ms, p99_ms = np.round(np.percentile(values_ms, (50, 99)), 2).tolist()
-    return AddedLatency(len(values_ms), p50_ms, p99_ms)
+    return CallLatency(len(values_ms), p50_ms, p99_ms)
 
 
 def _difference(through_node_ms: float | None, direct_ms: float | None) -> float | None:
--- a/rosewheel/lab/scale/faults.py
+++ b/rosewheel/lab/scale/faults.py
@@ -40,10 +40,10 @@
                 self._restart(step)
             case StepAction.PARTITION:
                 self.fleet.network.send(SetPartition(True))
-                self.measurements.regions_partitioned(now_ms())
+                self.measurements.record_partition(now_ms())
             case StepAction.HEAL:
                 self.fleet.network.send(SetPartition(False))
-                self.measurements.regions_joined(now_ms())
+                self.measurements.record_partition_healed(now_ms())
 
     async def _lose(self, step: FaultStep) -> None:
         at_ms = now_ms()
@@ -53,7 +53,7 @@
             node.kill()
         for name in step.control_machines:
             self.fleet.control_machines[name].kill()
-        self.measurements.nodes_lost(step.nodes, at_ms)
+        self.measurements.record_nodes_lost(step.nodes, at_ms)
         await self.publisher.publish_health(step.nodes, EndpointHealth.LEFT)
 
     async def _restore(self, step: FaultStep) -> None:
@@ -63,7 +63,7 @@
             self.fleet.control_machines[name].restart()
         for node in self._real_nodes(step.nodes):
             node.start()
-        self.measurements.nodes_restored(step.nodes, now_ms())
+        self.measurements.record_nodes_restored(step.nodes, now_ms())
         await self.publisher.publish_health(step.nodes, EndpointHealth.ACTIVE, returning=True)
 
     def _restart(self, step: FaultStep) -> None:
@@ -73,8 +73,8 @@
             task = asyncio.get_running_loop().create_task(node.restart())
             self._restarts.add(task)
             task.add_done_callback(self._restarts.discard)
-        self.measurements.nodes_lost(step.nodes, at_ms)
-        self.measurements.nodes_restored(step.nodes, now_ms())
+        self.measurements.record_nodes_lost(step.nodes, at_ms)
+        self.measurements.record_nodes_restored(step.nodes, now_ms())
 
     def _send_to_simulated(self, command: Command) -> None:
         for worker in self.fleet.simulated:
--- a/rosewheel/lab/scale/measurements.py
+++ b/rosewheel/lab/scale/measurements.py
@@ -97,22 +97,22 @@
     _lost_since_ms: dict[int, float] = field(default_factory=dict)
     _partitioned_since_ms: float = 0.0
 
-    def nodes_lost(self, nodes: Iterable[int], at_ms: float) -> None:
+    def record_nodes_lost(self, nodes: Iterable[int], at_ms: float) -> None:
         """These nodes cannot be reached from now on."""
         for node in nodes:
             self._lost_since_ms[node] = at_ms
 
-    def nodes_restored(self, nodes: Iterable[int], at_ms: float) -> None:
+    def record_nodes_restored(self, nodes: Iterable[int], at_ms: float) -> None:
         """These nodes can be reached again."""
         for node in nodes:
             begin_ms = self._lost_since_ms.pop(node, at_ms)
             self.outages.setdefault(node, []).append(Outage(begin_ms, at_ms))
 
-    def regions_partitioned(self, at_ms: float) -> None:
+    def record_partition(self, at_ms: float) -> None:
         """The regions cannot reach each other from now on."""
         self._partitioned_since_ms = at_ms
 
-    def regions_joined(self, at_ms: float) -> None:
+    def record_partition_healed(self, at_ms: float) -> None:
         """The regions reach each other again."""
         outage = Outage(self._partitioned_since_ms, at_ms)
         for machine in self.plan.machines:
--- a/rosewheel/lab/scale/network.py
+++ b/rosewheel/lab/scale/network.py
@@ -23,13 +23,13 @@
     Args:
         regions: Region of each machine and control machine, by name.
         machines: Name of each machine, by address.
-        far_s: One-way delay between regions, in seconds.
+        region_delay_s: One-way delay between regions, in seconds.
     """
 
     def __init__(
-        self, regions: Mapping[str, int], machines: Mapping[str, str], far_s: float = REGION_DELAY_S
+        self, regions: Mapping[str, int], machines: Mapping[str, str], region_delay_s: float = REGION_DELAY_S
     ) -> None:
-        self.state = RelayState(Reachability(regions), machines, far_s)
+        self.state = RelayState(Reachability(regions), machines, region_delay_s)
         self._servers: list[asyncio.Server] = []
 
     @property
--- a/rosewheel/lab/scale/relay.py
+++ b/rosewheel/lab/scale/relay.py
@@ -25,7 +25,7 @@
     Attributes:
         reachability: Which machines can reach each other.
         machines: Names of machines, by address.
-        far_s: One-way delay between regions, in seconds.
+        region_delay_s: One-way delay between regions, in seconds.
         connections: The open connections.
         callers: Traffic by the machine that opened the connection.
         targets: Traffic by the machine that it leads to.
@@ -33,7 +33,7 @@
 
     reachability: Reachability
     machines: Mapping[str, str]
-    far_s: float
+    region_delay_s: float
     connections: set[RelayedConnection] = field(default_factory=set)
     callers: TrafficTable = field(default_factory=dict)
     targets: TrafficTable = field(default_factory=dict)
@@ -136,7 +136,9 @@
             return
         reachability = self.state.reachability
         self.target = reachability.choose_target(self.caller, self.listener.targets)
-        self._delay_s = 0.0 if reachability.same_region(self.caller, self.target) else self.state.far_s
+        self._delay_s = (
+            0.0 if reachability.same_region(self.caller, self.target) else self.state.region_delay_s
+        )
         self.state.connections.add(self)
         for counters in self._counters():
             counters.connections += 1
--- a/rosewheel/lab/scale/report_codec.py
+++ b/rosewheel/lab/scale/report_codec.py
@@ -9,7 +9,7 @@
 
 import msgspec
 
-from rosewheel.lab.scale.call_statistics import AddedLatency, CallStatistics
+from rosewheel.lab.scale.call_statistics import CallLatency, CallStatistics
 from rosewheel.lab.scale.options import Options
 from rosewheel.lab.scale.plan import QUIET_PHASE, FaultStep, Plan
 from rosewheel.lab.scale.propagation import Propagation, percentile_s
@@ -126,7 +126,7 @@
     return row
 
 
-def _latency_object(latency: AddedLatency) -> JsonObject:
+def _latency_object(latency: CallLatency) -> JsonObject:
     return {"calls": latency.calls, "p50_ms": latency.p50_ms, "p99_ms": latency.p99_ms}
 
 
--- a/rosewheel/lab/scale/simulated_node.py
+++ b/rosewheel/lab/scale/simulated_node.py
@@ -21,7 +21,7 @@
 from rosewheel.lab.scale.version_log import NodeRecords
 from rosewheel.policy.events import EndpointListForm
 
-GRACE_S = 0.4  # a node's default drain time, by which the waits between watches are bounded
+DRAIN_NOTICE_S = 0.4  # a node's default drain time, by which the waits between watches are bounded
 SOURCE_ADDRESS: contextvars.ContextVar[str | None] = contextvars.ContextVar("SOURCE_ADDRESS", default=None)
 
 
@@ -121,7 +121,7 @@
         if watch is not self.watch:
             return
         if form is EndpointListForm.FAILED:
-            wait_s = self.backoff.next_delay_s(self.loop.time() - watch.started_s, GRACE_S)
+            wait_s = self.backoff.next_delay_s(self.loop.time() - watch.started_s, DRAIN_NOTICE_S)
             self.loop.call_later(wait_s, self._reopen, watch, context=self._context)
             return
         self.backoff.reset()
--- a/tests/lab/test_scale_network.py
+++ b/tests/lab/test_scale_network.py
@@ -72,7 +72,7 @@
 
 async def start_network() -> tuple[Network, Echo, Echo, Address]:
     near, far = Echo(), Echo()
-    network = Network(REGIONS, MACHINES, far_s=0.001)
+    network = Network(REGIONS, MACHINES, region_delay_s=0.001)
     targets = {"c1": await near.start(), "c2": await far.start()}
     return network, near, far, await network.listen(ListenerSetup(TrafficKind.CONTROL, targets))
 
@@ -123,7 +123,7 @@
 def test_partitioned_regions_resume_their_connections() -> None:
     async def main() -> None:
         far = Echo()
-        network = Network(REGIONS, MACHINES, far_s=0.001)
+        network = Network(REGIONS, MACHINES, region_delay_s=0.001)
         listener = await network.listen(ListenerSetup(TrafficKind.CONTROL, {"c2": await far.start()}))
         caller = await Caller.open(listener, "n0")
         assert await caller.echo(b"before") == b"before"
@@ -153,7 +153,7 @@
             writer.close()
 
         server = await asyncio.start_server(serve, "127.0.0.1", 0)
-        network = Network(REGIONS, MACHINES, far_s=0.001)
+        network = Network(REGIONS, MACHINES, region_delay_s=0.001)
         listener = await network.listen(
             ListenerSetup(TrafficKind.CONTROL, {"c2": server.sockets[0].getsockname()[:2]})
         )
@@ -205,7 +205,7 @@
             ServiceList([DiscoveryEntry(f"s{number}", "127.0.0.1:9", "z0", 0)]) for number in range(2)
         ]
         discovery = DiscoveryServer(services, {address: int(name[1]) for address, name in MACHINES.items()})
-        network = Network(REGIONS, MACHINES, far_s=0.001)
+        network = Network(REGIONS, MACHINES, region_delay_s=0.001)
         address = await discovery.start()
         listener = await network.listen(ListenerSetup(TrafficKind.DISCOVERY, {"c1": address, "c2": address}))
         records = NodeRecords()
--- a/tests/lab/test_scale_report.py
+++ b/tests/lab/test_scale_report.py
@@ -7,7 +7,7 @@
 import msgspec
 import pytest
 
-from rosewheel.lab.scale.call_statistics import AddedLatency, CallStatistics
+from rosewheel.lab.scale.call_statistics import CallLatency, CallStatistics
 from rosewheel.lab.scale.change_propagation import ChangePropagation
 from rosewheel.lab.scale.measurements import Role
 from rosewheel.lab.scale.messages import (
@@ -59,7 +59,7 @@
         lists={"all": Propagation([10.0, 30.0], [], 0)}, config={}, acked={"rest": Propagation([], [5.0], 1)}
     ),
     publish_times_ms=[20.0],
-    calls=CallStatistics(5, 4, AddedLatency(2, 1.0, 2.0), AddedLatency(2, 0.5, 0.75), 0.5, 1.25),
+    calls=CallStatistics(5, 4, CallLatency(2, 1.0, 2.0), CallLatency(2, 0.5, 0.75), 0.5, 1.25),
 )
 
 
