--- a/rosewheel/lab/scale/__init__.py
+++ b/rosewheel/lab/scale/__init__.py
@@ -1,5 +1,5 @@
 """The scale run: a fleet of simulated and real nodes on loopback, behind a network that injects faults.
 
-Where to look: `planning` decides by seed, `fleet` starts the processes, `run` carries the plan out, `summary` checks
-the measurements against the targets, and `report_codec` writes them as JSON and CSV.
+`planning` makes the plan from a seed, `fleet` starts the processes, `run` carries out the plan, `summary` checks the
+measurements against the targets, and `report_codec` writes the results as JSON and CSV.
 """
--- a/rosewheel/lab/scale/options.py
+++ b/rosewheel/lab/scale/options.py
@@ -1,4 +1,4 @@
-"""The options of a scale run, their limits, and the faults it can inject. No I/O."""
+"""Options of a scale run, their limits, and the faults that a run can inject. No I/O."""
 
 from __future__ import annotations
 
@@ -9,16 +9,16 @@
 from rosewheel.lab.scale.errors import InvalidOptionsError
 
 CONFIG_CHANGES_PER_DAY = 920
-MAX_NODES = 2000  # the network process needs two descriptors per watch, and a node has two watches
-MAX_REAL_NODES = 96  # keeps the run, with its other processes, under 150 processes
+MAX_NODES = 2000  # bounds the descriptors of the network process: two per watch, two watches per node
+MAX_REAL_NODES = 96  # keeps the run below 150 processes
 MIN_SECONDS, MAX_SECONDS = 5.0, 900.0
 MAX_CONFIG_CHANGES = 20_000
-MAX_CALLS_PER_S = 500.0  # through each real node
+MAX_CALLS_PER_S = 500.0  # per real node
 SEED_LIMIT = 1 << 63
 
 
 class Fault(StrEnum):
-    """A fault that the run injects. The values are names on the command line and of phases in reports."""
+    """A fault that the run can inject. Its value is used on the command line and as the name of a phase in reports."""
 
     MACHINE = "machine"
     THREE_MACHINES = "three-machines"
@@ -32,11 +32,11 @@
 
 @dataclass(slots=True, frozen=True)
 class FaultTiming:
-    """How the time for faults is divided.
+    """Length of a fault and of its phase.
 
     Attributes:
         weight: Length of the phase, relative to the phases of the other faults.
-        active_fraction: Part of the phase during which the fault lasts; the remainder is for recovery.
+        active_fraction: Fraction of the phase during which the fault is active; the rest is for recovery.
     """
 
     weight: float
@@ -58,14 +58,14 @@
 
 @dataclass(slots=True, frozen=True)
 class Options:
-    """What to run.
+    """Options of a run.
 
     Attributes:
         nodes: Size of the fleet.
-        real: How many of the nodes are processes of `rosewheel node`; the others are simulated.
-        services: Number of services, over which the nodes are distributed.
-        seconds: Length of the plan, without start and shutdown.
-        seed: Seed of every random choice.
+        real: Number of nodes that are processes of `rosewheel node`; the others are simulated.
+        services: Number of services among which the nodes are divided.
+        seconds: Length of the plan, without start and shutdown, in seconds.
+        seed: Seed of all random choices.
         faults: Names of the faults to inject, in order.
         changes: Number of configuration changes after the quiet phase.
         calls: Calls per second through each real node.
@@ -81,7 +81,7 @@
     calls: float = 20.0
 
     def validate(self) -> None:
-        """Raise InvalidOptionsError for the first option that is out of its limits."""
+        """Raise InvalidOptionsError for the first invalid option."""
         for text in self._violations():
             raise InvalidOptionsError(text)
 
@@ -91,17 +91,17 @@
         if not 0 <= self.real <= MAX_REAL_NODES:
             yield f"--real: {self.real} is not from 0 to {MAX_REAL_NODES}"
         if not self.real <= self.nodes:
-            yield f"--real: {self.real} are more than the {self.nodes} nodes"
+            yield f"--real: {self.real} is more than the {self.nodes} nodes"
         if not 1 <= self.services <= self.nodes:
             yield f"--services: {self.services} is not from 1 to the {self.nodes} nodes"
         if not MIN_SECONDS <= self.seconds <= MAX_SECONDS:
             yield f"--seconds: {self.seconds:g} is not from {MIN_SECONDS:g} to {MAX_SECONDS:g}"
         if not 0 <= self.seed < SEED_LIMIT:
-            yield f"--seed: {self.seed} is not a number from 0 on"
+            yield f"--seed: {self.seed} is not from 0 to {SEED_LIMIT - 1}"
         if not 0 <= self.changes <= MAX_CONFIG_CHANGES:
             yield f"--changes: {self.changes} is not from 0 to {MAX_CONFIG_CHANGES}"
         if not 0.0 <= self.calls <= MAX_CALLS_PER_S:
             yield f"--calls: {self.calls:g} is not from 0 to {MAX_CALLS_PER_S:g}"
         for name in self.faults:
             if name not in FAULT_TIMINGS:
-                yield f"--troubles: {name!r} is none of {', '.join(FAULT_NAMES)}"
+                yield f"--troubles: {name!r} is not one of {', '.join(FAULT_NAMES)}"
--- a/tests/lab/test_scale_plan.py
+++ b/tests/lab/test_scale_plan.py
@@ -107,7 +107,7 @@
         ({"nodes": 0}, "--nodes: 0 "),
         ({"nodes": 5000}, "--nodes: 5000 "),
         ({"real": -1}, "--real: -1 "),
-        ({"nodes": 10, "services": 2, "real": 11}, "--real: 11 are more"),
+        ({"nodes": 10, "services": 2, "real": 11}, "--real: 11 is more"),
         ({"services": 0}, "--services: 0 "),
         ({"services": 541}, "--services: 541 "),
         ({"seconds": 1.0}, "--seconds: 1 "),
@@ -115,7 +115,7 @@
         ({"seed": -1}, "--seed: -1 "),
         ({"changes": -1}, "--changes: -1 "),
         ({"calls": 1e6}, "--calls: 1e+06 "),
-        ({"faults": ("flood",)}, "--troubles: 'flood' is none of machine,"),
+        ({"faults": ("flood",)}, "--troubles: 'flood' is not one of machine,"),
     ],
 )
 def test_invalid_options_are_reported_in_one_line(changes: dict[str, Any], text: str) -> None:
--- a/tests/lab/test_scale_run.py
+++ b/tests/lab/test_scale_run.py
@@ -113,7 +113,7 @@
 def test_bad_input_is_reported_in_one_line() -> None:
     for arguments, text in (
         (("--nodes", "0"), "rosewheel: --nodes: 0 is not from 1 to 2000"),
-        (("--troubles", "flood"), "rosewheel: --troubles: 'flood' is none of"),
+        (("--troubles", "flood"), "rosewheel: --troubles: 'flood' is not one of"),
     ):
         done = subprocess.run(command(*arguments), capture_output=True, text=True, timeout=TEST_TIMEOUT_S)
         assert done.returncode == 2
