--- a/rosewheel/lab/scale/plan.py
+++ b/rosewheel/lab/scale/plan.py
@@ -1,4 +1,4 @@
-"""The plan of a scale run: machines, phases, fault steps and changes. Plain values, no I/O."""
+"""The plan of a scale run: machines, phases, fault steps and changes. No I/O."""
 
 from __future__ import annotations
 
@@ -8,20 +8,20 @@
 from rosewheel.lab.scale.options import Options
 
 REGION_OF_ZONE = (0, 0, 0, 0, 1, 1, 1)
-# Phases without a fault; their names stand in reports.
+# Names of the phases without faults, in reports.
 QUIET_PHASE, CHANGES_PHASE = "rest", "changes"
 
 
 @dataclass(slots=True, frozen=True)
 class Machine:
-    """The machine of one server and its node.
+    """A machine that runs one server and its node.
 
     Attributes:
         number: Number of the node, from 0.
         service: Number of the service.
         zone: Number of the zone.
         rack: Number of the rack within the zone.
-        address: Address within 127/8 from which a simulated node connects.
+        address: Source address of a simulated node, within 127/8.
         real: Whether the node is a process of `rosewheel node`.
     """
 
@@ -45,7 +45,7 @@
 
 @dataclass(slots=True, frozen=True)
 class ControlMachine:
-    """A control machine and the zone that it stands in."""
+    """A control machine and the number of its zone."""
 
     name: str
     zone: int
@@ -58,7 +58,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Phase:
-    """A part of the run with measurements of its own; begin and end in seconds from the start."""
+    """A part of the run that is measured separately; begin and end in seconds from the start."""
 
     name: str
     begin_s: float
@@ -66,18 +66,18 @@
 
 
 class StepAction(StrEnum):
-    """What a fault step does. The values stand in the printed plan."""
+    """Action of a fault step. The values are keywords of the printed plan."""
 
-    LOSE = "lose"  # machines vanish: their packets are dropped, their processes are killed
+    LOSE = "lose"  # the packets of machines are dropped and their processes killed
     RESTORE = "back"  # lost machines return with new processes
-    RESTART = "restart"  # a node's process ends and starts again
+    RESTART = "restart"  # nodes are stopped and started again
     PARTITION = "split"  # the regions cannot reach each other
     HEAL = "join"  # the regions reach each other again
 
 
 @dataclass(slots=True, frozen=True)
 class FaultStep:
-    """One moment of a fault: what happens to which nodes and control machines."""
+    """A timed action on nodes and control machines; `at_s` in seconds from the start."""
 
     at_s: float
     action: StepAction
@@ -86,7 +86,7 @@
 
 
 class EndpointHealth(StrEnum):
-    """Health of an endpoint as discovery words it."""
+    """Health of an endpoint; the values are those of the discovery protocol."""
 
     ACTIVE = "active"
     LEAVING = "leaving"
@@ -94,7 +94,7 @@
 
 
 class ChangeKind(StrEnum):
-    """What a change applies to."""
+    """Object of a change: a configuration or an endpoint list."""
 
     CONFIG = "config"
     LIST = "list"
@@ -106,10 +106,10 @@
 
     Attributes:
         at_s: Seconds from the start.
-        kind: `CONFIG` sets a value of the service, `LIST` the health of one endpoint in the service's list.
+        kind: `CONFIG` changes the configuration of the service, `LIST` the health of one endpoint in its list.
         service: Number of the service.
-        node: Number of the endpoint's node; -1 for a change of configuration.
-        health: The endpoint's new health; empty for a change of configuration.
+        node: Number of the endpoint's node; -1 for `CONFIG`.
+        health: New health of the endpoint; empty for `CONFIG`.
     """
 
     at_s: float
@@ -121,7 +121,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Plan:
-    """All that a run does. The first control machine is the leader."""
+    """The complete plan of a run. The first control machine is the leader."""
 
     options: Options
     machines: tuple[Machine, ...]
@@ -132,25 +132,25 @@
 
     @property
     def leader(self) -> ControlMachine:
-        """The control machine that accepts changes."""
+        """The control machine that accepts configuration changes."""
         return self.control_machines[0]
 
     @property
     def faults_begin_s(self) -> float:
-        """End of the phases without faults, in seconds from the start."""
+        """End of the last phase without faults, in seconds from the start."""
         return self.phases[1].end_s
 
     @property
     def simulated_nodes(self) -> tuple[int, ...]:
-        """Numbers of the nodes that are not processes of their own."""
+        """Numbers of the simulated nodes."""
         return tuple(machine.number for machine in self.machines if not machine.real)
 
 
 def node_name(number: int) -> str:
-    """Name of the node with this number."""
+    """Return the name of a node."""
     return f"n{number}"
 
 
 def zone_name(zone: int) -> str:
-    """Name of the zone with this number."""
+    """Return the name of a zone."""
     return f"z{zone}"
