--- a/rosewheel/lab/scale/planning.py
+++ b/rosewheel/lab/scale/planning.py
@@ -1,7 +1,7 @@
-"""Makes the plan of a scale run from its options; every choice follows from the seed. No I/O.
+"""Makes the plan of a scale run from its options; all random choices are drawn from the seed. No I/O.
 
-The fleet is the target fleet in small: services of servers with a node each, on machines in racks, zones and two
-regions, and control machines of their own. Faults follow one another, each with time to recover before the next.
+The fleet is a scaled-down target fleet: each service has servers with one node each, on machines in racks, zones and
+two regions; control machines are separate. Faults are injected one at a time, each followed by time for recovery.
 """
 
 from __future__ import annotations
@@ -29,20 +29,20 @@
 )
 
 RACKS_PER_ZONE = 6
-CONTROL_MACHINE_ZONES = (0, 2, 4, 5)  # the first one is the leader's
+CONTROL_MACHINE_ZONES = (0, 2, 4, 5)  # zone of the leader first
 MAX_RESTARTS = 41
-# A machine is identified by its address: 127.(ADDRESS_ZONE_BASE + zone).(rack + 1).(place + 1)
+# Address of a machine: 127.(ADDRESS_ZONE_BASE + zone).(rack + 1).(position in the rack + 1)
 ADDRESS_ZONE_BASE = 10
-QUIET_FRACTION, CHANGES_FRACTION = 0.15, 0.15  # of the run's time
-NODES_PER_LIST_CHANGE_PER_S = 180.0  # each second one server in this many drains and returns
-DRAIN_S = 1.5  # from a server's `leaving` to its `active`
+QUIET_FRACTION, CHANGES_FRACTION = 0.15, 0.15  # fractions of the run's length
+NODES_PER_LIST_CHANGE_PER_S = 180.0  # one server per this many nodes begins to drain each second
+DRAIN_S = 1.5  # time from `leaving` until the server is `active` again
 
 
 def build_plan(options: Options) -> Plan:
-    """The plan of these options.
+    """Build the plan of a run.
 
     Raises:
-        InvalidOptionsError: An option is out of its limits.
+        InvalidOptionsError: An option is invalid.
     """
     options.validate()
     machines = _place_machines(options)
@@ -58,7 +58,7 @@
 
 
 def _place_machines(options: Options) -> tuple[Machine, ...]:
-    """Spread each service over zones and racks, so that losing one of them takes only a part of every service."""
+    """Spread each service over zones and racks, so that the loss of one affects only a part of the service."""
     rng = random_stream(options.seed, "scale", "places")
     order = rng.permutation(options.nodes)
     real = {int(number) for number in rng.permutation(options.nodes)[: options.real]}
@@ -87,15 +87,15 @@
 
 
 @dataclass(slots=True, frozen=True)
-class _Outage:
-    """Nodes and control machines that a fault takes away together."""
+class _FaultTargets:
+    """Nodes and control machines that a fault removes together."""
 
     nodes: tuple[int, ...] = ()
     control_machines: tuple[str, ...] = ()
 
 
 class _FaultSchedule:
-    """The steps of one fault."""
+    """Makes the steps of one fault."""
 
     def __init__(
         self,
@@ -111,19 +111,19 @@
         self.shuffled_nodes = [int(number) for number in self.rng.permutation(options.nodes)]
 
     def steps(self) -> list[FaultStep]:
-        """The steps, in order."""
+        """Return the steps, in order of time."""
         begin_s = self.phase.begin_s
         if self.phase.name == Fault.RESTARTS:
-            return self._restarts()
+            return self._restart_steps()
         if self.phase.name == Fault.REGION:
             return [FaultStep(begin_s, StepAction.PARTITION), FaultStep(self.end_s, StepAction.HEAL)]
-        outage = self._outage()
+        targets = self._targets()
         return [
-            FaultStep(begin_s, StepAction.LOSE, outage.nodes, outage.control_machines),
-            FaultStep(self.end_s, StepAction.RESTORE, outage.nodes, outage.control_machines),
+            FaultStep(begin_s, StepAction.LOSE, targets.nodes, targets.control_machines),
+            FaultStep(self.end_s, StepAction.RESTORE, targets.nodes, targets.control_machines),
         ]
 
-    def _restarts(self) -> list[FaultStep]:
+    def _restart_steps(self) -> list[FaultStep]:
         begin_s = self.phase.begin_s
         numbers = self.shuffled_nodes[:MAX_RESTARTS]
         interval_s = (self.end_s - begin_s) / len(numbers)
@@ -132,26 +132,26 @@
             for index, number in enumerate(numbers)
         ]
 
-    def _outage(self) -> _Outage:
+    def _targets(self) -> _FaultTargets:
         match self.phase.name:
             case Fault.MACHINE:
-                return _Outage(tuple(self.shuffled_nodes[:1]))
+                return _FaultTargets(tuple(self.shuffled_nodes[:1]))
             case Fault.THREE_MACHINES:
-                return _Outage(tuple(self.shuffled_nodes[:3]))
+                return _FaultTargets(tuple(self.shuffled_nodes[:3]))
             case Fault.RACK:
-                return self._rack()
+                return self._rack_targets()
             case Fault.ZONE:
-                return self._zone()
+                return self._zone_targets()
             case Fault.CONTROL_LEADER:
-                return _Outage(control_machines=(self.control_machines[0].name,))
+                return _FaultTargets(control_machines=(self.control_machines[0].name,))
             case Fault.CONTROL_FOLLOWER:
                 follower = 1 + int(self.rng.integers(len(self.control_machines) - 1))
-                return _Outage(control_machines=(self.control_machines[follower].name,))
-        return _Outage()
+                return _FaultTargets(control_machines=(self.control_machines[follower].name,))
+        return _FaultTargets()
 
-    def _rack(self) -> _Outage:
+    def _rack_targets(self) -> _FaultTargets:
         first = self.machines[self.shuffled_nodes[0]]
-        return _Outage(
+        return _FaultTargets(
             tuple(
                 machine.number
                 for machine in self.machines
@@ -159,11 +159,11 @@
             )
         )
 
-    def _zone(self) -> _Outage:
-        # Not the leader's zone: without a leader nothing changes, so there would be no times to measure.
+    def _zone_targets(self) -> _FaultTargets:
+        # Not the zone of the leader: without it no configuration is published, so no propagation can be measured.
         leader_zone = self.control_machines[0].zone
         zone = int(self.rng.choice([zone for zone in range(len(REGION_OF_ZONE)) if zone != leader_zone]))
-        return _Outage(
+        return _FaultTargets(
             tuple(machine.number for machine in self.machines if machine.zone == zone),
             tuple(machine.name for machine in self.control_machines if machine.zone == zone),
         )
@@ -177,7 +177,7 @@
 
 
 def _list_changes(options: Options) -> Iterator[Change]:
-    """Servers that begin to drain and return after `DRAIN_S`."""
+    """Yield two changes per drained server: `leaving`, and `active` after `DRAIN_S`."""
     rng = random_stream(options.seed, "scale", "lists")
     begin_s = options.seconds * QUIET_FRACTION
     count = max(1, round(options.nodes / NODES_PER_LIST_CHANGE_PER_S * (options.seconds - begin_s)))
