--- a/rosewheel/lab/scale/run.py
+++ b/rosewheel/lab/scale/run.py
@@ -1,4 +1,4 @@
-"""A scale run from start to end: starts the fleet, carries out the plan, waits until the fleet is up to date."""
+"""Executes a scale run: starts the fleet, carries out the plan and waits until all nodes are up to date."""
 
 from __future__ import annotations
 
@@ -20,11 +20,11 @@
 from rosewheel.lab.scale.summary import Summary, summarize
 from rosewheel.lab.wire import now_ms
 
-START_DELAY_S = 1.0  # for the callers and servers to receive the moment of the start
-CONVERGENCE_TIMEOUT_S = 30.0  # after the last step, until every node has the last versions
+START_DELAY_S = 1.0  # time for callers and servers to receive the start command
+CONVERGENCE_TIMEOUT_S = 30.0  # limit for pending restarts, and then for all nodes to be up to date
 CONVERGENCE_CHECK_INTERVAL_S = 0.2
 FIRST_SAMPLE = "begin"
-# Actions of one moment: first the sample of the phase that ends, then what the next phase begins with.
+# Order of actions that are due at the same time: a phase is sampled before the next one begins.
 SAMPLE_PRIORITY, FAULT_PRIORITY, CHANGE_PRIORITY = range(3)
 
 
@@ -39,8 +39,8 @@
     """Carries out a plan once.
 
     Args:
-        plan: What to do.
-        folder: Where logs and records go; it exists.
+        plan: The plan of the run.
+        folder: Existing folder for logs and records.
     """
 
     def __init__(self, plan: Plan, folder: Path) -> None:
@@ -51,7 +51,7 @@
         self.faults = FaultInjector(self.fleet, self.measurements, self.publisher)
 
     async def execute(self) -> Summary:
-        """Run and summarize.
+        """Execute the plan and return the summary.
 
         Raises:
             ProcessError: A process of the run failed.
@@ -104,7 +104,7 @@
         self.measurements.samples.append(await take_sample(self.fleet, phase))
 
     async def _wait_for_convergence(self) -> int:
-        """Wait until every node is up to date; the number of those that are not when the time is up."""
+        """Wait until all nodes are up to date; return the number of stale nodes after the timeout."""
         await self.faults.wait_for_restarts(CONVERGENCE_TIMEOUT_S)
         if WorkerName.CALLS in self.fleet.workers:
             await self.fleet.workers[WorkerName.CALLS].request(StopLoad(), LoadStopped)
