--- a/rosewheel/lab/scale/fleet.py
+++ b/rosewheel/lab/scale/fleet.py
@@ -1,4 +1,4 @@
-"""The processes of a scale run: starts them in order and ends them."""
+"""Starts and ends the processes of a scale run."""
 
 from __future__ import annotations
 
@@ -34,8 +34,8 @@
 from rosewheel.lab.wire import Address
 
 SIMULATED_NODES_PER_PROCESS = 120
-CONCURRENT_NODE_STARTS = 8  # each takes most of a second of CPU
-UNUSED_ENDPOINT = "127.0.0.1:9"  # of servers in a run without real nodes, which nobody calls
+CONCURRENT_NODE_STARTS = 8  # bounds the CPU load: a start takes almost one CPU second
+UNUSED_ENDPOINT = "127.0.0.1:9"  # address of all servers in a run without real nodes, which sends no calls
 EMULATOR_MODULE = "rosewheel.lab.emulator_process"
 PACKAGE = "rosewheel.lab.scale"
 
@@ -43,7 +43,7 @@
 
 
 class WorkerName(StrEnum):
-    """Workers of which there is one; the values are names of files in the run's folder."""
+    """Workers with one process; the values are names of files in the run's folder."""
 
     SERVERS = "equipos"
     DISCOVERY = "membership"
@@ -52,14 +52,14 @@
 
 
 class Fleet:
-    """All processes of a run.
+    """The processes of a run.
 
     Attributes:
         workers: Worker processes by name.
-        simulated: Of them, those of simulated nodes.
+        simulated: The workers of simulated nodes.
         real: Real nodes by number.
         control_machines: Control machines by name.
-        operator: Publishes configurations at the leader.
+        operator: Publishes configurations through the leader.
     """
 
     def __init__(self, plan: Plan, folder: Path) -> None:
@@ -72,7 +72,7 @@
             for machine in plan.control_machines
         }
         self.operator = Operator(self.control_machines[plan.leader.name])
-        self._listeners: dict[str, dict[str, Address]] = {}  # by user and destination
+        self._listeners: dict[str, dict[str, Address]] = {}  # by user, then by destination
 
     @property
     def network(self) -> WorkerProcess:
@@ -86,14 +86,14 @@
 
     @property
     def has_calls(self) -> bool:
-        """Whether calls are sent through the real nodes."""
+        """Whether the run sends calls."""
         return bool(self.options.real and self.options.calls)
 
     async def start(self) -> None:
         """Start all processes.
 
         Raises:
-            ProcessError: One of them did not start.
+            ProcessError: A process did not start.
         """
         servers = await self._start_servers()
         setup = self._discovery_setup(servers)
@@ -116,7 +116,7 @@
         return await worker.receive(ready_type)
 
     async def _start_servers(self) -> list[str]:
-        """Start the emulated servers if there are real nodes to call them; their addresses as `host:port`."""
+        """Start the emulated servers if there are real nodes; return their addresses as `host:port`."""
         if not self.options.real:
             return [UNUSED_ENDPOINT]
         path = self.folder / "scenario.json"
@@ -143,17 +143,17 @@
         for key, address in zip(layout.keys, ready.addresses, strict=True):
             self._listeners.setdefault(key.user, {})[key.destination] = address
 
-    def _discovery_from(self, user: str) -> Address:
-        """Address of discovery as seen from this zone or real node."""
+    def _discovery_address(self, user: str) -> Address:
+        """Return the address at which a zone or real node reaches discovery."""
         return self._listeners[user][DISCOVERY]
 
-    def _control_machines_from(self, user: str) -> dict[str, Address]:
-        """Addresses of the control machines as seen from this zone, real node or control machine."""
+    def _control_addresses(self, user: str) -> dict[str, Address]:
+        """Return the addresses at which a zone, real node or control machine reaches the control machines."""
         return {name: address for name, address in self._listeners[user].items() if name != DISCOVERY}
 
     async def _start_control(self) -> None:
         for name, process in self.control_machines.items():
-            process.start(self._control_machines_from(name), self.plan.leader.name)
+            process.start(self._control_addresses(name), self.plan.leader.name)
         await self.operator.wait_until_up()
         await self.operator.publish(initial_document(self.options.services))
 
@@ -173,8 +173,8 @@
             machine.number,
             service_name(machine.service),
             machine.address,
-            self._discovery_from(zone),
-            self._control_machines_from(zone),
+            self._discovery_address(zone),
+            self._control_addresses(zone),
         )
 
     async def _start_real_nodes(self) -> None:
@@ -195,8 +195,8 @@
     def _real_node_setup(self, machine: Machine) -> RealNodeSetup:
         return RealNodeSetup(
             machine,
-            self._discovery_from(machine.name),
-            self._control_machines_from(machine.name),
+            self._discovery_address(machine.name),
+            self._control_addresses(machine.name),
             service_name(machine.service),
             sum(other.service == machine.service for other in self.plan.machines),
         )
@@ -212,11 +212,11 @@
         await self._start_worker(WorkerName.CALLS, "calls_worker", setup, CallsReady)
 
     async def close(self) -> None:
-        """End every process that was started; returns when the last one has ended."""
+        """End all processes and wait until they have ended."""
         self.operator.close()
         for node in self.real.values():
             node.close()
         for process in self.control_machines.values():
             process.close()
-        # Servers write their last records when they end: all workers are asked before any is waited for.
+        # All workers are stopped at the same time, since the servers take time to write their last records.
         await asyncio.gather(*(worker.stop() for worker in self.workers.values()))
