--- a/rosewheel/lab/scale/errors.py
+++ b/rosewheel/lab/scale/errors.py
@@ -4,12 +4,12 @@
 
 
 class ScaleRunError(Exception):
-    """Base of all errors of the scale run; the text is one plain line."""
+    """Base class of errors of the scale run; the message is one line."""
 
 
 class InvalidOptionsError(ScaleRunError, ValueError):
-    """The options cannot be run; the text begins with the name of the option."""
+    """An option is invalid; the message begins with its name."""
 
 
 class ProcessError(ScaleRunError):
-    """A process of the run did not start, did not answer, or answered with an error."""
+    """A process of the run did not start, did not reply or reported an error."""
--- a/rosewheel/lab/scale/worker.py
+++ b/rosewheel/lab/scale/worker.py
@@ -1,4 +1,4 @@
-"""Worker processes of a scale run: they read JSON commands on standard input, and end when it is closed."""
+"""Worker processes of a scale run, which read JSON commands from standard input and end when it is closed."""
 
 from __future__ import annotations
 
@@ -15,8 +15,8 @@
 from rosewheel.lab.node_process import kill_with_parent
 from rosewheel.lab.scale.errors import ProcessError
 
-REPLY_TIMEOUT_S = 30.0  # far more than a reply needs on a busy machine
-STOP_TIMEOUT_S = 3.0  # until a worker whose standard input was closed is killed
+REPLY_TIMEOUT_S = 30.0  # long enough for a busy machine
+STOP_TIMEOUT_S = 3.0  # time a worker has to end after its standard input was closed
 MAX_LINE_BYTES = 32 << 20
 
 Reply = TypeVar("Reply")
@@ -25,10 +25,10 @@
 
 
 class WorkerProcess:
-    """The run's end of one worker: `send` a command, or `request` and get its reply."""
+    """A worker as seen by the run, which sends it commands and receives its replies."""
 
     def __init__(self, name: str, process: asyncio.subprocess.Process, log: Path) -> None:
-        assert process.stdin is not None  # both are pipes, see `start`
+        assert process.stdin is not None  # `start` opens both as pipes
         assert process.stdout is not None
         self.name, self.process, self.log = name, process, log
         self._stdin, self._stdout = process.stdin, process.stdout
@@ -36,7 +36,7 @@
 
     @classmethod
     async def start(cls, name: str, folder: Path, module: str, *arguments: str) -> WorkerProcess:
-        """Start `python -m MODULE ARGUMENTS`; its standard error goes to a file in the folder."""
+        """Start `python -m MODULE ARGUMENTS`; its standard error is appended to `NAME.log` in the folder."""
         log = folder / f"{name}.log"
         with log.open("ab") as errors:
             process = await asyncio.create_subprocess_exec(
@@ -54,7 +54,7 @@
 
     @property
     def pid(self) -> int:
-        """Process id."""
+        """The process id."""
         return self.process.pid
 
     def send(self, command: msgspec.Struct) -> None:
@@ -63,10 +63,10 @@
             self._stdin.write(msgspec.json.encode(command) + b"\n")
 
     async def receive(self, reply_type: type[Reply]) -> Reply:
-        """The worker's next line.
+        """Return the next line from the worker.
 
         Raises:
-            ProcessError: The worker ended, timed out or wrote something else.
+            ProcessError: The worker ended, did not reply in time or wrote an invalid line.
         """
         try:
             async with asyncio.timeout(REPLY_TIMEOUT_S):
@@ -74,16 +74,18 @@
             return msgspec.json.decode(line, type=reply_type)
         except (TimeoutError, ValueError) as error:
             last_line = self.log.read_text(errors="replace").strip().rpartition("\n")[2]
-            raise ProcessError(f"{self.name} did not answer: {last_line or type(error).__name__}") from error
+            raise ProcessError(
+                f"no valid reply from {self.name}: {last_line or type(error).__name__}"
+            ) from error
 
     async def request(self, command: msgspec.Struct, reply_type: type[Reply]) -> Reply:
-        """Send a command and wait for its reply; ProcessError as in `receive`."""
+        """Send a command and return its reply; raises ProcessError as `receive` does."""
         async with self._lock:
             self.send(command)
             return await self.receive(reply_type)
 
     async def stop(self) -> None:
-        """Close standard input; kill the process if it is still running after `STOP_TIMEOUT_S`."""
+        """Close standard input; kill the process if it has not ended after `STOP_TIMEOUT_S`."""
         self._stdin.close()
         try:
             async with asyncio.timeout(STOP_TIMEOUT_S):
@@ -93,7 +95,7 @@
             await self.process.wait()
 
 
-# ---------------------------------------------------------------- in the worker
+# ------------------------------------------------------------- in the worker process
 
 
 async def serve_commands(
@@ -101,7 +103,7 @@
     handle: Callable[[CommandUnion], msgspec.Struct | None],
     start: Callable[[], Awaitable[msgspec.Struct]],
 ) -> None:
-    """Write what `start` returns, then handle each command until standard input ends."""
+    """Write the message returned by `start`, then handle commands until standard input ends."""
     loop = asyncio.get_running_loop()
     reader = asyncio.StreamReader(limit=MAX_LINE_BYTES)
     await loop.connect_read_pipe(lambda: asyncio.StreamReaderProtocol(reader), sys.stdin)
@@ -122,14 +124,13 @@
     setup_type: type[Setup],
     loop_factory: Callable[[], asyncio.AbstractEventLoop] = uvloop.new_event_loop,
 ) -> None:
-    """Entry point of a worker; its only argument is the path of its setup, a JSON file."""
-    signal.signal(
-        signal.SIGINT, signal.SIG_IGN
-    )  # reaches the process group; the parent stops the run in order
+    """Entry point of a worker, whose only argument is the path of its JSON setup file."""
+    # Ctrl+C is sent to the whole process group; the parent handles it and stops the workers.
+    signal.signal(signal.SIGINT, signal.SIG_IGN)
     setup = msgspec.json.decode(Path(sys.argv[1]).read_bytes(), type=setup_type)
 
     async def run() -> None:
-        """Call `main`, which may return any awaitable."""
+        """Wrap `main`, which may return any awaitable, in a coroutine."""
         await main(setup)
 
     with asyncio.Runner(loop_factory=loop_factory) as runner:
