--- a/rosewheel/lab/scale/sampling.py
+++ b/rosewheel/lab/scale/sampling.py
@@ -1,4 +1,4 @@
-"""Reads the state of a running fleet: samples of its processes, and nodes without the last versions."""
+"""Reads the state of a running fleet: samples of its processes, and the number of stale nodes."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 async def take_sample(fleet: Fleet, phase: str) -> Sample:
-    """The state of all processes at the end of this phase."""
+    """Sample all processes at the end of a phase."""
     network = await fleet.network.request(ReadStatistics(), NetworkStatistics)
     discovery = await fleet.discovery.request(ReadStatistics(), DiscoveryStatistics)
     simulated = await _simulated_statistics(fleet)
@@ -35,7 +35,7 @@
 
 
 def _process_ids(fleet: Fleet) -> dict[Role, list[int]]:
-    """Process ids by role, in the order of reports; 0 for a process that does not run."""
+    """Return the process ids by role, in the order of reports; 0 for a process that is not running."""
     leader, *followers = (fleet.control_machines[machine.name] for machine in fleet.plan.control_machines)
     pids = {
         Role.NETWORK: [fleet.network.pid],
@@ -53,7 +53,11 @@
 
 
 async def count_stale_nodes(fleet: Fleet) -> int:
-    """Nodes without the last list or configuration, or of which the leader does not know that they have it."""
+    """Return the larger of two numbers of nodes.
+
+    They are the nodes that are stopped or lack the last list or configuration, and the nodes that have not acknowledged
+    the last configuration to the leader.
+    """
     discovery = await fleet.discovery.request(ReadStatistics(), DiscoveryStatistics)
     machines = fleet.plan.machines
     running = stale = 0
