--- a/rosewheel/lab/scale/faults.py
+++ b/rosewheel/lab/scale/faults.py
@@ -1,4 +1,4 @@
-"""Injects the faults of a scale run into its processes and its network."""
+"""Injects faults into the processes and the network of a scale run."""
 
 from __future__ import annotations
 
@@ -23,14 +23,14 @@
 
 
 class FaultInjector:
-    """Carries out fault steps and records which nodes could not be reached."""
+    """Carries out fault steps and records the outages of nodes."""
 
     def __init__(self, fleet: Fleet, measurements: Measurements, publisher: ChangePublisher) -> None:
         self.fleet, self.measurements, self.publisher = fleet, measurements, publisher
         self._restarts: set[asyncio.Task[None]] = set()
 
     async def apply(self, step: FaultStep) -> None:
-        """Carry out one step."""
+        """Carry out a step."""
         match step.action:
             case StepAction.LOSE:
                 await self._lose(step)
@@ -84,12 +84,12 @@
         return [self.fleet.real[number] for number in numbers if number in self.fleet.real]
 
     async def wait_for_restarts(self, timeout_s: float) -> None:
-        """Wait until real nodes that are restarting have started, at most this long."""
+        """Wait until the restarts of real nodes have finished, up to a timeout."""
         if self._restarts:
             await asyncio.wait(self._restarts, timeout=timeout_s)
 
     def close(self) -> None:
-        """Abandon restarts."""
+        """Cancel the pending restarts."""
         for task in self._restarts:
             task.cancel()
 
