--- a/rosewheel/lab/scale/change_propagation.py
+++ b/rosewheel/lab/scale/change_propagation.py
@@ -1,4 +1,4 @@
-"""Propagation of a run's changes by phase, from its measurements and the records of its simulated nodes."""
+"""Propagation of changes by phase, from the measurements of a run and the records of its simulated nodes."""
 
 from __future__ import annotations
 
@@ -25,9 +25,12 @@
 
 @dataclass(slots=True, frozen=True)
 class ChangePropagation:
-    """How long changes took, by phase of the change and for `ALL_PHASES`.
+    """Propagation by the phase in which a change was published, and for `ALL_PHASES`.
 
-    Endpoint lists received by the service's nodes; configurations applied, and acknowledged, by all nodes.
+    Attributes:
+        lists: Receipt of endpoint lists by the nodes of their service.
+        config: Application of configurations by all nodes.
+        acked: Acknowledgement of configurations by all nodes.
     """
 
     lists: dict[str, Propagation]
@@ -36,11 +39,11 @@
 
 
 def change_propagation(measurements: Measurements, folder: Path) -> ChangePropagation:
-    """Propagation of all changes, from the records in this folder."""
+    """Measure the propagation of all changes, from the records in this folder."""
     configs = _published_configs(measurements)
     outages = {node: measurements.outages.get(node, []) for node in measurements.plan.simulated_nodes}
     config_outages = {
-        node: [*ended, *measurements.leader_outages.get(node, ())] for node, ended in outages.items()
+        node: [*own, *measurements.leader_outages.get(node, ())] for node, own in outages.items()
     }
     return ChangePropagation(
         lists=_by_phase(measurements, folder, RecordKind.LISTS, _published_lists(measurements), outages),
@@ -50,12 +53,12 @@
 
 
 def _published_lists(measurements: Measurements) -> list[PublishedChange]:
-    members = _simulated_nodes_by_service(measurements.plan)
-    # Versions are those of a service: each change is measured only at the nodes of its service.
+    nodes_by_service = _simulated_nodes_by_service(measurements.plan)
+    # Each service counts its versions separately, so a change is measured only at the nodes of its service.
     return [
-        PublishedChange(row.version, row.at_ms, members[row.service])
+        PublishedChange(row.version, row.at_ms, nodes_by_service[row.service])
         for row in measurements.lists
-        if row.service in members
+        if row.service in nodes_by_service
     ]
 
 
@@ -65,11 +68,11 @@
 
 
 def _simulated_nodes_by_service(plan: Plan) -> dict[int, frozenset[int]]:
-    members: dict[int, set[int]] = {}
+    nodes_by_service: dict[int, set[int]] = {}
     for machine in plan.machines:
         if not machine.real:
-            members.setdefault(machine.service, set()).add(machine.number)
-    return {service: frozenset(nodes) for service, nodes in members.items()}
+            nodes_by_service.setdefault(machine.service, set()).add(machine.number)
+    return {service: frozenset(nodes) for service, nodes in nodes_by_service.items()}
 
 
 def _by_phase(
@@ -91,7 +94,7 @@
 
 
 def _load_histories(folder: Path, kind: RecordKind) -> dict[int, NodeHistory] | None:
-    """Histories of all simulated nodes; None without records."""
+    """Return the histories of all simulated nodes; None if there are no records."""
     paths = sorted(folder.glob(record_file_name(f"{SIMULATED_WORKER_PREFIX}*", kind)))
     if not paths:
         return None
--- a/rosewheel/lab/scale/propagation.py
+++ b/rosewheel/lab/scale/propagation.py
@@ -1,4 +1,4 @@
-"""How long changes took to reach all nodes, from the moments at which nodes had their versions. No I/O."""
+"""Measures the time that changes take to reach all nodes, from the versions that nodes had over time. No I/O."""
 
 from __future__ import annotations
 
@@ -14,7 +14,13 @@
 
 @dataclass(slots=True, frozen=True)
 class PublishedChange:
-    """A change: its version, when it was published (ms), and the nodes that it is for."""
+    """A published change.
+
+    Attributes:
+        version: Its version.
+        at_ms: Time of publication, in ms.
+        nodes: The nodes that have to receive it.
+    """
 
     version: int
     at_ms: float
@@ -23,7 +29,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Outage:
-    """A time in which a node could not be reached; a restart is one without length. In ms."""
+    """An interval in which a node could not be reached, in ms; empty for a restart."""
 
     begin_ms: float
     end_ms: float
@@ -31,7 +37,7 @@
 
 @dataclass(slots=True, frozen=True)
 class NodeHistory:
-    """Rising versions of one node, each with the moment (ms) from which the node had it."""
+    """Versions of one node in rising order, and the time at which it first had each, in ms."""
 
     versions: IntArray
     times_ms: FloatArray
@@ -42,12 +48,13 @@
 
 @dataclass(slots=True)
 class Propagation:
-    """How long a set of changes took; in ms.
+    """Propagation times of a set of changes.
 
     Attributes:
-        durations_ms: Of each change, until the last node had it that could be reached all the time.
-        after_return_ms: Of each node that could not be reached for a time, from its return until it had the change.
-        missing: Number of nodes that a change never reached, over all changes.
+        durations_ms: For each change, the time until it had reached all nodes that had no outage meanwhile.
+        after_return_ms: For each change and node that had an outage meanwhile, the time from the end of the outage to
+            the receipt of the change.
+        missing: Number of pairs of a change and a node that it never reached.
     """
 
     durations_ms: list[float] = field(default_factory=list)
@@ -56,7 +63,7 @@
 
 
 def percentile_s(values_ms: Sequence[float], percent: float) -> float | None:
-    """A percentile of values in ms, in seconds; None without values."""
+    """Return a percentile, in seconds, of values in ms; None if there are no values."""
     return round(float(np.percentile(values_ms, percent)) / 1000.0, 3) if values_ms else None
 
 
@@ -65,9 +72,9 @@
     histories: Mapping[int, NodeHistory],
     outages: Mapping[int, Sequence[Outage]],
 ) -> Propagation:
-    """Propagation of these changes, by the histories and outages of the nodes.
+    """Measure the propagation of changes from the histories and outages of the nodes.
 
-    A node has a change once it has its version or a later one.
+    A change has reached a node once the node has its version or a later one.
     """
     changes = list(published)
     published_ms = np.array([change.at_ms for change in changes])
@@ -79,17 +86,17 @@
         positions = np.searchsorted(history.versions, versions[indexes])
         reached = positions < len(history.versions)
         result.missing += int((~reached).sum())
-        own, received_ms = indexes[reached], history.times_ms[positions[reached]]
-        returned_ms = _returned_ms(outages.get(node, ()), published_ms[own], received_ms)
-        was_away = returned_ms > 0.0
-        result.after_return_ms += np.maximum(0.0, received_ms - returned_ms)[was_away].tolist()
-        np.maximum.at(durations_ms, own[~was_away], (received_ms - published_ms[own])[~was_away])
+        arrived, received_ms = indexes[reached], history.times_ms[positions[reached]]
+        returned_ms = _returned_ms(outages.get(node, ()), published_ms[arrived], received_ms)
+        had_outage = returned_ms > 0.0
+        result.after_return_ms += np.maximum(0.0, received_ms - returned_ms)[had_outage].tolist()
+        np.maximum.at(durations_ms, arrived[~had_outage], (received_ms - published_ms[arrived])[~had_outage])
     result.durations_ms = durations_ms.tolist()
     return result
 
 
 def _changes_by_node(changes: Sequence[PublishedChange]) -> dict[int, IntArray]:
-    """By node, the indexes of the changes that it has to receive."""
+    """Return, by node, the indexes of the changes that it has to receive."""
     indexes: dict[int, list[int]] = {}
     for index, change in enumerate(changes):
         for node in change.nodes:
@@ -98,7 +105,7 @@
 
 
 def _returned_ms(outages: Iterable[Outage], published_ms: FloatArray, received_ms: FloatArray) -> FloatArray:
-    """For each change, the end of the last outage between its publication and its arrival; 0 without one."""
+    """Return, for each change, the end of the last outage between publication and receipt; 0 if there was none."""
     returned_ms = np.zeros(len(received_ms))
     for outage in outages:
         overlaps = (outage.begin_ms <= received_ms) & (outage.end_ms >= published_ms)
@@ -107,7 +114,7 @@
 
 
 def node_histories(nodes: IntArray, versions: IntArray, times_ms: FloatArray) -> dict[int, NodeHistory]:
-    """By node, its history from records in any order."""
+    """Return the history of each node, from records in any order."""
     histories: dict[int, NodeHistory] = {}
     order = np.lexsort((times_ms, nodes))
     nodes, versions, times_ms = nodes[order], versions[order], times_ms[order]
@@ -116,7 +123,7 @@
         np.split(nodes, bounds), np.split(versions, bounds), np.split(times_ms, bounds), strict=True
     ):
         if len(own):
-            # A restarted process receives again what it had before: only the first time counts.
+            # A restarted node receives versions again; only the first receipt counts.
             highest_before = np.maximum.accumulate(own_versions)[:-1]
             rising = np.concatenate(([True], own_versions[1:] > highest_before))
             histories[int(own[0])] = NodeHistory(own_versions[rising], own_times_ms[rising])
