--- a/rosewheel/lab/scale/version_log.py
+++ b/rosewheel/lab/scale/version_log.py
@@ -1,4 +1,4 @@
-"""When which node had which version: recorded in memory by simulated nodes, written to files at the end of a run."""
+"""Records of the versions that simulated nodes receive, kept in memory and written to files at the end of a run."""
 
 from __future__ import annotations
 
@@ -11,20 +11,20 @@
 
 from rosewheel.lab.wire import now_ms
 
-SIMULATED_WORKER_PREFIX = "hollow-"  # of workers' names, and so of their records' file names
+SIMULATED_WORKER_PREFIX = "hollow-"  # prefix of names of workers and of their record files
 NO_VERSIONS = (np.zeros(0, np.int32), np.zeros(0, np.int32), np.zeros(0))
 
 
 class RecordKind(StrEnum):
-    """What is recorded. The values stand in file names and reports."""
+    """Kind of record. The values are parts of file names and keys of reports."""
 
     LISTS = "lists"  # endpoint lists received
     CONFIG = "config"  # configurations applied
-    ACKED = "acked"  # configurations whose acknowledgement was answered
+    ACKED = "acked"  # configurations whose acknowledgement a control machine has received
 
 
 class VersionLog:
-    """Node, version and moment of each record."""
+    """Log of versions, with the node and the time of each record."""
 
     def __init__(self) -> None:
         self.nodes, self.versions, self.times_ms = array("i"), array("i"), array("d")
@@ -33,7 +33,7 @@
         return len(self.nodes)
 
     def add(self, node: int, version: int) -> None:
-        """Record that the node has this version now."""
+        """Record that a node has a version from now on."""
         self.nodes.append(node)
         self.versions.append(version)
         self.times_ms.append(now_ms())
@@ -50,14 +50,14 @@
 
 @dataclass(slots=True, frozen=True)
 class NodeRecords:
-    """The logs of one worker's nodes."""
+    """The logs of all nodes of one worker, by kind."""
 
     lists: VersionLog = field(default_factory=VersionLog)
     config: VersionLog = field(default_factory=VersionLog)
     acked: VersionLog = field(default_factory=VersionLog)
 
     def save(self, folder: Path, worker: str) -> list[int]:
-        """Write one file per kind; the number of records in each."""
+        """Write one file per kind and return the number of records in each."""
         counts = []
         for kind, log in (
             (RecordKind.LISTS, self.lists),
@@ -70,5 +70,5 @@
 
 
 def record_file_name(worker: str, kind: RecordKind) -> str:
-    """Name of the file with a worker's records; a worker of `*` gives the pattern for all workers."""
+    """Return the name of a record file; the worker may be a pattern, such as `*`."""
     return f"{worker}-{kind}.npz"
