--- a/rosewheel/lab/scale/control_machine.py
+++ b/rosewheel/lab/scale/control_machine.py
@@ -1,4 +1,4 @@
-"""The control machines of a scale run: processes of `rosewheel control serve`."""
+"""Control machines of a scale run, as processes of `rosewheel control serve`."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class ControlMachineProcess(Daemon):
-    """One control machine's process; its address and folder stay the same over restarts."""
+    """Process of a control machine; its address and folder don't change on a restart."""
 
     def __init__(self, machine: ControlMachine, folder: Path) -> None:
         super().__init__(folder / machine.name)
@@ -23,7 +23,12 @@
         self._arguments: list[str] = []
 
     def start(self, peers: dict[str, Address], leader: str) -> None:
-        """Start the process; `peers` are the addresses of the other machines as seen from this one."""
+        """Start the process.
+
+        Args:
+            peers: Addresses at which this machine reaches the other control machines, by name.
+            leader: Name of the leader.
+        """
         host, port = self.address
         self._arguments = ["control", "serve", "--name", self.machine.name, "--listen", f"{host}:{port}"]
         self._arguments += ["--writer", leader, "--dir", str(self.folder / "log.d")]
@@ -32,11 +37,11 @@
         self.restart()
 
     def restart(self) -> None:
-        """Start the process again, as it was started before."""
+        """Start the process again, with the same arguments."""
         self.folder.mkdir(parents=True, exist_ok=True)
         self.launch(self._arguments, dict(os.environ))
 
     def close(self) -> None:
-        """End the process and release its address."""
+        """Kill the process and release its address."""
         self.kill()
         self._reserved.close()
--- a/rosewheel/lab/scale/control_operator.py
+++ b/rosewheel/lab/scale/control_operator.py
@@ -1,4 +1,4 @@
-"""The operator of a scale run: publishes configurations at the leader, and asks it for the state of the fleet."""
+"""The operator of a scale run: publishes configurations through the leader and reads the status of the fleet."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 from rosewheel.lab.scale.measurements import PublishedConfig
 from rosewheel.lab.wire import now_ms
 
-START_TIMEOUT_S = 20.0  # far more than a control machine needs
+START_TIMEOUT_S = 20.0
 PUBLISH_ATTEMPT_TIMEOUT_S = 3.0  # a lost machine does not answer
 PUBLISH_TIMEOUT_S = 300.0  # longer than any outage of the leader
 RETRY_S = 0.05
@@ -23,18 +23,22 @@
 
 
 class ControlStatus(msgspec.Struct, frozen=True, rename={"nodes_current": "in_force"}):
-    """Part of the leader's status: the number of nodes that have acknowledged the current version."""
+    """Part of the leader's status.
+
+    Attributes:
+        nodes_current: Number of nodes that have acknowledged the current version.
+    """
 
     nodes_current: int = 0
 
 
 def service_name(number: int) -> str:
-    """Name of the service with this number."""
+    """Return the name of a service."""
     return f"s{number}"
 
 
 def initial_document(services: int) -> Document:
-    """The first configuration: a part common to all nodes, and a part for each service."""
+    """Return the first configuration, with a part common to all nodes and a part for each service."""
     read = {"name": "read", "aim_ms": 1000.0, "give_up_ms": 3000.0, "effect": "safe"}
     own: Document = {}
     for number in range(services):
@@ -44,12 +48,12 @@
 
 
 def change_patch(number: int, service: int) -> Document:
-    """The patch of one change to a service; each number sets another value."""
+    """Return the patch of a change to a service, whose value depends on the number."""
     return {"services": {service_name(service): {"limits": {"max_open": 1000 + number}}}}
 
 
 class Operator:
-    """Talks to the leader from the leader's own machine, past the network."""
+    """Client of the leader that connects directly, not through the simulated network."""
 
     def __init__(self, leader: ControlMachineProcess) -> None:
         self.leader = leader
@@ -60,16 +64,18 @@
         """Wait until the leader answers.
 
         Raises:
-            ProcessError: It ended, or did not answer in `START_TIMEOUT_S`.
+            ProcessError: The leader ended or did not answer within `START_TIMEOUT_S`.
         """
         deadline_s = asyncio.get_running_loop().time() + START_TIMEOUT_S
         while await self.status() is None:
             if not self.leader.alive or asyncio.get_running_loop().time() > deadline_s:
-                raise ProcessError(f"the control machine did not start: {self.leader.last_log_line()}")
+                raise ProcessError(
+                    f"control machine {self.leader.machine.name} did not start: {self.leader.last_log_line()}"
+                )
             await asyncio.sleep(RETRY_S)
 
     async def status(self) -> ControlStatus | None:
-        """The leader's view of the fleet; None if it does not answer."""
+        """Return the leader's status of the fleet; None if it could not be read."""
         try:
             status, body = await self.client.call("GET", "/control/status")
         except HttpCallError:
@@ -79,10 +85,10 @@
         return msgspec.convert(body, ControlStatus)
 
     async def publish(self, patch: Document) -> PublishedConfig:
-        """Publish a change, with as many attempts as it takes.
+        """Publish a change, with new attempts until the leader accepts it.
 
         Raises:
-            ProcessError: It was not acknowledged in `PUBLISH_TIMEOUT_S`.
+            ProcessError: The change was not accepted within `PUBLISH_TIMEOUT_S`.
         """
         first_attempt_ms = now_ms()
         reason = ""
@@ -100,7 +106,7 @@
                 if status == HTTP_CONFLICT and "version" in body:
                     self.version = body["version"]
             await asyncio.sleep(RETRY_S)
-        raise ProcessError(f"a change could not be made: {reason}")
+        raise ProcessError(f"change not accepted within {PUBLISH_TIMEOUT_S:g} s: {reason}")
 
     async def _put(self, patch: Document) -> tuple[int, Any]:
         row = {"patch": patch, "version": self.version, "by": "scale", "note": ""}
