--- a/rosewheel/lab/scale/call_scenario.py
+++ b/rosewheel/lab/scale/call_scenario.py
@@ -1,4 +1,4 @@
-"""The lab scenario of the calls in a scale run."""
+"""Lab scenario for the calls of a scale run."""
 
 from __future__ import annotations
 
@@ -7,11 +7,11 @@
 from rosewheel.lab.scale.options import Options
 from rosewheel.lab.scenario import Scenario
 
-DIRECT_PREFIX = "direct"  # of the names of targets that are servers
+DIRECT_PREFIX = "direct"  # prefix of names of targets that are servers, called without a node
 REAL_NODES_PER_DIRECT_TARGET = 4
 MAX_SERVERS = 24
 MIN_RATE_PER_S = 0.1
-# Servers with capacity for all calls: only the latency of the way there and back is measured.
+# The servers have capacity for all calls, so that queueing does not add to the measured latency.
 SCENARIO = """
 name = "scale"
 seconds = 60
@@ -48,12 +48,12 @@
 
 
 def direct_targets(options: Options) -> int:
-    """Number of servers that are called directly, for comparison."""
+    """Return the number of servers that are also called directly, for comparison."""
     return -(-options.real // REAL_NODES_PER_DIRECT_TARGET)
 
 
 def call_scenario(options: Options) -> Scenario:
-    """The scenario: the rate over all real nodes and direct targets, and the number of servers."""
+    """Return the scenario, with the total call rate and the number of servers for these options."""
     rate_per_s = max(MIN_RATE_PER_S, options.calls * (options.real + direct_targets(options)))
     rows = parse_tables(SCENARIO, "scale")
     rows["seconds"] = options.seconds
