--- a/rosewheel/lab/scale/call_statistics.py
+++ b/rosewheel/lab/scale/call_statistics.py
@@ -1,7 +1,8 @@
-"""What a real node adds to the latency of calls, from the records of callers and servers.
+"""Latency that a real node adds to calls, from the records of callers and servers.
 
-The latency that counts is the caller's time less the server's own, which runs from the request's first byte to its
-answer. A part of it is the emulator's and the caller's; direct calls, past the nodes, show that part by itself.
+The latency of a call is the caller's time minus the server's time from the first byte of the request to its response.
+It includes the overhead of the emulator and the caller. Direct calls, which are sent to a server without a node,
+measure this overhead alone.
 """
 
 from __future__ import annotations
@@ -45,7 +46,7 @@
 
 @dataclass(slots=True, frozen=True)
 class CallLatency:
-    """Time of calls less the server's own, in ms; None without calls."""
+    """Latency of calls without the server's time, in ms; None if there were no calls."""
 
     calls: int
     p50_ms: float | None
@@ -54,15 +55,15 @@
 
 @dataclass(slots=True, frozen=True)
 class CallStatistics:
-    """Calls of a run.
+    """Results of the calls of a run.
 
     Attributes:
         sent: Number of calls.
-        succeeded: Calls whose first attempt succeeded.
-        through_node: Latency of calls through a node, before faults begin.
-        direct: Latency of calls past the nodes in the same time.
-        added_p50_ms: Difference of the two at the median; None where either has no calls.
-        added_p99_ms: The same at the 99th percentile.
+        succeeded: Number of calls whose first attempt succeeded.
+        through_node: Latency of calls through a node, before the first fault.
+        direct: Latency of direct calls, before the first fault.
+        added_p50_ms: Median through a node minus the median of direct calls; None if one of them had no calls.
+        added_p99_ms: The same difference for the 99th percentile.
     """
 
     sent: int
@@ -74,10 +75,10 @@
 
 
 def call_statistics(folder: Path, faults_begin_s: float) -> CallStatistics:
-    """Statistics from the records in this folder.
+    """Compute the statistics from the records in this folder.
 
-    Latencies are of calls that took one attempt and were planned before `faults_begin_s`: those of a node that was
-    stopped or has just started would measure its start.
+    Latencies include only calls that took one attempt and were planned before `faults_begin_s`, because the latency of
+    a node that was restarted includes its start.
     """
     server_ms = _server_times(folder)
     through_node_ms: list[float] = []
@@ -104,7 +105,7 @@
 
 
 def _server_times(folder: Path) -> dict[str, float]:
-    """The server's own time of each request that it served, in ms."""
+    """Return the server's time for each served request, in ms, by request id."""
     jobs = (
         msgspec.convert(row, _ServerJob)
         for row in read_records(folder / "equipos.jsonl")
--- a/rosewheel/lab/scale/calls_worker.py
+++ b/rosewheel/lab/scale/calls_worker.py
@@ -1,4 +1,4 @@
-"""The callers as a worker process: `python -m rosewheel.lab.scale.calls_worker SETUP.json`."""
+"""Worker process that sends the calls: `python -m rosewheel.lab.scale.calls_worker SETUP.json`."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 
 class Callers:
-    """Sends the planned calls when the run starts, and records them."""
+    """Sends the planned calls from the start of the run, and records them."""
 
     def __init__(self, setup: CallsSetup) -> None:
         self.setup = setup
@@ -34,11 +34,11 @@
         self._task: asyncio.Task[None] | None = None
 
     async def ready(self) -> CallsReady:
-        """The number of planned calls."""
+        """Return the number of planned calls."""
         return CallsReady(len(self.plan.arrivals))
 
     def handle(self, command: CallsCommand) -> LoadStopped | None:
-        """Carry out a command of the run."""
+        """Carry out a command."""
         match command:
             case StartLoad(start_ms=start_ms):
                 self._load = load = LoadGenerator(self.plan, self.setup.targets, self.records)
@@ -59,7 +59,7 @@
         return LoadStopped(len(self._load.open_operations), round(self._load.lag_max_ms, 1))
 
     async def close(self) -> None:
-        """Abandon calls in flight and close the records."""
+        """Cancel calls in flight and close the record file."""
         if self._task is not None:
             self._task.cancel()
             await self._task
