--- a/rosewheel/lab/scale/network.py
+++ b/rosewheel/lab/scale/network.py
@@ -1,6 +1,6 @@
-"""The network between nodes and control machines: TCP relays that can lose machines and partition regions.
+"""The simulated network between nodes and control machines: a TCP relay that can cut off machines and regions.
 
-A caller is known by its source address within 127/8, or by the listener that it connects to.
+A caller is identified by its source address within 127/8, or by the listener that it connects to.
 """
 
 from __future__ import annotations
@@ -13,16 +13,16 @@
 from rosewheel.lab.scale.relay import RelayedConnection, RelayState
 from rosewheel.lab.wire import Address
 
-REGION_DELAY_S = 0.015  # one way between regions
+REGION_DELAY_S = 0.015  # one way
 LISTEN_BACKLOG = 2048
 
 
 class Network:
-    """Listens for callers and relays their connections.
+    """Relays connections from callers to control machines.
 
     Args:
-        regions: Region of each machine and control machine, by name.
-        machines: Name of each machine, by address.
+        regions: Regions of all machines and control machines, by name.
+        machines: Names of the machines, by address.
         region_delay_s: One-way delay between regions, in seconds.
     """
 
@@ -38,7 +38,7 @@
         return self.state.connections
 
     async def listen(self, listener: ListenerSetup) -> Address:
-        """Open this port on loopback; its address."""
+        """Open a listening port on loopback and return its address."""
         server = await asyncio.get_running_loop().create_server(
             lambda: RelayedConnection(self.state, listener).downstream, "127.0.0.1", 0, backlog=LISTEN_BACKLOG
         )
@@ -52,12 +52,12 @@
         self._update_connections()
 
     def restore_machines(self, names: Iterable[str]) -> None:
-        """Let these machines communicate again; their connections are reset."""
+        """Pass the packets of these machines again, and reset the connections that they had."""
         self.state.reachability.lost.difference_update(names)
         self._update_connections()
 
     def set_partition(self, partitioned: bool) -> None:
-        """Separate the regions, or join them again."""
+        """Start or end a partition between the regions."""
         self.state.reachability.partitioned = partitioned
         self._update_connections()
 
@@ -66,11 +66,11 @@
             connection.update_reachability()
 
     def statistics(self) -> NetworkStatistics:
-        """Traffic since the start."""
+        """Return the traffic since the start."""
         return NetworkStatistics(self.state.callers, self.state.targets)
 
     def close(self) -> None:
-        """Close the ports and reset all connections."""
+        """Close the listening ports and reset all connections."""
         for server in self._servers:
             server.close()
         for connection in list(self.connections):
--- a/rosewheel/lab/scale/network_layout.py
+++ b/rosewheel/lab/scale/network_layout.py
@@ -1,4 +1,4 @@
-"""The listeners of a scale run's network: who connects where. No I/O."""
+"""The listeners of the simulated network, with their users and destinations. No I/O."""
 
 from __future__ import annotations
 
@@ -10,12 +10,17 @@
 from rosewheel.lab.scale.plan import Plan, zone_name
 from rosewheel.lab.wire import Address
 
-DISCOVERY = "discovery"  # destination; the others are names of control machines
+DISCOVERY = "discovery"  # name of the only destination that is not a control machine
 
 
 @dataclass(slots=True, frozen=True)
 class ListenerKey:
-    """Who uses a listener (a zone, a real node or a control machine), and where it leads."""
+    """Identifies a listener.
+
+    Attributes:
+        user: The zone, real node or control machine that connects to the listener.
+        destination: `DISCOVERY` or the name of a control machine.
+    """
 
     user: str
     destination: str
@@ -24,11 +29,12 @@
 class NetworkLayout:
     """The listeners of the network.
 
-    One for each zone, one for each real node, which has no source address of its own, and one from each control machine
-    to each other one.
+    Each zone has listeners for discovery and for each control machine, which its simulated nodes share. So has each
+    real node, because it can't be identified by its source address. Each control machine has one for each of the
+    others.
 
     Args:
-        plan: The plan.
+        plan: The plan of the run.
         discovery: Address of discovery.
         control_machines: Addresses of the control machines, by name.
     """
@@ -48,6 +54,7 @@
                     self._add(caller, TrafficKind.PEER, peer, caller)
 
     def _add_node_listeners(self, user: str, caller: str) -> None:
+        # Discovery counts as running on every control machine: it can be reached where one of them can.
         targets = dict.fromkeys(self.control_machines, self.discovery)
         self.keys.append(ListenerKey(user, DISCOVERY))
         self._listeners.append(ListenerSetup(TrafficKind.DISCOVERY, targets, caller))
@@ -59,7 +66,7 @@
         self._listeners.append(ListenerSetup(kind, {target: self.control_machines[target]}, caller))
 
     def setup(self) -> NetworkSetup:
-        """Setup of the network worker; its listeners are in the order of `keys`."""
+        """Return the setup of the network worker, with the listeners in the order of `keys`."""
         regions = {machine.name: machine.region for machine in self.plan.machines}
         regions |= {machine.name: machine.region for machine in self.plan.control_machines}
         machines = {machine.address: machine.name for machine in self.plan.machines}
--- a/rosewheel/lab/scale/network_worker.py
+++ b/rosewheel/lab/scale/network_worker.py
@@ -1,4 +1,4 @@
-"""The network as a worker process: `python -m rosewheel.lab.scale.network_worker SETUP.json`."""
+"""Worker process of the simulated network: `python -m rosewheel.lab.scale.network_worker SETUP.json`."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
         return NetworkReady([await network.listen(listener) for listener in setup.listeners])
 
     def handle(command: NetworkCommand) -> NetworkStatistics | None:
-        """Carry out a command of the run."""
+        """Carry out a command."""
         match command:
             case LoseMachines(names=names):
                 network.lose_machines(names)
--- a/rosewheel/lab/scale/reachability.py
+++ b/rosewheel/lab/scale/reachability.py
@@ -1,4 +1,4 @@
-"""Which machines of a scale run can reach each other. No I/O."""
+"""Reachability between the machines of a scale run. No I/O."""
 
 from __future__ import annotations
 
@@ -7,12 +7,12 @@
 
 
 class Reachability:
-    """Lost machines and the partition between regions.
+    """Tells which machines can reach each other, given lost machines and a partition between regions.
 
     Attributes:
         regions: Region of each machine, by name.
-        lost: Names of machines that cannot reach anything.
-        partitioned: Whether the regions cannot reach each other.
+        lost: Names of the machines whose packets are dropped.
+        partitioned: Whether packets between regions are dropped.
     """
 
     def __init__(self, regions: Mapping[str, int]) -> None:
@@ -21,19 +21,19 @@
         self.partitioned = False
 
     def can_reach(self, first: str, second: str) -> bool:
-        """Whether packets pass between these machines."""
+        """Return whether packets pass between two machines."""
         if first in self.lost or second in self.lost:
             return False
         return not self.partitioned or self.same_region(first, second)
 
     def same_region(self, first: str, second: str) -> bool:
-        """Whether both machines stand in one region."""
+        """Return whether two machines are in the same region."""
         return self.regions[first] == self.regions[second]
 
     def choose_target(self, caller: str, targets: Iterable[str]) -> str:
-        """The first target that the caller can reach, in an order of the caller's own.
+        """Return the first target that the caller can reach, or the first one if it can reach none.
 
-        The first one of that order if it can reach none.
+        The order of the targets is a hash of caller and target, so that callers are spread over the targets.
         """
         order = sorted(targets, key=lambda name: hashlib.blake2b(f"{caller}/{name}".encode()).digest())
         return next((name for name in order if self.can_reach(caller, name)), order[0])
