--- a/rosewheel/lab/scale/relay.py
+++ b/rosewheel/lab/scale/relay.py
@@ -1,8 +1,9 @@
-"""A relayed connection of the scale run's network, which can fall silent, be delayed and be reset.
+"""A relayed connection of the simulated network, which can be blocked, delayed and reset.
 
-A cut connection stays open and passes nothing in either direction, as where packets are dropped. One that is opened
-during a cut is accepted (by this machine's kernel) and stays silent. When a partition between regions heals, the data
-that waited is delivered. When a lost machine returns, its connections are reset, since its kernel no longer knows them.
+A blocked connection stays open and passes no data in either direction, as if packets were dropped. A connection that is
+opened while caller and target can't reach each other is accepted and then blocked. After a partition between regions,
+pending data is delivered. When a lost machine returns, its connections are reset, because its kernel no longer knows
+them.
 """
 
 from __future__ import annotations
@@ -20,15 +21,16 @@
 
 @dataclass(slots=True)
 class RelayState:
-    """What all connections of a network share.
+    """State that all connections of a network share.
 
     Attributes:
         reachability: Which machines can reach each other.
-        machines: Names of machines, by address.
+        machines: Names of the machines, by address.
         region_delay_s: One-way delay between regions, in seconds.
         connections: The open connections.
-        callers: Traffic by the machine that opened the connection.
-        targets: Traffic by the machine that it leads to.
+        callers: Traffic by kind and by the machine that opened the connection.
+        targets: Traffic by kind and by the machine that accepted the connection.
+        addresses: Addresses of the machines, by name.
     """
 
     reachability: Reachability
@@ -44,38 +46,38 @@
 
 
 class _RelayEnd(asyncio.Protocol):
-    """One of a relayed connection's two ends."""
+    """One of the two ends of a relayed connection."""
 
     def __init__(self, connection: RelayedConnection) -> None:
         self.connection = connection
         self.transport: asyncio.Transport | None = None
         self.closed = False
-        self._paused = False  # the other end's write buffer is full
+        self._paused = False  # the write buffer of the other end is full
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """The end is connected (asyncio)."""
+        """Set the transport (called by asyncio)."""
         self.transport = cast(asyncio.Transport, transport)
         self.connection.end_connected(self)
 
     def data_received(self, data: bytes) -> None:
-        """Pass data to the other end (asyncio)."""
+        """Pass data to the other end (called by asyncio)."""
         self.connection.forward(self, data)
 
     def pause_writing(self) -> None:
-        """The write buffer is full: stop reading at the other end (asyncio)."""
+        """Stop reading at the other end, because the write buffer is full (called by asyncio)."""
         self.connection.other_end(self).set_paused(True)
 
     def resume_writing(self) -> None:
-        """The write buffer has space again: read at the other end (asyncio)."""
+        """Resume reading at the other end (called by asyncio)."""
         self.connection.other_end(self).set_paused(False)
 
     def set_paused(self, paused: bool) -> None:
-        """Stop reading because the other end cannot write, or resume."""
+        """Set whether reading is paused because the write buffer of the other end is full."""
         self._paused = paused
         self.update_reading()
 
     def update_reading(self) -> None:
-        """Read, or leave incoming data in the kernel's buffer, as the connection's state requires."""
+        """Pause or resume reading; while paused, received data stays in the buffer of the kernel."""
         if self.transport is None or self.transport.is_closing():
             return
         if self._paused or self.connection.blocked:
@@ -84,19 +86,19 @@
             self.transport.resume_reading()
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """The end is closed (asyncio)."""
+        """Mark the end as closed (called by asyncio)."""
         self.transport, self.closed = None, True
         self.connection.end_closed()
 
 
 class RelayedConnection:
-    """A connection from a caller through a listener to a control machine.
+    """A connection from a caller to a control machine, opened through a listener.
 
     Attributes:
         downstream: The caller's end.
         upstream: The control machine's end.
         caller: Name of the machine that opened the connection.
-        target: Name of the control machine.
+        target: Name of the control machine that it leads to.
         blocked: Whether caller and target cannot reach each other.
     """
 
@@ -105,19 +107,19 @@
         self.downstream, self.upstream = _RelayEnd(self), _RelayEnd(self)
         self.caller, self.target = listener.caller, ""
         self.blocked = False
-        self._machine_lost = False  # at some time: reset when it returns
+        self._machine_lost = False  # caller or target was lost since the start: reset on its return
         self._closed = False
         self._delay_s = 0.0
-        # Data on its way between regions, or before the upstream end is connected.
+        # Data that waits for the delay between regions or for the upstream end to connect, and its destination.
         self._pending: deque[tuple[_RelayEnd, bytes]] = deque()
         self._connect_task: asyncio.Task[None] | None = None
 
     def other_end(self, end: _RelayEnd) -> _RelayEnd:
-        """The end opposite to this one."""
+        """Return the opposite end."""
         return self.upstream if end is self.downstream else self.downstream
 
     def end_connected(self, end: _RelayEnd) -> None:
-        """An end is connected; its transport is set."""
+        """Handle the connection of an end, whose transport is set."""
         if end is self.downstream:
             self._accept(end)
         elif self._closed:
@@ -168,7 +170,7 @@
             self.reset()
 
     def update_reachability(self) -> None:
-        """Fall silent, resume or reset, as caller and target can reach each other now."""
+        """Block, resume or reset the connection, depending on whether caller and target can reach each other."""
         reachability = self.state.reachability
         blocked = not reachability.can_reach(self.caller, self.target)
         lost = self.caller in reachability.lost or self.target in reachability.lost
@@ -190,7 +192,7 @@
             self._connect()
 
     def forward(self, source: _RelayEnd, data: bytes) -> None:
-        """Pass data on, after the delay between regions."""
+        """Pass data to the other end, after the delay between regions."""
         for counters in self._counters():
             if source is self.downstream:
                 counters.upstream_bytes += len(data)
@@ -212,7 +214,7 @@
             pass
 
     def _deliver_next(self) -> bool:
-        """Write the first pending data; False if there is none or it cannot be written yet."""
+        """Write the first pending data; return False if there is none or it can't be written yet."""
         if not self._pending or self.blocked:
             return False
         destination, data = self._pending[0]
@@ -223,14 +225,14 @@
         return True
 
     def end_closed(self) -> None:
-        """One end is closed; the other is closed behind the data that is on its way to it."""
+        """Handle the close of an end: close the other one, after the data that is in flight between regions."""
         if self._delay_s and not self._closed:
             asyncio.get_running_loop().call_later(self._delay_s, self._close)
         else:
             self._close()
 
     def _close(self) -> None:
-        if self._closed or self.blocked:  # the close of a blocked connection does not arrive until it resumes
+        if self._closed or self.blocked:  # a blocked connection is closed when it resumes
             return
         self._closed = True
         self.state.connections.discard(self)
