--- a/rosewheel/lab/scale/measurements.py
+++ b/rosewheel/lab/scale/measurements.py
@@ -1,4 +1,4 @@
-"""What a scale run measures while it runs: samples of its processes, changes, and outages of nodes."""
+"""Measurements taken during a scale run: samples of processes, published changes and outages of nodes."""
 
 from __future__ import annotations
 
@@ -16,11 +16,11 @@
 from rosewheel.lab.scale.propagation import Outage
 from rosewheel.lab.scale.resource_usage import ResourceUsage
 
-AFTER_RUN = "after"  # the phase of changes that the leader could not take in the run's time
+AFTER_RUN = "after"  # phase of changes that were published after the last planned phase
 
 
 class Role(StrEnum):
-    """What a process is in the run; the values stand in reports."""
+    """Role of a process in the run; the values are used in reports."""
 
     NETWORK = "network"
     DISCOVERY = "discovery"
@@ -39,8 +39,8 @@
 
     Attributes:
         version: Its version.
-        at_ms: When the successful attempt began (monotonic).
-        acknowledged_after_ms: From the first attempt to the leader's acknowledgement.
+        at_ms: Start of the successful attempt (monotonic clock).
+        acknowledged_after_ms: Time from the first attempt to the leader's acknowledgement.
     """
 
     version: int
@@ -50,17 +50,17 @@
 
 @dataclass(slots=True, frozen=True)
 class Sample:
-    """State of all processes at the end of a phase.
+    """Sample of all processes at the end of a phase.
 
     Attributes:
         phase: Name of the phase that ends.
-        at_ms: When it was taken (monotonic).
+        at_ms: Time of the sample (monotonic clock).
         usage: Resource usage by role and process id.
         network: Traffic since the start.
-        discovery: Versions of the endpoint lists.
-        simulated: Versions of simulated nodes, of each of their workers.
+        discovery: Statistics of discovery.
+        simulated: Statistics of each worker of simulated nodes.
         load_1min: Load average of the machine.
-        config_version: Version of the configuration.
+        config_version: Last published version of the configuration.
     """
 
     phase: str
@@ -75,16 +75,16 @@
 
 @dataclass(slots=True)
 class Measurements:
-    """Collects what happens in a run.
+    """Collects the measurements of a run.
 
     Attributes:
         plan: The plan that is carried out.
-        start_ms: When it began (ms, monotonic).
+        start_ms: Start of the plan, in ms (monotonic clock).
         samples: One at the start and one at the end of each phase.
         lists: Published endpoint lists.
         configs: Published configurations.
-        outages: By node, when it could not be reached.
-        leader_outages: By node, when the leader could not be reached from it because of a partition.
+        outages: Outages of each node.
+        leader_outages: For each node, the partitions that separated it from the leader.
     """
 
     plan: Plan
@@ -98,28 +98,28 @@
     _partitioned_since_ms: float = 0.0
 
     def record_nodes_lost(self, nodes: Iterable[int], at_ms: float) -> None:
-        """These nodes cannot be reached from now on."""
+        """Record the start of an outage of these nodes."""
         for node in nodes:
             self._lost_since_ms[node] = at_ms
 
     def record_nodes_restored(self, nodes: Iterable[int], at_ms: float) -> None:
-        """These nodes can be reached again."""
+        """Record the end of an outage of these nodes."""
         for node in nodes:
             begin_ms = self._lost_since_ms.pop(node, at_ms)
             self.outages.setdefault(node, []).append(Outage(begin_ms, at_ms))
 
     def record_partition(self, at_ms: float) -> None:
-        """The regions cannot reach each other from now on."""
+        """Record the start of a partition between the regions."""
         self._partitioned_since_ms = at_ms
 
     def record_partition_healed(self, at_ms: float) -> None:
-        """The regions reach each other again."""
+        """Record the end of a partition between the regions."""
         outage = Outage(self._partitioned_since_ms, at_ms)
         for machine in self.plan.machines:
             if machine.region != self.plan.leader.region:
                 self.leader_outages.setdefault(machine.number, []).append(outage)
 
     def phase_at(self, at_ms: float) -> str:
-        """Name of the phase in which this moment lies; `AFTER_RUN` behind the last one."""
+        """Return the name of the phase at this time, or `AFTER_RUN` after the last phase."""
         at_s = (at_ms - self.start_ms) / 1000.0
         return next((phase.name for phase in self.plan.phases if at_s < phase.end_s), AFTER_RUN)
--- a/rosewheel/lab/scale/resource_usage.py
+++ b/rosewheel/lab/scale/resource_usage.py
@@ -1,4 +1,4 @@
-"""CPU, memory and descriptors of a process (Linux)."""
+"""CPU time, memory and descriptors of a process (Linux)."""
 
 from __future__ import annotations
 
@@ -6,12 +6,18 @@
 from dataclasses import dataclass
 from pathlib import Path
 
-_RSS_FIELD = 21  # pages, in /proc/PID/stat behind the command; proc(5)
+_RSS_FIELD = 21  # index among the fields of /proc/PID/stat after the command, see proc(5); in pages
 
 
 @dataclass(slots=True, frozen=True)
 class ResourceUsage:
-    """CPU seconds since the process started, resident memory in MB, and open descriptors."""
+    """Resource usage of a process.
+
+    Attributes:
+        cpu_s: CPU time since the process started, in seconds.
+        rss_mb: Resident memory, in MB.
+        open_files: Number of open descriptors.
+    """
 
     cpu_s: float = 0.0
     rss_mb: float = 0.0
@@ -19,11 +25,11 @@
 
 
 def process_usage(pid: int) -> ResourceUsage:
-    """Usage of this process; zeros if it has ended."""
+    """Return the usage of a process, or zeros if it has ended."""
     try:
         fields = Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()
         pages = int(fields[_RSS_FIELD])
-        # Not the CPU ticks of `stat`: at 10 ms they are too coarse for an idle node.
+        # The CPU ticks in `stat` have a resolution of 10 ms, which is too coarse for an idle node.
         cpu_ns = sum(
             int(path.read_text().split()[0]) for path in Path(f"/proc/{pid}/task").glob("*/schedstat")
         )
