--- a/rosewheel/lab/scale/role_statistics.py
+++ b/rosewheel/lab/scale/role_statistics.py
@@ -25,12 +25,12 @@
 
     Attributes:
         processes: Number of processes.
-        members: Number of nodes or machines, where processes are shared; otherwise the processes.
-        cpu: Share of a core, of all processes together.
-        cpu_per_member: The same for each member.
-        rss_mb: Resident memory of all processes.
-        rss_mb_per_member: The same for each member.
-        rss_mb_max: Resident memory of the largest process.
+        members: Number of simulated nodes for their role, otherwise the number of processes.
+        cpu: CPU usage of all processes, in cores.
+        cpu_per_member: CPU usage per member, in cores.
+        rss_mb: Resident memory of all processes, in MB.
+        rss_mb_per_member: Resident memory per member, in MB.
+        rss_mb_max: Resident memory of the largest process, in MB.
         open_files: Open descriptors of all processes.
     """
 
@@ -46,13 +46,13 @@
 
 @dataclass(slots=True, frozen=True)
 class RoleTraffic:
-    """Traffic of a role's members in one phase; None for roles whose traffic is not measured.
+    """Traffic of the members of a role in one phase; None for roles whose traffic is not measured.
 
     Attributes:
         out_bytes_s: Bytes sent per second, mean of the members.
         in_bytes_s: Bytes received per second, mean of the members.
-        messages_s: Reads of the network per second in both directions, mean of the members.
-        max_bytes_s: Bytes in and out per second of the member with the most.
+        messages_s: Reads by the network per second in both directions, mean of the members.
+        max_bytes_s: Bytes sent and received per second, largest value of a member.
     """
 
     out_bytes_s: float | None = None
@@ -63,16 +63,17 @@
 
 @dataclass(slots=True, frozen=True)
 class RoleStatistics:
-    """One role in one phase.
+    """Statistics of one role in one phase.
 
     Attributes:
         phase: Name of the phase.
-        seconds: Its measured length.
+        seconds: Measured length of the phase.
         role: The role.
         load_1min: Load average of the machine at the end of the phase.
         usage: Resource usage.
         traffic: Traffic.
-        state: Size of the state held: endpoints per simulated node, versions of discovery and of the leader.
+        state: Endpoints per simulated node, sum of the list versions of discovery, or version of the leader's
+            configuration; None for other roles.
     """
 
     phase: str
@@ -85,7 +86,7 @@
 
 
 def role_statistics(plan: Plan, samples: Sequence[Sample]) -> list[RoleStatistics]:
-    """One record for each phase and role that has processes."""
+    """Return one record for each phase and role that has processes."""
     records: list[RoleStatistics] = []
     for before, after in itertools.pairwise(samples):
         records += _PhaseStatistics(plan, before, after).records()
@@ -95,20 +96,20 @@
 def maximum(
     records: Iterable[RoleStatistics], role: Role, value: Callable[[RoleStatistics], float | None]
 ) -> float | None:
-    """The largest value of a role over all phases; None where it was not measured."""
+    """Return the largest value of a role over all phases; None if it was not measured."""
     values = [number for row in records if row.role == role and (number := value(row)) is not None]
     return max(values) if values and math.isfinite(max(values)) else None
 
 
 class _PhaseStatistics:
-    """The difference of two samples."""
+    """Computes the statistics of a phase from the samples at its start and end."""
 
     def __init__(self, plan: Plan, before: Sample, after: Sample) -> None:
         self.plan, self.before, self.after = plan, before, after
         self.seconds = (after.at_ms - before.at_ms) / 1000.0
 
     def records(self) -> Iterator[RoleStatistics]:
-        """One record for each role that has processes."""
+        """Yield one record for each role that has processes."""
         for role, processes in self.after.usage.items():
             if processes:
                 yield RoleStatistics(
@@ -153,36 +154,39 @@
         )
 
     def _member_counters(self, role: Role) -> list[TrafficCounters]:
-        """Traffic of each member of the role; upstream is what the member sends."""
+        """Return the traffic of each member of a role; upstream is sent by the member."""
         control = [machine.name for machine in self.plan.control_machines]
         match role:
             case Role.SIMULATED_NODES:
                 return [
-                    self._sent_by(NODE_TRAFFIC, node_name(number)) for number in self.plan.simulated_nodes
+                    self._client_traffic(NODE_TRAFFIC, node_name(number))
+                    for number in self.plan.simulated_nodes
                 ]
             case Role.REAL_NODES:
                 return [
-                    self._sent_by(NODE_TRAFFIC, machine.name)
+                    self._client_traffic(NODE_TRAFFIC, machine.name)
                     for machine in self.plan.machines
                     if machine.real
                 ]
             case Role.LEADER:
-                return [self._of_machine(CONTROL_TRAFFIC, control[0])]
+                return [self._control_machine_traffic(CONTROL_TRAFFIC, control[0])]
             case Role.FOLLOWERS:
-                return [self._of_machine(CONTROL_TRAFFIC, name) for name in control[1:]]
+                return [self._control_machine_traffic(CONTROL_TRAFFIC, name) for name in control[1:]]
             case Role.DISCOVERY:
-                reached_at = [self._of_machine((TrafficKind.DISCOVERY,), name) for name in control]
-                return [_sum(reached_at)]
+                at_control_machines = [
+                    self._control_machine_traffic((TrafficKind.DISCOVERY,), name) for name in control
+                ]
+                return [_sum(at_control_machines)]
         return []
 
-    def _sent_by(self, kinds: Iterable[TrafficKind], name: str) -> TrafficCounters:
-        """Traffic in this phase of connections that the machine opened."""
+    def _client_traffic(self, kinds: Iterable[TrafficKind], name: str) -> TrafficCounters:
+        """Return the traffic in this phase on connections that a machine opened."""
         return _difference(self.before.network.callers, self.after.network.callers, kinds, name)
 
-    def _of_machine(self, kinds: Iterable[TrafficKind], name: str) -> TrafficCounters:
-        """Traffic in this phase of a control machine: of connections to it, seen from its side, and from it."""
+    def _control_machine_traffic(self, kinds: Iterable[TrafficKind], name: str) -> TrafficCounters:
+        """Return the traffic of a control machine in this phase, on connections that it accepted or opened."""
         accepted = _difference(self.before.network.targets, self.after.network.targets, kinds, name)
-        return _sum([_reversed(accepted), self._sent_by(kinds, name)])
+        return _sum([_swap_directions(accepted), self._client_traffic(kinds, name)])
 
     def _state(self, role: Role) -> float | None:
         nodes = len(self.plan.simulated_nodes)
@@ -199,19 +203,19 @@
 def _difference(
     before: TrafficTable, after: TrafficTable, kinds: Iterable[TrafficKind], name: str
 ) -> TrafficCounters:
-    """Traffic of this machine between two samples, of these kinds together."""
+    """Return the traffic of a machine between two samples, summed over these kinds."""
     no_traffic = TrafficCounters()
     parts = []
     for kind in kinds:
-        now = after.get(kind, {}).get(name, no_traffic)
+        later = after.get(kind, {}).get(name, no_traffic)
         earlier = before.get(kind, {}).get(name, no_traffic)
         parts.append(
             TrafficCounters(
-                now.connections - earlier.connections,
-                now.upstream_bytes - earlier.upstream_bytes,
-                now.downstream_bytes - earlier.downstream_bytes,
-                now.upstream_reads - earlier.upstream_reads,
-                now.downstream_reads - earlier.downstream_reads,
+                later.connections - earlier.connections,
+                later.upstream_bytes - earlier.upstream_bytes,
+                later.downstream_bytes - earlier.downstream_bytes,
+                later.upstream_reads - earlier.upstream_reads,
+                later.downstream_reads - earlier.downstream_reads,
             )
         )
     return _sum(parts)
@@ -221,8 +225,8 @@
     return TrafficCounters(*map(sum, zip(*map(msgspec.structs.astuple, parts), strict=True)))
 
 
-def _reversed(counters: TrafficCounters) -> TrafficCounters:
-    """The same traffic seen from the other end."""
+def _swap_directions(counters: TrafficCounters) -> TrafficCounters:
+    """Return the same traffic as seen by the other end, with upstream and downstream swapped."""
     return TrafficCounters(
         counters.connections,
         upstream_bytes=counters.downstream_bytes,
