--- a/rosewheel/lab/scale/report_codec.py
+++ b/rosewheel/lab/scale/report_codec.py
@@ -1,4 +1,4 @@
-"""What a scale run prints and writes: its plan, its result and its rows, with the keys that their readers know."""
+"""Encodes the plan, the result and the CSV rows of a scale run; their keys are a stable interface."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 JsonObject = dict[str, object]
 
-# Columns of `rows.csv` that the JSON result repeats for the phase without changes.
+# Columns of `rows.csv` that the JSON result contains for the quiet phase.
 QUIET_PHASE_KEYS = (
     "processes",
     "of",
@@ -34,7 +34,7 @@
 
 
 def plan_lines(plan: Plan) -> Iterator[bytes]:
-    """The plan as JSON, one object per line."""
+    """Yield the plan as JSON, one object per line."""
     encode = msgspec.json.Encoder(order="deterministic").encode
     yield encode({"options": _options_object(plan.options)})
     for machine in plan.machines:
@@ -60,7 +60,7 @@
 
 
 def summary_line(summary: Summary) -> bytes:
-    """The result as one JSON object."""
+    """Return the result as one JSON object."""
     options = summary.options
     row: JsonObject = {
         "ok": summary.ok,
--- a/rosewheel/lab/scale/summary.py
+++ b/rosewheel/lab/scale/summary.py
@@ -1,4 +1,4 @@
-"""The result of a scale run: statistics, propagation of changes, and the checks against the targets."""
+"""The result of a scale run: statistics, propagation of changes and checks against the targets."""
 
 from __future__ import annotations
 
@@ -20,13 +20,13 @@
     """The result of a run.
 
     Attributes:
-        options: What was run.
+        options: Options of the run.
         load_1min: Load average of the machine at the end.
-        checks: The targets.
+        checks: Checks of the targets.
         statistics: Usage and traffic by phase and role.
-        propagation: How long changes took to reach the nodes.
-        publish_times_ms: Of each configuration, how long the leader took to acknowledge it to the operator.
-        calls: Calls through the real nodes; None if there were none.
+        propagation: Propagation of changes to the nodes.
+        publish_times_ms: For each configuration, the time from the first attempt to the leader's acknowledgement.
+        calls: Statistics of the calls; None if the run sent none.
     """
 
     options: Options
@@ -39,21 +39,21 @@
 
     @property
     def ok(self) -> bool:
-        """Whether no target that the run covers was missed."""
+        """Whether no measured target was missed."""
         return all(check.holds is not False for check in self.checks)
 
 
 def summarize(
     measurements: Measurements, folder: Path, stale_nodes: int, calls: CallStatistics | None
 ) -> Summary:
-    """The summary of a run whose records are in this folder."""
+    """Summarize a run whose records are in this folder."""
     statistics = role_statistics(measurements.plan, measurements.samples)
     propagation = change_propagation(measurements, folder)
-    found = _target_measurements(measurements, statistics, propagation, stale_nodes, calls)
+    measured = _target_measurements(measurements, statistics, propagation, stale_nodes, calls)
     return Summary(
         options=measurements.plan.options,
         load_1min=round(measurements.samples[-1].load_1min, 2),
-        checks=check_targets(found),
+        checks=check_targets(measured),
         statistics=statistics,
         propagation=propagation,
         publish_times_ms=[config.acknowledged_after_ms for config in measurements.configs],
@@ -71,18 +71,20 @@
     last = measurements.samples[-1].usage
     rss_mb = sum(usage.rss_mb for processes in last.values() for usage in processes.values())
 
-    def worst(role: Role, value: Callable[[RoleStatistics], float | None], unit: float = 1.0) -> float | None:
-        """The largest value over all phases, in this unit."""
-        most = maximum(statistics, role, value)
-        return None if most is None else round(most / unit, 5)
+    def phase_maximum(
+        role: Role, value: Callable[[RoleStatistics], float | None], unit: float = 1.0
+    ) -> float | None:
+        """Return the largest value over all phases, divided by the unit."""
+        largest = maximum(statistics, role, value)
+        return None if largest is None else round(largest / unit, 5)
 
     return TargetMeasurements(
         config_max_s=_longest_s(propagation.acked),
         lists_max_s=_longest_s(propagation.lists),
         stale_nodes=stale_nodes,
-        cpu_max=worst(Role.SIMULATED_NODES, lambda row: row.usage.cpu_per_member),
-        memory_max_mb=worst(Role.REAL_NODES, lambda row: row.usage.rss_mb_max),
-        traffic_max_kb_s=worst(Role.SIMULATED_NODES, lambda row: row.traffic.max_bytes_s, 1000.0),
+        cpu_max=phase_maximum(Role.SIMULATED_NODES, lambda row: row.usage.cpu_per_member),
+        memory_max_mb=phase_maximum(Role.REAL_NODES, lambda row: row.usage.rss_mb_max),
+        traffic_max_kb_s=phase_maximum(Role.SIMULATED_NODES, lambda row: row.traffic.max_bytes_s, 1000.0),
         added_p99_ms=None if calls is None else calls.added_p99_ms,
         direct_p99_ms=None if calls is None else calls.direct.p99_ms,
         calls_per_s=None if calls is None else round(calls.sent / measurements.plan.options.seconds, 1),
@@ -92,5 +94,5 @@
 
 
 def _longest_s(by_phase: dict[str, Propagation]) -> float | None:
-    everything = by_phase.get(ALL_PHASES)
-    return None if everything is None else percentile_s(everything.durations_ms, 100.0)
+    all_changes = by_phase.get(ALL_PHASES)
+    return None if all_changes is None else percentile_s(all_changes.durations_ms, 100.0)
