--- a/rosewheel/lab/scale/targets.py
+++ b/rosewheel/lab/scale/targets.py
@@ -1,4 +1,4 @@
-"""Checks of a run's measurements against the targets. No I/O."""
+"""Checks the measurements of a run against the targets. No I/O."""
 
 from __future__ import annotations
 
@@ -8,16 +8,16 @@
 
 MAX_PROPAGATION_S = 6.0
 MAX_ADDED_P99_MS = 1.4
-MAX_NODE_CPU = 0.034  # of a core, for control
+MAX_NODE_CPU = 0.034  # cores, for discovery and control
 MAX_NODE_MEMORY_MB = 256.0
-MAX_NODE_TRAFFIC_KB_S = 15.0  # for control
+MAX_NODE_TRAFFIC_KB_S = 15.0  # for discovery and control
 TARGET_CALLS_PER_S = 54_000.0
 MAX_PROCESSES = 150
 MAX_RUN_MEMORY_GB = 12.0
 
 
 class Target(StrEnum):
-    """The targets, by their names in reports."""
+    """A target; the value is its name in reports."""
 
     STALE_NODES = "stale nodes at the end"
     CONFIG_PROPAGATION = "configuration in force everywhere"
@@ -33,7 +33,16 @@
 
 @dataclass(slots=True, frozen=True)
 class TargetCheck:
-    """One measurement against its limit; `holds` is None where the run does not cover the target."""
+    """Result of the check of one target.
+
+    Attributes:
+        target: The target.
+        limit: Value that the target requires: an upper limit, except for `CALL_RATE`.
+        unit: Unit of `limit` and `measured`.
+        measured: The measured value; None if the run did not measure it.
+        holds: Whether the target is met; None if the run can't tell.
+        note: Remark for reports.
+    """
 
     target: Target
     limit: float
@@ -45,19 +54,19 @@
 
 @dataclass(slots=True, frozen=True)
 class TargetMeasurements:
-    """What the targets are checked against; None where the run did not measure it.
+    """Measurements that are checked against the targets; None for those that the run did not measure.
 
     Attributes:
-        config_max_s: Longest time until a configuration was acknowledged by all nodes.
-        lists_max_s: Longest time until an endpoint list was received by all nodes of its service.
-        stale_nodes: Nodes without the last list or configuration at the end.
-        cpu_max: CPU of a simulated node, of a core, in the worst phase.
-        memory_max_mb: Memory of a real node.
-        traffic_max_kb_s: Traffic in and out of the worst node in the worst phase.
-        added_p99_ms: What a node adds to the 99th percentile of latency.
-        direct_p99_ms: The same percentile of calls past the nodes: this machine and the emulator by themselves.
-        calls_per_s: Calls sent.
-        processes: Processes of the run.
+        config_max_s: Longest time until all nodes without an outage had acknowledged a configuration.
+        lists_max_s: Longest time until all nodes of a service without an outage had received an endpoint list.
+        stale_nodes: Number of nodes without the last list or configuration at the end.
+        cpu_max: Largest mean CPU usage of a simulated node in a phase, in cores.
+        memory_max_mb: Largest memory of a real node.
+        traffic_max_kb_s: Largest traffic, sent and received, of a simulated node in a phase.
+        added_p99_ms: 99th percentile of latency through a node minus that of direct calls.
+        direct_p99_ms: 99th percentile of latency of direct calls, without a node.
+        calls_per_s: Calls sent per second.
+        processes: Number of processes of the run.
         run_memory_gb: Memory of all processes.
     """
 
@@ -74,33 +83,35 @@
     run_memory_gb: float
 
 
-def check_targets(found: TargetMeasurements) -> list[TargetCheck]:
-    """All targets, in the order of reports."""
-    stale = found.stale_nodes
+def check_targets(measurements: TargetMeasurements) -> list[TargetCheck]:
+    """Check all targets, in the order of reports."""
+    stale = measurements.stale_nodes
     return [
         TargetCheck(Target.STALE_NODES, 0, "nodes", stale, stale == 0),
-        _at_most(Target.CONFIG_PROPAGATION, MAX_PROPAGATION_S, "s", found.config_max_s),
-        _at_most(Target.LIST_PROPAGATION, MAX_PROPAGATION_S, "s", found.lists_max_s),
-        _at_most(Target.NODE_CPU, MAX_NODE_CPU, "core", found.cpu_max, "hollow nodes, worst phase"),
-        _at_most(Target.NODE_MEMORY, MAX_NODE_MEMORY_MB, "MB", found.memory_max_mb, "real nodes, with calls"),
+        _at_most(Target.CONFIG_PROPAGATION, MAX_PROPAGATION_S, "s", measurements.config_max_s),
+        _at_most(Target.LIST_PROPAGATION, MAX_PROPAGATION_S, "s", measurements.lists_max_s),
+        _at_most(Target.NODE_CPU, MAX_NODE_CPU, "core", measurements.cpu_max, "hollow nodes, worst phase"),
+        _at_most(
+            Target.NODE_MEMORY, MAX_NODE_MEMORY_MB, "MB", measurements.memory_max_mb, "real nodes, with calls"
+        ),
         _at_most(
             Target.NODE_TRAFFIC,
             MAX_NODE_TRAFFIC_KB_S,
             "KB/s",
-            found.traffic_max_kb_s,
+            measurements.traffic_max_kb_s,
             "in and out, worst node in the worst phase",
         ),
-        _check_added_latency(found),
+        _check_added_latency(measurements),
         TargetCheck(
             Target.CALL_RATE,
             TARGET_CALLS_PER_S,
             "1/s",
-            found.calls_per_s,
+            measurements.calls_per_s,
             None,
             "one machine can't: the rate at which the rest was measured",
         ),
-        _at_most(Target.PROCESSES, MAX_PROCESSES, "", float(found.processes)),
-        _at_most(Target.RUN_MEMORY, MAX_RUN_MEMORY_GB, "GB", found.run_memory_gb),
+        _at_most(Target.PROCESSES, MAX_PROCESSES, "", float(measurements.processes)),
+        _at_most(Target.RUN_MEMORY, MAX_RUN_MEMORY_GB, "GB", measurements.run_memory_gb),
     ]
 
 
@@ -110,9 +121,12 @@
     return TargetCheck(target, limit, unit, measured, measured <= limit, note)
 
 
-def _check_added_latency(found: TargetMeasurements) -> TargetCheck:
-    """Void where direct calls alone exceed the limit: the difference then measures this machine, not the node."""
-    measured, direct = found.added_p99_ms, found.direct_p99_ms
+def _check_added_latency(measurements: TargetMeasurements) -> TargetCheck:
+    """Check the latency that a node adds.
+
+    The result is void if direct calls alone exceed the limit, because the machine is then too busy to measure it.
+    """
+    measured, direct = measurements.added_p99_ms, measurements.direct_p99_ms
     if measured is not None and direct is not None and direct > MAX_ADDED_P99_MS:
         note = f"void: {direct:.1f} ms on the direct way alone, the machine is too busy"
         return TargetCheck(Target.ADDED_LATENCY, MAX_ADDED_P99_MS, "ms", measured, None, note)
