--- a/rosewheel/lab/scale/messages.py
+++ b/rosewheel/lab/scale/messages.py
@@ -1,7 +1,7 @@
 """Messages between the run and its worker processes, one JSON object per line.
 
-Each worker reads its setup from a file, writes one `...Ready` line, and then answers commands. The JSON keys are
-those of the files that a run leaves in its folder; where they differ from the field names, `rename` maps them.
+A worker reads its setup from a file, writes one `...Ready` message and then handles commands. The JSON keys are stable;
+`rename` maps the field names to them where they differ.
 """
 
 from __future__ import annotations
@@ -15,18 +15,18 @@
 
 
 class Command(msgspec.Struct, frozen=True, tag_field="do"):
-    """Base of the commands; the tag says which one it is."""
+    """Base class of the commands, identified by their tags."""
 
 
 class ReadStatistics(Command, frozen=True, tag="figures"):
-    """Ask for the worker's counters and versions."""
+    """Request the statistics of the worker."""
 
 
 # ---------------------------------------------------------------------- network
 
 
 class TrafficKind(StrEnum):
-    """Kinds of traffic, which are counted separately."""
+    """Kind of traffic; each kind is counted separately."""
 
     DISCOVERY = "discovery"
     CONTROL = "control"
@@ -37,9 +37,9 @@
     """A listening port of the network.
 
     Attributes:
-        kind: Kind of traffic, by which it is counted.
-        targets: Addresses of the control machines that it may connect to, by name.
-        caller: Name of the only machine that uses it; empty where callers are known by their source address.
+        kind: Kind of its traffic.
+        targets: Addresses that it may connect to, by the name of the control machine.
+        caller: Name of the only machine that connects to it; empty if callers are identified by source address.
     """
 
     kind: TrafficKind
@@ -51,9 +51,9 @@
     """Setup of the network worker.
 
     Attributes:
-        regions: Region of each machine and control machine, by name.
-        machines: Name of each machine, by address.
-        listeners: The ports to open.
+        regions: Regions of all machines and control machines, by name.
+        machines: Names of the machines, by address.
+        listeners: The listening ports to open.
         far_s: One-way delay between regions, in seconds.
     """
 
@@ -76,13 +76,13 @@
 
 
 class RestoreMachines(Command, frozen=True, tag="back"):
-    """Let these machines communicate again; what they had open is reset."""
+    """Pass the packets of these machines again, and reset the connections that they had."""
 
     names: list[str]
 
 
 class SetPartition(Command, frozen=True, tag="split", rename={"partitioned": "on"}):
-    """Separate the regions, or join them again."""
+    """Start or end a partition between the regions."""
 
     partitioned: bool
 
@@ -93,7 +93,7 @@
 class TrafficCounters(msgspec.Struct, array_like=True):
     """Traffic of connections since the start.
 
-    Upstream is from the caller to the target; a read is one piece that the network received.
+    Upstream is from the caller to the target; a read is one call of `data_received` in the network.
     """
 
     connections: int = 0
@@ -103,11 +103,11 @@
     downstream_reads: int = 0
 
 
-TrafficTable = dict[TrafficKind, dict[str, TrafficCounters]]  # by kind of traffic and by machine
+TrafficTable = dict[TrafficKind, dict[str, TrafficCounters]]  # by kind, then by machine
 
 
 class NetworkStatistics(msgspec.Struct, frozen=True):
-    """Traffic by the machine that opened the connection, and by the machine that it leads to."""
+    """Traffic by the machine that opened the connection, and by the machine that accepted it."""
 
     callers: TrafficTable
     targets: TrafficTable
@@ -117,7 +117,7 @@
 
 
 class EndpointSetup(msgspec.Struct, frozen=True):
-    """An endpoint of a service's first list."""
+    """An endpoint in the first list of a service."""
 
     host: str
     dial: str
@@ -126,14 +126,14 @@
 
 
 class DiscoverySetup(msgspec.Struct, frozen=True, rename={"service_of_address": "homes"}):
-    """Setup of the discovery worker: the first list of each service, and the service of each machine's address."""
+    """Setup of the discovery worker: the first list of each service, and the service of each source address."""
 
     services: list[list[EndpointSetup]]
     service_of_address: dict[str, int]
 
 
 class DiscoveryReady(msgspec.Struct, frozen=True):
-    """The address of discovery."""
+    """Address of discovery."""
 
     address: Address
 
@@ -147,7 +147,7 @@
 
 
 class ChangeLists(Command, frozen=True, tag="change", rename={"returning": "back"}):
-    """Change endpoint lists. `returning` means that the endpoints' machines are no longer lost."""
+    """Change endpoint lists; `returning` tells that the machines of the endpoints were lost and have returned."""
 
     changes: list[EndpointChange]
     returning: bool
@@ -157,7 +157,7 @@
 
 
 class PublishedList(msgspec.Struct, frozen=True, rename={"at_ms": "at"}):
-    """A new version of a service's list, and when it was published (ms, monotonic)."""
+    """A new version of a service's list, and the time of its publication in ms (monotonic clock)."""
 
     service: int
     version: int
@@ -165,7 +165,7 @@
 
 
 class ListsChanged(msgspec.Struct, frozen=True, rename={"published": "made"}):
-    """Answer to `ChangeLists`; changes of endpoints on lost machines are not published."""
+    """Reply to `ChangeLists`; changes of endpoints on lost machines are not published."""
 
     published: list[PublishedList]
 
@@ -180,7 +180,7 @@
         "updates_sent": "told",
     },
 ):
-    """Version and number of active endpoints of each service's list, and counters of the server."""
+    """Version and number of active endpoints of each service's list, and counters of the discovery server."""
 
     versions: list[int]
     active_endpoints: list[int]
@@ -198,10 +198,10 @@
     Attributes:
         number: Number of the node.
         service: Name of its service.
-        address: Address from which it connects.
-        discovery: Address of discovery as seen from the node.
-        control_machines: Addresses of the control machines as seen from the node; without any, the node does not
-            follow a configuration.
+        address: Source address of its connections.
+        discovery: Address at which it reaches discovery.
+        control_machines: Addresses at which it reaches the control machines, by name; if empty, the node does not
+            subscribe to a configuration.
     """
 
     number: int
@@ -212,7 +212,7 @@
 
 
 class SimulatedNodesSetup(msgspec.Struct, frozen=True):
-    """Setup of a worker of simulated nodes. Its records go to `folder`, in files that begin with `name`."""
+    """Setup of a worker of simulated nodes, whose record files are in `folder` with the prefix `name`."""
 
     nodes: list[SimulatedNodeSetup]
     seed: int
@@ -221,7 +221,7 @@
 
 
 class SimulatedNodesReady(msgspec.Struct, frozen=True):
-    """Number of nodes that were started."""
+    """Number of started nodes."""
 
     nodes: int
 
@@ -245,14 +245,14 @@
 
 
 class SaveRecords(Command, frozen=True, tag="save"):
-    """Write the records to files."""
+    """Write the records of received versions to files."""
 
 
 SimulatedNodesCommand = StopNodes | StartNodes | RestartNodes | SaveRecords | ReadStatistics
 
 
 class NodeVersions(msgspec.Struct, frozen=True, array_like=True):
-    """The versions that a running node has."""
+    """Versions of the endpoint list and configuration of a running node; 0 for none."""
 
     number: int
     list_version: int
@@ -262,7 +262,7 @@
 class SimulatedNodesStatistics(
     msgspec.Struct, frozen=True, rename={"configs_applied": "applied", "endpoints": "entries"}
 ):
-    """Versions of the running nodes, configurations applied so far, and endpoints that the nodes hold together."""
+    """Versions of the running nodes, number of configurations applied so far, and total number of endpoints held."""
 
     versions: list[NodeVersions]
     configs_applied: int
@@ -270,7 +270,7 @@
 
 
 class RecordsSaved(msgspec.Struct, frozen=True, rename={"counts": "saved"}):
-    """Number of records of each kind."""
+    """Number of saved records of each kind."""
 
     counts: list[int]
 
@@ -282,10 +282,10 @@
     """Setup of the calls worker.
 
     Attributes:
-        scenario: The lab's scenario, as JSON values.
-        seed: Seed of the lab's plan.
+        scenario: Lab scenario, as JSON values.
+        seed: Seed of the plan of calls.
         targets: Addresses to call, by name.
-        folder: Where the records go.
+        folder: Folder for the records.
     """
 
     scenario: dict[str, Any]
@@ -295,26 +295,26 @@
 
 
 class CallsReady(msgspec.Struct, frozen=True):
-    """Number of calls that are planned."""
+    """Number of planned calls."""
 
     arrivals: int
 
 
 class StartLoad(Command, frozen=True, tag="go", rename={"start_ms": "t0"}):
-    """Begin the plan at this moment (ms, monotonic)."""
+    """Start the plan at this time, in ms (monotonic clock)."""
 
     start_ms: float
 
 
 class StopLoad(Command, frozen=True, tag="stop"):
-    """Send no more calls."""
+    """Stop sending calls."""
 
 
 CallsCommand = StartLoad | StopLoad
 
 
 class LoadStopped(msgspec.Struct, frozen=True, rename={"in_flight": "open"}):
-    """Calls still in flight, and how late a call was sent at most, in ms."""
+    """Number of calls in flight, and the largest delay of a call after its planned time, in ms."""
 
     in_flight: int
     lag_max_ms: float
@@ -324,7 +324,7 @@
 
 
 class EmulatedEndpoint(msgspec.Struct, frozen=True, rename={"address": "dial"}):
-    """Where an emulated server listens, as `host:port`."""
+    """Address of an emulated server, as `host:port`."""
 
     address: str
 
@@ -336,6 +336,6 @@
 
 
 class EmulatorReady(msgspec.Struct, frozen=True, rename={"discovery": "known"}):
-    """First line of the lab's emulator process; its other keys are not used here."""
+    """First message of the emulator process; keys that are not used here are ignored."""
 
     discovery: EmulatedEndpoints
