--- a/rosewheel/lab/scale/simulated_node.py
+++ b/rosewheel/lab/scale/simulated_node.py
@@ -1,6 +1,7 @@
-"""Simulated nodes: a node's connections to discovery and control, by the product's own code, and no data plane.
+"""Simulated nodes: connections to discovery and control by the code of real nodes, without a data plane.
 
-Many share a process. Each connects from its own machine's address, by which the network and discovery identify it.
+Many simulated nodes share a process. Each connects from its own source address, by which the network and discovery
+identify it.
 """
 
 from __future__ import annotations
@@ -21,15 +22,15 @@
 from rosewheel.lab.scale.version_log import NodeRecords
 from rosewheel.policy.events import EndpointListForm
 
-DRAIN_NOTICE_S = 0.4  # a node's default drain time, by which the waits between watches are bounded
+DRAIN_NOTICE_S = 0.4  # default of a node; limits the backoff between watches
 SOURCE_ADDRESS: contextvars.ContextVar[str | None] = contextvars.ContextVar("SOURCE_ADDRESS", default=None)
 
 
 class SourceAddressLoop(uvloop.Loop):
-    """An event loop whose connections are opened from the `SOURCE_ADDRESS` of the current context."""
+    """Event loop that opens connections from the `SOURCE_ADDRESS` of the current context."""
 
     async def create_connection(self, *arguments: Any, **keywords: Any) -> Any:
-        """As the base class, from the context's source address."""
+        """Open a connection as the base class does, from the source address of the context."""
         address = SOURCE_ADDRESS.get()
         if address is not None:
             keywords["local_addr"] = (address, 0)
@@ -37,7 +38,7 @@
 
 
 class SimulatedNode:
-    """One node without a data plane. A restarted one remembers nothing, as on a new machine."""
+    """A node without a data plane. It loses all state when it is restarted, as if on a new machine."""
 
     def __init__(self, setup: SimulatedNodeSetup, seed: int, records: NodeRecords) -> None:
         self.setup, self.seed, self.records = setup, seed, records
@@ -45,33 +46,33 @@
         self.loop = asyncio.get_running_loop()
         self.watch: DiscoveryWatch | None = None
         self.subscriber: ConfigurationSubscriber | None = None
-        self.configs_applied = 0  # since the node was made
+        self.configs_applied = 0  # over all restarts
         self._starts = 0
         self._context = contextvars.copy_context()
         self._context.run(SOURCE_ADDRESS.set, setup.address)
 
     @property
     def running(self) -> bool:
-        """Whether the node is started."""
+        """Whether the node is running."""
         return self.watch is not None
 
     @property
     def list_version(self) -> int:
-        """Version of the endpoint list; 0 without one."""
+        """Version of the endpoint list; 0 if there is none."""
         return 0 if self.watch is None else self.watch.revision
 
     @property
     def config_version(self) -> int:
-        """Version of the applied configuration; 0 without one."""
+        """Version of the applied configuration; 0 if there is none."""
         return 0 if self.subscriber is None else self.subscriber.applied.number
 
     @property
     def endpoints(self) -> int:
-        """Number of endpoints in the list."""
+        """Number of endpoints in the endpoint list."""
         return 0 if self.watch is None else len(self.watch.endpoint_list.rows)
 
     def start(self) -> None:
-        """Open the watches; nothing if the node runs."""
+        """Open the watches, unless the node is running."""
         if self.watch is None:
             self._context.run(self._start)
 
@@ -87,11 +88,11 @@
         )
         watch.start()
         if self.setup.control_machines:
-            self.subscriber = self._subscriber(rng.getrandbits(62))
+            self.subscriber = self._create_subscriber(rng.getrandbits(62))
             self.subscriber.start()
 
-    def _subscriber(self, seed: int) -> ConfigurationSubscriber:
-        """The product's subscriber, which records when a configuration was applied and when it was acknowledged."""
+    def _create_subscriber(self, seed: int) -> ConfigurationSubscriber:
+        """Return a subscriber that records when a configuration was applied and when it was acknowledged."""
         number, records = self.number, self.records
         return ConfigurationSubscriber(
             node_name(number),
@@ -121,8 +122,8 @@
         if watch is not self.watch:
             return
         if form is EndpointListForm.FAILED:
-            wait_s = self.backoff.next_delay_s(self.loop.time() - watch.started_s, DRAIN_NOTICE_S)
-            self.loop.call_later(wait_s, self._reopen, watch, context=self._context)
+            delay_s = self.backoff.next_delay_s(self.loop.time() - watch.started_s, DRAIN_NOTICE_S)
+            self.loop.call_later(delay_s, self._reopen, watch, context=self._context)
             return
         self.backoff.reset()
         self.records.lists.add(self.number, watch.revision)
--- a/rosewheel/lab/scale/simulated_nodes_worker.py
+++ b/rosewheel/lab/scale/simulated_nodes_worker.py
@@ -1,4 +1,4 @@
-"""Simulated nodes as a worker process: `python -m rosewheel.lab.scale.simulated_nodes_worker SETUP.json`."""
+"""Worker process of simulated nodes: `python -m rosewheel.lab.scale.simulated_nodes_worker SETUP.json`."""
 
 from __future__ import annotations
 
@@ -42,16 +42,16 @@
         return SimulatedNodesReady(len(self.nodes))
 
     def handle(self, command: SimulatedNodesCommand) -> SimulatedNodesStatistics | RecordsSaved | None:
-        """Carry out a command of the run."""
+        """Carry out a command."""
         match command:
             case StopNodes(numbers=numbers):
-                for node in self._own(numbers):
+                for node in self._local_nodes(numbers):
                     node.stop()
             case StartNodes(numbers=numbers):
-                for node in self._own(numbers):
+                for node in self._local_nodes(numbers):
                     node.start()
             case RestartNodes(numbers=numbers):
-                for node in self._own(numbers):
+                for node in self._local_nodes(numbers):
                     node.stop()
                     node.start()
             case SaveRecords():
@@ -60,7 +60,7 @@
                 return self._statistics()
         return None
 
-    def _own(self, numbers: Iterable[int]) -> Iterator[SimulatedNode]:
+    def _local_nodes(self, numbers: Iterable[int]) -> Iterator[SimulatedNode]:
         return (self.nodes[number] for number in numbers if number in self.nodes)
 
     def _statistics(self) -> SimulatedNodesStatistics:
