--- a/rosewheel/lab/scale/real_node.py
+++ b/rosewheel/lab/scale/real_node.py
@@ -1,4 +1,4 @@
-"""The real nodes of a scale run: processes of `rosewheel node` with a TOML file, as operators start them."""
+"""Real nodes of a scale run, as processes of `rosewheel node` with a TOML file."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 HEALTHY_TIMEOUT_S = 30.0
 HEALTH_CHECK_INTERVAL_S = 0.1
-DRAIN_TIMEOUT_S = 8.0  # a node that is asked to stop completes its requests first
+DRAIN_TIMEOUT_S = 8.0  # time a node has to complete its requests before it is killed
 DRAIN_CHECK_INTERVAL_S = 0.05
 HTTP_OK = 200
 
@@ -52,13 +52,13 @@
 
 @dataclass(slots=True, frozen=True)
 class RealNodeSetup:
-    """What a real node is configured with.
+    """Setup of a real node.
 
     Attributes:
-        machine: Its machine.
-        discovery: Address of discovery as seen from the node.
-        control_machines: Addresses of the control machines as seen from the node.
-        service: Name of its service.
+        machine: The machine of the node.
+        discovery: Address at which the node reaches discovery.
+        control_machines: Addresses at which the node reaches the control machines, by name.
+        service: Name of the service.
         balancer_count: Number of nodes of the service.
     """
 
@@ -70,7 +70,7 @@
 
 
 class RealNode(Daemon):
-    """One node's process; its addresses stay the same over restarts."""
+    """Process of a real node; its addresses don't change on a restart."""
 
     def __init__(self, setup: RealNodeSetup, folder: Path) -> None:
         super().__init__(folder / setup.machine.name)
@@ -83,13 +83,13 @@
         self.config_path.write_text(self._config(setup))
 
     def _config(self, setup: RealNodeSetup) -> str:
-        machines = (f'"{name}={_text(address)}"' for name, address in setup.control_machines.items())
+        machines = (f'"{name}={_host_and_port(address)}"' for name, address in setup.control_machines.items())
         return CONFIG.format(
             name=setup.machine.name,
-            listen=_text(self.listen),
-            ops=_text(self.admin),
+            listen=_host_and_port(self.listen),
+            ops=_host_and_port(self.admin),
             state=self.folder,
-            discovery=_text(setup.discovery),
+            discovery=_host_and_port(setup.discovery),
             zone=zone_name(setup.machine.zone),
             siblings=setup.balancer_count,
             control=", ".join(machines),
@@ -97,12 +97,12 @@
         )
 
     def start(self) -> None:
-        """Start the process, without the platform's variables of this environment."""
+        """Start the process, without the `LB_` variables of this environment."""
         environment = {key: value for key, value in os.environ.items() if not key.startswith("LB_")}
         self.launch(["node", "--config", str(self.config_path)], environment)
 
     async def wait_until_healthy(self) -> bool:
-        """Whether the node reports that it serves within `HEALTHY_TIMEOUT_S`."""
+        """Wait until the node reports that it is healthy; return whether it does within `HEALTHY_TIMEOUT_S`."""
         deadline_s = asyncio.get_running_loop().time() + HEALTHY_TIMEOUT_S
         while self.alive and asyncio.get_running_loop().time() < deadline_s:
             if await check_health(self.listen) == HTTP_OK:
@@ -111,12 +111,12 @@
         return False
 
     async def restart(self) -> None:
-        """Drain and stop the process, then start it again."""
+        """Stop the process with a drain, then start it again."""
         await self.stop()
         self.start()
 
     async def stop(self) -> None:
-        """Ask the process to stop; kill it after `DRAIN_TIMEOUT_S`."""
+        """Terminate the process; kill it if it has not ended after `DRAIN_TIMEOUT_S`."""
         if self.process is None:
             return
         if self.alive:
@@ -127,13 +127,13 @@
         self.kill()
 
     def close(self) -> None:
-        """End the process and release its addresses."""
+        """Kill the process and release its addresses."""
         self.kill()
         for reserved in self._reserved:
             reserved.close()
 
     async def endpoint_count(self) -> int | None:
-        """Number of endpoints that the node may send to, by its admin API; None if it does not answer."""
+        """Return the number of endpoints that the node may use, from its admin API; None if it could not be read."""
         client = JsonHttpClient(self.admin)
         try:
             status, body = await client.call("GET", "/admin/stats")
@@ -147,5 +147,5 @@
         return count
 
 
-def _text(address: Address) -> str:
+def _host_and_port(address: Address) -> str:
     return f"{address[0]}:{address[1]}"
