--- a/rosewheel/lab/scale/discovery_server.py
+++ b/rosewheel/lab/scale/discovery_server.py
@@ -1,7 +1,7 @@
-"""Discovery of the whole fleet: each node receives the endpoint list of its own service, and the changes to it.
+"""Discovery of the fleet, which sends each node the endpoint list of its service and the changes to it.
 
-A node is identified by its source address. Changes are published at once: the delay of the platform's own registry is
-not part of the measurements.
+A node is identified by its source address. Changes are published immediately, so that the measurements don't include
+the delay of the platform's registry.
 """
 
 from __future__ import annotations
@@ -18,13 +18,13 @@
 
 
 class ServiceList:
-    """The endpoint list of one service; each change makes a new version, the first list is version 1."""
+    """The endpoint list of one service. The initial list is version 1, and each change increments the version."""
 
     def __init__(self, endpoints: list[DiscoveryEntry]) -> None:
         self.endpoints = {endpoint.name: endpoint for endpoint in endpoints}
-        self.changes: list[DiscoveryEntry] = []  # the change at index `i` made version `i + 2`
-        self.watch_versions: dict[ServerConnection, int] = {}  # the version that each watch was sent last
-        self._encoded_updates: dict[int, bytes] = {}  # by the version that the watch has
+        self.changes: list[DiscoveryEntry] = []  # the change at index `i` is that to version `i + 2`
+        self.watch_versions: dict[ServerConnection, int] = {}  # the last version sent on each watch
+        self._encoded_updates: dict[int, bytes] = {}  # by the last version sent on the watch
 
     @property
     def version(self) -> int:
@@ -33,7 +33,7 @@
 
     @property
     def active_endpoints(self) -> int:
-        """Number of endpoints that are active."""
+        """Number of active endpoints."""
         return sum(endpoint.health == EndpointHealth.ACTIVE for endpoint in self.endpoints.values())
 
     def apply(self, endpoint: DiscoveryEntry) -> None:
@@ -46,7 +46,11 @@
         self._encoded_updates.clear()
 
     def update_since(self, version: int) -> bytes:
-        """The message for a watch that has this version: the changes since, or a snapshot. Encoded once for all."""
+        """Return the encoded update for a watch with this version.
+
+        It contains the changes since that version, or a snapshot if the version is unknown. It is encoded once for all
+        watches.
+        """
         line = self._encoded_updates.get(version)
         if line is None:
             is_snapshot = not 0 < version <= self.version
@@ -58,11 +62,11 @@
 
 
 class DiscoveryServer:
-    """Serves the watches of all nodes.
+    """HTTP server for the watches of all nodes.
 
     Args:
-        services: The list of each service, by number.
-        service_of_address: Number of the service of each machine's address.
+        services: Endpoint lists of the services, by number.
+        service_of_address: Numbers of services by the source addresses of their nodes.
     """
 
     def __init__(self, services: list[ServiceList], service_of_address: dict[str, int]) -> None:
@@ -75,7 +79,7 @@
         self._heartbeat: asyncio.TimerHandle | None = None
 
     async def start(self) -> Address:
-        """Listen on loopback; the address."""
+        """Listen on loopback and return the address."""
         self._server = await self.loop.create_server(
             lambda: ServerConnection(self._handle_request, self.connections.add, self._connection_closed),
             "127.0.0.1",
@@ -87,7 +91,7 @@
         return address
 
     def publish(self, service: int, endpoint: DiscoveryEntry) -> int:
-        """Change a service's list and notify its watches; the new version."""
+        """Change the list of a service, send the change on its watches and return the new version."""
         service_list = self.services[service]
         service_list.apply(endpoint)
         for watch, version in service_list.watch_versions.items():
@@ -141,5 +145,5 @@
 
 
 def _write_line(watch: ServerConnection, line: bytes) -> None:
-    """Write a line as one chunk of a chunked body."""
+    """Write a line as one chunk of the response body."""
     watch.write(b"%x\r\n%b\n\r\n" % (len(line) + 1, line))
--- a/rosewheel/lab/scale/discovery_worker.py
+++ b/rosewheel/lab/scale/discovery_worker.py
@@ -1,4 +1,4 @@
-"""Discovery as a worker process: `python -m rosewheel.lab.scale.discovery_worker SETUP.json`."""
+"""Worker process of discovery: `python -m rosewheel.lab.scale.discovery_worker SETUP.json`."""
 
 from __future__ import annotations
 
@@ -34,7 +34,7 @@
             for rows in setup.services
         ]
         self.server = DiscoveryServer(self.services, setup.service_of_address)
-        self._endpoints = {
+        self._initial_endpoints = {
             endpoint.name: endpoint for service in self.services for endpoint in service.endpoints.values()
         }
         self._lost_hosts: set[str] = set()
@@ -44,16 +44,19 @@
         return DiscoveryReady(await self.server.start())
 
     def handle(self, command: DiscoveryCommand) -> ListsChanged | DiscoveryStatistics:
-        """Carry out a command of the run."""
+        """Carry out a command."""
         match command:
             case ChangeLists(changes=changes, returning=returning):
-                published = [self._publish(change) for change in changes if self._is_known(change, returning)]
+                published = [self._publish(change) for change in changes if self._accept(change, returning)]
                 return ListsChanged(published)
             case ReadStatistics():
                 return self._statistics()
 
-    def _is_known(self, change: EndpointChange, returning: bool) -> bool:
-        """Whether discovery learns of this change: not of one at a server whose machine is lost."""
+    def _accept(self, change: EndpointChange, returning: bool) -> bool:
+        """Update the set of lost hosts, and return whether the change is published.
+
+        After a host has left, its changes are not published until its machine returns.
+        """
         if change.health == EndpointHealth.LEFT:
             self._lost_hosts.add(change.host)
         elif returning:
@@ -61,9 +64,9 @@
         return change.health == EndpointHealth.LEFT or change.host not in self._lost_hosts
 
     def _publish(self, change: EndpointChange) -> PublishedList:
-        first = self._endpoints[change.host]
+        initial = self._initial_endpoints[change.host]
         at_ms = now_ms()
-        endpoint = DiscoveryEntry(change.host, first.address, first.zone, first.cell, change.health)
+        endpoint = DiscoveryEntry(change.host, initial.address, initial.zone, initial.cell, change.health)
         return PublishedList(change.service, self.server.publish(change.service, endpoint), at_ms)
 
     def _statistics(self) -> DiscoveryStatistics:
