--- a/rosewheel/lab/scale/change_propagation.py
+++ b/rosewheel/lab/scale/change_propagation.py
@@ -43,7 +43,8 @@
     configs = _published_configs(measurements)
     outages = {node: measurements.outages.get(node, []) for node in measurements.plan.simulated_nodes}
     config_outages = {
-        node: [*own, *measurements.leader_outages.get(node, ())] for node, own in outages.items()
+        node: [*node_outages, *measurements.leader_outages.get(node, ())]
+        for node, node_outages in outages.items()
     }
     return ChangePropagation(
         lists=_by_phase(measurements, folder, RecordKind.LISTS, _published_lists(measurements), outages),
--- a/rosewheel/lab/scale/control_operator.py
+++ b/rosewheel/lab/scale/control_operator.py
@@ -40,11 +40,14 @@
 def initial_document(services: int) -> Document:
     """Return the first configuration, with a part common to all nodes and a part for each service."""
     read = {"name": "read", "aim_ms": 1000.0, "give_up_ms": 3000.0, "effect": "safe"}
-    own: Document = {}
+    services_part: Document = {}
     for number in range(services):
         write = {**read, "name": "write", "worth": 3.0 + number, "effect": "unsafe"}
-        own[service_name(number)] = {"class": [read, write], "routing": {"max_attempts": 2 + number % 4}}
-    return {"limits": {"connect_timeout_ms": 200.0}, "class": [read], "services": own}
+        services_part[service_name(number)] = {
+            "class": [read, write],
+            "routing": {"max_attempts": 2 + number % 4},
+        }
+    return {"limits": {"connect_timeout_ms": 200.0}, "class": [read], "services": services_part}
 
 
 def change_patch(number: int, service: int) -> Document:
--- a/rosewheel/lab/scale/propagation.py
+++ b/rosewheel/lab/scale/propagation.py
@@ -101,7 +101,7 @@
     for index, change in enumerate(changes):
         for node in change.nodes:
             indexes.setdefault(node, []).append(index)
-    return {node: np.array(own) for node, own in indexes.items()}
+    return {node: np.array(node_indexes) for node, node_indexes in indexes.items()}
 
 
 def _returned_ms(outages: Iterable[Outage], published_ms: FloatArray, received_ms: FloatArray) -> FloatArray:
@@ -119,12 +119,12 @@
     order = np.lexsort((times_ms, nodes))
     nodes, versions, times_ms = nodes[order], versions[order], times_ms[order]
     bounds = np.flatnonzero(np.diff(nodes)) + 1
-    for own, own_versions, own_times_ms in zip(
+    for group, group_versions, group_times_ms in zip(
         np.split(nodes, bounds), np.split(versions, bounds), np.split(times_ms, bounds), strict=True
     ):
-        if len(own):
+        if len(group):
             # A restarted node receives versions again; only the first receipt counts.
-            highest_before = np.maximum.accumulate(own_versions)[:-1]
-            rising = np.concatenate(([True], own_versions[1:] > highest_before))
-            histories[int(own[0])] = NodeHistory(own_versions[rising], own_times_ms[rising])
+            highest_before = np.maximum.accumulate(group_versions)[:-1]
+            rising = np.concatenate(([True], group_versions[1:] > highest_before))
+            histories[int(group[0])] = NodeHistory(group_versions[rising], group_times_ms[rising])
     return histories
