--- a/tests/lab/test_scale_network.py
+++ b/tests/lab/test_scale_network.py
@@ -1,4 +1,4 @@
-"""The network of the scale run: lost machines, partitioned regions, and simulated nodes behind it."""
+"""The simulated network of a scale run: lost machines, partitioned regions, and simulated nodes that use it."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 REGIONS = {"n0": 0, "n1": 1, "c1": 0, "c2": 1}
 MACHINES = {"127.10.1.1": "n0", "127.14.1.1": "n1"}
-TEST_TIMEOUT_S = 30.0  # far more than any test here needs
+TEST_TIMEOUT_S = 30.0  # fails a test that hangs
 
 
 def run_async(main: Callable[[], Awaitable[None]]) -> None:
@@ -30,8 +30,8 @@
         runner.run(bounded())
 
 
-class Echo:
-    """A control machine that echoes what it receives, and records its callers' addresses."""
+class EchoServer:
+    """A control machine that echoes received data and records the addresses of its callers."""
 
     def __init__(self) -> None:
         self.received = b""
@@ -55,7 +55,7 @@
 
 
 class Caller:
-    """A node's end of a connection."""
+    """A connection that a node opens to a listener."""
 
     def __init__(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.reader, self.writer = reader, writer
@@ -70,19 +70,19 @@
         return await self.reader.readexactly(len(text))
 
 
-async def start_network() -> tuple[Network, Echo, Echo, Address]:
-    near, far = Echo(), Echo()
+async def start_network() -> tuple[Network, EchoServer, EchoServer, Address]:
+    first, second = EchoServer(), EchoServer()
     network = Network(REGIONS, MACHINES, region_delay_s=0.001)
-    targets = {"c1": await near.start(), "c2": await far.start()}
-    return network, near, far, await network.listen(ListenerSetup(TrafficKind.CONTROL, targets))
+    targets = {"c1": await first.start(), "c2": await second.start()}
+    return network, first, second, await network.listen(ListenerSetup(TrafficKind.CONTROL, targets))
 
 
 def test_caller_is_identified_by_its_address_and_its_traffic_is_counted() -> None:
     async def main() -> None:
-        network, near, far, listener = await start_network()
+        network, first, second, listener = await start_network()
         caller = await Caller.open(listener, "n1")
         assert await caller.echo(b"hello") == b"hello"
-        assert near.callers + far.callers == ["127.14.1.1"]
+        assert first.callers + second.callers == ["127.14.1.1"]
         assert network.statistics().callers[TrafficKind.CONTROL]["n1"] == TrafficCounters(1, 5, 5, 1, 1)
         assert (
             sum(
@@ -98,23 +98,23 @@
 
 def test_lost_machine_is_silent_and_its_connections_are_reset_on_return() -> None:
     async def main() -> None:
-        network, near, far, listener = await start_network()
+        network, first, second, listener = await start_network()
         caller = await Caller.open(listener, "n0")
         other = await Caller.open(listener, "n1")
         await caller.echo(b"before")
-        received = near.received + far.received
+        received = first.received + second.received
         network.lose_machines(["n0"])
         caller.writer.write(b"lost")
-        late = await Caller.open(listener, "n0")  # accepted, then silent
+        late = await Caller.open(listener, "n0")  # accepted, but never answered
         late.writer.write(b"late")
         assert await other.echo(b"well") == b"well"  # other machines are not affected
-        assert sorted(near.received + far.received) == sorted(received + b"well")
+        assert sorted(first.received + second.received) == sorted(received + b"well")
         network.restore_machines(["n0"])
         for lost in (caller, late):
             with pytest.raises(ConnectionResetError):
                 assert await lost.reader.read(1) == b"never"
-        fresh = await Caller.open(listener, "n0")
-        assert await fresh.echo(b"again") == b"again"
+        new = await Caller.open(listener, "n0")
+        assert await new.echo(b"again") == b"again"
         network.close()
 
     run_async(main)
@@ -122,23 +122,25 @@
 
 def test_partitioned_regions_resume_their_connections() -> None:
     async def main() -> None:
-        far = Echo()
+        server = EchoServer()
         network = Network(REGIONS, MACHINES, region_delay_s=0.001)
-        listener = await network.listen(ListenerSetup(TrafficKind.CONTROL, {"c2": await far.start()}))
+        listener = await network.listen(ListenerSetup(TrafficKind.CONTROL, {"c2": await server.start()}))
         caller = await Caller.open(listener, "n0")
         assert await caller.echo(b"before") == b"before"
         network.set_partition(True)
         caller.writer.write(b" during")
-        given_up = await Caller.open(listener, "n0")
-        given_up.writer.write(b"forgotten")
-        given_up.writer.close()
-        own = await Caller.open(listener, "n1")  # within its region
-        assert await own.echo(b"#") == b"#"
-        assert far.received == b"before#"
+        abandoned = await Caller.open(listener, "n0")
+        abandoned.writer.write(b"forgotten")
+        abandoned.writer.close()
+        same_region = await Caller.open(listener, "n1")  # in the region of the target
+        assert await same_region.echo(b"#") == b"#"
+        assert server.received == b"before#"
         network.set_partition(False)
         assert await caller.reader.readexactly(7) == b" during"
         assert await caller.echo(b" after") == b" after"
-        while network.connections != {one for one in network.connections if not one.downstream.closed}:
+        while network.connections != {
+            connection for connection in network.connections if not connection.downstream.closed
+        }:
             await asyncio.sleep(0)
         network.close()
 
@@ -167,10 +169,10 @@
 
 def test_caller_from_an_unknown_address_is_rejected() -> None:
     async def main() -> None:
-        network, near, far, listener = await start_network()
+        network, first, second, listener = await start_network()
         reader, _ = await asyncio.open_connection(*listener)
         assert await reader.read() == b""
-        assert not near.callers + far.callers
+        assert not first.callers + second.callers
         network.close()
 
     run_async(main)
@@ -194,7 +196,7 @@
 
 
 async def wait_until(condition: Callable[[], bool]) -> None:
-    """Wait for this condition; the timeout of `run_async` ends a wait for one that never holds."""
+    """Wait until the condition holds; `run_async` limits the wait."""
     while not condition():
         await asyncio.sleep(0.005)
 
@@ -220,7 +222,7 @@
         discovery.publish(0, DiscoveryEntry("more", "127.0.0.1:9", "z0", 0))
         await wait_until(lambda: nodes[0].list_version == 2)
         assert [node.endpoints for node in nodes] == [2, 1]
-        # Its machine is lost and returns with a new process, which has no state.
+        # The machine of node 0 is lost and returns with a new process, which has no state.
         network.lose_machines(["n0"])
         nodes[0].stop()
         discovery.publish(0, DiscoveryEntry("s0", "127.0.0.1:9", "z0", 0, "left"))
@@ -230,7 +232,7 @@
         assert nodes[0].watch is not None
         assert list(nodes[0].watch.endpoint_list.rows) == ["more"]
         assert list(records.lists.versions) == [1, 1, 2, 3]
-        # A watch that ended is opened again from the version that the node has.
+        # A watch that has ended is opened again, from the version that the node has.
         for connection in list(discovery.connections):
             connection.reset()
         discovery.publish(1, DiscoveryEntry("third", "127.0.0.1:9", "z0", 0))
--- a/tests/lab/test_scale_plan.py
+++ b/tests/lab/test_scale_plan.py
@@ -1,4 +1,4 @@
-"""The scale run's decisions: its plan by seed, the propagation of changes, and the checks against targets."""
+"""Decisions of a scale run: its plan, the propagation of changes, and the checks against targets."""
 
 from __future__ import annotations
 
@@ -42,9 +42,9 @@
 
 
 def test_plan_follows_from_the_seed() -> None:
-    one, same = (list(plan_lines(build_plan(Options(seed=7)))) for _ in range(2))
-    assert one == same
-    assert one != list(plan_lines(build_plan(Options(seed=8))))
+    first, second = (list(plan_lines(build_plan(Options(seed=7)))) for _ in range(2))
+    assert first == second
+    assert first != list(plan_lines(build_plan(Options(seed=8))))
 
 
 def test_default_plan_is_the_target_fleet() -> None:
@@ -168,7 +168,7 @@
     events = [(node, version, float(at) + index / 1000.0) for index, (node, version, at) in enumerate(rows)]
     change = PublishedChange(5, 10.0, frozenset(range(4)))
     first = {
-        node: min((at for one, version, at in events if one == node and version >= 5), default=None)
+        node: min((at for owner, version, at in events if owner == node and version >= 5), default=None)
         for node in range(4)
     }
     result = measure_propagation([change], histories(*events), {})
@@ -179,9 +179,9 @@
 # -------------------------------------------------------------------- targets
 
 
-def outcomes(found: TargetMeasurements) -> dict[str, bool | None]:
-    """Whether each target holds, by its name in reports."""
-    return {check.target.value: check.holds for check in check_targets(found)}
+def outcomes(measurements: TargetMeasurements) -> dict[str, bool | None]:
+    """Return whether each target is met, by its name in reports."""
+    return {check.target.value: check.holds for check in check_targets(measurements)}
 
 
 def test_target_within_its_limit_holds_and_unmeasured_target_is_not_covered() -> None:
@@ -213,21 +213,21 @@
 
 
 def test_added_latency_is_void_on_a_busy_machine() -> None:
-    found = replace(WITHIN_LIMITS, added_p99_ms=9.0, direct_p99_ms=8.0)
-    assert outcomes(found)["added to 99 calls in 100"] is None
+    measurements = replace(WITHIN_LIMITS, added_p99_ms=9.0, direct_p99_ms=8.0)
+    assert outcomes(measurements)["added to 99 calls in 100"] is None
 
 
 # -------------------------------------------------------------------- backoff
 
 
-def test_backoff_grows_to_a_fraction_of_the_grace_and_is_reset_by_a_message() -> None:
-    waits = WatchBackoff(random.Random(1))
-    first = waits.next_delay_s(0.0, 2.4)
+def test_backoff_grows_to_a_fraction_of_the_drain_notice_and_is_reset_by_a_message() -> None:
+    backoff = WatchBackoff(random.Random(1))
+    first = backoff.next_delay_s(0.0, 2.4)
     assert 0.6 * 0.3 <= first <= 0.3
     for _ in range(12):
-        last = waits.next_delay_s(0.0, 2.4)
+        last = backoff.next_delay_s(0.0, 2.4)
     assert 0.6 * 0.8 <= last <= 0.8
-    waits.reset()
-    assert waits.next_delay_s(0.0, 2.4) <= 0.3
-    assert waits.next_delay_s(5.0, 2.4) == 0.0  # it lasted longer: at once
-    assert waits.next_delay_s(0.0, 0.0) >= 0.6 * MIN_DELAY_S
+    backoff.reset()
+    assert backoff.next_delay_s(0.0, 2.4) <= 0.3
+    assert backoff.next_delay_s(5.0, 2.4) == 0.0  # no delay after a watch that lasted longer than the delay
+    assert backoff.next_delay_s(0.0, 0.0) >= 0.6 * MIN_DELAY_S
--- a/tests/lab/test_scale_report.py
+++ b/tests/lab/test_scale_report.py
@@ -1,4 +1,4 @@
-"""The scale run's JSON and CSV: readers of plans, results, rows and setup files find the keys that they know."""
+"""Keys of a scale run's plan, result, CSV rows, commands and setup files, on which other programs depend."""
 
 from __future__ import annotations
 
