--- a/rosewheel/lab/scale/discovery_server.py
+++ b/rosewheel/lab/scale/discovery_server.py
@@ -22,7 +22,7 @@
 
     def __init__(self, endpoints: list[DiscoveryEntry]) -> None:
         self.endpoints = {endpoint.name: endpoint for endpoint in endpoints}
-        self.changes: list[DiscoveryEntry] = []  # the change at index `i` is that to version `i + 2`
+        self.changes: list[DiscoveryEntry] = []  # index `i` holds the change to version `i + 2`
         self.watch_versions: dict[ServerConnection, int] = {}  # the last version sent on each watch
         self._encoded_updates: dict[int, bytes] = {}  # by the last version sent on the watch
 
--- a/rosewheel/lab/scale/planning.py
+++ b/rosewheel/lab/scale/planning.py
@@ -160,7 +160,7 @@
         )
 
     def _zone_targets(self) -> _FaultTargets:
-        # Not the zone of the leader: without it no configuration is published, so no propagation can be measured.
+        # Not the zone of the leader: without a leader, no configuration is published whose propagation is measured.
         leader_zone = self.control_machines[0].zone
         zone = int(self.rng.choice([zone for zone in range(len(REGION_OF_ZONE)) if zone != leader_zone]))
         return _FaultTargets(
--- a/rosewheel/lab/scale/relay.py
+++ b/rosewheel/lab/scale/relay.py
@@ -107,7 +107,7 @@
         self.downstream, self.upstream = _RelayEnd(self), _RelayEnd(self)
         self.caller, self.target = listener.caller, ""
         self.blocked = False
-        self._machine_lost = False  # caller or target was lost since the start: reset on its return
+        self._machine_lost = False  # since the connection was opened; it is reset on the return
         self._closed = False
         self._delay_s = 0.0
         # Data that waits for the delay between regions or for the upstream end to connect, and its destination.
