--- a/rosewheel/lab/scale/targets.py
+++ b/rosewheel/lab/scale/targets.py
@@ -90,7 +90,7 @@
         TargetCheck(Target.STALE_NODES, 0, "nodes", stale, stale == 0),
         _at_most(Target.CONFIG_PROPAGATION, MAX_PROPAGATION_S, "s", measurements.config_max_s),
         _at_most(Target.LIST_PROPAGATION, MAX_PROPAGATION_S, "s", measurements.lists_max_s),
-        _at_most(Target.NODE_CPU, MAX_NODE_CPU, "core", measurements.cpu_max, "hollow nodes, worst phase"),
+        _at_most(Target.NODE_CPU, MAX_NODE_CPU, "core", measurements.cpu_max, "simulated nodes, worst phase"),
         _at_most(
             Target.NODE_MEMORY, MAX_NODE_MEMORY_MB, "MB", measurements.memory_max_mb, "real nodes, with calls"
         ),
@@ -108,7 +108,7 @@
             "1/s",
             measurements.calls_per_s,
             None,
-            "one machine can't: the rate at which the rest was measured",
+            "not reachable on one machine: the rate of this run",
         ),
         _at_most(Target.PROCESSES, MAX_PROCESSES, "", float(measurements.processes)),
         _at_most(Target.RUN_MEMORY, MAX_RUN_MEMORY_GB, "GB", measurements.run_memory_gb),
@@ -117,7 +117,7 @@
 
 def _at_most(target: Target, limit: float, unit: str, measured: float | None, note: str = "") -> TargetCheck:
     if measured is None or not math.isfinite(measured):
-        return TargetCheck(target, limit, unit, None, None, note or "not covered")
+        return TargetCheck(target, limit, unit, None, None, note or "not measured")
     return TargetCheck(target, limit, unit, measured, measured <= limit, note)
 
 
@@ -128,6 +128,8 @@
     """
     measured, direct = measurements.added_p99_ms, measurements.direct_p99_ms
     if measured is not None and direct is not None and direct > MAX_ADDED_P99_MS:
-        note = f"void: {direct:.1f} ms on the direct way alone, the machine is too busy"
+        note = f"void: p99 of direct calls is {direct:.1f} ms, the machine is overloaded"
         return TargetCheck(Target.ADDED_LATENCY, MAX_ADDED_P99_MS, "ms", measured, None, note)
-    return _at_most(Target.ADDED_LATENCY, MAX_ADDED_P99_MS, "ms", measured, "one node, less the direct way")
+    return _at_most(
+        Target.ADDED_LATENCY, MAX_ADDED_P99_MS, "ms", measured, "calls through a node minus direct calls"
+    )
