--- a/rosewheel/policy/pool.py
+++ b/rosewheel/policy/pool.py
@@ -2,8 +2,8 @@
 
 In a small pool all servers are candidates for a request. In a large one the candidates are a random sample of
 warm servers, half of it from the balancer's own zone, and of warming servers with credit. Warming servers
-without credit wait in a heap, ordered by the time at which they should have it. Sampling also keeps balancers
-from all choosing the same server.
+without credit wait in a heap, ordered by the time at which they should have it. Sampling also spreads the
+choices of many balancers over the servers.
 """
 
 import heapq
