--- a/tests/policy/test_settings_change.py
+++ b/tests/policy/test_settings_change.py
@@ -35,7 +35,8 @@
 from rosewheel.policy.shared_state import SharedState
 from rosewheel.policy.slow_start import CAPACITY_SAMPLE_SIZE, SlowStart
 from rosewheel.policy.throughput import Throughput
-from tests.node.test_event_orders import KINDS, STEP, World
+from tests.node.test_event_orders import CLASSES as EVENT_CLASSES
+from tests.node.test_event_orders import STEP, NodeHarness
 from tests.support.balancers import (
     IDEMPOTENT,
     IDEMPOTENT_WITH_KEY,
@@ -48,9 +49,12 @@
 )
 
 CLASSES: list[tuple[ServiceClass, ...]] = [
-    tuple(KINDS.values()),
+    tuple(EVENT_CLASSES.values()),
     (IDEMPOTENT,),
-    (dataclasses.replace(NON_IDEMPOTENT, latency_objective_ms=300.0, deadline_ms=400.0), KINDS["points"]),
+    (
+        dataclasses.replace(NON_IDEMPOTENT, latency_objective_ms=300.0, deadline_ms=400.0),
+        EVENT_CLASSES["points"],
+    ),
     # Swapped idempotency: later requests may be repeated where those in flight may not, and the reverse.
     (
         dataclasses.replace(IDEMPOTENT, idempotency=Idempotency.NON_IDEMPOTENT, priority_weight=0.0),
@@ -83,26 +87,26 @@
 )
 
 
-class ChangingWorld(World):
-    """A `World` whose settings change."""
+class ReconfiguredNodeHarness(NodeHarness):
+    """A `NodeHarness` whose settings change."""
 
     def step(self, step: tuple[Any, ...]) -> None:
         match step:
             case ("configure", changes, limits):
                 new_settings = dataclasses.replace(self.node.settings, **changes)
-                self.do(
+                self.apply(
                     self.node.configure(
                         self.now, new_settings, dataclasses.replace(self.node.limits, **limits)
                     )
                 )
                 assert self.node.settings is new_settings
-            case ("ask", service, _):
+            case ("receive", service, _):
                 if service in self.node.service_names:  # requests of unknown classes are rejected earlier
                     super().step(step)
             case _:
                 super().step(step)
 
-    def taken(self, service: str) -> tuple[ServiceClass, int, bool]:
+    def current_rules(self, service: str) -> tuple[ServiceClass, int, bool]:
         service_class = next(each for each in self.node.settings.classes if each.name == service)
         return service_class, self.node.settings.max_attempts, self.node.limits.hedging_allowed
 
@@ -111,12 +115,12 @@
 def test_request_rules_hold_over_any_order_of_settings_changes(
     steps: list[tuple[Any, ...]], may_cancel: bool, hedging: bool
 ):
-    world = ChangingWorld(may_cancel, hedging)
+    world = ReconfiguredNodeHarness(may_cancel, hedging)
     for step in steps:
         world.step(step)
     world.finish()
-    for id, answers in world.answers.items():
-        assert len(answers) == (0 if id in world.left else 1), id
+    for id, answers in world.responses.items():
+        assert len(answers) == (0 if id in world.disconnected else 1), id
     assert world.node.active_requests == 0
     assert not world.node.requests
     balancer = world.node.balancer
@@ -131,7 +135,7 @@
 @given(st.lists(st.one_of(STEP, CONFIGURE), max_size=40), st.integers(1, 5))
 def test_equal_settings_change_nothing(steps: list[tuple[Any, ...]], every: int):
     """A reload without changes must not affect learned state: the node must act as if there had been none."""
-    unchanged, reloaded = ChangingWorld(True, True), ChangingWorld(True, True)
+    unchanged, reloaded = ReconfiguredNodeHarness(True, True), ReconfiguredNodeHarness(True, True)
     for at, step in enumerate(steps):
         unchanged.step(step)
         reloaded.step(step)
@@ -146,7 +150,7 @@
                 assert all(value is before[name][key] for key, value in vars(part).items())
     for world in (unchanged, reloaded):
         world.finish()
-    assert reloaded.log == unchanged.log
+    assert reloaded.effects == unchanged.effects
 
 
 class FaultError(Exception):
@@ -181,7 +185,7 @@
     steps: list[tuple[Any, ...]], every: int, fault: tuple[object, str] | str
 ):
     """A change that fails at any stage must leave no part of it in force."""
-    unchanged, reloaded = ChangingWorld(True, True), ChangingWorld(True, True)
+    unchanged, reloaded = ReconfiguredNodeHarness(True, True), ReconfiguredNodeHarness(True, True)
     for at, step in enumerate(steps):
         unchanged.step(step)
         reloaded.step(step)
@@ -206,7 +210,7 @@
                         )
     for world in (unchanged, reloaded):
         world.finish()
-    assert reloaded.log == unchanged.log
+    assert reloaded.effects == unchanged.effects
     assert reloaded.node.settings == unchanged.node.settings
     assert reloaded.node.limits == unchanged.node.limits
     reloaded_parts, unchanged_parts = reloaded.node.balancer.parts, unchanged.node.balancer.parts
