--- a/rosewheel/lab/soak/clients.py
+++ b/rosewheel/lab/soak/clients.py
@@ -23,9 +23,9 @@
 FAULT_SHARE = 0.3
 SENDS_AHEAD_AND_LEAVES = 0.5
 CLIENT_FAULTS = (
-    FaultKind.CLIENTS_LEAVE,
+    FaultKind.CLIENTS_DISCONNECT,
     FaultKind.CLIENTS_PIPELINE,
-    FaultKind.CLIENTS_STOP,
+    FaultKind.CLIENTS_STALL,
     FaultKind.CLIENTS_MALFORMED,
 )
 # uvloop raises RuntimeError for a write to a connection that has ended.
@@ -102,11 +102,11 @@
         while not self.stopping:
             await asyncio.sleep(self._rng.uniform(*THINK_S))
             fault = self._draw_fault()
-            if fault is FaultKind.CLIENTS_STOP:
+            if fault is FaultKind.CLIENTS_STALL:
                 await self._stop_within_request(reader, writer, node)
                 return
             sends_ahead = fault is FaultKind.CLIENTS_PIPELINE
-            if fault is FaultKind.CLIENTS_LEAVE:
+            if fault is FaultKind.CLIENTS_DISCONNECT:
                 sends_ahead = self._rng.random() < SENDS_AHEAD_AND_LEAVES
             count = PIPELINED if sends_ahead else 1
             sent = [self._new_request(node, is_reused) for _ in range(count)]
@@ -117,7 +117,7 @@
                 writer.write(data)
                 for record in sent:
                     record.sent_s = now_s()
-                if fault is FaultKind.CLIENTS_LEAVE:
+                if fault is FaultKind.CLIENTS_DISCONNECT:
                     await self._leave(writer, sent)
                     return
                 if not await self._receive(reader, sent):
--- a/rosewheel/lab/soak/plan.py
+++ b/rosewheel/lab/soak/plan.py
@@ -1,4 +1,4 @@
-"""The plan of a soak: which faults happen when, drawn from a seed. A plan in a file replays."""
+"""The plan of a soak: its faults and their times, drawn from a seed or read from a file."""
 
 from __future__ import annotations
 
@@ -10,26 +10,26 @@
 
 from rosewheel.config.errors import InvalidFileError, Problem
 
-WARM_UP_S = 1.5  # before the first fault
-COOL_DOWN_S = 2.5  # without faults at the end
-FAULT_INTERVAL_S = (0.5, 1.1)  # shorter than faults last, so that two or three always overlap
+WARM_UP_S = 1.5  # time before the first fault
+COOL_DOWN_S = 2.5  # time without faults at the end of the run
+FAULT_INTERVAL_S = (0.5, 1.1)  # time between the starts of two faults, short enough for faults to overlap
 FAULT_DURATION_S = (1.0, 3.0)
 
 
 class FaultKind(Enum):
-    """What goes wrong; the values are those of plan files."""
+    """Kind of a fault; the values are used in plan files."""
 
     NODE_TERM = "node-term"
     NODE_KILL = "node-kill"
-    NODE_HELD_UP = "node-held-up"
+    NODE_PAUSE = "node-held-up"
     NODE_RELOAD = "node-reload"
-    NODE_RELOAD_BAD = "node-reload-bad"
+    NODE_RELOAD_INVALID = "node-reload-bad"
     SERVER_HANG = "server-hang"
     SERVER_RESET = "server-reset"
     SERVER_ERROR = "server-error"
     SERVER_REJECT = "server-reject"
     SERVER_UNFRAMED = "server-unframed"
-    SERVER_SURPLUS = "server-surplus"
+    SERVER_SURPLUS_RESPONSE = "server-surplus"
     SERVER_SLOW = "server-slow"
     SERVER_CLOSE_IDLE = "server-close-idle"
     SERVER_DRAIN = "server-drain"
@@ -37,20 +37,20 @@
     DISCOVERY_SILENT = "discovery-silent"
     DISCOVERY_RESET = "discovery-reset"
     DISCOVERY_SPLIT = "discovery-split"
-    CLIENTS_LEAVE = "clients-leave"
+    CLIENTS_DISCONNECT = "clients-leave"
     CLIENTS_PIPELINE = "clients-pipeline"
-    CLIENTS_STOP = "clients-stop"
+    CLIENTS_STALL = "clients-stop"
     CLIENTS_MALFORMED = "clients-malformed"
 
 
 class Fault(msgspec.Struct, frozen=True):
-    """One fault.
+    """One fault of a plan.
 
     Attributes:
-        kind: What goes wrong.
-        at_s: When it begins, from the start of the run.
-        for_s: How long it lasts; a fault of a moment ignores it.
-        target: Number of the node or server, modulo how many there are.
+        kind: Kind of the fault.
+        at_s: Start time, in seconds from the start of the run.
+        for_s: Duration in seconds; ignored by faults without a duration, such as a kill.
+        target: Number of the node or server, taken modulo their count.
     """
 
     kind: FaultKind
@@ -63,10 +63,10 @@
     """The plan of one run.
 
     Attributes:
-        seed: Of all random draws.
-        seconds: How long clients send.
-        nodes: Node processes.
-        faults: In the order of their beginnings.
+        seed: Seed of all random draws.
+        seconds: Time during which clients send requests.
+        nodes: Number of nodes.
+        faults: Faults in order of their start times.
     """
 
     seed: int
@@ -76,14 +76,14 @@
 
 
 def draw_plan(seed: int, seconds: float, nodes: int) -> SoakPlan:
-    """The plan of a seed; the same on every machine."""
+    """Return the plan of a seed, which is the same on every machine."""
     rng = random.Random(f"soak-{seed}")
     faults: list[Fault] = []
     at_s = WARM_UP_S
     kinds: list[FaultKind] = []
     while at_s < seconds - COOL_DOWN_S:
         for_s = min(rng.uniform(*FAULT_DURATION_S), seconds - COOL_DOWN_S - at_s)
-        if not kinds:  # each kind once before any comes again
+        if not kinds:  # uses each kind once before any is repeated
             kinds = rng.sample(list(FaultKind), len(FaultKind))
         faults.append(Fault(kinds.pop(), round(at_s, 3), round(for_s, 3), rng.randrange(1 << 16)))
         at_s += rng.uniform(*FAULT_INTERVAL_S)
@@ -97,15 +97,15 @@
 
 
 def encode_plan(plan: SoakPlan) -> bytes:
-    """The plan as JSON."""
+    """Return the plan as JSON."""
     return msgspec.json.encode(plan)
 
 
 def read_plan(path: str) -> SoakPlan:
-    """The plan in a file.
+    """Return the plan in a file.
 
     Raises:
-        InvalidFileError: It can't be read, or is no plan.
+        InvalidFileError: The file cannot be read, or does not contain a plan.
     """
     try:
         with open(path, "rb") as file:
--- a/rosewheel/lab/soak/run.py
+++ b/rosewheel/lab/soak/run.py
@@ -31,7 +31,7 @@
     FaultKind.SERVER_ERROR,
     FaultKind.SERVER_REJECT,
     FaultKind.SERVER_UNFRAMED,
-    FaultKind.SERVER_SURPLUS,
+    FaultKind.SERVER_SURPLUS_RESPONSE,
     FaultKind.SERVER_SLOW,
     FaultKind.SERVER_CLOSE_IDLE,
 )
@@ -163,9 +163,9 @@
             case FaultKind.NODE_TERM | FaultKind.NODE_KILL:
                 is_killed = fault.kind is FaultKind.NODE_KILL
                 await node.restart(is_killed, lambda: self._write_config(node, {}))
-            case FaultKind.NODE_HELD_UP:
+            case FaultKind.NODE_PAUSE:
                 await node.hold_up()
-            case FaultKind.NODE_RELOAD_BAD:
+            case FaultKind.NODE_RELOAD_INVALID:
                 self._write_config(node, {"categories": "none"})
                 node.reload()
                 await asyncio.sleep(fault.for_s)
--- a/rosewheel/lab/soak/servers.py
+++ b/rosewheel/lab/soak/servers.py
@@ -145,7 +145,7 @@
             return False
         answer = b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%b" % (len(record.body), record.body)
         writer.write(answer)
-        if fault is FaultKind.SERVER_SURPLUS:
+        if fault is FaultKind.SERVER_SURPLUS_RESPONSE:
             await asyncio.sleep(SURPLUS_DELAY_S)
             writer.write(answer)
         return True
