--- a/rosewheel/lab/soak/__init__.py
+++ b/rosewheel/lab/soak/__init__.py
@@ -1,1 +1,1 @@
-"""A soak of real node processes: overlapping faults drawn by a seed, judged by what clients and servers saw."""
+"""Soak tests of real node processes under overlapping faults that a seed draws."""
--- a/rosewheel/lab/soak/clients.py
+++ b/rosewheel/lab/soak/clients.py
@@ -1,4 +1,4 @@
-"""Clients of a soak: well-behaved ones, and those that leave, stop, send ahead or send what is no request."""
+"""Clients of a soak, which under faults disconnect, stall, pipeline or send malformed requests."""
 
 from __future__ import annotations
 
@@ -14,40 +14,41 @@
 Address = tuple[str, int]
 
 TIMEOUTS_MS = (400, 900, 1500)
-THINK_S = (0.0, 0.25)
-LEAVE_AFTER_S = (0.0, 0.3)
+THINK_TIME_S = (0.0, 0.25)  # pause before each request of a connection
+DISCONNECT_AFTER_S = (0.0, 0.3)  # time from a request to the disconnect of its client
+HALF_CLOSE_S = 0.3  # time from a half-close to the close
 RECONNECT_S = 0.05
-ANSWER_BACKSTOP_S = 4.0  # over a request's time; then its connection is given up as unanswered
-STOP_BACKSTOP_S = 6.0
-PIPELINED = 12
-FAULT_SHARE = 0.3
-SENDS_AHEAD_AND_LEAVES = 0.5
+RESPONSE_WAIT_S = 4.0  # time past the timeout of a request after which its connection is abandoned
+STALL_WAIT_S = 6.0  # time after which a stalled client closes the connection itself
+PIPELINED_REQUESTS = 12
+FAULT_SHARE = 0.3  # share of the requests that are affected by the active faults
+PIPELINED_DISCONNECT_SHARE = 0.5  # share of the disconnects that happen with pipelined requests
 CLIENT_FAULTS = (
     FaultKind.CLIENTS_DISCONNECT,
     FaultKind.CLIENTS_PIPELINE,
     FaultKind.CLIENTS_STALL,
     FaultKind.CLIENTS_MALFORMED,
 )
-# uvloop raises RuntimeError for a write to a connection that has ended.
+# uvloop raises RuntimeError for a write to a closed connection.
 CONNECTION_ERRORS = (OSError, asyncio.IncompleteReadError, RuntimeError)
 METHODS = {RequestKind.READ: "GET", RequestKind.POST: "POST", RequestKind.POINTS: "POST"}
 
 
 @dataclass(slots=True)
-class Answer:
-    """An answer as a client reads it."""
+class Response:
+    """A response that a client has read; `closes` if it ends the connection."""
 
     status: int
     body: bytes
     closes: bool
 
 
-async def read_answer(reader: asyncio.StreamReader) -> Answer | None:
-    """The next answer; None where the connection ends before one.
+async def read_response(reader: asyncio.StreamReader) -> Response | None:
+    """Return the next response; None if the connection ends before it.
 
     Raises:
         OSError: The connection was reset.
-        asyncio.IncompleteReadError: It ended within an answer.
+        asyncio.IncompleteReadError: The connection ended within a response.
     """
     try:
         head = (await reader.readuntil(b"\r\n\r\n")).decode("latin-1").lower()
@@ -62,13 +63,17 @@
         while size := int(await reader.readline(), 16):
             body += (await reader.readexactly(size + 2))[:-2]
         await reader.readexactly(2)
-        return Answer(status, body, closes)
+        return Response(status, body, closes)
     length = int(head.split("content-length:", 1)[1].split()[0])
-    return Answer(status, await reader.readexactly(length), closes)
+    return Response(status, await reader.readexactly(length), closes)
 
 
 class SoakClient:
-    """One client of one node: opens connections one after another, and sends requests until it is stopped."""
+    """A client of one node, which opens one connection at a time and sends requests until it is stopped.
+
+    Attributes:
+        stopping: Set to stop the client.
+    """
 
     def __init__(
         self,
@@ -85,7 +90,7 @@
         self._sent = 0
 
     async def run(self) -> None:
-        """Send until `stopping` is set."""
+        """Send requests until `stopping` is set."""
         while not self.stopping:
             try:
                 reader, writer = await asyncio.open_connection(*self._address)
@@ -93,22 +98,24 @@
                 await asyncio.sleep(RECONNECT_S)
                 continue
             try:
-                await self._use(reader, writer, self._node_name())
+                await self._use_connection(reader, writer, self._node_name())
             finally:
                 writer.close()
 
-    async def _use(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, node: str) -> None:
+    async def _use_connection(
+        self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, node: str
+    ) -> None:
         is_reused = False
         while not self.stopping:
-            await asyncio.sleep(self._rng.uniform(*THINK_S))
+            await asyncio.sleep(self._rng.uniform(*THINK_TIME_S))
             fault = self._draw_fault()
             if fault is FaultKind.CLIENTS_STALL:
-                await self._stop_within_request(reader, writer, node)
+                await self._stall_within_request(reader, writer, node)
                 return
-            sends_ahead = fault is FaultKind.CLIENTS_PIPELINE
+            pipelines = fault is FaultKind.CLIENTS_PIPELINE
             if fault is FaultKind.CLIENTS_DISCONNECT:
-                sends_ahead = self._rng.random() < SENDS_AHEAD_AND_LEAVES
-            count = PIPELINED if sends_ahead else 1
+                pipelines = self._rng.random() < PIPELINED_DISCONNECT_SHARE
+            count = PIPELINED_REQUESTS if pipelines else 1
             sent = [self._new_request(node, is_reused) for _ in range(count)]
             data = b"".join(self._encode(record) for record in sent)
             if fault is FaultKind.CLIENTS_MALFORMED:
@@ -118,7 +125,7 @@
                 for record in sent:
                     record.sent_s = now_s()
                 if fault is FaultKind.CLIENTS_DISCONNECT:
-                    await self._leave(writer, sent)
+                    await self._disconnect(writer, sent)
                     return
                 if not await self._receive(reader, sent):
                     return
@@ -159,48 +166,48 @@
         return "\r\n".join(lines).encode() + b"\r\n\r\n" + body
 
     async def _receive(self, reader: asyncio.StreamReader, sent: list[ClientRecord]) -> bool:
-        """Read the answers in order; whether the connection may be used again."""
+        """Read the responses in order; return whether the connection can be used again."""
         is_open = True
         for record in sent:
             try:
-                async with asyncio.timeout(record.timeout_ms / 1000.0 + ANSWER_BACKSTOP_S):
-                    answer = await read_answer(reader)
+                async with asyncio.timeout(record.timeout_ms / 1000.0 + RESPONSE_WAIT_S):
+                    response = await read_response(reader)
             except TimeoutError:
                 return False
-            if answer is None:
+            if response is None:
                 self._mark_closed(sent)
                 return False
-            record.answers.append((now_s(), answer.status, answer.body))
-            is_open = is_open and not answer.closes
+            record.responses.append((now_s(), response.status, response.body))
+            is_open = is_open and not response.closes
         return is_open
 
     def _mark_closed(self, sent: list[ClientRecord]) -> None:
         for record in sent:
-            if not record.answers and record.closed_s is None:
+            if not record.responses and record.closed_s is None:
                 record.closed_s = now_s()
 
-    async def _leave(self, writer: asyncio.StreamWriter, sent: list[ClientRecord]) -> None:
-        await asyncio.sleep(self._rng.uniform(*LEAVE_AFTER_S))
-        how = self._rng.randrange(3)
+    async def _disconnect(self, writer: asyncio.StreamWriter, sent: list[ClientRecord]) -> None:
+        await asyncio.sleep(self._rng.uniform(*DISCONNECT_AFTER_S))
+        close_kind = self._rng.randrange(3)
         for record in sent:
-            record.left_s = now_s()
-        if how == 0:
+            record.disconnected_s = now_s()
+        if close_kind == 0:
             reset(writer)
-        elif how == 1:
+        elif close_kind == 1:
             writer.write_eof()
-            await asyncio.sleep(LEAVE_AFTER_S[1])
+            await asyncio.sleep(HALF_CLOSE_S)
 
-    async def _stop_within_request(
+    async def _stall_within_request(
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, node: str
     ) -> None:
         record = self._new_request(node, False)
         data = self._encode(record)
-        del self._records.requests[record.id]  # it is never sent whole
+        del self._records.requests[record.id]  # never sent completely, so no response is due
         started_s = now_s()
         try:
             writer.write(data[: self._rng.randrange(1, len(data) - 1)])
-            async with asyncio.timeout(STOP_BACKSTOP_S):
+            async with asyncio.timeout(STALL_WAIT_S):
                 await reader.read(1)
         except (*CONNECTION_ERRORS, TimeoutError):
             pass
-        self._records.stopped_clients.append(now_s() - started_s)
+        self._records.stall_waits_s.append(now_s() - started_s)
--- a/rosewheel/lab/soak/discovery.py
+++ b/rosewheel/lab/soak/discovery.py
@@ -1,4 +1,4 @@
-"""Discovery of a soak: one agent for each node, with its faults, and a record of what each node was told."""
+"""Emulated discovery of a soak, with an agent for each node, injected faults, and a record of notified drains."""
 
 from __future__ import annotations
 
@@ -14,18 +14,18 @@
 from rosewheel.lab.soak.servers import SoakServer, reset
 
 KEEP_ALIVE_S = 2.0
-SPLIT_DELAY_S = 0.002
-GONE = ("leaving", "left")
+SPLIT_DELAY_S = 0.002  # time between the parts of a split update
+DRAINING_OR_REMOVED = ("leaving", "left")
 
-Row = dict[str, Any]
+JsonObject = dict[str, Any]
 
 
 class SoakDiscovery:
-    """The list of servers, and the watches of all nodes.
+    """The endpoint list, and agents from which the nodes watch it.
 
     Attributes:
-        ports: Of the agents, by number of the node.
-        faults: Those in force.
+        ports: Ports of the agents by the number of the node.
+        faults: Active faults.
     """
 
     def __init__(self, records: SoakRecords, node_name: Callable[[int], str], rng: random.Random) -> None:
@@ -33,36 +33,36 @@
         self.faults: set[FaultKind] = set()
         self._records, self._node_name, self._rng = records, node_name, rng
         self._servers: dict[str, tuple[SoakServer, str]] = {}
-        self._changes: list[str] = []  # names, in the order of their changes; the revision is its length
+        self._changes: list[str] = []  # names of changed servers in order; its length is the revision
         self._changed = asyncio.Event()
         self._watches: set[asyncio.StreamWriter] = set()
         self._listeners: list[asyncio.Server] = []
 
     async def start(self, nodes: int) -> None:
-        """Listen for each node."""
+        """Open the listener of each agent."""
         for number in range(nodes):
             listener = await asyncio.start_server(self._handler(number), "127.0.0.1", 0)
             self._listeners.append(listener)
             self.ports.append(listener.sockets[0].getsockname()[1])
 
     def set_state(self, server: SoakServer, health: str) -> None:
-        """List a server, or change its state."""
+        """Add a server to the list, or change its health."""
         self._servers[server.name] = server, health
         self._changes.append(server.name)
         self._changed.set()
         self._changed = asyncio.Event()
 
-    def known_list(self, number: int) -> Row:
-        """The whole list as a node with this number sees it; it counts as told."""
+    def endpoint_list(self, number: int) -> JsonObject:
+        """Return the complete list, without removed servers, for the node with this number."""
         names = [name for name, (_, health) in self._servers.items() if health != "left"]
         return {
             "seq": len(self._changes),
             "whole": True,
-            "hosts": [self._row(name, number) for name in names],
+            "hosts": [self._entry(name, number) for name in names],
         }
 
-    def heal(self, kind: FaultKind) -> None:
-        """End a fault: what could not be told is told now."""
+    def end_fault(self, kind: FaultKind) -> None:
+        """End a fault, and send the changes that were held back."""
         self.faults.discard(kind)
         self._changed.set()
         self._changed = asyncio.Event()
@@ -72,11 +72,11 @@
         for writer in list(self._watches):
             reset(writer)
 
-    def _row(self, name: str, number: int) -> Row:
+    def _entry(self, name: str, number: int) -> JsonObject:
         server, health = self._servers[name]
         dial = f"127.0.0.1:{server.ports[number]}"
-        row = {"host": name, "dial": dial, "site": "a", "class": "m", "block": 0, "share": 1.0}
-        return row | {"health": health, "born_ms": server.born_ms}
+        entry = {"host": name, "dial": dial, "site": "a", "class": "m", "block": 0, "share": 1.0}
+        return entry | {"health": health, "born_ms": server.born_ms}
 
     def _handler(
         self, number: int
@@ -96,7 +96,7 @@
             while not writer.is_closing():
                 changed = self._changed
                 if FaultKind.DISCOVERY_SILENT not in self.faults:
-                    since = await self._tell(writer, number, node, since)
+                    since = await self._send_update(writer, number, node, since)
                 try:
                     async with asyncio.timeout(KEEP_ALIVE_S):
                         await changed.wait()
@@ -109,14 +109,18 @@
             self._watches.discard(writer)
             writer.close()
 
-    async def _tell(self, writer: asyncio.StreamWriter, number: int, node: str, since: int) -> int:
+    async def _send_update(self, writer: asyncio.StreamWriter, number: int, node: str, since: int) -> int:
         revision = len(self._changes)
         names = dict.fromkeys(self._changes[since:])
         if not names and since:
             return revision
-        message: Row = {"seq": revision, "whole": False, "hosts": [self._row(n, number) for n in names]}
+        message: JsonObject = {
+            "seq": revision,
+            "whole": False,
+            "hosts": [self._entry(name, number) for name in names],
+        }
         if not since:
-            message = self.known_list(number)
+            message = self.endpoint_list(number)
         data = msgspec.json.encode(message) + b"\n"
         if FaultKind.DISCOVERY_SPLIT in self.faults:
             indented = msgspec.json.format(msgspec.json.encode(message), indent=1) + b"\n"
@@ -127,7 +131,7 @@
         else:
             _write_chunk(writer, data)
         for name in names:
-            if self._servers[name][1] in GONE:
+            if self._servers[name][1] in DRAINING_OR_REMOVED:
                 self._records.notified_drains.setdefault((node, name), now_s())
         return revision
 
--- a/rosewheel/lab/soak/judge.py
+++ b/rosewheel/lab/soak/judge.py
@@ -1,4 +1,4 @@
-"""Judges the records of a soak by the operators' rules. It knows nothing of the node's code."""
+"""Finds violations of the operators' rules in the records of a soak, independently of the code of the nodes."""
 
 from __future__ import annotations
 
@@ -8,155 +8,161 @@
 
 from rosewheel.lab.soak.records import (
     ClientRecord,
-    ExecutionEnd,
+    ExecutionOutcome,
     RequestKind,
     ServerRecord,
     SoakRecords,
 )
 
-LATE_ANSWER_S = 0.5  # after its time an answer only earns nothing; later it is lost
-LIMIT_GROWTH_S = 0.05  # each limit of the rules grows by it on sockets
-DRAIN_GRACE_S = 0.4
-DISCONNECT_GRACE_S = 0.1
-TOLD_SLACK_S = 0.15
+LATE_RESPONSE_S = 0.5  # time past the request's timeout after which a response counts as lost
+LIMIT_TOLERANCE_S = 0.05  # added to each limit for the delays of sockets
+DRAIN_GRACE_S = 0.4  # time after the notification of a drain during which new attempts may arrive
+DISCONNECT_GRACE_S = 0.1  # time after the disconnect of a client during which new attempts may arrive
+TIMEOUT_SLACK_S = 0.15  # excess of a forwarded timeout over the time that is left
 DEDUP_WINDOW_S = 0.9
-BAD_CLIENT_S = 3.0
-READY_S = 10.0
-ACCEPT_AFTER_TERM_S = 0.7
-REFUSALS = (429, 503)
+STALLED_CLIENT_LIMIT_S = 3.0  # time within which a node must reject an incomplete request or close it
+READY_LIMIT_S = 10.0
+ACCEPT_AFTER_TERM_S = 0.7  # time after SIGTERM during which a node must still answer new requests
+REJECTION_STATUSES = (429, 503)
 
 
 @dataclass(slots=True, frozen=True)
-class Breach:
-    """A rule that was broken.
+class Violation:
+    """A violation of a rule.
 
     Attributes:
-        rule: Its name.
-        request: Id of the request, or name of the node.
-        detail: What was seen.
+        rule: Name of the rule.
+        subject: Id of the request, or name of the node; empty if there is neither.
+        detail: Observation that violates the rule.
     """
 
     rule: str
-    request: str
+    subject: str
     detail: str
 
 
-class Judge:
-    """Looks for breaches in the records of one run."""
+class RuleChecker:
+    """Checks the records of one run against the rules."""
 
     def __init__(self, records: SoakRecords) -> None:
         self._records = records
         self._attempts: defaultdict[str, list[ServerRecord]] = defaultdict(list)
         for attempt in records.attempts:
             self._attempts[attempt.id].append(attempt)
-        self._tolerance_s = LIMIT_GROWTH_S + records.max_lag_s
-        self._ends = {end.node: end for end in records.node_ends}
+        self._tolerance_s = LIMIT_TOLERANCE_S + records.max_lag_s
+        self._exits = {node_exit.node: node_exit for node_exit in records.node_exits}
 
-    def breaches(self) -> list[Breach]:
-        """All breaches."""
-        found: list[Breach] = []
+    def violations(self) -> list[Violation]:
+        """Return all violations."""
+        found: list[Violation] = []
         for request in self._records.requests.values():
-            found += self._answer_breaches(request)
-            found += self._attempt_breaches(request)
-        found += self._unknown_ids()
-        found += self._node_breaches()
+            found += self._check_responses(request)
+            found += self._check_attempts(request)
+        found += self._check_request_ids()
+        found += self._check_nodes()
         return found
 
-    # -------------------------------------------------------------------------------------------------- answers
-
-    def _answer_breaches(self, request: ClientRecord) -> Iterator[Breach]:
-        if len(request.answers) > 1:
-            yield Breach("one-answer", request.id, f"{len(request.answers)} answers")
-        if not request.answers:
-            if request.sent_s is not None and request.left_s is None and not self._is_excused(request):
-                ran = [attempt.end.value for attempt in self._attempts[request.id]]
-                yield Breach("lost", request.id, f"no answer, attempts={ran}, {self._circumstances(request)}")
+    def _check_responses(self, request: ClientRecord) -> Iterator[Violation]:
+        if len(request.responses) > 1:
+            yield Violation("one-answer", request.id, f"{len(request.responses)} responses")
+        if not request.responses:
+            if (
+                request.sent_s is not None
+                and request.disconnected_s is None
+                and not self._may_be_unanswered(request)
+            ):
+                outcomes = [attempt.outcome.value for attempt in self._attempts[request.id]]
+                yield Violation(
+                    "lost",
+                    request.id,
+                    f"no response, attempts={outcomes}, {self._circumstances(request)}",
+                )
             return
-        at_s, status, body = request.answers[0]
+        at_s, status, body = request.responses[0]
         if request.sent_s is not None:
             late_s = at_s - request.sent_s - request.timeout_ms / 1000.0
-            if late_s > LATE_ANSWER_S + self._tolerance_s:
-                yield Breach("lost", request.id, f"answered {late_s:.3f} s after its time")
-        executions = [a for a in self._attempts[request.id] if a.end is not ExecutionEnd.NOT_STARTED]
+            if late_s > LATE_RESPONSE_S + self._tolerance_s:
+                yield Violation("lost", request.id, f"response {late_s:.3f} s after the timeout")
+        executions = [a for a in self._attempts[request.id] if a.outcome is not ExecutionOutcome.NOT_STARTED]
         if status == 200 and body not in [a.body for a in executions]:
-            yield Breach("foreign", request.id, f"body {body[:60]!r}")
-        if status in REFUSALS and executions and request.kind is not RequestKind.READ:
-            yield Breach("refused-ran", request.id, f"status {status}, executed at {executions[0].server}")
+            yield Violation("foreign", request.id, f"body {body[:60]!r}")
+        if status in REJECTION_STATUSES and executions and request.kind is not RequestKind.READ:
+            yield Violation("refused-ran", request.id, f"status {status}, executed at {executions[0].server}")
 
     def _circumstances(self, request: ClientRecord) -> str:
-        """What surrounds a lost request, as spans from when it was sent."""
-        sent_s, end = request.sent_s or 0.0, self._ends.get(request.node)
-        spans = {"closed": request.closed_s}
-        if end is not None:
-            spans |= {"term": end.term_s, "node ended": end.ended_s}
-        told = ", ".join(f"{name} {at_s - sent_s:+.3f} s" for name, at_s in spans.items() if at_s is not None)
-        return f"node={request.node}, reused={request.is_reused}, {told}"
-
-    def _is_excused(self, request: ClientRecord) -> bool:
-        end = self._ends.get(request.node)
-        if end is not None and request.sent_s is not None:
-            if end.term_s is None or request.sent_s > end.ended_s:
-                return True  # it was killed, or had ended when the request was written
-            if request.sent_s > end.term_s + ACCEPT_AFTER_TERM_S:
-                return not self._attempts[request.id]  # of a close that crossed it
-        # A close between two requests may cross the next one, which the node then must not have read.
+        """Return the events around a lost request as times relative to when it was sent."""
+        sent_s, node_exit = request.sent_s or 0.0, self._exits.get(request.node)
+        times_s = {"closed": request.closed_s}
+        if node_exit is not None:
+            times_s |= {"term": node_exit.term_s, "node exited": node_exit.exited_s}
+        events = ", ".join(
+            f"{name} {at_s - sent_s:+.3f} s" for name, at_s in times_s.items() if at_s is not None
+        )
+        return f"node={request.node}, reused={request.is_reused}, {events}"
+
+    def _may_be_unanswered(self, request: ClientRecord) -> bool:
+        node_exit = self._exits.get(request.node)
+        if node_exit is not None and request.sent_s is not None:
+            if node_exit.term_s is None or request.sent_s > node_exit.exited_s:
+                return True  # killed, or exited before the request was sent
+            if request.sent_s > node_exit.term_s + ACCEPT_AFTER_TERM_S:
+                return not self._attempts[request.id]  # may have been closed before it was read
+        # A node may close a reused connection while the next request is on its way, but must not have read it.
         return request.is_reused and request.closed_s is not None and not self._attempts[request.id]
 
-    # ------------------------------------------------------------------------------------------------- attempts
-
-    def _attempt_breaches(self, request: ClientRecord) -> Iterator[Breach]:
+    def _check_attempts(self, request: ClientRecord) -> Iterator[Violation]:
         attempts = self._attempts[request.id]
-        yield from self._repeat_breaches(request, attempts)
+        yield from self._check_repetition(request, attempts)
         for attempt in attempts:
-            if request.left_s is not None:
-                late_s = attempt.first_byte_s - request.left_s
+            if request.disconnected_s is not None:
+                late_s = attempt.first_byte_s - request.disconnected_s
                 if late_s > DISCONNECT_GRACE_S + self._tolerance_s:
-                    yield Breach("client-left", request.id, f"attempt {late_s:.3f} s after the end")
+                    yield Violation("client-left", request.id, f"attempt {late_s:.3f} s after the disconnect")
             if request.sent_s is not None:
                 left_s = request.timeout_ms / 1000.0 - (attempt.first_byte_s - request.sent_s)
-                excess_s = attempt.told_ms / 1000.0 - left_s
-                if excess_s > TOLD_SLACK_S + self._tolerance_s:
-                    yield Breach("told-deadline", request.id, f"{excess_s:.3f} s over what was left")
+                excess_s = attempt.timeout_ms / 1000.0 - left_s
+                if excess_s > TIMEOUT_SLACK_S + self._tolerance_s:
+                    yield Violation(
+                        "told-deadline", request.id, f"timeout {excess_s:.3f} s longer than the time left"
+                    )
             notified_s = self._records.notified_drains.get((attempt.node, attempt.server))
             if notified_s is not None:
                 late_s = attempt.first_byte_s - notified_s
                 if late_s > DRAIN_GRACE_S + self._tolerance_s:
-                    yield Breach(
+                    yield Violation(
                         "drain", request.id, f"to {attempt.server} {late_s:.3f} s after notification"
                     )
 
-    def _repeat_breaches(self, request: ClientRecord, attempts: list[ServerRecord]) -> Iterator[Breach]:
-        ran = [attempt for attempt in attempts if attempt.end is not ExecutionEnd.NOT_STARTED]
-        if len(ran) < 2 or request.kind is RequestKind.READ:
+    def _check_repetition(self, request: ClientRecord, attempts: list[ServerRecord]) -> Iterator[Violation]:
+        executions = [attempt for attempt in attempts if attempt.outcome is not ExecutionOutcome.NOT_STARTED]
+        if len(executions) < 2 or request.kind is RequestKind.READ:
             return
-        span_s = ran[-1].first_byte_s - ran[0].last_byte_s
+        span_s = executions[-1].first_byte_s - executions[0].last_byte_s
         if request.kind is RequestKind.POST:
-            yield Breach("executed-twice", request.id, f"{len(ran)} times within {span_s:.3f} s")
+            yield Violation("executed-twice", request.id, f"{len(executions)} times within {span_s:.3f} s")
         elif span_s > DEDUP_WINDOW_S + self._tolerance_s:
-            yield Breach("window", request.id, f"repeated after {span_s:.3f} s")
+            yield Violation("window", request.id, f"repeated after {span_s:.3f} s")
 
-    def _unknown_ids(self) -> Iterator[Breach]:
+    def _check_request_ids(self) -> Iterator[Violation]:
         for id, attempts in self._attempts.items():
             if id not in self._records.requests:
-                yield Breach("unknown-id", id, f"at {attempts[0].server}")
-
-    # ---------------------------------------------------------------------------------------------------- nodes
+                yield Violation("unknown-id", id, f"at {attempts[0].server}")
 
-    def _node_breaches(self) -> Iterator[Breach]:
+    def _check_nodes(self) -> Iterator[Violation]:
         records = self._records
-        for end in records.node_ends:
-            if end.term_s is not None and end.code != 0:
-                yield Breach("exit-code", end.node, f"ended with {end.code}")
+        for node_exit in records.node_exits:
+            if node_exit.term_s is not None and node_exit.exit_code != 0:
+                yield Violation("exit-code", node_exit.node, f"exited with {node_exit.exit_code}")
         for node, ready_s in records.ready_s.items():
-            if ready_s > READY_S:
-                yield Breach("ready", node, f"after {ready_s:.1f} s")
-        for waited_s in records.stopped_clients:
-            if waited_s > BAD_CLIENT_S + self._tolerance_s:
-                yield Breach("bad-client", "", f"no error and no close in {waited_s:.2f} s")
-        for line in records.log_faults:
-            yield Breach("log", "", line)
+            if ready_s > READY_LIMIT_S:
+                yield Violation("ready", node, f"after {ready_s:.1f} s")
+        for waited_s in records.stall_waits_s:
+            if waited_s > STALLED_CLIENT_LIMIT_S + self._tolerance_s:
+                yield Violation("bad-client", "", f"neither an error nor a close within {waited_s:.2f} s")
+        for line in records.log_errors:
+            yield Violation("log", "", line)
         for node, statistics in records.statistics.items():
             if statistics.get("violations"):
-                yield Breach("violation-counter", node, str(statistics["violations"]))
+                yield Violation("violation-counter", node, str(statistics["violations"]))
             if statistics.get("active"):
-                yield Breach("not-at-rest", node, f"{statistics['active']} requests in flight")
+                yield Violation("not-at-rest", node, f"{statistics['active']} requests in flight")
--- a/rosewheel/lab/soak/nodes.py
+++ b/rosewheel/lab/soak/nodes.py
@@ -1,4 +1,4 @@
-"""The node processes of a soak: start, signals, restart, and what their logs and statistics say."""
+"""Node processes of a soak: start, signals and restart, and checks of their logs and statistics."""
 
 from __future__ import annotations
 
@@ -14,14 +14,14 @@
 import msgspec
 
 from rosewheel.lab.node_process import check_health, kill_with_parent, reserve_address
-from rosewheel.lab.soak.records import NodeEnd, SoakRecords, now_s
+from rosewheel.lab.soak.records import NodeExit, SoakRecords, now_s
 
 START_TIMEOUT_S = 30.0
 POLL_S = 0.02
-HELD_UP_S = 0.15
-END_AFTER_TERM_S = 3.0 + 0.7  # SIGKILL comes no sooner
-EXPLAINED_LOG_WORDS = ("configuration not reloaded",)
-FAULT_LOG_WORDS = ("Traceback", "Error:", "rule violated", "policy failed", "effect failed")
+PAUSE_S = 0.15
+TERM_TIMEOUT_S = 3.0 + 0.7  # time from SIGTERM to SIGKILL
+EXPECTED_LOG_WORDS = ("configuration not reloaded",)  # logged under NODE_RELOAD_INVALID
+ERROR_LOG_WORDS = ("Traceback", "Error:", "rule violated", "policy failed", "effect failed")
 
 SETTINGS: dict[str, Any] = {
     "tier": 0,
@@ -58,11 +58,12 @@
 
 
 class SoakNode:
-    """One node: a process, and those that follow it at the same address.
+    """One node: a sequence of processes at the same address.
 
     Attributes:
-        name: Of the process that runs now.
-        address: Where clients connect.
+        number: Number of the node, from 0.
+        incarnation: Number of the current process, from 1; 0 before the first start.
+        address: Address to which clients connect.
     """
 
     def __init__(
@@ -73,27 +74,27 @@
         self._reserved, self._reserved_admin = reserve_address(), reserve_address()
         self.address: tuple[str, int] = self._reserved.getsockname()[:2]
         self._process: subprocess.Popen[bytes] | None = None
-        self._busy = asyncio.Lock()
+        self._restart_lock = asyncio.Lock()
         self._folder.mkdir(parents=True, exist_ok=True)
-        self.log_path.unlink(missing_ok=True)  # of an earlier run
+        self.log_path.unlink(missing_ok=True)  # removes the log of an earlier run
 
     @property
     def name(self) -> str:
-        """Name of the process that runs now."""
+        """Name of the current process."""
         return f"n{self.number}.{self.incarnation}"
 
     @property
     def log_path(self) -> Path:
-        """The log of all processes of the node."""
+        """Path of the log, which all processes of the node append to."""
         return self._folder / "log"
 
     def write_config(self, discovery_port: int, known: dict[str, Any], changes: dict[str, Any]) -> None:
         """Write the configuration file.
 
         Args:
-            discovery_port: Of the node's agent.
-            known: The endpoint list.
-            changes: Settings that differ from `SETTINGS`.
+            discovery_port: Port of the node's discovery agent.
+            known: Initial endpoint list.
+            changes: Settings that replace those of `SETTINGS`.
         """
         host, port = self.address
         admin_host, admin_port = self._reserved_admin.getsockname()[:2]
@@ -109,7 +110,7 @@
         (self._folder / "config.json").write_bytes(msgspec.json.encode(document))
 
     async def start(self) -> None:
-        """Start the next process, and wait until it is ready."""
+        """Start the next process, and wait until it is ready, has exited, or `START_TIMEOUT_S` has passed."""
         self.incarnation += 1
         module = ["rosewheel"] if self._plant is None else ["rosewheel.lab.soak.planted_node", self._plant]
         environ = {key: value for key, value in os.environ.items() if not key.startswith("LB_")}
@@ -131,21 +132,21 @@
         self._records.ready_s[self.name] = now_s() - started_s
 
     async def restart(self, is_killed: bool, prepare: Any) -> None:
-        """End the process, and start another one.
+        """Stop the process and start the next one; do nothing if a restart is already under way.
 
         Args:
-            is_killed: By SIGKILL; otherwise by SIGTERM, and by SIGKILL where it does not end.
+            is_killed: Whether to stop the process by SIGKILL instead of SIGTERM.
             prepare: Called before the start, to write the configuration.
         """
-        if self._busy.locked():
+        if self._restart_lock.locked():
             return
-        async with self._busy:
-            await self.end(is_killed)
+        async with self._restart_lock:
+            await self.stop(is_killed)
             prepare()
             await self.start()
 
-    async def end(self, is_killed: bool) -> None:
-        """End the process, and record how it ended."""
+    async def stop(self, is_killed: bool) -> None:
+        """Stop the process and record its exit; after SIGTERM without an exit, send SIGKILL."""
         process = self._process
         if process is None or process.poll() is not None:
             return
@@ -153,30 +154,30 @@
         process.send_signal(signal.SIGKILL if is_killed else signal.SIGTERM)
         signalled_s = now_s()
         while process.poll() is None:
-            if not is_killed and now_s() - signalled_s > END_AFTER_TERM_S:
+            if not is_killed and now_s() - signalled_s > TERM_TIMEOUT_S:
                 process.kill()
             await asyncio.sleep(POLL_S)
-        self._records.node_ends.append(NodeEnd(self.name, term_s, now_s(), process.returncode))
+        self._records.node_exits.append(NodeExit(self.name, term_s, now_s(), process.returncode))
 
-    async def hold_up(self) -> None:
-        """Stop the process for a moment, as a busy machine does."""
+    async def pause(self) -> None:
+        """Suspend the process for `PAUSE_S`, as an overloaded machine does."""
         process = self._process
         if process is None or process.poll() is not None:
             return
         process.send_signal(signal.SIGSTOP)
         try:
-            await asyncio.sleep(HELD_UP_S)
+            await asyncio.sleep(PAUSE_S)
         finally:
             with contextlib.suppress(OSError):
                 process.send_signal(signal.SIGCONT)
 
     def reload(self) -> None:
-        """Have the process read its configuration again."""
+        """Send SIGHUP, on which the process reloads its configuration."""
         if self._process is not None and self._process.poll() is None:
             self._process.send_signal(signal.SIGHUP)
 
     async def statistics(self) -> dict[str, Any]:
-        """What the admin API says; empty where it says nothing."""
+        """Return the statistics from the admin API; empty if it does not respond."""
         try:
             reader, writer = await asyncio.open_connection(*self._reserved_admin.getsockname()[:2])
             writer.write(b"GET /admin/stats HTTP/1.1\r\nHost: a\r\n\r\n")
@@ -187,12 +188,12 @@
         body = data.partition(b"\r\n\r\n")[2]
         return msgspec.json.decode(body, type=dict[str, Any]) if body else {}
 
-    def log_faults(self) -> list[str]:
-        """Lines of the log that no fault of the plan explains."""
+    def log_errors(self) -> list[str]:
+        """Return the error lines of the log, without those that are expected from faults."""
         lines = self.log_path.read_text(errors="replace").splitlines()
-        suspicious = (line for line in lines if any(word in line for word in FAULT_LOG_WORDS))
+        errors = (line for line in lines if any(word in line for word in ERROR_LOG_WORDS))
         return [
             f"n{self.number}: {line[:300]}"
-            for line in suspicious
-            if not any(word in line for word in EXPLAINED_LOG_WORDS)
+            for line in errors
+            if not any(word in line for word in EXPECTED_LOG_WORDS)
         ]
--- a/rosewheel/lab/soak/planted_node.py
+++ b/rosewheel/lab/soak/planted_node.py
@@ -1,6 +1,6 @@
-"""Starts a node with a planted fault, to show that a soak can fail. Nothing in the node knows of it.
+"""Runs a node with a planted fault, to show that a soak detects it.
 
-`python -m rosewheel.lab.soak.planted_node NAME` patches its own process, and then runs the node of the platform.
+`python -m rosewheel.lab.soak.planted_node NAME` patches classes of the node in its own process, and then runs the node.
 """
 
 from __future__ import annotations
@@ -24,8 +24,8 @@
 from rosewheel.proxy.endpoints import EndpointUpdates
 from rosewheel.proxy.requests import RequestHandler
 
-PLANTED_SHARE = 0.03  # of the requests, where a plant affects some
-DRAIN_DELAY_S = 1.0
+PLANTED_SHARE = 0.03  # share of the requests or responses that a random plant affects
+DRAIN_DELAY_S = 1.0  # delay of endpoint updates under late-drain
 
 
 def _stale_deadline() -> None:
--- a/rosewheel/lab/soak/records.py
+++ b/rosewheel/lab/soak/records.py
@@ -1,4 +1,4 @@
-"""What the clients, servers and discovery of a soak saw. The judge knows nothing else."""
+"""Observations of the clients, servers and discovery of a soak, from which rule violations are found."""
 
 from __future__ import annotations
 
@@ -8,23 +8,23 @@
 
 
 def now_s() -> float:
-    """The clock of all records, in seconds."""
+    """Return the time of the clock that all records use, in seconds."""
     return time.monotonic()
 
 
 class RequestKind(Enum):
-    """Class of a request; the values are the names of service classes."""
+    """Service class of a request; the values are the names in the settings of the nodes."""
 
     READ = "read"
     POST = "post"
     POINTS = "points"
 
 
-class ExecutionEnd(Enum):
-    """What a server did with a request whose last byte it received."""
+class ExecutionOutcome(Enum):
+    """How a server handled a request that it received completely."""
 
     PENDING = "pending"
-    ANSWERED = "answered"
+    RESPONDED = "answered"
     FAILED = "failed"
     NOT_STARTED = "not-started"
     RESET = "reset"
@@ -35,15 +35,15 @@
     """One request of a client.
 
     Attributes:
-        id: The request's id.
-        kind: Its class.
-        node: Name of the node process, with its incarnation.
-        timeout_ms: How long the client waits.
-        is_reused: Its connection had carried a request before.
-        sent_s: When its last byte was written; None before.
-        left_s: When the client closed or half-closed its connection; None if it did not.
-        closed_s: When the node ended the connection without an answer.
-        answers: Time, status and body of each answer.
+        id: Id of the request.
+        kind: Service class of the request.
+        node: Name of the node process, which includes its incarnation.
+        timeout_ms: Value of the Request-Timeout-Ms header.
+        is_reused: Whether the connection had carried a request before.
+        sent_s: When the last byte was written; None before that.
+        disconnected_s: When the client closed or half-closed the connection; None if it did not.
+        closed_s: When the client saw the connection end without a response; None if it did not.
+        responses: Time, status and body of each response.
     """
 
     id: str
@@ -52,24 +52,24 @@
     timeout_ms: int
     is_reused: bool
     sent_s: float | None = None
-    left_s: float | None = None
+    disconnected_s: float | None = None
     closed_s: float | None = None
-    answers: list[tuple[float, int, bytes]] = field(default_factory=list)
+    responses: list[tuple[float, int, bytes]] = field(default_factory=list)
 
 
 @dataclass(slots=True)
 class ServerRecord:
-    """One attempt at a server.
+    """One attempt, as received by a server.
 
     Attributes:
-        id: The request's id.
-        node: Name of the node process that sent it.
-        server: The server.
-        first_byte_s: When its first byte was read.
-        last_byte_s: When its last byte was read.
-        told_ms: The deadline in its head.
-        end: What the server did with it.
-        body: The body of the answer.
+        id: Id of the request.
+        node: Name of the node process that sent the attempt.
+        server: Name of the server.
+        first_byte_s: When the first byte was read.
+        last_byte_s: When the last byte was read.
+        timeout_ms: Value of the Request-Timeout-Ms header.
+        outcome: How the server handled the attempt.
+        body: Body of the response.
     """
 
     id: str
@@ -77,26 +77,26 @@
     server: str
     first_byte_s: float
     last_byte_s: float
-    told_ms: int
-    end: ExecutionEnd = ExecutionEnd.PENDING
+    timeout_ms: int
+    outcome: ExecutionOutcome = ExecutionOutcome.PENDING
     body: bytes = b""
 
 
 @dataclass(slots=True)
-class NodeEnd:
-    """How a node process ended.
+class NodeExit:
+    """The exit of a node process that was asked to stop or killed.
 
     Attributes:
-        node: Name of the process.
-        term_s: When it got SIGTERM; None for SIGKILL alone.
-        ended_s: When it had ended.
-        code: Its exit code.
+        node: Name of the node process.
+        term_s: When SIGTERM was sent; None if only SIGKILL was sent.
+        exited_s: When the process was seen to have exited.
+        exit_code: Exit code; negative for a signal.
     """
 
     node: str
     term_s: float | None
-    ended_s: float
-    code: int
+    exited_s: float
+    exit_code: int
 
 
 @dataclass(slots=True)
@@ -104,23 +104,23 @@
     """All records of a run.
 
     Attributes:
-        requests: By id.
-        attempts: In the order of their arrival.
-        notified_drains: When discovery wrote to a node that a server is not to be sent to; by node and server.
-        node_ends: In order.
-        stopped_clients: How long each client that stopped within a request waited for an error or a close.
-        ready_s: How long each node process took to be ready.
-        max_lag_s: The longest that the loop of clients and servers was late.
-        log_faults: Lines of node logs that no fault explains.
-        statistics: Last statistics of each node that was alive at the end.
+        requests: Requests by id.
+        attempts: Attempts in order of their arrival.
+        notified_drains: When discovery first sent a node the drain or removal of a server, by node process and server.
+        node_exits: Exits of node processes in order of time.
+        stall_waits_s: Time until each client that stalled within a request got an error or a close.
+        ready_s: Time from the start of each node process until it was ready, exited, or the wait timed out.
+        max_lag_s: Maximum delay of the timers of the event loop that runs clients and servers.
+        log_errors: Error lines of node logs that are not expected from a fault.
+        statistics: Statistics of each node at the end of the run, by node process; empty if unavailable.
     """
 
     requests: dict[str, ClientRecord] = field(default_factory=dict)
     attempts: list[ServerRecord] = field(default_factory=list)
     notified_drains: dict[tuple[str, str], float] = field(default_factory=dict)
-    node_ends: list[NodeEnd] = field(default_factory=list)
-    stopped_clients: list[float] = field(default_factory=list)
+    node_exits: list[NodeExit] = field(default_factory=list)
+    stall_waits_s: list[float] = field(default_factory=list)
     ready_s: dict[str, float] = field(default_factory=dict)
     max_lag_s: float = 0.0
-    log_faults: list[str] = field(default_factory=list)
+    log_errors: list[str] = field(default_factory=list)
     statistics: dict[str, dict[str, object]] = field(default_factory=dict)
--- a/rosewheel/lab/soak/run.py
+++ b/rosewheel/lab/soak/run.py
@@ -1,4 +1,4 @@
-"""One run of a soak: starts everything, injects the faults of its plan, and has the judge read the records."""
+"""Runs a soak: starts its processes and emulated peers, injects the faults of the plan, and checks the records."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 from rosewheel.lab.soak.clients import CLIENT_FAULTS, SoakClient
 from rosewheel.lab.soak.discovery import SoakDiscovery
-from rosewheel.lab.soak.judge import Breach, Judge
+from rosewheel.lab.soak.judge import RuleChecker, Violation
 from rosewheel.lab.soak.nodes import SoakNode
 from rosewheel.lab.soak.plan import Fault, FaultKind, SoakPlan
 from rosewheel.lab.soak.records import SoakRecords
@@ -20,11 +20,11 @@
 
 SERVERS = 8
 CLIENTS_PER_NODE = 5
-LEAVING_S = 1.5  # how long a server drains before it is gone
-CRASHED_S = 0.5
-SETTLE_S = 4.5  # after the last request, for what is abandoned
+DRAIN_S = 1.5  # time from the drain of a server to its removal from the endpoint list
+DOWN_S = 0.5  # time from the crash of a server to its restart, and between attempts to restart it
+SETTLE_S = 4.5  # time for abandoned requests to end
 LAG_POLL_S = 0.01
-MAX_LISTED = 12
+MAX_LISTED = 12  # violations in the result
 SERVER_FAULTS = (
     FaultKind.SERVER_HANG,
     FaultKind.SERVER_RESET,
@@ -39,7 +39,12 @@
 
 
 class SoakRun:
-    """A run in one event loop: servers, discovery and clients here, nodes as processes."""
+    """One run: servers, discovery and clients in the event loop, nodes as processes.
+
+    Attributes:
+        plan: Plan of the run.
+        records: Observations of clients, servers and discovery.
+    """
 
     def __init__(self, plan: SoakPlan, folder: Path, plant: str | None = None) -> None:
         self.plan, self.records = plan, SoakRecords()
@@ -58,8 +63,8 @@
     def _node_name(self, number: int) -> str:
         return self._nodes[number].name
 
-    async def run(self) -> list[Breach]:
-        """Play the plan; returns what the judge found."""
+    async def run(self) -> list[Violation]:
+        """Run the plan and return the violations of rules."""
         lag_task = asyncio.create_task(self._measure_lag())
         await self._discovery.start(self.plan.nodes)
         for _ in range(SERVERS):
@@ -86,14 +91,14 @@
         await asyncio.sleep(SETTLE_S)
         await self._finish()
         lag_task.cancel()
-        return Judge(self.records).breaches()
+        return RuleChecker(self.records).violations()
 
     async def _finish(self) -> None:
         for node in self._nodes:
             self.records.statistics[node.name] = await node.statistics()
-        await asyncio.gather(*(node.end(is_killed=False) for node in self._nodes))
+        await asyncio.gather(*(node.stop(is_killed=False) for node in self._nodes))
         for node in self._nodes:
-            self.records.log_faults += node.log_faults()
+            self.records.log_errors += node.log_errors()
         for server in self._servers:
             server.crash()
 
@@ -105,7 +110,7 @@
             self.records.max_lag_s = max(self.records.max_lag_s, loop.time() - due_s)
 
     def _write_config(self, node: SoakNode, changes: dict[str, Any]) -> None:
-        known = self._discovery.known_list(node.number)
+        known = self._discovery.endpoint_list(node.number)
         node.write_config(self._discovery.ports[node.number], known, changes)
 
     async def _add_server(self, is_cold: bool) -> SoakServer:
@@ -118,20 +123,18 @@
         self._discovery.set_state(server, "active")
         return server
 
-    # --------------------------------------------------------------------------------------------------- faults
-
     async def _inject_faults(self) -> None:
         loop = asyncio.get_running_loop()
         started_s = loop.time()
         for fault in self.plan.faults:
             await asyncio.sleep(max(0.0, started_s + fault.at_s - loop.time()))
-            task = asyncio.create_task(self._play(fault))
+            task = asyncio.create_task(self._inject(fault))
             self._tasks.add(task)
         await asyncio.sleep(max(0.0, started_s + self.plan.seconds - loop.time()))
 
-    async def _play(self, fault: Fault) -> None:
+    async def _inject(self, fault: Fault) -> None:
         if fault.kind in CLIENT_FAULTS:
-            await self._play_client_fault(fault)
+            await self._inject_client_fault(fault)
         elif fault.kind in SERVER_FAULTS:
             server = self._servers[fault.target % len(self._servers)]
             server.faults.add(fault.kind)
@@ -140,7 +143,7 @@
         elif fault.kind in DISCOVERY_FAULTS:
             self._discovery.faults.add(fault.kind)
             await asyncio.sleep(fault.for_s)
-            self._discovery.heal(fault.kind)
+            self._discovery.end_fault(fault.kind)
         elif fault.kind is FaultKind.DISCOVERY_RESET:
             self._discovery.reset_watches()
         elif fault.kind is FaultKind.SERVER_DRAIN:
@@ -148,9 +151,9 @@
         elif fault.kind is FaultKind.SERVER_CRASH:
             await self._crash_server(self._servers[fault.target % len(self._servers)])
         else:
-            await self._play_node_fault(fault, self._nodes[fault.target % len(self._nodes)])
+            await self._inject_node_fault(fault, self._nodes[fault.target % len(self._nodes)])
 
-    async def _play_client_fault(self, fault: Fault) -> None:
+    async def _inject_client_fault(self, fault: Fault) -> None:
         self._client_faults[fault.kind] += 1
         self._active_client_faults.add(fault.kind)
         await asyncio.sleep(fault.for_s)
@@ -158,13 +161,13 @@
         if not self._client_faults[fault.kind]:
             self._active_client_faults.discard(fault.kind)
 
-    async def _play_node_fault(self, fault: Fault, node: SoakNode) -> None:
+    async def _inject_node_fault(self, fault: Fault, node: SoakNode) -> None:
         match fault.kind:
             case FaultKind.NODE_TERM | FaultKind.NODE_KILL:
                 is_killed = fault.kind is FaultKind.NODE_KILL
                 await node.restart(is_killed, lambda: self._write_config(node, {}))
             case FaultKind.NODE_PAUSE:
-                await node.hold_up()
+                await node.pause()
             case FaultKind.NODE_RELOAD_INVALID:
                 self._write_config(node, {"categories": "none"})
                 node.reload()
@@ -180,7 +183,7 @@
         self._servers.remove(server)
         self._discovery.set_state(server, "leaving")
         await self._add_server(is_cold=True)
-        await asyncio.sleep(LEAVING_S)
+        await asyncio.sleep(DRAIN_S)
         self._discovery.set_state(server, "left")
         await asyncio.sleep(SETTLE_S)
         server.crash()
@@ -189,15 +192,15 @@
         if server not in self._servers:
             return
         server.crash()
-        await asyncio.sleep(CRASHED_S)
+        await asyncio.sleep(DOWN_S)
         if server in self._servers:
             server.born_ms = int(time.time() * 1000.0)
             while not await self._try_start(server):
-                await asyncio.sleep(CRASHED_S)
+                await asyncio.sleep(DOWN_S)
             self._discovery.set_state(server, "active")
 
     async def _try_start(self, server: SoakServer) -> bool:
-        """Start a server again; False where a connection of the run holds one of its ports."""
+        """Restart a server; return False if one of its ports is in use by a connection of the run."""
         try:
             await server.start(self.plan.nodes)
         except OSError:
@@ -207,26 +210,26 @@
 
 
 async def play(plan: SoakPlan, plant: str | None, folder: Path | None) -> dict[str, object]:
-    """Play a plan, and sum up.
+    """Run a plan and return the result.
 
     Args:
-        plan: The plan.
-        plant: A fault that is planted into the nodes, by name.
-        folder: Where configurations and logs are kept; a temporary one if None.
+        plan: Plan to run.
+        plant: Name of a fault to plant in the code of the nodes; None for unmodified nodes.
+        folder: Folder for configurations and logs; a temporary one if None.
     """
     with tempfile.TemporaryDirectory() as temporary:
         run = SoakRun(plan, folder or Path(temporary), plant)
-        breaches = await run.run()
-    return summary(run, breaches, plant)
+        violations = await run.run()
+    return summary(run, violations, plant)
 
 
-def summary(run: SoakRun, breaches: list[Breach], plant: str | None) -> dict[str, object]:
-    """The summary of a run, as it is printed."""
+def summary(run: SoakRun, violations: list[Violation], plant: str | None) -> dict[str, object]:
+    """Return the result of a run as it is printed."""
     records = run.records
-    rules = Counter(breach.rule for breach in breaches)
-    statuses = Counter(str(r.answers[0][1]) if r.answers else "none" for r in records.requests.values())
+    rules = Counter(violation.rule for violation in violations)
+    statuses = Counter(str(r.responses[0][1]) if r.responses else "none" for r in records.requests.values())
     return {
-        "ok": not breaches,
+        "ok": not violations,
         "seed": run.plan.seed,
         "seconds": run.plan.seconds,
         "nodes": run.plan.nodes,
@@ -237,5 +240,5 @@
         "statuses": dict(statuses),
         "max_lag_s": round(records.max_lag_s, 3),
         "rules": dict(rules),
-        "breaches": [f"{b.rule} {b.request}: {b.detail}" for b in breaches[:MAX_LISTED]],
+        "breaches": [f"{v.rule} {v.subject}: {v.detail}" for v in violations[:MAX_LISTED]],
     }
--- a/rosewheel/lab/soak/servers.py
+++ b/rosewheel/lab/soak/servers.py
@@ -1,4 +1,4 @@
-"""Emulated servers of a soak: one listener for each node, faults on request, and a record of each attempt."""
+"""Emulated servers of a soak, with a listener for each node, injected faults, and a record of each attempt."""
 
 from __future__ import annotations
 
@@ -11,31 +11,32 @@
 from dataclasses import dataclass, field
 
 from rosewheel.lab.soak.plan import FaultKind
-from rosewheel.lab.soak.records import ExecutionEnd, ServerRecord, SoakRecords, now_s
+from rosewheel.lab.soak.records import ExecutionOutcome, ServerRecord, SoakRecords, now_s
 
-WORK_S = (0.002, 0.03)
-SLOW_FACTOR = 20.0
-FAULT_SHARE = 0.4  # of the requests that a fault affects
-SURPLUS_DELAY_S = 0.003
+SERVICE_TIME_S = (0.002, 0.03)
+SLOW_FACTOR = 20.0  # multiple of the service time under SERVER_SLOW
+FAULT_SHARE = 0.4  # share of the requests that are affected by the active faults
+SURPLUS_DELAY_S = 0.003  # time between a response and the surplus one
+HANG_S = 60.0  # longer than any client waits
 HEAD_END = b"\r\n\r\n"
 
 NodeName = Callable[[int], str]
-"""Name of the node process that runs now as the node of this number."""
+"""Returns the name of the running process of the node with this number."""
 
 
 @dataclass(slots=True)
-class AttemptHead:
-    """What a server reads of a request's head."""
+class RequestHead:
+    """Request line and headers of a received request."""
 
     method: str
     path: str
     headers: dict[str, str]
 
     @classmethod
-    def parse(cls, data: bytes) -> AttemptHead:
-        """The head in these bytes."""
-        first, *lines = data.decode("latin-1").strip().split("\r\n")
-        method, path, _ = first.split(" ", 2)
+    def parse(cls, data: bytes) -> RequestHead:
+        """Return the head that these bytes contain."""
+        request_line, *lines = data.decode("latin-1").strip().split("\r\n")
+        method, path, _ = request_line.split(" ", 2)
         pairs = (line.split(":", 1) for line in lines)
         return cls(method, path, {name.strip().lower(): value.strip() for name, value in pairs})
 
@@ -45,13 +46,13 @@
     """One emulated server.
 
     Attributes:
-        name: In the endpoint list.
-        records: Where attempts are recorded.
-        node_name: Names the sender by the number of the listener.
-        rng: Of its work and faults.
-        faults: Those in force.
-        born_ms: Its last start, in Unix time; 0 for long ago.
-        ports: By number of the node.
+        name: Name in the endpoint list.
+        records: Records to which attempts are added.
+        node_name: Returns the name of a node process by the number of the node.
+        rng: Random generator of service times and faults.
+        faults: Active faults.
+        born_ms: Time of the last start in Unix milliseconds; 0 if it was long ago.
+        ports: Ports of the listeners by the number of the node.
     """
 
     name: str
@@ -65,7 +66,7 @@
     _writers: set[asyncio.StreamWriter] = field(default_factory=set)
 
     async def start(self, nodes: int) -> None:
-        """Listen for each node, at the ports of an earlier start if there was one."""
+        """Open a listener for each node, at the ports of the previous start if there was one."""
         for number in range(nodes):
             port = self.ports[number] if number < len(self.ports) else 0
             listener = await asyncio.start_server(self._handler(number), "127.0.0.1", port)
@@ -102,18 +103,18 @@
             writer.close()
 
     async def _serve_one(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, node: str) -> bool:
-        first = await reader.read(1)
-        if not first:
+        first_byte = await reader.read(1)
+        if not first_byte:
             return False
         first_byte_s = now_s()
-        head = AttemptHead.parse(first + await reader.readuntil(HEAD_END))
+        head = RequestHead.parse(first_byte + await reader.readuntil(HEAD_END))
         if head.path in ("/_load", "/ping"):
             writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
             return True
         body = await reader.readexactly(int(head.headers.get("content-length", 0)))
-        told_ms = int(head.headers.get("request-timeout-ms", 0))
+        timeout_ms = int(head.headers.get("request-timeout-ms", 0))
         id = head.headers.get("request-id", "")
-        record = ServerRecord(id, node, self.name, first_byte_s, now_s(), told_ms)
+        record = ServerRecord(id, node, self.name, first_byte_s, now_s(), timeout_ms)
         self.records.attempts.append(record)
         return await self._respond(writer, record, len(body))
 
@@ -121,33 +122,33 @@
         record.body = f"{record.id} {self.name} {size} {self.rng.getrandbits(32):x}".encode()
         fault = self._draw_fault()
         if fault is FaultKind.SERVER_REJECT:
-            record.end = ExecutionEnd.NOT_STARTED
+            record.outcome = ExecutionOutcome.NOT_STARTED
             writer.write(b"HTTP/1.1 503 X\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n")
             return True
         factor = SLOW_FACTOR if FaultKind.SERVER_SLOW in self.faults else 1.0
         if fault is FaultKind.SERVER_HANG:
-            await asyncio.sleep(60.0)
-        await asyncio.sleep(self.rng.uniform(*WORK_S) * factor)
+            await asyncio.sleep(HANG_S)
+        await asyncio.sleep(self.rng.uniform(*SERVICE_TIME_S) * factor)
         if fault is FaultKind.SERVER_RESET:
-            record.end = ExecutionEnd.RESET
+            record.outcome = ExecutionOutcome.RESET
             if self.rng.random() < 0.5:
                 writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 400\r\n\r\nhalf")
                 await writer.drain()
             reset(writer)
             return False
         if fault is FaultKind.SERVER_ERROR:
-            record.end = ExecutionEnd.FAILED
+            record.outcome = ExecutionOutcome.FAILED
             writer.write(b"HTTP/1.1 500 X\r\nContent-Length: 0\r\n\r\n")
             return True
-        record.end = ExecutionEnd.ANSWERED
+        record.outcome = ExecutionOutcome.RESPONDED
         if fault is FaultKind.SERVER_UNFRAMED:
             writer.write(b"HTTP/1.1 200 OK\r\n\r\n" + record.body)
             return False
-        answer = b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%b" % (len(record.body), record.body)
-        writer.write(answer)
+        response = b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%b" % (len(record.body), record.body)
+        writer.write(response)
         if fault is FaultKind.SERVER_SURPLUS_RESPONSE:
             await asyncio.sleep(SURPLUS_DELAY_S)
-            writer.write(answer)
+            writer.write(response)
         return True
 
     def _draw_fault(self) -> FaultKind | None:
@@ -157,10 +158,10 @@
 
 
 def reset(writer: asyncio.StreamWriter) -> None:
-    """Close a connection with a reset."""
+    """Close a connection with a TCP reset."""
     sock = writer.get_extra_info("socket")
-    if sock is None:  # it has ended
+    if sock is None:  # the connection is closed
         return
-    with contextlib.suppress(OSError, ValueError):  # ValueError: it has ended just now
+    with contextlib.suppress(OSError, ValueError):  # ValueError: closed concurrently
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
     writer.transport.abort()
--- a/tests/lab/test_soak.py
+++ b/tests/lab/test_soak.py
@@ -1,4 +1,4 @@
-"""The soak's plan and judge; the soak itself is played by `make check`, beside nothing else."""
+"""The plan and the rule checker of a soak. `make check` runs the soak itself, after the other tests."""
 
 from __future__ import annotations
 
@@ -10,26 +10,26 @@
 
 from rosewheel.cli.main import main
 from rosewheel.config.errors import InvalidFileError
-from rosewheel.lab.soak.judge import Judge
+from rosewheel.lab.soak.judge import RuleChecker
 from rosewheel.lab.soak.plan import SoakPlan, draw_plan, encode_plan, keep_only, read_plan
 from rosewheel.lab.soak.planted_node import PLANTS
 from rosewheel.lab.soak.records import (
     ClientRecord,
-    ExecutionEnd,
-    NodeEnd,
+    ExecutionOutcome,
+    NodeExit,
     RequestKind,
     ServerRecord,
     SoakRecords,
 )
 
-LEAST_PLANTS = 6
+MIN_PLANTS = 6
 
 
 def concurrent_faults(plan: SoakPlan, at_s: float) -> int:
     return sum(fault.at_s <= at_s < fault.at_s + fault.for_s for fault in plan.faults)
 
 
-def test_a_plan_depends_on_its_seed_alone_and_replays(tmp_path: Path):
+def test_a_plan_depends_only_on_its_seed_and_can_be_read_back(tmp_path: Path):
     plan = draw_plan(7, 60.0, 24)
     assert plan == draw_plan(7, 60.0, 24) != draw_plan(8, 60.0, 24)
     (tmp_path / "plan.json").write_bytes(encode_plan(plan))
@@ -43,7 +43,7 @@
     assert sum(count >= 2 for count in counts) > len(counts) / 2
 
 
-def test_a_file_that_is_no_plan_is_named(tmp_path: Path):
+def test_an_invalid_plan_file_is_named_in_the_error(tmp_path: Path):
     (tmp_path / "plan.json").write_text("{}")
     with pytest.raises(InvalidFileError, match=r"plan\.json"):
         read_plan(str(tmp_path / "plan.json"))
@@ -52,125 +52,122 @@
 def test_command_lists_plants_and_prints_plans():
     listed = CliRunner().invoke(main, ["soak", "node", "--list-plants"])
     assert listed.output.split() == list(PLANTS)
-    assert len(PLANTS) >= LEAST_PLANTS
+    assert len(PLANTS) >= MIN_PLANTS
     printed = CliRunner().invoke(main, ["soak", "node", "--seed", "7", "--plan"])
     assert printed.output.strip().encode() == encode_plan(draw_plan(7, 60.0, 24))
     assert CliRunner().invoke(main, ["soak", "node", "--only", "x"]).exit_code == 2
 
 
-# ------------------------------------------------------------------------------------------------------- judge
-
-
-def records(kind: RequestKind = RequestKind.POST) -> SoakRecords:
-    """One request, executed once and answered in time."""
+def valid_records(kind: RequestKind = RequestKind.POST) -> SoakRecords:
+    """Return records of one request that was executed once and answered in time."""
     result = SoakRecords()
     request = ClientRecord("r", kind, "n0.1", 1000, is_reused=False, sent_s=10.0)
-    request.answers.append((10.1, 200, b"body"))
+    request.responses.append((10.1, 200, b"body"))
     result.requests["r"] = request
     result.attempts.append(attempt())
     return result
 
 
-def attempt(at_s: float = 10.01, end: ExecutionEnd = ExecutionEnd.ANSWERED) -> ServerRecord:
-    told_ms = max(1, int(1000.0 - (at_s - 10.0) * 1000.0))
-    return ServerRecord("r", "n0.1", "s0", at_s, at_s, told_ms, end, b"body")
+def attempt(at_s: float = 10.01, outcome: ExecutionOutcome = ExecutionOutcome.RESPONDED) -> ServerRecord:
+    timeout_ms = max(1, int(1000.0 - (at_s - 10.0) * 1000.0))
+    return ServerRecord("r", "n0.1", "s0", at_s, at_s, timeout_ms, outcome, b"body")
 
 
-def rules(told: SoakRecords) -> list[str]:
-    return [breach.rule for breach in Judge(told).breaches()]
+def violated_rules(records: SoakRecords) -> list[str]:
+    return [violation.rule for violation in RuleChecker(records).violations()]
 
 
-def unanswered(told: SoakRecords) -> ClientRecord:
-    request = told.requests["r"]
-    request.answers.clear()
+def _lose_response(records: SoakRecords) -> ClientRecord:
+    request = records.requests["r"]
+    request.responses.clear()
     request.closed_s = 10.2
     return request
 
 
-def _second_answer(told: SoakRecords) -> None:
-    told.requests["r"].answers.append((10.2, 200, b"body"))
+def _add_second_response(records: SoakRecords) -> None:
+    records.requests["r"].responses.append((10.2, 200, b"body"))
 
 
-def _late_answer(told: SoakRecords) -> None:
-    told.requests["r"].answers[0] = (11.6, 200, b"body")
+def _delay_response(records: SoakRecords) -> None:
+    records.requests["r"].responses[0] = (11.6, 200, b"body")
 
 
-def _foreign_answer(told: SoakRecords) -> None:
-    told.requests["r"].answers[0] = (10.1, 200, b"other")
+def _replace_response(records: SoakRecords) -> None:
+    records.requests["r"].responses[0] = (10.1, 200, b"other")
 
 
-def _refused_after_execution(told: SoakRecords) -> None:
-    told.requests["r"].answers[0] = (10.1, 503, b"")
+def _reject_after_execution(records: SoakRecords) -> None:
+    records.requests["r"].responses[0] = (10.1, 503, b"")
 
 
-def _executed_twice(told: SoakRecords) -> None:
-    told.attempts.append(attempt(10.05))
+def _execute_twice(records: SoakRecords) -> None:
+    records.attempts.append(attempt(10.05))
 
 
-def _after_the_client(told: SoakRecords) -> None:
-    told.requests["r"].left_s = 9.8
+def _disconnect_before_the_attempt(records: SoakRecords) -> None:
+    records.requests["r"].disconnected_s = 9.8
 
 
-def _to_a_draining_server(told: SoakRecords) -> None:
-    told.notified_drains["n0.1", "s0"] = 9.5
+def _drain_before_the_attempt(records: SoakRecords) -> None:
+    records.notified_drains["n0.1", "s0"] = 9.5
 
 
-def _told_too_much(told: SoakRecords) -> None:
-    told.attempts[0].told_ms = 1250
+def _extend_timeout(records: SoakRecords) -> None:
+    records.attempts[0].timeout_ms = 1250
 
 
-def _unknown_id(told: SoakRecords) -> None:
-    told.attempts[0].id = "x"
-    told.requests["r"].answers[0] = (10.1, 502, b"")
+def _change_request_id(records: SoakRecords) -> None:
+    records.attempts[0].id = "x"
+    records.requests["r"].responses[0] = (10.1, 502, b"")
 
 
-def _violation_counter(told: SoakRecords) -> None:
-    told.statistics["n0.1"] = {"violations": {"one_response": 1}, "active": 0}
+def _count_violation(records: SoakRecords) -> None:
+    records.statistics["n0.1"] = {"violations": {"one_response": 1}, "active": 0}
 
 
 @pytest.mark.parametrize(
     ("rule", "change"),
     [
-        ("one-answer", _second_answer),
-        ("lost", _late_answer),
-        ("lost", unanswered),
-        ("foreign", _foreign_answer),
-        ("refused-ran", _refused_after_execution),
-        ("executed-twice", _executed_twice),
-        ("client-left", _after_the_client),
-        ("drain", _to_a_draining_server),
-        ("told-deadline", _told_too_much),
-        ("unknown-id", _unknown_id),
-        ("violation-counter", _violation_counter),
+        ("one-answer", _add_second_response),
+        ("lost", _delay_response),
+        ("lost", _lose_response),
+        ("foreign", _replace_response),
+        ("refused-ran", _reject_after_execution),
+        ("executed-twice", _execute_twice),
+        ("client-left", _disconnect_before_the_attempt),
+        ("drain", _drain_before_the_attempt),
+        ("told-deadline", _extend_timeout),
+        ("unknown-id", _change_request_id),
+        ("violation-counter", _count_violation),
     ],
 )
-def test_the_judge_sees_each_breach(rule: str, change: Callable[[SoakRecords], object]):
-    told = records()
-    assert rules(told) == []
-    change(told)
-    assert rules(told) == [rule]
+def test_the_checker_finds_each_violation(rule: str, change: Callable[[SoakRecords], object]):
+    records = valid_records()
+    assert violated_rules(records) == []
+    change(records)
+    assert violated_rules(records) == [rule]
 
 
-def test_a_repeat_with_a_key_is_allowed_within_the_window_only():
-    told = records(RequestKind.POINTS)
-    told.attempts.append(attempt(10.5))
-    assert rules(told) == []
-    told.attempts[1] = attempt(11.1)
-    assert "window" in rules(told)
+def test_a_request_with_a_key_may_be_repeated_only_within_the_window():
+    records = valid_records(RequestKind.POINTS)
+    records.attempts.append(attempt(10.5))
+    assert violated_rules(records) == []
+    records.attempts[1] = attempt(11.1)
+    assert "window" in violated_rules(records)
 
 
 @pytest.mark.parametrize("term_s", [None, 9.0])
-def test_a_request_that_met_the_end_of_its_process_is_excused(term_s: float | None):
-    told = records()
-    unanswered(told)
-    told.attempts.clear()
-    told.node_ends.append(NodeEnd("n0.1", term_s, 10.3 if term_s is None else 9.9, 0))
-    assert rules(told) == []
-
-
-def test_a_close_may_cross_a_request_only_where_nothing_was_forwarded():
-    told = records()
-    unanswered(told).is_reused = True
-    assert rules(told) == ["lost"]
-    told.attempts.clear()
-    assert rules(told) == []
+def test_a_request_may_stay_unanswered_if_its_node_process_exits(term_s: float | None):
+    records = valid_records()
+    _lose_response(records)
+    records.attempts.clear()
+    records.node_exits.append(NodeExit("n0.1", term_s, 10.3 if term_s is None else 9.9, 0))
+    assert violated_rules(records) == []
+
+
+def test_a_reused_connection_may_be_closed_only_if_nothing_was_forwarded():
+    records = valid_records()
+    _lose_response(records).is_reused = True
+    assert violated_rules(records) == ["lost"]
+    records.attempts.clear()
+    assert violated_rules(records) == []
