--- a/rosewheel/lab/outcomes.py
+++ b/rosewheel/lab/outcomes.py
@@ -1,4 +1,4 @@
-"""How an attempt of a client, or a call of a server, ended for its sender."""
+"""Outcomes of attempts of clients and of calls between servers, as their senders see them."""
 
 from __future__ import annotations
 
@@ -7,23 +7,24 @@
 
 
 class AttemptFailure(StrEnum):
-    """Why an attempt has no response. Values are those of records."""
+    """Reason for a missing response. The values are written to records."""
 
     NONE = ""
-    UNREACHABLE = "unreachable"  # no connection: nothing was received
-    BROKEN = "broken"  # the connection ended
-    NO_ANSWER = "no answer"  # the client's timeout passed
-    TIMED_OUT = "timed out"  # the timeout of a call passed
-    NO_TIME_LEFT = "no time left"  # a call was not sent, since its deadline had passed
+    UNREACHABLE = "unreachable"  # no connection was established, so nothing was received
+    BROKEN = "broken"  # the connection was closed before the end of the response
+    NO_ANSWER = "no answer"  # the client's timeout expired
+    TIMED_OUT = "timed out"  # the timeout of a call between servers expired
+    NO_TIME_LEFT = "no time left"  # a call between servers was not sent, since too little time was left
 
 
 @dataclass(slots=True, frozen=True)
 class AttemptOutcome:
-    """How an attempt ended.
+    """Outcome of an attempt.
 
     Attributes:
-        status: status of the response; 0 without one.
-        retry_after_s: the wait that the response demands.
+        status: status of the response; 0 without a response.
+        failure: reason for the missing response.
+        retry_after_s: value of the Retry-After header of the response, if any.
     """
 
     status: int = 0
--- a/rosewheel/lab/record_codec.py
+++ b/rosewheel/lab/record_codec.py
@@ -1,4 +1,4 @@
-"""Records of a server from the state of its model, the same for emulated and simulated runs."""
+"""Builds records of servers from their models, for emulated and simulated runs."""
 
 from __future__ import annotations
 
@@ -12,11 +12,11 @@
 
 @dataclass(slots=True, frozen=True)
 class RequestIdentity:
-    """What a server knows of a request.
+    """Identity of a request at a server.
 
     Attributes:
-        sender: node that sent it.
-        operation_id: identity of the client's operation, or of the call of another server.
+        sender: name of the node that sent the request.
+        operation_id: id of the client's operation, or of the call of another server.
     """
 
     sender: str
@@ -36,7 +36,7 @@
     client_connected: bool,
     past_deadline: bool,
 ) -> JobRecord:
-    """How a request ended at a server. Times are ms of the plan's clock."""
+    """Return the record of a request that has ended. Times are in ms from the start of the plan."""
     return JobRecord(
         at_ms=at_ms,
         tier=spec.tier,
@@ -57,7 +57,7 @@
 
 
 def start_record(plan: Plan, spec: ServerSpec, at_ms: float) -> ServerStartRecord:
-    """A server that starts and warms up."""
+    """Return the record of the start of a server."""
     return ServerStartRecord(
         at_ms=at_ms,
         server=spec.name,
@@ -67,7 +67,7 @@
 
 
 def sample_record(server: EmulatedServer, at_ms: float) -> ServerSampleRecord:
-    """The state of a server, its model brought up to now."""
+    """Return the record of the state of a server, whose model must be up to date."""
     spec = server.spec
     return ServerSampleRecord(
         at_ms=at_ms,
--- a/rosewheel/lab/record_types.py
+++ b/rosewheel/lab/record_types.py
@@ -1,6 +1,6 @@
-"""Records of a run as typed values. The keys and tags of the stored form are mapped here and nowhere else.
+"""Typed records of a run. The keys and tags of the stored form are mapped only here.
 
-`at_ms` is the time of the record in ms of the plan's clock, rounded to 0.1 ms.
+`at_ms` is the time of a record in ms from the start of the plan, rounded to 0.1 ms.
 """
 
 from __future__ import annotations
@@ -9,20 +9,17 @@
 
 import msgspec
 
-LOST_JOB = "lost"  # outcome of a job whose server died; other outcomes are the values of `JobResult`
+LOST_JOB = "lost"  # outcome of a job whose server process ended; the other outcomes are values of `JobResult`
 
 
 class RecordFile(StrEnum):
-    """The files of a run's records, without their suffix."""
+    """Name of a file of records, without the suffix."""
 
     RUN = "run"
     LOAD = "load"
     SERVERS = "equipos"
 
 
-# -------------------------------------------------------------------- servers
-
-
 class JobRecord(
     msgspec.Struct,
     frozen=True,
@@ -45,13 +42,14 @@
         "past_deadline": "over",
     },
 ):
-    """How a request ended at a server.
+    """The end of a request at a server.
 
     Attributes:
-        sender: node that sent it.
+        sender: name of the node that sent the request.
         outcome: value of a `JobResult`, or `LOST_JOB`.
+        work_ms: work of the request at this server, in ms of a reference core.
         sender_informed: whether the sender had been notified of this start of the server.
-        started: whether the work had begun.
+        started: whether execution had started.
         client_connected: whether the sender still waited for the response.
     """
 
@@ -84,11 +82,11 @@
         "mean_request_ms": "mean_ms",
     },
 ):
-    """A server has started and warms up.
+    """The start of a server, which then warms up.
 
     Attributes:
-        capacity: work per ms when it is warm.
-        mean_request_ms: its own work for a mean request.
+        capacity: work per ms after the warm-up.
+        mean_request_ms: mean work of a request at this server.
     """
 
     at_ms: float
@@ -111,13 +109,13 @@
         "rejected": "turned_away",
     },
 ):
-    """The state of a server.
+    """A periodic sample of the state of a server.
 
     Attributes:
         state: value of a `LifecycleState`.
-        slowed: whether the lasting slowdown is on.
-        speed_share: its capacity as a share of its capacity when warm and without faults.
-        rejected: requests rejected so far.
+        slowed: whether the overload slowdown is active.
+        speed_share: current capacity as a share of the capacity after the warm-up without faults.
+        rejected: number of requests rejected so far.
     """
 
     at_ms: float
@@ -138,7 +136,7 @@
     tag="told",
     rename={"at_ms": "t", "server": "equipo", "state": "health"},
 ):
-    """A node has been notified of the state of a server; `state` is the value of a `ServerState`."""
+    """The notification of a node about the state of a server; `state` is the value of a `ServerState`."""
 
     at_ms: float
     node: str
@@ -153,7 +151,7 @@
     tag="late",
     rename={"at_ms": "t", "server": "equipo", "state": "health", "operation_id": "op"},
 ):
-    """A request has reached a server too long after its node was notified that the server drains or is gone.
+    """A request that reached a server too long after its node was notified of the server's drain or removal.
 
     Attributes:
         over_ms: time past the limit.
@@ -174,7 +172,7 @@
     tag="fell",
     rename={"at_ms": "t", "server": "equipo", "informed_share": "told_share"},
 ):
-    """A warming server has failed under its load; `informed_share` of it came from informed senders."""
+    """The collapse of a warming server; nodes notified of its start sent `informed_share` of its load."""
 
     at_ms: float
     server: str
@@ -203,10 +201,10 @@
     tag="emulator",
     rename={"at_ms": "t", "timer_count": "timers", "local_nodes_cpu_s": "companions_cpu_s"},
 ):
-    """The emulator's own cost: CPU time since the plan's clock began, and how late its timers were.
+    """CPU time of the emulator since the start of the plan, and the delays of its timers.
 
     Attributes:
-        served: served requests by tier.
+        served: number of served requests by tier.
     """
 
     at_ms: float
@@ -219,9 +217,6 @@
     local_nodes_cpu_s: float
 
 
-# -------------------------------------------------------------------- clients
-
-
 class AttemptRecord(
     msgspec.Struct,
     frozen=True,
@@ -238,10 +233,10 @@
     """One attempt of a client.
 
     Attributes:
-        status: status of the response; 0 without one.
-        failure: why there is no response.
-        resent: the client sent it once more, since its connection had closed as it was sent.
-        foreign_response: the response was not made for this request.
+        status: status of the response; 0 without a response.
+        failure: value of an `AttemptFailure`, the reason for the missing response.
+        resent: whether the client sent the attempt again, since its reused connection was closed meanwhile.
+        foreign_response: whether the response was made for another request.
     """
 
     request_id: str
@@ -272,8 +267,10 @@
     """An operation of a client with all its attempts.
 
     Attributes:
-        planned_ms: when it was to be sent.
-        duration_ms: from that moment to the end of the last attempt.
+        planned_ms: planned time of the first attempt.
+        work_ms: work over all tiers, in ms of a reference core.
+        in_time: whether it was served within the latency objective.
+        duration_ms: time from `planned_ms` to the end of the last attempt.
     """
 
     operation_id: str
@@ -292,7 +289,7 @@
     tag="latency",
     rename={"class_name": "class", "offered": "asked", "p99_9": "p99.9"},
 ):
-    """Operations of a class, and quantiles of the duration of the served ones in ms."""
+    """Numbers of operations of a class, and quantiles in ms of the duration of the served ones."""
 
     class_name: str
     offered: int
@@ -307,38 +304,35 @@
 class ClientsRecord(
     msgspec.Struct, frozen=True, tag_field="e", tag="clients", rename={"surplus_responses": "surplus"}
 ):
-    """Responses that no client had asked for, and how late the clients' own timers were."""
+    """Number of responses that belong to no request, and the maximum delay of the timers of the clients."""
 
     surplus_responses: int
     lag_max_ms: float
 
 
-# ---------------------------------------------------------------------- nodes
-
-
 class NodeKilledRecord(msgspec.Struct, frozen=True, tag_field="e", tag="killed", rename={"at_ms": "t"}):
-    """A process of a node has been killed."""
+    """The kill of a process of a node."""
 
     at_ms: float
     node: str
 
 
 class NodeBackRecord(msgspec.Struct, frozen=True, tag_field="e", tag="back", rename={"at_ms": "t"}):
-    """A restarted or upgraded node serves again."""
+    """A restarted or upgraded node that is ready again."""
 
     at_ms: float
     node: str
 
 
 class NodeCrashRecord(msgspec.Struct, frozen=True, tag_field="e", tag="node-crash", rename={"at_ms": "t"}):
-    """A fault of this kind has begun."""
+    """The start of a node-crash fault."""
 
     at_ms: float
     node: str
 
 
 class NodeLossRecord(msgspec.Struct, frozen=True, tag_field="e", tag="node-loss", rename={"at_ms": "t"}):
-    """A fault of this kind has begun."""
+    """The start of a node-loss fault at one node."""
 
     at_ms: float
     node: str
@@ -347,14 +341,14 @@
 class NodeUpgradeRecord(
     msgspec.Struct, frozen=True, tag_field="e", tag="node-upgrade", rename={"at_ms": "t"}
 ):
-    """A fault of this kind has begun."""
+    """The start of a node-upgrade fault."""
 
     at_ms: float
     node: str
 
 
 class NodeProcessRecord(msgspec.Struct, frozen=True, tag_field="e", tag="process", rename={"at_ms": "t"}):
-    """Memory and descriptors of a node's process."""
+    """Memory and number of open file descriptors of a node process."""
 
     at_ms: float
     node: str
@@ -392,5 +386,5 @@
 
 
 def record_tag(record: Record) -> str:
-    """The kind of a record by the word of its stored form."""
+    """Return the tag of a record in its stored form."""
     return str(record.__struct_config__.tag)
--- a/rosewheel/lab/records.py
+++ b/rosewheel/lab/records.py
@@ -1,4 +1,4 @@
-"""Files of records: one JSON object a line, readable up to the last complete line whatever ended the writer."""
+"""Files of records with one JSON object per line, readable up to the last complete line after a crash."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class RecordWriter:
-    """Writes records to a file. Lines are buffered up to `FLUSH_BYTES`, or until `flush`."""
+    """Writes records to a file, with a buffer of up to `FLUSH_BYTES`."""
 
     def __init__(self, path: Path) -> None:
         self._file = path.open("wb")
@@ -27,14 +27,14 @@
         self.write_line(self._encode(record))
 
     def write_line(self, line: bytes) -> None:
-        """Write a record that is already encoded."""
+        """Write an encoded record."""
         self._lines.append(line)
         self._buffered_bytes += len(line)
         if self._buffered_bytes > FLUSH_BYTES:
             self.flush()
 
     def flush(self) -> None:
-        """Pass buffered lines to the system."""
+        """Write the buffered lines to the file."""
         if self._lines:
             self._file.write(b"\n".join(self._lines) + b"\n")
             self._file.flush()
@@ -47,21 +47,21 @@
 
 
 def read_records(path: Path) -> Iterator[dict[str, Any]]:
-    """Every complete line as a plain object by the keys of the stored form; nothing where there is no file."""
+    """Yield the records of a file as dictionaries with the keys of the stored form; none if the file is missing."""
     decode = msgspec.json.Decoder(dict[str, Any]).decode
     for line in _lines(path):
         try:
             record = decode(line)
-        except msgspec.DecodeError:  # the torn last line of a writer that was killed
+        except msgspec.DecodeError:  # last line, incomplete because the writer was killed
             continue
         yield record
 
 
 def load_records(folder: Path, name: RecordFile) -> Iterator[Record]:
-    """Every record of one file of a run.
+    """Yield the records of one file of a run; none if the file is missing.
 
     Raises:
-        msgspec.ValidationError: a complete line is no record.
+        msgspec.ValidationError: a complete line is not a record.
     """
     decode = msgspec.json.Decoder(Record).decode
     for line in _lines(folder / f"{name}.jsonl"):
@@ -69,7 +69,7 @@
             record = decode(line)
         except msgspec.ValidationError:
             raise
-        except msgspec.DecodeError:  # the torn last line of a writer that was killed
+        except msgspec.DecodeError:  # last line, incomplete because the writer was killed
             continue
         yield record
 
