--- a/rosewheel/lab/plan.py
+++ b/rosewheel/lab/plan.py
@@ -1,6 +1,6 @@
-"""A scenario under a seed: the parameters of every server, every arrival, and every step of every fault.
+"""The plan of a run: everything that a seed draws for a scenario, such as servers, arrivals and fault steps.
 
-A plan depends on nothing else: the same scenario and seed give the same plan byte for byte on every machine.
+The same scenario and seed give the same plan, byte for byte, on every machine.
 """
 
 from __future__ import annotations
@@ -23,12 +23,13 @@
 
     Attributes:
         servers: servers that run from the start.
-        deployed_servers: servers that deploys start.
-        edges: by tier, the tiers that it calls and the mean number of calls for each request.
-        attempt_timeout_share: part of a class's deadline after which a client abandons an attempt.
+        deployed_servers: servers that are started by deploys.
+        edges: for each tier, the tiers that it calls and the mean number of calls per request.
+        steps: steps of all faults in order of time.
+        attempt_timeout_share: share of the class's deadline after which a client abandons an attempt.
         backoff_ms: delay of a client before its first retry.
-        retry_after_share: share of the clients that wait as long as Retry-After demands.
-        node_notice_ms: time until clients learn that a node is dead, or back.
+        retry_after_share: share of the clients that comply with Retry-After.
+        node_notice_ms: time until clients notice that a node is down or ready again.
     """
 
     scenario: Scenario
@@ -45,11 +46,11 @@
     node_notice_ms: float
 
     def server_spec(self, name: str) -> ServerSpec:
-        """The parameters of the server with this name."""
+        """Return the parameters of the server with this name."""
         return next(spec for spec in (*self.servers, *self.deployed_servers) if spec.name == name)
 
     def fault_duration_ms(self, step: FaultStep) -> float:
-        """Time from this step to the end of its fault; 0 where the fault has no end."""
+        """Return the time from this step to the end of its fault; 0 if the fault has no end."""
         ends = [
             other.at_ms for other in self.steps if other.fault == step.fault and other.phase is FaultPhase.END
         ]
@@ -57,7 +58,7 @@
 
 
 def make(scenario: Scenario, seed: int | None = None) -> Plan:
-    """The plan of a scenario under this seed, or under the scenario's own."""
+    """Return the plan of a scenario for this seed; for None, for the seed of the scenario."""
     seed = scenario.seed if seed is None else seed
     servers = tuple(draw_servers(scenario, seed))
     steps, deployed_servers = schedule_faults(scenario, seed, servers)
@@ -91,8 +92,8 @@
                 mean = caller.outgoing_calls[number].calls_per_request
             else:
                 mean = callee.calls_per_request
-            # The first caller in the file draws as the tier above does in a list of tiers, so that a list and the
-            # same graph give the same plan.
+            # The first caller of a tier draws without its own name, as in a list of tiers, so that a list of tiers
+            # and the equivalent call graph give the same plan.
             names = (callee.name, caller.name) if callee.name in drawn else (callee.name,)
             calls.append((callee_index, draw_range(mean, seed, "calls", *names)))
             drawn.add(callee.name)
--- a/rosewheel/lab/plan_arrivals.py
+++ b/rosewheel/lab/plan_arrivals.py
@@ -1,4 +1,4 @@
-"""Arrivals of a plan: when clients send a first attempt, of which class and with how much work."""
+"""Arrivals of a plan: time, class and work of each operation of the clients."""
 
 from __future__ import annotations
 
@@ -16,13 +16,13 @@
 
 @dataclass(slots=True, frozen=True)
 class Arrival:
-    """The first attempt of one operation of a client.
+    """The arrival of one operation of a client.
 
     Attributes:
-        at_ms: when it is sent, from the start of the plan.
-        class_name: its class of requests.
-        work_ms: its work over all tiers, in ms of a reference core.
-        operation_id: identity of the operation; all its attempts share it.
+        at_ms: time of the first attempt, from the start of the plan.
+        class_name: name of the request class.
+        work_ms: work over all tiers, in ms of a reference core.
+        operation_id: id of the operation, which all its attempts share.
     """
 
     at_ms: float
@@ -33,7 +33,7 @@
 
 @dataclass(slots=True, frozen=True)
 class ClassParameters:
-    """The drawn parameters of a class of requests; see `tables.ClassTable`."""
+    """Drawn parameters of a request class; see `tables.ClassTable`."""
 
     name: str
     share: float
@@ -43,7 +43,7 @@
 
 
 def draw_classes(scenario: Scenario, seed: int) -> tuple[ClassParameters, ...]:
-    """The parameters of all classes."""
+    """Return the parameters of all request classes."""
     return tuple(
         ClassParameters(
             row.name,
@@ -57,7 +57,7 @@
 
 
 def draw_arrivals(scenario: Scenario, seed: int, classes: tuple[ClassParameters, ...]) -> Iterator[Arrival]:
-    """A Poisson process whose rate follows the scenario's shape, bursts and surges, in order of time."""
+    """Yield the arrivals in order of time: a Poisson process whose rate follows the shape, bursts and surges."""
     times = _arrival_times(scenario, seed)
     shares = np.array([row.share for row in classes])
     picks = random_stream(seed, "classes").choice(len(classes), len(times), p=shares / shares.sum())
@@ -70,7 +70,7 @@
 
 
 def _arrival_times(scenario: Scenario, seed: int) -> np.ndarray:
-    """Sorted times in ms. The rate is constant within each interval of `burst_ms`."""
+    """Return sorted times in ms. The rate is constant within each interval of `burst_ms`."""
     clients, rng = scenario.clients, random_stream(seed, "arrivals")
     intervals = int(np.ceil(scenario.seconds * 1000.0 / clients.burst_ms))
     bursts = np.ones(intervals)
@@ -86,7 +86,7 @@
 
 
 def _rate_factors(scenario: Scenario, seed: int, at_s: np.ndarray) -> np.ndarray:
-    """The load at these times as a factor of the scenario's rate."""
+    """Return the rates at these times as multiples of the scenario's rate."""
     factors = np.ones_like(at_s)
     if scenario.clients.shape:
         points = np.array(scenario.clients.shape, dtype=float)
@@ -101,7 +101,7 @@
 
 
 def _work_factor(table: ClassTable, cv: float, normal: float, exponential: float) -> float:
-    """A factor with mean 1 by the class's distribution, from standard draws."""
+    """Return a factor with mean 1 by the distribution of the class, from standard normal and exponential draws."""
     if table.distribution == "lognormal" and cv > 0.0:
         sigma = math.sqrt(math.log(1.0 + cv**2))
         return math.exp(sigma * normal - sigma * sigma / 2.0)
--- a/rosewheel/lab/plan_codec.py
+++ b/rosewheel/lab/plan_codec.py
@@ -1,6 +1,6 @@
-"""The stored form of a plan: one JSON object a line, and the digest of all lines.
+"""The stored form of a plan, one JSON object per line, and its digest.
 
-The keys are older than the names of the code; they are mapped here and nowhere else.
+The keys differ from the names in the code and are mapped only here.
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
 
 
 def plan_lines(plan: Plan) -> Iterator[bytes]:
-    """The plan as JSON, one object a line."""
+    """Yield the lines of a plan, each a JSON object."""
     encode = msgspec.json.Encoder(order="deterministic").encode
     yield encode(_header(plan))
     for row in plan.classes:
@@ -35,7 +35,7 @@
 
 
 def plan_digest(plan: Plan) -> str:
-    """A digest of the plan; equal plans have equal digests on every machine."""
+    """Return the digest of a plan; equal plans have equal digests on every machine."""
     return hashlib.blake2b(b"\n".join(plan_lines(plan)), digest_size=DIGEST_BYTES).hexdigest()
 
 
@@ -52,7 +52,7 @@
 
 
 def _calls(plan: Plan) -> object:
-    """For a list of tiers the calls for each request of the tier above; for a graph by caller and callee."""
+    """Return the mean calls per request: for a list of tiers by tier, for a call graph by caller and callee."""
     tiers = plan.scenario.tiers
     if plan.scenario.chain:
         return (1.0, *(mean for calls in plan.edges for _, mean in calls))
--- a/rosewheel/lab/plan_faults.py
+++ b/rosewheel/lab/plan_faults.py
@@ -1,4 +1,4 @@
-"""The timeline of faults of a plan: each step with its moment and the servers or nodes that it concerns."""
+"""Fault steps of a plan: their times, and the servers or nodes that they affect."""
 
 from __future__ import annotations
 
@@ -13,22 +13,20 @@
 from rosewheel.lab.server_model import ServerSpec
 from rosewheel.lab.tables import Range
 
-# A server that replaces another one has nearly the same speed.
-REPLACEMENT_SPEED = (0.9, 1.1)
-# Length of a phase of a neighbour, as a factor of the mean.
-NEIGHBOUR_PHASE = (0.5, 1.5)
+REPLACEMENT_SPEED = (0.9, 1.1)  # speed of a replacement as a factor of the replaced server's speed
+NEIGHBOUR_PHASE = (0.5, 1.5)  # length of a phase of a noisy neighbour as a factor of the mean
 
 
 class FaultPhase(StrEnum):
-    """What happens in a step. Values are those of records."""
+    """Phase of a fault that a step starts. The values are written to records."""
 
     BEGIN = "begin"
     END = "end"
-    DRAIN = "drain"  # of a deploy
-    STOP = "stop"  # of a deploy
-    START = "start"  # of a deploy
-    AWAY = "away"  # of a discovery storm: reported as draining
-    BACK = "back"  # of a discovery storm
+    DRAIN = "drain"  # deploy: the servers are drained
+    STOP = "stop"  # deploy: the servers are stopped
+    START = "start"  # deploy: the replacements are started
+    AWAY = "away"  # discovery storm: the servers are reported as draining
+    BACK = "back"  # discovery storm: the servers are reported as active again
 
 
 @dataclass(slots=True, frozen=True)
@@ -36,11 +34,11 @@
     """One step of a fault.
 
     Attributes:
-        at_ms: its moment, from the start of the plan.
+        at_ms: time from the start of the plan.
         fault: index of the fault in the scenario.
-        targets: names of the servers concerned; of the nodes, where the fault concerns several nodes.
+        targets: names of the affected servers; for `node-loss` and `front-shift` of the affected nodes.
         size: drawn size of the fault.
-        share: the fault's share.
+        share: `share` of the fault's table.
     """
 
     at_ms: float
@@ -52,7 +50,7 @@
 
 
 def zones_of(scenario: Scenario, fault: FaultTable) -> tuple[str, ...]:
-    """The zones that a fault is restricted to; all zones where it names none."""
+    """Return the zones that a fault is restricted to; all zones if it names neither a zone nor a region."""
     if fault.zone:
         return (fault.zone,)
     return next((region.zones for region in scenario.regions if region.name == fault.region), scenario.zones)
@@ -61,7 +59,7 @@
 def schedule_faults(
     scenario: Scenario, seed: int, servers: tuple[ServerSpec, ...]
 ) -> tuple[tuple[FaultStep, ...], tuple[ServerSpec, ...]]:
-    """All steps in order of time, and the servers that deploys start."""
+    """Return all steps in order of time, and the servers that are started by deploys."""
     scheduler = _FaultScheduler(scenario, seed, servers)
     for index, fault in enumerate(scenario.faults):
         scheduler.add(index, fault)
@@ -71,7 +69,7 @@
 
 @dataclass(slots=True, frozen=True)
 class _DrawnFault:
-    """A fault with the values that are drawn for it."""
+    """A fault with its drawn values."""
 
     seed: int
     index: int
@@ -83,12 +81,12 @@
     size: float
 
     def draw(self, value: Range, key: str) -> float:
-        """A draw from a range by a stream of this fault."""
+        """Draw from a range by the random stream of this fault and key."""
         return draw_range(value, self.seed, "trouble", self.index, key)
 
 
 class _FaultScheduler:
-    """Collects the steps of all faults, in order of the scenario."""
+    """Collects the steps of the faults, which are added in the order of the scenario."""
 
     def __init__(self, scenario: Scenario, seed: int, servers: tuple[ServerSpec, ...]) -> None:
         self.scenario, self.seed, self.servers = scenario, seed, servers
@@ -96,8 +94,8 @@
         self.deployed: list[ServerSpec] = []
 
     def add(self, index: int, table: FaultTable) -> None:
-        """Draw a fault and add its steps."""
-        fault = self._drawn(index, table)
+        """Draw the values of a fault and add its steps."""
+        fault = self._draw(index, table)
         match table.kind:
             case FaultKind.DEPLOY:
                 self.steps += self._deploy_steps(fault)
@@ -106,9 +104,9 @@
             case FaultKind.DISCOVERY_STORM:
                 self.steps += _storm_steps(fault)
             case _:
-                self.steps += _plain_steps(fault)
+                self.steps += _begin_and_end_steps(fault)
 
-    def _drawn(self, index: int, table: FaultTable) -> _DrawnFault:
+    def _draw(self, index: int, table: FaultTable) -> _DrawnFault:
         candidates = self._candidates(table)
         permutation = random_stream(self.seed, "trouble", index, "on").permutation(len(candidates))
         shuffled = [candidates[pick] for pick in permutation]
@@ -125,7 +123,7 @@
         )
 
     def _candidates(self, fault: FaultTable) -> list[str]:
-        """Names of the servers or nodes from which the targets are drawn."""
+        """Return the names of the servers or nodes from which the targets are drawn."""
         if fault.deployed_only:
             return self._deployed_before(fault)
         if fault.kind in (FaultKind.NODE_LOSS, FaultKind.CLIENT_SHIFT):
@@ -152,7 +150,7 @@
         return tiers[spec.tier].name == (fault.tier_name or tiers[0].name)
 
     def _deploy_steps(self, fault: _DrawnFault) -> Iterator[FaultStep]:
-        """Batches that drain, stop, and are replaced by warming servers of the same kinds under new names."""
+        """Yield steps that drain, stop and replace the targets in batches, by new servers of the same kinds."""
         batch_size = max(1, round(fault.size * fault.candidate_count))
         targets = fault.targets
         batches = [targets[first : first + batch_size] for first in range(0, len(targets), batch_size)]
@@ -176,7 +174,7 @@
 
 
 def _neighbour_steps(fault: _DrawnFault) -> Iterator[FaultStep]:
-    """Another program that starts and stops, on each server in its own time."""
+    """Yield the phases of another program, which starts and stops at independent times on each target."""
     mean_ms = fault.draw(fault.table.period_s, "on_s") * 1000.0
     for name in fault.targets:
         rng = random_stream(fault.seed, "trouble", fault.index, "neighbour", name)
@@ -190,7 +188,7 @@
 
 
 def _storm_steps(fault: _DrawnFault) -> Iterator[FaultStep]:
-    """All targets reported as draining, and as back half a round later, in `size` rounds."""
+    """Yield `size` rounds, in each of which all targets are reported as draining and half a round later as active."""
     rounds = max(1, round(fault.size))
     length_ms = fault.end_ms - fault.begin_ms
     for number in range(rounds):
@@ -200,7 +198,7 @@
         yield FaultStep(back_ms, fault.index, FaultPhase.BACK, fault.targets)
 
 
-def _plain_steps(fault: _DrawnFault) -> Iterator[FaultStep]:
+def _begin_and_end_steps(fault: _DrawnFault) -> Iterator[FaultStep]:
     share = fault.table.share
     yield FaultStep(fault.begin_ms, fault.index, FaultPhase.BEGIN, fault.targets, fault.size, share)
     if fault.end_ms > fault.begin_ms:
--- a/rosewheel/lab/plan_servers.py
+++ b/rosewheel/lab/plan_servers.py
@@ -1,4 +1,4 @@
-"""Servers of a plan: the parameters of each, drawn from the ranges of its tier and kind."""
+"""Servers of a plan, whose parameters are drawn from the ranges of their tier and kind."""
 
 from __future__ import annotations
 
@@ -16,45 +16,45 @@
 
 
 def draw_servers(scenario: Scenario, seed: int) -> Iterator[ServerSpec]:
-    """All servers that run from the start, tier by tier and kind by kind."""
+    """Yield the servers that run from the start, in order of tiers and kinds."""
     for index, tier in enumerate(scenario.tiers):
         yield from _TierDraw(scenario, seed, index, tier).servers()
 
 
 class _TierDraw:
-    """Draws the servers of one tier. Those of a kind share the kind's draws; only the speed is a server's own."""
+    """Draws the servers of one tier. Servers of a kind share all drawn values except the speed."""
 
     def __init__(self, scenario: Scenario, seed: int, index: int, tier: TierTable) -> None:
         self.scenario, self.seed, self.index, self.tier = scenario, seed, index, tier
         self.zones = tier.zones or scenario.zones
-        # Cells lie within a zone: each zone has as many as the fullest zone needs.
-        fullest_zone = math.ceil(sum(kind.count for kind in tier.kinds) / len(self.zones))
-        self.cells_per_zone = math.ceil(fullest_zone / tier.cell_size)
+        # Cells lie within a zone; each zone has as many cells as the zone with the most servers needs.
+        max_zone_size = math.ceil(sum(kind.count for kind in tier.kinds) / len(self.zones))
+        self.cells_per_zone = math.ceil(max_zone_size / tier.cell_size)
 
     def servers(self) -> Iterator[ServerSpec]:
-        """The servers in order of their numbers. Zones and cells take them in turn, whatever their kind."""
+        """Yield the servers in order of their numbers, which are assigned to zones and cells round-robin."""
         number = 0
         for kind in self.tier.kinds:
             if not kind.count:
                 continue
             template = self._template(kind)
-            for index_of_kind in range(kind.count):
-                yield self._placed(template, kind, index_of_kind, number)
+            for index_in_kind in range(kind.count):
+                yield self._server(template, kind, index_in_kind, number)
                 number += 1
 
-    def _placed(
-        self, template: ServerSpec, kind: ServerKindTable, index_of_kind: int, number: int
+    def _server(
+        self, template: ServerSpec, kind: ServerKindTable, index_in_kind: int, number: int
     ) -> ServerSpec:
         name = f"{self.tier.name}-{number}"
         speed = (
-            kind.speeds[index_of_kind] if kind.speeds else self._draw(kind.speed, kind.name, name, "speed")
+            kind.speeds[index_in_kind] if kind.speeds else self._draw(kind.speed, kind.name, name, "speed")
         )
-        zone, number_in_zone = number % len(self.zones), number // len(self.zones)
+        zone_index, number_in_zone = number % len(self.zones), number // len(self.zones)
         return dataclasses.replace(
             template,
             name=name,
-            zone=self.zones[zone],
-            cell=zone * self.cells_per_zone + number_in_zone % self.cells_per_zone,
+            zone=self.zones[zone_index],
+            cell=zone_index * self.cells_per_zone + number_in_zone % self.cells_per_zone,
             speed=speed,
         )
 
@@ -64,7 +64,7 @@
     def _template(self, kind: ServerKindTable) -> ServerSpec:
         tier, rules, draw = self.tier, self.scenario.rules, self._draw
 
-        def of_kind(value: Range, key: str) -> float:
+        def draw_for_kind(value: Range, key: str) -> float:
             return draw(value, kind.name, key)
 
         return ServerSpec(
@@ -72,19 +72,21 @@
             tier=self.index,
             kind=kind.name,
             cores=kind.cores,
-            concurrency_limit=max(1, round(of_kind(kind.concurrency_limit, "slots"))),
-            queue_limit=round(of_kind(kind.queue_limit, "queue")),
-            contention_factor=of_kind(kind.contention_factor, "thrash"),
-            contention_threshold=of_kind(kind.contention_threshold, "knee"),
-            warm_up_initial_share=max(MIN_WARM_UP_SHARE, of_kind(kind.warm_up_initial_share, "cold_from")),
-            warm_up_ms=of_kind(kind.warm_up_s, "cold") * 1000.0,
+            concurrency_limit=max(1, round(draw_for_kind(kind.concurrency_limit, "slots"))),
+            queue_limit=round(draw_for_kind(kind.queue_limit, "queue")),
+            contention_factor=draw_for_kind(kind.contention_factor, "thrash"),
+            contention_threshold=draw_for_kind(kind.contention_threshold, "knee"),
+            warm_up_initial_share=max(
+                MIN_WARM_UP_SHARE, draw_for_kind(kind.warm_up_initial_share, "cold_from")
+            ),
+            warm_up_ms=draw_for_kind(kind.warm_up_s, "cold") * 1000.0,
             slowdown=self._slowdown(),
             overload_factor=rules.overload_factor,
             overload_window_ms=rules.overload_window_ms,
-            pause_interval_ms=of_kind(kind.pause_interval_s, "pause_every") * 1000.0,
-            pause_ms=of_kind(kind.pause_ms, "pause"),
-            pause_growth=of_kind(kind.pause_growth, "pause_grow"),
-            error_rate=of_kind(kind.error_rate, "error_rate"),
+            pause_interval_ms=draw_for_kind(kind.pause_interval_s, "pause_every") * 1000.0,
+            pause_ms=draw_for_kind(kind.pause_ms, "pause"),
+            pause_growth=draw_for_kind(kind.pause_growth, "pause_grow"),
+            error_rate=draw_for_kind(kind.error_rate, "error_rate"),
             report_period_ms=max(MIN_REPORT_PERIOD_MS, draw(tier.report.period_ms, "report")),
             report_delay_ms=draw(tier.report.delay_ms, "report_delay"),
             report_noise=draw(tier.report.noise, "report_noise"),
