--- a/rosewheel/lab/run_summary.py
+++ b/rosewheel/lab/run_summary.py
@@ -1,4 +1,4 @@
-"""The summary of one run, from its records and its clients."""
+"""The summary of one run on sockets, from its records and the statistics of its clients."""
 
 from __future__ import annotations
 
@@ -15,22 +15,24 @@
 from rosewheel.lab.record_types import EmulatorRecord, NodeBackRecord, NodeProcessRecord, RecordFile
 from rosewheel.lab.records import load_records
 
-# A late timer delays a response by as much. Where one in a hundred is later than this share of the shortest latency
-# objective, the emulator itself may have moved the service by a point, and the run says nothing.
+# Late timers of the emulator delay responses. A run is void if the 99th percentile of their lag exceeds this share of
+# the shortest latency objective, since the lag alone may then have changed the service by a percentage point.
 VOID_LAG_SHARE = 0.01
-CLIENT_LAG_FACTOR = 10.0  # the clients' largest lag may be this many times as long
-UNKNOWN_LAG_MS = 1e9  # of an emulator that left no record
-AFTER_RESTART_MS = 10_000.0
+CLIENT_LAG_FACTOR = 10.0  # the maximum lag of the clients may be this multiple of that limit
+UNKNOWN_LAG_MS = 1e9  # lag of an emulator without a record
+AFTER_RESTART_MS = 10_000.0  # window after the restart of a node in which the service is measured
 QUARTERS = 4
 
 
 @dataclass(slots=True, frozen=True)
 class RunMeasurements:
-    """What was measured beside the records.
+    """Measurements of a run that are not in its records.
 
     Attributes:
-        crashed: nodes whose process has ended by itself.
+        wall_s: duration of the run in real time.
+        crashed: nodes whose process exited unexpectedly.
         nodes_cpu_s: CPU time of the nodes that clients reach.
+        memory_mb: resident memory of the largest node process.
     """
 
     wall_s: float
@@ -40,7 +42,7 @@
 
 
 def summarize_run(plan: Plan, folder: Path, load: LoadGenerator, measured: RunMeasurements) -> dict[str, Any]:
-    """The summary, which has keys in common with that of a simulated run."""
+    """Return the summary of a run, which shares keys with the summary of a simulated run."""
     scenario = plan.scenario
     violations = check_records(scenario, folder)
     emulator = _emulator_record(folder)
@@ -92,7 +94,7 @@
 
 
 def _quarters(folder: Path, length_ms: float) -> list[dict[str, float]]:
-    """By quarter of the run: medians over all processes and samples, and the most processes at one time."""
+    """Return for each quarter of the run the medians over all samples, and the maximum number of processes."""
     records = [
         record for record in load_records(folder, RecordFile.RUN) if isinstance(record, NodeProcessRecord)
     ]
@@ -114,7 +116,7 @@
 
 
 def _service_after_restarts(folder: Path, load: LoadGenerator) -> float | None:
-    """Mean service in the time after each restart of a node; None without one."""
+    """Return the mean service within `AFTER_RESTART_MS` after each restart of a node; None without a restart."""
     windows = [
         load.service(record.at_ms, record.at_ms + AFTER_RESTART_MS)
         for record in load_records(folder, RecordFile.RUN)
