--- a/rosewheel/lab/fault_table.py
+++ b/rosewheel/lab/fault_table.py
@@ -1,4 +1,4 @@
-"""Faults of a scenario file (its `trouble` tables): what breaks, when, for how long, and where."""
+"""Faults of a scenario file (its `trouble` tables)."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class FaultKind(StrEnum):
-    """What breaks. Values are those of scenario files and records."""
+    """Kind of a fault. The values are used in scenario files and records."""
 
     SLOW = "slow"
     NEIGHBOUR = "neighbour"
@@ -36,7 +36,7 @@
 
 
 class ConnectionFaultKind(StrEnum):
-    """What happens to a connection with a fault. Values are those of scenario files."""
+    """Kind of a connection fault. The values are used in scenario files."""
 
     REFUSE = "refuse"
     RESET = "reset"
@@ -47,15 +47,15 @@
 
 
 class KilledProcess(StrEnum):
-    """The process of a node upgrade that is killed. Values are those of scenario files."""
+    """Process that is killed during a node upgrade. The values are used in scenario files."""
 
     NONE = ""
-    STARTING = "starting"  # the new one, before the old one is asked to stop
-    NEW = "new"  # the new one, after the old one was asked to stop
+    STARTING = "starting"  # the new process, before the old one is asked to stop
+    NEW = "new"  # the new process, after the old one was asked to stop
     OLD = "old"
 
 
-# Faults of a zone or region and of everything in it.
+# Faults that affect everything in a zone or region.
 ZONE_FAULT_KINDS = (FaultKind.ZONE_LOSS, FaultKind.ZONE_PARTITION)
 # Faults that may be restricted to a zone or region.
 ZONAL_FAULT_KINDS = (
@@ -66,13 +66,14 @@
     FaultKind.CRASH,
     FaultKind.MACHINE_UNREACHABLE,
 )
-# Faults that may have no end: a server stays away, a node is started again at once.
+# Faults that may have no duration: a server then stays down, and a node is restarted at once.
 OPEN_ENDED_FAULT_KINDS = (
     FaultKind.CRASH,
     FaultKind.NODE_CRASH,
     FaultKind.NODE_UPGRADE,
     FaultKind.NODE_LOSS,
 )
+# Faults that need a size.
 SIZED_FAULT_KINDS = (
     FaultKind.SLOW,
     FaultKind.NEIGHBOUR,
@@ -104,25 +105,26 @@
     """One fault.
 
     Attributes:
-        tier: tier of the servers concerned; the first one, or all of `zone` or `region`, where it is empty.
-        service: the same in a call graph.
-        zone: only servers of this zone.
-        region: only servers of this region.
-        share: part of the tier's servers; of the connections for `faults`; of the nodes for `node-loss` (those that
-            die) and `front-shift` (those that get all clients).
+        at_s: start time, from the start of the run.
+        tier: tier of the affected servers; if empty, the first tier, or all tiers if `zone` or `region` is given.
+        service: service of the affected servers, in place of `tier` in a call graph.
+        zone: zone to which the fault is restricted.
+        region: region to which the fault is restricted.
+        share: share of the servers; for `faults` of the connections; for `node-loss` of the nodes, which go down; for
+            `front-shift` of the nodes, which get all clients.
         size: `slow`: factor of the time that work takes. `neighbour`: share of the machine taken. `deploy`: share of
-            the tier replaced at a time. `errors`: share of the requests that fail at once. `discovery-lag`: seconds.
-            `surge`: factor of the load. `discovery-storm`: how often all servers are reported as draining and back.
-            `retry-storm`: retries above the usual number.
-        period_s: `neighbour`: how long it runs, and pauses, at a time.
-        drain_s: `deploy`: from the drain to the stop.
-        boot_s: `deploy`: from the drain to the start of the new servers.
-        deployed_only: `errors`, `slow`: only servers that earlier deploys of the file have started by then.
-        new_process: `vanish`: what returns is a new process.
+            the tier replaced at a time. `errors`: share of the requests that fail at once. `discovery-lag`: delay in
+            seconds. `surge`: factor of the load. `discovery-storm`: number of times that all servers are reported as
+            draining and then as active. `retry-storm`: number of retries above the usual limit.
+        period_s: `neighbour`: mean time for which it runs, and for which it pauses.
+        drain_s: `deploy`: time from the drain to the stop.
+        boot_s: `deploy`: time from the drain to the start of the new servers.
+        deployed_only: `errors`, `slow`: only affect servers that earlier deploys have started by then.
+        new_process: `vanish`: the server returns as a new process.
         delay_ms: `faults`: delay of a response.
-        node_index: `node-crash`, `node-upgrade`: the node.
-        killed_process: `node-upgrade`: the process that is killed; the last process of a node is started again.
-        kill_delay_ms: time between the start of the new process, or the stop of the old one, and the kill.
+        node_index: `node-crash`, `node-upgrade`: number of the node, from 0.
+        killed_process: `node-upgrade`: process that is killed; a node without any process left is restarted.
+        kill_delay_ms: `node-upgrade`: time from the start of the new process, or the stop of the old one, to the kill.
     """
 
     kind: FaultKind
@@ -147,7 +149,7 @@
 
     @property
     def tier_name(self) -> str:
-        """The tier or service that is named; empty where there is none."""
+        """The `service` or `tier`; empty if neither is given."""
         return self.service or self.tier
 
     @property
@@ -164,37 +166,35 @@
     def _check_options(self) -> None:
         kind = self.kind.value
         if self.killed_process and self.kind is not FaultKind.NODE_UPGRADE:
-            raise InvalidValueError("kills", f"no process is killed by a trouble of kind {kind}")
+            raise InvalidValueError("kills", f"only allowed for kind node-upgrade, not {kind}")
         if self.kind in SIZED_FAULT_KINDS and self.size == 0.0:
-            raise InvalidValueError("size", f"a trouble of kind {kind} needs one above zero")
+            raise InvalidValueError("size", f"must be above zero for kind {kind}")
         if self.new_process and self.kind is not FaultKind.MACHINE_UNREACHABLE:
-            raise InvalidValueError("cold", f"a trouble of kind {kind} brings nothing back that could be")
+            raise InvalidValueError("cold", f"only allowed for kind vanish, not {kind}")
         if self.deployed_only and self.kind not in (FaultKind.ERRORS, FaultKind.SLOW):
-            raise InvalidValueError(
-                "fresh", f"a trouble of kind {kind} does not tell new equipos from old ones"
-            )
+            raise InvalidValueError("fresh", f"only allowed for kinds errors and slow, not {kind}")
 
     def _check_size(self) -> None:
         if self.kind is FaultKind.ERRORS and upper_bound(self.size) > 1.0:
-            raise InvalidValueError("size", "more than all of what comes")
+            raise InvalidValueError("size", "a share of the requests must not be above 1")
         if self.kind is FaultKind.NEIGHBOUR and upper_bound(self.size) >= 1.0:
-            raise InvalidValueError("size", "the other program leaves nothing")
+            raise InvalidValueError("size", "a share of the machine must be below 1")
 
     def _check_place(self) -> None:
         kind = self.kind.value
         if self.tier and self.service:
-            raise InvalidValueError("service", "a tier is named as well")
+            raise InvalidValueError("service", "must not be given together with tier")
         if self.zone and self.region:
-            raise InvalidValueError("region", "a zone is named as well")
+            raise InvalidValueError("region", "must not be given together with zone")
         place = "zone" if self.zone else "region" if self.region else ""
         if place and self.kind not in ZONAL_FAULT_KINDS:
-            raise InvalidValueError(place, f"a trouble of kind {kind} is not held to a {place}")
+            raise InvalidValueError(place, f"a fault of kind {kind} cannot be restricted to a {place}")
         if self.kind not in ZONE_FAULT_KINDS:
             return
         if not place:
-            raise InvalidValueError("zone", f"a trouble of kind {kind} needs a zone or a region")
+            raise InvalidValueError("zone", f"a fault of kind {kind} needs a zone or a region")
         if self.tier_name or self.share != 1.0:
             raise InvalidValueError(
                 "part" if self.share != 1.0 else "service" if self.service else "tier",
-                f"a trouble of kind {kind} befalls all that lies there",
+                f"a fault of kind {kind} affects everything in its zone or region",
             )
--- a/rosewheel/lab/run_tables.py
+++ b/rosewheel/lab/run_tables.py
@@ -1,4 +1,4 @@
-"""Tables of a scenario file about the run: clients, nodes, discovery and the rules that nodes are told."""
+"""Tables of a scenario file for the run: clients, nodes, discovery and the rules that the run is checked against."""
 
 from __future__ import annotations
 
@@ -28,15 +28,17 @@
         "new_connection_share": "new_connection",
     },
 ):
-    """The clients: open-loop arrivals and their retries.
+    """Clients: open-loop arrivals and their retries.
 
     Attributes:
-        shape: points `[part of the run, factor of the rate]`, joined by straight lines.
-        burst_cv: coefficient of variation of the rate, from one interval of `burst_ms` to the next.
-        attempt_timeout_share: part of the class's deadline after which a client abandons an attempt.
-        backoff_ms: delay before the first retry; it doubles with each further one.
-        retry_after_share: share of the clients that wait as long as Retry-After demands.
-        new_connection_share: share of the requests that are sent on a connection of their own.
+        rate_per_s: mean rate of operations where the factor of `shape` is 1.
+        shape: points `[share of the run, factor of the rate]` with linear interpolation; a constant rate if empty.
+        burst_cv: coefficient of variation of the rate between intervals of `burst_ms`.
+        retries: maximum number of retries of an operation.
+        attempt_timeout_share: share of the class's deadline after which a client abandons an attempt.
+        backoff_ms: delay before the first retry, doubled before each further retry.
+        retry_after_share: share of the clients that comply with Retry-After.
+        new_connection_share: share of the requests that are sent on a new connection.
     """
 
     rate_per_s: Positive
@@ -52,11 +54,14 @@
     def __post_init__(self) -> None:
         self._check_ranges("attempt_timeout_share", "backoff_ms", "retry_after_share")
         if any(not (0.0 <= at <= 1.0 and 0.0 <= factor < math.inf) for at, factor in self.shape):
-            raise InvalidValueError("shape", "a part of the run outside 0 to 1, or a factor below zero")
+            raise InvalidValueError(
+                "shape",
+                "a point must be a share of the run from 0 to 1 and a finite factor that is not negative",
+            )
         if any(a[0] >= b[0] for a, b in zip(self.shape, self.shape[1:], strict=False)):
-            raise InvalidValueError("shape", "points that do not follow one another")
+            raise InvalidValueError("shape", "points must be in ascending order")
         if self.shape and not any(factor > 0 for _, factor in self.shape):
-            raise InvalidValueError("shape", "no point is above zero: nobody would ask anything")
+            raise InvalidValueError("shape", "no point has a factor above zero, so no requests would be sent")
 
 
 class NodesTable(
@@ -70,13 +75,13 @@
         "start_spread_s": "spread_s",
     },
 ):
-    """The nodes that clients reach.
+    """Nodes that clients send their requests to.
 
     Attributes:
-        client_shares: shares of the clients of the first nodes; each of the others has share 1.
-        notice_ms: time until clients learn that a node is dead, or back.
-        keep_learned_state: a restarted node finds the learned state of the process before it.
-        start_spread_s: `simulate`: interval over which the nodes start, and so the phases of their periods.
+        client_shares: relative weights of the first nodes in the clients' choice; all other nodes have weight 1.
+        notice_ms: time until clients notice that a node is down or ready again.
+        keep_learned_state: whether a restarted node restores the learned state of its previous process.
+        start_spread_s: `simulate`: interval over which the starts of the nodes, and thus their timers, are spread.
     """
 
     count: Count = 2
@@ -98,7 +103,7 @@
             raise InvalidValueError("shares", f"{len(self.client_shares)} shares for {self.count} nodes")
 
     def client_share(self, name: str) -> float:
-        """The share of the clients of the node with this name, `n` and its number."""
+        """Return the weight in the clients' choice of the node with this name, which is `n` and its number."""
         number = int(name[1:])
         return self.client_shares[number] if number < len(self.client_shares) else 1.0
 
@@ -107,10 +112,10 @@
     """Delays of discovery.
 
     Attributes:
-        add_ms: until a started server is listed.
-        notice_ms: until a drain or a planned stop is listed.
-        silent_ms: until a dead server is removed.
-        spread_ms: from the first node that learns of a change to the last.
+        add_ms: time until a started server is listed.
+        notice_ms: time until a drain or a planned stop is listed.
+        silent_ms: time until a failed server is removed.
+        spread_ms: time from the first node that is notified of a change to the last.
     """
 
     add_ms: Range = (420.0, 3200.0)
@@ -134,13 +139,15 @@
         "warm_up_s": "stated_cold_s",
     },
 ):
-    """The rules that a run is checked against.
+    """Rules that a run is checked against.
 
     Attributes:
-        drain_ms: time in which new requests to a draining server end, plus `drain_slack_ms` for timers.
-        overload_factor: a warming server fails when it is sent this multiple of its capacity in a window.
-        warm_up_initial_share: share of the capacity of a started server, as nodes are configured; it grows to 1 over
-            `warm_up_s`.
+        drain_ms: time after the notification of a drain during which new requests may reach the server.
+        drain_slack_ms: tolerance of `drain_ms` for late timers.
+        overload_factor: multiple of its capacity in a window at which a warming server collapses.
+        overload_window_ms: length of that window.
+        warm_up_initial_share: initial share of the capacity of a started server, as configured at the nodes.
+        warm_up_s: time over which this share grows to 1.
     """
 
     drain_ms: NonNegative = 400.0
--- a/rosewheel/lab/tables.py
+++ b/rosewheel/lab/tables.py
@@ -1,7 +1,7 @@
-"""Tables of a scenario file: request classes, tiers or services with their servers, zones and the network.
+"""Tables of a scenario file: request classes, tiers or services with their servers, regions and the network.
 
-A value may be a number or a range `[low, high]`, from which the seed draws. Units are the suffixes of the names.
-The keys of the file are older than these names; `rename` maps them, here and in `fault_table.py`.
+A `Range` is a number, or `[low, high]` from which a value is drawn. Units are the suffixes of the names. Where the
+keys of the file differ from the names of the fields, `rename` maps them.
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
 Positive = Annotated[float, Meta(gt=0)]
 NonNegative = Annotated[float, Meta(ge=0)]
 Count = Annotated[int, Meta(ge=1)]
-# The tables check the bounds of a range themselves: msgspec 0.23 crashes on constraints inside a tuple.
+# `Table._check_ranges` checks the bounds, since msgspec 0.23 crashes on constraints inside a tuple.
 Range = float | tuple[float, float]
 Name = Annotated[str, Meta(pattern=r"^[a-z0-9][a-z0-9-]{0,39}$")]
 
@@ -27,18 +27,18 @@
 
 
 def upper_bound(value: Range) -> float:
-    """The largest value that can be drawn from a range."""
+    """Return the largest value that can be drawn from a range."""
     return value[1] if isinstance(value, tuple) else value
 
 
 class Table(msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
-    """One table of the file; unknown keys are errors."""
+    """Base of the tables of a file; unknown keys are errors."""
 
     def _check_ranges(self, *fields: str) -> None:
-        """Check that these ranges are ordered and hold no negative number.
+        """Check that these ranges are finite, not negative and in ascending order.
 
         Raises:
-            InvalidValueError: with the key of the first range that is not.
+            InvalidValueError: for the key of the first invalid range.
         """
         keys = {field.name: field.encode_name for field in msgspec.structs.fields(type(self))}
         for name in fields:
@@ -46,7 +46,7 @@
             low, high = value if isinstance(value, tuple) else (value, value)
             if not 0.0 <= low <= high < math.inf:
                 raise InvalidValueError(
-                    keys[name], "not a number from zero up, or a range that ends below its beginning"
+                    keys[name], "must be a number that is not negative, or an ascending range of such numbers"
                 )
 
 
@@ -63,17 +63,17 @@
         "dedup_window_ms": "memory_ms",
     },
 ):
-    """A class of requests.
+    """A request class.
 
     Attributes:
-        share: part of all requests; the shares of all classes together count as 1.
+        share: weight of the class among all requests.
         work_ms: mean work over all tiers, in ms of a reference core.
-        cv: coefficient of variation of the work, from request to request.
-        attempt_noise: coefficient of variation of the work of one request from server to server.
-        latency_objective_ms: a response within this time counts as in time.
-        deadline_ms: how long a client waits, over all its attempts.
+        cv: coefficient of variation of the work between requests.
+        attempt_noise: coefficient of variation of the work of one request between servers.
+        latency_objective_ms: time within which a response counts as in time.
+        deadline_ms: time after which a client gives up, over all its attempts.
         priority_weight: value of a response in time.
-        dedup_window_ms: how long servers remember the key of a request.
+        dedup_window_ms: time for which servers remember the key of a request.
     """
 
     name: Name
@@ -110,7 +110,7 @@
         "max_s": "most_s",
     },
 ):
-    """The lasting slowdown of an overloaded server; see `server_model.OverloadSlowdown`."""
+    """The slowdown of an overloaded server; see `server_model.OverloadSlowdown`."""
 
     queue_per_core: Range = (4.0, 7.0)
     trigger_s: Range = (1.5, 2.5)
@@ -143,7 +143,7 @@
     """Servers of one kind; see `server_model.ServerSpec` for the values.
 
     Attributes:
-        speeds: the speed of each server, in place of `speed`.
+        speeds: speed of each server, in place of `speed`.
     """
 
     name: Name
@@ -167,11 +167,18 @@
         self._check_ranges("contention_threshold", "warm_up_initial_share", "warm_up_s")
         self._check_ranges("pause_interval_s", "pause_ms", "pause_growth", "error_rate")
         if self.speeds and len(self.speeds) != self.count:
-            raise InvalidValueError("speeds", f"{len(self.speeds)} speeds for {self.count} equipos")
+            raise InvalidValueError("speeds", f"{len(self.speeds)} speeds for {self.count} servers")
 
 
 class ReportTable(Table, frozen=True, kw_only=True, rename={"enabled": "on"}):
-    """Load reports of servers: how often the value is refreshed, how late it is, and how noisy."""
+    """Load reports of servers.
+
+    Attributes:
+        period_ms: time between updates of the reported value.
+        delay_ms: time until an update becomes visible.
+        noise: coefficient of variation of the reported queue length.
+        enabled: whether servers send load reports.
+    """
 
     period_ms: Range = (57.0, 420.0)
     delay_ms: Range = (24.0, 110.0)
@@ -198,10 +205,10 @@
     """One tier of servers.
 
     Attributes:
-        work: part of a request's work that this tier does.
-        calls_per_request: calls of this tier for each request of the tier above, on average.
-        cell_size: servers that share a deduplication table, at most.
-        zones: zones of the servers, in turn; all zones of all regions where none is given.
+        work: share of a request's work that this tier does.
+        calls_per_request: mean number of calls to this tier per request of the tier before it.
+        cell_size: maximum number of servers that share a deduplication table.
+        zones: zones to which the servers are assigned round-robin; all zones of all regions if empty.
     """
 
     name: Name
@@ -221,14 +228,15 @@
         self._check_ranges("calls_per_request", "connections_per_core", "connection_overhead")
         self._check_ranges("handshake_work_ms", "health_check_work_ms")
         if sum(kind.count for kind in self.kinds) == 0:
-            raise InvalidValueError("kind", "a tier without equipos")
+            raise InvalidValueError("kind", "a tier without servers")
 
 
 class CallTable(Table, frozen=True, kw_only=True, rename={"service": "to", "calls_per_request": "times"}):
-    """Calls of a service to another one, one after the other.
+    """Sequential calls of a service to another service.
 
     Attributes:
-        calls_per_request: on average; 0.3 is one call with that probability, 2 are two calls.
+        service: name of the called service.
+        calls_per_request: mean number of calls; 0.3 is one call with that probability, 2 are two calls.
     """
 
     service: Name
@@ -241,14 +249,16 @@
 
 
 class ServiceTable(TierTable, frozen=True, kw_only=True, rename={"outgoing_calls": "call"}):
-    """One service of a call graph: a tier that names the services which it calls."""
+    """One service of a call graph: a tier that lists the services that it calls."""
 
     outgoing_calls: tuple[CallTable, ...] = ()
 
     def __post_init__(self) -> None:
         super().__post_init__()
         if self.calls_per_request != 1.0:
-            raise InvalidValueError("calls", "a service says whom it calls in its own `call` tables")
+            raise InvalidValueError(
+                "calls", "not allowed in a service, which lists its calls in `call` tables"
+            )
 
 
 class RegionTable(Table, frozen=True, kw_only=True):
@@ -263,11 +273,11 @@
 
 
 class NetworkTable(Table, frozen=True, kw_only=True, rename={"cross_zone_cost": "cross_zone_price"}):
-    """One-way delays between a node and a server, beyond the work of both ends.
+    """One-way network delays between a node and a server.
 
     Attributes:
         between_zones_ms: delay between two zones of one region.
-        cross_zone_cost: cost of a call to another zone, as nodes are configured.
+        cross_zone_cost: cost of a call to another zone, as configured at the nodes.
     """
 
     within_zone_ms: NonNegative = 0.0
@@ -278,5 +288,5 @@
     def __post_init__(self) -> None:
         if not self.within_zone_ms <= self.between_zones_ms <= self.between_regions_ms:
             raise InvalidValueError(
-                "between_zones_ms", "not between the ways within a zone and between regions"
+                "between_zones_ms", "must be between within_zone_ms and between_regions_ms"
             )
--- a/tests/lab/test_graph.py
+++ b/tests/lab/test_graph.py
@@ -97,59 +97,63 @@
 @pytest.mark.parametrize(
     ("old", "new", "expected"),
     [
-        ('to = "perfiles"', 'to = "nadie"', "service[0].call[1].to: no service is called 'nadie'"),
-        ('to = "perfiles"', 'to = "albumes"', "service[0].call[1].to: albumes is called above already"),
+        ('to = "perfiles"', 'to = "nadie"', "service[0].call[1].to: unknown service 'nadie'"),
+        ('to = "perfiles"', 'to = "albumes"', "service[0].call[1].to: albumes is already listed"),
         ("times = 0.3", "times = 0", "service[0].call[1].times: a call that is never made"),
-        ("times = 0.3", "times = -1", "service[0].call[1].times: not a number from zero up"),
+        ("times = 0.3", "times = -1", "service[0].call[1].times: must be a number that is not negative"),
         ("times = 0.3", "often = 1", "service[0].call[1].often: unknown key"),
         (
             'zones = ["sur-a", "norte-a"]\nkind = [{ name = "a", count = 4 }]',
             'kind = [{ name = "a", count = 4 }]\n[[service.call]]\nto = "albumes"',
-            "service[1].call[0].to: calls in a circle: albumes -> archivo -> albumes",
+            "service[1].call[0].to: circular calls: albumes -> archivo -> albumes",
         ),
         (
             '[[service.call]]\nto = "albumes"\ntimes = [1, 1.5]\n',
             "",
-            "service[1].name: a service that nobody calls: albumes",
+            "service[1].name: a service that is never called: albumes",
         ),
         ('name = "perfiles"\n', 'name = "albumes"\n', "service: duplicate name"),
-        ("work = 0.4", "work = 0.4\ncalls = 2", "service[0].calls: a service says whom it calls"),
-        ("work = 0.4", "work = 0.5", "service: the services together do 1.1 of the work"),
+        ("work = 0.4", "work = 0.4\ncalls = 2", "service[0].calls: not allowed in a service"),
+        ("work = 0.4", "work = 0.5", "service: the work of all services must add up to 1, not 1.1"),
         ('zones = ["norte-a"]', 'zones = ["sur-a"]', "region[0].zones: duplicate name"),
         ('zones = ["norte-a"]', "zones = []", "region[1].zones: a region without zones"),
         ('name = "norte"', 'name = "sur"', "region[0].name: duplicate name"),
-        ('"sur-a", "norte-a"]', '"sur-a", "este"]', "service[3].zones: no zone is called 'este'"),
-        ('region = "norte"', 'region = "este"', "trouble[0].region: no region is called 'este'"),
-        ('region = "norte"', "", "trouble[0].zone: a trouble of kind loss needs a zone or a region"),
+        ('"sur-a", "norte-a"]', '"sur-a", "este"]', "service[3].zones: unknown zone 'este'"),
+        ('region = "norte"', 'region = "este"', "trouble[0].region: unknown region 'este'"),
+        ('region = "norte"', "", "trouble[0].zone: a fault of kind loss needs a zone or a region"),
         (
             'region = "norte"',
             'region = "norte"\npart = 0.5',
-            "trouble[0].part: a trouble of kind loss befalls",
+            "trouble[0].part: a fault of kind loss affects",
         ),
         (
             'region = "norte"',
             'region = "norte"\nservice = "albumes"',
-            "trouble[0].service: a trouble of kind",
+            "trouble[0].service: a fault of kind",
         ),
-        ('zone = "sur-a"', 'zone = "sur-c"', "trouble[1].zone: no zone is called 'sur-c'"),
-        ('zone = "sur-a"', 'zone = "sur-a"\nregion = "sur"', "trouble[1].region: a zone is named as well"),
-        ('service = "archivo"', 'service = "x"', "trouble[1].service: no service is called 'x'"),
+        ('zone = "sur-a"', 'zone = "sur-c"', "trouble[1].zone: unknown zone 'sur-c'"),
+        (
+            'zone = "sur-a"',
+            'zone = "sur-a"\nregion = "sur"',
+            "trouble[1].region: must not be given together with zone",
+        ),
+        ('service = "archivo"', 'service = "x"', "trouble[1].service: unknown service 'x'"),
         (
             'service = "archivo"',
             'service = "archivo"\ntier = "archivo"',
-            "trouble[1].service: a tier is named",
+            "trouble[1].service: must not be given together with tier",
         ),
         (
             'kind = "errors"',
             'kind = "deploy"',
-            "trouble[1].zone: a trouble of kind deploy is not held to a zone",
+            "trouble[1].zone: a fault of kind deploy cannot be restricted to a zone",
         ),
-        ("between_zones_ms = 1", "between_zones_ms = 9", "network.between_zones_ms: not between"),
+        ("between_zones_ms = 1", "between_zones_ms = 9", "network.between_zones_ms: must be between"),
         ("between_zones_ms = 1", "between_zones_ms = -1", "network.between_zones_ms: Expected"),
         (
             "work_ms = 100",
             'work_ms = 100\neffect = "keyed"\ngroup = "zone"',
-            "class[0].group: keys kept by zone are not played with several zones",
+            "class[0].group: group zone is not supported with several zones",
         ),
     ],
 )
@@ -162,7 +166,7 @@
 
 def test_a_graph_and_a_list_of_tiers_exclude_each_other() -> None:
     tier = '[[tier]]\nname = "x"\nwork = 1\nkind = [{ name = "a", count = 1 }]\n'
-    assert problems(GOOD + tier) == ["s: line 19: service: a list of tiers stands in the file as well"]
+    assert problems(GOOD + tier) == ["s: line 19: service: must not be given together with tier"]
 
 
 def test_a_graph_replaces_the_tiers_of_its_base(tmp_path: Path) -> None:
@@ -178,7 +182,7 @@
 
 def test_twenty_levels_are_valid_and_one_more_is_not() -> None:
     assert max(service_graph.depths(chain(20).callees)) == 20
-    with pytest.raises(msgspec.ValidationError, match="21 deep; 20 at most"):
+    with pytest.raises(msgspec.ValidationError, match="call depth 21, at most 20"):
         chain(21)
 
 
--- a/tests/lab/test_scenario.py
+++ b/tests/lab/test_scenario.py
@@ -67,22 +67,26 @@
         ("seconds = 20", "seconds = 0", "s: line 3: seconds: Expected `float` > 0.0"),
         ("seconds = 20", "second = 20", "s: line 3: second: unknown key"),
         ("share = 1", "share = 0", "s: line 6: class[0].share: Expected `float` > 0.0"),
-        ("count = 3", "count = 0", "s: line 21: tier[1].kind: a tier without equipos"),
-        ("calls = [1, 1.5]", "calls = 0", "s: line 20: tier[1].calls: a tier that nobody calls: archivo"),
-        ("calls = [1, 1.5]", "calls = [2, 1]", "s: line 20: tier[1].calls: not a number from zero up"),
+        ("count = 3", "count = 0", "s: line 21: tier[1].kind: a tier without servers"),
+        ("calls = [1, 1.5]", "calls = 0", "s: line 20: tier[1].calls: a tier that is never called: archivo"),
+        (
+            "calls = [1, 1.5]",
+            "calls = [2, 1]",
+            "s: line 20: tier[1].calls: must be a number that is not negative",
+        ),
         ("at_s = 5", "at_s = 25", "s: line 26: trouble[0].at_s: after the end of the run (20 s)"),
-        ("size = 0.3", 'size = 0.3\ntier = "x"', "s: line 29: trouble[0].tier: no tier is called 'x'"),
-        ("size = 0.3", "", "s: line 24: trouble[0].size: a trouble of kind deploy needs one above zero"),
+        ("size = 0.3", 'size = 0.3\ntier = "x"', "s: line 29: trouble[0].tier: unknown tier 'x'"),
+        ("size = 0.3", "", "s: line 24: trouble[0].size: must be above zero for kind deploy"),
         (
             "rate_per_s = 30",
             "rate_per_s = 30\nshape = [[0, 0], [1, 0]]",
             "s: line 10: clients.shape: no point",
         ),
-        ("work = 0.5", "work = 0.6", "s: line 10: tier: the tiers together do 1.1 of the work"),
+        ("work = 0.5", "work = 0.6", "s: line 10: tier: the work of all tiers must add up to 1, not 1.1"),
         (
             "size = 0.3",
             "size = 0.3\ncold = true",
-            "s: line 29: trouble[0].cold: a trouble of kind deploy brings",
+            "s: line 29: trouble[0].cold: only allowed for kind vanish, not deploy",
         ),
         ('kind = "deploy"', 'kind = "flood"', "s: line 25: trouble[0].kind: Invalid enum value 'flood'"),
         ("[clients]", "[clients", "s: line 8: not TOML"),
@@ -203,7 +207,7 @@
     loaded = scenarios.load("quiet", {"clients.rate_per_s": 7, "tier.0.kind.1.count": 1})
     assert loaded.clients.rate_per_s == 7.0
     assert loaded.tiers[0].kinds[1].count == 1
-    with pytest.raises(InvalidFileError, match="no such place"):
+    with pytest.raises(InvalidFileError, match="no such key"):
         scenarios.load("quiet", {"tier.9.calls": 1})
 
 
