--- a/rosewheel/lab/emulator_requests.py
+++ b/rosewheel/lab/emulator_requests.py
@@ -315,7 +315,7 @@
         call = self._calls.get((work.job.id, number))
         if call is not None:
             call.pending.abandon()
-            self._call_finished(work, number, HttpResponse(0, failure=AttemptFailure.TIMED_OUT))
+            self._call_finished(work, number, HttpResponse(0, failure=AttemptFailure.CALL_TIMEOUT))
 
     def _call_finished(self, work: ServerWork, number: int, response: HttpResponse) -> None:
         call = self._calls.pop((work.job.id, number), None)
--- a/rosewheel/lab/http_client.py
+++ b/rosewheel/lab/http_client.py
@@ -113,7 +113,7 @@
             self._parser.feed_data(data)
         except httptools.HttpParserError:
             if not self._complete:
-                self._finish(HttpResponse(0, failure=AttemptFailure.BROKEN), keep_open=False)
+                self._finish(HttpResponse(0, failure=AttemptFailure.CONNECTION_CLOSED), keep_open=False)
                 return
             self.client.surplus_answers += 1
             self._keep_alive = False
@@ -175,7 +175,7 @@
             pending.resent = True
             self.client.dispatch(pending, new_connection=True)
         else:
-            pending.finish(HttpResponse(0, failure=AttemptFailure.BROKEN))
+            pending.finish(HttpResponse(0, failure=AttemptFailure.CONNECTION_CLOSED))
 
 
 class HttpClient:
--- a/rosewheel/lab/load.py
+++ b/rosewheel/lab/load.py
@@ -122,7 +122,7 @@
     def _abandon(self) -> None:
         if self.pending is not None:
             self.pending.abandon()
-        self._answered(HttpResponse(0, failure=AttemptFailure.NO_ANSWER))
+        self._answered(HttpResponse(0, failure=AttemptFailure.CLIENT_TIMEOUT))
 
     def _answered(self, response: HttpResponse) -> None:
         if self.timer is not None:
--- a/rosewheel/lab/outcomes.py
+++ b/rosewheel/lab/outcomes.py
@@ -11,9 +11,9 @@
 
     NONE = ""
     UNREACHABLE = "unreachable"  # no connection was established, so nothing was received
-    BROKEN = "broken"  # the connection was closed before the end of the response
-    NO_ANSWER = "no answer"  # the client's timeout expired
-    TIMED_OUT = "timed out"  # the timeout of a call between servers expired
+    CONNECTION_CLOSED = "broken"  # the connection was closed early, or its response was malformed
+    CLIENT_TIMEOUT = "no answer"  # the client's timeout expired
+    CALL_TIMEOUT = "timed out"  # the timeout of a call between servers expired
     NO_TIME_LEFT = "no time left"  # a call between servers was not sent, since too little time was left
 
 
--- a/rosewheel/lab/simulation/clients.py
+++ b/rosewheel/lab/simulation/clients.py
@@ -127,7 +127,7 @@
     def _abandon(self) -> None:
         if self.request is not None and self.target is not None:
             self.target.abandon(self.request)
-        self._attempt_finished(AttemptOutcome(failure=AttemptFailure.NO_ANSWER))
+        self._attempt_finished(AttemptOutcome(failure=AttemptFailure.CLIENT_TIMEOUT))
 
     def _attempt_finished(self, outcome: AttemptOutcome) -> None:
         request, target = self.request, self.target
--- a/rosewheel/lab/simulation/node.py
+++ b/rosewheel/lab/simulation/node.py
@@ -306,7 +306,7 @@
         self.dead = True
         for request in self.requests.values():
             if not request.abandoned:
-                outcome = AttemptOutcome(failure=AttemptFailure.BROKEN)
+                outcome = AttemptOutcome(failure=AttemptFailure.CONNECTION_CLOSED)
                 self.queue.call_later(ONE_WAY_MS, request.on_done, outcome)
         self.requests.clear()
         self.pools.close_all()
--- a/rosewheel/lab/simulation/requests.py
+++ b/rosewheel/lab/simulation/requests.py
@@ -280,4 +280,4 @@
     def _abandon(self) -> None:
         if self.request is not None:
             self.node.abandon(self.request)
-        self.finish(AttemptOutcome(failure=AttemptFailure.TIMED_OUT))
+        self.finish(AttemptOutcome(failure=AttemptFailure.CALL_TIMEOUT))
