--- a/rosewheel/lab/fault_injector.py
+++ b/rosewheel/lab/fault_injector.py
@@ -94,7 +94,7 @@
                 self.reset_watches(begins)
             case FaultKind.DISCOVERY_STORM:
                 for host in targets:
-                    self.report_in_storm(host, draining=step.phase is FaultPhase.AWAY)
+                    self.report_in_storm(host, draining=step.phase is FaultPhase.REPORT_DRAINING)
             case _:
                 self.inject_into_nodes(step, fault, begins)
 
--- a/rosewheel/lab/plan_faults.py
+++ b/rosewheel/lab/plan_faults.py
@@ -25,8 +25,8 @@
     DRAIN = "drain"  # deploy: the servers are drained
     STOP = "stop"  # deploy: the servers are stopped
     START = "start"  # deploy: the replacements are started
-    AWAY = "away"  # discovery storm: the servers are reported as draining
-    BACK = "back"  # discovery storm: the servers are reported as active again
+    REPORT_DRAINING = "away"  # discovery storm: the servers are reported as draining
+    REPORT_ACTIVE = "back"  # discovery storm: the servers are reported as active again
 
 
 @dataclass(slots=True, frozen=True)
@@ -193,9 +193,9 @@
     length_ms = fault.end_ms - fault.begin_ms
     for number in range(rounds):
         start_ms = fault.begin_ms + length_ms * number / rounds
-        yield FaultStep(round(start_ms, 3), fault.index, FaultPhase.AWAY, fault.targets)
+        yield FaultStep(round(start_ms, 3), fault.index, FaultPhase.REPORT_DRAINING, fault.targets)
         back_ms = round(start_ms + length_ms / rounds / 2.0, 3)
-        yield FaultStep(back_ms, fault.index, FaultPhase.BACK, fault.targets)
+        yield FaultStep(back_ms, fault.index, FaultPhase.REPORT_ACTIVE, fault.targets)
 
 
 def _begin_and_end_steps(fault: _DrawnFault) -> Iterator[FaultStep]:
