--- a/rosewheel/lab/record_types.py
+++ b/rosewheel/lab/record_types.py
@@ -317,7 +317,7 @@
     node: str
 
 
-class NodeBackRecord(msgspec.Struct, frozen=True, tag_field="e", tag="back", rename={"at_ms": "t"}):
+class NodeReadyRecord(msgspec.Struct, frozen=True, tag_field="e", tag="back", rename={"at_ms": "t"}):
     """A restarted or upgraded node that is ready again."""
 
     at_ms: float
@@ -359,7 +359,7 @@
 
 NODE_RECORDS = (
     NodeKilledRecord,
-    NodeBackRecord,
+    NodeReadyRecord,
     NodeCrashRecord,
     NodeLossRecord,
     NodeUpgradeRecord,
@@ -379,7 +379,7 @@
     | LatencyRecord
     | ClientsRecord
     | NodeKilledRecord
-    | NodeBackRecord
+    | NodeReadyRecord
     | NodeFaultRecord
     | NodeProcessRecord
 )
--- a/rosewheel/lab/run_nodes.py
+++ b/rosewheel/lab/run_nodes.py
@@ -17,11 +17,11 @@
 from rosewheel.lab.plan_faults import FaultStep
 from rosewheel.lab.random_streams import random_stream
 from rosewheel.lab.record_types import (
-    NodeBackRecord,
     NodeCrashRecord,
     NodeKilledRecord,
     NodeLossRecord,
     NodeProcessRecord,
+    NodeReadyRecord,
     NodeUpgradeRecord,
 )
 from rosewheel.lab.records import RecordWriter
@@ -179,7 +179,7 @@
         process.kill()
 
     def _record_back(self, name: str) -> None:
-        self.records.write(NodeBackRecord(self.clock.plan_time(), name))
+        self.records.write(NodeReadyRecord(self.clock.plan_time(), name))
 
     # -------------------------------------------------------------- resources
 
--- a/rosewheel/lab/run_summary.py
+++ b/rosewheel/lab/run_summary.py
@@ -12,7 +12,7 @@
 from rosewheel.lab.load import LoadGenerator
 from rosewheel.lab.plan import Plan
 from rosewheel.lab.plan_codec import plan_digest
-from rosewheel.lab.record_types import EmulatorRecord, NodeBackRecord, NodeProcessRecord, RecordFile
+from rosewheel.lab.record_types import EmulatorRecord, NodeProcessRecord, NodeReadyRecord, RecordFile
 from rosewheel.lab.records import load_records
 
 # Late timers of the emulator delay responses. A run is void if the 99th percentile of their lag exceeds this share of
@@ -120,6 +120,6 @@
     windows = [
         load.service(record.at_ms, record.at_ms + AFTER_RESTART_MS)
         for record in load_records(folder, RecordFile.RUN)
-        if isinstance(record, NodeBackRecord)
+        if isinstance(record, NodeReadyRecord)
     ]
     return round(sum(windows) / len(windows), 4) if windows else None
--- a/rosewheel/lab/simulation/node_restarts.py
+++ b/rosewheel/lab/simulation/node_restarts.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from rosewheel.lab.record_types import NodeBackRecord, NodeKilledRecord, RecordFile
+from rosewheel.lab.record_types import NodeKilledRecord, NodeReadyRecord, RecordFile
 from rosewheel.lab.simulation.clients import SimulatedDispatcher
 from rosewheel.lab.simulation.fleet import PROCESS_START_MS, SimulatedFleet
 from rosewheel.lab.simulation.node import SimulatedNode
@@ -35,7 +35,7 @@
         self.fleet.start_client_node(name)
         if learned is not None:
             self.fleet.nodes[name].restore(learned, self.queue.now - killed_ms)
-        self.fleet.record(RecordFile.RUN, NodeBackRecord(self.fleet.plan_time(), name))
+        self.fleet.record(RecordFile.RUN, NodeReadyRecord(self.fleet.plan_time(), name))
         self.dispatcher.node_changed(name)
 
     def upgrade(self, name: str) -> None:
@@ -56,4 +56,4 @@
             return
         self.fleet.nodes[name] = new
         new.apply(new.node.process_count_changed(self.queue.now, 1))
-        self.fleet.record(RecordFile.RUN, NodeBackRecord(self.fleet.plan_time(), name))
+        self.fleet.record(RecordFile.RUN, NodeReadyRecord(self.fleet.plan_time(), name))
--- a/rosewheel/lab/simulation/simulate.py
+++ b/rosewheel/lab/simulation/simulate.py
@@ -16,7 +16,7 @@
 from rosewheel.lab.plan import Plan
 from rosewheel.lab.plan_codec import plan_digest
 from rosewheel.lab.plan_faults import FaultPhase
-from rosewheel.lab.record_types import NodeBackRecord, OperationRecord, Record, RecordFile
+from rosewheel.lab.record_types import NodeReadyRecord, OperationRecord, Record, RecordFile
 from rosewheel.lab.records import RecordWriter
 from rosewheel.lab.scenario import Scenario
 from rosewheel.lab.simulation.clients import SimulatedClients, SimulatedDispatcher
@@ -62,7 +62,7 @@
         line = self._encode(record)
         self._hash.update(line)
         self.checker.observe(record)
-        if isinstance(record, NodeBackRecord):
+        if isinstance(record, NodeReadyRecord):
             self.restarts_ms.append(record.at_ms)
         if self._files:
             self._files[name].write_line(line)
