--- a/rosewheel/lab/plan_faults.py
+++ b/rosewheel/lab/plan_faults.py
@@ -49,7 +49,7 @@
     share: float = 0.0
 
 
-def zones_of(scenario: Scenario, fault: FaultTable) -> tuple[str, ...]:
+def fault_zones(scenario: Scenario, fault: FaultTable) -> tuple[str, ...]:
     """Return the zones that a fault is restricted to; all zones if it names neither a zone nor a region."""
     if fault.zone:
         return (fault.zone,)
@@ -128,7 +128,7 @@
             return self._deployed_before(fault)
         if fault.kind in (FaultKind.NODE_LOSS, FaultKind.CLIENT_SHIFT):
             return [f"n{number}" for number in range(self.scenario.nodes.count)]
-        zones = zones_of(self.scenario, fault)
+        zones = fault_zones(self.scenario, fault)
         all_tiers = not fault.tier_name and fault.is_zonal
         return [
             spec.name
--- a/rosewheel/lab/simulation/outages.py
+++ b/rosewheel/lab/simulation/outages.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from rosewheel.lab.discovery_delays import DiscoveryChange
-from rosewheel.lab.plan_faults import FaultStep, zones_of
+from rosewheel.lab.plan_faults import FaultStep, fault_zones
 from rosewheel.lab.server_model import LifecycleState
 from rosewheel.lab.simulation.fleet import SimulatedFleet
 from rosewheel.lab.simulation.host import SimulatedServerHost
@@ -71,7 +71,7 @@
 
     def _zones(self, step: FaultStep) -> frozenset[str]:
         scenario = self.fleet.plan.scenario
-        return frozenset(zones_of(scenario, scenario.faults[step.fault]))
+        return frozenset(fault_zones(scenario, scenario.faults[step.fault]))
 
     def _separated_connections(self, host: SimulatedServerHost) -> list[Connection]:
         """Return the connections of a host that cross a partition."""
