--- a/rosewheel/lab/invariant_checker.py
+++ b/rosewheel/lab/invariant_checker.py
@@ -44,7 +44,7 @@
 
     Attributes:
         unanswered: request ids that a living node left without a response.
-        surplus_answers: responses that no client had asked for.
+        surplus_responses: responses that no client had asked for.
         foreign: request ids that got a response which no server made for them.
         executed_twice: operations of non-idempotent work that was executed twice.
         outside_dedup_scope: request ids that were repeated with a key outside the cell of the first execution.
@@ -54,7 +54,7 @@
     """
 
     unanswered: list[str] = field(default_factory=list)
-    surplus_answers: int = 0
+    surplus_responses: int = 0
     foreign: list[str] = field(default_factory=list)
     executed_twice: list[str] = field(default_factory=list)
     outside_dedup_scope: list[str] = field(default_factory=list)
@@ -64,7 +64,7 @@
 
     def count(self) -> int:
         """The number of all violations."""
-        return self.surplus_answers + sum(
+        return self.surplus_responses + sum(
             len(violations)
             for violations in (
                 self.unanswered,
@@ -81,7 +81,7 @@
         """The first violations of each rule by the keys of a summary."""
         return {
             "unanswered": self.unanswered[:MAX_LISTED],
-            "double": self.surplus_answers,
+            "double": self.surplus_responses,
             "foreign": self.foreign[:MAX_LISTED],
             "twice": self.executed_twice[:MAX_LISTED],
             "strayed": self.outside_dedup_scope[:MAX_LISTED],
@@ -136,7 +136,7 @@
                 # A killed node owes no response; its clients repeat what it had accepted.
                 self._kills_ms[record.node].append(record.at_ms)
             case ClientsRecord():
-                self._violations.surplus_answers += record.surplus_responses
+                self._violations.surplus_responses += record.surplus_responses
             case AfterDrainRecord():
                 self._violations.after_drain.append(record)
             case ServerCollapsedRecord():
--- a/tests/lab/test_lab.py
+++ b/tests/lab/test_lab.py
@@ -138,7 +138,7 @@
         writer.write(answer(body=response_body(message)) * 2)
 
     run_clients(tmp_path, twice)
-    assert invariant_checker.check_records(scenarios.load("quiet"), tmp_path).surplus_answers > 0
+    assert invariant_checker.check_records(scenarios.load("quiet"), tmp_path).surplus_responses > 0
 
 
 def test_service_of_an_interval_counts_operations_by_planned_time(tmp_path: Path):
