--- a/rosewheel/cli/soak.py
+++ b/rosewheel/cli/soak.py
@@ -10,9 +10,9 @@
 
 from rosewheel.cli.output import EXIT_BAD_INPUT, exit_invalid_file, exit_with_result, print_error, print_json
 from rosewheel.config.errors import InvalidFileError
-from rosewheel.lab.soak.plan import draw_plan, encode_plan, keep_only, read_plan
+from rosewheel.lab.soak.plan import draw_plan, encode_plan, read_plan, select_faults
 from rosewheel.lab.soak.planted_node import PLANTS
-from rosewheel.lab.soak.run import play
+from rosewheel.lab.soak.run import run_soak
 
 DEFAULT_SECONDS = 60.0
 DEFAULT_PROCESSES = 24
@@ -59,13 +59,13 @@
         exit_invalid_file(error)
     if only is not None:
         try:
-            plan = keep_only(plan, {int(number) for number in only.split(",") if number})
+            plan = select_faults(plan, {int(number) for number in only.split(",") if number})
         except ValueError:
             print_error(f"--only: {only!r} is not a list of numbers")
             sys.exit(EXIT_BAD_INPUT)
     if only_plan:
         click.echo(encode_plan(plan).decode())
         return
-    summary = uvloop.run(play(plan, plant, out))
+    summary = uvloop.run(run_soak(plan, plant, out))
     print_json(summary)
     exit_with_result(bool(summary["ok"]))
--- a/rosewheel/lab/soak/plan.py
+++ b/rosewheel/lab/soak/plan.py
@@ -90,8 +90,8 @@
     return SoakPlan(seed, seconds, nodes, tuple(faults))
 
 
-def keep_only(plan: SoakPlan, numbers: Collection[int]) -> SoakPlan:
-    """The plan with only these of its faults, to make a find smaller."""
+def select_faults(plan: SoakPlan, numbers: Collection[int]) -> SoakPlan:
+    """Return the plan with only the faults of these numbers, to narrow down a violation."""
     kept = tuple(fault for number, fault in enumerate(plan.faults) if number in numbers)
     return msgspec.structs.replace(plan, faults=kept)
 
--- a/rosewheel/lab/soak/run.py
+++ b/rosewheel/lab/soak/run.py
@@ -209,7 +209,7 @@
         return True
 
 
-async def play(plan: SoakPlan, plant: str | None, folder: Path | None) -> dict[str, object]:
+async def run_soak(plan: SoakPlan, plant: str | None, folder: Path | None) -> dict[str, object]:
     """Run a plan and return the result.
 
     Args:
--- a/tests/lab/test_soak.py
+++ b/tests/lab/test_soak.py
@@ -11,7 +11,7 @@
 from rosewheel.cli.main import main
 from rosewheel.config.errors import InvalidFileError
 from rosewheel.lab.soak.judge import RuleChecker
-from rosewheel.lab.soak.plan import SoakPlan, draw_plan, encode_plan, keep_only, read_plan
+from rosewheel.lab.soak.plan import SoakPlan, draw_plan, encode_plan, read_plan, select_faults
 from rosewheel.lab.soak.planted_node import PLANTS
 from rosewheel.lab.soak.records import (
     ClientRecord,
@@ -34,7 +34,7 @@
     assert plan == draw_plan(7, 60.0, 24) != draw_plan(8, 60.0, 24)
     (tmp_path / "plan.json").write_bytes(encode_plan(plan))
     assert read_plan(str(tmp_path / "plan.json")) == plan
-    assert keep_only(plan, {0, 3}).faults == (plan.faults[0], plan.faults[3])
+    assert select_faults(plan, {0, 3}).faults == (plan.faults[0], plan.faults[3])
 
 
 def test_faults_overlap():
