--- a/rosewheel/lab/soak/run.py
+++ b/rosewheel/lab/soak/run.py
@@ -12,10 +12,10 @@
 
 from rosewheel.lab.soak.clients import CLIENT_FAULTS, SoakClient
 from rosewheel.lab.soak.discovery import SoakDiscovery
-from rosewheel.lab.soak.judge import RuleChecker, Violation
 from rosewheel.lab.soak.nodes import SoakNode
 from rosewheel.lab.soak.plan import Fault, FaultKind, SoakPlan
 from rosewheel.lab.soak.records import SoakRecords
+from rosewheel.lab.soak.rule_checker import RuleChecker, Violation
 from rosewheel.lab.soak.servers import SoakServer
 
 SERVERS = 8
--- a/tests/lab/test_soak.py
+++ b/tests/lab/test_soak.py
@@ -10,7 +10,6 @@
 
 from rosewheel.cli.main import main
 from rosewheel.config.errors import InvalidFileError
-from rosewheel.lab.soak.judge import RuleChecker
 from rosewheel.lab.soak.plan import SoakPlan, draw_plan, encode_plan, read_plan, select_faults
 from rosewheel.lab.soak.planted_node import PLANTS
 from rosewheel.lab.soak.records import (
@@ -21,6 +20,7 @@
     ServerRecord,
     SoakRecords,
 )
+from rosewheel.lab.soak.rule_checker import RuleChecker
 
 MIN_PLANTS = 6
 
