--- a/rosewheel/lab/invariant_checker.py
+++ b/rosewheel/lab/invariant_checker.py
@@ -1,7 +1,7 @@
-"""Checks the records of a run against its rules: one final response, no second execution, drains, slow start.
+"""Checks the records of a run for violations of its rules on responses, repeated executions, drains and slow start.
 
-Records of clients and servers are joined by request id and by operation. The checker takes one record at a time, in
-whatever order the two sides come, and keeps of each only what a later one may need; it decides when the run is over.
+Records of clients and servers are joined by request id and by operation. The checker takes the records one at a time,
+in any order between clients and servers, keeps only what later records may need, and decides at the end of the run.
 """
 
 from __future__ import annotations
@@ -31,26 +31,26 @@
 from rosewheel.lab.slow_start import Overload, ServerArrival, ServerStart
 from rosewheel.policy.settings import DedupScope, Idempotency
 
-# Nodes are to blame for an overload where more than this share of the load came from informed ones.
+# Largest share of the load from nodes that had been notified of a server's start for which an overload is no violation.
 INFORMED_SHARE_LIMIT = 2.0 / 3.0
-SUM_ROUNDING = 1e-9
-MAX_LISTED = 20  # violations of each kind in a record
-KILL_SLACK_MS = 1.0  # between the clocks of a killed node and of its client
+SUM_ROUNDING = 1e-9  # tolerance for rounding errors of sums
+MAX_LISTED = 20  # violations of each rule in a summary
+KILL_SLACK_MS = 1.0  # tolerance between the recorded times of a kill and of an attempt
 
 
 @dataclass(slots=True)
 class Violations:
-    """Every violation by rule; all rules held where it is empty.
+    """Violations of a run by rule.
 
     Attributes:
-        unanswered: request ids that a living node left without a response.
-        surplus_responses: responses that no client had asked for.
-        foreign: request ids that got a response which no server made for them.
-        executed_twice: operations of non-idempotent work that was executed twice.
-        outside_dedup_scope: request ids that were repeated with a key outside the cell of the first execution.
-        after_drain: new requests to a draining server.
-        collapsed: warming servers that failed under load from informed nodes.
-        overloaded: the first overload of each warming server by informed nodes; see `slow_start`.
+        unanswered: ids of requests without a timely response from a node that was not killed.
+        surplus_responses: number of responses to no request.
+        foreign: ids of requests with a response that was made for another request.
+        executed_twice: ids of non-idempotent operations that a node executed twice.
+        outside_dedup_scope: ids of requests with a key that were repeated outside the cell of the first execution.
+        after_drain: requests that reached a draining or removed server too late.
+        collapsed: names of warming servers that collapsed under load from informed nodes.
+        overloaded: first overload of each start of a server by informed nodes; see `slow_start`.
     """
 
     unanswered: list[str] = field(default_factory=list)
@@ -63,7 +63,7 @@
     overloaded: list[Overload] = field(default_factory=list)
 
     def count(self) -> int:
-        """The number of all violations."""
+        """Return the number of all violations."""
         return self.surplus_responses + sum(
             len(violations)
             for violations in (
@@ -78,7 +78,7 @@
         )
 
     def as_record(self) -> dict[str, object]:
-        """The first violations of each rule by the keys of a summary."""
+        """Return the first violations of each rule by their keys in a summary."""
         return {
             "unanswered": self.unanswered[:MAX_LISTED],
             "double": self.surplus_responses,
@@ -95,9 +95,9 @@
     """Checks the records of one run.
 
     Attributes:
-        collapses: warming servers that failed under load, from any nodes.
-        overloads: overloads of warming servers, by any nodes.
-        max_bound_share: the largest part of its bound that a warming server was sent.
+        collapses: number of collapses of warming servers under load from any nodes.
+        overloads: overloads of warming servers by any nodes.
+        max_bound_share: largest load of a warming server in a window, as a share of its bound.
     """
 
     def __init__(self, scenario: Scenario) -> None:
@@ -116,12 +116,12 @@
         self._kills_ms: dict[str, list[float]] = defaultdict(list)  # by node
         self._resent: set[str] = set()  # request ids
         self._rejected: set[str] = set()  # request ids
-        self._executions: dict[str, list[str]] = {}  # request ids by operation, of non-idempotent work
-        self._cells: dict[str, int] = {}  # first cell of execution by request id, of work with a key
+        self._executions: dict[str, list[str]] = {}  # request ids by operation, for non-idempotent classes
+        self._cells: dict[str, int] = {}  # cell of the first execution by request id, for classes with a key
         self._outside_first_cell: dict[str, None] = {}  # request ids
 
     def observe(self, record: Record) -> None:
-        """Take a record."""
+        """Add a record."""
         match record:
             case JobRecord():
                 self._observe_job(record)
@@ -133,7 +133,7 @@
                 start = ServerStart(record.server, record.at_ms, capacity_per_ms, record.mean_request_ms)
                 self._starts.setdefault(record.server, []).append(start)
             case NodeKilledRecord():
-                # A killed node owes no response; its clients repeat what it had accepted.
+                # A killed node need not respond; its clients may repeat the requests that it had accepted.
                 self._kills_ms[record.node].append(record.at_ms)
             case ClientsRecord():
                 self._violations.surplus_responses += record.surplus_responses
@@ -144,10 +144,10 @@
                 if record.informed_share >= INFORMED_SHARE_LIMIT:
                     self._violations.collapsed.append(record.server)
             case _:
-                pass  # of no rule
+                pass  # not needed by any rule
 
     def finish(self) -> Violations:
-        """All violations of the records so far."""
+        """Return all violations, after the last record."""
         violations = self._violations
         for attempt in self._without_response:
             if not self._node_was_killed(attempt):
@@ -156,7 +156,7 @@
             if len(request_ids) > 1 and not self._repeated_by_client(request_ids):
                 violations.executed_twice.append(operation_id)
         if self._checks_cells:
-            # What a client sent once more itself, since its node was killed, no node can have kept in one cell.
+            # If the client itself sent a request again after its node was killed, no node can keep it in one cell.
             violations.outside_dedup_scope = [
                 request_id for request_id in self._outside_first_cell if request_id not in self._resent
             ]
@@ -202,8 +202,8 @@
         return any(first_ms <= at_ms <= last_ms for at_ms in self._kills_ms.get(attempt.node, ()))
 
     def _repeated_by_client(self, request_ids: list[str]) -> bool:
-        """Whether the client repeated the work itself, where no rejection had said that this was harmless."""
-        if len(set(request_ids)) < len(request_ids):  # one attempt was executed twice
+        """Return whether the client caused the repetition, without a rejection that had declared a retry safe."""
+        if len(set(request_ids)) < len(request_ids):  # the same attempt was executed twice
             return any(request_id in self._resent for request_id in request_ids)
         return not any(request_id in self._rejected for request_id in request_ids)
 
@@ -217,7 +217,7 @@
 
 
 def check_records(scenario: Scenario, folder: Path) -> Violations:
-    """All violations of the records in this folder."""
+    """Return all violations in the records of a folder."""
     checker = InvariantChecker(scenario)
     for name in (RecordFile.RUN, RecordFile.LOAD, RecordFile.SERVERS):
         for record in load_records(folder, name):
--- a/rosewheel/lab/slow_start.py
+++ b/rosewheel/lab/slow_start.py
@@ -1,9 +1,9 @@
-"""Slow start over the whole fleet: whether all nodes together sent a warming server more than the settings allow.
+"""Finds overloads of warming servers by all nodes together.
 
-Load is counted in requests of mean work, by windows of `overload_window_ms`. N is the budget of a window:
-`overload_factor` times what the configured share of the server's capacity (`warm_up_initial_share`, growing evenly
-over `warm_up_s`) does in it; nothing before its start. More than N + 2 sqrt(N) + 2 in a window that ends while the
-server warms up is an overload: two square roots and two requests are the allowance for chance.
+Load is counted in requests of mean work within sliding windows of `overload_window_ms`. The budget N of a window is
+`overload_factor` times the work that the server can do in it at its configured share of capacity, which grows linearly
+from `warm_up_initial_share` to 1 over `warm_up_s`. A window that ends during the warm-up is an overload if its load
+exceeds N + 2 sqrt(N) + 2; the terms besides N allow for random variation.
 """
 
 from __future__ import annotations
@@ -16,16 +16,16 @@
 from rosewheel.lab.plan import Plan
 from rosewheel.lab.run_tables import RulesTable
 
-CHANCE_DEVIATIONS = 2.0
-CHANCE_REQUESTS = 2.0
+CHANCE_DEVIATIONS = 2.0  # allowance for random variation, in square roots of the budget
+CHANCE_REQUESTS = 2.0  # additional allowance, in requests of mean work
 
 
 class ServerArrival(NamedTuple):
-    """A request at a server.
+    """The arrival of a request at a server.
 
     Attributes:
-        requests: its work, in requests of mean work.
-        sender_informed: whether its sender had been notified of the server's start.
+        requests: work of the request, in requests of mean work.
+        sender_informed: whether the sender had been notified of the start of the server.
     """
 
     at_ms: float
@@ -35,11 +35,12 @@
 
 @dataclass(slots=True, frozen=True)
 class Overload:
-    """A window in which a warming server got too much, as of the request that was one too many.
+    """A window in which the load of a warming server exceeded its bound.
 
     Attributes:
-        received: requests of mean work in the window.
-        allowed: the budget N.
+        at_ms: arrival of the request that exceeded the bound.
+        received: load of the window, in requests of mean work.
+        allowed: budget N of the window, in the same unit.
         informed_share: share of `received` from informed senders.
     """
 
@@ -50,7 +51,7 @@
     informed_share: float
 
     def as_record(self) -> dict[str, object]:
-        """The overload by the keys of a summary."""
+        """Return the overload by its keys in a summary."""
         return {
             "equipo": self.server,
             "t": round(self.at_ms, 3),
@@ -62,11 +63,11 @@
 
 @dataclass(slots=True)
 class ServerStart:
-    """One start of a server, and the requests that it was sent since.
+    """One start of a server, and the requests that it has received since.
 
     Attributes:
-        capacity_per_ms: requests of mean work per ms when it is warm.
-        mean_request_ms: work of a mean request.
+        capacity_per_ms: requests of mean work per ms after the warm-up.
+        mean_request_ms: mean work of a request.
     """
 
     server: str
@@ -76,9 +77,9 @@
     arrivals: list[ServerArrival] = field(default_factory=list)
 
     def overloads(self, rules: RulesTable) -> tuple[list[Overload], float]:
-        """All overloads in order, and the largest part of its bound that any window reached.
+        """Return all overloads in order, and the largest load of a window as a share of its bound.
 
-        Each overload begins a new window, as the server would have failed.
+        After an overload a new window begins, since the server would have collapsed.
         """
         overloads: list[Overload] = []
         max_bound_share = 0.0
@@ -102,7 +103,7 @@
 
 
 def allowed_work_ms(rules: RulesTable, from_age_ms: float, to_age_ms: float) -> float:
-    """The budget of a warming server between two of its ages, in ms of the capacity of a warm one."""
+    """Return the budget of a warming server between two ages, in ms of its full capacity."""
     from_age_ms, warm_up_ms = max(0.0, from_age_ms), rules.warm_up_s * 1000.0
     slope = (1.0 - rules.warm_up_initial_share) / warm_up_ms if warm_up_ms else 0.0
     mean_share = rules.warm_up_initial_share + slope * (from_age_ms + to_age_ms) / 2.0
@@ -110,6 +111,6 @@
 
 
 def mean_work_ms(plan: Plan, tier: int) -> float:
-    """The own work of a mean request at a server of this tier, in ms of a reference core."""
+    """Return the mean work of a request at a server of this tier, in ms of a reference core."""
     shares = sum(row.share for row in plan.classes)
     return sum(row.share * row.work_ms for row in plan.classes) / shares * plan.scenario.tiers[tier].work
