--- a/rosewheel/lab/errors.py
+++ b/rosewheel/lab/errors.py
@@ -4,4 +4,4 @@
 
 
 class RunError(Exception):
-    """A run that could not be carried out; the text is one plain line."""
+    """A run could not be completed; the message is a single line."""
--- a/rosewheel/lab/random_streams.py
+++ b/rosewheel/lab/random_streams.py
@@ -1,8 +1,7 @@
-"""Named random streams: one seed gives every part of a run random numbers of its own.
+"""Named random streams, independent of each other and derived from one seed.
 
-A part that draws more or fewer numbers than before leaves the others as they were, so a change in one place of a
-scenario does not shuffle the rest. The names of the streams are part of what a seed means: a renamed stream draws
-other numbers.
+A change of a scenario that draws more or fewer numbers from one stream does not change the other streams. Renaming a
+stream changes its numbers.
 """
 
 from __future__ import annotations
@@ -22,14 +21,14 @@
 
 
 def random_stream(seed: int, *names: object) -> np.random.Generator:
-    """The generator of this name, the same on every machine: PCG64 seeded by a digest of seed and names."""
+    """Return a PCG64 generator seeded with a digest of seed and names, the same on every machine."""
     text = NAME_SEPARATOR.join(str(name) for name in (seed, *names))
     digest = hashlib.blake2b(text.encode(), digest_size=DIGEST_BYTES).digest()
     return np.random.Generator(np.random.PCG64(int.from_bytes(digest, "big")))
 
 
 def draw_range(value: Range, seed: int, *names: object) -> float:
-    """A uniform draw from a range by the stream of this name; a single number as it is."""
+    """Return a uniform draw from a range by the stream of these names; a single number is returned unchanged."""
     if not isinstance(value, tuple):
         return float(value)
     return float(random_stream(seed, *names).uniform(value[0], value[1]))
@@ -38,7 +37,7 @@
 def weighted_choice(
     rng: np.random.Generator, names: Sequence[str], weight: Callable[[str], float] | None
 ) -> str:
-    """One of the names by its weight; without weights each is as likely as any other."""
+    """Return a random name with a probability proportional to its weight; uniform without weights."""
     position = float(rng.random())
     if weight is None:
         return names[int(position * len(names))]
@@ -47,7 +46,7 @@
 
 
 def lognormal_factor(rng: np.random.Generator, cv: float) -> float:
-    """A lognormal factor with mean 1 and this coefficient of variation."""
+    """Return a lognormal factor with mean 1 and this coefficient of variation."""
     if cv <= 0.0:
         return 1.0
     sigma = math.sqrt(math.log(1.0 + cv * cv))
