--- a/tests/lab/test_scenario.py
+++ b/tests/lab/test_scenario.py
@@ -1,4 +1,4 @@
-"""Scenarios and the operator's file: errors are reported with line and key; a seed gives one plan."""
+"""Errors of scenarios and of the operator's file are reported with line and key, and a seed gives one plan."""
 
 from __future__ import annotations
 
@@ -105,7 +105,7 @@
 def test_every_bundled_scenario_is_valid_and_has_a_plan():
     assert {"quiet", "demo"} <= set(scenarios.bundled_names())
     for name in scenarios.bundled_names():
-        changes: dict[str, object] = {"clients.rate_per_s": 5.0}  # the plans of large ones take long
+        changes: dict[str, object] = {"clients.rate_per_s": 5.0}  # keeps the plans of large scenarios small
         if name == "demo":
             changes["seconds"] = 60.0
         plan = plans.make(scenarios.load(name, changes))
@@ -117,17 +117,17 @@
 @settings(max_examples=10, deadline=None)
 def test_a_seed_gives_one_plan(seed: int):
     loaded = parse_text(GOOD, Scenario, "s")
-    one = b"\n".join(plan_lines(plans.make(loaded, seed)))
-    assert one == b"\n".join(plan_lines(plans.make(loaded, seed)))
-    assert one != b"\n".join(plan_lines(plans.make(loaded, seed + 1)))
+    lines = b"\n".join(plan_lines(plans.make(loaded, seed)))
+    assert lines == b"\n".join(plan_lines(plans.make(loaded, seed)))
+    assert lines != b"\n".join(plan_lines(plans.make(loaded, seed + 1)))
 
 
 def test_the_plan_of_a_seed_is_the_same_in_every_process(tmp_path: Path):
-    """Guards against anything of this process in a plan: hashes, ids, the order of sets, the clock."""
+    """A plan must not depend on hash seeds, object ids, the order of sets or the clock of a process."""
     path = tmp_path / "small.toml"
     path.write_text(GOOD)
     command = [sys.executable, "-m", "rosewheel.cli", "emulate", str(path), "--plan"]
-    expected = [
+    outputs = [
         subprocess.run(
             command,
             cwd=ROOT,
@@ -139,22 +139,22 @@
         for salt in ("1", "2")
     ]
     assert (
-        expected[0]
-        == expected[1]
+        outputs[0]
+        == outputs[1]
         == b"\n".join(plan_lines(plans.make(parse_text(GOOD, Scenario, "s")))) + b"\n"
     )
 
 
-def test_another_server_does_not_change_other_draws():
-    loaded = plans.make(parse_text(GOOD, Scenario, "s"))
+def test_more_servers_of_a_tier_do_not_change_other_draws():
+    plan = plans.make(parse_text(GOOD, Scenario, "s"))
     more = plans.make(parse_text(GOOD.replace("count = 3", "count = 5"), Scenario, "s"))
-    assert [spec.speed for spec in loaded.servers if spec.tier == 0] == [
+    assert [spec.speed for spec in plan.servers if spec.tier == 0] == [
         spec.speed for spec in more.servers if spec.tier == 0
     ]
-    assert loaded.arrivals == more.arrivals
+    assert plan.arrivals == more.arrivals
 
 
-def test_a_surge_in_the_arrivals_has_the_size_and_length_of_its_steps():
+def test_a_surge_raises_the_arrival_rate_between_its_steps():
     text = GOOD[: GOOD.index("[[trouble]]")]
     text += '[[trouble]]\nkind = "surge"\nat_s = 5\nfor_s = [2, 9]\nsize = [8, 12]\n'
     plan = plans.make(parse_text(text, Scenario, "s"))
@@ -165,42 +165,42 @@
     assert after < 2.0 * 30.0
 
 
-def test_a_fault_of_deployed_servers_concerns_those_that_a_deploy_has_started():
-    one = plans.make(scenarios.load("fleet-join"))
-    at = len(one.scenario.faults) - 1
-    on = {name for step in one.steps if step.fault == at for name in step.targets}
-    assert on
-    assert on <= {spec.name for spec in one.deployed_servers}
+def test_a_fault_of_deployed_servers_affects_only_servers_that_a_deploy_has_started():
+    plan = plans.make(scenarios.load("fleet-join"))
+    last_fault = len(plan.scenario.faults) - 1
+    targets = {name for step in plan.steps if step.fault == last_fault for name in step.targets}
+    assert targets
+    assert targets <= {spec.name for spec in plan.deployed_servers}
 
 
 def test_a_deploy_drains_stops_and_replaces_each_server_once():
     plan = plans.make(parse_text(GOOD, Scenario, "s"))
-    by: dict[str, list[str]] = {}
+    targets: dict[str, list[str]] = {}
     for step in plan.steps:
-        by.setdefault(step.phase, []).extend(step.targets)
+        targets.setdefault(step.phase, []).extend(step.targets)
     names = [spec.name for spec in plan.servers if spec.tier == 0]
-    assert sorted(by["drain"]) == sorted(by["stop"]) == sorted(names)
-    assert sorted(by["start"]) == sorted(f"{name}-r1" for name in names)
+    assert sorted(targets["drain"]) == sorted(targets["stop"]) == sorted(names)
+    assert sorted(targets["start"]) == sorted(f"{name}-r1" for name in names)
 
 
 def test_the_check_command_reports_each_error_and_exits_with_2(tmp_path: Path):
     bad = tmp_path / "bad.toml"
     bad.write_text(GOOD.replace("seconds = 20", "second = 20"))
-    got = CliRunner().invoke(main, ["check", "quiet", str(ROOT / "deploy" / "rosewheel.toml"), str(bad)])
-    assert got.exit_code == 2
-    assert "quiet: ok" in got.output
-    assert "rosewheel.toml: ok" in got.output
-    assert "line 3: second: unknown key" in got.output
-    assert "seconds: missing" in got.output
-    assert "Traceback" not in got.output
+    result = CliRunner().invoke(main, ["check", "quiet", str(ROOT / "deploy" / "rosewheel.toml"), str(bad)])
+    assert result.exit_code == 2
+    assert "quiet: ok" in result.output
+    assert "rosewheel.toml: ok" in result.output
+    assert "line 3: second: unknown key" in result.output
+    assert "seconds: missing" in result.output
+    assert "Traceback" not in result.output
 
 
 @pytest.mark.parametrize("arguments", [["emulate", "nowhere"], ["load", "quiet", "--target", "x"]])
 def test_invalid_input_of_a_command_is_one_line_and_exit_status_2(arguments: list[str]):
-    got = CliRunner().invoke(main, arguments)
-    assert got.exit_code == 2
-    assert got.output.startswith("rosewheel: ")
-    assert got.output.count("\n") == 1
+    result = CliRunner().invoke(main, arguments)
+    assert result.exit_code == 2
+    assert result.output.startswith("rosewheel: ")
+    assert result.output.count("\n") == 1
 
 
 def test_vary_changes_nested_keys_of_a_scenario():
@@ -211,9 +211,6 @@
         scenarios.load("quiet", {"tier.9.calls": 1})
 
 
-# ------------------------------------------------------- the operator's file
-
-
 def test_the_operators_file_gives_the_settings_of_the_policy(tmp_path: Path):
     path = tmp_path / "node.toml"
     path.write_text(OPERATOR_TOML)
@@ -253,15 +250,19 @@
         load_operator_config(str(path), {})
     assert expected in str(caught.value)
     command = [sys.executable, "-m", "rosewheel.cli", "node", "--config", str(path)]
-    done = subprocess.run(command, cwd=ROOT, capture_output=True, text=True, check=False, timeout=60)
-    assert done.returncode == 2
-    assert expected in done.stderr
-    assert done.stderr.count("\n") == 1
+    completed = subprocess.run(command, cwd=ROOT, capture_output=True, text=True, check=False, timeout=60)
+    assert completed.returncode == 2
+    assert expected in completed.stderr
+    assert completed.stderr.count("\n") == 1
 
 
 def test_run_imports_neither_command_line_nor_lab():
     text = "import sys, rosewheel.__main__; print(*sys.modules)"
-    done = subprocess.run([sys.executable, "-c", text], cwd=ROOT, capture_output=True, text=True, check=True)
-    names = {name.split(".")[0] for name in done.stdout.split()}
+    completed = subprocess.run(
+        [sys.executable, "-c", text], cwd=ROOT, capture_output=True, text=True, check=True
+    )
+    names = {name.split(".")[0] for name in completed.stdout.split()}
     assert not names & {"click", "msgspec", "structlog", "numpy", "matplotlib", "jinja2", "hdrh"}
-    assert not [name for name in done.stdout.split() if name.startswith(("rosewheel.cli", "rosewheel.lab"))]
+    assert not [
+        name for name in completed.stdout.split() if name.startswith(("rosewheel.cli", "rosewheel.lab"))
+    ]
