--- a/rosewheel/lab/scenario.py
+++ b/rosewheel/lab/scenario.py
@@ -102,7 +102,7 @@
 
     @property
     def zones(self) -> tuple[str, ...]:
-        """All zones."""
+        """Names of all zones."""
         return tuple(zone for region in self.regions for zone in region.zones) or (self.zone,)
 
     @property
--- a/rosewheel/lab/soak/clients.py
+++ b/rosewheel/lab/soak/clients.py
@@ -36,7 +36,13 @@
 
 @dataclass(slots=True)
 class Response:
-    """A response that a client has read; `closes` if it ends the connection."""
+    """A response that a client has read.
+
+    Attributes:
+        status: Status code.
+        body: Body without the chunked encoding.
+        closes: Whether the node announced to close the connection.
+    """
 
     status: int
     body: bytes
--- a/rosewheel/lab/soak/run.py
+++ b/rosewheel/lab/soak/run.py
@@ -24,7 +24,7 @@
 DOWN_S = 0.5  # time from the crash of a server to its restart, and between attempts to restart it
 SETTLE_S = 4.5  # time for abandoned requests to end
 LAG_POLL_S = 0.01
-MAX_LISTED = 12  # violations in the result
+MAX_LISTED = 12  # violations listed in the result
 SERVER_FAULTS = (
     FaultKind.SERVER_HANG,
     FaultKind.SERVER_RESET,
