--- a/rosewheel/cli/runner.py
+++ b/rosewheel/cli/runner.py
@@ -9,7 +9,7 @@
 import uvloop
 
 from rosewheel.cli.output import exit_failed
-from rosewheel.lab.run import RunError, interrupt_to_cancel
+from rosewheel.lab.run import RunError, cancel_on_signals
 
 T = TypeVar("T")
 
@@ -25,7 +25,7 @@
     """
 
     async def cancellable() -> T:
-        interrupt_to_cancel(asyncio.current_task())  # type: ignore[arg-type]
+        cancel_on_signals(asyncio.current_task())  # type: ignore[arg-type]
         return await main
 
     try:
--- a/rosewheel/cli/scale.py
+++ b/rosewheel/cli/scale.py
@@ -11,7 +11,7 @@
 import uvloop
 
 from rosewheel.cli.output import EXIT_BAD_INPUT, exit_failed, exit_interrupted, exit_with_result, print_error
-from rosewheel.lab.run import interrupt_to_cancel
+from rosewheel.lab.run import cancel_on_signals
 from rosewheel.lab.scale.errors import InvalidOptionsError, ScaleRunError
 from rosewheel.lab.scale.options import CONFIG_CHANGES_PER_DAY, FAULT_NAMES, Options
 from rosewheel.lab.scale.plan import Plan
@@ -109,6 +109,6 @@
 
 
 async def _run(plan: Plan, folder: Path) -> Summary:
-    interrupt_to_cancel(asyncio.current_task())  # type: ignore[arg-type]
+    cancel_on_signals(asyncio.current_task())  # type: ignore[arg-type]
     async with asyncio.timeout(plan.options.seconds + ALLOWANCE_S):
         return await ScaleRun(plan, folder).execute()
--- a/rosewheel/lab/run.py
+++ b/rosewheel/lab/run.py
@@ -24,7 +24,7 @@
 from rosewheel.lab.run_summary import RunMeasurements, summarize_run
 from rosewheel.lab.wire import now_ms
 
-__all__ = ["ExperimentRun", "RunError", "interrupt_to_cancel"]
+__all__ = ["ExperimentRun", "RunError", "cancel_on_signals"]
 
 START_DELAY_MS = 500.0  # from the moment everything is ready to the beginning of the plan
 FLUSH_PERIOD_S = 0.5
@@ -110,7 +110,7 @@
         self.records.close()
 
 
-def interrupt_to_cancel(task: asyncio.Task[Any]) -> None:
+def cancel_on_signals(task: asyncio.Task[Any]) -> None:
     """SIGINT and SIGTERM cancel the task, so that everything it started is ended in order."""
     loop = asyncio.get_running_loop()
     for name in (signal.SIGINT, signal.SIGTERM):
