--- a/rosewheel/cli/experiment.py
+++ b/rosewheel/cli/experiment.py
@@ -73,7 +73,7 @@
 
 def _execute_run(run: experiments.PlannedRun, folder: Path) -> RunSummary:
     click.echo(f"running {run.variant.name}, seed {run.seed} ...", err=True)
-    summary = run_until_interrupted(experiments.play_run(run))
+    summary = run_until_interrupted(experiments.execute_run(run))
     if summary is None:
         exit_interrupted(f"interrupted; records so far are in {folder}")
     void = "  VOID: the emulator or the clients were late" if summary["void"] else ""
--- a/rosewheel/lab/experiment.py
+++ b/rosewheel/lab/experiment.py
@@ -93,7 +93,7 @@
             yield PlannedRun(variant, first + number, out / f"v{index}-s{first + number}")
 
 
-async def play_run(item: PlannedRun) -> dict[str, Any]:
+async def execute_run(item: PlannedRun) -> dict[str, Any]:
     """Carry out one run; its records are in `item.folder`, its summary is returned."""
     item.folder.mkdir(parents=True, exist_ok=True)
     plan = plans.make(item.variant.scenario, item.seed)
