--- a/rosewheel/cli/experiment.py
+++ b/rosewheel/cli/experiment.py
@@ -65,7 +65,7 @@
     try:
         variants = experiments.variants(names, parse_variations(vary, seconds))
         for variant in variants:
-            experiments.check_emulated(variant.scenario)
+            experiments.check_emulation_supported(variant.scenario)
     except InvalidFileError as error:
         exit_invalid_file(error)
     return variants
--- a/rosewheel/cli/scenario_options.py
+++ b/rosewheel/cli/scenario_options.py
@@ -46,7 +46,7 @@
     try:
         scenario = scenarios.load(name, changes)
         if emulated:
-            experiments.check_emulated(scenario)
+            experiments.check_emulation_supported(scenario)
         return plans.make(scenario, seed)
     except InvalidFileError as error:
         exit_invalid_file(error)
--- a/rosewheel/lab/experiment.py
+++ b/rosewheel/lab/experiment.py
@@ -48,7 +48,7 @@
     return found
 
 
-def check_emulated(scenario: Scenario) -> None:
+def check_emulation_supported(scenario: Scenario) -> None:
     """Check that a scenario can be emulated on sockets.
 
     Raises:
--- a/tests/lab/test_graph.py
+++ b/tests/lab/test_graph.py
@@ -196,7 +196,7 @@
     loss = {"kind": "loss", "zone": "sala", "at_s": 1.0, "for_s": 1.0}
     quiet = scenario.load("quiet", {"trouble": [loss]})
     with pytest.raises(InvalidFileError, match=r"trouble\[0\].kind: services, regions"):
-        experiment.check_emulated(quiet)
+        experiment.check_emulation_supported(quiet)
 
 
 # ------------------------------------------------------------ graphs and plans
