--- a/rosewheel/lab/emulated_fleet.py
+++ b/rosewheel/lab/emulated_fleet.py
@@ -151,7 +151,7 @@
         await host.listen()
         self.report(host, DiscoveryChange.ADD)
 
-    async def revive(self, host: EmulatedServerHost) -> None:
+    async def restart_crashed(self, host: EmulatedServerHost) -> None:
         """Start a crashed server again."""
         await self.local_nodes.start(host.spec)
         self._restart(host)
@@ -168,7 +168,7 @@
         if new_process:
             self.stop(host)
             await host.rejoin()
-            await self.revive(host)
+            await self.restart_crashed(host)
         else:
             await host.rejoin()
             self.report(host, DiscoveryChange.ADD)
--- a/rosewheel/lab/emulator_faults.py
+++ b/rosewheel/lab/emulator_faults.py
@@ -44,9 +44,9 @@
         """Kill the process of a server."""
         self.fleet.crash(host)
 
-    def revive(self, host: EmulatedServerHost) -> None:
+    def restart(self, host: EmulatedServerHost) -> None:
         """Start a crashed server again."""
-        self.fleet.run_task(self.fleet.revive(host))
+        self.fleet.run_task(self.fleet.restart_crashed(host))
 
     def set_unreachable(self, host: EmulatedServerHost, unreachable: bool, new_process: bool) -> None:
         """Cut a machine off, or connect it again."""
--- a/rosewheel/lab/fault_injector.py
+++ b/rosewheel/lab/fault_injector.py
@@ -76,7 +76,7 @@
                     if begins:
                         self.crash(host)
                     else:
-                        self.revive(host)
+                        self.restart(host)
             case FaultKind.MACHINE_UNREACHABLE:
                 for host in targets:
                     self.set_unreachable(host, begins, fault.new_process)
@@ -153,7 +153,7 @@
         """Kill the process of a server."""
 
     @abstractmethod
-    def revive(self, host: HostT) -> None:
+    def restart(self, host: HostT) -> None:
         """Start a crashed server again."""
 
     @abstractmethod
--- a/rosewheel/lab/simulation/fault_injector.py
+++ b/rosewheel/lab/simulation/fault_injector.py
@@ -51,7 +51,7 @@
         """Kill a server process."""
         self.fleet.crash(host)
 
-    def revive(self, host: SimulatedServerHost) -> None:
+    def restart(self, host: SimulatedServerHost) -> None:
         """Start a crashed server again."""
         self.fleet.launch(host)
 
--- a/tests/lab/test_emulator.py
+++ b/tests/lab/test_emulator.py
@@ -270,7 +270,7 @@
                     await client.reader.read()
             with pytest.raises(ConnectionRefusedError):
                 await asyncio.open_connection(*host.address)
-            await emulator.fleet.revive(host)
+            await emulator.fleet.restart_crashed(host)
             assert host.model.warm_up_share(now_ms()) < 1.0
             async with PlainClient(host) as client:
                 assert status(await client.ask("r2")) == 200
@@ -290,7 +290,7 @@
             before = emulator.fleet.clock.plan_time()
             monkeypatch.setattr("time.time", lambda: wall() + 3600.0)
             emulator.fleet.crash(host)
-            await emulator.fleet.revive(host)
+            await emulator.fleet.restart_crashed(host)
             born = emulator.fleet.registries[0].endpoints[host.spec.name].launched_ms
             assert born < (wall() + 1800.0) * 1000.0, (
                 "an hour ahead: it would look as if it had not started yet"
