--- a/rosewheel/lab/emulator_faults.py
+++ b/rosewheel/lab/emulator_faults.py
@@ -65,7 +65,7 @@
         for registry in self.fleet.registries:
             registry.extra_delay_ms = extra_ms
 
-    def stall_discovery(self, stalled: bool) -> None:
+    def set_discovery_stalled(self, stalled: bool) -> None:
         """Stop discovery, watches staying open, or resume it."""
         for registry in self.fleet.registries:
             for agent in registry.agents.values():
--- a/rosewheel/lab/fault_injector.py
+++ b/rosewheel/lab/fault_injector.py
@@ -89,7 +89,7 @@
             case FaultKind.DISCOVERY_LAG:
                 self.set_discovery_lag(step.size * 1000.0 if begins else 0.0)
             case FaultKind.DISCOVERY_STALL:
-                self.stall_discovery(begins)
+                self.set_discovery_stalled(begins)
             case FaultKind.DISCOVERY_BREAK:
                 self.reset_watches(begins)
             case FaultKind.DISCOVERY_STORM:
@@ -169,7 +169,7 @@
         """Delay all changes of endpoint lists further."""
 
     @abstractmethod
-    def stall_discovery(self, stalled: bool) -> None:
+    def set_discovery_stalled(self, stalled: bool) -> None:
         """Stop discovery, watches staying open, or resume it."""
 
     @abstractmethod
--- a/rosewheel/lab/simulation/fault_injector.py
+++ b/rosewheel/lab/simulation/fault_injector.py
@@ -77,7 +77,7 @@
         for registry in self.fleet.registries:
             registry.extra_delay_ms = extra_ms
 
-    def stall_discovery(self, stalled: bool) -> None:
+    def set_discovery_stalled(self, stalled: bool) -> None:
         """Stall discovery, with watches still open, or resume it."""
         for registry in self.fleet.registries:
             registry.stall(stalled)
