--- a/rosewheel/lab/discovery.py
+++ b/rosewheel/lab/discovery.py
@@ -1,7 +1,7 @@
-"""Discovery as nodes meet it: a registry that learns of changes late, and an agent for each node that answers it.
+"""Emulated discovery: a registry of the endpoints of one tier, and one agent for each node that watches it.
 
-The registry's own list changes at once; each agent learns of a change after a delay of its own, in order. A node
-counts as notified of what its agent has written to an open watch.
+The list of the registry changes immediately. Each agent receives a change after a separate delay, and changes in
+order. A node counts as notified of a change once its agent has written it to an open watch.
 """
 
 from __future__ import annotations
@@ -16,21 +16,24 @@
 from rosewheel.lab.discovery_delays import DiscoveryChange
 from rosewheel.lab.wire import Address, HttpRequest, ServerConnection, now_ms
 
-HEARTBEAT_S = 2.0  # an empty line is sent this often while nothing changes
+HEARTBEAT_S = 2.0  # interval between the empty lines that keep a watch alive
 WATCH_PATH = "/catalog/members"
 FIRST_VERSION = 1
-# Health of a server that has been removed, by the words of discovery.
+# Health of a removed server in discovery messages.
 LEFT = "left"
 
 
 @dataclass(slots=True)
 class DiscoveryEntry:
-    """One server as discovery lists it.
+    """Entry of one server in an endpoint list.
 
     Attributes:
+        name: name of the server.
         address: `host:port`.
+        zone: zone of the server.
+        cell: cell of the server.
         health: `active`, `leaving` or `left`.
-        launched_ms: its start in ms of the epoch; 0 for one that ran from the beginning.
+        launched_ms: start of the server in ms since the Unix epoch; 0 if it was started with the fleet.
     """
 
     name: str
@@ -41,7 +44,7 @@
     launched_ms: int = 0
 
     def wire_record(self) -> dict[str, Any]:
-        """The entry by the keys of discovery's messages."""
+        """Return the entry with the keys of discovery messages."""
         return {
             "host": self.name,
             "dial": self.address,
@@ -55,19 +58,21 @@
 
 
 class DiscoveryAgent:
-    """The agent on a node's machine.
+    """Discovery server of one node, which answers the node's queries and watches.
 
     Attributes:
-        entries: the endpoint list as the agent knows it.
-        version: grows by 1 with each change.
-        stalled: discovery is down; watches stay open and nothing is sent.
+        node: name of the node.
+        entries: endpoint list of the agent, by name of the server.
+        version: version of the list, incremented by each change.
+        stalled: whether discovery is stalled: watches stay open and nothing is sent.
     """
 
     def __init__(self, node: str, on_notified: Callable[[str, DiscoveryEntry], None]) -> None:
-        """Make the agent of a node.
+        """Create the agent of a node.
 
         Args:
-            on_notified: called with the node and each entry that is written to a watch.
+            node: name of the node.
+            on_notified: called with the name of the node and each entry that is written to a watch.
         """
         self.node = node
         self.loop = asyncio.get_running_loop()
@@ -75,27 +80,29 @@
         self.version = FIRST_VERSION
         self.stalled = False
         self._on_notified = on_notified
-        self._changes: list[tuple[int, DiscoveryEntry]] = []  # with the version that each has made
-        self._watches: dict[ServerConnection, int] = {}  # with the version up to which each was notified
+        self._changes: list[tuple[int, DiscoveryEntry]] = []  # each with the list version it produced
+        self._watches: dict[ServerConnection, int] = {}  # last version sent to each watch
         self._connections: set[ServerConnection] = set()
         self._server: asyncio.Server | None = None
         self._heartbeat: asyncio.TimerHandle | None = None
 
     async def start(self, port: int = 0) -> Address:
-        """Listen on loopback; returns the address."""
+        """Listen on a loopback port and return the address."""
         self._server = await self.loop.create_server(
-            lambda: ServerConnection(self._receive, self._connections.add, self._closed), "127.0.0.1", port
+            lambda: ServerConnection(self._receive, self._connections.add, self._connection_closed),
+            "127.0.0.1",
+            port,
         )
         self._heartbeat = self.loop.call_later(HEARTBEAT_S, self._send_heartbeats)
         address: Address = self._server.sockets[0].getsockname()[:2]
         return address
 
     def snapshot_record(self) -> dict[str, Any]:
-        """The complete list, by the keys of discovery's messages and of a node's configuration."""
+        """Return the complete list, with the keys that discovery messages and node configurations share."""
         return self._message(snapshot=True, entries=self.entries.values())
 
-    def learn(self, entry: DiscoveryEntry) -> None:
-        """A change has reached the agent."""
+    def apply_change(self, entry: DiscoveryEntry) -> None:
+        """Apply a change to the list and notify open watches."""
         self.version += 1
         if entry.health == LEFT:
             self.entries.pop(entry.name, None)
@@ -104,18 +111,18 @@
         self._changes.append((self.version, entry))
         self._notify()
 
-    def stall(self, stalled: bool) -> None:
-        """Stop discovery, watches staying open, or resume it."""
+    def set_stalled(self, stalled: bool) -> None:
+        """Stall discovery, with watches still open, or resume it and send pending changes."""
         self.stalled = stalled
         self._notify()
 
     def reset_watches(self) -> None:
-        """Reset all connections."""
+        """Reset all connections to the agent."""
         for connection in list(self._connections):
             connection.reset()
 
     def close(self) -> None:
-        """Stop listening and close all connections."""
+        """Stop heartbeats, stop listening, and close all connections."""
         if self._heartbeat is not None:
             self._heartbeat.cancel()
         if self._server is not None:
@@ -123,8 +130,6 @@
         for connection in list(self._connections):
             connection.close()
 
-    # ------------------------------------------------------------------- wire
-
     def _receive(self, request: HttpRequest) -> None:
         path, _, query = request.target.decode("latin-1").partition("?")
         if path != WATCH_PATH:
@@ -147,12 +152,12 @@
         self._watches[watch] = version
         self._notify()
 
-    def _closed(self, connection: ServerConnection) -> None:
+    def _connection_closed(self, connection: ServerConnection) -> None:
         self._connections.discard(connection)
         self._watches.pop(connection, None)
 
     def _notify(self) -> None:
-        """Send to each watch the changes since its version."""
+        """Send each watch the changes made since the version it was last sent."""
         if self.stalled:
             return
         for watch, since in self._watches.items():
@@ -181,11 +186,12 @@
 
 
 class DiscoveryRegistry:
-    """The agents of all nodes that send to one tier, and the delays with which they learn.
+    """Endpoint list of one tier, and the agents of all nodes that send requests to it.
 
     Attributes:
-        endpoints: endpoint list without delays, by name of the server.
-        extra_delay_ms: an injected fault; added to the delay of every change.
+        agents: agents by name of the node.
+        endpoints: current endpoint list, without delays, by name of the server.
+        extra_delay_ms: delay added to every change by an injected fault.
     """
 
     def __init__(
@@ -193,10 +199,11 @@
         draw_delay_ms: Callable[[DiscoveryChange], float],
         on_notified: Callable[[str, str, DiscoveryEntry, float], None],
     ) -> None:
-        """Make an empty registry.
+        """Create an empty registry.
 
         Args:
-            on_notified: called with the node, the name of the server, its entry, and the time.
+            draw_delay_ms: draws the delay of a change, in ms.
+            on_notified: called with the name of the node, the name of the server, its entry, and the time in ms.
         """
         self.loop = asyncio.get_running_loop()
         self.agents: dict[str, DiscoveryAgent] = {}
@@ -204,24 +211,30 @@
         self.extra_delay_ms = 0.0
         self._draw_delay_ms = draw_delay_ms
         self._on_notified = on_notified
-        self._last_change_ms: dict[str, float] = {}  # by node: changes are learned in order
+        self._last_due_ms: dict[str, float] = {}  # by node; no change is applied before an earlier one
         self._timers: set[asyncio.TimerHandle] = set()
 
     def add_agent(self, node: str) -> DiscoveryAgent:
-        """An agent for a node, which begins with the current list."""
+        """Create the agent of a node, with the current list and no delay."""
         agent = DiscoveryAgent(node, self._notified)
         agent.entries = dict(self.endpoints)
         self.agents[node] = agent
         return agent
 
     def remove_agent(self, node: str) -> None:
-        """Stop the agent of a node."""
+        """Close the agent of a node, if it has one."""
         agent = self.agents.pop(node, None)
         if agent is not None:
             agent.close()
 
     def update(self, entry: DiscoveryEntry, change: DiscoveryChange, at_once: bool = False) -> None:
-        """Change the list; every agent learns of it after a delay of its own, or at once."""
+        """Change the list, and schedule the change for each agent.
+
+        Args:
+            entry: new state of the server.
+            change: kind of the change, which determines its delay.
+            at_once: whether to apply the change to all agents immediately.
+        """
         if entry.health == LEFT:
             self.endpoints.pop(entry.name, None)
         else:
@@ -229,24 +242,24 @@
         first_delay_ms = 0.0 if at_once else self._draw_delay_ms(change) + self.extra_delay_ms
         for node, agent in self.agents.items():
             if at_once:
-                agent.learn(entry)
+                agent.apply_change(entry)
                 continue
             spread_ms = self._draw_delay_ms(DiscoveryChange.SPREAD)
-            last_change_ms = self._last_change_ms.get(node, 0.0)
-            due_ms = max(last_change_ms, now_ms() + first_delay_ms + spread_ms)
-            self._last_change_ms[node] = due_ms
-            self._learn_at(due_ms, agent, entry)
+            last_due_ms = self._last_due_ms.get(node, 0.0)
+            due_ms = max(last_due_ms, now_ms() + first_delay_ms + spread_ms)
+            self._last_due_ms[node] = due_ms
+            self._apply_at(due_ms, agent, entry)
 
-    def _learn_at(self, due_ms: float, agent: DiscoveryAgent, entry: DiscoveryEntry) -> None:
-        def learn() -> None:
+    def _apply_at(self, due_ms: float, agent: DiscoveryAgent, entry: DiscoveryEntry) -> None:
+        def apply() -> None:
             self._timers.discard(handle)
-            agent.learn(entry)
+            agent.apply_change(entry)
 
-        handle = self.loop.call_later(max(0.0, due_ms - now_ms()) / 1000.0, learn)
+        handle = self.loop.call_later(max(0.0, due_ms - now_ms()) / 1000.0, apply)
         self._timers.add(handle)
 
     def close(self) -> None:
-        """Stop all agents and pending changes."""
+        """Cancel pending changes and close all agents."""
         for timer in self._timers:
             timer.cancel()
         for agent in self.agents.values():
--- a/rosewheel/lab/emulator_faults.py
+++ b/rosewheel/lab/emulator_faults.py
@@ -1,4 +1,4 @@
-"""Steps of faults, carried out on emulated servers."""
+"""Injects the fault steps of a plan into emulated servers and their discovery."""
 
 from __future__ import annotations
 
@@ -12,18 +12,18 @@
 
 
 class EmulatorFaultInjector(FaultInjector[EmulatedServerHost]):
-    """Carries out fault steps on an emulated fleet."""
+    """Injects fault steps into an emulated fleet."""
 
     def __init__(self, fleet: EmulatedFleet) -> None:
         super().__init__(fleet.plan, fleet.hosts)
         self.fleet = fleet
 
     def now_ms(self) -> float:
-        """The time of the models."""
+        """Return the current time of the monotonic clock."""
         return now_ms()
 
     def record_step(self, kind: FaultKind, step: FaultStep) -> None:
-        """Record a step."""
+        """Record a fault step."""
         self.fleet.records.write(fault_step_record(kind, step, self.fleet.clock.plan_time()))
 
     def drain(self, host: EmulatedServerHost) -> None:
@@ -41,45 +41,45 @@
         self.fleet.run_task(self.fleet.launch(self.plan.server_spec(name)))
 
     def crash(self, host: EmulatedServerHost) -> None:
-        """Kill the process of a server."""
+        """Kill a server process."""
         self.fleet.crash(host)
 
     def restart(self, host: EmulatedServerHost) -> None:
-        """Start a crashed server again."""
+        """Restart a crashed server."""
         self.fleet.run_task(self.fleet.restart_crashed(host))
 
     def set_unreachable(self, host: EmulatedServerHost, unreachable: bool, new_process: bool) -> None:
-        """Cut a machine off, or connect it again."""
+        """Cut a machine off from the network, or reconnect it with its process or a new one."""
         work = self.fleet.isolate(host) if unreachable else self.fleet.rejoin(host, new_process)
         self.fleet.run_task(work)
 
     def set_accepting(self, host: EmulatedServerHost, accepting: bool) -> None:
-        """Refuse connections, or accept them again."""
+        """Refuse or accept new connections."""
         if accepting:
             self.fleet.run_task(host.resume_accepting())
         else:
             host.stop_accepting()
 
     def set_discovery_lag(self, extra_ms: float) -> None:
-        """Delay all changes of endpoint lists further."""
+        """Set the extra delay of all changes of endpoint lists."""
         for registry in self.fleet.registries:
             registry.extra_delay_ms = extra_ms
 
     def set_discovery_stalled(self, stalled: bool) -> None:
-        """Stop discovery, watches staying open, or resume it."""
+        """Stall discovery, with watches still open, or resume it."""
         for registry in self.fleet.registries:
             for agent in registry.agents.values():
-                agent.stall(stalled)
+                agent.set_stalled(stalled)
 
     def reset_watches(self, begins: bool) -> None:
-        """Break all watches, at the beginning of the fault and at its end."""
+        """Reset all watches, both when the fault begins and when it ends."""
         for registry in self.fleet.registries:
             for agent in registry.agents.values():
                 agent.reset_watches()
 
     def report_in_storm(self, host: EmulatedServerHost, draining: bool) -> None:
-        """Report a server as draining or as up, without a cause."""
+        """Report a server to discovery as draining or as up, whatever its real state."""
         self.fleet.report(host, DiscoveryChange.STORM, LEAVING if draining else ACTIVE)
 
     def inject_into_nodes(self, step: FaultStep, fault: FaultTable, begins: bool) -> None:
-        """Faults of nodes and of the load are carried out by the run that owns them."""
+        """Do nothing: the run injects faults of nodes and clients, which it owns."""
--- a/tests/lab/test_emulator.py
+++ b/tests/lab/test_emulator.py
@@ -333,12 +333,12 @@
         reader, writer = await watch(await agent.start(), 0)
         row = await next_message(reader)
         assert (row["whole"], [host["host"] for host in row["hosts"]]) == (True, ["s"])
-        agent.stall(True)
+        agent.set_stalled(True)
         registry.update(DiscoveryEntry("s", "127.0.0.1:1", "z", 0, "leaving"), DiscoveryChange.DRAIN)
         registry.update(DiscoveryEntry("s", "127.0.0.1:1", "z", 0, "left"), DiscoveryChange.STOP)
         await until(lambda: agent.version == 3)
         assert notified[-1][2] == "active", "an unsent change is no notification"
-        agent.stall(False)
+        agent.set_stalled(False)
         row = await next_message(reader)
         assert [host["health"] for host in row["hosts"]] == ["leaving", "left"]
         assert [item[2] for item in notified] == ["active", "leaving", "left"]
