--- a/rosewheel/lab/discovery_delays.py
+++ b/rosewheel/lab/discovery_delays.py
@@ -1,4 +1,4 @@
-"""How long discovery takes to pass on a change, drawn during a run."""
+"""Random delays of discovery, drawn during a run."""
 
 from __future__ import annotations
 
@@ -11,18 +11,18 @@
 
 
 class DiscoveryChange(Enum):
-    """A change of the endpoint list that has a delay of its own."""
+    """Kinds of endpoint list changes, each with a separate delay setting."""
 
     ADD = "add"
     DRAIN = "drain"
     STOP = "stop"
     SERVER_DIED = "silent"
-    STORM = "storm"  # reported by discovery itself, without a cause
-    SPREAD = "spread"  # no change: how much later than the first one a node learns of it
+    STORM = "storm"  # spurious report of a discovery storm; no server changed its state
+    SPREAD = "spread"  # extra delay of each node on top of the delay of a change; not a change itself
 
 
 def discovery_delay_ms(table: DiscoveryTable, rng: np.random.Generator, change: DiscoveryChange) -> float:
-    """A drawn delay of a change of this kind, in ms."""
+    """Draw the delay of a change of this kind, in ms."""
     if change is DiscoveryChange.SPREAD:
         return float(rng.uniform(0.0, upper_bound(table.spread_ms)))
     delay: Range = {
