--- a/rosewheel/lab/connection_faults.py
+++ b/rosewheel/lab/connection_faults.py
@@ -1,4 +1,4 @@
-"""Faults of connections: which connections of a host are affected, and by what."""
+"""Injected faults of connections, and the choice of the connections that they affect."""
 
 from __future__ import annotations
 
@@ -16,8 +16,10 @@
     """A fault that affects a share of the connections.
 
     Attributes:
-        delay_ms: delay of responses, of a fault of kind `DELAY`.
-        rng: draws the affected connections.
+        kind: what happens to an affected connection.
+        share: probability that a connection is affected.
+        delay_ms: delay of responses; used only by kind `DELAY`.
+        rng: source of the random choice of connections, and of garbled bytes.
     """
 
     kind: ConnectionFaultKind
@@ -27,30 +29,35 @@
 
 
 class FaultableConnection(Protocol):
-    """A connection that can have a fault; `silent`: whatever is received, nothing is sent."""
+    """A connection into which a fault can be injected.
+
+    Attributes:
+        fault: the fault that affects the connection; None without one.
+        silent: whether the connection ignores what it receives and sends nothing.
+    """
 
     fault: ConnectionFault | None
     silent: bool
 
 
 class ConnectionFaults:
-    """The active faults of a host, by the index of the fault in the scenario."""
+    """Active connection faults of one host, keyed by the index of the fault in the scenario."""
 
     def __init__(self) -> None:
         self._active: dict[int, ConnectionFault] = {}
 
     def begin(self, number: int, fault: ConnectionFault, connections: Iterable[FaultableConnection]) -> None:
-        """Affect a share of the connections from now on, the open ones included."""
+        """Activate a fault: it affects a share of the open connections and of those opened later."""
         self._active[number] = fault
         for connection in connections:
             _affect(connection, fault)
 
     def end(self, number: int) -> None:
-        """Affect new connections no longer; those that are affected stay so until they are closed."""
+        """Stop affecting new connections; connections already affected remain so until they close."""
         self._active.pop(number, None)
 
     def affect_new(self, connection: FaultableConnection) -> None:
-        """Draw whether a new connection is affected."""
+        """Decide at random which active fault, if any, affects a new connection."""
         for fault in self._active.values():
             _affect(connection, fault)
 
