--- a/rosewheel/lab/emulated_fleet.py
+++ b/rosewheel/lab/emulated_fleet.py
@@ -1,4 +1,4 @@
-"""The emulated servers of all tiers, their discovery and their local nodes: how servers start, stop and fail."""
+"""Emulated servers of all tiers with their discovery and local nodes: start, stop and failure of servers."""
 
 from __future__ import annotations
 
@@ -22,28 +22,30 @@
 from rosewheel.lab.server_model import DedupTable, ServerSpec
 from rosewheel.lab.wire import now_ms
 
-# States of a server by the words of discovery.
+# Health of a server in discovery messages.
 ACTIVE, LEAVING, LEFT = "active", "leaving", "left"
 
 
 class NodeStartError(RuntimeError):
-    """The local node of a server did not start."""
+    """The local node of a server did not become healthy in time."""
 
 
 class EmulatedFleet:
-    """All emulated servers.
+    """All emulated servers of a plan.
 
     Attributes:
-        hosts: by name of the server.
-        registries: discovery of each tier.
-        requests: the requests at all servers.
+        hosts: hosts by name of the server.
+        registries: discovery registries by tier.
+        requests: handler of the requests at all servers.
+        local_nodes: nodes through which servers call the next tier.
     """
 
     def __init__(self, plan: Plan, folder: Path, records: RecordWriter) -> None:
         self.plan, self.records = plan, records
         self.clock = PlanClock()
-        # Discovery reports starts in the time of day. Read once, so that a step of that clock changes nothing.
-        self._epoch_ms = time.time() * 1000.0 - now_ms()
+        # Discovery reports start times in wall-clock time. The offset is read once, so that a later step of the wall
+        # clock has no effect.
+        self._epoch_offset_ms = time.time() * 1000.0 - now_ms()
         self.hosts: dict[str, EmulatedServerHost] = {}
         self.registries = [self._registry(tier) for tier in range(len(plan.scenario.tiers))]
         self.requests = EmulatedRequests(self)
@@ -53,7 +55,7 @@
         self._tasks: set[asyncio.Task[None]] = set()
 
     async def start(self) -> None:
-        """Start all servers and their local nodes; returns when all of them are ready.
+        """Start all servers and their local nodes, and wait until all of them are ready.
 
         Raises:
             NodeStartError: a local node did not start.
@@ -64,14 +66,14 @@
             self.report(host, DiscoveryChange.ADD, at_once=True, with_launch=False)
         await asyncio.gather(*(self.local_nodes.start(host.spec) for host in list(self.hosts.values())))
         for server, last_line in self.local_nodes.start_errors.items():
-            raise NodeStartError(f"the node of {server} did not start: {last_line}")
+            raise NodeStartError(f"local node of server {server} did not become healthy: {last_line}")
 
     def add_agent(self, node: str, tier: int = 0) -> DiscoveryAgent:
-        """A discovery agent for a node that sends to this tier."""
+        """Create a discovery agent for a node that sends requests to this tier."""
         return self.registries[tier].add_agent(node)
 
     def close(self) -> None:
-        """End everything but records."""
+        """Stop all servers, local nodes and discovery agents; records stay open."""
         self.requests.closed = True
         for task in self._tasks:
             task.cancel()
@@ -82,8 +84,6 @@
             host.close()
         self.local_nodes.kill_all()
 
-    # ------------------------------------------------------------- discovery
-
     def report(
         self,
         host: EmulatedServerHost,
@@ -92,7 +92,15 @@
         at_once: bool = False,
         with_launch: bool = True,
     ) -> None:
-        """Report the state of a server to discovery."""
+        """Report the state of a server to discovery.
+
+        Args:
+            host: host of the server.
+            change: kind of the change, which determines its delay.
+            health: new health of the server.
+            at_once: whether to apply the change without a delay.
+            with_launch: whether to report the start time of the server.
+        """
         spec, (address, port) = host.spec, host.address
         entry = DiscoveryEntry(spec.name, f"{address}:{port}", spec.zone, spec.cell, health)
         if with_launch:
@@ -100,12 +108,12 @@
         self.registries[spec.tier].update(entry, change, at_once)
 
     def launched_ms(self, host: EmulatedServerHost) -> int:
-        """The start of a server as discovery reports it, in ms of the epoch; 0 for one that ran from the beginning."""
+        """Return the start of a server in ms since the Unix epoch; 0 if it was started with the fleet."""
         started_ms = host.model.started_ms
-        return int(started_ms + self._epoch_ms) if started_ms > 0.0 else 0
+        return int(started_ms + self._epoch_offset_ms) if started_ms > 0.0 else 0
 
     def notification(self, node: str, server: str) -> Notification:
-        """What this node was last notified of this server."""
+        """Return the last notification about a server that was sent to a node."""
         return self._notifications.get((node, server), Notification())
 
     def _registry(self, tier: int) -> DiscoveryRegistry:
@@ -117,10 +125,8 @@
         self._notifications[node, server] = Notification(entry.health, at_ms, entry.launched_ms)
         self.records.write(NotifiedRecord(self.clock.plan_time(at_ms), node, server, entry.health))
 
-    # --------------------------------------------------------------- servers
-
     def add_host(self, spec: ServerSpec, warming_up: bool) -> EmulatedServerHost:
-        """A host that does not listen yet."""
+        """Create the host of a server, which does not listen yet."""
         dedup_table = self._dedup_tables.setdefault((spec.tier, spec.cell), DedupTable())
         rng = random_stream(self.plan.seed, "run", "equipo", spec.name)
         sends_load_reports = self.plan.scenario.tiers[spec.tier].report.enabled
@@ -129,42 +135,42 @@
         return host
 
     def call_client(self, server: str) -> HttpClient | None:
-        """The client through which a server calls the next tier."""
+        """Return the client of the local node of a server; None if no local node is running."""
         return self.local_nodes.client(server)
 
     def crash(self, host: EmulatedServerHost) -> None:
-        """Kill the process of a server; discovery notices later."""
+        """Kill the process of a server; discovery detects it after a delay."""
         self.stop(host)
         self.report(host, DiscoveryChange.SERVER_DIED, LEFT)
 
     def stop(self, host: EmulatedServerHost) -> None:
-        """End the process of a server, and its local node with it."""
+        """Stop the process of a server and its local node."""
         self.requests.record_lost_jobs(host)
         host.terminate()
         self.local_nodes.stop(host.spec)
 
     async def launch(self, spec: ServerSpec) -> None:
-        """Start a new server: first its local node, then its process; then it is reported."""
+        """Start the local node of a new server, then the server, and add it to discovery."""
         host = self.add_host(spec, warming_up=True)
         await self.local_nodes.start(spec)
-        self._restart(host)  # its warm-up counts from when it accepts requests
+        self._restart(host)  # the warm-up begins when the server accepts requests
         await host.listen()
         self.report(host, DiscoveryChange.ADD)
 
     async def restart_crashed(self, host: EmulatedServerHost) -> None:
-        """Start a crashed server again."""
+        """Restart a crashed server."""
         await self.local_nodes.start(host.spec)
         self._restart(host)
         await host.resume_accepting()
         self.report(host, DiscoveryChange.ADD)
 
     async def isolate(self, host: EmulatedServerHost) -> None:
-        """Cut the machine of a server off."""
+        """Cut the machine of a server off from the network."""
         host.isolate()
         self.report(host, DiscoveryChange.SERVER_DIED, LEFT)
 
     async def rejoin(self, host: EmulatedServerHost, new_process: bool) -> None:
-        """Connect an isolated machine again, with its process or with a new one."""
+        """Reconnect an isolated machine, with its old process or a new one."""
         if new_process:
             self.stop(host)
             await host.rejoin()
@@ -179,7 +185,7 @@
         self.records.write(start_record(self.plan, host.spec, at_ms))
 
     def run_task(self, work: Coroutine[None, None, None]) -> None:
-        """Run this beside the rest until `close`."""
+        """Run a coroutine in the background; `close` cancels it."""
         task = asyncio.get_running_loop().create_task(work)
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
