--- a/rosewheel/lab/emulator.py
+++ b/rosewheel/lab/emulator.py
@@ -1,4 +1,4 @@
-"""Everything behind the nodes that clients reach, on loopback: servers, discovery, local nodes, and their faults."""
+"""Emulator of servers, discovery, local nodes and their faults, on loopback sockets."""
 
 from __future__ import annotations
 
@@ -20,10 +20,13 @@
 
 
 class Emulator:
-    """An emulated fleet under a plan: `start`, then `start_clock` when the plan begins, and `close`.
+    """Emulated fleet that executes a plan.
+
+    Call `start`, then `start_clock` when the plan begins, and `close` at the end.
 
     Attributes:
         fleet: servers, discovery and local nodes.
+        fault_injector: injector of the fault steps of the plan.
     """
 
     def __init__(self, plan: Plan, folder: Path, records: RecordWriter) -> None:
@@ -36,7 +39,7 @@
         self._cpu_at_start_s = 0.0
 
     async def start(self) -> None:
-        """Start all servers and local nodes; returns when all of them are ready.
+        """Start all servers and local nodes, and wait until all of them are ready.
 
         Raises:
             NodeStartError: a local node did not start.
@@ -44,7 +47,11 @@
         await self.fleet.start()
 
     def start_clock(self, at_ms: float) -> None:
-        """The plan begins at this moment: schedule its fault steps and the samples."""
+        """Begin the plan: schedule its fault steps and the periodic samples.
+
+        Args:
+            at_ms: start of the plan, in ms of `wire.now_ms`.
+        """
         clock = self.fleet.clock
         clock.start(at_ms)
         del self.fleet.requests.timer_lags_ms[:]
@@ -55,7 +62,7 @@
         self._sample_timer = self.loop.call_later(clock.delay_s(0.0), self._sample)
 
     def statistics(self) -> EmulatorRecord:
-        """The emulator's own cost since the plan's clock began."""
+        """Return the CPU time and timer lag of the emulator since the plan began."""
         requests = self.fleet.requests
         lags_ms = np.array(requests.timer_lags_ms or [0.0])
         return EmulatorRecord(
@@ -70,7 +77,7 @@
         )
 
     def close(self) -> None:
-        """End everything that was started, and record the statistics."""
+        """Stop the timers and the fleet, and record the statistics."""
         for timer in (*self._timers, self._sample_timer):
             if timer is not None:
                 timer.cancel()
@@ -82,7 +89,7 @@
         now = now_ms()
         for host in self.fleet.hosts.values():
             host.catch_up(now)
-            host.model.reported_queue(now)  # brings the model up to now, not to its last event
+            host.model.reported_queue(now)  # advances the model from its last event to now
             self.records.write(sample_record(host.model, self.fleet.clock.plan_time(now)))
         self.records.flush()
         self._sample_timer = self.loop.call_later(SAMPLE_PERIOD_S, self._sample)
