--- a/rosewheel/lab/emulator_child.py
+++ b/rosewheel/lab/emulator_child.py
@@ -1,6 +1,6 @@
-"""The emulator as a child process of a run, and the two messages between them.
+"""Emulator child process of a run, and the two messages that they exchange.
 
-The child writes one line when its servers are ready; the run answers with one line when the plan begins.
+The child writes one line when its servers are ready. The run sends one line when the plan begins.
 """
 
 from __future__ import annotations
@@ -22,11 +22,11 @@
 
 
 class EmulatorReady(msgspec.Struct, frozen=True):
-    """The child is ready.
+    """Message of the child: its servers are ready.
 
     Attributes:
-        agents: addresses of discovery by node.
-        known: the endpoint list as discovery has it.
+        agents: addresses of the discovery agents by name of the node.
+        known: endpoint list of discovery.
     """
 
     agents: dict[str, Address]
@@ -34,13 +34,17 @@
 
 
 class StartClock(msgspec.Struct, frozen=True, rename={"start_ms": "t0"}):
-    """The plan begins at this moment, by the clock of `wire.now_ms`."""
+    """Message to the child: the start of the plan.
+
+    Attributes:
+        start_ms: start of the plan, in ms of `wire.now_ms`.
+    """
 
     start_ms: float
 
 
 class EmulatorChild:
-    """The child process."""
+    """Child process that runs the emulator."""
 
     def __init__(self, folder: Path) -> None:
         self.folder = folder
@@ -51,7 +55,7 @@
         """Start the child and wait until its servers are ready.
 
         Raises:
-            RunError: it did not become ready in time.
+            RunError: the child exited or did not become ready within `START_TIMEOUT_S`.
         """
         path = self.folder / "scenario.json"
         path.write_bytes(msgspec.json.encode(plan.scenario))
@@ -73,18 +77,25 @@
                 async with asyncio.timeout(START_TIMEOUT_S):
                     line = await process.stdout.readline()
         if not line:
-            raise RunError(f"the emulator did not start: {self._last_log_line() or 'it said nothing'}")
+            raise RunError(f"emulator did not start: {self._last_log_line() or 'no log output'}")
         return msgspec.json.decode(line, type=EmulatorReady)
 
     async def start_clock(self, start_ms: float) -> None:
-        """The plan begins at this moment."""
+        """Send the start of the plan to the child.
+
+        Args:
+            start_ms: start of the plan, in ms of `wire.now_ms`.
+
+        Raises:
+            RunError: the child has not been started.
+        """
         if self._process is None or self._process.stdin is None:
-            raise RunError("the emulator has not been started")
+            raise RunError("emulator process has not been started")
         self._process.stdin.write(msgspec.json.encode(StartClock(start_ms)) + b"\n")
         await self._process.stdin.drain()
 
     async def close(self) -> None:
-        """End the child by the end of its standard input; kill it where that does not do."""
+        """Close the standard input of the child, and kill the child if it does not exit in time."""
         process = self._process
         if process is not None and process.returncode is None:
             if process.stdin is not None:
--- a/rosewheel/lab/emulator_process.py
+++ b/rosewheel/lab/emulator_process.py
@@ -1,7 +1,7 @@
-"""The emulator as a process of its own: `python -m rosewheel.lab.emulator_process SCENARIO.json SEED FOLDER`.
+"""Program of the emulator process: `python -m rosewheel.lab.emulator_process SCENARIO.json SEED FOLDER`.
 
-It writes one line with the addresses of discovery; then it waits for the moment at which the plan begins. It ends when
-its standard input ends, so that it never outlives the run that started it.
+It writes one line with the addresses of the discovery agents, then reads one line with the start of the plan. It exits
+at the end of its standard input, so that it never outlives the run that started it.
 """
 
 from __future__ import annotations
@@ -25,7 +25,7 @@
 
 
 async def serve(scenario: Scenario, seed: int, folder: Path) -> int:
-    """Run the emulator until standard input ends; returns the exit status."""
+    """Run the emulator until the end of standard input, and return the exit status."""
     loop = asyncio.get_running_loop()
     commands = asyncio.StreamReader()
     await loop.connect_read_pipe(lambda: asyncio.StreamReaderProtocol(commands), sys.stdin)
@@ -60,8 +60,8 @@
 
 
 def main() -> int:
-    """Run the emulator by the arguments of the command line."""
-    # Ctrl-C reaches the whole process group; the run that started this process ends it in order.
+    """Run the emulator with the arguments of the command line."""
+    # Ctrl-C signals the whole process group; the run that started this process stops it by closing its input.
     signal.signal(signal.SIGINT, signal.SIG_IGN)
     path, seed, folder = sys.argv[1:4]
     scenario = msgspec.json.decode(Path(path).read_bytes(), type=Scenario)
