--- a/rosewheel/lab/fault_injector.py
+++ b/rosewheel/lab/fault_injector.py
@@ -1,4 +1,4 @@
-"""Carries out the steps of faults, the same for emulated and simulated servers."""
+"""Base class of the fault injectors for emulated and simulated servers."""
 
 from __future__ import annotations
 
@@ -16,35 +16,35 @@
 
 
 class FaultableHost(Protocol):
-    """What the injector needs of the host of a server."""
+    """Host of a server, as far as the injector uses it."""
 
     spec: ServerSpec
     model: EmulatedServer
 
     def catch_up(self, now: float) -> None:
-        """Do what was due before now."""
+        """Process the events of the model that are due by now."""
 
     def arm(self) -> None:
-        """Set the timer of the model."""
+        """Set the timer to the next event of the model."""
 
     def begin_fault(self, number: int, fault: ConnectionFault) -> None:
-        """Affect a share of the connections."""
+        """Activate a fault that affects a share of the connections."""
 
     def end_fault(self, number: int) -> None:
-        """Affect new connections no longer."""
+        """Stop affecting new connections."""
 
 
 HostT = TypeVar("HostT", bound=FaultableHost)
 
 
 class FaultInjector(ABC, Generic[HostT]):
-    """Carries out fault steps on the hosts of servers; how hosts live and die is up to the subclass."""
+    """Injects fault steps into the hosts of servers; subclasses implement start, stop and failure of hosts."""
 
     def __init__(self, plan: Plan, hosts: Mapping[str, HostT]) -> None:
         self.plan, self.hosts = plan, hosts
 
     def inject(self, step: FaultStep) -> None:
-        """Carry out one step."""
+        """Record one fault step and inject it."""
         fault = self.plan.scenario.faults[step.fault]
         self.record_step(fault.kind, step)
         targets = [self.hosts[name] for name in step.targets if name in self.hosts]
@@ -126,15 +126,13 @@
             else:
                 host.end_fault(step.fault)
 
-    # ------------------------------------------------------ up to the subclass
-
     @abstractmethod
     def now_ms(self) -> float:
-        """The time of the models."""
+        """Return the current time of the server models, in ms."""
 
     @abstractmethod
     def record_step(self, kind: FaultKind, step: FaultStep) -> None:
-        """Record a step."""
+        """Record a fault step."""
 
     @abstractmethod
     def drain(self, host: HostT) -> None:
@@ -150,41 +148,41 @@
 
     @abstractmethod
     def crash(self, host: HostT) -> None:
-        """Kill the process of a server."""
+        """Kill a server process."""
 
     @abstractmethod
     def restart(self, host: HostT) -> None:
-        """Start a crashed server again."""
+        """Restart a crashed server."""
 
     @abstractmethod
     def set_unreachable(self, host: HostT, unreachable: bool, new_process: bool) -> None:
-        """Cut a machine off, or connect it again with its process or with a new one."""
+        """Cut a machine off from the network, or reconnect it with its process or a new one."""
 
     @abstractmethod
     def set_accepting(self, host: HostT, accepting: bool) -> None:
-        """Refuse connections, or accept them again."""
+        """Refuse or accept new connections."""
 
     @abstractmethod
     def set_discovery_lag(self, extra_ms: float) -> None:
-        """Delay all changes of endpoint lists further."""
+        """Set the extra delay of all changes of endpoint lists."""
 
     @abstractmethod
     def set_discovery_stalled(self, stalled: bool) -> None:
-        """Stop discovery, watches staying open, or resume it."""
+        """Stall discovery, with watches still open, or resume it."""
 
     @abstractmethod
     def reset_watches(self, begins: bool) -> None:
-        """Break all watches at a step of this fault."""
+        """Reset watches when the fault begins or ends."""
 
     @abstractmethod
     def report_in_storm(self, host: HostT, draining: bool) -> None:
-        """Report a server as draining or as up, without a cause."""
+        """Report a server to discovery as draining or as up, whatever its real state."""
 
     @abstractmethod
     def inject_into_nodes(self, step: FaultStep, fault: FaultTable, begins: bool) -> None:
-        """Carry out a fault of nodes, clients, zones or regions."""
+        """Begin or end a fault of nodes, clients, zones or regions."""
 
 
 def fault_step_record(kind: FaultKind, step: FaultStep, at_ms: float) -> FaultStepRecord:
-    """The record of a step."""
+    """Return the record of a fault step."""
     return FaultStepRecord(at_ms, kind.value, step.phase.value, step.targets)
