--- a/rosewheel/lab/wire.py
+++ b/rosewheel/lab/wire.py
@@ -1,7 +1,7 @@
-"""HTTP/1.1 as the lab needs it: the clock, and a server's connection, driven by callbacks.
+"""Clock of the lab, and an HTTP/1.1 server connection driven by callbacks.
 
-One request at a time on a connection, bodies complete in memory. Faults are caused here, since only the owner of a
-socket can reset it, truncate a response or stay silent.
+A connection handles one request at a time and keeps no request bodies. It also implements connection faults: it can
+reset itself, send raw bytes or stay silent.
 """
 
 from __future__ import annotations
@@ -20,12 +20,12 @@
 
 
 def now_ms() -> float:
-    """The clock of every part of a run: monotonic, and one for all processes of the machine."""
+    """Return the time of the monotonic clock, which all processes of a machine share, in ms."""
     return time.monotonic() * 1000.0
 
 
 def reset_connection(transport: asyncio.Transport) -> None:
-    """End a connection with a reset."""
+    """Abort a connection with a TCP reset."""
     sock = transport.get_extra_info("socket")
     if sock is not None:
         no_linger = struct.pack("ii", 1, 0)
@@ -35,11 +35,15 @@
 
 @dataclass(slots=True, eq=False)
 class HttpRequest:
-    """A complete request.
+    """A completely received request.
 
     Attributes:
-        headers: by name in lower case.
-        first_byte_ms: when its first byte was received; `received_ms` the last.
+        connection: connection on which it was received.
+        headers: values by lower-case name.
+        body_bytes: size of the body.
+        first_byte_ms: time at which the first byte was received.
+        received_ms: time at which the last byte was received.
+        first_on_connection: whether it is the first request on its connection.
     """
 
     connection: ServerConnection
@@ -52,16 +56,18 @@
     first_on_connection: bool
 
     def header(self, name: bytes) -> str:
-        """The value of a header; empty where it is missing."""
+        """Return the value of a header; empty if it is missing."""
         return self.headers.get(name, b"").decode("latin-1")
 
 
 class ServerConnection(asyncio.Protocol):
-    """A server's end of a connection.
+    """Server side of a connection.
 
     Attributes:
-        silent: a fault: whatever is received, nothing is sent.
-        current_work: for the owner, what it keeps of the request in progress.
+        transport: transport of the connection; None unless it is open.
+        silent: whether the connection ignores what it receives and sends nothing, as an injected fault.
+        request_count: number of requests received.
+        current_work: state of the request in progress, for use by the owner.
     """
 
     def __init__(
@@ -85,13 +91,13 @@
         self._body_bytes = 0
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """The connection is open."""
+        """Store the transport and report the open connection to the owner."""
         self.transport = cast(asyncio.Transport, transport)
         if self._on_open is not None:
             self._on_open(self)
 
     def data_received(self, data: bytes) -> None:
-        """Bytes have been received."""
+        """Feed received bytes to the parser; close the connection if they are invalid."""
         if self.silent or self._parser is None:
             return
         if not self._first_byte_ms:
@@ -102,19 +108,19 @@
             self.close()
 
     def on_url(self, url: bytes) -> None:
-        """The parser has read a part of the target."""
+        """Append a part of the request target."""
         self._target += url
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """The parser has read a header."""
+        """Store a header."""
         self._headers[name.lower()] = value
 
     def on_body(self, data: bytes) -> None:
-        """The parser has read a part of the body."""
+        """Count the bytes of a part of the body."""
         self._body_bytes += len(data)
 
     def on_message_complete(self) -> None:
-        """The parser has read the end of a request."""
+        """Pass the complete request to the owner."""
         if self._parser is None:
             return
         self.request_count += 1
@@ -133,11 +139,13 @@
         self._on_request(request)
 
     def respond(self, status: int, body: bytes = b"", extra: bytes = b"", close: bool = False) -> None:
-        """Send a response.
+        """Send a response, unless the connection is closed or silent.
 
         Args:
-            extra: further headers, each with its line end.
-            close: close the connection after it.
+            status: status code.
+            body: complete body.
+            extra: additional header lines, each with its line end.
+            close: whether to close the connection after the response.
         """
         if self.transport is None or self.transport.is_closing() or self.silent:
             return
@@ -148,22 +156,22 @@
             self.transport.close()
 
     def write(self, data: bytes) -> None:
-        """Send bytes as they are."""
+        """Send raw bytes, unless the connection is closed or silent."""
         if self.transport is not None and not self.transport.is_closing() and not self.silent:
             self.transport.write(data)
 
     def close(self) -> None:
-        """Close the connection once everything is sent."""
+        """Close the connection after all buffered data has been sent."""
         if self.transport is not None:
             self.transport.close()
 
     def reset(self) -> None:
-        """Reset the connection."""
+        """Abort the connection with a TCP reset."""
         if self.transport is not None:
             reset_connection(self.transport)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """The connection has ended."""
+        """Report the closed connection to the owner."""
         self.transport = None
         self._parser = None
         if self._on_close is not None:
