--- a/rosewheel/lab/request_codec.py
+++ b/rosewheel/lab/request_codec.py
@@ -1,4 +1,4 @@
-"""HTTP requests as the lab's clients and emulated servers send them, with the headers that only the lab reads."""
+"""Encoding of the HTTP requests that the clients and emulated servers of the lab send."""
 
 from __future__ import annotations
 
@@ -11,12 +11,12 @@
     Idempotency.IDEMPOTENT_WITH_KEY: b"POST",
     Idempotency.NON_IDEMPOTENT: b"POST",
 }
-# Names of headers in the form in which `wire` gives them, in lower case.
+# Header names in lower case, as `wire.HttpRequest` stores them.
 REQUEST_ID_HEADER = b"request-id"
 CLASS_HEADER = b"request-class"
 TIMEOUT_HEADER = b"request-timeout-ms"
 DEDUP_KEY_HEADER = b"idempotency-key"
-# Read by emulated servers only; nodes pass them on.
+# Headers that only emulated servers read; nodes forward them unchanged.
 SENDER_HEADER = b"lab-node"
 OPERATION_HEADER = b"lab-op"
 WORK_HEADER = b"lab-work"
@@ -27,11 +27,14 @@
     """A request of a client or of an emulated server.
 
     Attributes:
-        timeout_ms: how long the sender waits for the response.
-        sender: name of the node to which the request is sent, and which sends it on.
-        operation_id: identity of the operation, the same in all its attempts.
+        class_name: request class.
+        idempotency: idempotency of the class, which determines the method.
+        request_id: identifier of this attempt.
+        timeout_ms: time that the sender waits for the response.
+        sender: name of the node that receives the request and forwards it to a server.
+        operation_id: identifier of the operation, the same for all its attempts.
         total_work_ms: work over all tiers, in ms of a reference core.
-        dedup_key: key under which servers drop repeats; sent only where the class is idempotent with a key.
+        dedup_key: key by which servers detect duplicates; sent only if the class is idempotent with a key.
         body_bytes: size of the body; a GET has none.
     """
 
@@ -46,7 +49,7 @@
     body_bytes: int
 
     def encode(self) -> bytes:
-        """The request as it is sent."""
+        """Return the request as HTTP/1.1 bytes."""
         keyed = self.idempotency is Idempotency.IDEMPOTENT_WITH_KEY
         length = 0 if self.idempotency is Idempotency.IDEMPOTENT else self.body_bytes
         name = self.class_name.encode()
--- a/rosewheel/lab/request_work.py
+++ b/rosewheel/lab/request_work.py
@@ -1,4 +1,4 @@
-"""Work and calls of one request at one server, drawn while a run is on."""
+"""Work and outgoing calls of a request at one server, drawn during a run."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 def call_targets(plan: Plan, tier: int, rng: np.random.Generator) -> tuple[int, ...]:
-    """The tiers that a request at this tier calls, in order of the calls."""
+    """Draw the tiers that a request at this tier calls, in order of the calls."""
     targets: list[int] = []
     for callee, mean in plan.edges[tier]:
         targets += [callee] * (int(mean) + int(rng.random() < mean - int(mean)))
@@ -26,11 +26,18 @@
     noise: np.random.Generator,
     call_count: int,
 ) -> tuple[float, ...]:
-    """The work of a request at one server in ms of a reference core: segments with a call between each two.
+    """Draw the work of a request at one server, as segments with one call between each two.
 
     Args:
-        total_work_ms: the request's work over all tiers.
-        noise: stream of the variation from server to server.
+        plan: the plan of the run.
+        spec: the server.
+        parameters: parameters of the request's class.
+        total_work_ms: work of the request over all tiers, in ms of a reference core.
+        noise: random stream of the variation of work between servers.
+        call_count: number of calls to the next tiers.
+
+    Returns:
+        Work of each segment, in ms of a reference core.
     """
     tier_share = plan.scenario.tiers[spec.tier].work
     own_work_ms = total_work_ms * tier_share * lognormal_factor(noise, parameters.attempt_noise)
--- a/rosewheel/lab/retry.py
+++ b/rosewheel/lab/retry.py
@@ -1,4 +1,4 @@
-"""Whether and when a client retries, the same on sockets and in virtual time."""
+"""Retry policy of clients, shared by the emulated and the simulated load."""
 
 from __future__ import annotations
 
@@ -10,9 +10,9 @@
 from rosewheel.policy.settings import DedupScope, Idempotency
 
 REJECTION_STATUSES = (429, 503)
-RESPONSE_SLACK_MS = 50.0  # a response may come this much later than the client's timeout
-RETRY_STORM_DELAY_FACTOR = 0.1  # of the usual delay, during a retry storm
-RETRY_JITTER = (0.5, 1.5)
+RESPONSE_SLACK_MS = 50.0  # tolerated lateness of a response after the timeout of the client
+RETRY_STORM_DELAY_FACTOR = 0.1  # factor on the backoff during a retry storm
+RETRY_JITTER = (0.5, 1.5)  # range of the random factor on the backoff
 
 
 def retry_delay_ms(
@@ -24,12 +24,19 @@
     rng: np.random.Generator,
     extra_retries: int = 0,
 ) -> float | None:
-    """Time until the next attempt; None where the client gives up.
+    """Return the delay before the next attempt of an operation.
 
     Args:
-        attempts: attempts so far.
-        elapsed_ms: time since the operation was planned.
-        extra_retries: retries above the usual number, during a retry storm.
+        plan: the plan of the run.
+        table: class of the operation.
+        outcome: outcome of the last attempt.
+        attempts: number of attempts so far.
+        elapsed_ms: time since the planned start of the operation.
+        rng: source of the jitter.
+        extra_retries: retries allowed on top of the configured number, during a retry storm.
+
+    Returns:
+        Delay in ms; None if the client gives up.
     """
     if attempts > plan.scenario.clients.retries + extra_retries:
         return None
@@ -45,7 +52,7 @@
 
 
 def _may_repeat(table: ClassTable) -> bool:
-    """Whether any request of the class may be executed again, by any server."""
+    """Return whether every request of the class may be executed again by any server."""
     if table.idempotency is Idempotency.IDEMPOTENT_WITH_KEY:
         return table.dedup_scope is DedupScope.ALL
     return table.idempotency is Idempotency.IDEMPOTENT
