--- a/rosewheel/lab/__init__.py
+++ b/rosewheel/lab/__init__.py
@@ -1,1 +1,1 @@
-"""Emulated servers, load, scenarios and experiments."""
+"""Test lab: emulated and simulated servers, load generation, scenarios and experiments."""
--- a/rosewheel/lab/garbage_collection.py
+++ b/rosewheel/lab/garbage_collection.py
@@ -1,4 +1,4 @@
-"""Settings of the garbage collector for a run."""
+"""Garbage collector settings of a run."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 def tune_garbage_collector() -> None:
-    """Keep the collector from delaying timers: what exists now lives as long as the run."""
+    """Keep collections from delaying timers: freeze the existing objects, which live as long as the run."""
     gc.collect()
     gc.freeze()
     gc.set_threshold(*GENERATION_THRESHOLDS)
--- a/rosewheel/lab/service_graph.py
+++ b/rosewheel/lab/service_graph.py
@@ -1,6 +1,6 @@
-"""The call graph of services: its order, its depth, and how often a request visits each service.
+"""Call graph of services: topological order, depth, and mean number of visits of each service.
 
-Services are named by their index in the scenario; clients send their requests to the first.
+Services are identified by their index in the scenario. Clients send their requests to service 0.
 """
 
 from __future__ import annotations
@@ -8,9 +8,9 @@
 from collections.abc import Sequence
 from graphlib import CycleError, TopologicalSorter
 
-MAX_DEPTH = 20  # services on the longest path, the first included
+MAX_DEPTH = 20  # maximum number of services on a path
 
-# By caller: the services that it calls, and the mean number of calls for each request.
+# By caller: each called service with the mean number of calls for one request.
 CallEdges = tuple[tuple[tuple[int, float], ...], ...]
 
 
@@ -18,7 +18,7 @@
     """Services call one another in a cycle.
 
     Attributes:
-        cycle: the services of the cycle in order of the calls; the first one is repeated at the end.
+        cycle: services of the cycle in order of the calls, with the first one repeated at the end.
     """
 
     def __init__(self, cycle: Sequence[int]) -> None:
@@ -27,10 +27,10 @@
 
 
 def topological_order(callees: Sequence[Sequence[int]]) -> tuple[int, ...]:
-    """All services, each caller before the services that it calls.
+    """Return all services in an order in which each caller precedes the services that it calls.
 
     Raises:
-        CallCycleError: there is no such order.
+        CallCycleError: the graph has a cycle.
     """
     sorter: TopologicalSorter[int] = TopologicalSorter({index: () for index in range(len(callees))})
     for caller, called in enumerate(callees):
@@ -43,7 +43,7 @@
 
 
 def depths(callees: Sequence[Sequence[int]]) -> tuple[int, ...]:
-    """The length of the longest path to each service: 1 for the first one, 0 for one that no request reaches."""
+    """Return the number of services on the longest path to each service; 0 for an unreachable service."""
     depth = [0] * len(callees)
     depth[0] = 1
     for caller in topological_order(callees):
@@ -53,7 +53,7 @@
 
 
 def mean_visits(edges: CallEdges) -> tuple[float, ...]:
-    """The mean number of calls to each service for one request of a client, over all paths, without failures."""
+    """Return the mean number of calls to each service for one client request, over all paths and without failures."""
     means = [0.0] * len(edges)
     means[0] = 1.0
     for caller in topological_order([[callee for callee, _ in calls] for calls in edges]):
