--- a/rosewheel/lab/experiment.py
+++ b/rosewheel/lab/experiment.py
@@ -1,4 +1,4 @@
-"""Several runs of scenarios and their variants, one after another, and their results together."""
+"""Experiments: consecutive runs of scenarios and their variants, and statistics over the runs."""
 
 from __future__ import annotations
 
@@ -23,36 +23,37 @@
 
 @dataclass(slots=True, frozen=True)
 class Variant:
-    """One scenario with some keys changed."""
+    """A scenario with changed keys, and the name that identifies it in results."""
 
     name: str
     scenario: Scenario
 
 
 def variants(names: Sequence[str], vary: Sequence[tuple[str, Sequence[object]]]) -> list[Variant]:
-    """Every scenario under every combination of the changes.
+    """Load each scenario with every combination of the changes.
 
     Args:
+        names: names or paths of the scenarios.
         vary: keys of the scenario file, each with its values.
 
     Raises:
         InvalidFileError: a scenario or a change is invalid.
     """
-    found: list[Variant] = []
+    loaded: list[Variant] = []
     for name in names:
         for values in itertools.product(*(options for _, options in vary)):
             changes = dict(zip((key for key, _ in vary), values, strict=True))
             scenario = scenarios.load(name, changes)
             label = " ".join(f"{key}={value}" for key, value in changes.items())
-            found.append(Variant(f"{scenario.name} {label}".strip(), scenario))
-    return found
+            loaded.append(Variant(f"{scenario.name} {label}".strip(), scenario))
+    return loaded
 
 
 def check_emulation_supported(scenario: Scenario) -> None:
     """Check that a scenario can be emulated on sockets.
 
     Raises:
-        InvalidFileError: it needs what only the simulation has.
+        InvalidFileError: the scenario uses a feature that only the simulation supports.
     """
     simulated_only = {
         "service": bool(scenario.services),
@@ -63,12 +64,12 @@
         simulated_only[f"trouble[{index}].kind"] = fault.kind in ZONE_FAULT_KINDS
     for key, present in simulated_only.items():
         if present:
-            why = "services, regions and ways between them are not emulated on sockets: `simulate` plays them"
+            why = "services, regions, network delays and zone faults are supported only by `simulate`"
             raise InvalidFileError(scenario.name, [Problem(key, None, why)])
 
 
 def parse_value(text: str) -> object:
-    """A value of the command line: a number, true or false, or else text."""
+    """Return a value of the command line as JSON, or as text if it is not valid JSON."""
     try:
         value: object = msgspec.json.decode(text)
     except msgspec.DecodeError:
@@ -78,23 +79,32 @@
 
 @dataclass(slots=True, frozen=True)
 class PlannedRun:
-    """One run of a variant, with its seed and the folder of its records."""
+    """A run of a variant, with its seed and the folder of its records."""
 
     variant: Variant
     seed: int
     folder: Path
 
 
-def plan_runs(found: Sequence[Variant], seed: int | None, repeat: int, out: Path) -> Iterator[PlannedRun]:
-    """Every run. Repeats take the seeds that follow, the same for each variant, so that runs are paired."""
+def plan_runs(selected: Sequence[Variant], seed: int | None, repeat: int, out: Path) -> Iterator[PlannedRun]:
+    """Yield all runs of an experiment, one repetition of all variants after another.
+
+    Repetitions use consecutive seeds, the same for all variants of a scenario, so that their runs are paired.
+
+    Args:
+        selected: the variants.
+        seed: seed of the first repetition; that of each scenario if None.
+        repeat: number of repetitions.
+        out: parent of the folders of the runs.
+    """
     for number in range(repeat):
-        for index, variant in enumerate(found):
-            first = variant.scenario.seed if seed is None else seed
-            yield PlannedRun(variant, first + number, out / f"v{index}-s{first + number}")
+        for index, variant in enumerate(selected):
+            first_seed = variant.scenario.seed if seed is None else seed
+            yield PlannedRun(variant, first_seed + number, out / f"v{index}-s{first_seed + number}")
 
 
 async def execute_run(item: PlannedRun) -> dict[str, Any]:
-    """Carry out one run; its records are in `item.folder`, its summary is returned."""
+    """Execute one run, write its records to `item.folder`, and return its summary."""
     item.folder.mkdir(parents=True, exist_ok=True)
     plan = plans.make(item.variant.scenario, item.seed)
     summary = await ExperimentRun(plan, item.folder).execute()
@@ -103,14 +113,18 @@
 
 @dataclass(slots=True, frozen=True)
 class VariantRow:
-    """The results of a variant over its runs.
+    """Results of a variant over its runs. Means exclude void runs.
 
     Attributes:
-        service: mean service; void runs are left out of it.
-        half_width: half the width of its confidence interval; None where one run has none.
+        variant: name of the variant.
+        runs: number of runs, including void ones.
+        void_runs: number of runs whose results are invalid because of timer lag.
+        service: mean service.
+        half_width: half the width of the confidence interval of `service`; None for fewer than two valid runs.
         p99_ms: mean 99th percentile of the latency, by class.
-        violated_runs: runs in which a rule was violated.
-        after_restarts: mean service after restarts of nodes, and its interval likewise.
+        violated_runs: number of runs in which a rule was violated.
+        after_restarts: mean service after restarts of nodes; None without one.
+        after_restarts_half_width: half the width of the confidence interval of `after_restarts`.
     """
 
     variant: str
@@ -125,9 +139,9 @@
 
 
 def summarize(summaries: Sequence[dict[str, Any]]) -> list[VariantRow]:
-    """One row for each variant; void runs are counted and left out of the means."""
+    """Return one row for each variant, in order of their first runs."""
     names = dict.fromkeys(summary["variant"] for summary in summaries)
-    return [_row(name, [one for one in summaries if one["variant"] == name]) for name in names]
+    return [_row(name, [summary for summary in summaries if summary["variant"] == name]) for name in names]
 
 
 def _row(name: str, summaries: list[dict[str, Any]]) -> VariantRow:
@@ -155,7 +169,7 @@
 
 
 def _half_width(values: Sequence[float]) -> float | None:
-    """Half the width of the mean's confidence interval, by Student's t."""
+    """Return half the width of the confidence interval of the mean, by Student's t-distribution."""
     if len(values) < 2:
         return None
     from scipy import stats
--- a/tests/lab/test_graph.py
+++ b/tests/lab/test_graph.py
@@ -189,7 +189,7 @@
         assert result.exit_code == 2
         assert result.output.count("\n") == 1
         assert f"{name}: " in result.output
-        assert "`simulate` plays them" in result.output
+        assert "are supported only by `simulate`" in result.output
 
 
 def test_the_emulator_rejects_the_loss_of_the_only_zone() -> None:
