--- a/rosewheel/lab/http_client.py
+++ b/rosewheel/lab/http_client.py
@@ -1,6 +1,6 @@
-"""An HTTP/1.1 client of the lab: its connections to one server, driven by callbacks.
+"""HTTP/1.1 client of the lab: a connection pool to one server, driven by callbacks.
 
-One request at a time on a connection, bodies complete in memory.
+A connection carries one request at a time and buffers complete response bodies.
 """
 
 from __future__ import annotations
@@ -15,13 +15,21 @@
 from rosewheel.lab.outcomes import AttemptFailure
 from rosewheel.lab.wire import Address, now_ms
 
-# A kept connection that ends this soon after a request was sent had been closed before the request reached it.
+# A reused connection that ends this soon after a request was sent is assumed to have been closed before the server read
+# the request.
 STALE_CONNECTION_MS = 20.0
 
 
 @dataclass(slots=True)
 class HttpResponse:
-    """How a request ended for its client; `status` is 0 without a response."""
+    """Outcome of a request.
+
+    Attributes:
+        status: status of the response; 0 without one.
+        body: complete body.
+        retry_after_s: value of the `Retry-After` header; None without one.
+        failure: reason for which there is no response.
+    """
 
     status: int
     body: bytes = b""
@@ -34,8 +42,12 @@
     """A request in flight.
 
     Attributes:
+        data: encoded request.
         on_done: called once with the outcome.
-        resent: it was sent once more, since its connection had closed as it was sent.
+        sent_ms: time at which it was last sent.
+        connection: connection on which it was sent; None while it waits for one.
+        finished: whether it has its outcome or was abandoned.
+        resent: whether it was sent again because the server closed a reused connection.
     """
 
     data: bytes
@@ -46,34 +58,36 @@
     resent: bool = False
 
     def abandon(self) -> None:
-        """Close the connection; `on_done` is not called."""
+        """Close the connection without calling `on_done`."""
         self.finished = True
         if self.connection is not None:
             self.connection.close()
 
     def finish(self, response: HttpResponse) -> None:
-        """Pass on the outcome, unless there was one."""
+        """Call `on_done` with the outcome, unless the request is finished already."""
         if not self.finished:
             self.finished = True
             self.on_done(response)
 
 
 class ClientConnection(asyncio.Protocol):
-    """A client's end of a connection.
+    """Client side of a connection.
 
     Attributes:
-        pending: the request in flight.
-        use_count: requests so far.
+        client: owner of the connection.
+        transport: transport of the connection; None unless it is open.
+        pending: the request in flight, if any.
+        request_count: number of requests sent.
     """
 
     def __init__(self, client: HttpClient) -> None:
         self.client = client
         self.transport: asyncio.Transport | None = None
         self.pending: PendingRequest | None = None
-        self.use_count = 0
+        self.request_count = 0
         self._parser: httptools.HttpResponseParser | None = httptools.HttpResponseParser(self)
         self._keep_alive = False
-        self._data_received = False  # since the request was sent
+        self._response_started = False  # whether data was received since the last request was sent
         self._begin_response()
 
     def _begin_response(self) -> None:
@@ -83,39 +97,43 @@
 
     @property
     def usable(self) -> bool:
-        """Whether the connection is open."""
+        """Return whether the connection is open."""
         return self.transport is not None and not self.transport.is_closing()
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """The connection is open."""
+        """Store the transport of the open connection."""
         self.transport = cast(asyncio.Transport, transport)
 
     def send(self, pending: PendingRequest) -> None:
-        """Send a request on this open connection."""
+        """Send a request on this connection.
+
+        Raises:
+            ConnectionError: the connection is not open.
+        """
         if self.transport is None:
-            raise ConnectionError("the connection is not open")
-        self.use_count += 1
+            raise ConnectionError("connection is not open")
+        self.request_count += 1
         self.pending, pending.connection = pending, self
         pending.sent_ms = now_ms()
-        self._data_received = False
+        self._response_started = False
         self.transport.write(pending.data)
 
     def data_received(self, data: bytes) -> None:
-        """Bytes have been received."""
+        """Feed received bytes to the parser; finish the request when its response is complete or invalid."""
         if self._parser is None:
             return
-        if self.pending is None:  # of no request
-            self.client.surplus_answers += 1
+        if self.pending is None:
+            self.client.surplus_responses += 1
             self.close()
             return
-        self._data_received = True
+        self._response_started = True
         try:
             self._parser.feed_data(data)
         except httptools.HttpParserError:
             if not self._complete:
                 self._finish(HttpResponse(0, failure=AttemptFailure.BROKEN), keep_open=False)
                 return
-            self.client.surplus_answers += 1
+            self.client.surplus_responses += 1
             self._keep_alive = False
         if self._complete:
             status = self._parser.get_status_code()
@@ -123,7 +141,7 @@
             self._finish(response, keep_open=self._keep_alive)
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """The parser has read a header."""
+        """Store the delay of a `Retry-After` header."""
         if name.lower() == b"retry-after":
             try:
                 self._retry_after_s = float(value)
@@ -131,16 +149,16 @@
                 self._retry_after_s = None
 
     def on_body(self, data: bytes) -> None:
-        """The parser has read a part of the body."""
+        """Append a part of the body."""
         self._body.append(data)
 
     def on_message_begin(self) -> None:
-        """The parser has read the beginning of a response."""
+        """Count a response that begins after the complete one as surplus."""
         if self._complete:
-            self.client.surplus_answers += 1
+            self.client.surplus_responses += 1
 
     def on_message_complete(self) -> None:
-        """The parser has read the end of a response."""
+        """Mark the response as complete."""
         if self._parser is not None:
             self._complete, self._keep_alive = True, self._parser.should_keep_alive()
 
@@ -161,16 +179,16 @@
             self.transport.close()
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """The connection has ended; a request that a kept connection had not read is sent once more."""
+        """Finish the request in flight as broken, or resend it once if the closed connection was stale."""
         self.transport = None
         self._parser = None
-        self.client.forget(self)
+        self.client.remove_connection(self)
         pending, self.pending = self.pending, None
         if pending is None or pending.finished:
             return
         pending.connection = None
-        at_once = now_ms() - pending.sent_ms < STALE_CONNECTION_MS
-        stale = self.use_count > 1 and not self._data_received and at_once
+        closed_early = now_ms() - pending.sent_ms < STALE_CONNECTION_MS
+        stale = self.request_count > 1 and not self._response_started and closed_early
         if stale and not pending.resent:
             pending.resent = True
             self.client.dispatch(pending, new_connection=True)
@@ -179,11 +197,13 @@
 
 
 class HttpClient:
-    """A client of one server, with the connections that it keeps.
+    """HTTP client of one server, with a pool of reusable connections.
 
     Attributes:
-        idle: connections without a request; the one used last is at the end.
-        surplus_answers: responses that no request had asked for.
+        address: address of the server.
+        idle: connections without a request, the most recently used one last.
+        open: all open connections.
+        surplus_responses: number of responses without a request.
     """
 
     def __init__(self, address: Address) -> None:
@@ -191,7 +211,7 @@
         self.loop = asyncio.get_running_loop()
         self.idle: list[ClientConnection] = []
         self.open: set[ClientConnection] = set()
-        self.surplus_answers = 0
+        self.surplus_responses = 0
         self._tasks: set[asyncio.Task[None]] = set()
 
     def send(
@@ -200,15 +220,16 @@
         """Send a request.
 
         Args:
-            on_done: called once with the outcome, not before this returns.
-            new_connection: use a connection of its own in place of a kept one.
+            data: encoded request.
+            on_done: called once with the outcome, after this method has returned.
+            new_connection: whether to open a new connection even if an idle one could be reused.
         """
         pending = PendingRequest(data, on_done)
         self.dispatch(pending, new_connection)
         return pending
 
     def dispatch(self, pending: PendingRequest, new_connection: bool = False) -> None:
-        """Send a pending request on a kept connection, or on a new one."""
+        """Send a pending request on an idle connection, or on a new one."""
         while self.idle and not new_connection:
             connection = self.idle.pop()
             if connection.usable:
@@ -231,14 +252,14 @@
         else:
             connection.send(pending)
 
-    def forget(self, connection: ClientConnection) -> None:
-        """A connection has ended."""
+    def remove_connection(self, connection: ClientConnection) -> None:
+        """Remove a closed connection from the pool."""
         self.open.discard(connection)
         if connection in self.idle:
             self.idle.remove(connection)
 
     def close(self) -> None:
-        """Close all connections."""
+        """Cancel connection attempts and close all connections."""
         for task in self._tasks:
             task.cancel()
         for connection in list(self.open):
--- a/rosewheel/lab/load.py
+++ b/rosewheel/lab/load.py
@@ -1,6 +1,6 @@
-"""Open-loop clients: each request is sent at its planned moment, whatever became of those before it.
+"""Open-loop load generator: each operation starts at its planned time, regardless of the state of earlier ones.
 
-The latency of an operation counts from that moment, over all its attempts.
+The latency of an operation is measured from its planned start to the end of its last attempt.
 """
 
 from __future__ import annotations
@@ -27,16 +27,20 @@
 from rosewheel.lab.wire import Address, now_ms
 
 HTTP_OK = 200
-HEALTH_POLL_S = 0.1  # how often the dispatcher checks the health of its nodes
+HEALTH_POLL_S = 0.1  # interval between the health checks of the nodes
 MAX_LATENCY_MS = 60_000
-LATENCY_DIGITS = 3
+LATENCY_SIGNIFICANT_DIGITS = 3
 
 
 class ClientDispatcher:
-    """The layer that assigns clients to nodes; it learns late which of them are dead.
+    """Load balancer in front of the nodes, which detects dead nodes with a delay.
 
     Attributes:
-        allowed_nodes: an injected fault; the nodes that get all clients, any node where it is empty.
+        nodes: addresses by name of the node.
+        notice_ms: time for which a node must be dead before it is detected.
+        clients: HTTP clients by name of the node.
+        up: whether each node is considered up.
+        allowed_nodes: the only nodes that receive requests, during an injected fault; empty for all nodes.
     """
 
     def __init__(self, nodes: dict[str, Address], notice_ms: float) -> None:
@@ -48,18 +52,18 @@
         self._task: asyncio.Task[None] | None = None
 
     def start(self) -> None:
-        """Begin to check the health of the nodes."""
+        """Start the health checks of the nodes."""
         self._task = asyncio.get_running_loop().create_task(self._watch())
 
     def close(self) -> None:
-        """Stop the checks and close all connections."""
+        """Stop the health checks and close all connections."""
         if self._task is not None:
             self._task.cancel()
         for client in self.clients.values():
             client.close()
 
     def candidates(self) -> list[str]:
-        """The nodes to which clients are assigned; all allowed ones, where all of them seem dead."""
+        """Return the allowed nodes that are up, or all allowed nodes if none is."""
         allowed = self.allowed_nodes or tuple(self.nodes)
         return [name for name in allowed if self.up[name]] or list(allowed)
 
@@ -70,7 +74,7 @@
             await asyncio.sleep(HEALTH_POLL_S)
 
     def _observe(self, name: str, alive: bool) -> None:
-        """A dead node is noticed after `notice_ms`, one that is back at once."""
+        """Process a health check: mark a dead node as down after `notice_ms`, and a live node as up at once."""
         if alive is self.up[name]:
             self._changed_since_ms.pop(name, None)
             return
@@ -84,8 +88,14 @@
     """One operation of a client and its attempts.
 
     Attributes:
-        attempts: the attempts that have ended.
+        arrival: planned start, class and work of the operation.
+        attempts: records of the finished attempts.
         pending: the attempt in flight.
+        timeout_ms: timeout of each attempt.
+        request_id: request ID of the attempt in flight.
+        node: name of the node to which the attempt in flight was sent.
+        sent_ms: start of the attempt in flight, in ms of the plan.
+        timer: timeout of the attempt in flight.
     """
 
     def __init__(self, load: LoadGenerator, arrival: Arrival, table: ClassTable) -> None:
@@ -93,11 +103,11 @@
         self.attempts: list[AttemptRecord] = []
         self.pending: PendingRequest | None = None
         self.timeout_ms = table.deadline_ms * load.plan.attempt_timeout_share
-        self.request_id, self.node, self.sent_ms = "", "", 0.0  # of the attempt in flight
+        self.request_id, self.node, self.sent_ms = "", "", 0.0
         self.timer: asyncio.TimerHandle | None = None
 
     def start_attempt(self) -> None:
-        """Send the request once more."""
+        """Send the request to a random node."""
         load, table, arrival = self.load, self.table, self.arrival
         self.node = load.pick_node()
         self.request_id = f"{arrival.operation_id}.{len(self.attempts)}"
@@ -117,17 +127,17 @@
         timeout_s = (self.timeout_ms + RESPONSE_SLACK_MS) / 1000.0
         self.timer = load.loop.call_later(timeout_s, self._abandon)
         client = load.dispatcher.clients[self.node]
-        self.pending = client.send(request.encode(), self._answered, new_connection)
+        self.pending = client.send(request.encode(), self._attempt_finished, new_connection)
 
     def _abandon(self) -> None:
         if self.pending is not None:
             self.pending.abandon()
-        self._answered(HttpResponse(0, failure=AttemptFailure.NO_ANSWER))
+        self._attempt_finished(HttpResponse(0, failure=AttemptFailure.NO_ANSWER))
 
-    def _answered(self, response: HttpResponse) -> None:
+    def _attempt_finished(self, response: HttpResponse) -> None:
         if self.timer is not None:
             self.timer.cancel()
-        expected_start = self.request_id.encode() + b"\n"
+        expected_prefix = self.request_id.encode() + b"\n"
         served = response.status == HTTP_OK
         self.attempts.append(
             AttemptRecord(
@@ -139,7 +149,7 @@
                 status=response.status,
                 failure=response.failure.value,
                 resent=self.pending is not None and self.pending.resent,
-                foreign_response=served and not response.body.startswith(expected_start),
+                foreign_response=served and not response.body.startswith(expected_prefix),
             )
         )
         if served or not self._schedule_retry(response):
@@ -154,7 +164,13 @@
 
 
 class OperationWeight(NamedTuple):
-    """Priority weight times work of an operation, offered and served in time."""
+    """Weight of a finished operation: its priority weight times its work.
+
+    Attributes:
+        planned_ms: planned start, in ms of the plan.
+        offered: weight of the operation.
+        earned: the same weight if it was served in time, else 0.
+    """
 
     planned_ms: float
     offered: float
@@ -162,14 +178,15 @@
 
 
 class LoadGenerator:
-    """All clients of a plan against these nodes.
+    """All clients of a plan, which send their requests to the given nodes.
 
     Attributes:
-        counts: operations of each class that were asked, served, and served in time.
-        outcomes: the weight of each finished operation.
+        latency: latency histogram by class.
+        counts: for each class, the numbers of finished, served and in-time operations.
+        weights: weights of the finished operations.
         open_operations: operations without a final outcome.
-        extra_retries: an injected fault; retries above the usual number.
-        lag_max_ms: how late an operation was started at most.
+        extra_retries: retries allowed on top of the configured number, during an injected fault.
+        lag_max_ms: largest delay between the planned and the actual start of an operation.
     """
 
     def __init__(self, plan: Plan, nodes: dict[str, Address], records: RecordWriter) -> None:
@@ -178,9 +195,11 @@
         self.clock = PlanClock()
         self.dispatcher = ClientDispatcher(nodes, plan.node_notice_ms)
         self.classes = {row.name: row for row in plan.scenario.classes}
-        self.latency = {name: HdrHistogram(1, MAX_LATENCY_MS, LATENCY_DIGITS) for name in self.classes}
+        self.latency = {
+            name: HdrHistogram(1, MAX_LATENCY_MS, LATENCY_SIGNIFICANT_DIGITS) for name in self.classes
+        }
         self.counts = {name: {"asked": 0, "served": 0, "in_time": 0} for name in self.classes}
-        self.outcomes: list[OperationWeight] = []
+        self.weights: list[OperationWeight] = []
         self.open_operations: set[ClientOperation] = set()
         self.extra_retries = 0
         self.lag_max_ms = 0.0
@@ -191,23 +210,27 @@
         self._timers: set[asyncio.TimerHandle] = set()
 
     async def run(self, start_ms: float) -> None:
-        """Send everything, the plan beginning at `start_ms`; returns when every operation has its outcome."""
+        """Start all operations of the plan, and wait until each has its final outcome.
+
+        Args:
+            start_ms: start of the plan, in ms of `wire.now_ms`.
+        """
         self.clock.start(start_ms)
         self.dispatcher.start()
-        self._start_due()
+        self._start_due_operations()
         try:
             await self._done.wait()
         finally:
             self.close()
 
     def stop(self) -> None:
-        """Start nothing more; attempts in flight still get their responses."""
+        """Start no more operations or retries; attempts in flight continue."""
         self._stopping = True
         self._next_arrival = len(self.plan.arrivals)
         self._check_done()
 
     def close(self) -> None:
-        """Close all connections and record the statistics."""
+        """Stop the clients and record their statistics."""
         for timer in self._timers:
             timer.cancel()
         self.dispatcher.close()
@@ -216,35 +239,34 @@
             counts = self.counts[name]
             record = LatencyRecord(name, counts["asked"], counts["served"], counts["in_time"], *quantiles)
             self.records.write(record)
-        surplus = sum(client.surplus_answers for client in self.dispatcher.clients.values())
+        surplus = sum(client.surplus_responses for client in self.dispatcher.clients.values())
         self.records.write(ClientsRecord(surplus, round(self.lag_max_ms, 2)))
         self.records.flush()
 
     def service(self, begin_ms: float | None = None, end_ms: float = math.inf) -> float:
-        """Weight served in time over weight offered, of what was planned between these moments.
+        """Return the weight served in time divided by the offered weight, of operations planned in an interval.
 
         Args:
-            begin_ms: the end of the warm-up where it is None.
+            begin_ms: start of the interval, in ms of the plan; None for the end of the warm-up.
+            end_ms: end of the interval, in ms of the plan.
         """
         begin = self.plan.scenario.warm_up_s * 1000.0 if begin_ms is None else begin_ms
-        outcomes = [outcome for outcome in self.outcomes if begin <= outcome.planned_ms < end_ms]
-        offered = sum(outcome.offered for outcome in outcomes)
-        return sum(outcome.earned for outcome in outcomes) / offered if offered else 1.0
-
-    # ------------------------------------------------------------- operations
+        weights = [weight for weight in self.weights if begin <= weight.planned_ms < end_ms]
+        offered = sum(weight.offered for weight in weights)
+        return sum(weight.earned for weight in weights) / offered if offered else 1.0
 
     def pick_node(self) -> str:
-        """Draw a node."""
+        """Return the name of a random node."""
         nodes = self.plan.scenario.nodes
         weight = nodes.client_share if nodes.client_shares else None
         return weighted_choice(self._random, self.dispatcher.candidates(), weight)
 
     def draw_new_connection(self) -> bool:
-        """Draw whether a request is sent on a connection of its own."""
+        """Decide at random whether a request is sent on a new connection."""
         return self.plan.scenario.clients.new_connection_share > self._random.random()
 
     def retry_delay_ms(self, operation: ClientOperation, response: HttpResponse) -> float | None:
-        """Time until the next attempt; None where the client gives up."""
+        """Return the time until the next attempt, in ms; None if the client gives up."""
         if self._stopping:
             return None
         return retry_delay_ms(
@@ -258,7 +280,7 @@
         )
 
     def call_later(self, delay_ms: float, callback: Callable[[], None]) -> None:
-        """Call this after a delay, unless the clients are closed."""
+        """Call `callback` after a delay, unless the load generator is closed before."""
 
         def run() -> None:
             self._timers.discard(handle)
@@ -267,7 +289,7 @@
         handle = self.loop.call_later(delay_ms / 1000.0, run)
         self._timers.add(handle)
 
-    def _start_due(self) -> None:
+    def _start_due_operations(self) -> None:
         arrivals, elapsed_ms = self.plan.arrivals, self.clock.elapsed_ms()
         while self._next_arrival < len(arrivals) and arrivals[self._next_arrival].at_ms <= elapsed_ms:
             arrival = arrivals[self._next_arrival]
@@ -278,12 +300,12 @@
             self._next_arrival += 1
         if self._next_arrival < len(arrivals):
             delay_ms = max(0.0, arrivals[self._next_arrival].at_ms - elapsed_ms)
-            self.call_later(delay_ms, self._start_due)
+            self.call_later(delay_ms, self._start_due_operations)
         else:
             self._check_done()
 
     def operation_finished(self, operation: ClientOperation) -> None:
-        """Count and record a finished operation."""
+        """Count and record an operation that has its final outcome."""
         last, table, arrival = operation.attempts[-1], operation.table, operation.arrival
         duration_ms = last.ended_ms - arrival.at_ms
         served = last.status == HTTP_OK
@@ -293,7 +315,7 @@
         counts["served"] += served
         counts["in_time"] += in_time
         weight = table.priority_weight * arrival.work_ms
-        self.outcomes.append(OperationWeight(arrival.at_ms, weight, weight * in_time))
+        self.weights.append(OperationWeight(arrival.at_ms, weight, weight * in_time))
         if served:
             self.latency[table.name].record_value(max(1, round(duration_ms)))
         self.records.write(
