--- a/rosewheel/lab/emulator_requests.py
+++ b/rosewheel/lab/emulator_requests.py
@@ -1,4 +1,4 @@
-"""Requests at emulated servers: their work, their calls to the next tier, their responses and records."""
+"""Handler of requests at emulated servers: work, calls to the next tier, responses and records."""
 
 from __future__ import annotations
 
@@ -35,17 +35,17 @@
 from rosewheel.policy.settings import Idempotency
 
 HTTP_OK = 200
-MIN_CALL_TIME_MS = 1.0  # a call with less time left is not sent
+MIN_CALL_TIME_MS = 1.0  # shortest remaining time with which a call is sent
 
 
 @dataclass(slots=True, frozen=True)
 class Notification:
-    """What a node was last notified of a server.
+    """Last notification about a server that was sent to a node.
 
     Attributes:
-        health: its state by the words of discovery.
-        at_ms: when.
-        launched_ms: the start of the server; 0 for one that ran from the beginning.
+        health: health of the server in discovery messages.
+        at_ms: time of the notification.
+        launched_ms: start of the server in ms since the Unix epoch; 0 if it was started with the fleet.
     """
 
     health: str = "active"
@@ -54,27 +54,31 @@
 
 
 class RequestFleet(Protocol):
-    """What the requests need of the fleet."""
+    """Fleet of servers, as far as the request handler uses it."""
 
     plan: Plan
     clock: PlanClock
     records: RecordWriter
 
     def notification(self, node: str, server: str) -> Notification:
-        """What this node was last notified of this server."""
+        """Return the last notification about a server that was sent to a node."""
 
     def launched_ms(self, host: EmulatedServerHost) -> int:
-        """The start of a server as discovery reports it."""
+        """Return the start of a server in ms since the Unix epoch; 0 if it was started with the fleet."""
 
     def call_client(self, server: str) -> HttpClient | None:
-        """The client through which a server calls the next tier."""
+        """Return the client of the local node of a server; None if no local node is running."""
 
     def crash(self, host: EmulatedServerHost) -> None:
-        """Kill the process of a server."""
+        """Kill a server process."""
 
 
 class BadRequestError(Exception):
-    """A request that no client of the lab sends; `status` answers it."""
+    """Malformed request.
+
+    Attributes:
+        status: status of the response.
+    """
 
     def __init__(self, status: int) -> None:
         super().__init__(status)
@@ -97,12 +101,12 @@
 
 
 class EmulatedRequests:
-    """All requests at all servers.
+    """Handler of all requests at all servers.
 
     Attributes:
-        served: served requests by tier.
-        timer_lags_ms: how late the timers of the models were.
-        closed: responses to calls are dropped.
+        served: number of served requests by tier.
+        timer_lags_ms: lag of each timer of the server models.
+        closed: whether the emulator is closed; the outcomes of calls are then ignored.
     """
 
     def __init__(self, fleet: RequestFleet) -> None:
@@ -115,21 +119,19 @@
         self._classes = {row.name: row for row in plan.scenario.classes}
         self._parameters = {row.name: row for row in plan.classes}
         self._work: dict[int, ServerWork] = {}
-        self._calls: dict[tuple[int, int], _PendingCall] = {}  # by job and number of the call
+        self._calls: dict[tuple[int, int], _PendingCall] = {}  # by job ID and call number
         self._noise = random_stream(plan.seed, "run", "noise")
         self._call_draws = random_stream(plan.seed, "run", "calls")
         self._last_job_id = 0
 
     def record_timer_lag(self, lag_ms: float) -> None:
-        """A timer of a model fired this late."""
+        """Record how late a timer of a server model fired."""
         self.timer_lags_ms.append(lag_ms)
 
-    # ---------------------------------------------------------------- arrival
-
     def accept_request(
         self, host: EmulatedServerHost, connection: HostConnection, request: HttpRequest
     ) -> ServerWork | None:
-        """The work of a request at this server; None where it is malformed and has been answered."""
+        """Create the work of a received request; respond and return None if the request is malformed."""
         try:
             incoming = self._parse(request)
         except BadRequestError as error:
@@ -203,14 +205,14 @@
             f"{class_name}/{incoming.dedup_key}" if incoming.dedup_key else None,
             incoming.table.dedup_window_ms,
         )
-        # A sender answers only for a start that it has been notified of; one without a name counts as informed.
+        # The sender is informed if it was notified of this start of the server, or if the request names no sender.
         launched_ms = self.fleet.launched_ms(host)
         informed = notification.launched_ms == launched_ms > 0
         job.sender_informed = not incoming.identity.sender or informed
         return job
 
     def _check_drain(self, work: ServerWork, notification: Notification) -> None:
-        """Record a request that reaches a server too long after its sender was notified of a drain or removal."""
+        """Record a request received too long after its sender was notified of a drain or removal of the server."""
         rules, identity = self.plan.scenario.rules, work.identity
         allowed_ms = rules.drain_ms + rules.drain_slack_ms
         over_ms = work.first_byte_ms - notification.at_ms - allowed_ms
@@ -226,10 +228,8 @@
                 )
             )
 
-    # ---------------------------------------------------------------- actions
-
     def apply_actions(self, host: EmulatedServerHost, actions: list[Action]) -> None:
-        """Carry out what the model of a server returned."""
+        """Carry out the actions that the model of a server has returned."""
         for action in actions:
             match action:
                 case Reply(job_id, result):
@@ -244,7 +244,7 @@
                     self.fleet.crash(host)
 
     def record_lost_jobs(self, host: EmulatedServerHost) -> None:
-        """The process of a server ends: record its requests as lost."""
+        """Record all requests in progress at a server as lost, since its process ends."""
         for job_id in [job_id for job_id, work in self._work.items() if work.host is host]:
             self._record(self._work.pop(job_id), LOST_JOB, now_ms())
 
@@ -252,7 +252,7 @@
         work = self._work.pop(job_id, None)
         if work is None:
             return
-        if work.job.stage is JobStage.DUPLICATE:  # it may wait at another server of the cell
+        if work.job.stage is JobStage.DUPLICATE:  # the original may be at another server of the cell
             work.host.model.finish_duplicate(job_id)
         now = now_ms()
         served = result is JobResult.SERVED
@@ -262,7 +262,7 @@
         work.host.reply(work, result, self._body(work) if served else b"")
 
     def _body(self, work: ServerWork) -> bytes:
-        """A body that shows for which request it was made."""
+        """Return a response body that begins with the ID of the request, so that the client can check it."""
         size = self._classes[work.identity.class_name].answer_bytes
         request_id = work.identity.request_id.encode("latin-1")
         return (request_id + b"\n").ljust(size, b".") if size else b""
@@ -282,10 +282,8 @@
             )
         )
 
-    # ------------------------------------------------------------------ calls
-
     def _call(self, work: ServerWork, number: int) -> None:
-        """One call to the next tier, through the server's own node."""
+        """Send a call to the next tier through the local node of the server."""
         identity, spec = work.identity, work.host.spec
         table, client = self._classes[identity.class_name], self.fleet.call_client(spec.name)
         propagate = self.plan.scenario.propagate_deadline
