--- a/rosewheel/lab/server_host.py
+++ b/rosewheel/lab/server_host.py
@@ -1,4 +1,4 @@
-"""An emulated server on its socket: the model of `server_model` behind HTTP, with its faults."""
+"""Host of an emulated server: connects the model of `server_model` to HTTP connections and faults."""
 
 from __future__ import annotations
 
@@ -22,19 +22,25 @@
 LOAD_PATH = b"/_load"
 NOT_STARTED_HEADER = b"Not-Started: 1\r\n"
 STATUS_BY_RESULT = {JobResult.SERVED: 200, JobResult.ERROR: 500, JobResult.REJECTED: 503}
-TRUNCATED_BYTES = 64  # announced above the length of a truncated response
-GARBLED_BYTES = 64
-QUEUE_FILLERS = 3  # connections that fill the queue of a listening socket with a backlog of 0
+TRUNCATED_BYTES = 64  # excess of the declared over the actual body length in a truncated response
+GARBLED_BYTES = 64  # number of random bytes that replace a garbled response
+QUEUE_FILLERS = 3  # connections that fill the accept queue of a socket with a backlog of 0
 
 
 @dataclass(slots=True, eq=False)
 class ServerWork:
-    """A request that a server works on, and where its response goes.
+    """A request in progress at a server.
 
     Attributes:
-        deadline_ms: when its sender stops to wait.
-        total_work_ms: its work over all tiers.
-        client_connected: False once the sender has closed the connection.
+        host: host of the server.
+        connection: connection that receives the response.
+        job: job of the server model.
+        identity: identifiers of the request in records.
+        received_ms: time at which the last byte of the request was received.
+        first_byte_ms: time at which its first byte was received.
+        deadline_ms: time at which its sender stops waiting.
+        total_work_ms: work of the request over all tiers, in ms of a reference core.
+        client_connected: False once the connection is closed.
     """
 
     host: EmulatedServerHost
@@ -49,26 +55,27 @@
 
 
 class HostOwner(Protocol):
-    """What a host needs of the emulator."""
+    """Handler of the requests of hosts and of the actions of their models."""
 
     def accept_request(
         self, host: EmulatedServerHost, connection: HostConnection, request: HttpRequest
     ) -> ServerWork | None:
-        """The work of a request; None where the request is malformed and has been answered."""
+        """Create the work of a received request; respond and return None if the request is malformed."""
 
     def apply_actions(self, host: EmulatedServerHost, actions: list[Action]) -> None:
-        """Carry out what the model of the host returned."""
+        """Carry out the actions that the model of a host has returned."""
 
     def record_timer_lag(self, lag_ms: float) -> None:
-        """A timer of a model fired this late."""
+        """Record how late a timer of a server model fired."""
 
 
 class HostConnection(ServerConnection):
-    """A connection to an emulated server.
+    """Connection to an emulated server.
 
     Attributes:
-        fault: the fault that affects it, if any.
-        work: the request in progress on it.
+        host: host of the server.
+        fault: fault that affects the connection, if any.
+        work: request in progress on the connection, if any.
     """
 
     def __init__(self, host: EmulatedServerHost) -> None:
@@ -88,11 +95,16 @@
 
 
 class EmulatedServerHost:
-    """One server: its listening socket, its connections, and the timer that drives its model.
+    """Host of one emulated server, which survives restarts of the server process.
+
+    It owns the listening socket, the connections, and the timer that drives the model.
 
     Attributes:
-        sends_load_reports: whether responses carry the load report.
-        isolated: the machine is cut off from the network.
+        model: model of the current server process.
+        address: listen address, the same for all processes.
+        connections: open connections.
+        sends_load_reports: whether responses include a load report.
+        isolated: whether the machine is cut off from the network.
     """
 
     def __init__(
@@ -118,23 +130,21 @@
         self._due_ms = math.inf
         self._queue_fillers: list[socket.socket] = []
 
-    # -------------------------------------------------------------- listening
-
     async def listen(self) -> Address:
-        """Accept connections; returns the address, which stays the same for the life of the host."""
+        """Start to accept connections and return the listen address."""
         self._socket = socket.create_server(self.address, backlog=LISTEN_BACKLOG)
         self.address = self._socket.getsockname()[:2]
         await self._accept(self._socket)
         return self.address
 
     async def _accept(self, listening: socket.socket) -> None:
-        # A descriptor of its own, so that closing the server leaves the socket to be used again.
+        # The server closes its socket; a duplicate keeps the original usable.
         self._server = await self.loop.create_server(
             lambda: HostConnection(self), sock=listening.dup(), backlog=LISTEN_BACKLOG
         )
 
     def stop_accepting(self) -> None:
-        """Refuse connections from now on."""
+        """Close the listening socket, so that new connections are refused."""
         if self._server is not None:
             self._server.close()
             self._server = None
@@ -143,14 +153,14 @@
             self._socket = None
 
     async def resume_accepting(self) -> None:
-        """Accept connections again on the same address."""
+        """Accept connections again, on the same address."""
         if self._socket is None:
             await self.listen()
         elif self._server is None:
             await self._accept(self._socket)
 
     def isolate(self) -> None:
-        """Cut the machine off: open connections fall silent, new ones never open."""
+        """Cut the machine off from the network: open connections fall silent, and new ones are never established."""
         self.isolated = True
         for connection in self.connections:
             connection.silent = True
@@ -160,7 +170,7 @@
             self._fill_accept_queue(self._socket)
 
     def _fill_accept_queue(self, listening: socket.socket) -> None:
-        """With a full accept queue the system drops new connections: neither opened nor reset."""
+        """Fill the accept queue, so that the kernel drops new connections without a reset."""
         listening.listen(0)
         for _ in range(QUEUE_FILLERS):
             filler = socket.socket()
@@ -170,7 +180,7 @@
             self._queue_fillers.append(filler)
 
     async def rejoin(self) -> None:
-        """End the isolation; connections from before it are reset."""
+        """Reconnect the machine to the network, and reset its open connections."""
         self.isolated = False
         self._close_queue_fillers()
         for connection in list(self.connections):
@@ -186,17 +196,15 @@
         self._queue_fillers.clear()
 
     def begin_fault(self, number: int, fault: ConnectionFault) -> None:
-        """Affect a share of the connections from now on, the open ones included."""
+        """Activate a fault that affects a share of the open connections and of those opened later."""
         self._faults.begin(number, fault, self.connections)
 
     def end_fault(self, number: int) -> None:
-        """Affect new connections no longer."""
+        """Stop affecting new connections."""
         self._faults.end(number)
 
-    # ------------------------------------------------------------ connections
-
     def connection_opened(self, connection: HostConnection) -> None:
-        """A client has opened a connection."""
+        """Add a connection that a client has opened."""
         self.connections.add(connection)
         if self.isolated:
             connection.silent = True
@@ -206,7 +214,7 @@
         self.arm()
 
     def connection_closed(self, connection: HostConnection) -> None:
-        """A connection has ended. A cancelled request or one past its timeout stops no work."""
+        """Remove a closed connection. Work on a request in progress on it continues."""
         self.connections.discard(connection)
         if connection.work is not None:
             connection.work.client_connected = False
@@ -215,10 +223,10 @@
         self.arm()
 
     def receive(self, connection: HostConnection, request: HttpRequest) -> None:
-        """A complete request has been received."""
+        """Handle a request received on a connection."""
         path = request.target.partition(b"?")[0]
         if path in (HEALTH_PATH, LOAD_PATH):
-            self._answer_health_check(connection, path)
+            self._respond_to_health_check(connection, path)
             return
         if connection.fault is not None and connection.fault.kind is ConnectionFaultKind.RESET:
             connection.reset()
@@ -234,7 +242,7 @@
         self.owner.apply_actions(self, self.model.submit(now, work.job))
         self.arm()
 
-    def _answer_health_check(self, connection: HostConnection, path: bytes) -> None:
+    def _respond_to_health_check(self, connection: HostConnection, path: bytes) -> None:
         self.catch_up(now := now_ms())
         up = self.model.check_health(now)
         body = self._load_report().encode() if path == LOAD_PATH and self.sends_load_reports else b""
@@ -242,7 +250,7 @@
         self.arm()
 
     def reply(self, work: ServerWork, result: JobResult, body: bytes) -> None:
-        """Send the response of a request, as the fault of its connection has it."""
+        """Send the response to a request, subject to the fault of its connection."""
         connection = work.connection
         if connection.work is work:
             connection.work = None
@@ -272,10 +280,8 @@
     def _load_report(self) -> str:
         return f"queue={self.model.reported_queue(now_ms()):.3f}"
 
-    # ------------------------------------------------------------------ timer
-
     def arm(self) -> None:
-        """Set one timer of the loop to the model's next moment."""
+        """Set the timer to the next event of the model."""
         due_ms = self.model.next_due_ms()
         if due_ms == self._due_ms and self._timer is not None:
             return
@@ -284,12 +290,12 @@
             self._timer = None
         self._due_ms = due_ms
         if due_ms != math.inf:
-            # Rounded up to the loop's milliseconds: an early timer would only have to be set again at once.
+            # Rounded up to whole milliseconds, so that the timer does not fire before the event is due.
             wait_ms = max(0, math.ceil(due_ms - now_ms()))
             self._timer = self.loop.call_later(wait_ms / 1000.0, self._tick, now_ms() + wait_ms)
 
     def catch_up(self, now: float) -> None:
-        """Do what was due before an event that has just happened: a timer may be late, an event is not."""
+        """Process the events of the model that are due by now, in case its timer is late."""
         if self.model.next_due_ms() <= now:
             self.owner.apply_actions(self, self.model.tick(now))
 
@@ -301,10 +307,8 @@
         self.owner.apply_actions(self, self.model.tick(now))
         self.arm()
 
-    # -------------------------------------------------------------------- end
-
     def terminate(self) -> None:
-        """End the process: connections are reset, new ones refused, and all its work is lost."""
+        """Stop the server process: reset its connections, refuse new ones, and lose all its work."""
         self.model.stop(now_ms())
         self.stop_accepting()
         for connection in list(self.connections):
@@ -312,7 +316,7 @@
         self.arm()
 
     def close(self) -> None:
-        """Release timer and sockets."""
+        """Cancel the timer and close all sockets."""
         if self._timer is not None:
             self._timer.cancel()
         self._close_queue_fillers()
@@ -321,6 +325,6 @@
             connection.close()
 
     def restart(self) -> None:
-        """Start a new process under the same name, which warms up."""
+        """Start a new server process, which warms up."""
         self.model = EmulatedServer(self.spec, self.dedup_table, self.rng, now_ms(), warming_up=True)
         self.arm()
