--- a/rosewheel/lab/run.py
+++ b/rosewheel/lab/run.py
@@ -1,4 +1,4 @@
-"""One run of a plan: the emulator as a process, the nodes as processes, the clients here."""
+"""One run of a plan: emulator and nodes in child processes, clients in this process."""
 
 from __future__ import annotations
 
@@ -26,12 +26,12 @@
 
 __all__ = ["ExperimentRun", "RunError", "cancel_on_signals"]
 
-START_DELAY_MS = 500.0  # from the moment everything is ready to the beginning of the plan
-FLUSH_PERIOD_S = 0.5
+START_DELAY_MS = 500.0  # time between the readiness of all processes and the start of the plan
+FLUSH_PERIOD_S = 0.5  # interval between resource samples of the nodes and between flushes of the records
 
 
 class ExperimentRun:
-    """Carries out a plan once and leaves its records in `folder`."""
+    """Executes a plan once and writes its records to a folder."""
 
     def __init__(self, plan: Plan, folder: Path) -> None:
         self.plan, self.folder = plan, folder
@@ -41,7 +41,7 @@
         self.emulator = EmulatorChild(folder)
 
     async def execute(self) -> dict[str, Any]:
-        """Run to the end; returns the summary, which is written to `summary.json` too.
+        """Execute the plan, write its summary to `summary.json`, and return it.
 
         Raises:
             RunError: the emulator or a node did not start.
@@ -90,7 +90,7 @@
             self.records.flush()
 
     def _inject(self, step: FaultStep, load: LoadGenerator) -> None:
-        """Carry out a step of a fault of nodes or clients; the emulator carries out the others."""
+        """Inject a fault step of nodes or clients; the emulator injects all others."""
         fault, begins = self.plan.scenario.faults[step.fault], step.phase is FaultPhase.BEGIN
         match fault.kind:
             case FaultKind.CLIENT_SHIFT:
@@ -103,7 +103,7 @@
                 pass
 
     async def close(self) -> None:
-        """End everything that was started; records stay."""
+        """Stop the nodes and the emulator, and close the records of the run."""
         self.nodes.terminate()
         await self.emulator.close()
         await self.nodes.close()
@@ -111,7 +111,7 @@
 
 
 def cancel_on_signals(task: asyncio.Task[Any]) -> None:
-    """SIGINT and SIGTERM cancel the task, so that everything it started is ended in order."""
+    """Cancel the task on SIGINT and SIGTERM, so that it stops the processes that it started."""
     loop = asyncio.get_running_loop()
-    for name in (signal.SIGINT, signal.SIGTERM):
-        loop.add_signal_handler(name, task.cancel)
+    for signal_number in (signal.SIGINT, signal.SIGTERM):
+        loop.add_signal_handler(signal_number, task.cancel)
--- a/rosewheel/lab/run_nodes.py
+++ b/rosewheel/lab/run_nodes.py
@@ -1,4 +1,4 @@
-"""The nodes that clients reach in one run: processes, crashes, upgrades, and their use of resources."""
+"""Nodes that the clients of a run reach: processes, crashes, upgrades and resource usage."""
 
 from __future__ import annotations
 
@@ -36,10 +36,10 @@
 
 
 class RunNodes:
-    """The nodes of a run.
+    """Nodes that the clients of a run reach.
 
     Attributes:
-        processes: the current process of each node.
+        processes: current process of each node, by name.
         ended_cpu_s: CPU time of processes that were replaced.
     """
 
@@ -56,7 +56,7 @@
         """Start all nodes and wait until they are healthy.
 
         Raises:
-            RunError: a node did not start.
+            RunError: a node did not become healthy in time.
         """
         self._ready = ready
         upgrades = any(fault.kind is FaultKind.NODE_UPGRADE for fault in self.plan.scenario.faults)
@@ -66,11 +66,11 @@
             self.processes[name] = self._new_process(name)
         for name, process in self.processes.items():
             if not await process.wait_healthy():
-                raise RunError(f"node {name} did not start: {process.last_log_line()}")
+                raise RunError(f"node {name} did not become healthy: {process.last_log_line()}")
 
     def _new_process(self, name: str, predecessor: NodeProcess | None = None) -> NodeProcess:
         if self._ready is None:
-            raise RunError("the emulator is not ready")
+            raise RunError("emulator is not ready")
         stream = random_stream(self.plan.seed, "node", name, len(self._replaced))
         seed = int(stream.integers(1 << 62))
         count = self.plan.scenario.nodes.count
@@ -84,10 +84,8 @@
             predecessor=predecessor,
         )
 
-    # ----------------------------------------------------------------- faults
-
     def inject(self, step: FaultStep, fault: FaultTable) -> None:
-        """Begin a crash, a loss or an upgrade of nodes."""
+        """Begin a crash, loss or upgrade of nodes."""
         named_node = (list(self.processes)[fault.node_index],)
         names = step.targets if fault.kind is FaultKind.NODE_LOSS else named_node
         for name in names:
@@ -112,7 +110,7 @@
         task.add_done_callback(self._tasks.discard)
 
     async def _crash(self, name: str, down_s: float) -> None:
-        """Kill a node, and start it again on the same address."""
+        """Kill the process of a node, and start a new one on the same address after a time."""
         old = self.processes[name]
         self.ended_cpu_s += old.cpu_s()
         old.kill(keep_address=True)
@@ -124,9 +122,9 @@
             self._record_back(name)
 
     async def _upgrade(self, name: str, fault_index: int) -> None:
-        """Start a new process beside the old one, and stop the old one once the new one is healthy.
+        """Start a new process of a node, and stop the old one when the new one is healthy.
 
-        Where the scenario says so, one of them is killed on the way.
+        Kill one of them during the upgrade if the fault says so.
         """
         killed = self.plan.scenario.faults[fault_index].killed_process
         kill_delay_s = self._draw_kill_delay_s(fault_index)
@@ -160,7 +158,7 @@
 
     @staticmethod
     async def _wait_admin_healthy(process: NodeProcess) -> None:
-        """Wait until the admin server of this very process reports health, as an operator would ask."""
+        """Wait until the admin server of a process reports that it is healthy, or until the timeout."""
         loop = asyncio.get_running_loop()
         deadline = loop.time() + UPGRADE_HEALTHY_TIMEOUT_S
         while loop.time() < deadline:
@@ -170,7 +168,7 @@
             await asyncio.sleep(HEALTH_POLL_S)
 
     def _forget_learned_state(self, process: NodeProcess) -> None:
-        """Remove the learned state of a process, unless the scenario keeps it."""
+        """Delete the snapshot of the learned state of a process, unless the scenario keeps it."""
         if not self.plan.scenario.nodes.keep_learned_state:
             (process.folder / "tmp" / snapshots.SNAPSHOT_NAME).unlink(missing_ok=True)
 
@@ -181,10 +179,8 @@
     def _record_back(self, name: str) -> None:
         self.records.write(NodeBackRecord(self.clock.plan_time(), name))
 
-    # -------------------------------------------------------------- resources
-
     def record_resources(self) -> None:
-        """Record memory and descriptors of each process."""
+        """Record the memory and open descriptors of each running process."""
         at_ms = self.clock.plan_time()
         for process in (*self.processes.values(), *self._replaced):
             memory_mb, descriptors = process.memory_mb(), process.descriptor_count()
@@ -195,30 +191,28 @@
                 )
 
     def crashed(self) -> list[str]:
-        """Nodes whose process has ended by itself."""
+        """Return the nodes whose process has exited unexpectedly; none while a fault is in progress."""
         if self._tasks:
             return []
         return [name for name, process in self.processes.items() if not process.alive]
 
     def cpu_s(self) -> float:
-        """CPU time of all processes so far."""
+        """Return the CPU time of all processes so far, in s."""
         return self.ended_cpu_s + sum(process.cpu_s() for process in self.processes.values())
 
     def max_memory_mb(self) -> float:
-        """Resident memory of the largest current process."""
+        """Return the resident memory of the largest current process, in MB."""
         return max((process.memory_mb() for process in self.processes.values()), default=0.0)
 
-    # -------------------------------------------------------------------- end
-
     def terminate(self) -> None:
-        """Ask all processes to stop."""
+        """Cancel faults in progress and send SIGTERM to all processes."""
         for task in list(self._tasks):
             task.cancel()
         for process in (*self.processes.values(), *self._replaced):
             process.terminate()
 
     async def close(self) -> None:
-        """Wait for all processes, kill those that do not end, and release sockets."""
+        """Wait for all processes, kill those that do not exit in time, and close the inherited sockets."""
         for process in (*self.processes.values(), *self._replaced):
             await process.wait_ended(EXIT_TIMEOUT_S)
             process.kill()
