--- a/rosewheel/lab/local_nodes.py
+++ b/rosewheel/lab/local_nodes.py
@@ -1,4 +1,4 @@
-"""The nodes through which emulated servers call the next tier, one process for each server."""
+"""Local nodes: one node process for each emulated server, through which it calls the next tier."""
 
 from __future__ import annotations
 
@@ -16,15 +16,15 @@
 
 
 def local_node_name(spec: ServerSpec) -> str:
-    """The name of a server's own node."""
+    """Return the name of the local node of a server."""
     return f"n-{spec.name}"
 
 
 class LocalNodes:
-    """The local nodes of all servers that call a next tier.
+    """Local nodes of all servers that call a next tier.
 
     Attributes:
-        start_errors: the last log lines of nodes that did not start, by server.
+        start_errors: last log line of each node that did not become healthy, by name of the server.
     """
 
     def __init__(self, plan: Plan, folder: Path, registries: Sequence[DiscoveryRegistry]) -> None:
@@ -34,7 +34,7 @@
         self._clients: dict[str, HttpClient] = {}
 
     async def start(self, spec: ServerSpec) -> None:
-        """Start the node of a server and wait until it is healthy; nothing where there is no next tier."""
+        """Start the local node of a server and wait until it is healthy. Do nothing for servers of the last tier."""
         next_tier = spec.tier + 1
         if next_tier >= len(self.plan.scenario.tiers):
             return
@@ -55,11 +55,11 @@
         self._clients[spec.name] = HttpClient(node.listen_address)
 
     def client(self, server: str) -> HttpClient | None:
-        """The client of a server's node; None where it has none that runs."""
+        """Return the client of the local node of a server; None if no local node is running."""
         return self._clients.get(server)
 
     def stop(self, spec: ServerSpec) -> None:
-        """Kill the node of a server."""
+        """Kill the local node of a server and remove its discovery agent."""
         node = self._nodes.pop(spec.name, None)
         if node is not None:
             node.kill()
@@ -69,7 +69,7 @@
             client.close()
 
     def cpu_s(self) -> float:
-        """CPU time of all running nodes."""
+        """Return the CPU time of all running nodes, in s."""
         return sum(node.cpu_s() for node in self._nodes.values())
 
     def close_clients(self) -> None:
@@ -78,7 +78,7 @@
             client.close()
 
     def kill_all(self) -> None:
-        """Kill all nodes, then wait for each."""
+        """Kill all nodes, then wait for their processes."""
         for node in self._nodes.values():
             with contextlib.suppress(ProcessLookupError):
                 node.process.kill()
--- a/rosewheel/lab/node_process.py
+++ b/rosewheel/lab/node_process.py
@@ -1,4 +1,4 @@
-"""Real nodes as processes: start, health, stop, kill."""
+"""Node processes of a run: start, health checks, resource usage and termination."""
 
 from __future__ import annotations
 
@@ -25,20 +25,20 @@
 
 
 def kill_with_parent() -> None:
-    """In a new child, before it executes its program: end it when its parent ends (Linux)."""
+    """Make the kernel kill this process when its parent exits (Linux only); called in a child before `exec`."""
     ctypes.CDLL(None).prctl(_PR_SET_PDEATHSIG, signal.SIGKILL)
 
 
 def listening_socket(port: int = 0) -> socket.socket:
-    """A clients' socket that outlives the processes which accept from it."""
+    """Return a listening socket that node processes inherit, and that stays open across their restarts."""
     return socket.create_server(("127.0.0.1", port), backlog=LISTEN_BACKLOG)
 
 
 def reserve_address() -> socket.socket:
-    """A socket that is bound and does not listen.
+    """Return a socket that is bound to a free loopback port and does not listen.
 
-    A process that binds the same address with SO_REUSEADDR may do so, and the system gives its port to nobody else
-    meanwhile, not to one of a run's many connections either.
+    While it is open, the kernel does not assign the port to any other socket, including outgoing connections. A
+    process can still bind the address with SO_REUSEADDR.
     """
     reserved = socket.socket()
     reserved.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
@@ -47,12 +47,14 @@
 
 
 class NodeProcess:
-    """One process of `rosewheel run`.
+    """A node process (`python -m rosewheel`).
 
     Attributes:
-        inherited_socket: the clients' socket, where it outlives the process.
-        listen_address: where clients connect.
-        admin_address: where the admin server listens; None without one.
+        name: name of the node.
+        folder: folder of its configuration, log and temporary files.
+        inherited_socket: listening socket that the process inherits; None if it opens its own.
+        listen_address: address for clients.
+        admin_address: address of the admin server; None without one.
     """
 
     def __init__(
@@ -68,11 +70,11 @@
         """Start the process.
 
         Args:
-            folder: parent of the node's own folder.
-            config: its configuration without addresses; see `node_settings.node_configuration`.
-            inherited_socket: the clients' socket, as a platform holds it.
-            admin: whether it has an admin server.
-            predecessor: the process whose address it takes over.
+            folder: parent of the folder of the node.
+            config: configuration without addresses; see `node_settings.node_configuration`.
+            inherited_socket: listening socket to inherit, as if the platform held it.
+            admin: whether to start an admin server.
+            predecessor: killed process whose listen address is reused.
         """
         self.name, self.inherited_socket = name, inherited_socket
         self.folder = folder / name
@@ -82,7 +84,7 @@
         self._reserved_admin = reserve_address() if admin else None
         clients = inherited_socket or self._reserved
         if clients is None:
-            raise ValueError("the predecessor has an inherited socket, this process has none")
+            raise ValueError("predecessor has no reserved address to reuse and there is no inherited socket")
         self.listen_address: Address = clients.getsockname()[:2]
         self.admin_address: Address | None = (
             None if self._reserved_admin is None else self._reserved_admin.getsockname()[:2]
@@ -93,12 +95,12 @@
     def _write_config(self, discovery: Address, config: dict[str, Any]) -> Path:
         row = {
             "name": self.name,
-            "listen": _text(self.listen_address),
-            "discovery": _text(discovery),
+            "listen": _address_text(self.listen_address),
+            "discovery": _address_text(discovery),
             **config,
         }
         if self.admin_address is not None:
-            row["ops"] = _text(self.admin_address)
+            row["ops"] = _address_text(self.admin_address)
         path = self.folder / "config.json"
         path.write_bytes(msgspec.json.encode(row))
         return path
@@ -123,14 +125,15 @@
 
     @property
     def alive(self) -> bool:
-        """Whether the process runs."""
+        """Return whether the process is running."""
         return self.process.poll() is None
 
     async def wait_healthy(self, need_endpoints: bool = True) -> bool:
-        """Whether the node is healthy within `START_TIMEOUT_S`.
+        """Wait until the node is healthy, and return whether it is within `START_TIMEOUT_S`.
 
         Args:
-            need_endpoints: False where it is enough that it answers: without endpoints it is not healthy.
+            need_endpoints: whether the node must be healthy; if False, any response suffices, which a node without
+                endpoints sends too.
         """
         loop = asyncio.get_running_loop()
         deadline = loop.time() + START_TIMEOUT_S
@@ -142,19 +145,19 @@
         return False
 
     def last_log_line(self) -> str:
-        """The end of the node's log."""
+        """Return the last line of the log of the node."""
         return (self.folder / "log").read_text(errors="replace").strip().rpartition("\n")[2]
 
     def terminate(self) -> None:
-        """Ask the process to stop."""
+        """Send SIGTERM to the process."""
         if self.alive:
             self.process.terminate()
 
     def kill(self, keep_address: bool = False) -> None:
-        """Kill the process and wait for it.
+        """Kill the process, wait for it, and release its addresses.
 
         Args:
-            keep_address: keep its port reserved for a successor.
+            keep_address: whether to keep the listen address reserved for a successor.
         """
         if self.alive:
             self.process.kill()
@@ -165,7 +168,7 @@
             self._reserved.close()
 
     async def wait_ended(self, timeout_s: float) -> bool:
-        """Whether the process has ended within this time."""
+        """Wait until the process has exited, and return whether it has within the timeout."""
         loop = asyncio.get_running_loop()
         deadline = loop.time() + timeout_s
         while self.alive and loop.time() < deadline:
@@ -173,7 +176,7 @@
         return not self.alive
 
     def cpu_s(self) -> float:
-        """CPU time so far; 0 once the process has ended."""
+        """Return the CPU time so far, in s; 0 if the process has exited."""
         try:
             fields = Path(f"/proc/{self.process.pid}/stat").read_text().rpartition(")")[2].split()
         except OSError:
@@ -182,7 +185,7 @@
         return (user_ticks + system_ticks) / os.sysconf("SC_CLK_TCK")
 
     def memory_mb(self) -> float:
-        """Resident memory; 0 once the process has ended."""
+        """Return the resident memory, in MB; 0 if the process has exited."""
         try:
             pages = int(Path(f"/proc/{self.process.pid}/statm").read_text().split()[1])
         except (OSError, IndexError):
@@ -190,7 +193,7 @@
         return pages * os.sysconf("SC_PAGE_SIZE") / 1e6
 
     def descriptor_count(self) -> int:
-        """Open descriptors; 0 once the process has ended."""
+        """Return the number of open descriptors; 0 if the process has exited."""
         try:
             return len(os.listdir(f"/proc/{self.process.pid}/fd"))
         except OSError:
@@ -198,12 +201,12 @@
 
 
 async def check_health(address: Address) -> int:
-    """The status of a node's health response; 0 without one."""
+    """Return the status of the health response of a node; 0 without one."""
     return await http_status(address, b"/_health")
 
 
 async def http_status(address: Address, path: bytes) -> int:
-    """The status of the response to a GET on a connection of its own; 0 without one in `HEALTH_TIMEOUT_S`."""
+    """Send a GET on a new connection and return the response status; 0 without one within `HEALTH_TIMEOUT_S`."""
     try:
         async with asyncio.timeout(HEALTH_TIMEOUT_S):
             reader, writer = await asyncio.open_connection(*address)
@@ -218,5 +221,5 @@
     return int(parts[1]) if len(parts) > 1 and parts[1].isdigit() else 0
 
 
-def _text(address: Address) -> str:
+def _address_text(address: Address) -> str:
     return f"{address[0]}:{address[1]}"
--- a/rosewheel/lab/node_settings.py
+++ b/rosewheel/lab/node_settings.py
@@ -1,4 +1,4 @@
-"""The configuration of a node, by the words of the platform and of the simulator's wire."""
+"""Configuration of a node, with the keys of the platform configuration and the simulator protocol."""
 
 from __future__ import annotations
 
@@ -17,11 +17,13 @@
 
 
 def platform_settings(plan: Plan, tier: int, balancer_count: int, zone: str = "") -> dict[str, Any]:
-    """The settings of a node that sends to this tier.
+    """Return the settings of a node that sends requests to a tier.
 
     Args:
-        balancer_count: nodes that send to the tier.
-        zone: where the node stands; the scenario's zone where it is empty.
+        plan: the plan of the run.
+        tier: index of the tier.
+        balancer_count: number of nodes that send requests to the tier.
+        zone: zone of the node; empty for the zone of the scenario.
     """
     scenario, rules, nodes = plan.scenario, plan.scenario.rules, plan.scenario.nodes
     return {
@@ -55,10 +57,14 @@
 def node_configuration(
     plan: Plan, tier: int, balancer_count: int, seed: int, known: dict[str, Any]
 ) -> dict[str, Any]:
-    """The configuration of a node's process, without its addresses.
+    """Return the configuration of a node process, without its addresses.
 
     Args:
-        known: the endpoint list as discovery has it.
+        plan: the plan of the run.
+        tier: index of the tier to which the node sends requests.
+        balancer_count: number of nodes that send requests to the tier.
+        seed: seed of the node.
+        known: initial endpoint list, as a discovery message.
     """
     nodes = plan.scenario.nodes
     return {
