--- a/rosewheel/lab/report.py
+++ b/rosewheel/lab/report.py
@@ -1,4 +1,4 @@
-"""The results of runs: a table for the terminal, and a page with plots."""
+"""Report of an experiment: a table for the terminal, and an HTML page with plots."""
 
 from __future__ import annotations
 
@@ -34,15 +34,21 @@
 from matplotlib.figure import Figure
 
 HTTP_OK = 200
-WINDOW_S = 1.0  # of the curves over time
+WINDOW_S = 1.0  # length of the time bins of all plots
 SPAN_COLOURS = ("#f4c7c3", "#c9daf8", "#d9ead3", "#fff2cc", "#ead1dc")
-MIN_SPAN_S = 0.2  # so that a moment is visible
-QUANTILES = (50, 90, 99)
+MIN_SPAN_S = 0.2  # smallest drawn length of a fault span
+PERCENTILES = (50, 90, 99)
 
 
 @dataclass(slots=True, frozen=True)
-class FaultMoment:
-    """A step of a fault of a kind; `phase` is the value of a `FaultPhase`, or empty for a single moment."""
+class FaultEvent:
+    """Event of a fault in the timeline of a run.
+
+    Attributes:
+        kind: kind of the fault.
+        phase: value of a `FaultPhase`; empty for an event of a node.
+        at_ms: time of the event, in ms of the plan.
+    """
 
     kind: str
     phase: str
@@ -51,7 +57,7 @@
 
 @dataclass(slots=True, frozen=True)
 class FaultSpan:
-    """The time from the first moment of a kind of fault to the last."""
+    """Time from the first event of a kind of fault to the last."""
 
     kind: str
     begin_s: float
@@ -59,7 +65,7 @@
 
 
 def text_table(rows: Sequence[VariantRow]) -> str:
-    """The table, one line for each variant."""
+    """Return the table as text, with one line for each variant."""
     width = max(8, *(len(row.variant) for row in rows))
     lines = [f"{'variant':{width}}  runs  void  service  +/- 95%  rules  p99 ms"]
     for row in rows:
@@ -76,12 +82,12 @@
 
 
 def write_report(folder: Path, summaries: Sequence[dict[str, Any]], rows: Sequence[VariantRow]) -> Path:
-    """Write `report.html` in this folder: the table, and the plots of each variant's first run."""
+    """Write `report.html` to a folder, with the table and the plots of the first run of each variant."""
     first_runs: dict[str, dict[str, Any]] = {}
     for summary in summaries:
         first_runs.setdefault(summary["variant"], summary)
     pages = [
-        {"summary": summary, "plots": [_encoded(figure) for figure in _plots(folder / summary["folder"])]}
+        {"summary": summary, "plots": [_encode_png(figure) for figure in _plots(folder / summary["folder"])]}
         for summary in first_runs.values()
     ]
     source = (Path(__file__).parent / "report.html").read_text(encoding="utf-8")
@@ -91,30 +97,28 @@
     return path
 
 
-def _encoded(figure: Figure) -> str:
+def _encode_png(figure: Figure) -> str:
+    """Return a figure as a base64-encoded PNG image, and close it."""
     data = io.BytesIO()
     figure.savefig(data, format="png", dpi=85, bbox_inches="tight")
     plt.close(figure)
     return base64.b64encode(data.getvalue()).decode()
 
 
-# ---------------------------------------------------------------------- plots
-
-
 def _plots(folder: Path) -> list[Figure]:
     operations = [
         record for record in load_records(folder, RecordFile.LOAD) if isinstance(record, OperationRecord)
     ]
     samples: dict[str, list[ServerSampleRecord]] = defaultdict(list)
-    moments: list[FaultMoment] = []
+    events: list[FaultEvent] = []
     for record in load_records(folder, RecordFile.SERVERS):
         if isinstance(record, ServerSampleRecord):
             samples[record.server].append(record)
         elif isinstance(record, FaultStepRecord):
-            moments.append(FaultMoment(record.kind, record.phase, record.at_ms))
-    moments += _node_moments(load_records(folder, RecordFile.RUN))
+            events.append(FaultEvent(record.kind, record.phase, record.at_ms))
+    events += _node_events(load_records(folder, RecordFile.RUN))
     end_s = max((operation.planned_ms for operation in operations), default=0.0) / 1000.0
-    spans = fault_spans(moments, end_s)
+    spans = fault_spans(events, end_s)
     plots = []
     if operations:
         plots += [_service_plot(operations, spans), _latency_plot(operations, spans)]
@@ -123,25 +127,25 @@
     return plots
 
 
-def _node_moments(records: Iterable[Record]) -> list[FaultMoment]:
-    """The records of nodes as moments, by their tags."""
+def _node_events(records: Iterable[Record]) -> list[FaultEvent]:
+    """Return an event for each record of a node, with the tag of the record as its kind."""
     return [
-        FaultMoment(record_tag(record), "", record.at_ms)
+        FaultEvent(record_tag(record), "", record.at_ms)
         for record in records
         if isinstance(record, NODE_RECORDS)
     ]
 
 
-def fault_spans(moments: Sequence[FaultMoment], end_s: float) -> list[FaultSpan]:
-    """The faults by kind; one that has not ended lasts until `end_s`."""
+def fault_spans(events: Sequence[FaultEvent], end_s: float) -> list[FaultSpan]:
+    """Return the span of each kind of fault; a fault that begins and does not end lasts until `end_s`."""
     first_s: dict[str, float] = {}
     last_s: dict[str, float] = {}
     active: dict[str, int] = defaultdict(int)
-    for moment in sorted(moments, key=lambda moment: moment.at_ms):
-        at_s = moment.at_ms / 1000.0
-        first_s.setdefault(moment.kind, at_s)
-        last_s[moment.kind] = at_s
-        active[moment.kind] += {FaultPhase.BEGIN.value: 1, FaultPhase.END.value: -1}.get(moment.phase, 0)
+    for event in sorted(events, key=lambda event: event.at_ms):
+        at_s = event.at_ms / 1000.0
+        first_s.setdefault(event.kind, at_s)
+        last_s[event.kind] = at_s
+        active[event.kind] += {FaultPhase.BEGIN.value: 1, FaultPhase.END.value: -1}.get(event.phase, 0)
     spans = []
     for kind, begin_s in first_s.items():
         open_ended = active[kind] > 0 and last_s[kind] == begin_s
@@ -164,13 +168,13 @@
 
 
 def _service_plot(operations: Sequence[OperationRecord], spans: Sequence[FaultSpan]) -> Figure:
-    """Work served in time over work offered, by class and second."""
+    """Plot the work served in time divided by the offered work, by class."""
     figure, axes = _axes(spans, 3.0)
     for name in sorted({operation.class_name for operation in operations}):
-        of_class = [operation for operation in operations if operation.class_name == name]
-        bins = np.array([int(operation.planned_ms / 1000.0 / WINDOW_S) for operation in of_class])
-        work = np.array([operation.work_ms for operation in of_class])
-        in_time = np.array([operation.in_time for operation in of_class])
+        selected = [operation for operation in operations if operation.class_name == name]
+        bins = np.array([int(operation.planned_ms / 1000.0 / WINDOW_S) for operation in selected])
+        work = np.array([operation.work_ms for operation in selected])
+        in_time = np.array([operation.in_time for operation in selected])
         offered, served = np.bincount(bins, work), np.bincount(bins, work * in_time)
         used = offered > 0
         axes.plot((np.nonzero(used)[0] + 0.5) * WINDOW_S, served[used] / offered[used], lw=1.3, label=name)
@@ -181,18 +185,18 @@
 
 
 def _latency_plot(operations: Sequence[OperationRecord], spans: Sequence[FaultSpan]) -> Figure:
-    """Percentiles of the latency of served operations, from their planned moments."""
+    """Plot percentiles of the latency of served operations, measured from their planned start."""
     figure, axes = _axes(spans, 3.0)
     latencies: dict[int, list[float]] = defaultdict(list)
     for operation in operations:
         if operation.attempts and operation.attempts[-1].status == HTTP_OK:
             latencies[int(operation.planned_ms / 1000.0 / WINDOW_S)].append(operation.duration_ms)
     bins = sorted(latencies)
-    for quantile in QUANTILES:
-        values = [float(np.percentile(latencies[index], quantile)) for index in bins]
-        axes.plot([(index + 0.5) * WINDOW_S for index in bins], values, lw=1.1, label=f"p{quantile}")
+    for percentile in PERCENTILES:
+        values = [float(np.percentile(latencies[index], percentile)) for index in bins]
+        axes.plot([(index + 0.5) * WINDOW_S for index in bins], values, lw=1.1, label=f"p{percentile}")
     axes.set_yscale("log")
-    axes.set_title("time to the answer, ms")
+    axes.set_title("latency, ms")
     _legend(axes)
     return figure
 
@@ -202,33 +206,41 @@
         name: [(sample, float(sample.queue_length)) for sample in records]
         for name, records in samples.items()
     }
-    return _server_plot(values, spans, "waiting at each equipo", "magma_r", None)
+    return _server_plot(values, spans, "queue length of each server", "magma_r", None)
 
 
 def _speed_plot(samples: dict[str, list[ServerSampleRecord]], spans: Sequence[FaultSpan]) -> Figure:
     values = {name: [(sample, sample.speed_share) for sample in records] for name, records in samples.items()}
-    return _server_plot(values, spans, "speed at each equipo (share of its own)", "RdYlGn", 1.0)
+    return _server_plot(values, spans, "speed of each server (share of its normal speed)", "RdYlGn", 1.0)
 
 
 def _server_plot(
     samples: dict[str, list[tuple[ServerSampleRecord, float]]],
     spans: Sequence[FaultSpan],
     title: str,
-    colours: str,
+    colour_map: str,
     maximum: float | None,
 ) -> Figure:
-    """A picture with one line for each server, time to the right."""
+    """Plot a heat map of a value with one row for each server and time on the horizontal axis.
+
+    Args:
+        samples: for each server, its samples with the value of each.
+        spans: fault spans, whose bounds are drawn as vertical lines.
+        title: title of the plot.
+        colour_map: name of a Matplotlib colour map.
+        maximum: top of the colour scale; None for one that fits the values.
+    """
     names = list(samples)
     end_s = max(records[-1][0].at_ms for records in samples.values()) / 1000.0
-    picture = np.full((len(names), max(1, int(end_s / WINDOW_S) + 1)), np.nan)
-    for line, name in enumerate(names):
+    grid = np.full((len(names), max(1, int(end_s / WINDOW_S) + 1)), np.nan)
+    for row, name in enumerate(names):
         for sample, value in samples[name]:
             if sample.at_ms >= 0.0 and sample.state != "down":
-                picture[line, int(sample.at_ms / 1000.0 / WINDOW_S)] = value
+                grid[row, int(sample.at_ms / 1000.0 / WINDOW_S)] = value
     figure, axes = plt.subplots(figsize=(11, 1.2 + 0.16 * len(names)))
-    top = maximum if maximum is not None else max(4.0, float(np.nanpercentile(picture, 99)))
+    top = maximum if maximum is not None else max(4.0, float(np.nanpercentile(grid, 99)))
     image = axes.imshow(
-        picture, aspect="auto", extent=(0, end_s, len(names), 0), cmap=colours, vmin=0, vmax=top
+        grid, aspect="auto", extent=(0, end_s, len(names), 0), cmap=colour_map, vmin=0, vmax=top
     )
     for span in spans:
         axes.axvline(span.begin_s, color="#444", lw=0.8, ls=":")
--- a/tests/lab/test_lab.py
+++ b/tests/lab/test_lab.py
@@ -1,4 +1,4 @@
-"""Clients, the invariant checker, and complete experiments."""
+"""Load generator, invariant checker, and complete experiments."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 from rosewheel.lab.load import LoadGenerator
 from rosewheel.lab.plan_codec import plan_digest
 from rosewheel.lab.records import RecordWriter, read_records
-from rosewheel.lab.report import FaultMoment, FaultSpan, fault_spans
+from rosewheel.lab.report import FaultEvent, FaultSpan, fault_spans
 from rosewheel.lab.wire import now_ms
 from tests.support.sockets import FakeServer, Message, answer, run
 
@@ -28,7 +28,7 @@
     "clients.backoff_ms": 1.0,
     "clients.honour": 0.0,
     "nodes.count": 1,
-    # Long enough for a slow machine.
+    # No operation times out or misses its objective, even on a slow machine.
     "class.0.give_up_ms": 60_000.0,
     "class.1.give_up_ms": 60_000.0,
     "class.0.aim_ms": 60_000.0,
@@ -39,11 +39,14 @@
 def run_clients(
     tmp_path: Path, handler: Any, changes: dict[str, object] | None = None, at_once: bool = True
 ) -> tuple[list[dict[str, Any]], FakeServer, LoadGenerator]:
-    """Run the clients of a small plan against a node with this handler."""
+    """Run the clients of a small plan against a node with this handler.
+
+    Returns the records of operations, the server, and the load generator.
+    """
     plan = plans.make(scenarios.load("quiet", QUICK | (changes or {})))
-    kept: list[Any] = []
+    started: list[Any] = []
 
-    async def play() -> None:
+    async def main() -> None:
         async def respond_or_report_health(message: Message, writer: asyncio.StreamWriter) -> None:
             if message.first.startswith("GET /_health"):
                 writer.write(answer())
@@ -53,15 +56,15 @@
         async with FakeServer(respond_or_report_health).up() as server:
             records = RecordWriter(tmp_path / "load.jsonl")
             load = LoadGenerator(plan, {"n0": ("127.0.0.1", server.port)}, records)
-            kept.extend([server, load])
-            # With the plan's beginning in the past, all arrivals are due at once.
+            started.extend([server, load])
+            # All arrivals are due at once if the start of the plan is in the past.
             await load.run(now_ms() - (plan.scenario.seconds * 1000.0 if at_once else 0.0))
             records.close()
 
-    run(play())
+    run(main())
     ops = [row for row in read_records(tmp_path / "load.jsonl") if row["e"] == "op"]
     assert len(ops) == len(plan.arrivals)
-    return ops, kept[0], kept[1]
+    return ops, started[0], started[1]
 
 
 def response_body(message: Message) -> bytes:
@@ -77,92 +80,89 @@
 
 
 def test_clients_send_on_time_while_earlier_requests_are_unanswered(tmp_path: Path):
-    """Guards the open loop: every request is sent, though none is answered before the last has been received."""
+    """Guards against a closed loop: responses are withheld until the last request has been received."""
     count = len(plans.make(scenarios.load("quiet", QUICK)).arrivals)
     received: list[tuple[Message, asyncio.StreamWriter]] = []
 
     async def hold(message: Message, writer: asyncio.StreamWriter) -> None:
         received.append((message, writer))
         if len(received) == count:
-            for one, to in received:
-                to.write(answer(body=response_body(one)))
+            for earlier, earlier_writer in received:
+                earlier_writer.write(answer(body=response_body(earlier)))
 
     ops, _, load = run_clients(tmp_path, hold)
     assert all(op["tries"][-1]["status"] == 200 for op in ops)
-    # Latency counts from the planned moment, which is up to a second ago for the first.
+    # The planned start, from which latency is measured, is up to 1 s in the past.
     assert all(op["took"] >= 1000.0 - op["at"] - 1.0 for op in ops)
     assert load.service() <= 1.0
 
 
 def test_a_rejected_request_is_retried_and_a_non_idempotent_failure_is_not(tmp_path: Path):
-    first: set[str] = set()
+    seen: set[str] = set()
 
-    async def once(message: Message, writer: asyncio.StreamWriter) -> None:
-        op = message.headers["lab-op"]
-        if op in first:
+    async def fail_first_attempt(message: Message, writer: asyncio.StreamWriter) -> None:
+        operation_id = message.headers["lab-op"]
+        if operation_id in seen:
             await respond(message, writer)
             return
-        first.add(op)
-        writer.write(answer(503 if int(op.rpartition("-")[2]) % 2 else 502, b""))
+        seen.add(operation_id)
+        writer.write(answer(503 if int(operation_id.rpartition("-")[2]) % 2 else 502, b""))
 
-    ops, server, _ = run_clients(tmp_path, once)
+    ops, server, _ = run_clients(tmp_path, fail_first_attempt)
     for op in ops:
-        refused = int(op["op"].rpartition("-")[2]) % 2 == 1
-        assert [item["status"] for item in op["tries"]] == ([503, 200] if refused else [502])
-    rids = [message.headers["request-id"] for message in requests(server)]
-    assert len(rids) == len(set(rids)), "every try brings a new id"
+        rejected = int(op["op"].rpartition("-")[2]) % 2 == 1
+        assert [item["status"] for item in op["tries"]] == ([503, 200] if rejected else [502])
+    request_ids = [message.headers["request-id"] for message in requests(server)]
+    assert len(request_ids) == len(set(request_ids)), "request ID used by two attempts"
 
 
 def test_a_response_to_another_request_is_detected(tmp_path: Path):
-    async def wrong(message: Message, writer: asyncio.StreamWriter) -> None:
-        writer.write(answer(body=b"somebody else's"))
+    async def respond_with_foreign_body(message: Message, writer: asyncio.StreamWriter) -> None:
+        writer.write(answer(body=b"foreign body"))
 
-    run_clients(tmp_path, wrong)
+    run_clients(tmp_path, respond_with_foreign_body)
     violations = invariant_checker.check_records(scenarios.load("quiet"), tmp_path)
     assert violations.foreign
     assert not violations.unanswered
 
 
 def test_a_missing_response_is_detected_and_not_retried(tmp_path: Path):
-    async def drop(message: Message, writer: asyncio.StreamWriter) -> None:
+    async def disconnect(message: Message, writer: asyncio.StreamWriter) -> None:
         writer.close()
 
-    ops, _, _ = run_clients(tmp_path, drop, {"clients.new_connection": 1.0})
+    ops, _, _ = run_clients(tmp_path, disconnect, {"clients.new_connection": 1.0})
     assert all(len(op["tries"]) == 1 for op in ops)
     violations = invariant_checker.check_records(scenarios.load("quiet"), tmp_path)
     assert len(violations.unanswered) == len(ops)
 
 
 def test_a_surplus_response_is_detected(tmp_path: Path):
-    async def twice(message: Message, writer: asyncio.StreamWriter) -> None:
+    async def respond_twice(message: Message, writer: asyncio.StreamWriter) -> None:
         writer.write(answer(body=response_body(message)) * 2)
 
-    run_clients(tmp_path, twice)
+    run_clients(tmp_path, respond_twice)
     assert invariant_checker.check_records(scenarios.load("quiet"), tmp_path).surplus_answers > 0
 
 
 def test_service_of_an_interval_counts_operations_by_planned_time(tmp_path: Path):
-    """An operation counts at its planned moment, by priority weight and work."""
-
-    async def half(message: Message, writer: asyncio.StreamWriter) -> None:
-        late = float(message.headers["lab-op"].rpartition("-")[2]) >= 10
-        writer.write(answer(502, b"") if late else answer(body=response_body(message)))
-
-    ops, _, load = run_clients(tmp_path, half)
-    turn = sorted(op["at"] for op in ops)[10]
-    assert load.service(0.0, turn) == 1.0
-    assert load.service(turn) == 0.0
+    async def fail_later_operations(message: Message, writer: asyncio.StreamWriter) -> None:
+        fails = float(message.headers["lab-op"].rpartition("-")[2]) >= 10
+        writer.write(answer(502, b"") if fails else answer(body=response_body(message)))
+
+    ops, _, load = run_clients(tmp_path, fail_later_operations)
+    first_failed_ms = sorted(op["at"] for op in ops)[10]
+    assert load.service(0.0, first_failed_ms) == 1.0
+    assert load.service(first_failed_ms) == 0.0
     assert 0.0 < load.service() < 1.0
 
 
-# ---------------------------------------------------------- invariant checker
-
-
 def write_records(folder: Path, name: str, *rows: dict[str, Any]) -> None:
     (folder / name).write_bytes(b"".join(msgspec.json.encode(row) + b"\n" for row in rows))
 
 
-def job(op: str, rid: str, service: str = "subir-foto", ran: bool = True, cell: int = 0) -> dict[str, Any]:
+def job(
+    operation_id: str, request_id: str, class_name: str = "subir-foto", ran: bool = True, cell: int = 0
+) -> dict[str, Any]:
     return {
         "e": "job",
         "t": 10.0,
@@ -170,9 +170,9 @@
         "equipo": "e",
         "cell": cell,
         "node": "n0",
-        "class": service,
-        "op": op,
-        "rid": rid,
+        "class": class_name,
+        "op": operation_id,
+        "rid": request_id,
         "came": 1.0,
         "verdict": "served",
         "work": 20.0,
@@ -186,22 +186,22 @@
 LATE = {"e": "late", "t": 9.0, "node": "n0", "equipo": "e", "health": "leaving", "over_ms": 3.0, "op": "a"}
 
 
-def op(name: str, *statuses: int, **more: Any) -> dict[str, Any]:
+def op(operation_id: str, *statuses: int, **attempt_fields: Any) -> dict[str, Any]:
     tries = [
         {
-            "rid": f"{name}.{at}",
+            "rid": f"{operation_id}.{number}",
             "node": "n0",
             "sent": 0.0,
             "ended": 5.0,
             "patience": 100.0,
             "status": status,
-            **more,
+            **attempt_fields,
         }
-        for at, status in enumerate(statuses)
+        for number, status in enumerate(statuses)
     ]
     return {
         "e": "op",
-        "op": name,
+        "op": operation_id,
         "class": "subir-foto",
         "at": 0.0,
         "work": 20.0,
@@ -215,10 +215,10 @@
     ("ops", "jobs", "found"),
     [
         ([op("a", 200)], [job("a", "a.0"), job("a", "a.0")], {"twice": ["a"]}),
-        # Rejected although executed: the client had to take a retry for harmless.
+        # Rejected although executed, so that the retry of the client executes it twice.
         ([op("a", 503, 200)], [job("a", "a.0"), job("a", "a.1")], {"twice": ["a"]}),
         ([op("a", 503, 200)], [job("a", "a.0", ran=False), job("a", "a.1")], {}),
-        # The connection closed as it was sent, and the client resent it by itself.
+        # Resent by the client after its connection closed.
         ([op("a", 200, resent=True)], [job("a", "a.0"), job("a", "a.0")], {}),
         ([], [job("a/1.0", "x"), job("a/1.0", "x")], {"twice": ["a/1.0"]}),
         ([], [job("k", "r", "comentario", cell=0), job("k", "r", "comentario", cell=1)], {"strayed": ["r"]}),
@@ -233,7 +233,7 @@
         ([], [{"e": "fell", "t": 1.0, "equipo": "e", "told_share": 0.5}], {}),
         ([op("a", 0, why="no answer")], [], {"unanswered": ["a.0"]}),
         ([op("a", 0, why="unreachable")], [], {}),
-        ([op("a", 0, why="broken", node="n1")], [], {}),  # its node was killed meanwhile
+        ([op("a", 0, why="broken", node="n1")], [], {}),  # the node was killed
         ([op("a", 200, ended=500.0)], [], {"unanswered": ["a.0"]}),
     ],
 )
@@ -248,11 +248,8 @@
     assert (violations.count() == 0) is (not found)
 
 
-# ---------------------------------------------------------------- experiments
-
-
 def test_an_experiment_keeps_the_rules_and_writes_records_table_and_report(tmp_path: Path):
-    """Nodes as processes, servers, a deploy and an upgrade, all at a small size."""
+    """Runs node processes and emulated servers through a deploy and node upgrades."""
     text = (scenarios.BUNDLED_FOLDER / "upgrade.toml").read_text().replace("at_s = 14", "at_s = 1.5")
     text = text.replace("at_s = 6", "at_s = 1")
     text += '\n[[trouble]]\nkind = "deploy"\nat_s = 1\nfor_s = 1\nsize = 0.5\npart = 0.5\ndrain_s = 1\nboot_s = 0\n'
@@ -270,9 +267,9 @@
         "--out",
         str(out),
     ]
-    got = CliRunner().invoke(main, arguments)
-    assert got.exit_code == 0, got.output
-    row = msgspec.json.decode(got.output.strip().rpartition("\n")[2])
+    result = CliRunner().invoke(main, arguments)
+    assert result.exit_code == 0, result.output
+    row = msgspec.json.decode(result.output.strip().rpartition("\n")[2])
     assert row["ok"]
     assert len(row["services"]) == 2
     page = (out / "report.html").read_text()
@@ -282,9 +279,9 @@
         assert summary["ok"]
         assert summary["plan"] == plan_digest(plans.make(_variant(path, folder)))
         assert 0.0 < summary["after_restarts"] <= 1.0
-        learned = [path.read_text() for path in (out / folder / "nodes").glob("n[01]/log")]
-        assert all("learned state restored: age_s=" in text for text in learned), (
-            "an upgrade begins with what was learned"
+        logs = [path.read_text() for path in (out / folder / "nodes").glob("n[01]/log")]
+        assert all("learned state restored: age_s=" in text for text in logs), (
+            "learned state lost in an upgrade"
         )
         assert {row["e"] for row in read_records(out / folder / "equipos.jsonl")} >= {
             "job",
@@ -303,18 +300,18 @@
 
 
 def test_void_runs_are_excluded_and_means_have_a_confidence_interval():
-    one = {"variant": "a", "void": False, "ok": True, "service": 0.9, "classes": {"c": {"p99_ms": 10.0}}}
-    rows = experiments.summarize([one, one | {"service": 0.8}, one | {"service": 0.1, "void": True}])
+    valid = {"variant": "a", "void": False, "ok": True, "service": 0.9, "classes": {"c": {"p99_ms": 10.0}}}
+    rows = experiments.summarize([valid, valid | {"service": 0.8}, valid | {"service": 0.1, "void": True}])
     assert (rows[0].runs, rows[0].void_runs) == (3, 1)
     assert rows[0].service == pytest.approx(0.85)
-    assert rows[0].half_width == pytest.approx(12.706 * 0.05, rel=1e-3)  # Student's t, one degree of freedom
-    assert experiments.summarize([one])[0].half_width is None
+    assert rows[0].half_width == pytest.approx(12.706 * 0.05, rel=1e-3)  # t-distribution, 1 degree of freedom
+    assert experiments.summarize([valid])[0].half_width is None
 
 
 def test_fault_steps_become_spans():
-    moments = [
-        FaultMoment("slow", "begin", 1000.0),
-        FaultMoment("slow", "end", 4000.0),
-        FaultMoment("faults", "begin", 2000.0),
+    events = [
+        FaultEvent("slow", "begin", 1000.0),
+        FaultEvent("slow", "end", 4000.0),
+        FaultEvent("faults", "begin", 2000.0),
     ]
-    assert fault_spans(moments, 9.0) == [FaultSpan("slow", 1.0, 4.0), FaultSpan("faults", 2.0, 9.0)]
+    assert fault_spans(events, 9.0) == [FaultSpan("slow", 1.0, 4.0), FaultSpan("faults", 2.0, 9.0)]
