--- a/tests/lab/test_emulator.py
+++ b/tests/lab/test_emulator.py
@@ -1,4 +1,4 @@
-"""Emulated servers on sockets, as a plain client sees them, and interrupted runs."""
+"""Emulated servers and discovery on sockets, and interrupted runs."""
 
 from __future__ import annotations
 
@@ -83,12 +83,12 @@
         records.close()
 
 
-def first(emulator: Emulator) -> EmulatedServerHost:
+def first_host(emulator: Emulator) -> EmulatedServerHost:
     return next(iter(emulator.fleet.hosts.values()))
 
 
 class PlainClient:
-    """A client's connection without retries or pooling."""
+    """Connection to an emulated server, without retries or pooling."""
 
     def __init__(self, host: EmulatedServerHost) -> None:
         self.host, self.sent = host, 0
@@ -101,19 +101,21 @@
         self.writer.close()
 
     def send(
-        self, rid: str, service: str = "post", work: float = 20.0, key: str = "", node: str = ""
+        self, request_id: str, class_name: str = "post", work_ms: float = 20.0, key: str = "", node: str = ""
     ) -> None:
-        effect = Idempotency.IDEMPOTENT_WITH_KEY if key else Idempotency.NON_IDEMPOTENT
-        request = ClientRequest(service, effect, rid, 2000, node, rid, work, key, 10)
+        idempotency = Idempotency.IDEMPOTENT_WITH_KEY if key else Idempotency.NON_IDEMPOTENT
+        request = ClientRequest(
+            class_name, idempotency, request_id, 2000, node, request_id, work_ms, key, body_bytes=10
+        )
         self.writer.write(request.encode())
 
-    async def answer(self) -> Message | None:
+    async def response(self) -> Message | None:
         async with asyncio.timeout(20.0):
             return await read_message(self.reader)
 
-    async def ask(self, rid: str, **more: Any) -> Message | None:
-        self.send(rid, **more)
-        return await self.answer()
+    async def request(self, request_id: str, **options: Any) -> Message | None:
+        self.send(request_id, **options)
+        return await self.response()
 
 
 def jobs(folder: Path) -> list[dict[str, Any]]:
@@ -122,17 +124,17 @@
 
 def test_a_response_names_its_request_and_reports_the_load(tmp_path: Path):
     async def main() -> None:
-        async with emulated(tmp_path) as emulator, PlainClient(first(emulator)) as client:
-            got = await client.ask("r1")
-            assert got is not None
-            assert status(got) == 200
-            assert got.body.startswith(b"r1\n")
-            assert len(got.body) == 300
-            assert got.headers["server-load"].startswith("TEXT queue=")
+        async with emulated(tmp_path) as emulator, PlainClient(first_host(emulator)) as client:
+            response = await client.request("r1")
+            assert response is not None
+            assert status(response) == 200
+            assert response.body.startswith(b"r1\n")
+            assert len(response.body) == 300
+            assert response.headers["server-load"].startswith("TEXT queue=")
             client.writer.write(b"GET /_load HTTP/1.1\r\nHost: a\r\n\r\n")
-            load = await client.answer()
-            assert load is not None
-            assert load.body.startswith(b"queue=")
+            report = await client.response()
+            assert report is not None
+            assert report.body.startswith(b"queue=")
 
     run(main())
     assert [(row["rid"], row["verdict"], row["ran"]) for row in jobs(tmp_path)] == [("r1", "served", True)]
@@ -141,16 +143,16 @@
 def test_requests_beyond_concurrency_and_queue_limits_are_rejected(tmp_path: Path):
     async def main() -> None:
         async with emulated(tmp_path) as emulator, contextlib.AsyncExitStack() as stack:
-            host = first(emulator)
+            host = first_host(emulator)
             for number in range(3):
                 client = await stack.enter_async_context(PlainClient(host))
-                client.send(f"r{number}", work=1e6)
+                client.send(f"r{number}", work_ms=1e6)
             await until(lambda: host.model.arrived == 3)
             client = await stack.enter_async_context(PlainClient(host))
-            got = await client.ask("late")
-            assert status(got) == 503
-            assert got is not None
-            assert got.headers["not-started"] == "1"
+            response = await client.request("late")
+            assert status(response) == 503
+            assert response is not None
+            assert response.headers["not-started"] == "1"
 
     run(main())
     assert next(row for row in jobs(tmp_path) if row["verdict"] == "turned away")["ran"] is False
@@ -159,9 +161,9 @@
 def test_work_continues_after_its_client_disconnects(tmp_path: Path):
     async def main() -> None:
         async with emulated(tmp_path) as emulator:
-            host = first(emulator)
+            host = first_host(emulator)
             async with PlainClient(host) as client:
-                client.send("r1", work=60.0)
+                client.send("r1", work_ms=60.0)
                 await until(lambda: host.model.arrived == 1)
             await until(lambda: host.model.ended == 1)
 
@@ -172,12 +174,13 @@
 def test_a_duplicate_at_another_server_of_the_cell_is_not_executed(tmp_path: Path):
     async def main() -> None:
         async with emulated(tmp_path) as emulator:
-            one, two = emulator.fleet.hosts.values()
-            async with PlainClient(one) as a, PlainClient(two) as b:
-                a.send("r1", service="points", work=80.0, key="k")
-                await until(lambda: one.model.arrived == 1)
-                assert status(await b.ask("r2", service="points", work=80.0, key="k")) == 200
-                assert status(await a.answer()) == 200
+            first, second = emulator.fleet.hosts.values()
+            async with PlainClient(first) as first_client, PlainClient(second) as second_client:
+                first_client.send("r1", class_name="points", work_ms=80.0, key="k")
+                await until(lambda: first.model.arrived == 1)
+                response = await second_client.request("r2", class_name="points", work_ms=80.0, key="k")
+                assert status(response) == 200
+                assert status(await first_client.response()) == 200
 
     run(main())
     assert sorted((row["rid"], row["ran"]) for row in jobs(tmp_path)) == [("r1", True), ("r2", False)]
@@ -187,22 +190,22 @@
 def test_each_connection_fault_as_a_plain_client_sees_it(tmp_path: Path, how: str):
     async def main() -> None:
         async with emulated(tmp_path) as emulator:
-            host = first(emulator)
+            host = first_host(emulator)
             async with PlainClient(host) as client:
                 await until(lambda: len(host.connections) == 1)
+                # The fault affects open connections too.
                 host.begin_fault(
                     0, ConnectionFault(ConnectionFaultKind(how), 1.0, 1.0, random_stream(1, "fault"))
-                )  # open connections included
+                )
                 client.send("r1")
                 if how == "reset":
                     with pytest.raises(ConnectionResetError):
                         await client.reader.read()
                 elif how == "silence":
                     host.end_fault(0)
-                    async with PlainClient(
-                        host
-                    ) as other:  # answered, while the first connection stays silent
-                        assert status(await other.ask("r2")) == 200
+                    # New connections are served; the first one stays silent.
+                    async with PlainClient(host) as other:
+                        assert status(await other.request("r2")) == 200
                     assert not client.reader._buffer  # type: ignore[attr-defined]
                 elif how == "half":
                     data = await client.reader.read()
@@ -211,7 +214,7 @@
                 elif how == "spoilt":
                     assert not (await client.reader.readexactly(64)).startswith(b"HTTP")
                 else:
-                    assert status(await client.answer()) == 200
+                    assert status(await client.response()) == 200
 
     run(main())
 
@@ -219,13 +222,13 @@
 def test_connections_are_refused_and_accepted_again(tmp_path: Path):
     async def main() -> None:
         async with emulated(tmp_path) as emulator:
-            host = first(emulator)
+            host = first_host(emulator)
             host.stop_accepting()
             with pytest.raises(ConnectionRefusedError):
                 await asyncio.open_connection(*host.address)
             await host.resume_accepting()
             async with PlainClient(host) as client:
-                assert status(await client.ask("r1")) == 200
+                assert status(await client.request("r1")) == 200
 
     run(main())
 
@@ -233,9 +236,9 @@
 def test_an_isolated_machine_is_silent_and_resets_connections_when_it_rejoins(tmp_path: Path):
     async def main() -> None:
         async with emulated(tmp_path) as emulator:
-            host = first(emulator)
+            host = first_host(emulator)
             async with PlainClient(host) as client:
-                assert status(await client.ask("r1")) == 200
+                assert status(await client.request("r1")) == 200
                 host.isolate()
                 client.send("r2")
                 fresh = socket.socket()
@@ -253,7 +256,7 @@
                 with pytest.raises(ConnectionResetError):
                     await read
             async with PlainClient(host) as client:
-                assert status(await client.ask("r3")) == 200
+                assert status(await client.request("r3")) == 200
 
     run(main())
 
@@ -261,9 +264,9 @@
 def test_a_crash_resets_connections_and_records_jobs_as_lost(tmp_path: Path):
     async def main() -> None:
         async with emulated(tmp_path) as emulator:
-            host = first(emulator)
+            host = first_host(emulator)
             async with PlainClient(host) as client:
-                client.send("r1", work=1e6)
+                client.send("r1", work_ms=1e6)
                 await until(lambda: host.model.arrived == 1)
                 emulator.fleet.crash(host)
                 with pytest.raises(ConnectionResetError):
@@ -273,37 +276,31 @@
             await emulator.fleet.restart_crashed(host)
             assert host.model.warm_up_share(now_ms()) < 1.0
             async with PlainClient(host) as client:
-                assert status(await client.ask("r2")) == 200
+                assert status(await client.request("r2")) == 200
 
     run(main())
     assert {row["rid"]: row["verdict"] for row in jobs(tmp_path)} == {"r1": "lost", "r2": "served"}
 
 
 def test_a_step_of_the_wall_clock_changes_nothing(tmp_path: Path, monkeypatch: pytest.MonkeyPatch):
-    """Guards a run against a clock that is set, or a machine that slept: a server that starts afterwards warms up as
-    before, and the plan's clock continues."""
-    wall = time.time
+    """Guards against wrong start times and plan times after the wall clock is set or the machine was suspended."""
+    wall_s = time.time
 
     async def main() -> None:
         async with emulated(tmp_path) as emulator:
-            host = first(emulator)
+            host = first_host(emulator)
             before = emulator.fleet.clock.plan_time()
-            monkeypatch.setattr("time.time", lambda: wall() + 3600.0)
+            monkeypatch.setattr("time.time", lambda: wall_s() + 3600.0)
             emulator.fleet.crash(host)
             await emulator.fleet.restart_crashed(host)
-            born = emulator.fleet.registries[0].endpoints[host.spec.name].launched_ms
-            assert born < (wall() + 1800.0) * 1000.0, (
-                "an hour ahead: it would look as if it had not started yet"
-            )
-            assert born > (wall() - 1800.0) * 1000.0
+            launched_ms = emulator.fleet.registries[0].endpoints[host.spec.name].launched_ms
+            assert launched_ms < (wall_s() + 1800.0) * 1000.0, "start of the server is in the future"
+            assert launched_ms > (wall_s() - 1800.0) * 1000.0
             assert before <= emulator.fleet.clock.plan_time() < 1800e3
 
     run(main())
 
 
-# ------------------------------------------------------------------ discovery
-
-
 async def watch(address: tuple[str, int], since: int) -> tuple[asyncio.StreamReader, asyncio.StreamWriter]:
     reader, writer = await asyncio.open_connection(*address)
     writer.write(f"GET /catalog/members?follow=1&since={since} HTTP/1.1\r\nHost: a\r\n\r\n".encode())
@@ -312,7 +309,7 @@
 
 
 async def next_message(reader: asyncio.StreamReader) -> dict[str, Any]:
-    """The next message of a watch, heartbeats left out."""
+    """Return the next message of a watch, skipping heartbeats."""
     async with asyncio.timeout(20.0):
         while True:
             size = int(await reader.readline(), 16)
@@ -337,7 +334,7 @@
         registry.update(DiscoveryEntry("s", "127.0.0.1:1", "z", 0, "leaving"), DiscoveryChange.DRAIN)
         registry.update(DiscoveryEntry("s", "127.0.0.1:1", "z", 0, "left"), DiscoveryChange.STOP)
         await until(lambda: agent.version == 3)
-        assert notified[-1][2] == "active", "an unsent change is no notification"
+        assert notified[-1][2] == "active", "notified of a change that was not sent"
         agent.set_stalled(False)
         row = await next_message(reader)
         assert [host["health"] for host in row["hosts"]] == ["leaving", "left"]
@@ -351,9 +348,6 @@
     run(main())
 
 
-# ------------------------------------------------------------------- the end
-
-
 @pytest.mark.parametrize("how", [signal.SIGINT, signal.SIGKILL])
 @pytest.mark.parametrize("verb", ["emulate", "experiment"])
 def test_an_interrupted_run_leaves_no_child_process_and_readable_records(
@@ -373,16 +367,17 @@
         assert process.stdout is not None
         folder = tmp_path if verb == "emulate" else tmp_path / "v0-s1"
         if verb == "emulate":
-            process.stdout.readline()  # everything has started
+            process.stdout.readline()  # printed when all processes have started
         asyncio.run(
             until(lambda: any(row["e"] == "sample" for row in read_records(folder / "equipos.jsonl")))
         )
-        family = _family(process.pid)
-        assert len(family) == (2 if verb == "emulate" else 4)  # nodes; and for the experiment the emulator
+        descendants = _descendants(process.pid)
+        # 2 local nodes; an experiment also has 1 node for clients and the emulator.
+        assert len(descendants) == (2 if verb == "emulate" else 4)
         process.send_signal(how)
         process.wait(timeout=60)
-    for one in family:
-        _wait_ended(one)
+    for pid in descendants:
+        _wait_ended(pid)
     for config in (folder / "nodes").glob("*/config.json"):
         host, port = msgspec.json.decode(config.read_bytes())["listen"].split(":")
         with pytest.raises(ConnectionRefusedError):
@@ -391,30 +386,30 @@
     assert process.returncode == {"emulate": 0, "experiment": 130}[verb] or how is signal.SIGKILL
 
 
-def _family(pid: int) -> list[int]:
-    """All descendants of this process."""
-    direct = Path(f"/proc/{pid}/task/{pid}/children").read_text().split()
-    return [one for child in direct for one in (int(child), *_family(int(child)))]
+def _descendants(pid: int) -> list[int]:
+    """Return the IDs of all descendants of a process."""
+    children = Path(f"/proc/{pid}/task/{pid}/children").read_text().split()
+    return [descendant for child in children for descendant in (int(child), *_descendants(int(child)))]
 
 
 def test_timer_lag_is_reported(tmp_path: Path):
     async def main() -> None:
         async with emulated(tmp_path) as emulator:
             for _ in range(100):
-                first(emulator)._tick(now_ms() - 40.0)
+                first_host(emulator)._tick(now_ms() - 40.0)
             assert emulator.statistics().lag_p99_ms >= 40.0
 
     run(main())
 
 
 def _wait_ended(pid: int) -> None:
-    """Wait until the process has ended."""
+    """Fail unless the process exits in time."""
     with contextlib.suppress(OSError):
         handle = os.pidfd_open(pid)
         try:
             import select
 
-            assert select.select([handle], [], [], 30.0)[0], "it lives on"
+            assert select.select([handle], [], [], 30.0)[0], "process is still running"
         finally:
             os.close(handle)
 
