--- a/rosewheel/lab/simulation/fault_injector.py
+++ b/rosewheel/lab/simulation/fault_injector.py
@@ -51,7 +51,7 @@
         """Kill a server process."""
         self.fleet.crash(host)
 
-    def revive(self, host: SimulatedServerHost) -> None:
+    def restart(self, host: SimulatedServerHost) -> None:
         """Start a crashed server again."""
         self.fleet.launch(host)
 
@@ -77,7 +77,7 @@
         for registry in self.fleet.registries:
             registry.extra_delay_ms = extra_ms
 
-    def stall_discovery(self, stalled: bool) -> None:
+    def set_discovery_stalled(self, stalled: bool) -> None:
         """Stall discovery, with watches still open, or resume it."""
         for registry in self.fleet.registries:
             registry.stall(stalled)
--- a/tests/lab/test_graph.py
+++ b/tests/lab/test_graph.py
@@ -193,14 +193,14 @@
         assert result.exit_code == 2
         assert result.output.count("\n") == 1
         assert f"{name}: " in result.output
-        assert "`simulate` plays them" in result.output
+        assert "are supported only by `simulate`" in result.output
 
 
 def test_the_emulator_rejects_the_loss_of_the_only_zone() -> None:
     loss = {"kind": "loss", "zone": "sala", "at_s": 1.0, "for_s": 1.0}
     quiet = scenario.load("quiet", {"trouble": [loss]})
     with pytest.raises(InvalidFileError, match=r"trouble\[0\].kind: services, regions"):
-        experiment.check_emulated(quiet)
+        experiment.check_emulation_supported(quiet)
 
 
 # ------------------------------------------------------------ graphs and plans
