--- a/benchmarks/startup.py
+++ b/benchmarks/startup.py
@@ -34,7 +34,8 @@
 IMPORTS = "import rosewheel.proxy.process, rosewheel.config.platform, rosewheel.logs"
 LIBRARIES = "import uvloop, httptools, orjson"
 PARTS = {"interpreter": "pass", "asyncio": "import asyncio", "libraries": LIBRARIES, "imports": IMPORTS}
-SERVES = re.compile(r" serves, ([0-9]+) ms of CPU")
+# The second form is the one that older trees log.
+SERVES = re.compile(r"(?: node started: .*cpu_ms=| serves, )([0-9]+)")
 READY_S = 10.0
 
 
--- a/rosewheel/proxy/process.py
+++ b/rosewheel/proxy/process.py
@@ -74,7 +74,7 @@
         fleet.start()
     await proxy.start()
     _tune_garbage_collector()
-    log.info("%s serves, %.0f ms of CPU", config.name, time.process_time() * 1e3)
+    log.info("node started: name=%s, cpu_ms=%.0f", config.name, time.process_time() * 1e3)
     await stop.wait()
     if fleet is not None:
         fleet.close()
--- a/tests/cli/test_command.py
+++ b/tests/cli/test_command.py
@@ -26,7 +26,7 @@
         assert client.recv(4096).startswith(b"HTTP/1.1 503 ")  # the node has no endpoints
     assert process.stderr is not None
     lines = iter(process.stderr.readline, "")
-    assert any("serves" in json.loads(line)["event"] for line in lines)
+    assert any(json.loads(line)["event"].startswith("node started: name=") for line in lines)
     path.write_text(good.replace("[routing]", "[rooting]"))
     process.send_signal(signal.SIGHUP)
     row = next(row for row in map(json.loads, lines) if "configuration not reloaded" in row["event"])
--- a/tests/proxy/test_startup.py
+++ b/tests/proxy/test_startup.py
@@ -111,12 +111,12 @@
 
 
 def wait_until_serving(process: subprocess.Popen[str]) -> list[str]:
-    """Waits for the log line that the node serves; returns all lines up to it."""
+    """Waits for the log line that the node has started; returns all lines up to it."""
     assert process.stderr is not None
     lines = []
     for line in process.stderr:
         lines.append(line)
-        if " serves, " in line:
+        if " node started: name=" in line:
             return lines
     raise AssertionError(f"the process exited with {process.wait()}: {lines[-20:]}")
 
