--- a/rosewheel/http/body.py
+++ b/rosewheel/http/body.py
@@ -34,7 +34,7 @@
 
 
 class RequestBody:
-    """A request body, written by the client's connection and read by the connection of the current attempt.
+    """A request body, filled by the client's connection and read by the connection of the current attempt.
 
     Attributes:
         budget: The memory budget that the body shares with all others.
@@ -47,7 +47,7 @@
         reading_started: The current attempt has read from the body.
         released: The body is no longer needed, and received bytes are dropped.
         on_data: Called when more bytes can be read, or the body is complete; None without a reader.
-        on_space: Called when fewer bytes are buffered, or the reader has gone.
+        on_space: Called when buffered bytes were dropped, or the current attempt stopped reading.
     """
 
     def __init__(self, budget: BufferBudget, on_space: Callable[[], None]) -> None:
@@ -106,7 +106,7 @@
         self.on_space()
 
     def rewind(self) -> None:
-        """End reading by the current attempt; if nothing was dropped, another one may read from the first byte."""
+        """Stop reading for the current attempt; if nothing was dropped, another one may read from the first byte."""
         if self.first_index == 0 and self.reading_started and not self.released:
             self.reading_started = False
             self.on_space()
--- a/rosewheel/http/chunk_tracker.py
+++ b/rosewheel/http/chunk_tracker.py
@@ -33,8 +33,8 @@
     def __init__(self) -> None:
         self.position = _Position.HEAD
         self.chunk_bytes_left = 0
-        self._line = bytearray()  # the incomplete line; within trailers, all their lines
-        self._status = b""  # status code of the current head; empty before its first line
+        self._line = bytearray()  # the incomplete line; within trailers, all lines of the trailers
+        self._status = b""  # status code of the current head, `?` for a request; empty before its first line
 
     def feed(self, data: bytes) -> None:
         """Advance the position by received bytes.
@@ -45,8 +45,8 @@
         offset = 0
         while offset < len(data) and self.position is not _Position.COMPLETE:
             if self.position is _Position.DATA:
-                taken = min(self.chunk_bytes_left, len(data) - offset)
-                offset, self.chunk_bytes_left = offset + taken, self.chunk_bytes_left - taken
+                consumed = min(self.chunk_bytes_left, len(data) - offset)
+                offset, self.chunk_bytes_left = offset + consumed, self.chunk_bytes_left - consumed
                 if not self.chunk_bytes_left:
                     self.position = _Position.DATA_END
                 continue
@@ -61,7 +61,7 @@
 
     def _line_complete(self) -> None:
         line = bytes(self._line)
-        if self.position is _Position.TRAILER:  # its lines are kept, since a new parser has to read them
+        if self.position is _Position.TRAILER:  # trailer lines stay buffered for `resume_prefix`
             if line.endswith(b"\r\n\r\n") or line == b"\r\n":
                 self.position = _Position.COMPLETE
             return
@@ -111,7 +111,7 @@
             case _Position.DATA:
                 return b"%x\r\n" % self.chunk_bytes_left
             case _Position.DATA_END:
-                return b"1\r\n-" + bytes(self._line)
+                return b"1\r\n-" + bytes(self._line)  # a chunk with one dummy byte
             case _Position.TRAILER:
                 return b"0\r\n" + bytes(self._line)
         raise ChunkedEncodingError("not within a body")
@@ -129,5 +129,5 @@
             if not body:
                 raise ChunkedEncodingError("position after chunk data, but no body was received")
             return b"%x\r\n%b" % (len(body), body) + bytes(self._line)
-        before = b"%x\r\n%b\r\n" % (len(body), body) if body else b""
-        return before + self.resume_prefix()
+        received = b"%x\r\n%b\r\n" % (len(body), body) if body else b""
+        return received + self.resume_prefix()
--- a/rosewheel/http/connection_close.py
+++ b/rosewheel/http/connection_close.py
@@ -1,4 +1,4 @@
-"""Detects that a peer has closed its connection, and closes connections by lingering or by a reset."""
+"""Detects that a peer has closed a connection, and closes connections with a delay or with a reset."""
 
 from __future__ import annotations
 
@@ -17,8 +17,8 @@
     """
     poller = select.poll()
     poller.register(transport.get_extra_info("socket").fileno(), event_mask)
-    found = poller.poll(0)
-    return found[0][1] if found else 0
+    ready = poller.poll(0)
+    return ready[0][1] if ready else 0
 
 
 def peer_has_closed(transport: asyncio.Transport) -> bool:
