--- a/rosewheel/http/downstream_connection.py
+++ b/rosewheel/http/downstream_connection.py
@@ -22,7 +22,7 @@
 
 STREAM_WINDOW_BYTES = 64 * 1024  # buffer for a streamed request body, and for the unsent bytes of a response
 RECEIVE_TIMEOUT_S = 2.6  # limit for the first byte, for a complete head, and for a pause within a body
-SEND_STALL_TIMEOUT_S = 30.0  # a client that takes no byte of its response for this long is disconnected
+SEND_STALL_TIMEOUT_S = 30.0  # a client that reads no byte of its response for this long is disconnected
 KEEP_ALIVE_TIMEOUT_S = 5.0  # idle time after which a connection is closed
 
 
@@ -35,11 +35,11 @@
 
     @property
     def draining(self) -> bool:
-        """True if the process shuts down."""
+        """True if the process is shutting down."""
 
     @property
     def hot_restarting(self) -> bool:
-        """True if another process of the node takes over (hot restart)."""
+        """True if another process of the node is taking over (hot restart)."""
 
     def is_healthy(self) -> bool:
         """Return whether the node can serve requests."""
@@ -86,8 +86,6 @@
         super().__init__(server)
         self.reading_paused = False
 
-    # -------------------------------------------------------------------------------------- opening and closing
-
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Start reading; a restored connection first processes the pending bytes of the other process."""
         # A cast, since uvloop's transports are not subclasses of asyncio's.
@@ -130,7 +128,7 @@
             active.body.release()
 
     def eof_received(self) -> None:
-        """Drop the client's requests: a client that closes its sending side is taken to have disconnected.
+        """Drop the client's requests: a client that closes its sending side is treated as disconnected.
 
         The event loop closes the connection only once the unsent bytes are sent, which may take long.
         """
@@ -140,8 +138,8 @@
     def close_if_disconnected(self) -> bool:
         """Close the connection if the client has disconnected; return whether it has.
 
-        Servers must not receive a request whose client is gone. The event loop reports a disconnect late while it is
-        busy, and not at all while reading is paused, so the operating system is queried.
+        Servers must not receive the request of a disconnected client. The event loop reports a disconnect late while
+        it is busy, and not at all while reading is paused, so the operating system is queried.
         """
         transport = self.transport
         if transport is None or transport.is_closing() or self._on_detached is not None:
@@ -164,8 +162,6 @@
         if self.transport is not None:
             self.transport.abort()
 
-    # -------------------------------------------------------------------------------------------- backpressure
-
     def pause_writing(self) -> None:
         """Apply backpressure: the transport's write buffer is full."""
         self.write_blocked = True
@@ -182,8 +178,8 @@
         """Pause or resume reading, depending on what is buffered.
 
         Bounds the memory taken by a client that pipelines requests, does not read its responses, or sends a streamed
-        body faster than the server reads it. Bytes are read up to the connection's share of the budget, so that a
-        disconnect behind them is noticed before an attempt begins.
+        body faster than the server reads it. Before an attempt starts, bytes are read up to the connection's share of
+        the budget, since a disconnect is detected only after the bytes before it have arrived.
         """
         pause = self._must_pause_reading()
         if self.transport is None or self.transport.is_closing() or pause is self.reading_paused:
@@ -210,8 +206,6 @@
             self.last_activity_s = self.server.loop.time()  # the client was not inactive during the pause
         return pause
 
-    # ---------------------------------------------------------------------------------------- idle and stalled
-
     def _is_idle(self) -> bool:
         is_busy = self.active_request is not None or self.incoming_request is not None
         return not is_busy and not self.is_receiving and not self._has_more_requests()
@@ -239,7 +233,7 @@
         self._reject(BadRequestError(408, "the request did not arrive in time"))
 
     def close_if_stalled(self, now_s: float) -> None:
-        """Close the connection if its client has stopped sending a request or reading a response.
+        """Close the connection if its client has stopped sending its request or reading its response.
 
         Such clients would otherwise hold descriptors and memory.
 
@@ -288,8 +282,6 @@
         self._write_progress.restart(self.server.loop.time())
         return request
 
-    # ------------------------------------------------------------------------------------------------ dispatch
-
     def _create_request(
         self, method: bytes, body: RequestBody, content_length: int | None
     ) -> DownstreamRequest:
@@ -349,7 +341,7 @@
             request.body.release()
             return
         if self.over_limit:
-            self._send_response(503, b"")  # the policy never sees it, so it is not forwarded
+            self._send_response(503, b"")  # rejected without consulting the policy
             request.body.release()
             return
         if self.transport is None or self.transport.is_closing() or self.close_if_disconnected():
