--- a/rosewheel/http/downstream_detach.py
+++ b/rosewheel/http/downstream_detach.py
@@ -30,7 +30,8 @@
     request: DownstreamRequest | None
 
 
-DownstreamDetachCallback = Callable[[DetachedDownstream | None], None]  # None: closed before it was detached
+# Receives the connection, or None if it could not be detached and was closed.
+DownstreamDetachCallback = Callable[[DetachedDownstream | None], None]
 
 
 @dataclass(slots=True, frozen=True)
@@ -43,7 +44,7 @@
         response_chunked: The streamed response uses chunked encoding.
         has_sent_request: At least one complete request was received.
         closing: The connection is closed once its unsent bytes are sent.
-        unsent_bytes: How many of the pending bytes are unsent; the rest were received.
+        unsent_bytes: Number of pending bytes that are unsent; the rest were received.
     """
 
     is_http_1_0: bool
@@ -70,8 +71,8 @@
 
         Raises:
             KeyError: A key is missing.
-            ValueError: The number of unsent bytes is not a number.
-            TypeError: The number of unsent bytes is not a number.
+            ValueError: `unsent` is text that is not a number.
+            TypeError: `unsent` is neither a number nor text.
         """
         unsent_bytes = int(state["unsent"])
         return cls(
@@ -86,12 +87,12 @@
 
 @dataclass(slots=True)
 class RestoredBytes:
-    """Pending bytes of another process, processed once the restored connection has a transport.
+    """State from another process that is processed once the restored connection has a transport.
 
     Attributes:
         unsent: Bytes to send.
         received: Bytes of an incomplete request, to parse.
-        closing: The connection is closed once the unsent bytes are sent.
+        closing: The connection is closed once the unsent bytes are sent. Also set when this process detaches it.
     """
 
     unsent: bytes = b""
@@ -126,7 +127,7 @@
         """True if another process can restore the connection.
 
         No request may wait for the start of its response, an incomplete request has to be replayable, and the unsent
-        bytes have to be known.
+        bytes have to be buffered.
         """
         transport = self.transport
         if (
@@ -159,7 +160,7 @@
         Requires an event loop whose transports keep the unsent bytes until `connection_lost` returns, as in uvloop.
 
         Args:
-            on_detached: Receives the connection, or None if it was closed before it was detached.
+            on_detached: Receives the connection, or None if it could not be detached and was closed.
         """
         if self.transport is None:
             on_detached(None)
--- a/rosewheel/http/upstream_detach.py
+++ b/rosewheel/http/upstream_detach.py
@@ -23,7 +23,8 @@
     state: dict[str, Any]
 
 
-UpstreamDetachCallback = Callable[[DetachedUpstream | None], None]  # None: closed before it was detached
+# Receives the connection, or None if it could not be detached and was closed.
+UpstreamDetachCallback = Callable[[DetachedUpstream | None], None]
 
 
 @dataclass(slots=True, frozen=True)
@@ -35,9 +36,9 @@
         address: Remote address of the connection.
         launched_ms: When the server started, on the monotonic clock; None if unknown.
         idle_s: How long the connection has been idle.
-        received_bytes: Bytes received of the body of a streamed response.
-        missing_bytes: Bytes of this body still to come; None if unknown.
-        chunk_prefix: Bytes that bring a new parser to the position in a chunked body.
+        received_bytes: Number of body bytes received of a streamed response.
+        missing_bytes: Number of body bytes still to come; None if unknown.
+        chunk_prefix: Bytes that bring a new parser to the position in a chunked body; None if the body is not chunked.
         load_report: The server's load report, if any.
     """
 
