--- a/rosewheel/http/downstream_server.py
+++ b/rosewheel/http/downstream_server.py
@@ -21,14 +21,14 @@
 MIN_IDLE_BEFORE_RECLAIM_S = 0.2  # idle time after which a connection may be closed to free a descriptor
 # Time without received bytes after which a connection that has sent no complete request, or only a part of a head, may
 # be closed to free a descriptor.
-MIN_SILENCE_BEFORE_RECLAIM_S = 0.3
+MIN_INACTIVITY_BEFORE_RECLAIM_S = 0.3
 ACCEPT_DURING_DRAIN_S = 0.6  # time after SIGTERM during which new connections are accepted
-# After SIGTERM, open connections may send requests for this long, since other nodes may still be starting; but only
-# until the margin before the longest request timeout, as the drain ends soon after that.
+# Time after SIGTERM during which open connections may send requests, since other nodes may still be starting. It ends
+# at the latest by the margin before the longest request timeout, as the drain ends soon after that timeout.
 KEEP_OPEN_DURING_DRAIN_S = 2.0
 DRAIN_DEADLINE_MARGIN_S = 0.1
-# Time in which a new connection may send its first request during a drain, and its limit as a share of the longest
-# request timeout.
+# Time that a new connection has for its first request during a drain, limited to a share of the longest request
+# timeout.
 NEW_CONNECTION_GRACE_S = 0.2
 NEW_CONNECTION_GRACE_SHARE = 0.2
 # Time after the longest request timeout at which a drain aborts connections without a request.
@@ -51,15 +51,17 @@
         monitor: Decides whether connections may be accepted and closed, and counts the verdicts.
         connections: All connections, in the order of their arrival.
         idle_connections: Connections without a request, the longest idle first.
-        partial_connections: Connections with only a part of a head, the longest silent first.
+        partial_connections: Connections with only a part of a head, ordered by when they last received bytes, oldest
+            first.
         max_connections: Maximum number of connections.
-        max_over_limit: Maximum number of further connections that get a 503; any others are closed without a response.
-        over_limit_count: Number of connections over the limit.
-        rejected_count: Invalid requests since the last log line.
-        last_rejection: Status and message of the last invalid request.
-        draining: The process shuts down, or another process takes over.
+        max_over_limit: Maximum number of connections over the limit that get a 503; any others are closed without a
+            response.
+        over_limit_count: Number of connections that exceed `max_connections` or the available descriptors.
+        rejected_count: Number of rejected requests since the last log line.
+        last_rejection: Status and message of the last rejected request.
+        draining: The process is shutting down.
         closing: Connections are closed after their next response.
-        hot_restarting: Another process of the node takes over (hot restart).
+        hot_restarting: Another process of the node is taking over (hot restart).
         drain_started_s: When `draining` was set, on the loop's clock.
     """
 
@@ -124,8 +126,6 @@
             raise RuntimeError("the server was not started")
         return int(self._listener.sockets[0].getsockname()[1])
 
-    # --------------------------------------------------------------------------------------------------- draining
-
     async def drain(
         self,
         max_request_timeout_s: float = 3.0,
@@ -185,8 +185,6 @@
         for connection in list(self.connections):
             connection.abort()
 
-    # ----------------------------------------------------------------------------------------- periodic checks
-
     def _sweep(self) -> None:
         self._sweep_timer = self.loop.call_later(SWEEP_INTERVAL_S, self._sweep)
         if self.rejected_count:  # one line per sweep, since invalid requests may arrive at a high rate
@@ -209,8 +207,6 @@
             PAUSED_CHECK_INTERVAL_S, self._check_paused_connections
         )
 
-    # --------------------------------------------------------------------------------- connection state changes
-
     def connection_opened(self, connection: DownstreamConnection) -> None:
         """Register a connection; mark it if it exceeds the connection limit, or abort it if too many do."""
         self.connections[connection] = None
@@ -222,7 +218,7 @@
         connection.over_limit = not self.monitor.is_allowed(CheckedOperation.ACCEPT, reason)
         if connection.over_limit:
             self.over_limit_count += 1
-            # At the operating system's descriptor limit, the process could not accept connections at all.
+            # Too many of them would use up the descriptors, and no connection could be accepted.
             if self.over_limit_count > self.max_over_limit:
                 connection.abort()
 
@@ -250,31 +246,34 @@
         self.idle_connections.pop(connection, None)
 
     def mark_partial(self, connection: DownstreamConnection, is_partial: bool) -> None:
-        """Record that a connection has just received a part of a head, or no longer has one."""
+        """Record that a connection has just received a part of a head, or that its head is no longer incomplete."""
         self.partial_connections.pop(connection, None)
         if is_partial:
             self.partial_connections[connection] = None
 
     def record_rejection(self, error: BadRequestError) -> None:
-        """Count an invalid request for the log."""
+        """Count a rejected request for the log."""
         self.rejected_count += 1
         self.last_rejection = f"{error.status}: {error}"
 
     def close_longest_idle(self) -> bool:
-        """Close the longest idle connection, or the one silent longest within a head; return whether one was closed."""
+        """Close the longest idle connection, or else one with an incomplete head; return whether one was closed."""
         for connection in self.idle_connections:
             min_idle_s = (
-                MIN_IDLE_BEFORE_RECLAIM_S if connection.has_sent_request else MIN_SILENCE_BEFORE_RECLAIM_S
+                MIN_IDLE_BEFORE_RECLAIM_S if connection.has_sent_request else MIN_INACTIVITY_BEFORE_RECLAIM_S
             )
             if connection.close_if_idle(min_idle_s):
-                # Removed at once, since the loop reports the close later and it must not be chosen again.
+                # Removed now, since the event loop reports the close later; it must not be selected again until then.
                 self.connection_closed(connection)
                 return True
-            if self.loop.time() - connection.last_activity_s < MIN_SILENCE_BEFORE_RECLAIM_S:
+            if self.loop.time() - connection.last_activity_s < MIN_INACTIVITY_BEFORE_RECLAIM_S:
                 break
-        # A slow client keeps sending parts of its head, so the one silent longest is closed first.
+        # The first one has been inactive longest: a slow client still sends parts of its head from time to time.
         partial = next(iter(self.partial_connections), None)
-        if partial is not None and self.loop.time() - partial.last_received_s >= MIN_SILENCE_BEFORE_RECLAIM_S:
+        if (
+            partial is not None
+            and self.loop.time() - partial.last_received_s >= MIN_INACTIVITY_BEFORE_RECLAIM_S
+        ):
             partial.reject_incomplete_request()
             self.connection_closed(partial)
             return True
