--- a/rosewheel/http/exchange.py
+++ b/rosewheel/http/exchange.py
@@ -40,7 +40,7 @@
         """Fail its exchange if the server has stopped reading the request."""
 
     def detach(self, on_detached: UpstreamDetachCallback) -> None:
-        """Remove it from the event loop, for another process to continue."""
+        """Remove it from the event loop, so that another process can continue with it."""
 
     def close(self) -> None:
         """Close it at once, and discard its unsent bytes."""
@@ -51,7 +51,8 @@
     """An attempt or health check in progress.
 
     Attributes:
-        encode_head: Returns the head of the request; called right before it is written, as it contains the time left.
+        encode_head: Returns the head of the request; called right before it is written, as it contains the
+            remaining time.
         on_done: Called once with the result, the server's load report, and the body of a complete response.
         started_s: When the exchange started, on the loop's clock.
         on_sent: Called when the last byte of the request was written.
@@ -115,10 +116,10 @@
         """Stop counting a connection that was closed or detached."""
 
     def release(self, connection: PooledConnection, /) -> None:
-        """Keep a connection that has become idle."""
+        """Return a connection to the pool once it is idle."""
 
     def remove_idle(self, connection: PooledConnection, /) -> None:
-        """Remove a connection from the idle ones, if it is among them."""
+        """Remove a connection from the idle ones, if it is idle."""
 
     def record_stale(self, idle_s: float, /) -> None:
         """Record that a request on a connection was reset after the connection had been idle for `idle_s`."""
--- a/rosewheel/http/idle_connections.py
+++ b/rosewheel/http/idle_connections.py
@@ -10,10 +10,10 @@
 from rosewheel.policy.events import Server, ServerState
 
 # Time after a response in which its connection is not reused. A server may send surplus bytes some milliseconds after a
-# response, and they would be taken for the response to the next request.
+# response, and they would be parsed as the response to the next request.
 REUSE_QUIET_PERIOD_S = 0.025
 MAX_IDLE_DIVISOR = 4  # the idle connections of one server take at most the descriptors divided by this
-MIN_IDLE_CONNECTIONS = 2  # idle connections that a server may always keep
+MIN_IDLE_CONNECTIONS = 2  # idle connections to one server that are always allowed
 
 
 def _idle_since_s(connection: PooledConnection) -> float:
@@ -39,8 +39,6 @@
         self.idle_timeout = idle_timeout
         self.max_descriptors = max_descriptors
 
-    # --------------------------------------------------------------------------------------------------- servers
-
     def update(self, servers: list[tuple[Server, Address]], is_snapshot: bool) -> None:
         """Apply an update of the endpoint list.
 
@@ -88,12 +86,10 @@
         endpoint.available = False
         self.close_idle_of(endpoint)
 
-    # ------------------------------------------------------------------------------------------- idle connections
-
     def take_idle(self, host: str, now_s: float) -> PooledConnection | None:
         """Remove and return the most recently used idle connection to a server, so that unneeded ones expire.
 
-        Unusable connections are closed. Returns None if no connection is left.
+        Connections within the quiet period are skipped, and unusable ones closed. Returns None if none is left.
         """
         endpoint = self.endpoints.get(host)
         if endpoint is None or not self.accepts_requests(host):
@@ -119,9 +115,9 @@
         return None
 
     def add_idle(self, connection: PooledConnection, now_s: float) -> None:
-        """Keep a connection that has become idle; close it if its server is unavailable or another process by now.
+        """Add a connection that has become idle, or close it if its server is unavailable, has moved or was restarted.
 
-        If the server has too many idle connections then, the longest idle one is closed.
+        If the server then has too many idle connections, the longest idle one is closed.
         """
         endpoint = connection.endpoint
         is_same = endpoint.address == connection.address and endpoint.launched_ms == connection.launched_ms
@@ -138,7 +134,7 @@
             oldest.close()
 
     def insert_idle(self, connection: PooledConnection) -> None:
-        """Keep a connection that was idle in another process; the order by idle time is preserved."""
+        """Add a connection that was idle in another process; the order by idle time is preserved."""
         endpoint = connection.endpoint
         endpoint.idle_connections.append(connection)
         endpoint.idle_connections.sort(key=_idle_since_s)
@@ -146,7 +142,7 @@
         self.idle_connections = dict.fromkeys(ordered)
 
     def remove_idle(self, connection: PooledConnection) -> None:
-        """Remove a connection from the idle ones, if it is among them."""
+        """Remove a connection from the idle ones, if it is idle."""
         if connection in self.idle_connections:
             del self.idle_connections[connection]
             connection.endpoint.idle_connections.remove(connection)
