--- a/rosewheel/http/partial_request.py
+++ b/rosewheel/http/partial_request.py
@@ -1,4 +1,4 @@
-"""The received bytes of an incomplete request, kept so that another process can parse them from the start."""
+"""The received bytes of an incomplete request, buffered so that another process can parse them from the start."""
 
 from __future__ import annotations
 
@@ -15,7 +15,8 @@
 
     Attributes:
         head: The received bytes of an incomplete head; None if they are unknown, or the head is complete.
-        chunk_tracker: The position in an incomplete chunked body; None without one, or if it is unknown.
+        chunk_tracker: The position in an incomplete chunked body; None if the position is unknown, or there is no such
+            body.
     """
 
     __slots__ = ("chunk_tracker", "head")
@@ -29,7 +30,7 @@
         self.chunk_tracker = None
 
     def start(self, data: bytes | None) -> None:
-        """Start a request with its first bytes; None if these could not be told from the bytes of other requests."""
+        """Start a request with its first bytes; None if they could not be separated from those of other requests."""
         self.chunk_tracker = None
         self.head = bytearray(data) if data is not None else None
 
@@ -49,7 +50,7 @@
                     self.chunk_tracker.feed(bytes(self.head))
             except ChunkedEncodingError:
                 self.chunk_tracker = None
-        self.head = None  # the request contains the parsed head
+        self.head = None  # no longer needed: `request` contains the parsed head
 
     def replayable(self, request: DownstreamRequest | None, *, response_pending: bool) -> bool:
         """Return whether another parser can read the received bytes from the first one.
--- a/rosewheel/http/request.py
+++ b/rosewheel/http/request.py
@@ -78,8 +78,8 @@
         content_length: Declared size of the body in bytes; None if it is chunked.
         id: The Request-Id; empty before the request is dispatched.
         dispatched: The request is being processed; set before its body is complete if the body is streamed.
-        completed_s: When the last byte was received, on the loop's clock; None if the request is incomplete, or was
-            dispatched while it was.
+        completed_s: When the last byte was received, on the loop's clock; None if the request was dispatched before
+            that, or is incomplete.
         timeout_ms: How long the client waits for the response, counted from the last byte of the request.
         response_started: A streamed response has begun.
         has_final_response: The node has decided on the final response.
--- a/rosewheel/http/request_reader.py
+++ b/rosewheel/http/request_reader.py
@@ -112,7 +112,7 @@
         phase = self.phase
         return phase is BODY or phase is HEAD
 
-    # ------------------------------------------------------------------------------------------------- subclasses
+    # Hooks for subclasses.
 
     def _create_request(
         self, method: bytes, body: RequestBody, content_length: int | None
@@ -136,10 +136,8 @@
         """Respond with an error to invalid bytes, and ignore further input."""
         raise NotImplementedError
 
-    # ---------------------------------------------------------------------------------------------------- parsing
-
     def data_received(self, data: bytes) -> None:
-        """Parse the received bytes until the request queue is full; keep the rest unparsed."""
+        """Parse the received bytes until the request queue is full; leave the rest unparsed."""
         if self.phase is REJECTED:
             return
         self.last_received_s = self.server.loop.time()
@@ -160,7 +158,7 @@
             self._parse(data)
 
     def _parse(self, data: bytes) -> None:
-        """Parse in limited parts; once the request queue is full, keep the rest unparsed."""
+        """Parse the bytes in parts of limited size; once the request queue is full, leave the rest unparsed."""
         position = 0
         while position < len(data) and self.phase is not REJECTED:
             if self._queue_is_full():
@@ -226,15 +224,15 @@
         """Record the bytes of an incomplete request, so that another process can parse them (hot restart)."""
         partial = self._partial
         if phase_before is IDLE or self._messages_ended:
-            is_alone = self._messages_begun == 1 and not self._messages_ended
-            partial.start(data if phase_before is IDLE and is_alone else None)
+            is_only_message = self._messages_begun == 1 and not self._messages_ended
+            partial.start(data if phase_before is IDLE and is_only_message else None)
         elif phase_before is HEAD:
             partial.extend_head(data)
         if self.phase is BODY and self.incoming_request is not None:
             partial.extend_body(data, self.incoming_request)
 
     def _check_raw_size(self) -> None:
-        """Limit the size of heads and of chunk framing, which would otherwise take memory and CPU without bound.
+        """Limit the size of heads and of chunk framing, which would otherwise take unlimited memory and CPU time.
 
         Raises:
             BadRequestError: The head or the framing is too large.
@@ -247,7 +245,7 @@
         if self.raw_bytes > MAX_CHUNK_OVERHEAD_BYTES + MAX_CHUNK_OVERHEAD_FACTOR * body_bytes:
             raise BadRequestError(413, "a request without end")
 
-    # ------------------------------------------------------------------------------------- callbacks of the parser
+    # Callbacks of the parser.
 
     def on_message_begin(self) -> None:
         """Prepare for a new request."""
