--- a/rosewheel/http/response_reader.py
+++ b/rosewheel/http/response_reader.py
@@ -19,9 +19,8 @@
 STREAM_THRESHOLD_BYTES = 64 * 1024  # a longer body is streamed
 MAX_RESPONSE_HEAD_BYTES = 16 * 1024  # limit for the head and the interim responses before it
 
-ResponseSink = Callable[
-    [bytes], bool
-]  # consumes a part of a streamed body; returns False to pause the response
+# Consumes a part of a streamed body; returns False to pause the response.
+ResponseSink = Callable[[bytes], bool]
 
 
 class ResponsePhase(Enum):
@@ -42,7 +41,7 @@
 
     Attributes:
         phase: The parsing state.
-        head_bytes: Bytes received until the head was complete.
+        head_bytes: Bytes received until the head was complete; 0 if none were received.
         response_body: The buffered body; empty once it is streamed.
         response_bytes: Bytes of the body received so far.
         content_length: Declared size of the body in bytes, if any.
@@ -51,12 +50,12 @@
         not_started: The server states that it has not executed the request.
         has_framing: The head declares where the body ends; otherwise the body ends with the connection.
         keep_alive: The connection may be reused; valid once the response is complete.
-        chunk_tracker: Position in a chunked body; None without one, or if it is unknown.
+        chunk_tracker: Position in a chunked body; None if the position is unknown, or the body is not chunked.
     """
 
     def __init__(self) -> None:
         self.parser = httptools.HttpResponseParser(self)
-        self._restoring = False  # the parser reads a generated head, whose body bytes are ignored
+        self._restoring = False  # the input of the parser is generated, and body bytes in it are ignored
         self._reset()
 
     def _reset(self) -> None:
@@ -76,7 +75,7 @@
         self.load_report: LoadReport | None = None
         self.not_started = self.has_framing = self.keep_alive = False
 
-    # ------------------------------------------------------------------------------------------------- subclasses
+    # Hooks for subclasses.
 
     def _has_exchange(self) -> bool:
         """Return whether a response is expected."""
@@ -94,8 +93,6 @@
         """Stop reading, since the client reads more slowly than the server sends."""
         raise NotImplementedError
 
-    # ---------------------------------------------------------------------------------------------------- parsing
-
     def _feed_parser(self, data: bytes) -> bool:
         """Parse received bytes; return whether surplus bytes follow the complete response.
 
@@ -151,11 +148,12 @@
         self.parser.feed_data(head)
         self._restoring = False
         self._track_chunks(head, HEAD)
+        # Any number above 0: the head was received by the other process.
         self.head_bytes, self.response_bytes = 1, received_bytes
-        if self.content_length is not None:
-            self.content_length += received_bytes  # of the complete response
+        if self.content_length is not None:  # the generated head declares only the remaining bytes
+            self.content_length += received_bytes
 
-    # ------------------------------------------------------------------------------------- callbacks of the parser
+    # Callbacks of the parser.
 
     def on_header(self, name: bytes, value: bytes) -> None:
         """Evaluate a header; trailers are ignored.
--- a/rosewheel/http/response_sender.py
+++ b/rosewheel/http/response_sender.py
@@ -48,7 +48,7 @@
         self._unsent_writes = UnsentWrites()
         self._write_progress = WriteProgress()
 
-    # ------------------------------------------------------------------------------------------------- subclasses
+    # Hooks for subclasses.
 
     def _dispatch_next(self) -> None:
         """Dispatch the next queued request if none is active."""
@@ -62,8 +62,6 @@
         """Drop all requests of the connection, after a disconnect or an invalid request."""
         raise NotImplementedError
 
-    # -------------------------------------------------------------------------------------------------- responses
-
     def _send(self, data: bytes) -> None:
         transport = self.transport
         if transport is None:
@@ -177,8 +175,6 @@
         elif self.transport is not None:
             self.transport.close()
 
-    # ------------------------------------------------------------------------------------------------- rejections
-
     def _reject(self, error: BadRequestError) -> None:
         """Stop reading, and respond with an error after the responses to earlier requests.
 
--- a/rosewheel/http/upstream_connection.py
+++ b/rosewheel/http/upstream_connection.py
@@ -24,8 +24,8 @@
 RECEIVE_BUFFER_BYTES = 64 * 1024  # receive buffer of the socket, which bounds the unread part of a response
 RESPONSE_PAUSE_TIMEOUT_S = 0.8  # longest pause within a buffered response
 STREAM_PAUSE_TIMEOUT_S = 15.0  # longest pause within a streamed response; longer, since it can't be retried
-PAUSE_CHECK_TOLERANCE_S = 0.01  # a timeout that ends this soon has ended: the loop's clock has milliseconds
-WRITE_STALL_TIMEOUT_S = 6.0  # a request of which the server takes no byte for this long is failed
+PAUSE_CHECK_TOLERANCE_S = 0.01  # a timeout this close to its end has expired: the loop's clock is coarse
+WRITE_STALL_TIMEOUT_S = 6.0  # an attempt fails if the server reads no byte of the request for this long
 STALE_RESET_WINDOW_S = 0.02  # a reset this soon after a request shows that the idle connection was stale
 
 
@@ -43,7 +43,7 @@
 
     Attributes:
         connection_phase: The state of the connection.
-        address: The remote address; the address of the endpoint may change later.
+        address: The remote address. The endpoint's address may change after the connection was opened.
         launched_ms: Start of the server process to which the connection was opened, on the monotonic clock.
         exchange: The exchange in progress.
         idle_since_s: When it last became idle, on the loop's clock; 0 before the first time.
@@ -67,8 +67,6 @@
         self._pause_timer: asyncio.TimerHandle | None = None
         self._on_detached: UpstreamDetachCallback | None = None
 
-    # -------------------------------------------------------------------------------------- opening and closing
-
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Configure the socket and register the connection with the pool."""
         # A cast, since uvloop's transports are not subclasses of asyncio's.
@@ -112,12 +110,12 @@
         self._discard()
         self.transport = None
         now_s = self.pool.loop.time()
-        # Only a reset shows a stale connection: an orderly close would have been seen before the request.
+        # Only a reset indicates a stale connection: `is_usable` detects an orderly close before the request.
         was_reset = self.exchange is not None and isinstance(exc, ConnectionError) and not self.head_bytes
         elapsed_s = now_s - self._request_started_s
         if was_reset and self._idle_before_request_s > 0.0 and elapsed_s <= STALE_RESET_WINDOW_S:
             self.pool.record_stale(self._idle_before_request_s)
-        # RESET, since a request that was written may have been executed.
+        # Reported as RESET, since a request that was written may have been executed.
         self._finish_exchange(AttemptResult.RESET, keep=False)
         # The parser and this object form a reference cycle, and the garbage collector runs rarely.
         del self.parser
@@ -126,8 +124,6 @@
         self.pool.remove_idle(self)
         self.close()
 
-    # ------------------------------------------------------------------------------------------------- requests
-
     def send(self, exchange: Exchange) -> None:
         """Send a request on an open and idle connection."""
         self._reset()
@@ -209,12 +205,10 @@
                 exchange.body.on_data = None
             exchange.body.rewind()
 
-    # ------------------------------------------------------------------------------------------------- responses
-
     def data_received(self, data: bytes) -> None:
         """Parse received bytes, and finish the exchange once its response is complete."""
         self.last_received_s = self.endpoint.last_received_s = self.pool.loop.time()
-        if self.exchange is None:  # the bytes would be taken for the response to the next request
+        if self.exchange is None:  # the bytes would be parsed as the response to the next request
             self._discard()
             return
         phase_before = self.phase
@@ -224,7 +218,7 @@
             self._fail_invalid_response(error)
             return
         if self.phase is ResponsePhase.COMPLETE:
-            # After a response before the end of the request, the unsent bytes would precede the next request.
+            # If the server responds early, the unsent bytes of this request would precede the next one.
             has_unsent = self.transport is None or self.transport.get_write_buffer_size() > 0
             self._finish_response(keep=self.keep_alive and not has_unsent and not has_surplus)
             return
@@ -320,8 +314,6 @@
         body = bytes(self.response_body) if result is AttemptResult.OK else b""
         exchange.on_done(result, self.load_report, body)
 
-    # ---------------------------------------------------------------------------------------------- hot restart
-
     @property
     def detachable(self) -> bool:
         """True if another process can continue with the streamed response."""
@@ -339,7 +331,7 @@
         """Remove the connection from the event loop; nothing more is read from it.
 
         Args:
-            on_detached: Receives the connection, or None if it was closed before it was detached.
+            on_detached: Receives the connection, or None if it could not be detached and was closed.
         """
         if self.transport is None:
             on_detached(None)
