--- a/rosewheel/proxy/proxy.py
+++ b/rosewheel/proxy/proxy.py
@@ -75,7 +75,7 @@
             config.state_folder,
             self.cordons.set_by_operator,
             self.siblings.process_count_changed,
-            follow=config.inherited_descriptor is not None,
+            poll=config.inherited_descriptor is not None,
         )
         self.node = Node(config.settings, config.limits, config.seed, clock.now_ms())
         self.upstream = self._create_upstream()
--- a/rosewheel/proxy/shared_state.py
+++ b/rosewheel/proxy/shared_state.py
@@ -15,9 +15,9 @@
 
 log = logging.getLogger("rosewheel.state")
 
-POLL_INTERVAL_S = 0.05  # interval of polls for changes that the other process has made
+POLL_INTERVAL_S = 0.05  # interval of polls for changes by the other process
 POLLS_PER_PRESENCE_CHECK = 4
-LOCK_TIMEOUT_S = 0.3  # limit of the wait for the other process to finish a change
+LOCK_TIMEOUT_S = 0.3  # maximum wait for the other process to finish a change
 LOCK_RETRY_S = 0.01
 
 CordonsHandler = Callable[[frozenset[str]], None]
@@ -28,10 +28,10 @@
     """Reads, polls and changes the state file, and detects another process of the node.
 
     Args:
-        folder: The state folder of the node. Without one no state is kept between processes.
+        folder: The state folder of the node. Without one, the state is not saved between processes.
         on_cordons_changed: Called with all cordoned servers when another process has changed the set.
         on_process_count_changed: Called with 2 when another process of this node appears, with 1 when it ends.
-        follow: Whether to poll, because another process can exist. If not, the file is read only at the start.
+        poll: Whether to poll the file, because another process can exist. If not, it is read only at the start.
     """
 
     def __init__(
@@ -39,13 +39,13 @@
         folder: str | None,
         on_cordons_changed: CordonsHandler,
         on_process_count_changed: ProcessCountHandler,
-        follow: bool = True,
+        poll: bool = True,
     ) -> None:
         self._file = StateFile(folder) if folder else None
         self._presence = PresenceLock(folder) if folder else None
         self._on_cordons_changed = on_cordons_changed
         self._on_process_count_changed = on_process_count_changed
-        self._follow = follow
+        self._polling = poll
         self._cordoned: frozenset[str] = frozenset()
         self._has_sibling = False
         self._applied_version: FileVersion | None = None
@@ -58,7 +58,7 @@
         if self._presence is None:
             return
         self._acquire_presence(self._presence)
-        if self._follow:
+        if self._polling:
             self._poll()
         else:
             self._apply_file()
@@ -74,10 +74,10 @@
         else:
             self._presence_failed = False
 
-    def follow(self) -> None:
-        """Starts to poll, if this process does not poll yet."""
-        if not self._follow and self._file is not None:
-            self._follow = True
+    def start_polling(self) -> None:
+        """Starts to poll the state file, if this process does not poll it yet."""
+        if not self._polling and self._file is not None:
+            self._polling = True
             self._poll()
 
     def close(self) -> None:
@@ -90,7 +90,7 @@
     async def set_cordon(self, server: str, cordoned: bool) -> None:
         """Saves whether a server is cordoned.
 
-        If the node has another process, waits long enough for it to apply the change.
+        If the node has another process, waits until it has had time to apply the change.
 
         Raises:
             OSError: The change can't be written, and later processes would not apply it.
@@ -154,7 +154,7 @@
         """Checks whether the node has another process, and reports a change."""
         if self._presence is not None and not self._presence.is_open:
             self._acquire_presence(self._presence)
-        has_sibling = self._presence.has_others() if self._presence is not None and self._follow else None
+        has_sibling = self._presence.has_others() if self._presence is not None and self._polling else None
         if has_sibling is None or has_sibling is self._has_sibling:
             return
         self._has_sibling = has_sibling
--- a/rosewheel/proxy/siblings.py
+++ b/rosewheel/proxy/siblings.py
@@ -11,7 +11,7 @@
 
 
 class Siblings:
-    """Applies events of the sibling process, the predecessor or the successor, to this process.
+    """Applies events of the sibling process (the predecessor or the successor) to this process.
 
     Implements `hot_restart.host.SiblingHost`.
     """
@@ -47,14 +47,14 @@
         if processes == 1:
             resources.predecessor_descriptors = None
         # A predecessor that is shutting down still runs, but starts no requests.
-        deciding = processes if resources.predecessor_descriptors is None else 1
-        context.apply(context.node.process_count_changed(clock.now_ms(), deciding))
+        active = processes if resources.predecessor_descriptors is None else 1
+        context.apply(context.node.process_count_changed(clock.now_ms(), active))
         resources.divide(context.config.limits.max_sockets)
         resources.close_excess_idle()
 
     def sibling_connected(self) -> None:
         """Handles the connection of a sibling process: starts to poll the shared state."""
-        self._context.shared_state.follow()
+        self._context.shared_state.start_polling()
 
     def successor_connected(self) -> None:
         """Handles the connection of a successor: the descriptors of an earlier predecessor no longer count."""
@@ -66,7 +66,7 @@
         context.apply(context.node.sibling_process_load(clock.now_ms(), dict(loads)))
 
     def predecessor_descriptors_reported(self, descriptors: int | None) -> None:
-        """Applies the descriptor count of a predecessor that is shutting down: this process may use the rest."""
+        """Applies the descriptor count of a predecessor in shutdown: this process may use the remaining ones."""
         if descriptors is not None:
             self._resources.predecessor_descriptors = descriptors
             self._resources.divide(self._context.config.limits.max_sockets)
--- a/rosewheel/proxy/state_codec.py
+++ b/rosewheel/proxy/state_codec.py
@@ -35,7 +35,7 @@
         StateFileError: The content is not a state file of this version.
     """
     if len(data) > MAX_FILE_BYTES:
-        raise StateFileError(f"longer than {MAX_FILE_BYTES} bytes")
+        raise StateFileError(f"state file exceeds {MAX_FILE_BYTES} bytes")
     try:
         content = orjson.loads(data)
     except orjson.JSONDecodeError as error:
@@ -44,5 +44,5 @@
         raise StateFileError(f"not a state file of version {VERSION}")
     servers = content.get("cordoned")
     if not isinstance(servers, list) or not all(isinstance(server, str) for server in servers):
-        raise StateFileError("cordoned is not a list of ids")
+        raise StateFileError("cordoned is not a list of server ids")
     return StateRecord(frozenset(servers))
--- a/rosewheel/proxy/state_file.py
+++ b/rosewheel/proxy/state_file.py
@@ -35,10 +35,10 @@
     def version(self) -> FileVersion | None:
         """Returns the current version, or None if there is no file."""
         try:
-            found = os.stat(self._path)
+            status = os.stat(self._path)
         except OSError:
             return None
-        return FileVersion(found.st_ino, found.st_mtime_ns, found.st_size)
+        return FileVersion(status.st_ino, status.st_mtime_ns, status.st_size)
 
     def read(self) -> StateRecord | None:
         """Returns the content, or None if there is no file.
@@ -59,14 +59,14 @@
         Raises:
             OSError: The file can't be written. The old one stays in place.
         """
-        part = os.path.join(self._folder, f"state.{os.getpid()}.part")
+        temporary = os.path.join(self._folder, f"state.{os.getpid()}.part")
         try:
-            with open(part, "wb") as file:
+            with open(temporary, "wb") as file:
                 file.write(encode_state(record))
-            os.replace(part, self._path)
+            os.replace(temporary, self._path)
         except OSError:
             with contextlib.suppress(FileNotFoundError):
-                os.unlink(part)
+                os.unlink(temporary)
             raise
 
     @contextlib.contextmanager
@@ -86,7 +86,7 @@
 
 
 class PresenceLock:
-    """A lock that all running processes of a node share. A process that can lock it exclusively is the only one.
+    """A lock that all running processes of a node share. A process that can lock it exclusively runs alone.
 
     The kernel releases the lock of a process that was killed.
     """
@@ -116,12 +116,12 @@
             return None
         try:
             fcntl.flock(self._descriptor, fcntl.LOCK_EX | fcntl.LOCK_NB)
-            others = False
+            has_others = False
         except OSError:
-            others = True
+            has_others = True
         with contextlib.suppress(OSError):
             fcntl.flock(self._descriptor, fcntl.LOCK_SH | fcntl.LOCK_NB)
-        return others
+        return has_others
 
     def release(self) -> None:
         """Releases the lock; a second call does nothing."""
