--- a/rosewheel/listener.py
+++ b/rosewheel/listener.py
@@ -14,7 +14,7 @@
 from rosewheel.config.errors import ConfigError
 
 LISTEN_KEY = "LB_LISTEN"
-BACKLOG = 1024  # accept queue; large, because many clients reconnect at once after a restart
+BACKLOG = 1024  # length of the accept queue; large, because many clients reconnect at once after a restart
 
 
 def open_listener(address: Address, inherited: int | None) -> socket.socket:
--- a/rosewheel/proxy/effects.py
+++ b/rosewheel/proxy/effects.py
@@ -70,7 +70,7 @@
 
     def _start_attempt(self, effect: StartAttempt) -> None:
         request = self._context.client_requests.get(effect.id)
-        # Checked for each attempt: a busy event loop may read the client's disconnect only after this effect.
+        # Checked before each attempt: a busy event loop may report the client's disconnect only after this effect.
         if request is None or request.connection.close_if_disconnected():
             self._context.loop.call_soon(
                 self._on_attempt_finished, effect.id, effect.attempt, AttemptResult.CANCELLED, None, b""
@@ -81,9 +81,9 @@
 
         def encode_head() -> bytes:
             timeout_ms = rules.time_left_ms(clock.now_ms(), id, attempt)
-            is_client_known = self._context.client_requests.get(id) is request
+            is_client_waiting = self._context.client_requests.get(id) is request
             rules.record_send_violations(
-                id, attempt, is_client_known, timeout_ms, self._client_time_left_ms(request)
+                id, attempt, is_client_waiting, timeout_ms, self._client_time_left_ms(request)
             )
             return request.upstream_head(timeout_ms, length)
 
@@ -95,7 +95,7 @@
         )
 
     def _client_time_left_ms(self, request: DownstreamRequest) -> float | None:
-        """Returns the rest of the client's timeout in milliseconds, or None if the request is not complete."""
+        """Returns the time left of the client's timeout in milliseconds; None if it is unknown."""
         if request.completed_s is None:
             return None
         return request.timeout_ms - (self._context.loop.time() - request.completed_s) * 1000.0
--- a/rosewheel/proxy/endpoints.py
+++ b/rosewheel/proxy/endpoints.py
@@ -15,8 +15,8 @@
 
 # How long a successor waits for discovery's first list before it accepts clients with the list of its configuration.
 TAKEOVER_LIST_WAIT_S = 1.5
-# How long a process without a predecessor waits for that list if lists are pushed. The node counts as knowing it from
-# its start, but discovery may send nothing for many seconds.
+# How long a process without a predecessor waits for that list if lists are pushed, so that it sends no requests to
+# servers that have started to drain. Short, because discovery may send nothing for many seconds.
 PUSHED_LIST_WAIT_S = 0.5
 
 
@@ -35,18 +35,18 @@
         self.start_times = ServerStartTimes()
         self._context = context
 
-    def apply_known_list(self) -> None:
+    def apply_initial_list(self) -> None:
         """Applies the endpoint list that the configuration contains."""
-        known = parse_endpoints(self._context.config.initial_endpoints.entries, self.start_times)
-        self.list_updated(EndpointListForm.CACHED, known)
-        if known:
+        initial = parse_endpoints(self._context.config.initial_endpoints.entries, self.start_times)
+        self.list_updated(EndpointListForm.CACHED, initial)
+        if initial:
             self.start_times.list_applied()
 
     async def wait_for_list(self, shares_listener: bool) -> None:
         """Waits for discovery's first list, at most `list_wait_s`.
 
         Args:
-            shares_listener: Whether another process accepts clients from the same socket meanwhile.
+            shares_listener: Whether another process accepts clients from the same socket.
         """
         wait_s = self.list_wait_s(shares_listener)
         if wait_s > 0.0:
@@ -74,7 +74,7 @@
         context.apply(context.node.update_endpoints(clock.now_ms(), form, servers))
 
     def watch_opened(self) -> None:
-        """Handles the start of a watch's response, whose first line may contain no change."""
+        """Handles the first line of a watch's response, which may contain no change."""
         self.backoff.reset()
         context = self._context
         if context.config.settings.poll_discovery:
--- a/rosewheel/proxy/process.py
+++ b/rosewheel/proxy/process.py
@@ -82,7 +82,7 @@
 
 
 def _fleet_configuration(proxy: Proxy, config: NodeConfig) -> FleetConfiguration | None:
-    """Returns the node's subscription to the fleet's configuration, or None where its file has no table `control`.
+    """Returns the node's subscription to the fleet's configuration, or None if its file has no table `control`.
 
     The module is imported lazily, because it needs libraries that the platform does not have.
     """
@@ -102,7 +102,7 @@
 
 
 def _tune_garbage_collector() -> None:
-    """Enables the garbage collector, and exempts the objects of the start from it to shorten its pauses."""
+    """Enables the garbage collector, and exempts the existing objects from it to shorten its pauses."""
     gc.collect()
     gc.freeze()
     gc.set_threshold(*GC_THRESHOLDS)
--- a/rosewheel/proxy/proxy.py
+++ b/rosewheel/proxy/proxy.py
@@ -40,7 +40,7 @@
 
 log = logging.getLogger("rosewheel.proxy")
 
-# Configuration fields that change only with a restart, by their keys in the file.
+# Configuration fields that can't be changed by a reload, by their keys in the file.
 RESTART_ONLY_KEYS = {
     "name": "name",
     "listen": "listen_address",
@@ -117,23 +117,22 @@
     def _create_admin(self) -> AdminServer | None:
         if self.config.admin_address is None:
             return None
-        from rosewheel.admin.server import AdminServer  # lazily, so that a node without it starts faster
+        # Imported lazily, so that a node without an admin server starts faster.
+        from rosewheel.admin.server import AdminServer
 
         return AdminServer(self)
 
     def _create_discovery(self) -> DiscoveryWatch:
-        known = self.config.initial_endpoints
+        initial = self.config.initial_endpoints
         return DiscoveryWatch(
             self.config.discovery_address,
-            known.revision,
+            initial.revision,
             self.endpoints.list_updated,
-            [server.address for server, _ in parse_endpoints(known.entries, self.endpoints.start_times)],
+            [server.address for server, _ in parse_endpoints(initial.entries, self.endpoints.start_times)],
             on_first_line=self.endpoints.watch_opened,
             start_times=self.endpoints.start_times,
         )
 
-    # ----------------------------------------------------------- start, drain
-
     async def start(self) -> None:
         """Opens the sockets, restores the state of an earlier process, and starts to accept clients.
 
@@ -143,7 +142,7 @@
         Raises:
             ConfigError: An address can't be bound.
         """
-        # The sockets come first, so that an invalid address ends the process before it contacts discovery.
+        # The sockets are opened first, so that an invalid address ends the process before it contacts discovery.
         inherited, admin_socket = self.config.inherited_descriptor, None
         if self.hot_restart.connect_to_predecessor() and inherited is None:
             listen, ops = self.config.listen_address, self.config.admin_address
@@ -154,7 +153,7 @@
         self.shared_state.start()  # restores the cordons before any request can be forwarded
         if self.admin is not None and self.config.admin_address is not None:
             await self.admin.start(admin_socket or bind(self.config.admin_address, "LB_OPS"))
-        self.endpoints.apply_known_list()
+        self.endpoints.apply_initial_list()
         self._restore_learned_state()
         if not self.config.settings.poll_discovery:
             self.discovery.start()
@@ -164,13 +163,13 @@
         self.hot_restart.start_serving()
 
     def _restore_learned_state(self) -> None:
-        """Restores what an earlier process of this node had learned, discounted by its age."""
+        """Restores the learned state of an earlier process of this node, discounted by its age."""
         snapshot = self.snapshots.read()
         if snapshot is not None:
             age_ms = snapshot.age_ms
-            known = self.node.restore_learned_state(clock.now_ms(), snapshot.learned, age_ms)
+            server_count = self.node.restore_learned_state(clock.now_ms(), snapshot.learned, age_ms)
             self.upstream.restore_stale_limit(snapshot.stale_limit_s)
-            log.info("learned state restored: age_s=%.1f, servers=%d", age_ms / 1e3, known)
+            log.info("learned state restored: age_s=%.1f, servers=%d", age_ms / 1e3, server_count)
         self.snapshots.start()
 
     def _learned_values(self) -> LearnedValues:
@@ -197,13 +196,11 @@
 
     def _migrate_next(self) -> bool:
         """Migrates the connections that can be migrated now; returns whether there may be more."""
-        continues = self.hot_restart.migrate_next()
+        may_continue = self.hot_restart.migrate_next()
         return self.migration.arriving_count > 0 or (
-            continues and (bool(self.server.connections) or not self.hot_restart.migration_finished)
+            may_continue and (bool(self.server.connections) or not self.hot_restart.migration_finished)
         )
 
-    # ---------------------------------------------------------- configuration
-
     def reload(self, config: NodeConfig) -> None:
         """Applies what can change without a restart: settings, limits and the address of discovery.
 
@@ -240,7 +237,8 @@
         before = self.config
         if settings == before.settings and limits == before.limits:
             return
-        effects = self.node.configure(clock.now_ms(), settings, limits)  # first: only this call may raise
+        # Called first, since only this call may raise an error.
+        effects = self.node.configure(clock.now_ms(), settings, limits)
         self.config = dataclasses.replace(before, settings=settings, limits=limits)
         self.upstream.configure(limits, large_fleet=is_large_fleet(settings))
         self.resources.divide(limits.max_sockets)
@@ -256,8 +254,6 @@
         """Replaces the set of servers that the fleet's configuration cordons; cordons by operators stay."""
         self.cordons.set_by_fleet(servers)
 
-    # -------------------------------------------------------------- operators
-
     def serving(self) -> bool:
         """Returns whether this process accepts clients and has a server to forward requests to."""
         return self.server.listening and self.node.can_serve
@@ -270,7 +266,7 @@
         """Cordons a server on behalf of an operator; returns whether the server is known.
 
         Raises:
-            OSError: The cordon is in force in this process, but could not be saved for later ones.
+            OSError: The cordon is in force in this process, but could not be saved for later processes.
         """
         return await self._change_cordon(server, cordoned=True)
 
@@ -278,7 +274,7 @@
         """Lifts an operator's cordon; returns whether the server is known.
 
         Raises:
-            OSError: The change is in force in this process, but could not be saved for later ones.
+            OSError: The change is in force in this process, but could not be saved for later processes.
         """
         return await self._change_cordon(server, cordoned=False)
 
@@ -296,8 +292,6 @@
         self.upstream.set_cordoned(server, cordoned)
         self.apply(self.node.set_cordon(clock.now_ms(), server, cordoned))
 
-    # -------------------------------------------------------------- components
-
     def apply(self, effects: list[NodeEffect]) -> None:
         """Executes effects that the node has decided on."""
         self.effects.apply(effects)
--- a/rosewheel/proxy/reconfiguration.py
+++ b/rosewheel/proxy/reconfiguration.py
@@ -42,12 +42,12 @@
 
 
 class FleetConfiguration:
-    """Keeps a node on the latest configuration of the fleet.
+    """Applies each new configuration of the fleet to a node.
 
     Args:
         node: The node to configure.
         config: The node's own configuration. The fleet's is cached in its state folder.
-        control: The service and the control machines to get the configuration from.
+        control: The service whose configuration is applied, and the control machines that publish it.
     """
 
     def __init__(self, node: ConfigurableNode, config: NodeConfig, control: ControlConfig) -> None:
@@ -83,7 +83,7 @@
         try:
             settings, limits = apply_fleet_document(control.node_file, self._applied)
         except ValueError as error:
-            raise ConfigError(f"combined with the fleet's configuration: {error}") from error
+            raise ConfigError(f"invalid in combination with the fleet's configuration: {error}") from error
         self._node.reload(dataclasses.replace(config, settings=settings, limits=limits))
         self._control = control
 
--- a/rosewheel/proxy/requests.py
+++ b/rosewheel/proxy/requests.py
@@ -32,7 +32,7 @@
 
     def __init__(self, context: ProxyContext) -> None:
         self._context = context
-        self._longest_deadline_ms = 0.0  # of the requests received so far
+        self._longest_deadline_ms = 0.0  # longest timeout of all requests received so far
 
     def received(self, request: DownstreamRequest) -> None:
         """Handles a request whose head has been read.
@@ -65,7 +65,7 @@
         del context.client_requests[request.id]
         context.apply(context.node.client_disconnected(clock.now_ms(), request.id))
         for attempt in context.node.attempts_in_flight(request.id):
-            # Applies even where the settings forbid cancellation: an unsent attempt has no effect on its server.
+            # Done even if the settings forbid cancellation: an unsent attempt has no effect on its server.
             if context.upstream.cancel_unsent_attempt(request.id, attempt):
                 result = AttemptResult.CONNECT_FAILED
                 context.apply(context.node.attempt_finished(clock.now_ms(), request.id, attempt, result))
@@ -78,11 +78,11 @@
         Args:
             id: The id of the request.
             attempt: The number of the attempt.
-            length: The length of the response's body in bytes, if its head states it.
+            length: The length of the response's body in bytes, if its head declares it.
             on_writable: Called when the client's connection accepts more data.
 
         Returns:
-            The sink for the body's data, or None if no client waits for it.
+            The sink for the body's data, or None if the response is no longer expected.
         """
         context = self._context
         request = context.client_requests.get(id)
@@ -142,7 +142,7 @@
         return (self._context.loop.time() - request.completed_s) * 1000.0
 
     def _check_time_left(self, service: str, timeout_ms: float) -> None:
-        """Rejects a request during a drain that leaves too little time for its response."""
+        """Rejects a request that arrives during a drain with too little time left for its response."""
         self._longest_deadline_ms = max(self._longest_deadline_ms, min(timeout_ms, MAX_DRAIN_DEADLINE_MS))
         context = self._context
         if context.server.draining and self._time_left_ms() < min(timeout_ms, MIN_DRAIN_DEADLINE_MS):
@@ -157,5 +157,5 @@
 
     def _time_left_ms(self) -> float:
         """Returns how long the current drain still lasts, in milliseconds."""
-        draining_s = self._context.server.drain_started_s - self._context.loop.time()
-        return draining_s * 1000.0 + self._longest_deadline_ms + DRAIN_MARGIN_MS
+        until_start_s = self._context.server.drain_started_s - self._context.loop.time()  # negative
+        return until_start_s * 1000.0 + self._longest_deadline_ms + DRAIN_MARGIN_MS
--- a/rosewheel/proxy/resources.py
+++ b/rosewheel/proxy/resources.py
@@ -5,14 +5,14 @@
 from rosewheel.hot_restart.transfers import MAX_PENDING_OFFERS
 from rosewheel.proxy.context import ProxyContext
 
-# Descriptors reserved for everything except connections of clients and to servers: all descriptors of the process
-# divided by RESERVED_DIVISOR, but at least MIN_RESERVED_DESCRIPTORS and at most RESERVED_DESCRIPTORS.
+# Descriptors reserved for uses other than connections of clients or to servers: all descriptors of the process divided
+# by RESERVED_DIVISOR, but at least MIN_RESERVED_DESCRIPTORS and at most RESERVED_DESCRIPTORS.
 RESERVED_DESCRIPTORS = 40
 MIN_RESERVED_DESCRIPTORS = 24
 RESERVED_DIVISOR = 8
 MIN_DESCRIPTORS = 8
-# Clients over the limit that get an error response: all descriptors divided by the divisor, within these bounds. The
-# connections of any further clients are closed at once.
+# Connections over the limit that get an error response: all descriptors divided by the divisor, within these bounds.
+# Any other connections over the limit are closed at once.
 MAX_CLIENTS_OVER_LIMIT = 16
 MIN_CLIENTS_OVER_LIMIT = 2
 CLIENTS_OVER_LIMIT_DIVISOR = 32
@@ -58,7 +58,7 @@
         context.budget.limit_bytes = memory_mb << 20
         reserved = min(RESERVED_DESCRIPTORS, max(MIN_RESERVED_DESCRIPTORS, sockets // RESERVED_DIVISOR))
         if context.admin is not None:
-            # Clients can't use up the descriptors of operators.
+            # Reserved, so that clients can't use up the descriptors for connections of operators.
             reserved += context.admin.max_connections
         self.max_descriptors = max(MIN_DESCRIPTORS, sockets - reserved)
         over_limit = min(MAX_CLIENTS_OVER_LIMIT, sockets // CLIENTS_OVER_LIMIT_DIVISOR)
@@ -75,8 +75,8 @@
         server = self._context.server
         if len(server.connections) >= server.max_connections and not idle:
             return False
-        held = self.descriptor_count + self._context.migration.arriving_count
-        return held + descriptors <= self.max_descriptors or (not idle and self.free_descriptor())
+        in_use = self.descriptor_count + self._context.migration.arriving_count
+        return in_use + descriptors <= self.max_descriptors or (not idle and self.free_descriptor())
 
     def free_descriptor(self) -> bool:
         """Frees one descriptor, if need be by closing an idle connection; returns whether one is available."""
@@ -91,5 +91,5 @@
                 break
 
     def _close_longest_idle(self) -> bool:
-        # Clients come first: they reconnect cheaply, while a new connection to a server costs it work.
+        # Connections of clients are closed first: a new connection to a server costs the server work.
         return self._context.server.close_longest_idle() or self._context.upstream.close_longest_idle()
--- a/rosewheel/simulator_codec.py
+++ b/rosewheel/simulator_codec.py
@@ -48,7 +48,7 @@
 IGNORED_EVENTS = ("PEER",)  # messages between nodes, which this implementation never sends
 MAX_PANIC_TEXT_LENGTH = 500  # characters
 
-# An unknown code counts as an error of a health check, and as invalid input for an attempt.
+# Any other code is an ERROR in the result of a health check, and invalid input in the result of an attempt.
 RESULT_BY_CODE = {
     0: AttemptResult.OK,
     255: AttemptResult.ERROR,
