--- a/rosewheel/http/downstream_connection.py
+++ b/rosewheel/http/downstream_connection.py
@@ -130,7 +130,7 @@
     def eof_received(self) -> None:
         """Drop the client's requests: a client that closes its sending side is treated as disconnected.
 
-        The event loop closes the connection only once the unsent bytes are sent, which may take long.
+        The event loop closes the connection only once the unsent bytes are sent, which may take a long time.
         """
         if self._on_detached is None:
             self._release_requests()
--- a/rosewheel/http/upstream_connection.py
+++ b/rosewheel/http/upstream_connection.py
@@ -97,7 +97,7 @@
     def eof_received(self) -> None:
         """Complete a response without framing, which ends when the server closes its side."""
         if self.exchange is not None and self.phase is not ResponsePhase.HEAD and not self.has_framing:
-            self._finish_response(keep=False)
+            self._finish_response(reusable=False)
 
     def connection_lost(self, exc: Exception | None) -> None:
         """Fail the exchange; if the connection was detached, pass it to the callback."""
@@ -116,7 +116,7 @@
         if was_reset and self._idle_before_request_s > 0.0 and elapsed_s <= STALE_RESET_WINDOW_S:
             self.pool.record_stale(self._idle_before_request_s)
         # Reported as RESET, since a request that was written may have been executed.
-        self._finish_exchange(AttemptResult.RESET, keep=False)
+        self._finish_exchange(AttemptResult.RESET, reusable=False)
         # The parser and this object form a reference cycle, and the garbage collector runs rarely.
         del self.parser
 
@@ -194,7 +194,7 @@
         stalled_s = self._write_progress.stalled_s(unsent_bytes, self.write_blocked, now_s)
         if stalled_s >= WRITE_STALL_TIMEOUT_S:
             log.info("request write stalled: server=%s:%d", *self.address)
-            self._finish_exchange(AttemptResult.CONNECT_FAILED, keep=False)
+            self._finish_exchange(AttemptResult.CONNECT_FAILED, reusable=False)
 
     def release_exchange(self) -> None:
         """Stop reporting on the exchange; another attempt may read its body."""
@@ -220,7 +220,7 @@
         if self.phase is ResponsePhase.COMPLETE:
             # If the server responds early, the unsent bytes of this request would precede the next one.
             has_unsent = self.transport is None or self.transport.get_write_buffer_size() > 0
-            self._finish_response(keep=self.keep_alive and not has_unsent and not has_surplus)
+            self._finish_response(reusable=self.keep_alive and not has_unsent and not has_surplus)
             return
         self._track_chunks(data, phase_before)
         if self._pause_timer is None:
@@ -281,35 +281,36 @@
     def _fail_invalid_response(self, reason: Exception | str) -> None:
         """Fail an exchange with an invalid response; the request may have been executed."""
         self.pool.record_invalid_response(f"{self.endpoint.address}: {reason}")
-        self._finish_exchange(AttemptResult.RESET, keep=False)
+        self._finish_exchange(AttemptResult.RESET, reusable=False)
 
-    def _finish_response(self, keep: bool) -> None:
+    def _finish_response(self, reusable: bool) -> None:
         status = self.parser.get_status_code()
         if status in (503, 504) and self.not_started:
             if not self.idle_since_s:  # the first request of the connection
                 self.pool.record_rejection()
-            self._finish_exchange(AttemptResult.OVERLOADED, keep)
+            self._finish_exchange(AttemptResult.OVERLOADED, reusable)
         elif status == 200 and self.exchange is not None and self.exchange.request_sent:
-            self._finish_exchange(AttemptResult.OK, keep)
+            self._finish_exchange(AttemptResult.OK, reusable)
         else:
-            self._finish_exchange(AttemptResult.ERROR, keep)
+            self._finish_exchange(AttemptResult.ERROR, reusable)
 
-    def _finish_exchange(self, result: AttemptResult, keep: bool) -> None:
-        """Report the result, and keep the connection for the next request or close it."""
+    def _finish_exchange(self, result: AttemptResult, reusable: bool) -> None:
+        """Report the result, and return the connection to the pool or close it."""
         exchange = self.exchange
         self.release_exchange()
         self._cancel_pause_timer()
         if exchange is not None and not exchange.request_sent:
-            keep = False
+            reusable = False
             if result is not AttemptResult.OVERLOADED:
                 # A server executes a request only once it is complete, so this one was not executed.
                 result = AttemptResult.CONNECT_FAILED
-        if not keep:
+        if not reusable:
             self.close()
         if exchange is None:
             return
         self.resume_response()
-        if keep:  # released before the result is reported, so that the next attempt may use the connection
+        if reusable:
+            # Released before the result is reported, so that the next attempt may use the connection.
             self.pool.release(self)
         body = bytes(self.response_body) if result is AttemptResult.OK else b""
         exchange.on_done(result, self.load_report, body)
--- a/rosewheel/proxy/endpoints.py
+++ b/rosewheel/proxy/endpoints.py
@@ -1,4 +1,4 @@
-"""Passes the endpoint list from discovery to the node, and keeps the watch on discovery open."""
+"""Passes the endpoint list from discovery to the node, and reopens the watch on discovery after a failure."""
 
 from __future__ import annotations
 
--- a/rosewheel/proxy/errors.py
+++ b/rosewheel/proxy/errors.py
@@ -1,4 +1,4 @@
-"""Errors in the files that a node keeps between processes."""
+"""Errors in the files through which a process of a node passes state to the next one."""
 
 from __future__ import annotations
 
--- a/rosewheel/proxy/state_file.py
+++ b/rosewheel/proxy/state_file.py
@@ -96,7 +96,7 @@
         self._descriptor: int | None = None
 
     def acquire(self) -> None:
-        """Takes the shared lock.
+        """Acquires the shared lock.
 
         Raises:
             OSError: The lock file can't be opened or locked.
