--- a/tests/discovery/test_endpoint_updates.py
+++ b/tests/discovery/test_endpoint_updates.py
@@ -47,10 +47,10 @@
                 discovery.tell(6, {"host": "bad"}, entry("s1", first.port, health="leaving"))
                 await until(lambda: proxy.discovery.revision == 6)
                 assert not proxy.upstream.endpoints["s1"].idle_connections
-                received_before = len(first.got)
+                received_before = len(first.requests)
                 for _ in range(6):
                     assert status(await client.ask()) == 200
-                assert len(first.got) == received_before
+                assert len(first.requests) == received_before
                 line = b'{"seq":7,"whole":false,"hosts":[{"host":"s1","health":"left"}]}\n'
                 discovery.tell_bytes(line[:20])
                 discovery.tell_bytes(line[20:])
@@ -81,7 +81,7 @@
 
             proxy.upstream.start_attempt = start_and_drain  # type: ignore[method-assign]
             assert status(await client.ask("post")) == 503
-            assert not server.got
+            assert not server.requests
 
     run(main())
 
@@ -185,7 +185,7 @@
             async with node([entry("s", server.port)], old) as proxy, Client(proxy) as client:
                 await until(lambda: bool(old.writers))
                 client.send("post")
-                await until(lambda: len(server.got) == 1)
+                await until(lambda: len(server.requests) == 1)
                 drain = asyncio.ensure_future(proxy.drain())
                 await until(lambda: proxy.server.draining)
                 proxy.reload(with_discovery(proxy, new))
--- a/tests/hot_restart/test_hot_restart.py
+++ b/tests/hot_restart/test_hot_restart.py
@@ -214,10 +214,10 @@
                 )
             )
             gate.clear()
-            before = len(server.got)
+            before = len(server.requests)
             for client in senders:
                 client.send()
-            await until(lambda: len(server.got) == before + len(senders))
+            await until(lambda: len(server.requests) == before + len(senders))
             gate.set()
             for client in senders:
                 response = await client.answer()
@@ -276,8 +276,8 @@
                 assert {status(one) for one in responses} <= {200, 503}, (
                     "further requests are rejected at once"
                 )
-                assert len(server.got) == len(served)
-                assert len({one.headers["request-id"] for one in server.got}) == len(served)
+                assert len(server.requests) == len(served)
+                assert len({one.headers["request-id"] for one in server.requests}) == len(served)
                 for client in clients:
                     await client.__aexit__()
 
--- a/tests/http/test_attempt_deadlines.py
+++ b/tests/http/test_attempt_deadlines.py
@@ -59,7 +59,7 @@
                 time.ahead_ms = WAITED_MS
                 gate.set()
                 assert status(await client.answer()) == 200
-                assert timeout_ms_of(server.got[0]) <= TIMEOUT_MS - WAITED_MS + SLACK_MS
+                assert timeout_ms_of(server.requests[0]) <= TIMEOUT_MS - WAITED_MS + SLACK_MS
 
     run(main())
 
@@ -81,7 +81,7 @@
                 gate.set()
                 await until(lambda: not proxy.upstream.exchanges)
                 assert status(await client.answer()) >= 500
-                assert not server.got
+                assert not server.requests
 
     run(main())
 
@@ -100,8 +100,8 @@
             ) as proxy:
                 async with Client(proxy) as client:
                     client.send("read", timeout=TIMEOUT_MS)
-                    await until(lambda: len(one.got) + len(two.got) >= 2)
-                    timeouts_ms = sorted(timeout_ms_of(message) for message in one.got + two.got)
+                    await until(lambda: len(one.requests) + len(two.requests) >= 2)
+                    timeouts_ms = sorted(timeout_ms_of(message) for message in one.requests + two.requests)
                     assert timeouts_ms[-2] <= TIMEOUT_MS - WAITED_MS + SLACK_MS
 
     run(main())
@@ -125,12 +125,12 @@
                 client.writer.write(
                     encode_request("r0", timeout=TIMEOUT_MS) + encode_request("r1", timeout=TIMEOUT_MS)
                 )
-                await until(lambda: len(server.got) == 1)
+                await until(lambda: len(server.requests) == 1)
                 (connection,) = proxy.server.connections
                 (queued,) = connection.queued_requests
                 queued.completed_s -= WAITED_MS / 1000.0
                 gate.set()
                 assert status(await client.answer()) == status(await client.answer()) == 200
-                assert timeout_ms_of(server.got[1]) <= TIMEOUT_MS - WAITED_MS + SLACK_MS
+                assert timeout_ms_of(server.requests[1]) <= TIMEOUT_MS - WAITED_MS + SLACK_MS
 
     run(main())
--- a/tests/http/test_client_disconnects.py
+++ b/tests/http/test_client_disconnects.py
@@ -53,7 +53,7 @@
             # The slot of the first request is free, and nothing of it is sent.
             async with Client(proxy) as next_client:
                 assert status(await next_client.ask("post")) == 200
-            assert len(server.got) == 1
+            assert len(server.requests) == 1
             assert proxy.node.active_requests == 0
 
     run(main())
@@ -73,7 +73,7 @@
                 await until(lambda: proxy.upstream.open_count == 1)
                 disconnect(client, "reset")
                 await until(lambda: not proxy.node.requests and proxy.upstream.open_count == 0)
-            assert not server.got
+            assert not server.requests
 
     run(main())
 
@@ -94,7 +94,7 @@
                 proxy.budget.limit_bytes = CONNECTION_SHARE_DIVISOR * 16384
                 for index in range(3):
                     client.send("post", id=f"r{index}", body=b"x" * 9000, timeout=60000)
-                await until(lambda: len(server.got) == 1)
+                await until(lambda: len(server.requests) == 1)
                 connection = next(iter(proxy.server.connections))
                 await until(lambda: connection.reading_paused)
                 disconnect(client, how)
@@ -105,8 +105,8 @@
                 gate.set()
             async with Client(proxy) as next_client:
                 assert status(await next_client.ask("post")) == 200
-            assert [message.headers["request-id"] for message in server.got[:1]] == ["r0"]
-            assert len(server.got) == 2
+            assert [message.headers["request-id"] for message in server.requests[:1]] == ["r0"]
+            assert len(server.requests) == 2
 
     run(main())
 
@@ -137,7 +137,7 @@
                 accepted.clear()
             async with Client(proxy) as client:
                 assert status(await client.ask("post")) == 200
-            assert len(server.got) == 2
+            assert len(server.requests) == 2
 
     run(main())
 
@@ -150,7 +150,7 @@
         async with FakeServer(respond).up() as server, node([entry("s", server.port)]) as proxy:  # type: ignore[arg-type]
             async with Client(proxy) as client:
                 client.send("post")
-                await until(lambda: len(server.got) == 1)
+                await until(lambda: len(server.requests) == 1)
                 connection = next(iter(proxy.server.connections))
                 assert not connection.eof_received()  # false makes the event loop close the connection
                 assert not proxy.client_requests
--- a/tests/http/test_connection_limits.py
+++ b/tests/http/test_connection_limits.py
@@ -26,7 +26,7 @@
             proxy.resources.max_descriptors = 4
             async with Client(proxy) as one, Client(proxy) as two, Client(proxy):
                 one.send("post")
-                await until(lambda: len(server.got) == 1)
+                await until(lambda: len(server.requests) == 1)
                 await until(lambda: len(proxy.server.connections) == 3)
                 assert status(await two.ask("post")) == 503  # no descriptor left for a connection to a server
                 async with Client(proxy) as over_limit:
--- a/tests/http/test_connection_reuse.py
+++ b/tests/http/test_connection_reuse.py
@@ -110,7 +110,7 @@
 
             async with Client(proxy) as client:
                 client.send("post")
-                await until(lambda: len(server.got) == 1)
+                await until(lambda: len(server.requests) == 1)
                 update_server(ServerState.REMOVED)
                 update_server(ServerState.UP)
                 gate.set()
@@ -144,7 +144,7 @@
             async with Client(proxy) as client:
                 launched_at_ms = proxy.upstream.endpoints["s"].launched_ms
                 client.send("post")
-                await until(lambda: len(server.got) == 1)
+                await until(lambda: len(server.requests) == 1)
                 update_server(ServerState.DRAINING, launched_at_ms)
                 update_server(ServerState.UP, launched_at_ms if restarted_ms is None else restarted_ms)
                 gate.set()
--- a/tests/http/test_descriptor_limit.py
+++ b/tests/http/test_descriptor_limit.py
@@ -153,8 +153,8 @@
             discovery.host, discovery.dial = "two", f"127.0.0.1:{two.port}"
             await discovery.begin("served")
             await until(lambda: discovery.asked > 0)
-            before = len(two.got)
-            while len(two.got) == before:  # a descriptor is free for a connection to a new server
+            before = len(two.requests)
+            while len(two.requests) == before:  # a descriptor is free for a connection to a new server
                 await wait_until_served(port)
             assert status(await call_admin(admin_port, "/admin/stats")) == 200
             stopped.set()
--- a/tests/http/test_disconnects_between_attempts.py
+++ b/tests/http/test_disconnects_between_attempts.py
@@ -79,13 +79,13 @@
             entries = [entry("one", one.port), entry("two", two.port)]
             async with node(entries, classes=LONG_DEADLINE_CLASSES) as proxy, Client(proxy) as client:
                 client.send(service, id="first", timeout=60000)
-                await until(lambda: one.got or two.got)
+                await until(lambda: one.requests or two.requests)
                 await pause_reading_with_pipelined(proxy, client)
                 disconnect(client, how)
                 await asyncio.sleep(0)  # lets the disconnect reach the operating system
-                await fail_attempt(one if one.got else two, end)
+                await fail_attempt(one if one.requests else two, end)
                 await until(lambda: not proxy.node.requests and not proxy.upstream.exchanges)
-                assert len(one.got) + len(two.got) == 1
+                assert len(one.requests) + len(two.requests) == 1
                 assert (
                     proxy.node.active_requests
                     == proxy.budget.used_bytes
@@ -126,9 +126,9 @@
                     b"POST / HTTP/1.1\r\nRequest-Id: r\r\nRequest-Class: post\r\n"
                     b"Request-Timeout-Ms: 60000\r\nContent-Length: 0\r\n\r\n"
                 )
-                await until(lambda: len(one.got) + len(two.got) >= 3)
+                await until(lambda: len(one.requests) + len(two.requests) >= 3)
                 await until(lambda: not proxy.server.connections and not proxy.node.requests)
-                assert len(one.got) + len(two.got) == 3
+                assert len(one.requests) + len(two.requests) == 3
                 assert not proxy.upstream.exchanges
                 assert proxy.node.active_requests == 0
 
@@ -144,17 +144,17 @@
             entries = [entry("one", one.port), entry("two", two.port)]
             async with node(entries, classes=LONG_DEADLINE_CLASSES) as proxy, Client(proxy) as client:
                 client.send("read", id="first", timeout=60000)
-                await until(lambda: one.got or two.got)
+                await until(lambda: one.requests or two.requests)
                 await pause_reading_with_pipelined(proxy, client)
                 disconnect(client, how)
                 await asyncio.sleep(0)
                 proxy.node.driver.apply(
-                    now_ms(), [ForwardRequest("first", "two" if one.got else "one", 50000.0)]
+                    now_ms(), [ForwardRequest("first", "two" if one.requests else "one", 50000.0)]
                 )
                 proxy.apply(proxy.node.driver.handle(now_ms()))
                 await until(lambda: not proxy.node.requests and not proxy.upstream.exchanges)
                 assert proxy.upstream.connecting_count == 0
-                assert len(one.got) + len(two.got) == 1
+                assert len(one.requests) + len(two.requests) == 1
             gate.set()
 
     run(main())
--- a/tests/http/test_drain.py
+++ b/tests/http/test_drain.py
@@ -28,13 +28,13 @@
         async with FakeServer(respond).up() as server, node([entry("s", server.port)]) as proxy:
             async with Client(proxy) as active, Client(proxy) as idle, Client(proxy) as silent:
                 active.send("post")
-                await until(lambda: len(server.got) == 1)
+                await until(lambda: len(server.requests) == 1)
                 drain = asyncio.ensure_future(proxy.drain())
                 await until(lambda: proxy.server.draining)
                 async with Client(proxy) as new_client:
                     new_client.send()
                     idle.send()
-                    await until(lambda: len(server.got) == 3)
+                    await until(lambda: len(server.requests) == 3)
                     gate.set()
                     for client in (active, idle, new_client):
                         response = await client.answer()
@@ -71,7 +71,7 @@
                 proxy.server.closing = True
                 response = await first.ask("post", timeout=600)
                 assert (status(response), response.headers["connection"]) == (200, "close")
-                assert len(server.got) == 5
+                assert len(server.requests) == 5
                 drain.cancel()
 
     run(main())
@@ -88,6 +88,6 @@
                 proxy.server.draining, proxy.server.drain_started_s = True, started_s - 1.7
                 assert status(await client.ask("points", timeout=2400, Idempotency_Key="k")) == 504
                 assert proxy.loop.time() - started_s < 2.0
-                assert len(server.got) == 1
+                assert len(server.requests) == 1
 
     run(main())
--- a/tests/http/test_forwarding.py
+++ b/tests/http/test_forwarding.py
@@ -58,7 +58,7 @@
         ):
             response = await client.ask("post", body=b"\x00debit", id="r-1", Idempotency_Key="k1")
             assert (status(response), response.body) == (200, b"ok")
-        forwarded = server.got[0]
+        forwarded = server.requests[0]
         assert forwarded.first == "POST /api/k?x=1 HTTP/1.1"
         assert (forwarded.body, forwarded.headers["request-id"], forwarded.headers["idempotency-key"]) == (
             b"\x00debit",
@@ -106,7 +106,7 @@
             servers = [entry("s1", one.port), entry("s2", two.port)]
             async with node(servers) as proxy, Client(proxy) as client:
                 assert status(await client.ask("post")) == final_status
-                assert len(one.got) + len(two.got) == attempts
+                assert len(one.requests) + len(two.requests) == attempts
 
     run(main())
 
@@ -155,7 +155,7 @@
         async with FakeServer(never_respond).up() as server, node([entry("s", server.port)]) as proxy:
             async with Client(proxy) as client:
                 client.send("post")
-                await until(lambda: len(server.got) == 1)
+                await until(lambda: len(server.requests) == 1)
             await until(lambda: server.closed == 1)
             assert not proxy.node.requests
             assert not proxy.client_requests
@@ -187,13 +187,13 @@
             async with Client(proxy) as client:
                 for index in range(3):
                     client.send("post", id=f"r{index}", body=b"x" * 9000)
-                await until(lambda: len(server.got) == 1)
+                await until(lambda: len(server.requests) == 1)
                 connection = next(iter(proxy.server.connections))
                 await until(lambda: connection.reading_paused)
                 gate.set()
                 for _ in range(3):
                     assert status(await client.answer()) == 200
-                assert [message.headers["request-id"] for message in server.got] == ["r0", "r1", "r2"]
+                assert [message.headers["request-id"] for message in server.requests] == ["r0", "r1", "r2"]
                 assert not connection.reading_paused
                 assert status(await client.ask("post")) == 200
 
@@ -208,7 +208,7 @@
         async with FakeServer(respond).up() as server, node([entry("s", server.port)]) as proxy:
             async with Client(proxy) as first, Client(proxy) as second:
                 first.send("post", id="same")
-                await until(lambda: len(server.got) == 1)
+                await until(lambda: len(server.requests) == 1)
                 assert status(await second.ask("post", id="same")) == 409
                 gate.set()
                 assert status(await first.answer()) == 200
@@ -224,14 +224,14 @@
         async with FakeServer(respond).up() as server, node([entry("s", server.port)]) as proxy:
             async with Client(proxy) as first_client:
                 first_client.send("post", id="same")
-                await until(lambda: len(server.got) == 1)
+                await until(lambda: len(server.requests) == 1)
                 async with Client(proxy) as duplicate:
                     assert status(await duplicate.ask("post", id="same")) == 409
                     assert await duplicate.reader.read() == b""
                 await until(lambda: len(proxy.server.connections) == 1)
                 gate.set()
                 assert status(await first_client.answer()) == 200
-                assert len(server.got) == 1
+                assert len(server.requests) == 1
 
     run(main())
 
--- a/tests/http/test_idle_connections.py
+++ b/tests/http/test_idle_connections.py
@@ -66,7 +66,7 @@
                 clients = [await stack.enter_async_context(Client(proxy)) for _ in range(3)]
                 for index, client in enumerate(clients):
                     client.send("post")
-                    await until(lambda index=index: len(server.got) == index + 1)
+                    await until(lambda index=index: len(server.requests) == index + 1)
                 assert status(await clients[2].answer()) == 503
                 assert status(await clients[2].ask("post")) == 503, "rejected by the server, not failed"
                 gate.set()
@@ -150,7 +150,7 @@
 
         async def handler(message: Message, writer: asyncio.StreamWriter) -> None:
             # Responds to both requests at once, so that each has its own connection.
-            if len(server.got) >= 2 and not silent:
+            if len(server.requests) >= 2 and not silent:
                 for each in server.writers:
                     each.write(answer())
 
--- a/tests/http/test_pipelining.py
+++ b/tests/http/test_pipelining.py
@@ -53,7 +53,7 @@
         async with FakeServer(respond).up() as server, node([entry("one", server.port)]) as proxy:
             async with Client(proxy) as client:
                 client.writer.write(encode_request("first"))
-                await until(lambda: bool(server.got))
+                await until(lambda: bool(server.requests))
                 client.writer.write(b"".join(encode_request(f"r{number}") for number in range(count)))
                 (connection,) = proxy.server.connections
                 await until(lambda: connection.reading_paused)
@@ -91,10 +91,10 @@
         async with FakeServer(respond).up() as server, node([entry("one", server.port)]) as proxy:
             async with Client(proxy) as other, Client(proxy) as client:
                 other.writer.write(encode_request("first"))  # its id is in use until its gate opens
-                await until(lambda: len(server.got) == 1)
+                await until(lambda: len(server.requests) == 1)
                 if earlier_count:
                     client.writer.write(encode_request("r0"))
-                    await until(lambda: len(server.got) == 2)
+                    await until(lambda: len(server.requests) == 2)
                 client.writer.write(
                     b"".join(encode_request(f"r{number}") for number in range(1, earlier_count)) + data
                 )
@@ -125,7 +125,7 @@
         async with FakeServer(respond).up() as server, node([entry("one", server.port)]) as proxy:
             async with Client(proxy) as other, Client(proxy) as client:
                 other.writer.write(encode_request("first"))
-                await until(lambda: len(server.got) == 1)
+                await until(lambda: len(server.requests) == 1)
                 client.writer.write(
                     encode_request("r0")
                     + encode_request("first")
@@ -155,7 +155,7 @@
         async with FakeServer(respond).up() as server, node([entry("one", server.port)]) as proxy:
             async with Client(proxy) as other, Client(proxy) as client:
                 other.writer.write(encode_request("first"))
-                await until(lambda: len(server.got) == 1)
+                await until(lambda: len(server.requests) == 1)
                 service = "post" if code == 409 else "unknown"
                 head = encode_request("first", service, body=bytes(3 << 20))
                 client.writer.write(head[: 2 << 20])
--- a/tests/http/test_protocol_features.py
+++ b/tests/http/test_protocol_features.py
@@ -21,8 +21,8 @@
                 assert await client.reader.readuntil(b"\r\n\r\n") == b"HTTP/1.1 100 Continue\r\n\r\n"
                 client.writer.write(b"ab" if b"2" in framing else b"2\r\nab\r\n0\r\n\r\n")
                 assert status(await client.answer()) == 200
-                assert "expect" not in server.got[0].headers
-                assert server.got[0].body == b"ab"
+                assert "expect" not in server.requests[0].headers
+                assert server.requests[0].body == b"ab"
                 client.writer.write(encode_request_head("Expect: the-best").replace(b"big", b"other"))
                 assert status(await client.answer()) == 417
 
@@ -47,15 +47,15 @@
                     encode_request_head(f"Content-Length: {len(hidden)}", **upgrade_headers) + hidden
                 )
                 assert status(await client.answer()) == 200
-                assert [message.body for message in server.got] == [hidden]
-                assert "upgrade" not in server.got[0].headers
-                assert "http2-settings" not in server.got[0].headers
+                assert [message.body for message in server.requests] == [hidden]
+                assert "upgrade" not in server.requests[0].headers
+                assert "http2-settings" not in server.requests[0].headers
                 client.writer.write(
                     encode_request_head("Content-Length: 0", **upgrade_headers).replace(b"big", b"two")
                 )
                 client.writer.write(encode_request_head("Content-Length: 1").replace(b"big", b"three") + b"x")
                 assert [status(await client.answer()) for _ in range(2)] == [200, 200]
-                assert [message.body for message in server.got[1:]] == [b"", b"x"]
+                assert [message.body for message in server.requests[1:]] == [b"", b"x"]
 
     run(main())
 
@@ -69,8 +69,8 @@
                 )
                 client.writer.write(request)
                 assert status(await client.answer()) == 200
-                assert server.got[0].first == "POST /api/k?x=1 HTTP/1.1"
-                assert server.got[0].headers["host"] == "app.svc:80"
+                assert server.requests[0].first == "POST /api/k?x=1 HTTP/1.1"
+                assert server.requests[0].headers["host"] == "app.svc:80"
 
     run(main())
 
@@ -85,8 +85,8 @@
                     request + encode_request_head("Content-Length: 0").replace(b"big", b"next")
                 )
                 assert [status(await client.answer()) for _ in range(2)] == [200, 200]
-                assert [message.headers["request-id"] for message in server.got] == ["big", "next"]
-                assert not any("x-t" in message.headers for message in server.got)
-                assert [message.body for message in server.got] == [b"ab", b""]
+                assert [message.headers["request-id"] for message in server.requests] == ["big", "next"]
+                assert not any("x-t" in message.headers for message in server.requests)
+                assert [message.body for message in server.requests] == [b"ab", b""]
 
     run(main())
--- a/tests/http/test_request_bodies.py
+++ b/tests/http/test_request_bodies.py
@@ -82,7 +82,7 @@
                         client.writer.write(b"x")
                         await asyncio.sleep(0.01)
                     assert status(await client.answer()) == 200
-            assert [len(message.body) for message in server.got] == [40, 40]
+            assert [len(message.body) for message in server.requests] == [40, 40]
 
     run(main())
 
@@ -128,7 +128,7 @@
             async with node(servers) as proxy, Client(proxy) as client:
                 for index in range(6):
                     assert status(await client.ask("post", body=byte_pattern(300_000), id=f"r{index}")) == 200
-                assert [len(message.body) for message in two.got] == [300_000] * 6
+                assert [len(message.body) for message in two.requests] == [300_000] * 6
                 assert one.connections > 0
 
     run(main())
@@ -148,7 +148,7 @@
                     client.writer.write(b"x" * size)
                     assert status(await client.answer()) == 408
             await until(lambda: not proxy.node.requests and not proxy.upstream.exchanges)
-            assert server.got == []
+            assert server.requests == []
             assert proxy.budget.used_bytes == 0
 
     run(main())
--- a/tests/http/test_request_validation.py
+++ b/tests/http/test_request_validation.py
@@ -47,7 +47,7 @@
                 assert status(await client.answer()) == code
             async with Client(proxy) as client:
                 assert status(await client.ask()) == 200
-            assert len(server.got) == 1
+            assert len(server.requests) == 1
 
     run(main())
 
@@ -88,7 +88,7 @@
                 client.writer.write(request_bytes)
                 assert 400 <= status(await client.answer()) < 500
                 assert await client.reader.read() == b""
-            assert not server.got
+            assert not server.requests
             assert not proxy.node.requests
             await until(lambda: not proxy.server.connections)
 
@@ -108,7 +108,7 @@
             async with Client(proxy) as client:
                 valid_request = TIMED_POST_HEAD.replace(b"900", b"60000") + b"Content-Length: 0\r\n\r\n"
                 client.writer.write(valid_request + NOISE + SMUGGLED if in_one_read else valid_request)
-                await until(lambda: len(server.got) == 1)
+                await until(lambda: len(server.requests) == 1)
                 if not in_one_read:
                     client.writer.write(NOISE + SMUGGLED)
                 (connection,) = proxy.server.connections
@@ -117,7 +117,7 @@
                 assert status(await client.answer()) == 200
                 assert status(await client.answer()) == 400
                 assert await client.reader.read() == b""
-                assert len(server.got) == 1
+                assert len(server.requests) == 1
                 assert not proxy.node.requests
                 await until(lambda: not proxy.server.connections)
 
--- a/tests/http/test_responses.py
+++ b/tests/http/test_responses.py
@@ -167,10 +167,10 @@
             async with node(servers) as proxy, Client(proxy) as client:
                 started_s = proxy.loop.time()
                 assert status(await client.ask("post", timeout=3000)) == 502
-                assert len(one.got) + len(two.got) == 1
+                assert len(one.requests) + len(two.requests) == 1
                 respond_invalid = True
                 assert status(await client.ask("read", timeout=3000)) == 200
-                assert len(one.got) + len(two.got) == 3
+                assert len(one.requests) + len(two.requests) == 3
                 assert proxy.loop.time() - started_s < 1.9
                 await until(lambda: proxy.upstream.open_count == 1)
 
--- a/tests/lab/test_lab.py
+++ b/tests/lab/test_lab.py
@@ -73,7 +73,7 @@
 
 
 def requests(server: FakeServer) -> list[Message]:
-    return [message for message in server.got if not message.first.startswith("GET /_health")]
+    return [message for message in server.requests if not message.first.startswith("GET /_health")]
 
 
 def test_clients_send_on_time_while_earlier_requests_are_unanswered(tmp_path: Path):
--- a/tests/node/test_statistics.py
+++ b/tests/node/test_statistics.py
@@ -56,7 +56,7 @@
         async with FakeServer(gated).up() as server, node([entry("s", server.port)]) as proxy:
             async with Client(proxy) as first, Client(proxy) as second:
                 first.send("post")
-                await until(lambda: len(server.got) == 1)
+                await until(lambda: len(server.requests) == 1)
                 encoded = encode_statistics(proxy.statistics())
                 assert (encoded["active"], encoded["pool_size"], encoded["pool_ejected"]) == (1, 1, 0)
                 gate.set()
--- a/tests/proxy/test_cordon.py
+++ b/tests/proxy/test_cordon.py
@@ -110,15 +110,15 @@
                 client.send("post")
                 response = await client.answer()
                 assert status(response) == 503
-                assert cordoned.got == []
+                assert cordoned.requests == []
                 assert await proxy.cordon("s1")
                 assert not await proxy.cordon("nobody")
                 assert proxy.statistics().cordoned_endpoints == 1
                 proxy.upstream.loop = proxy.loop
                 assert await proxy.uncordon("s1")
                 assert status(await client.ask("post")) == 200
-                assert len(cordoned.got) == 1
-                assert other.got == []
+                assert len(cordoned.requests) == 1
+                assert other.requests == []
 
     run(main())
 
@@ -152,7 +152,7 @@
                         assert old.resources.max_descriptors < new.config.limits.max_sockets // 2
                         for _ in range(10):
                             assert status(await client.ask()) == 200
-                        assert (len(one.got), len(two.got)) == (0, 10)
+                        assert (len(one.requests), len(two.requests)) == (0, 10)
                         assert await new.uncordon("one")
                         assert old.node.cordoned == set()
 
--- a/tests/proxy/test_reconfiguration.py
+++ b/tests/proxy/test_reconfiguration.py
@@ -74,7 +74,7 @@
                 connected.close()
                 async with Client(port=port) as old, Client(port=port) as new:
                     old.send("post", id="old")
-                    await until(lambda: len(server.got) == 1)
+                    await until(lambda: len(server.requests) == 1)
                     added = {"name": "late", "aimMs": 900.0, "giveUpMs": 2000.0, "effect": effect}
                     kept = [one for one in PLATFORM_SETTINGS["categories"] if one["name"] != "post"]
                     changed = document["settings"] | {"categories": [*kept, added]}
@@ -89,7 +89,7 @@
                     await reload(changed, "configuration applied: classes=3")
                     assert await is_rejected("post")
                     new.send("late")
-                    await until(lambda: len(server.got) == 2)
+                    await until(lambda: len(server.requests) == 2)
                     gate.set()
                     for client in (old, new):
                         assert status(await client.answer()) == 200
@@ -183,7 +183,7 @@
                 clients = [await stack.enter_async_context(Client(proxy)) for _ in range(40)]
                 for client in clients[:6]:
                     client.send("read")
-                await until(lambda: len(server.got) == 6 and len(proxy.server.connections) == 40)
+                await until(lambda: len(server.requests) == 6 and len(proxy.server.connections) == 40)
                 for connection in proxy.server.connections:
                     connection.last_activity_s -= 10.0  # past the grace period of new connections
                 proxy.configure(
@@ -300,12 +300,12 @@
                 assert await proxy.cordon("one")
                 for _ in range(5):
                     assert status(await client.ask()) == 200
-                assert len(one.got) == 0
+                assert len(one.requests) == 0
                 response = await respond_to(proxy, "POST", "/admin/uncordon?member=one")
                 assert response.body == {"member": "one", "cordoned": True, "by": "fleet"}
                 assert proxy.statistics().cordoned_endpoints == 1
                 assert status(await client.ask()) == 200
-                assert len(one.got) == 0
+                assert len(one.requests) == 0
                 # A server is cordoned as soon as the list adds it.
                 await proxy.cordon("two")
                 discovery.tell(9, entry("later", two.port))
--- a/tests/proxy/test_shutdown.py
+++ b/tests/proxy/test_shutdown.py
@@ -95,7 +95,7 @@
         async with FakeServer(slow).up() as server, node([entry("s", server.port)]) as proxy:
             async with Client(proxy) as in_flight, Client(proxy) as connected:
                 in_flight.send("post", timeout=2500)
-                await until(lambda: len(server.got) == 1)
+                await until(lambda: len(server.requests) == 1)
                 draining = asyncio.ensure_future(proxy.drain())
                 await until(lambda: proxy.server.draining)
                 connected.send("post", timeout=timeout_ms)
@@ -144,7 +144,7 @@
         async with FakeServer(slow).up() as server, node([entry("s", server.port)]) as proxy:
             async with Client(proxy) as client:
                 client.send("post")
-                await until(lambda: len(server.got) == 1)
+                await until(lambda: len(server.requests) == 1)
                 draining = asyncio.ensure_future(proxy.drain())
                 await until(lambda: proxy.server.draining)
                 proxy.reload(dataclasses.replace(proxy.config, discovery_address=("127.0.0.1", 2)))
--- a/tests/support/sockets.py
+++ b/tests/support/sockets.py
@@ -99,7 +99,7 @@
 @dataclass
 class FakeServer:
     handler: Handler = serve_ok
-    got: list[Message] = field(default_factory=list)
+    requests: list[Message] = field(default_factory=list)
     connections: int = 0
     closed: int = 0
     port: int = 0
@@ -111,7 +111,7 @@
         self.writers.append(writer)
         with contextlib.suppress(ConnectionError):
             while (message := await read_message(reader, number)) is not None:
-                self.got.append(message)
+                self.requests.append(message)
                 await self.handler(message, writer)
         self.closed += 1
         writer.close()
