--- a/tests/discovery/test_endpoint_list_races.py
+++ b/tests/discovery/test_endpoint_list_races.py
@@ -21,7 +21,7 @@
 from tests.support.balancers import settings
 from tests.support.loops import PatchedLoop
 from tests.support.scripted_discovery import STREAM_HEAD, ScriptedDiscovery, encode_chunk
-from tests.support.sockets import FakeServer, answer, config, entry, run, until
+from tests.support.sockets import FakeServer, config, encode_response, entry, run, until
 
 EMPTY = b'{"seq":5,"whole":false,"hosts":[]}\n'
 ONE = b'{"seq":7,"whole":true,"hosts":[{"host":"s","dial":"127.0.0.1:9","health":"active"}]}'
@@ -245,7 +245,7 @@
 def test_other_status_codes_end_the_watch():
     async def main() -> None:
         async with (
-            ScriptedDiscovery(scripts={1: answer(503, b"")}).up() as discovery,
+            ScriptedDiscovery(scripts={1: encode_response(503, b"")}).up() as discovery,
             node_with_pushed_lists(discovery, []) as proxy,
         ):
             proxy.discovery.start()
--- a/tests/discovery/test_endpoint_updates.py
+++ b/tests/discovery/test_endpoint_updates.py
@@ -191,7 +191,7 @@
                 proxy.reload(with_discovery(proxy, new))
                 await until(lambda: bool(new.writers))
                 gate.set()
-                assert status(await client.answer()) == 200
+                assert status(await client.read_response()) == 200
                 await drain
                 proxy.reload(with_discovery(proxy, old))  # has no effect after the drain
                 assert len(old.asked) == 1
--- a/tests/hot_restart/test_hot_restart.py
+++ b/tests/hot_restart/test_hot_restart.py
@@ -31,8 +31,8 @@
     Client,
     FakeServer,
     Message,
-    answer,
     config,
+    encode_response,
     entry,
     run,
     status,
@@ -98,7 +98,7 @@
 
     async def handle(message: Message, writer: asyncio.StreamWriter) -> None:
         if message.headers["request-class"] != "read" or message.headers["request-id"].startswith("small"):
-            writer.write(answer())
+            writer.write(encode_response())
             return
         total = sum(map(len, chunks))
         head = {
@@ -201,7 +201,7 @@
 
         async def serve(message: Message, writer: asyncio.StreamWriter) -> None:
             await gate.wait()  # keeps all requests in flight, so that each needs its own connection
-            writer.write(answer())
+            writer.write(encode_response())
 
         async def send_at_once(proxy: Proxy, senders: list[Client], server: FakeServer) -> None:
             # A connection is not reused until it has been idle for a while. Without this wait the number of connections
@@ -220,7 +220,7 @@
             await until(lambda: len(server.requests) == before + len(senders))
             gate.set()
             for client in senders:
-                response = await client.answer()
+                response = await client.read_response()
                 assert response is not None
                 assert (status(response), response.headers.get("connection")) == (200, None)
             await until(lambda: len(proxy.upstream.idle_connections) == len(senders))
@@ -269,7 +269,7 @@
                     client.send(id=f"x{at}")
                     if at % 3 == 0:
                         await asyncio.sleep(0)
-                responses = [await client.answer() for client in clients]
+                responses = [await client.read_response() for client in clients]
                 await draining
                 served = [one for one in responses if status(one) == 200]
                 assert len(served) >= 5
@@ -417,7 +417,9 @@
                     await draining
                     assert old.hot_restart.sender is not None
                     assert old.hot_restart.sender.migrated == {ConnectionKind.CLIENT: 1}
-                    assert await client.answer() is None, "the connection ends with the process that owns it"
+                    assert await client.read_response() is None, (
+                        "the connection ends with the process that owns it"
+                    )
 
     run(main())
 
@@ -493,7 +495,7 @@
         else:
             length = int(head.lower().split(b"content-length:")[1].split(b"\r\n")[0])
             bodies.append(await reader.readexactly(length))
-        writer.write(answer())
+        writer.write(encode_response())
 
     bodies: list[bytes] = []
 
@@ -519,7 +521,7 @@
                 client.writer.write(second)
                 await client.writer.drain()
                 client.writer.write(third)
-                assert status(await client.answer()) == 200
+                assert status(await client.read_response()) == 200
                 assert sum(map(len, bodies)) == size
                 assert size != 19 or b"".join(bodies) == b"abc0123456789abcdef"
         server.close()
--- a/tests/http/test_attempt_deadlines.py
+++ b/tests/http/test_attempt_deadlines.py
@@ -11,7 +11,17 @@
 from rosewheel.proxy.proxy import Proxy
 from tests.http.test_disconnects_between_attempts import LONG_DEADLINE_CLASSES
 from tests.http.test_pipelining import encode_request
-from tests.support.sockets import Client, FakeServer, Message, answer, entry, node, run, status, until
+from tests.support.sockets import (
+    Client,
+    FakeServer,
+    Message,
+    encode_response,
+    entry,
+    node,
+    run,
+    status,
+    until,
+)
 
 TIMEOUT_MS = 60_000
 WAITED_MS = 20_000.0
@@ -58,7 +68,7 @@
                 await until(lambda: bool(proxy.upstream.exchanges))
                 time.ahead_ms = WAITED_MS
                 gate.set()
-                assert status(await client.answer()) == 200
+                assert status(await client.read_response()) == 200
                 assert timeout_ms_of(server.requests[0]) <= TIMEOUT_MS - WAITED_MS + SLACK_MS
 
     run(main())
@@ -80,7 +90,7 @@
                 time.ahead_ms = TIMEOUT_MS
                 gate.set()
                 await until(lambda: not proxy.upstream.exchanges)
-                assert status(await client.answer()) >= 500
+                assert status(await client.read_response()) >= 500
                 assert not server.requests
 
     run(main())
@@ -92,7 +102,7 @@
 
         async def refuse(message: Message, writer: asyncio.StreamWriter) -> None:
             time.ahead_ms += WAITED_MS
-            writer.write(answer(503, b"", Not_Started="1"))
+            writer.write(encode_response(503, b"", Not_Started="1"))
 
         async with FakeServer(refuse).up() as one, FakeServer(refuse).up() as two:
             async with node(
@@ -115,7 +125,7 @@
 
         async def respond(message: Message, writer: asyncio.StreamWriter) -> None:
             await gate.wait()
-            writer.write(answer())
+            writer.write(encode_response())
 
         async with (
             FakeServer(respond).up() as server,
@@ -130,7 +140,7 @@
                 (queued,) = connection.queued_requests
                 queued.completed_s -= WAITED_MS / 1000.0
                 gate.set()
-                assert status(await client.answer()) == status(await client.answer()) == 200
+                assert status(await client.read_response()) == status(await client.read_response()) == 200
                 assert timeout_ms_of(server.requests[1]) <= TIMEOUT_MS - WAITED_MS + SLACK_MS
 
     run(main())
--- a/tests/http/test_connection_limits.py
+++ b/tests/http/test_connection_limits.py
@@ -31,12 +31,12 @@
                 assert status(await two.ask("post")) == 503  # no descriptor left for a connection to a server
                 async with Client(proxy) as over_limit:
                     over_limit.send("post")
-                    response = await over_limit.answer()
+                    response = await over_limit.read_response()
                     assert status(response) == 503
                     assert response is not None
                     assert response.headers["connection"] == "close"
                 gate.set()
-                assert status(await one.answer()) == 200
+                assert status(await one.read_response()) == 200
                 for connection in proxy.server.connections:
                     connection.last_activity_s -= 5.0  # simulates idle time
                 async with Client(proxy) as late_client:
@@ -76,7 +76,7 @@
                 assert status(await active.ask()) == 200
                 started_s = proxy.loop.time()
                 assert await silent.reader.read() == b""
-                assert status(await partial.answer()) == 408
+                assert status(await partial.read_response()) == 408
                 assert await partial.reader.read() == b""
                 assert proxy.loop.time() - started_s < 2.9
                 assert status(await active.ask()) == 200
--- a/tests/http/test_connection_memory.py
+++ b/tests/http/test_connection_memory.py
@@ -36,7 +36,7 @@
                     assert status(await client.ask()) == 200
                     async with Client(proxy) as invalid:
                         invalid.writer.write(b"noise\r\n\r\n")
-                        assert status(await invalid.answer()) == 400
+                        assert status(await invalid.read_response()) == 400
                     connection = next(iter(proxy.server.connections))
                     references = [
                         weakref.ref(target)
--- a/tests/http/test_connection_reuse.py
+++ b/tests/http/test_connection_reuse.py
@@ -10,7 +10,17 @@
 from rosewheel.node.idle_timeout import IdleTimeout
 from rosewheel.node.limits import Limits
 from rosewheel.policy.events import EndpointListForm, Server, ServerState
-from tests.support.sockets import Client, FakeServer, Message, answer, entry, node, run, status, until
+from tests.support.sockets import (
+    Client,
+    FakeServer,
+    Message,
+    encode_response,
+    entry,
+    node,
+    run,
+    status,
+    until,
+)
 
 
 def test_late_second_response_is_discarded(monkeypatch: pytest.MonkeyPatch):
@@ -24,9 +34,9 @@
 
         async def handler(message: Message, writer: asyncio.StreamWriter) -> None:
             if writers:
-                writers.pop().write(answer(200, b"surplus"))
+                writers.pop().write(encode_response(200, b"surplus"))
             writers.append(writer)
-            writer.write(answer(200, message.headers["request-id"].encode()))
+            writer.write(encode_response(200, message.headers["request-id"].encode()))
 
         async with FakeServer(handler).up() as server, node([entry("s", server.port)]) as proxy:
             async with Client(proxy) as client:
@@ -48,7 +58,7 @@
         async with FakeServer().up() as server, node([entry("s", server.port)]) as proxy:
             async with Client(proxy) as client:
                 assert status(await client.ask("post")) == 200
-                server.writers[0].write(answer())
+                server.writers[0].write(encode_response())
                 await until(lambda: proxy.upstream.open_count == 0)
                 assert status(await client.ask("post")) == 200
             assert server.connections == 2
@@ -99,7 +109,7 @@
 
         async def respond(message: Message, writer: asyncio.StreamWriter) -> None:
             await gate.wait()
-            writer.write(answer())
+            writer.write(encode_response())
 
         async with FakeServer(respond).up() as server, node([entry("s", server.port)]) as proxy:
 
@@ -114,7 +124,7 @@
                 update_server(ServerState.REMOVED)
                 update_server(ServerState.UP)
                 gate.set()
-                assert status(await client.answer()) == 200
+                assert status(await client.read_response()) == 200
                 assert status(await client.ask("post")) == 200
             assert server.connections == 2
 
@@ -131,7 +141,7 @@
 
         async def respond(message: Message, writer: asyncio.StreamWriter) -> None:
             await gate.wait()
-            writer.write(answer())
+            writer.write(encode_response())
 
         async with FakeServer(respond).up() as server, node([entry("s", server.port)]) as proxy:
 
@@ -148,7 +158,7 @@
                 update_server(ServerState.DRAINING, launched_at_ms)
                 update_server(ServerState.UP, launched_at_ms if restarted_ms is None else restarted_ms)
                 gate.set()
-                assert status(await client.answer()) == 200
+                assert status(await client.read_response()) == 200
                 assert status(await client.ask("post")) == 200
             assert server.connections == (1 if restarted_ms is None else 2)
 
--- a/tests/http/test_descriptor_limit.py
+++ b/tests/http/test_descriptor_limit.py
@@ -85,7 +85,7 @@
         with contextlib.suppress(ConnectionError):
             async with Client(port=port) as client:
                 client.send(timeout=2000)
-                if (response := await client.answer()) is not None and status(response) == 200:
+                if (response := await client.read_response()) is not None and status(response) == 200:
                     return
         await asyncio.sleep(0.01)
 
--- a/tests/http/test_disconnects_between_attempts.py
+++ b/tests/http/test_disconnects_between_attempts.py
@@ -21,8 +21,8 @@
     Client,
     FakeServer,
     Message,
-    answer,
     disconnect,
+    encode_response,
     entry,
     gated_handler,
     node,
@@ -60,7 +60,7 @@
 async def fail_attempt(server: FakeServer, how: str) -> None:
     """Fail the attempt in flight so that the policy may start another one."""
     if how == "rejected":
-        server.writers[-1].write(answer(503, b"", Not_Started="1"))
+        server.writers[-1].write(encode_response(503, b"", Not_Started="1"))
     else:
         server.writers[-1].transport.abort()  # type: ignore[union-attr]
 
@@ -106,10 +106,10 @@
 
         async def reject_and_disconnect(message: Message, writer: asyncio.StreamWriter) -> None:
             if message.first.startswith("GET /_load"):
-                writer.write(answer())
+                writer.write(encode_response())
                 return
             # Both happen before the event loop runs again, so it finds them together.
-            os.write(writer.get_extra_info("socket").fileno(), answer(503, b"", Not_Started="1"))
+            os.write(writer.get_extra_info("socket").fileno(), encode_response(503, b"", Not_Started="1"))
             sock.close()
 
         async with (
--- a/tests/http/test_drain.py
+++ b/tests/http/test_drain.py
@@ -37,7 +37,7 @@
                     await until(lambda: len(server.requests) == 3)
                     gate.set()
                     for client in (active, idle, new_client):
-                        response = await client.answer()
+                        response = await client.read_response()
                         assert status(response) == 200
                         assert await client.reader.read() == b""  # closed after the response
                 assert await read_message(silent.reader) is None
--- a/tests/http/test_forwarding.py
+++ b/tests/http/test_forwarding.py
@@ -18,8 +18,8 @@
     FakeDiscovery,
     FakeServer,
     Message,
-    answer,
     closed_port,
+    encode_response,
     entry,
     gated_handler,
     never_respond,
@@ -73,10 +73,10 @@
 @pytest.mark.parametrize(
     ("first_response", "final_status", "attempts"),
     [
-        (answer(503, b"", Not_Started="1"), 200, 2),
-        (answer(504, b"", Not_Started="1"), 200, 2),
-        (answer(503, b""), 502, 1),
-        (answer(500, b""), 502, 1),
+        (encode_response(503, b"", Not_Started="1"), 200, 2),
+        (encode_response(504, b"", Not_Started="1"), 200, 2),
+        (encode_response(503, b""), 502, 1),
+        (encode_response(500, b""), 502, 1),
         (b"", 502, 1),  # the connection ends without a response
         (b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf", 502, 1),
         (b"no HTTP at all\r\n\r\n", 502, 1),
@@ -93,7 +93,7 @@
         async def respond_differently(message: Message, writer: asyncio.StreamWriter) -> None:
             nonlocal request_count
             request_count += 1
-            writer.write(first_response if request_count == 1 else answer())
+            writer.write(first_response if request_count == 1 else encode_response())
             if (
                 request_count == 1
                 and b"Not-Started" not in first_response
@@ -192,7 +192,7 @@
                 await until(lambda: connection.reading_paused)
                 gate.set()
                 for _ in range(3):
-                    assert status(await client.answer()) == 200
+                    assert status(await client.read_response()) == 200
                 assert [message.headers["request-id"] for message in server.requests] == ["r0", "r1", "r2"]
                 assert not connection.reading_paused
                 assert status(await client.ask("post")) == 200
@@ -211,7 +211,7 @@
                 await until(lambda: len(server.requests) == 1)
                 assert status(await second.ask("post", id="same")) == 409
                 gate.set()
-                assert status(await first.answer()) == 200
+                assert status(await first.read_response()) == 200
 
     run(main())
 
@@ -230,7 +230,7 @@
                     assert await duplicate.reader.read() == b""
                 await until(lambda: len(proxy.server.connections) == 1)
                 gate.set()
-                assert status(await first_client.answer()) == 200
+                assert status(await first_client.read_response()) == 200
                 assert len(server.requests) == 1
 
     run(main())
@@ -270,7 +270,7 @@
 
     async def health_status(client: Client) -> int:
         client.writer.write(b"GET /_health HTTP/1.1\r\nHost: a\r\n\r\n")
-        return status(await client.answer())
+        return status(await client.read_response())
 
     async def main() -> None:
         async with FakeDiscovery().up() as discovery, FakeServer().up() as server:
--- a/tests/http/test_idle_connections.py
+++ b/tests/http/test_idle_connections.py
@@ -14,7 +14,7 @@
     Client,
     FakeServer,
     Message,
-    answer,
+    encode_response,
     entry,
     node,
     run,
@@ -53,10 +53,10 @@
 
         async def serve_two_connections(message: Message, writer: asyncio.StreamWriter) -> None:
             if message.connection > 2:
-                writer.write(answer(503, b"", Not_Started="1"))
+                writer.write(encode_response(503, b"", Not_Started="1"))
                 return
             await gate.wait()
-            writer.write(answer())
+            writer.write(encode_response())
 
         async with FakeServer(serve_two_connections).up() as server:
             async with (
@@ -67,11 +67,11 @@
                 for index, client in enumerate(clients):
                     client.send("post")
                     await until(lambda index=index: len(server.requests) == index + 1)
-                assert status(await clients[2].answer()) == 503
+                assert status(await clients[2].read_response()) == 503
                 assert status(await clients[2].ask("post")) == 503, "rejected by the server, not failed"
                 gate.set()
                 for client in clients[:2]:
-                    assert status(await client.answer()) == 200
+                    assert status(await client.read_response()) == 200
                 if closes_idle:
                     await until(lambda: server.closed == server.connections)
                 assert (proxy.upstream.idle_timeout.close_after_s == 0.0) is closes_idle
@@ -118,7 +118,7 @@
                 sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
                 writer.transport.abort()
             else:
-                writer.write(answer())
+                writer.write(encode_response())
 
         async with FakeServer(reset_after_idle).up() as server, node([entry("s", server.port)]) as proxy:
             async with Client(proxy) as client:
@@ -152,14 +152,14 @@
             # Responds to both requests at once, so that each has its own connection.
             if len(server.requests) >= 2 and not silent:
                 for each in server.writers:
-                    each.write(answer())
+                    each.write(encode_response())
 
         server = FakeServer(handler)
         async with server.up(), node([entry("s", server.port)]) as proxy:
             async with Client(proxy) as one, Client(proxy) as two:
                 one.send("post")
                 two.send("post")
-                assert status(await one.answer()) == status(await two.answer()) == 200
+                assert status(await one.read_response()) == status(await two.read_response()) == 200
                 assert proxy.upstream.open_count == 2
                 silent = True
                 assert status(await one.ask("post", timeout=700)) == 504
@@ -180,8 +180,8 @@
                 client.send("post")
                 peer, _ = await loop.sock_accept(listener)
                 await loop.sock_recv(peer, 4096)
-                await loop.sock_sendall(peer, answer())
-                assert status(await client.answer()) == 200
+                await loop.sock_sendall(peer, encode_response())
+                assert status(await client.read_response()) == 200
                 idle = proxy.upstream.endpoints["s"].idle_connections[0]
                 assert idle.is_usable()
                 peer.close()  # the event loop does not run before the next line
@@ -237,9 +237,9 @@
 
     async def main() -> None:
         async def handler(message: Message, writer: asyncio.StreamWriter) -> None:
-            writer.write(answer(body=message.body))
+            writer.write(encode_response(body=message.body))
             await writer.drain()
-            asyncio.get_running_loop().call_later(0.0005, writer.write, answer(body=message.body))
+            asyncio.get_running_loop().call_later(0.0005, writer.write, encode_response(body=message.body))
 
         async with FakeServer(handler).up() as server, node([entry("s", server.port)]) as proxy:
             async with Client(proxy) as client:
--- a/tests/http/test_overload.py
+++ b/tests/http/test_overload.py
@@ -12,7 +12,7 @@
     FakeServer,
     Handler,
     Message,
-    answer,
+    encode_response,
     entry,
     node,
     run,
@@ -43,7 +43,7 @@
     async def handler(_message: Message, writer: asyncio.StreamWriter) -> None:
         nonlocal count
         count += 1
-        writer.write(answer(500 if error_interval[0] and count % error_interval[0] == 0 else 200))
+        writer.write(encode_response(500 if error_interval[0] and count % error_interval[0] == 0 else 200))
 
     return handler
 
@@ -93,7 +93,7 @@
             response_count += 1
             if response_count > 10:
                 await asyncio.sleep(0.05)  # a quarter of the latency objective
-            writer.write(answer())
+            writer.write(encode_response())
 
         read_class = (
             ServiceClass(
--- a/tests/http/test_pipelining.py
+++ b/tests/http/test_pipelining.py
@@ -7,7 +7,17 @@
 import pytest
 
 from rosewheel.http.request_reader import MAX_PARSED_BYTES, MAX_PIPELINED_REQUESTS
-from tests.support.sockets import Client, FakeServer, Message, answer, entry, node, run, status, until
+from tests.support.sockets import (
+    Client,
+    FakeServer,
+    Message,
+    encode_response,
+    entry,
+    node,
+    run,
+    status,
+    until,
+)
 
 
 def encode_request(id: str, service: str = "read", timeout: int = 10_000, body: bytes = b"") -> bytes:
@@ -19,12 +29,12 @@
 
 async def echo_path(message: Message, writer: asyncio.StreamWriter) -> None:
     """Respond with the path of the request."""
-    writer.write(answer(200, message.first.split()[1].encode()))
+    writer.write(encode_response(200, message.first.split()[1].encode()))
 
 
 async def read_responses(client: Client, count: int) -> list[tuple[int, bytes]]:
     """Read the next responses; return the status and body of each."""
-    messages = [await client.answer() for _ in range(count)]
+    messages = [await client.read_response() for _ in range(count)]
     return [(status(message), message.body if message else b"") for message in messages]
 
 
@@ -103,10 +113,10 @@
                 assert await read_responses(client, earlier_count) == [
                     (200, b"/r%d" % number) for number in range(earlier_count)
                 ]
-                assert status(await client.answer()) == error_status
-                assert await client.answer() is None
+                assert status(await client.read_response()) == error_status
+                assert await client.read_response() is None
                 first_gate.set()
-                assert status(await other.answer()) == 200
+                assert status(await other.read_response()) == 200
 
     run(main())
 
@@ -133,10 +143,10 @@
                     + encode_request("first")
                 )
                 assert await read_responses(client, 1) == [(200, b"/r0")]
-                assert status(await client.answer()) == 409
+                assert status(await client.read_response()) == 409
                 assert await read_responses(client, 1) == [(200, b"/r1")]
-                assert status(await client.answer()) == 409
-                assert await client.answer() is None
+                assert status(await client.read_response()) == 409
+                assert await client.read_response() is None
                 gate.set()
 
     run(main())
@@ -159,7 +169,7 @@
                 service = "post" if code == 409 else "unknown"
                 head = encode_request("first", service, body=bytes(3 << 20))
                 client.writer.write(head[: 2 << 20])
-                assert status(await client.answer()) == code
+                assert status(await client.read_response()) == code
                 gate.set()
 
     run(main())
--- a/tests/http/test_protocol_features.py
+++ b/tests/http/test_protocol_features.py
@@ -20,11 +20,11 @@
                 client.writer.write(encode_request_head("Expect: 100-Continue")[:-2] + framing + b"\r\n")
                 assert await client.reader.readuntil(b"\r\n\r\n") == b"HTTP/1.1 100 Continue\r\n\r\n"
                 client.writer.write(b"ab" if b"2" in framing else b"2\r\nab\r\n0\r\n\r\n")
-                assert status(await client.answer()) == 200
+                assert status(await client.read_response()) == 200
                 assert "expect" not in server.requests[0].headers
                 assert server.requests[0].body == b"ab"
                 client.writer.write(encode_request_head("Expect: the-best").replace(b"big", b"other"))
-                assert status(await client.answer()) == 417
+                assert status(await client.read_response()) == 417
 
     run(main())
 
@@ -46,7 +46,7 @@
                 client.writer.write(
                     encode_request_head(f"Content-Length: {len(hidden)}", **upgrade_headers) + hidden
                 )
-                assert status(await client.answer()) == 200
+                assert status(await client.read_response()) == 200
                 assert [message.body for message in server.requests] == [hidden]
                 assert "upgrade" not in server.requests[0].headers
                 assert "http2-settings" not in server.requests[0].headers
@@ -54,7 +54,7 @@
                     encode_request_head("Content-Length: 0", **upgrade_headers).replace(b"big", b"two")
                 )
                 client.writer.write(encode_request_head("Content-Length: 1").replace(b"big", b"three") + b"x")
-                assert [status(await client.answer()) for _ in range(2)] == [200, 200]
+                assert [status(await client.read_response()) for _ in range(2)] == [200, 200]
                 assert [message.body for message in server.requests[1:]] == [b"", b"x"]
 
     run(main())
@@ -68,7 +68,7 @@
                     b"/api/k", b"http://app.svc:80/api/k?x=1"
                 )
                 client.writer.write(request)
-                assert status(await client.answer()) == 200
+                assert status(await client.read_response()) == 200
                 assert server.requests[0].first == "POST /api/k?x=1 HTTP/1.1"
                 assert server.requests[0].headers["host"] == "app.svc:80"
 
@@ -84,7 +84,7 @@
                 client.writer.write(
                     request + encode_request_head("Content-Length: 0").replace(b"big", b"next")
                 )
-                assert [status(await client.answer()) for _ in range(2)] == [200, 200]
+                assert [status(await client.read_response()) for _ in range(2)] == [200, 200]
                 assert [message.headers["request-id"] for message in server.requests] == ["big", "next"]
                 assert not any("x-t" in message.headers for message in server.requests)
                 assert [message.body for message in server.requests] == [b"ab", b""]
--- a/tests/http/test_request_bodies.py
+++ b/tests/http/test_request_bodies.py
@@ -17,7 +17,7 @@
     encode_request_head,
     read_chunked_body,
 )
-from tests.support.sockets import Client, FakeServer, answer, entry, node, run, status, until
+from tests.support.sockets import Client, FakeServer, encode_response, entry, node, run, status, until
 
 
 @pytest.mark.parametrize("chunked", [False, True])
@@ -30,7 +30,7 @@
         head = (await reader.readuntil(b"\r\n\r\n")).decode().lower()
         body = await (read_chunked_body(reader) if chunked else reader.readexactly(LARGE_BODY_BYTES))
         received.append((head, hashlib.sha256(body).digest()))
-        writer.write(answer())
+        writer.write(encode_response())
 
     async def main() -> None:
         nonlocal max_used_bytes
@@ -51,7 +51,7 @@
                     max_used_bytes = max(max_used_bytes, proxy.budget.used_bytes)
                 if chunked:
                     client.writer.write(b"0\r\nX-Trailer: y\r\n\r\n")
-                assert status(await client.answer()) == 200
+                assert status(await client.read_response()) == 200
                 assert received[0][1] == hashlib.sha256(data).digest()
                 framing_line = (
                     "transfer-encoding: chunked" if chunked else f"content-length: {LARGE_BODY_BYTES}"
@@ -81,7 +81,7 @@
                     for _ in range(40):
                         client.writer.write(b"x")
                         await asyncio.sleep(0.01)
-                    assert status(await client.answer()) == 200
+                    assert status(await client.read_response()) == 200
             assert [len(message.body) for message in server.requests] == [40, 40]
 
     run(main())
@@ -100,7 +100,7 @@
             async with node([entry("s1", one.port)]) as proxy, Client(proxy) as client:
                 client.writer.write(encode_request_head("Content-Length: 1000000") + byte_pattern(100_000))
                 await until(lambda: one.connections == 1)
-                response = await client.answer()  # sent before the rest of the request is received
+                response = await client.read_response()  # sent before the rest of the request is received
                 assert status(response) == 503
                 client.writer.write(byte_pattern(900_000))
                 proxy.endpoints.list_updated(
@@ -120,7 +120,7 @@
 def test_buffered_body_is_retried_elsewhere_if_not_executed():
     async def reject(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         await reader.readuntil(b"\r\n\r\n")
-        writer.write(answer(503, b"", Not_Started="1", Connection="close"))
+        writer.write(encode_response(503, b"", Not_Started="1", Connection="close"))
 
     async def main() -> None:
         async with RawServer(reject).up() as one, FakeServer().up() as two:
@@ -146,7 +146,7 @@
                         encode_request_head("Content-Length: 1000").replace(b"big", b"%d" % size)
                     )
                     client.writer.write(b"x" * size)
-                    assert status(await client.answer()) == 408
+                    assert status(await client.read_response()) == 408
             await until(lambda: not proxy.node.requests and not proxy.upstream.exchanges)
             assert server.requests == []
             assert proxy.budget.used_bytes == 0
@@ -167,7 +167,7 @@
             async with Client(proxy) as client:
                 client.writer.write(encode_request_head(f"Content-Length: {30 << 20}"))
                 sending = asyncio.ensure_future(send_body(client.writer, 30 << 20))
-                assert status(await client.answer()) == 503, "it was not executed"
+                assert status(await client.read_response()) == 503, "it was not executed"
                 await sending  # the rest of the body is skipped
                 assert status(await client.ask("post", id="next")) == 504
                 assert proxy.budget.used_bytes == 0
@@ -189,7 +189,7 @@
     async def main() -> None:
         async with node([entry("down", 1)]) as proxy, Client(proxy) as client:
             client.writer.write(encode_request_head("Content-Length: 1000") + b"x" * 500)
-            assert status(await client.answer()) == 503
+            assert status(await client.read_response()) == 503
             assert await client.reader.read() == b""
 
     run(main())
--- a/tests/http/test_request_validation.py
+++ b/tests/http/test_request_validation.py
@@ -44,7 +44,7 @@
         async with FakeServer().up() as server, node([entry("s", server.port)]) as proxy:
             async with Client(proxy) as client:
                 client.writer.write(request_bytes)
-                assert status(await client.answer()) == code
+                assert status(await client.read_response()) == code
             async with Client(proxy) as client:
                 assert status(await client.ask()) == 200
             assert len(server.requests) == 1
@@ -86,7 +86,7 @@
         async with FakeServer().up() as server, node([entry("s", server.port)]) as proxy:
             async with Client(proxy) as client:
                 client.writer.write(request_bytes)
-                assert 400 <= status(await client.answer()) < 500
+                assert 400 <= status(await client.read_response()) < 500
                 assert await client.reader.read() == b""
             assert not server.requests
             assert not proxy.node.requests
@@ -114,8 +114,8 @@
                 (connection,) = proxy.server.connections
                 await until(lambda: connection.phase is RequestPhase.REJECTED)
                 gate.set()
-                assert status(await client.answer()) == 200
-                assert status(await client.answer()) == 400
+                assert status(await client.read_response()) == 200
+                assert status(await client.read_response()) == 400
                 assert await client.reader.read() == b""
                 assert len(server.requests) == 1
                 assert not proxy.node.requests
@@ -147,7 +147,7 @@
                         if client.reader.at_eof():
                             break
                 if request_bytes:
-                    assert status(await client.answer()) in (413, 431)
+                    assert status(await client.read_response()) in (413, 431)
                 await until(lambda: not proxy.server.connections)
 
     run(main())
--- a/tests/http/test_responses.py
+++ b/tests/http/test_responses.py
@@ -17,7 +17,7 @@
     Client,
     FakeServer,
     Message,
-    answer,
+    encode_response,
     entry,
     node,
     run,
@@ -31,7 +31,9 @@
 
     async def main() -> None:
         async def reject(message: Message, writer: asyncio.StreamWriter) -> None:
-            writer.write(answer(503, b"", Not_Started="1", Server_Load="TEXT depth=41, load_share=0.5"))
+            writer.write(
+                encode_response(503, b"", Not_Started="1", Server_Load="TEXT depth=41, load_share=0.5")
+            )
 
         events: list[Event] = []
         async with FakeServer(reject).up() as server, node([entry("s", server.port)]) as proxy:
@@ -101,7 +103,7 @@
     run(main())
 
 
-RESPONSE = answer(body=b"mine")
+RESPONSE = encode_response(body=b"mine")
 
 
 @pytest.mark.parametrize(
@@ -159,7 +161,7 @@
 
         async def handler(message: Message, writer: asyncio.StreamWriter) -> None:
             nonlocal respond_invalid
-            writer.write(response_bytes if respond_invalid else answer())
+            writer.write(response_bytes if respond_invalid else encode_response())
             respond_invalid = False
 
         async with FakeServer(handler).up() as one, FakeServer(handler).up() as two:
--- a/tests/http/test_slow_clients.py
+++ b/tests/http/test_slow_clients.py
@@ -35,7 +35,7 @@
                         await until(
                             lambda: all(connection.raw_bytes > 0 for connection in proxy.server.connections)
                         )
-                assert status(await slow.answer()) == 200
+                assert status(await slow.read_response()) == 200
                 assert len(proxy.server.connections) <= 5
 
     run(main())
@@ -52,7 +52,7 @@
                 proxy.server.max_connections = 1
                 async with Client(proxy) as other:
                     assert status(await other.ask()) == 200
-                assert status(await partial_client.answer()) == 408
+                assert status(await partial_client.read_response()) == 408
 
     run(main())
 
--- a/tests/http/test_streamed_responses.py
+++ b/tests/http/test_streamed_responses.py
@@ -15,7 +15,7 @@
     encode_request_head,
     read_chunked_body,
 )
-from tests.support.sockets import Client, answer, entry, node, read_message, run, status, until
+from tests.support.sockets import Client, encode_response, entry, node, read_message, run, status, until
 
 
 def test_long_response_is_streamed_without_deadline():
@@ -121,7 +121,7 @@
         nonlocal written_bytes
         head = await reader.readuntil(b"\r\n\r\n")
         if b"slow" not in head:
-            writer.write(answer())
+            writer.write(encode_response())
             return
         writer.write(encode_raw_response(f"Content-Length: {len(data)}", b""))
         for offset in range(0, len(data), 1 << 16):
--- a/tests/lab/test_lab.py
+++ b/tests/lab/test_lab.py
@@ -20,7 +20,7 @@
 from rosewheel.lab.records import RecordWriter, read_records
 from rosewheel.lab.report import FaultMoment, FaultSpan, fault_spans
 from rosewheel.lab.wire import now_ms
-from tests.support.sockets import FakeServer, Message, answer, run
+from tests.support.sockets import FakeServer, Message, encode_response, run
 
 QUICK: dict[str, object] = {
     "seconds": 1.0,
@@ -46,7 +46,7 @@
     async def play() -> None:
         async def respond_or_report_health(message: Message, writer: asyncio.StreamWriter) -> None:
             if message.first.startswith("GET /_health"):
-                writer.write(answer())
+                writer.write(encode_response())
             else:
                 await handler(message, writer)
 
@@ -69,7 +69,7 @@
 
 
 async def respond(message: Message, writer: asyncio.StreamWriter) -> None:
-    writer.write(answer(body=response_body(message)))
+    writer.write(encode_response(body=response_body(message)))
 
 
 def requests(server: FakeServer) -> list[Message]:
@@ -85,7 +85,7 @@
         received.append((message, writer))
         if len(received) == count:
             for one, to in received:
-                to.write(answer(body=response_body(one)))
+                to.write(encode_response(body=response_body(one)))
 
     ops, _, load = run_clients(tmp_path, hold)
     assert all(op["tries"][-1]["status"] == 200 for op in ops)
@@ -103,7 +103,7 @@
             await respond(message, writer)
             return
         first.add(op)
-        writer.write(answer(503 if int(op.rpartition("-")[2]) % 2 else 502, b""))
+        writer.write(encode_response(503 if int(op.rpartition("-")[2]) % 2 else 502, b""))
 
     ops, server, _ = run_clients(tmp_path, once)
     for op in ops:
@@ -115,7 +115,7 @@
 
 def test_a_response_to_another_request_is_detected(tmp_path: Path):
     async def wrong(message: Message, writer: asyncio.StreamWriter) -> None:
-        writer.write(answer(body=b"somebody else's"))
+        writer.write(encode_response(body=b"somebody else's"))
 
     run_clients(tmp_path, wrong)
     violations = invariant_checker.check_records(scenarios.load("quiet"), tmp_path)
@@ -135,7 +135,7 @@
 
 def test_a_surplus_response_is_detected(tmp_path: Path):
     async def twice(message: Message, writer: asyncio.StreamWriter) -> None:
-        writer.write(answer(body=response_body(message)) * 2)
+        writer.write(encode_response(body=response_body(message)) * 2)
 
     run_clients(tmp_path, twice)
     assert invariant_checker.check_records(scenarios.load("quiet"), tmp_path).surplus_answers > 0
@@ -146,7 +146,7 @@
 
     async def half(message: Message, writer: asyncio.StreamWriter) -> None:
         late = float(message.headers["lab-op"].rpartition("-")[2]) >= 10
-        writer.write(answer(502, b"") if late else answer(body=response_body(message)))
+        writer.write(encode_response(502, b"") if late else encode_response(body=response_body(message)))
 
     ops, _, load = run_clients(tmp_path, half)
     turn = sorted(op["at"] for op in ops)[10]
--- a/tests/node/test_statistics.py
+++ b/tests/node/test_statistics.py
@@ -60,7 +60,7 @@
                 encoded = encode_statistics(proxy.statistics())
                 assert (encoded["active"], encoded["pool_size"], encoded["pool_ejected"]) == (1, 1, 0)
                 gate.set()
-                assert status(await first.answer()) == 200
+                assert status(await first.read_response()) == 200
                 assert status(await second.ask("read")) == 200
                 proxy.upstream.set_cordoned("s", True)  # no server can be used
                 assert status(await second.ask("post")) == 503
--- a/tests/proxy/test_cordon.py
+++ b/tests/proxy/test_cordon.py
@@ -108,7 +108,7 @@
 
                 proxy.upstream.loop = _Loop(proxy.loop, connect_then_cordon)  # type: ignore[assignment]
                 client.send("post")
-                response = await client.answer()
+                response = await client.read_response()
                 assert status(response) == 503
                 assert cordoned.requests == []
                 assert await proxy.cordon("s1")
--- a/tests/proxy/test_reconfiguration.py
+++ b/tests/proxy/test_reconfiguration.py
@@ -92,7 +92,7 @@
                     await until(lambda: len(server.requests) == 2)
                     gate.set()
                     for client in (old, new):
-                        assert status(await client.answer()) == 200
+                        assert status(await client.read_response()) == 200
                 process.send_signal(signal.SIGTERM)
                 await asyncio.to_thread(process.wait, WAIT_S)
                 assert process.returncode == 0
@@ -199,7 +199,7 @@
                 await until(lambda: len(proxy.server.connections) == 6)
                 gate.set()
                 for client in clients[:6]:
-                    assert status(await client.answer()) == 200
+                    assert status(await client.read_response()) == 200
 
     run(main())
 
--- a/tests/proxy/test_shutdown.py
+++ b/tests/proxy/test_shutdown.py
@@ -12,7 +12,17 @@
 from rosewheel.http.downstream_connection import DownstreamConnection
 from rosewheel.proxy.proxy import Proxy
 from tests.support.balancers import IDEMPOTENT, IDEMPOTENT_WITH_KEY, NON_IDEMPOTENT
-from tests.support.sockets import Client, FakeServer, Message, answer, entry, node, run, status, until
+from tests.support.sockets import (
+    Client,
+    FakeServer,
+    Message,
+    encode_response,
+    entry,
+    node,
+    run,
+    status,
+    until,
+)
 
 KILL_DELAY_S = 0.7  # after the longest request timeout, limited to 3 s, the platform kills the process
 
@@ -90,7 +100,7 @@
 
         async def slow(message: Message, writer: asyncio.StreamWriter) -> None:
             await gate.wait()
-            writer.write(answer())
+            writer.write(encode_response())
 
         async with FakeServer(slow).up() as server, node([entry("s", server.port)]) as proxy:
             async with Client(proxy) as in_flight, Client(proxy) as connected:
@@ -109,7 +119,7 @@
                     )
                     gate.set()
                     for client in (in_flight, connected, new):
-                        assert status(await client.answer()) in (200, 503, 504)
+                        assert status(await client.read_response()) in (200, 503, 504)
                     draining.cancel()
 
     run(main())
@@ -139,7 +149,7 @@
 
         async def slow(message: Message, writer: asyncio.StreamWriter) -> None:
             await gate.wait()
-            writer.write(answer())
+            writer.write(encode_response())
 
         async with FakeServer(slow).up() as server, node([entry("s", server.port)]) as proxy:
             async with Client(proxy) as client:
@@ -150,7 +160,7 @@
                 proxy.reload(dataclasses.replace(proxy.config, discovery_address=("127.0.0.1", 2)))
                 assert proxy.config.discovery_address == ("127.0.0.1", 2)
                 gate.set()
-                assert status(await client.answer()) == 200
+                assert status(await client.read_response()) == 200
                 await draining
                 proxy.reload(dataclasses.replace(proxy.config, discovery_address=("127.0.0.1", 3)))
                 assert not proxy.discovery.is_open
--- a/tests/support/sockets.py
+++ b/tests/support/sockets.py
@@ -61,7 +61,7 @@
     return Message(first, headers, body, connection)
 
 
-def answer(status: int = 200, body: bytes = b"ok", **headers: str) -> bytes:
+def encode_response(status: int = 200, body: bytes = b"ok", **headers: str) -> bytes:
     lines = [f"HTTP/1.1 {status} X", f"Content-Length: {len(body)}"]
     lines += [f"{name.replace('_', '-')}: {value}" for name, value in headers.items()]
     return "\r\n".join(lines).encode() + b"\r\n\r\n" + body
@@ -71,7 +71,7 @@
 
 
 async def serve_ok(message: Message, writer: asyncio.StreamWriter) -> None:
-    writer.write(answer())
+    writer.write(encode_response())
 
 
 def closed_port() -> int:
@@ -91,7 +91,7 @@
 
     async def respond(_message: Message, writer: asyncio.StreamWriter) -> None:
         await gate.wait()
-        writer.write(answer())
+        writer.write(encode_response())
 
     return gate, respond
 
@@ -152,7 +152,7 @@
             self.writers.append(writer)
             return
         if len(self.asked) <= self.refuse:
-            writer.write(answer(503, b""))
+            writer.write(encode_response(503, b""))
             writer.close()
             return
         writer.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
@@ -252,13 +252,13 @@
         lines += [f"{name.replace('_', '-')}: {value}" for name, value in headers.items()]
         self.writer.write("\r\n".join(lines).encode() + b"\r\n\r\n" + body)
 
-    async def answer(self) -> Message | None:
+    async def read_response(self) -> Message | None:
         async with asyncio.timeout(WAIT_S):
             return await read_message(self.reader)
 
     async def ask(self, service: str = "read", **more: Any) -> Message:
         self.send(service, **more)
-        got = await self.answer()
+        got = await self.read_response()
         assert got is not None, "the connection ended with no answer"
         return got
 
