--- a/tests/discovery/test_endpoint_updates.py
+++ b/tests/discovery/test_endpoint_updates.py
@@ -42,14 +42,14 @@
                 await until(lambda: bool(discovery.writers))
                 assert discovery.asked == ["GET /catalog/members?follow=1&since=5 HTTP/1.1"]
                 for _ in range(4):
-                    await client.ask()
+                    await client.request()
                 discovery.tell_bytes(b"\n")
                 discovery.tell(6, {"host": "bad"}, entry("s1", first.port, health="leaving"))
                 await until(lambda: proxy.discovery.revision == 6)
                 assert not proxy.upstream.endpoints["s1"].idle_connections
                 received_before = len(first.requests)
                 for _ in range(6):
-                    assert status(await client.ask()) == 200
+                    assert status(await client.request()) == 200
                 assert len(first.requests) == received_before
                 line = b'{"seq":7,"whole":false,"hosts":[{"host":"s1","health":"left"}]}\n'
                 discovery.tell_bytes(line[:20])
@@ -80,7 +80,7 @@
                 )
 
             proxy.upstream.start_attempt = start_and_drain  # type: ignore[method-assign]
-            assert status(await client.ask("post")) == 503
+            assert status(await client.request("post")) == 503
             assert not server.requests
 
     run(main())
--- a/tests/hot_restart/test_hot_restart.py
+++ b/tests/hot_restart/test_hot_restart.py
@@ -165,7 +165,7 @@
                     assert await read_long(client.reader) == LONG
                 assert new.statistics().classes["read"].ok == 1
                 assert old.statistics().classes["read"].ok == 0
-                response = await client.ask(id="small-1")
+                response = await client.request(id="small-1")
                 assert status(response) == 200
                 assert len(new.server.connections) == 1
                 assert server.connections >= 1
@@ -405,7 +405,7 @@
             async with node_processes([entry("s", server.port)], tmp_path) as processes:
                 old = await processes.start_next()
                 async with processes.client() as client:
-                    assert status(await client.ask()) == 200
+                    assert status(await client.request()) == 200
                     new = FakeSuccessor(tmp_path)
                     await new.handshake()
                     await until(lambda: old.hot_restart.successor_ready)
@@ -433,7 +433,7 @@
             async with node_processes([entry("s", server.port)], tmp_path) as processes:
                 old = await processes.start_next()
                 async with processes.client() as client:
-                    assert status(await client.ask(id="a")) == 200
+                    assert status(await client.request(id="a")) == 200
                     new = FakeSuccessor(tmp_path)
                     new.send(t="hello", versions=list(versions), node=name, pid=1)
                     await until(
@@ -441,7 +441,7 @@
                     )
                     draining = asyncio.ensure_future(old.drain())
                     await until(lambda: old.server.draining)
-                    response = await client.ask(id="b")
+                    response = await client.request(id="b")
                     assert (status(response), response.headers.get("connection")) == (200, "close")
                     await draining
                     new.kill()
@@ -608,7 +608,7 @@
             old.offer(1, client_socket)
             client_socket.close()
             old.kill()
-            assert status(await client.ask()) == 200
+            assert status(await client.request()) == 200
             assert len(new.server.connections) == 1
 
     run(main())
@@ -668,7 +668,7 @@
             async with node_processes([entry("s", server.port)], tmp_path) as processes:
                 old = await processes.start_next()
                 async with processes.client() as client:
-                    assert status(await client.ask(id="a")) == 200
+                    assert status(await client.request(id="a")) == 200
                     new = await processes.start_next()
                     new.server.max_connections = 0
                     new.siblings.predecessor_descriptors_reported = lambda descriptors: None  # type: ignore[method-assign]
@@ -679,7 +679,7 @@
                             and old.hot_restart.sender.transfers.returned_count > 0
                         )
                     )
-                    response = await client.ask(id="b")
+                    response = await client.request(id="b")
                     assert (status(response), response.headers.get("connection")) == (200, "close")
                     await draining
 
@@ -695,13 +695,13 @@
             async with node_processes([entry("s", server.port)], tmp_path) as processes:
                 old = await processes.start_next()
                 async with processes.client() as client:
-                    assert status(await client.ask(id="a")) == 200
+                    assert status(await client.request(id="a")) == 200
                     new = create_process(processes.known, tmp_path, os.dup(processes.listener.fileno()))
                     processes.started.append(new)
                     await new.start()
                     draining = asyncio.ensure_future(old.drain())
                     await until(lambda: old.server.draining)
-                    response = await client.ask(id="b")
+                    response = await client.request(id="b")
                     assert (status(response), response.headers.get("connection")) == (200, "close")
                     await draining
         assert not list(tmp_path.glob("handover.*.part"))
@@ -719,15 +719,15 @@
             new = Proxy(dataclasses.replace(config(known, state=str(tmp_path)), listen_address=address))
             new.discovery.start = new.endpoints.list_received.set  # type: ignore[method-assign]
             async with Client(port=address[1]) as client:
-                assert status(await client.ask(id="a")) == 200
+                assert status(await client.request(id="a")) == 200
                 await new.start()
                 assert new.server.port == address[1]
                 await until(lambda: old.hot_restart.successor_ready)
                 await old.drain()
-                response = await client.ask(id="b")
+                response = await client.request(id="b")
                 assert (status(response), response.headers.get("connection")) == (200, None)
                 async with Client(port=address[1]) as other:
-                    assert status(await other.ask(id="c")) == 200
+                    assert status(await other.request(id="c")) == 200
             close_process(new)
 
     run(main())
@@ -771,7 +771,7 @@
                 descriptor_counts: list[int] = []
                 async with processes.client() as client:
                     for at in range(10):
-                        assert status(await client.ask(id=f"small-{at}")) == 200
+                        assert status(await client.request(id=f"small-{at}")) == 200
                         old, new = processes.started[-1], await processes.start_next()
                         await old.drain()
                         assert not old.server.connections
--- a/tests/http/test_client_disconnects.py
+++ b/tests/http/test_client_disconnects.py
@@ -52,7 +52,7 @@
                 assert proxy.upstream.connecting_count == 0
             # The slot of the first request is free, and nothing of it is sent.
             async with Client(proxy) as next_client:
-                assert status(await next_client.ask("post")) == 200
+                assert status(await next_client.request("post")) == 200
             assert len(server.requests) == 1
             assert proxy.node.active_requests == 0
 
@@ -104,7 +104,7 @@
                 assert proxy.node.active_requests == proxy.budget.used_bytes == 0
                 gate.set()
             async with Client(proxy) as next_client:
-                assert status(await next_client.ask("post")) == 200
+                assert status(await next_client.request("post")) == 200
             assert [message.headers["request-id"] for message in server.requests[:1]] == ["r0"]
             assert len(server.requests) == 2
 
@@ -118,7 +118,7 @@
     async def main() -> None:
         async with FakeServer().up() as server, node([entry("s", server.port)]) as proxy:
             async with Client(proxy) as client:
-                assert status(await client.ask("post")) == 200  # leaves an idle connection to the server
+                assert status(await client.request("post")) == 200  # leaves an idle connection to the server
             await until(lambda: not proxy.server.connections)
             accepted: list[DownstreamConnection] = []
             connection_opened = proxy.server.connection_opened
@@ -136,7 +136,7 @@
                 await until(lambda: bool(accepted) and not proxy.server.connections)
                 accepted.clear()
             async with Client(proxy) as client:
-                assert status(await client.ask("post")) == 200
+                assert status(await client.request("post")) == 200
             assert len(server.requests) == 2
 
     run(main())
--- a/tests/http/test_connection_limits.py
+++ b/tests/http/test_connection_limits.py
@@ -28,7 +28,9 @@
                 one.send("post")
                 await until(lambda: len(server.requests) == 1)
                 await until(lambda: len(proxy.server.connections) == 3)
-                assert status(await two.ask("post")) == 503  # no descriptor left for a connection to a server
+                assert (
+                    status(await two.request("post")) == 503
+                )  # no descriptor left for a connection to a server
                 async with Client(proxy) as over_limit:
                     over_limit.send("post")
                     response = await over_limit.read_response()
@@ -40,8 +42,8 @@
                 for connection in proxy.server.connections:
                     connection.last_activity_s -= 5.0  # simulates idle time
                 async with Client(proxy) as late_client:
-                    assert status(await late_client.ask("post")) == 200
-                    assert status(await late_client.ask("post")) == 200
+                    assert status(await late_client.request("post")) == 200
+                    assert status(await late_client.request("post")) == 200
                 assert await one.reader.read() == b""  # the longest idle connection was closed
 
     run(main())
@@ -57,7 +59,7 @@
             proxy.server.max_connections = 4
             for _ in range(12):
                 client = await stack.enter_async_context(Client(proxy))
-                response = await client.ask("post")
+                response = await client.request("post")
                 assert (status(response), response.headers.get("connection")) == (200, None)
                 for connection in proxy.server.connections:
                     connection.last_activity_s -= 0.1  # simulates ten new clients a second
@@ -73,13 +75,13 @@
         async with FakeServer().up() as server, node([entry("s", server.port)]) as proxy:
             async with Client(proxy) as silent, Client(proxy) as partial, Client(proxy) as active:
                 partial.writer.write(TIMED_POST_HEAD)
-                assert status(await active.ask()) == 200
+                assert status(await active.request()) == 200
                 started_s = proxy.loop.time()
                 assert await silent.reader.read() == b""
                 assert status(await partial.read_response()) == 408
                 assert await partial.reader.read() == b""
                 assert proxy.loop.time() - started_s < 2.9
-                assert status(await active.ask()) == 200
+                assert status(await active.request()) == 200
                 for connection in proxy.server.connections:
                     connection.last_activity_s -= 5.0  # simulates idle time
                 assert await active.reader.read() == b""
@@ -97,11 +99,11 @@
             proxy.server.max_connections = 4
             idle = [await stack.enter_async_context(Client(proxy)) for _ in range(4)]
             for client in idle:
-                assert status(await client.ask()) == 200
+                assert status(await client.request()) == 200
             for connection in proxy.server.connections:
                 connection.last_activity_s -= 1.5
             async with Client(proxy) as new_client:
-                assert status(await new_client.ask()) == 200
+                assert status(await new_client.request()) == 200
                 assert await idle[0].reader.read() == b""
                 assert len(proxy.server.connections) == 4
 
--- a/tests/http/test_connection_memory.py
+++ b/tests/http/test_connection_memory.py
@@ -33,7 +33,7 @@
             async with node([entry("s", server.port)], discovery) as proxy:
                 await until(lambda: bool(discovery.writers))
                 async with Client(proxy) as client:
-                    assert status(await client.ask()) == 200
+                    assert status(await client.request()) == 200
                     async with Client(proxy) as invalid:
                         invalid.writer.write(b"noise\r\n\r\n")
                         assert status(await invalid.read_response()) == 400
--- a/tests/http/test_connection_reuse.py
+++ b/tests/http/test_connection_reuse.py
@@ -41,7 +41,7 @@
         async with FakeServer(handler).up() as server, node([entry("s", server.port)]) as proxy:
             async with Client(proxy) as client:
                 for index in range(2):  # the second one is sent directly after the first response
-                    response = await client.ask("post", id=f"r{index}")
+                    response = await client.request("post", id=f"r{index}")
                     assert response.body == b"r%d" % index
 
     # The quiet period never ends, so the result does not depend on the speed of the machine.
@@ -57,10 +57,10 @@
     async def main() -> None:
         async with FakeServer().up() as server, node([entry("s", server.port)]) as proxy:
             async with Client(proxy) as client:
-                assert status(await client.ask("post")) == 200
+                assert status(await client.request("post")) == 200
                 server.writers[0].write(encode_response())
                 await until(lambda: proxy.upstream.open_count == 0)
-                assert status(await client.ask("post")) == 200
+                assert status(await client.request("post")) == 200
             assert server.connections == 2
 
     run(main())
@@ -76,10 +76,10 @@
         async with FakeServer().up() as server, node([entry("s", server.port)], bounds=limits) as proxy:
             proxy.upstream._sweep_timer.cancel()
             async with Client(proxy) as client:
-                assert status(await client.ask("post")) == 200
+                assert status(await client.request("post")) == 200
                 (connection,) = proxy.upstream.idle_connections
                 connection.idle_since_s = proxy.loop.time() - idle_s
-                assert status(await client.ask("post")) == 200
+                assert status(await client.request("post")) == 200
             assert server.connections == (2 if idle_s else 1)
 
     run(main())
@@ -125,7 +125,7 @@
                 update_server(ServerState.UP)
                 gate.set()
                 assert status(await client.read_response()) == 200
-                assert status(await client.ask("post")) == 200
+                assert status(await client.request("post")) == 200
             assert server.connections == 2
 
     run(main())
@@ -159,7 +159,7 @@
                 update_server(ServerState.UP, launched_at_ms if restarted_ms is None else restarted_ms)
                 gate.set()
                 assert status(await client.read_response()) == 200
-                assert status(await client.ask("post")) == 200
+                assert status(await client.request("post")) == 200
             assert server.connections == (1 if restarted_ms is None else 2)
 
     run(main())
--- a/tests/http/test_drain.py
+++ b/tests/http/test_drain.py
@@ -59,17 +59,17 @@
         async with FakeServer().up() as server, node([entry("s", server.port)]) as proxy:
             async with Client(proxy) as first, Client(proxy) as second:
                 for client in (first, second):
-                    assert status(await client.ask(timeout=5000)) == 200
+                    assert status(await client.request(timeout=5000)) == 200
                 drain = asyncio.ensure_future(proxy.drain())
                 await until(lambda: proxy.server.draining)
-                response = await first.ask("post", timeout=5000)
+                response = await first.request("post", timeout=5000)
                 assert (status(response), response.headers.get("connection")) == (200, None)
                 proxy.server.drain_started_s -= 2.6  # simulates that 2.6 of the 3.5 s have passed
-                assert status(await second.ask("post", timeout=5000)) == 503
+                assert status(await second.request("post", timeout=5000)) == 503
                 assert await second.reader.read() == b""
-                assert status(await first.ask("post", timeout=600)) == 200
+                assert status(await first.request("post", timeout=600)) == 200
                 proxy.server.closing = True
-                response = await first.ask("post", timeout=600)
+                response = await first.request("post", timeout=600)
                 assert (status(response), response.headers["connection"]) == (200, "close")
                 assert len(server.requests) == 5
                 drain.cancel()
@@ -86,7 +86,7 @@
             async with Client(proxy) as client:
                 started_s = proxy.loop.time()
                 proxy.server.draining, proxy.server.drain_started_s = True, started_s - 1.7
-                assert status(await client.ask("points", timeout=2400, Idempotency_Key="k")) == 504
+                assert status(await client.request("points", timeout=2400, Idempotency_Key="k")) == 504
                 assert proxy.loop.time() - started_s < 2.0
                 assert len(server.requests) == 1
 
--- a/tests/http/test_forwarding.py
+++ b/tests/http/test_forwarding.py
@@ -41,7 +41,7 @@
             Client(proxy) as client,
         ):
             for _ in range(5):
-                assert status(await client.ask()) == 200
+                assert status(await client.request()) == 200
             assert server.connections == 1
 
     run(main())
@@ -56,7 +56,7 @@
             node([entry("s", server.port)]) as proxy,
             Client(proxy) as client,
         ):
-            response = await client.ask("post", body=b"\x00debit", id="r-1", Idempotency_Key="k1")
+            response = await client.request("post", body=b"\x00debit", id="r-1", Idempotency_Key="k1")
             assert (status(response), response.body) == (200, b"ok")
         forwarded = server.requests[0]
         assert forwarded.first == "POST /api/k?x=1 HTTP/1.1"
@@ -105,7 +105,7 @@
         async with FakeServer(respond_differently).up() as one, FakeServer(respond_differently).up() as two:
             servers = [entry("s1", one.port), entry("s2", two.port)]
             async with node(servers) as proxy, Client(proxy) as client:
-                assert status(await client.ask("post")) == final_status
+                assert status(await client.request("post")) == final_status
                 assert len(one.requests) + len(two.requests) == attempts
 
     run(main())
@@ -119,7 +119,7 @@
             servers = [entry("down", closed_port()), entry("up", server.port)]
             async with node(servers) as proxy, Client(proxy) as client:
                 for _ in range(6):
-                    assert status(await client.ask("post")) == 200
+                    assert status(await client.request("post")) == 200
 
     run(main())
 
@@ -129,7 +129,7 @@
 
     async def main() -> None:
         async with node([entry("down", closed_port())]) as proxy, Client(proxy) as client:
-            assert status(await client.ask("post")) == 503
+            assert status(await client.request("post")) == 503
 
     run(main())
 
@@ -140,7 +140,7 @@
     async def main() -> None:
         async with FakeServer(never_respond).up() as server, node([entry("s", server.port)]) as proxy:
             async with Client(proxy) as client:
-                assert status(await client.ask("post", timeout=120)) == 504
+                assert status(await client.request("post", timeout=120)) == 504
                 await until(lambda: server.closed == 1)
                 assert not proxy.node.requests
                 assert not proxy.client_requests
@@ -171,7 +171,7 @@
         changes = {"retry_after": True, "max_retry_after_ms": 1500.0}
         async with node([entry("down", closed_port())], **changes) as proxy, Client(proxy) as client:
             proxy.node.balancer.parts.table.cursor = 4
-            response = await client.ask("post")
+            response = await client.request("post")
             assert (status(response), response.headers["retry-after"]) == (503, "0.600")
 
     run(main())
@@ -195,7 +195,7 @@
                     assert status(await client.read_response()) == 200
                 assert [message.headers["request-id"] for message in server.requests] == ["r0", "r1", "r2"]
                 assert not connection.reading_paused
-                assert status(await client.ask("post")) == 200
+                assert status(await client.request("post")) == 200
 
     run(main())
 
@@ -209,7 +209,7 @@
             async with Client(proxy) as first, Client(proxy) as second:
                 first.send("post", id="same")
                 await until(lambda: len(server.requests) == 1)
-                assert status(await second.ask("post", id="same")) == 409
+                assert status(await second.request("post", id="same")) == 409
                 gate.set()
                 assert status(await first.read_response()) == 200
 
@@ -226,7 +226,7 @@
                 first_client.send("post", id="same")
                 await until(lambda: len(server.requests) == 1)
                 async with Client(proxy) as duplicate:
-                    assert status(await duplicate.ask("post", id="same")) == 409
+                    assert status(await duplicate.request("post", id="same")) == 409
                     assert await duplicate.reader.read() == b""
                 await until(lambda: len(proxy.server.connections) == 1)
                 gate.set()
@@ -257,9 +257,9 @@
                 return actions
 
             proxy.node.balancer.handle = faulty  # type: ignore[method-assign]
-            assert status(await client.ask("post")) == 500
+            assert status(await client.request("post")) == 500
             proxy.node.balancer.handle = handle  # type: ignore[method-assign]
-            assert status(await client.ask("post")) == 200
+            assert status(await client.request("post")) == 200
             assert not proxy.client_requests
 
     run(main())
@@ -280,6 +280,6 @@
                 discovery.tell(6, entry("s", server.port), whole=True)
                 await until(lambda: proxy.node.can_serve)
                 assert await health_status(client) == 200
-                assert status(await client.ask()) == 200
+                assert status(await client.request()) == 200
 
     run(main())
--- a/tests/http/test_idle_connections.py
+++ b/tests/http/test_idle_connections.py
@@ -31,10 +31,10 @@
         limits = Limits(idle_timeout_ms=1.0)
         async with FakeServer().up() as server, node([entry("s", server.port)], bounds=limits) as proxy:
             async with Client(proxy) as client:
-                assert status(await client.ask("post")) == 200
+                assert status(await client.request("post")) == 200
                 await until(lambda: server.closed == 1)
                 assert proxy.upstream.open_count == 0
-                assert status(await client.ask("post")) == 200
+                assert status(await client.request("post")) == 200
                 assert server.connections == 2
 
     run(main())
@@ -68,7 +68,7 @@
                     client.send("post")
                     await until(lambda index=index: len(server.requests) == index + 1)
                 assert status(await clients[2].read_response()) == 503
-                assert status(await clients[2].ask("post")) == 503, "rejected by the server, not failed"
+                assert status(await clients[2].request("post")) == 503, "rejected by the server, not failed"
                 gate.set()
                 for client in clients[:2]:
                     assert status(await client.read_response()) == 200
@@ -89,13 +89,13 @@
             node([entry("s", server.port)]) as proxy,
             Client(proxy) as client,
         ):
-            assert status(await client.ask("post")) == 200
+            assert status(await client.request("post")) == 200
             if data:
                 server.writers[0].write(data)
             else:
                 server.writers[0].close()
             await until(lambda: proxy.upstream.open_count == 0)
-            assert status(await client.ask("post")) == 200
+            assert status(await client.request("post")) == 200
 
     run(main())
 
@@ -122,13 +122,13 @@
 
         async with FakeServer(reset_after_idle).up() as server, node([entry("s", server.port)]) as proxy:
             async with Client(proxy) as client:
-                assert status(await client.ask("post")) == 200
+                assert status(await client.request("post")) == 200
                 await asyncio.sleep(0.15)
-                assert status(await client.ask("post")) == 502, "it may have been executed"
+                assert status(await client.request("post")) == 502, "it may have been executed"
                 assert 0.05 <= proxy.upstream.idle_timeout.stale_limit_s < 5.0
                 proxy.upstream.idle_timeout.stale_limit_s = 0.07
                 for _ in range(3):
-                    assert status(await client.ask("post")) == 200
+                    assert status(await client.request("post")) == 200
                     await asyncio.sleep(0.15)
                 assert proxy.upstream.idle_timeout.stale_limit_s == 0.07
                 proxy.upstream.idle_timeout.stale_changed_at_s -= 60.0
@@ -162,7 +162,7 @@
                 assert status(await one.read_response()) == status(await two.read_response()) == 200
                 assert proxy.upstream.open_count == 2
                 silent = True
-                assert status(await one.ask("post", timeout=700)) == 504
+                assert status(await one.request("post", timeout=700)) == 504
                 await until(lambda: proxy.upstream.open_count == 0)
                 assert server.connections == 2
 
@@ -214,7 +214,7 @@
                     )
 
                 for _ in range(60):
-                    assert status(await client.ask()) == 200
+                    assert status(await client.request()) == 200
                     assert indexes_agree()
                     assert proxy.resources.descriptor_count <= proxy.resources.max_descriptors
                 assert len(upstream.idle_connections) > 1
@@ -244,7 +244,7 @@
         async with FakeServer(handler).up() as server, node([entry("s", server.port)]) as proxy:
             async with Client(proxy) as client:
                 for index in range(20):
-                    response = await client.ask("post", body=b"%d" % index)
+                    response = await client.request("post", body=b"%d" % index)
                     assert (status(response), response.body) == (200, b"%d" % index)
 
     run(main())
--- a/tests/http/test_overload.py
+++ b/tests/http/test_overload.py
@@ -24,7 +24,7 @@
     balancer, cursors = proxy.node.balancer, []
     until_period = balancer.parts.throughput.period_count + periods
     while balancer.parts.throughput.period_count < until_period:
-        await client.ask("read")
+        await client.request("read")
         cursors.append(balancer.parts.table.cursor)
     return cursors
 
--- a/tests/http/test_request_bodies.py
+++ b/tests/http/test_request_bodies.py
@@ -107,7 +107,7 @@
                     EndpointListForm.SNAPSHOT,
                     discovery.parse_endpoints([entry("s2", two.port)], ServerStartTimes()),
                 )
-                assert status(await client.ask("post")) == 200  # the rest of the body was skipped
+                assert status(await client.request("post")) == 200  # the rest of the body was skipped
                 assert proxy.node.statistics.classes["post"].shed == 1
                 assert proxy.budget.used_bytes == 0
 
@@ -127,7 +127,10 @@
             servers = [entry("s1", one.port), entry("s2", two.port)]
             async with node(servers) as proxy, Client(proxy) as client:
                 for index in range(6):
-                    assert status(await client.ask("post", body=byte_pattern(300_000), id=f"r{index}")) == 200
+                    assert (
+                        status(await client.request("post", body=byte_pattern(300_000), id=f"r{index}"))
+                        == 200
+                    )
                 assert [len(message.body) for message in two.requests] == [300_000] * 6
                 assert one.connections > 0
 
@@ -169,7 +172,7 @@
                 sending = asyncio.ensure_future(send_body(client.writer, 30 << 20))
                 assert status(await client.read_response()) == 503, "it was not executed"
                 await sending  # the rest of the body is skipped
-                assert status(await client.ask("post", id="next")) == 504
+                assert status(await client.request("post", id="next")) == 504
                 assert proxy.budget.used_bytes == 0
 
     run(main())
--- a/tests/http/test_request_validation.py
+++ b/tests/http/test_request_validation.py
@@ -46,7 +46,7 @@
                 client.writer.write(request_bytes)
                 assert status(await client.read_response()) == code
             async with Client(proxy) as client:
-                assert status(await client.ask()) == 200
+                assert status(await client.request()) == 200
             assert len(server.requests) == 1
 
     run(main())
--- a/tests/http/test_responses.py
+++ b/tests/http/test_responses.py
@@ -45,7 +45,7 @@
 
             proxy.node.balancer.handle = record_event  # type: ignore[method-assign]
             async with Client(proxy) as client:
-                assert status(await client.ask("post")) == 503
+                assert status(await client.request("post")) == 503
         finished = [event for event in events if isinstance(event, AttemptFinished)]
         assert [(event.result, event.request_ended, event.report) for event in finished] == [
             (AttemptResult.OVERLOADED, False, {"queue": 41.0, "util": 0.5})
@@ -96,7 +96,7 @@
         async with FakeServer(handler).up() as server, node([entry("s", server.port)]) as proxy:
             async with Client(proxy) as client:
                 for _ in range(2):
-                    response = await client.ask("post")
+                    response = await client.request("post")
                     assert (status(response), response.body) == (200, b"ok")
                 assert server.connections == (1 if reused else 2)
 
@@ -122,7 +122,7 @@
         async with FakeServer(handler).up() as server, node([entry("s", server.port)]) as proxy:
             async with Client(proxy) as client:
                 for _ in range(2):
-                    response = await client.ask("post")
+                    response = await client.request("post")
                     assert (status(response), response.body) == (200, b"mine")
                 assert server.connections == 2 or not surplus.strip()
 
@@ -168,10 +168,10 @@
             servers = [entry("s1", one.port), entry("s2", two.port)]
             async with node(servers) as proxy, Client(proxy) as client:
                 started_s = proxy.loop.time()
-                assert status(await client.ask("post", timeout=3000)) == 502
+                assert status(await client.request("post", timeout=3000)) == 502
                 assert len(one.requests) + len(two.requests) == 1
                 respond_invalid = True
-                assert status(await client.ask("read", timeout=3000)) == 200
+                assert status(await client.request("read", timeout=3000)) == 200
                 assert len(one.requests) + len(two.requests) == 3
                 assert proxy.loop.time() - started_s < 1.9
                 await until(lambda: proxy.upstream.open_count == 1)
--- a/tests/http/test_slow_clients.py
+++ b/tests/http/test_slow_clients.py
@@ -51,7 +51,7 @@
                 connection.last_received_s -= 1.0
                 proxy.server.max_connections = 1
                 async with Client(proxy) as other:
-                    assert status(await other.ask()) == 200
+                    assert status(await other.request()) == 200
                 assert status(await partial_client.read_response()) == 408
 
     run(main())
@@ -91,7 +91,7 @@
 
                 proxy.loop = PatchedLoop(proxy.loop, call_later=record_delay)  # type: ignore[assignment]
                 await until(lambda: len(discovery.asked) == 7)
-                assert status(await client.ask()) == 200  # served by the endpoint list known so far
+                assert status(await client.request()) == 200  # served by the endpoint list known so far
                 discovery.tell(9, entry("s", server.port), whole=True)
                 await until(lambda: proxy.endpoints.backoff.failed_watches == 0)
 
--- a/tests/http/test_streamed_responses.py
+++ b/tests/http/test_streamed_responses.py
@@ -135,7 +135,7 @@
                 slow.send("post", id="slow")
                 await slow.reader.readuntil(b"\r\n\r\n")
                 await until(lambda: any(connection.write_blocked for connection in proxy.server.connections))
-                assert status(await other.ask("post")) == 200
+                assert status(await other.request("post")) == 200
                 assert written_bytes < len(data) - (1 << 20), "the rest is not read from the server"
                 (exchange,) = [one for one in proxy.upstream.exchanges.values()]
                 assert exchange.connection is not None
--- a/tests/node/test_statistics.py
+++ b/tests/node/test_statistics.py
@@ -61,9 +61,9 @@
                 assert (encoded["active"], encoded["pool_size"], encoded["pool_ejected"]) == (1, 1, 0)
                 gate.set()
                 assert status(await first.read_response()) == 200
-                assert status(await second.ask("read")) == 200
+                assert status(await second.request("read")) == 200
                 proxy.upstream.set_cordoned("s", True)  # no server can be used
-                assert status(await second.ask("post")) == 503
+                assert status(await second.request("post")) == 503
             encoded = encode_statistics(proxy.statistics())
             assert encoded["responses"]["post"] == {"ok": 1, "shed": 1, "errors": 0}
             assert encoded["responses"]["read"] == {"ok": 1, "shed": 0, "errors": 0}
--- a/tests/proxy/test_cordon.py
+++ b/tests/proxy/test_cordon.py
@@ -116,7 +116,7 @@
                 assert proxy.statistics().cordoned_endpoints == 1
                 proxy.upstream.loop = proxy.loop
                 assert await proxy.uncordon("s1")
-                assert status(await client.ask("post")) == 200
+                assert status(await client.request("post")) == 200
                 assert len(cordoned.requests) == 1
                 assert other.requests == []
 
@@ -151,7 +151,7 @@
                         )
                         assert old.resources.max_descriptors < new.config.limits.max_sockets // 2
                         for _ in range(10):
-                            assert status(await client.ask()) == 200
+                            assert status(await client.request()) == 200
                         assert (len(one.requests), len(two.requests)) == (0, 10)
                         assert await new.uncordon("one")
                         assert old.node.cordoned == set()
--- a/tests/proxy/test_listener.py
+++ b/tests/proxy/test_listener.py
@@ -60,7 +60,7 @@
                     proxy.discovery.start = proxy.endpoints.list_received.set  # type: ignore[method-assign]
                 await old.start()
                 async with Client(port=port) as active, Client(port=port) as idle:
-                    assert status(await active.ask()) == 200
+                    assert status(await active.request()) == 200
                     await until(lambda: len(old.server.connections) == 2)
                     assert (old.serving(), new.serving()) == (True, False)
                     await new.start()
@@ -70,15 +70,15 @@
                     assert not old.serving()
                     for at in range(20):
                         async with Client(port=port) as client:
-                            assert status(await client.ask(id=f"late-{at}")) == 200
+                            assert status(await client.request(id=f"late-{at}")) == 200
                     assert len(old.server.connections) == 2
                     for client in (active, idle):
-                        response = await client.ask()
+                        response = await client.request()
                         assert (status(response), response.headers.get("connection")) == (200, "close")
                     await draining
                     assert not old.server.connections
                 async with Client(port=port) as client:
-                    assert status(await client.ask()) == 200
+                    assert status(await client.request()) == 200
                 new.server.close()
                 new.upstream.close()
 
--- a/tests/proxy/test_reconfiguration.py
+++ b/tests/proxy/test_reconfiguration.py
@@ -64,7 +64,7 @@
 
             async def is_rejected(service: str) -> bool:
                 async with Client(port=port) as client:  # a new connection, since the rejection closes it
-                    return status(await client.ask(service)) == 400
+                    return status(await client.request(service)) == 400
 
             process = start_node(tmp_path, document)
             log = log_lines(process)
@@ -127,7 +127,7 @@
             assert proxy.node.limits is before.limits
             assert proxy.discovery.address == before.discovery_address
             assert all(value is balancer_before[key] for key, value in vars(proxy.node.balancer).items())
-            assert status(await client.ask("post")) == 200
+            assert status(await client.request("post")) == 200
 
     run(main())
 
@@ -299,21 +299,21 @@
                 proxy.set_fleet_cordons(frozenset({"one", "later"}))
                 assert await proxy.cordon("one")
                 for _ in range(5):
-                    assert status(await client.ask()) == 200
+                    assert status(await client.request()) == 200
                 assert len(one.requests) == 0
                 response = await respond_to(proxy, "POST", "/admin/uncordon?member=one")
                 assert response.body == {"member": "one", "cordoned": True, "by": "fleet"}
                 assert proxy.statistics().cordoned_endpoints == 1
-                assert status(await client.ask()) == 200
+                assert status(await client.request()) == 200
                 assert len(one.requests) == 0
                 # A server is cordoned as soon as the list adds it.
                 await proxy.cordon("two")
                 discovery.tell(9, entry("later", two.port))
                 await until(lambda: "later" in proxy.node.servers)
-                assert status(await client.ask()) == 503
+                assert status(await client.request()) == 503
                 proxy.set_fleet_cordons(frozenset())
                 assert proxy.node.cordoned == {"two"}
-                assert status(await client.ask()) == 200
+                assert status(await client.request()) == 200
                 response = await respond_to(proxy, "POST", "/admin/uncordon?member=two")
                 assert response.body == {"member": "two", "cordoned": False}
                 # Only cordons by operators are saved.
@@ -354,7 +354,7 @@
                     assert await read_long(client.reader) == LONG
                 assert new.statistics().classes["read"].ok == 1
                 assert new.node.service_names == {"post"}
-                assert status(await client.ask(id="small-1")) == 400
+                assert status(await client.request(id="small-1")) == 400
                 await client.__aexit__()
 
     run(main())
--- a/tests/proxy/test_shutdown.py
+++ b/tests/proxy/test_shutdown.py
@@ -76,7 +76,7 @@
     async def main() -> None:
         async with FakeServer().up() as server, node([entry("s", server.port)], classes=classes) as proxy:
             async with Client(proxy) as idle, Client(proxy) as partial:
-                assert status(await idle.ask("post", timeout=int(deadline_ms))) == 200
+                assert status(await idle.request("post", timeout=int(deadline_ms))) == 200
                 partial.writer.write(b"POST / HTTP/1.1\r\nRequest-Id: x")
                 await until(lambda: any(connection.is_receiving for connection in proxy.server.connections))
                 clock = simulate_clock(proxy, monkeypatch)
--- a/tests/support/sockets.py
+++ b/tests/support/sockets.py
@@ -256,7 +256,7 @@
         async with asyncio.timeout(WAIT_S):
             return await read_message(self.reader)
 
-    async def ask(self, service: str = "read", **more: Any) -> Message:
+    async def request(self, service: str = "read", **more: Any) -> Message:
         self.send(service, **more)
         got = await self.read_response()
         assert got is not None, "the connection ended with no answer"
