--- a/tests/discovery/test_endpoint_updates.py
+++ b/tests/discovery/test_endpoint_updates.py
@@ -43,8 +43,8 @@
                 assert discovery.asked == ["GET /catalog/members?follow=1&since=5 HTTP/1.1"]
                 for _ in range(4):
                     await client.request()
-                discovery.tell_bytes(b"\n")
-                discovery.tell(6, {"host": "bad"}, entry("s1", first.port, health="leaving"))
+                discovery.send_bytes(b"\n")
+                discovery.send_update(6, {"host": "bad"}, entry("s1", first.port, health="leaving"))
                 await until(lambda: proxy.discovery.revision == 6)
                 assert not proxy.upstream.endpoints["s1"].idle_connections
                 received_before = len(first.requests)
@@ -52,8 +52,8 @@
                     assert status(await client.request()) == 200
                 assert len(first.requests) == received_before
                 line = b'{"seq":7,"whole":false,"hosts":[{"host":"s1","health":"left"}]}\n'
-                discovery.tell_bytes(line[:20])
-                discovery.tell_bytes(line[20:])
+                discovery.send_bytes(line[:20])
+                discovery.send_bytes(line[20:])
                 await until(lambda: proxy.discovery.revision == 7)
                 assert list(proxy.upstream.endpoints) == ["s2"]
 
@@ -105,7 +105,7 @@
                 if end != "refused":
                     await until(lambda: bool(discovery.writers))
                     if end == "garbage":
-                        discovery.tell_bytes(b"{no json\n")
+                        discovery.send_bytes(b"{no json\n")
                     elif end == "closed":
                         discovery.writers[-1].close()
                     else:
@@ -113,7 +113,7 @@
                 await until(lambda: len(discovery.asked) == 2)
                 await until(lambda: len(discovery.writers) == (1 if end == "refused" else 2))
                 assert failures == 1
-                discovery.tell(9, entry("s", 1), whole=True)
+                discovery.send_update(9, entry("s", 1), whole=True)
                 await until(lambda: proxy.node.can_serve)
 
     run(main())
@@ -138,7 +138,7 @@
         async with FakeDiscovery().up() as old, FakeDiscovery().up() as new, FakeDiscovery().up() as newer:
             async with node([], old) as proxy:
                 await until(lambda: bool(old.writers))
-                old.tell(8)
+                old.send_update(8)
                 await until(lambda: proxy.discovery.revision == 8)
                 proxy.node.balancer.parts.polling.failures = 9  # delays the next poll by up to 4 s
                 for discovery in (new, newer):
@@ -149,7 +149,7 @@
                     assert discovery.asked == ["GET /catalog/members?follow=1&since=8 HTTP/1.1"]
                 for writer in (*old.writers, *new.writers):
                     writer.transport.abort()
-                newer.tell(9, entry("s", 1))
+                newer.send_update(9, entry("s", 1))
                 await until(lambda: proxy.node.can_serve)
                 assert proxy.node.balancer.parts.polling.failures == 0
                 assert (len(old.asked), len(new.asked), len(newer.asked)) == (1, 1, 1)
@@ -169,7 +169,7 @@
                 proxy.reload(with_discovery(proxy, new))
                 await until(lambda: bool(new.writers))
                 proxy.apply(proxy.node.tick(max(timer.due_ms for timer in proxy.node.timers) + 5000.0))
-                new.tell(6, entry("s", 1), whole=True)
+                new.send_update(6, entry("s", 1), whole=True)
                 await until(lambda: proxy.node.can_serve)
                 assert (len(old.asked), len(new.asked)) == (1, 1)
 
@@ -205,7 +205,7 @@
     async def main() -> None:
         async with FakeDiscovery().up() as discovery, node([], discovery) as proxy:
             await until(lambda: bool(discovery.writers))
-            discovery.tell(3, entry("s", 1))
+            discovery.send_update(3, entry("s", 1))
             await until(lambda: len(discovery.writers) == 2)
             assert discovery.asked[-1] == "GET /catalog/members?follow=1&since=0 HTTP/1.1"
             assert not proxy.node.can_serve
--- a/tests/http/test_forwarding.py
+++ b/tests/http/test_forwarding.py
@@ -277,7 +277,7 @@
             async with node([], discovery) as proxy, Client(proxy) as client:
                 assert await health_status(client) == 503
                 await until(lambda: bool(discovery.writers))
-                discovery.tell(6, entry("s", server.port), whole=True)
+                discovery.send_update(6, entry("s", server.port), whole=True)
                 await until(lambda: proxy.node.can_serve)
                 assert await health_status(client) == 200
                 assert status(await client.request()) == 200
--- a/tests/http/test_slow_clients.py
+++ b/tests/http/test_slow_clients.py
@@ -92,7 +92,7 @@
                 proxy.loop = PatchedLoop(proxy.loop, call_later=record_delay)  # type: ignore[assignment]
                 await until(lambda: len(discovery.asked) == 7)
                 assert status(await client.request()) == 200  # served by the endpoint list known so far
-                discovery.tell(9, entry("s", server.port), whole=True)
+                discovery.send_update(9, entry("s", server.port), whole=True)
                 await until(lambda: proxy.endpoints.backoff.failed_watches == 0)
 
     run(main())
--- a/tests/proxy/test_reconfiguration.py
+++ b/tests/proxy/test_reconfiguration.py
@@ -308,7 +308,7 @@
                 assert len(one.requests) == 0
                 # A server is cordoned as soon as the list adds it.
                 await proxy.cordon("two")
-                discovery.tell(9, entry("later", two.port))
+                discovery.send_update(9, entry("later", two.port))
                 await until(lambda: "later" in proxy.node.servers)
                 assert status(await client.request()) == 503
                 proxy.set_fleet_cordons(frozenset())
--- a/tests/support/sockets.py
+++ b/tests/support/sockets.py
@@ -135,7 +135,7 @@
 
 @dataclass
 class FakeDiscovery:
-    """Holds each watch open; `tell` writes a line to the newest one."""
+    """Holds each watch open; `send_update` writes a line to the newest one."""
 
     refuse: int = 0  # how many watches to answer 503 first
     mute: bool = False  # take watches and say nothing
@@ -158,11 +158,11 @@
         writer.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
         self.writers.append(writer)
 
-    def tell_bytes(self, data: bytes) -> None:
+    def send_bytes(self, data: bytes) -> None:
         self.writers[-1].write(b"%x\r\n%b\r\n" % (len(data), data))
 
-    def tell(self, seq: int, *hosts: dict[str, Any], whole: bool = False) -> None:
-        self.tell_bytes(orjson.dumps({"seq": seq, "whole": whole, "hosts": hosts}) + b"\n")
+    def send_update(self, seq: int, *hosts: dict[str, Any], whole: bool = False) -> None:
+        self.send_bytes(orjson.dumps({"seq": seq, "whole": whole, "hosts": hosts}) + b"\n")
 
     @contextlib.asynccontextmanager
     async def up(self) -> AsyncIterator[FakeDiscovery]:
