--- a/tests/discovery/test_endpoint_list_races.py
+++ b/tests/discovery/test_endpoint_list_races.py
@@ -62,7 +62,7 @@
         async with ScriptedDiscovery().up() as discovery, FakeServer().up() as server:
             async with node_with_pushed_lists(discovery, [entry("s", server.port)]) as proxy:
                 start = asyncio.ensure_future(proxy.start())
-                await until(lambda: len(discovery.asked) == 1)
+                await until(lambda: len(discovery.watch_requests) == 1)
                 assert not proxy.server.listening
                 draining = b'{"seq":9,"whole":false,"hosts":[{"host":"s","dial":"127.0.0.1:9","health":"leaving"}]}\n'
                 discovery.writers[0].write(STREAM_HEAD + encode_chunk(draining))
@@ -115,7 +115,7 @@
                 proxy.loop = PatchedLoop(proxy.loop, call_later=record_delay)  # type: ignore[assignment]
                 proxy.config = _with_drain_notice(proxy.config, 1.0)  # short, so that 50 ms outlast any delay
                 await proxy.start()
-                await until(lambda: len(discovery.asked) >= 4)
+                await until(lambda: len(discovery.watch_requests) >= 4)
                 assert discovery.ended >= 3
 
     run(main())
@@ -187,9 +187,9 @@
             await done.wait()
             if updates[-1][0] is EndpointListForm.FAILED:
                 watch.start()
-                await until(lambda: len(discovery.asked) == 2)
+                await until(lambda: len(discovery.watch_requests) == 2)
             watch.close()
-            requests.extend(discovery.asked)
+            requests.extend(discovery.watch_requests)
 
     run(main())
     return updates, requests
@@ -249,6 +249,6 @@
             node_with_pushed_lists(discovery, []) as proxy,
         ):
             proxy.discovery.start()
-            await until(lambda: len(discovery.asked) == 2)
+            await until(lambda: len(discovery.watch_requests) == 2)
 
     run(main())
--- a/tests/discovery/test_endpoint_updates.py
+++ b/tests/discovery/test_endpoint_updates.py
@@ -40,7 +40,7 @@
             servers = [entry("s1", first.port), entry("s2", second.port)]
             async with node(servers, discovery) as proxy, Client(proxy) as client:
                 await until(lambda: bool(discovery.writers))
-                assert discovery.asked == ["GET /catalog/members?follow=1&since=5 HTTP/1.1"]
+                assert discovery.watch_requests == ["GET /catalog/members?follow=1&since=5 HTTP/1.1"]
                 for _ in range(4):
                     await client.request()
                 discovery.send_bytes(b"\n")
@@ -110,7 +110,7 @@
                         discovery.writers[-1].close()
                     else:
                         discovery.writers[-1].transport.abort()
-                await until(lambda: len(discovery.asked) == 2)
+                await until(lambda: len(discovery.watch_requests) == 2)
                 await until(lambda: len(discovery.writers) == (1 if end == "refused" else 2))
                 assert failures == 1
                 discovery.send_update(9, entry("s", 1), whole=True)
@@ -125,7 +125,7 @@
 
     async def main() -> None:
         async with FakeDiscovery().up() as discovery, node([], discovery):
-            await until(lambda: len(discovery.asked) == 2)
+            await until(lambda: len(discovery.watch_requests) == 2)
 
     run(main())
 
@@ -146,13 +146,17 @@
                     proxy.reload(with_discovery(proxy, discovery))
                     await until(lambda: bool(discovery.writers))  # noqa: B023
                     assert proxy.loop.time() - started_s < 1.0
-                    assert discovery.asked == ["GET /catalog/members?follow=1&since=8 HTTP/1.1"]
+                    assert discovery.watch_requests == ["GET /catalog/members?follow=1&since=8 HTTP/1.1"]
                 for writer in (*old.writers, *new.writers):
                     writer.transport.abort()
                 newer.send_update(9, entry("s", 1))
                 await until(lambda: proxy.node.can_serve)
                 assert proxy.node.balancer.parts.polling.failures == 0
-                assert (len(old.asked), len(new.asked), len(newer.asked)) == (1, 1, 1)
+                assert (len(old.watch_requests), len(new.watch_requests), len(newer.watch_requests)) == (
+                    1,
+                    1,
+                    1,
+                )
 
     run(main())
 
@@ -171,7 +175,7 @@
                 proxy.apply(proxy.node.tick(max(timer.due_ms for timer in proxy.node.timers) + 5000.0))
                 new.send_update(6, entry("s", 1), whole=True)
                 await until(lambda: proxy.node.can_serve)
-                assert (len(old.asked), len(new.asked)) == (1, 1)
+                assert (len(old.watch_requests), len(new.watch_requests)) == (1, 1)
 
     run(main())
 
@@ -194,7 +198,7 @@
                 assert status(await client.read_response()) == 200
                 await drain
                 proxy.reload(with_discovery(proxy, old))  # has no effect after the drain
-                assert len(old.asked) == 1
+                assert len(old.watch_requests) == 1
 
     run(main())
 
@@ -207,7 +211,7 @@
             await until(lambda: bool(discovery.writers))
             discovery.send_update(3, entry("s", 1))
             await until(lambda: len(discovery.writers) == 2)
-            assert discovery.asked[-1] == "GET /catalog/members?follow=1&since=0 HTTP/1.1"
+            assert discovery.watch_requests[-1] == "GET /catalog/members?follow=1&since=0 HTTP/1.1"
             assert not proxy.node.can_serve
 
     run(main())
--- a/tests/discovery/test_watch_backoff.py
+++ b/tests/discovery/test_watch_backoff.py
@@ -226,7 +226,7 @@
             async with node([entry("old", 9)], **arguments) as proxy:  # type: ignore[arg-type]
                 for behaviour in ("mute", "dies", "half", "mute"):
                     await discovery.begin(behaviour)
-                    await until(lambda: discovery.asked >= 3)
+                    await until(lambda: discovery.watch_count >= 3)
                     assert proxy.node.is_known_server("old")
                     discovery.end()
                     await until(lambda: not proxy.discovery.is_open)
--- a/tests/discovery/test_watch_client.py
+++ b/tests/discovery/test_watch_client.py
@@ -51,10 +51,10 @@
             await ended.wait()
             assert not client.is_open
             client.start()
-            await until(lambda: len(discovery.asked) == 2)
+            await until(lambda: len(discovery.watch_requests) == 2)
             client.close()
         assert updates == [(True, {"a": 1})]
-        assert [line.split()[1] for line in discovery.asked] == ["/pairs?from=3", "/pairs?from=8"]
+        assert [line.split()[1] for line in discovery.watch_requests] == ["/pairs?from=3", "/pairs?from=8"]
 
     run(main())
 
--- a/tests/http/test_descriptor_limit.py
+++ b/tests/http/test_descriptor_limit.py
@@ -110,7 +110,7 @@
                 limits={"sockets": max_descriptors, "memory_mb": 200},
             )
             process = await stack.enter_async_context(limited_node(tmp_path, document, max_descriptors))
-            await until(lambda: discovery.asked > 0)
+            await until(lambda: discovery.watch_count > 0)
             await wait_until_served(port)
             connections: list[HeldConnection] = []
             stopped = asyncio.Event()
@@ -147,12 +147,12 @@
             await wait_until_served(port)
             assert status(await call_admin(admin_port, "/admin/stats")) == 200
             await discovery.begin("mute")
-            await until(lambda: discovery.asked > 0)  # a descriptor was free for discovery
+            await until(lambda: discovery.watch_count > 0)  # a descriptor was free for discovery
             await wait_until_served(port)
             discovery.end()
             discovery.host, discovery.dial = "two", f"127.0.0.1:{two.port}"
             await discovery.begin("served")
-            await until(lambda: discovery.asked > 0)
+            await until(lambda: discovery.watch_count > 0)
             before = len(two.requests)
             while len(two.requests) == before:  # a descriptor is free for a connection to a new server
                 await wait_until_served(port)
--- a/tests/http/test_slow_clients.py
+++ b/tests/http/test_slow_clients.py
@@ -90,7 +90,7 @@
                     return call_later(delay_s, callback, *args)  # type: ignore[arg-type]
 
                 proxy.loop = PatchedLoop(proxy.loop, call_later=record_delay)  # type: ignore[assignment]
-                await until(lambda: len(discovery.asked) == 7)
+                await until(lambda: len(discovery.watch_requests) == 7)
                 assert status(await client.request()) == 200  # served by the endpoint list known so far
                 discovery.send_update(9, entry("s", server.port), whole=True)
                 await until(lambda: proxy.endpoints.backoff.failed_watches == 0)
@@ -107,6 +107,6 @@
 
     async def main() -> None:
         async with FakeDiscovery(mute=True).up() as discovery, node([], pushed=discovery):
-            await until(lambda: len(discovery.asked) >= 2)
+            await until(lambda: len(discovery.watch_requests) >= 2)
 
     run(main())
--- a/tests/support/scripted_discovery.py
+++ b/tests/support/scripted_discovery.py
@@ -24,7 +24,7 @@
     """Writes to the n-th watch what its script has for it, and holds each open; without a script it is silent."""
 
     scripts: dict[int, bytes] = field(default_factory=dict)
-    asked: list[str] = field(default_factory=list)
+    watch_requests: list[str] = field(default_factory=list)
     ended: int = 0
     writers: list[asyncio.StreamWriter] = field(default_factory=list)
     port: int = 0
@@ -33,9 +33,9 @@
         message = await read_message(reader)
         if message is None:
             return
-        self.asked.append(message.first)
+        self.watch_requests.append(message.first)
         self.writers.append(writer)
-        if (script := self.scripts.get(len(self.asked))) is not None:
+        if (script := self.scripts.get(len(self.watch_requests))) is not None:
             writer.write(script)
         with contextlib.suppress(ConnectionError):
             await reader.read()
@@ -62,13 +62,13 @@
 
     def __init__(self) -> None:
         self.behaviour, self.host, self.dial = "served", "new", "127.0.0.1:9"
-        self.asked = self.port = 0
+        self.watch_count = self.port = 0
         self.writers: list[asyncio.StreamWriter] = []
         self.server: asyncio.Server | None = None
 
     async def begin(self, behaviour: str) -> None:
         """Listen, on the same port as before."""
-        self.behaviour, self.asked = behaviour, 0
+        self.behaviour, self.watch_count = behaviour, 0
         if self.server is None:
             self.server = await asyncio.start_server(self._serve, "127.0.0.1", self.port)
             self.port = self.server.sockets[0].getsockname()[1]
@@ -86,7 +86,7 @@
         if message is None:
             return
         self.writers.append(writer)
-        self.asked += 1
+        self.watch_count += 1
         if self.behaviour != "mute":
             row = {"host": self.host, "dial": self.dial, "health": "active"}
             line = orjson.dumps({"seq": 9, "whole": True, "hosts": [row]}) + b"\n"
--- a/tests/support/sockets.py
+++ b/tests/support/sockets.py
@@ -139,7 +139,7 @@
 
     refuse: int = 0  # how many watches to answer 503 first
     mute: bool = False  # take watches and say nothing
-    asked: list[str] = field(default_factory=list)
+    watch_requests: list[str] = field(default_factory=list)
     writers: list[asyncio.StreamWriter] = field(default_factory=list)
     port: int = 0
 
@@ -147,11 +147,11 @@
         message = await read_message(reader)
         if message is None:
             return
-        self.asked.append(message.first)
+        self.watch_requests.append(message.first)
         if self.mute:
             self.writers.append(writer)
             return
-        if len(self.asked) <= self.refuse:
+        if len(self.watch_requests) <= self.refuse:
             writer.write(encode_response(503, b""))
             writer.close()
             return
