--- a/tests/discovery/test_endpoint_updates.py
+++ b/tests/discovery/test_endpoint_updates.py
@@ -91,7 +91,7 @@
     """The policy must learn of the end of each watch exactly once, or the list is no longer updated."""
 
     async def main() -> None:
-        async with FakeDiscovery(refuse=1 if end == "refused" else 0).up() as discovery:
+        async with FakeDiscovery(rejected_watches=1 if end == "refused" else 0).up() as discovery:
             failures = 0
             async with node([], discovery) as proxy:
                 update_endpoints = proxy.node.update_endpoints
--- a/tests/http/test_slow_clients.py
+++ b/tests/http/test_slow_clients.py
@@ -79,7 +79,7 @@
     delays_s: list[float] = []
 
     async def main() -> None:
-        async with FakeServer().up() as server, FakeDiscovery(refuse=6).up() as discovery:
+        async with FakeServer().up() as server, FakeDiscovery(rejected_watches=6).up() as discovery:
             async with node([entry("s", server.port)], pushed=discovery) as proxy, Client(proxy) as client:
                 call_later = proxy.loop.call_later
 
@@ -106,7 +106,7 @@
     monkeypatch.setattr(watch_client, "FIRST_LINE_TIMEOUT_S", 0.05)
 
     async def main() -> None:
-        async with FakeDiscovery(mute=True).up() as discovery, node([], pushed=discovery):
+        async with FakeDiscovery(silent=True).up() as discovery, node([], pushed=discovery):
             await until(lambda: len(discovery.watch_requests) >= 2)
 
     run(main())
--- a/tests/support/sockets.py
+++ b/tests/support/sockets.py
@@ -137,8 +137,8 @@
 class FakeDiscovery:
     """Holds each watch open; `send_update` writes a line to the newest one."""
 
-    refuse: int = 0  # how many watches to answer 503 first
-    mute: bool = False  # take watches and say nothing
+    rejected_watches: int = 0  # how many watches to answer 503 first
+    silent: bool = False  # take watches and say nothing
     watch_requests: list[str] = field(default_factory=list)
     writers: list[asyncio.StreamWriter] = field(default_factory=list)
     port: int = 0
@@ -148,10 +148,10 @@
         if message is None:
             return
         self.watch_requests.append(message.first)
-        if self.mute:
+        if self.silent:
             self.writers.append(writer)
             return
-        if len(self.watch_requests) <= self.refuse:
+        if len(self.watch_requests) <= self.rejected_watches:
             writer.write(encode_response(503, b""))
             writer.close()
             return
