--- a/tests/admin/test_admin_server.py
+++ b/tests/admin/test_admin_server.py
@@ -78,7 +78,7 @@
     assert response is not None
     rest = await reader.read()  # until the connection is closed after the response
     writer.close()
-    return int(response.first.split()[1]), response, rest
+    return int(response.start_line.split()[1]), response, rest
 
 
 @pytest.mark.parametrize(
@@ -168,7 +168,7 @@
             writer.write_eof()  # a client may close its sending side after the request
             response = await read_message(reader)
             assert response is not None
-            assert response.first == "HTTP/1.1 200 OK"
+            assert response.start_line == "HTTP/1.1 200 OK"
             writer.close()
 
     run(main())
--- a/tests/http/test_disconnects_between_attempts.py
+++ b/tests/http/test_disconnects_between_attempts.py
@@ -105,7 +105,7 @@
         sock = socket.socket()
 
         async def reject_and_disconnect(message: Message, writer: asyncio.StreamWriter) -> None:
-            if message.first.startswith("GET /_load"):
+            if message.start_line.startswith("GET /_load"):
                 writer.write(encode_response())
                 return
             # Both happen before the event loop runs again, so it finds them together.
--- a/tests/http/test_forwarding.py
+++ b/tests/http/test_forwarding.py
@@ -59,7 +59,7 @@
             response = await client.request("post", body=b"\x00debit", id="r-1", Idempotency_Key="k1")
             assert (status(response), response.body) == (200, b"ok")
         forwarded = server.requests[0]
-        assert forwarded.first == "POST /api/k?x=1 HTTP/1.1"
+        assert forwarded.start_line == "POST /api/k?x=1 HTTP/1.1"
         assert (forwarded.body, forwarded.headers["request-id"], forwarded.headers["idempotency-key"]) == (
             b"\x00debit",
             "r-1",
--- a/tests/http/test_pipelining.py
+++ b/tests/http/test_pipelining.py
@@ -29,7 +29,7 @@
 
 async def echo_path(message: Message, writer: asyncio.StreamWriter) -> None:
     """Respond with the path of the request."""
-    writer.write(encode_response(200, message.first.split()[1].encode()))
+    writer.write(encode_response(200, message.start_line.split()[1].encode()))
 
 
 async def read_responses(client: Client, count: int) -> list[tuple[int, bytes]]:
@@ -95,7 +95,7 @@
         gate, first_gate = asyncio.Event(), asyncio.Event()
 
         async def respond(message: Message, writer: asyncio.StreamWriter) -> None:
-            await (first_gate if "/first" in message.first else gate).wait()
+            await (first_gate if "/first" in message.start_line else gate).wait()
             await echo_path(message, writer)
 
         async with FakeServer(respond).up() as server, node([entry("one", server.port)]) as proxy:
@@ -128,7 +128,7 @@
         gate = asyncio.Event()
 
         async def respond(message: Message, writer: asyncio.StreamWriter) -> None:
-            if "/first" in message.first:
+            if "/first" in message.start_line:
                 await gate.wait()
             await echo_path(message, writer)
 
--- a/tests/http/test_protocol_features.py
+++ b/tests/http/test_protocol_features.py
@@ -69,7 +69,7 @@
                 )
                 client.writer.write(request)
                 assert status(await client.read_response()) == 200
-                assert server.requests[0].first == "POST /api/k?x=1 HTTP/1.1"
+                assert server.requests[0].start_line == "POST /api/k?x=1 HTTP/1.1"
                 assert server.requests[0].headers["host"] == "app.svc:80"
 
     run(main())
--- a/tests/lab/test_lab.py
+++ b/tests/lab/test_lab.py
@@ -45,7 +45,7 @@
 
     async def play() -> None:
         async def respond_or_report_health(message: Message, writer: asyncio.StreamWriter) -> None:
-            if message.first.startswith("GET /_health"):
+            if message.start_line.startswith("GET /_health"):
                 writer.write(encode_response())
             else:
                 await handler(message, writer)
@@ -73,7 +73,7 @@
 
 
 def requests(server: FakeServer) -> list[Message]:
-    return [message for message in server.requests if not message.first.startswith("GET /_health")]
+    return [message for message in server.requests if not message.start_line.startswith("GET /_health")]
 
 
 def test_clients_send_on_time_while_earlier_requests_are_unanswered(tmp_path: Path):
--- a/tests/support/scripted_discovery.py
+++ b/tests/support/scripted_discovery.py
@@ -33,7 +33,7 @@
         message = await read_message(reader)
         if message is None:
             return
-        self.watch_requests.append(message.first)
+        self.watch_requests.append(message.start_line)
         self.writers.append(writer)
         if (script := self.scripts.get(len(self.watch_requests))) is not None:
             writer.write(script)
--- a/tests/support/sockets.py
+++ b/tests/support/sockets.py
@@ -43,7 +43,7 @@
 
 @dataclass
 class Message:
-    first: str
+    start_line: str
     headers: dict[str, str]
     body: bytes
     connection: int
@@ -53,12 +53,12 @@
     """One HTTP message; None where the connection ended first."""
     try:
         head = (await reader.readuntil(b"\r\n\r\n")).decode()
-        first, *lines = head.strip().split("\r\n")
+        start_line, *lines = head.strip().split("\r\n")
         headers = {name.lower(): value for name, value in (line.split(": ", 1) for line in lines)}
         body = await reader.readexactly(int(headers.get("content-length", 0)))
     except (asyncio.IncompleteReadError, ConnectionError):
         return None
-    return Message(first, headers, body, connection)
+    return Message(start_line, headers, body, connection)
 
 
 def encode_response(status: int = 200, body: bytes = b"ok", **headers: str) -> bytes:
@@ -147,7 +147,7 @@
         message = await read_message(reader)
         if message is None:
             return
-        self.watch_requests.append(message.first)
+        self.watch_requests.append(message.start_line)
         if self.silent:
             self.writers.append(writer)
             return
@@ -265,7 +265,7 @@
 
 def status(message: Message | None) -> int:
     assert message is not None, "the connection ended with no answer"
-    return int(message.first.split()[1])
+    return int(message.start_line.split()[1])
 
 
 def disconnect(client: Client, how: str) -> None:
