--- a/tests/hot_restart/test_hot_restart.py
+++ b/tests/hot_restart/test_hot_restart.py
@@ -80,7 +80,7 @@
 
 
 def create_process(known: list[dict[str, Any]], folder: Path, inherited: int | None, **changes: Any) -> Proxy:
-    proxy = Proxy(config(known, inherited=inherited, state=str(folder), **changes))
+    proxy = Proxy(config(known, inherited_descriptor=inherited, state=str(folder), **changes))
     proxy.discovery.start = proxy.endpoints.list_received.set  # type: ignore[method-assign]
     return proxy
 
--- a/tests/http/test_connection_reuse.py
+++ b/tests/http/test_connection_reuse.py
@@ -73,7 +73,7 @@
 
     async def main() -> None:
         limits = Limits(idle_timeout_ms=50_000.0, connect_timeout_ms=20_000.0)
-        async with FakeServer().up() as server, node([entry("s", server.port)], bounds=limits) as proxy:
+        async with FakeServer().up() as server, node([entry("s", server.port)], limits=limits) as proxy:
             proxy.upstream._sweep_timer.cancel()
             async with Client(proxy) as client:
                 assert status(await client.request("post")) == 200
--- a/tests/http/test_idle_connections.py
+++ b/tests/http/test_idle_connections.py
@@ -29,7 +29,7 @@
 
     async def main() -> None:
         limits = Limits(idle_timeout_ms=1.0)
-        async with FakeServer().up() as server, node([entry("s", server.port)], bounds=limits) as proxy:
+        async with FakeServer().up() as server, node([entry("s", server.port)], limits=limits) as proxy:
             async with Client(proxy) as client:
                 assert status(await client.request("post")) == 200
                 await until(lambda: server.closed == 1)
--- a/tests/http/test_slow_clients.py
+++ b/tests/http/test_slow_clients.py
@@ -62,7 +62,7 @@
     """The limits also leave descriptors for connections that get a 503 and for the admin server."""
 
     async def main() -> None:
-        async with node([], bounds=Limits(max_sockets=sockets)) as proxy:
+        async with node([], limits=Limits(max_sockets=sockets)) as proxy:
             for processes in (1, 2):
                 proxy.resources.process_count = processes
                 proxy.resources.divide(sockets)
--- a/tests/proxy/test_listener.py
+++ b/tests/proxy/test_listener.py
@@ -54,8 +54,8 @@
             port = listener.getsockname()[1]
             async with FakeServer().up() as server:
                 known = [entry("s", server.port)]
-                old = Proxy(config(known, inherited=os.dup(listener.fileno())))
-                new = Proxy(config(known, inherited=os.dup(listener.fileno())))
+                old = Proxy(config(known, inherited_descriptor=os.dup(listener.fileno())))
+                new = Proxy(config(known, inherited_descriptor=os.dup(listener.fileno())))
                 for proxy in (old, new):
                     proxy.discovery.start = proxy.endpoints.list_received.set  # type: ignore[method-assign]
                 await old.start()
--- a/tests/support/sockets.py
+++ b/tests/support/sockets.py
@@ -179,9 +179,9 @@
 def config(
     servers: list[dict[str, Any]],
     discovery: FakeDiscovery | None = None,
-    bounds: Limits | None = None,
+    limits: Limits | None = None,
     state: str | None = None,
-    inherited: int | None = None,
+    inherited_descriptor: int | None = None,
     **changes: Any,
 ) -> NodeConfig:
     return NodeConfig(
@@ -191,9 +191,9 @@
         seed=7,
         settings=settings(poll_discovery=discovery is not None, **changes),
         # A connect takes what it takes on a busy machine: no test here waits for it to be given up.
-        limits=bounds or Limits(connect_timeout_ms=WAIT_S * 1000.0),
+        limits=limits or Limits(connect_timeout_ms=WAIT_S * 1000.0),
         initial_endpoints=InitialEndpoints(5, servers),
-        inherited_descriptor=inherited,
+        inherited_descriptor=inherited_descriptor,
         state_folder=state,
     )
 
