--- a/tests/discovery/test_watch_backoff.py
+++ b/tests/discovery/test_watch_backoff.py
@@ -225,12 +225,12 @@
             arguments = {"discovery" if polls else "pushed": discovery}
             async with node([entry("old", 9)], **arguments) as proxy:  # type: ignore[arg-type]
                 for behaviour in ("mute", "dies", "half", "mute"):
-                    await discovery.begin(behaviour)
+                    await discovery.start(behaviour)
                     await until(lambda: discovery.watch_count >= 3)
                     assert proxy.node.is_known_server("old")
-                    discovery.end()
+                    discovery.stop()
                     await until(lambda: not proxy.discovery.is_open)
-                await discovery.begin("served")
+                await discovery.start("served")
                 await until(lambda: proxy.node.is_known_server("new"))
                 assert not proxy.node.is_known_server("old")
 
--- a/tests/http/test_descriptor_limit.py
+++ b/tests/http/test_descriptor_limit.py
@@ -99,8 +99,8 @@
         async with FakeServer().up() as one, FakeServer().up() as two, contextlib.AsyncExitStack() as stack:
             port, admin_port = free_port(), free_port()
             discovery = RestartableDiscovery()
-            await discovery.begin("mute")
-            stack.callback(discovery.end)
+            await discovery.start("mute")
+            stack.callback(discovery.stop)
             document = platform_document(
                 listen=f"127.0.0.1:{port}",
                 ops=f"127.0.0.1:{admin_port}",
@@ -143,15 +143,15 @@
                 assert [status(answer) for answer in await asyncio.gather(*calls)] == [200] * 3
                 await asyncio.gather(*clients)
             await wait_until_served(port)
-            discovery.end()  # connections to discovery are refused from here on
+            discovery.stop()  # connections to discovery are refused from here on
             await wait_until_served(port)
             assert status(await call_admin(admin_port, "/admin/stats")) == 200
-            await discovery.begin("mute")
+            await discovery.start("mute")
             await until(lambda: discovery.watch_count > 0)  # a descriptor was free for discovery
             await wait_until_served(port)
-            discovery.end()
+            discovery.stop()
             discovery.host, discovery.dial = "two", f"127.0.0.1:{two.port}"
-            await discovery.begin("served")
+            await discovery.start("served")
             await until(lambda: discovery.watch_count > 0)
             before = len(two.requests)
             while len(two.requests) == before:  # a descriptor is free for a connection to a new server
--- a/tests/support/scripted_discovery.py
+++ b/tests/support/scripted_discovery.py
@@ -66,14 +66,14 @@
         self.writers: list[asyncio.StreamWriter] = []
         self.server: asyncio.Server | None = None
 
-    async def begin(self, behaviour: str) -> None:
+    async def start(self, behaviour: str) -> None:
         """Listen, on the same port as before."""
         self.behaviour, self.watch_count = behaviour, 0
         if self.server is None:
             self.server = await asyncio.start_server(self._serve, "127.0.0.1", self.port)
             self.port = self.server.sockets[0].getsockname()[1]
 
-    def end(self) -> None:
+    def stop(self) -> None:
         """Stop listening, and reset all connections."""
         if self.server is not None:
             self.server.close()
@@ -101,8 +101,8 @@
 async def restartable_discovery() -> AsyncIterator[RestartableDiscovery]:
     """A mute discovery that ends with the test."""
     discovery = RestartableDiscovery()
-    await discovery.begin("mute")
+    await discovery.start("mute")
     try:
         yield discovery
     finally:
-        discovery.end()
+        discovery.stop()
