--- a/tests/policy/test_guards.py
+++ b/tests/policy/test_guards.py
@@ -119,12 +119,12 @@
 
 def test_timeout_at_the_deadline_gets_a_final_response_at_once():
     harness = BalancerHarness()
-    name, actions = harness.receive_request("post", left=300.0)
+    name, actions = harness.receive_request("post", timeout_ms=300.0)
     harness.now += 300.0
     assert action_types(
         harness.finish_attempt(name, forwarded(actions)[0].server, AttemptResult.TIMEOUT, 300.0)
     ) == [FailRequest]
-    name, actions = harness.receive_request("read", left=300.0)
+    name, actions = harness.receive_request("read", timeout_ms=300.0)
     harness.now += 300.0
     assert action_types(
         harness.finish_attempt(name, forwarded(actions)[0].server, AttemptResult.TIMEOUT, 300.0)
@@ -134,8 +134,8 @@
 def test_attempt_is_stopped_at_the_objective_where_late_responses_earn_nothing():
     """Late responses that earn nothing would crowd out other requests."""
     harness = BalancerHarness()
-    assert 900.0 < forwarded(harness.receive_request("post", left=2000.0)[1])[0].timeout_ms < 1000.0
-    assert forwarded(harness.receive_request("post", left=500.0)[1])[0].timeout_ms <= 500.0
+    assert 900.0 < forwarded(harness.receive_request("post", timeout_ms=2000.0)[1])[0].timeout_ms < 1000.0
+    assert forwarded(harness.receive_request("post", timeout_ms=500.0)[1])[0].timeout_ms <= 500.0
 
 
 def test_attempt_runs_to_the_deadline_where_late_responses_earn_something():
@@ -147,7 +147,7 @@
         idempotency=Idempotency.IDEMPOTENT,
     )
     harness = BalancerHarness(classes=(service_class,))
-    assert forwarded(harness.receive_request("slow", left=2000.0)[1])[0].timeout_ms == 2000.0
+    assert forwarded(harness.receive_request("slow", timeout_ms=2000.0)[1])[0].timeout_ms == 2000.0
 
 
 def test_streamed_response_keeps_its_attempt():
@@ -381,7 +381,7 @@
 def test_connect_time_counts_towards_the_dedup_window(connect_ms: float, retried: bool):
     """A retry chosen within the window may be sent up to the connect timeout later."""
     harness = BalancerHarness(connect_timeout_ms=connect_ms)
-    name, actions = harness.receive_request("points", left=5000.0)
+    name, actions = harness.receive_request("points", timeout_ms=5000.0)
     harness.now += 800.0  # of a dedup window of 900
     actions = harness.finish_attempt(name, forwarded(actions)[0].server, AttemptResult.ERROR, 800.0)
     assert bool(forwarded(actions)) is retried
--- a/tests/support/balancers.py
+++ b/tests/support/balancers.py
@@ -87,11 +87,11 @@
         return self.balancer.handle(self.now, event)
 
     def receive_request(
-        self, service: str = "read", left: float = 2000.0, **more: Any
+        self, service: str = "read", timeout_ms: float = 2000.0, **more: Any
     ) -> tuple[str, list[Action]]:
         self.request_count += 1
         name = f"r{self.request_count}"
-        return name, self.handle(RequestReceived(name, service, self.now + left, **more))
+        return name, self.handle(RequestReceived(name, service, self.now + timeout_ms, **more))
 
     def finish_attempt(
         self,
