--- a/tests/proxy/test_cordon.py
+++ b/tests/proxy/test_cordon.py
@@ -141,10 +141,10 @@
         with socket.create_server(("127.0.0.1", 0)) as listener:
             async with FakeServer().up() as one, FakeServer().up() as two:
                 known = [entry("one", one.port), entry("two", two.port)]
-                shared = {"state": str(tmp_path), "inherited": os.dup(listener.fileno())}
+                shared = {"state": str(tmp_path), "inherited_descriptor": os.dup(listener.fileno())}
                 async with node(known, **shared) as old:
                     assert await old.cordon("one")
-                    shared["inherited"] = os.dup(listener.fileno())
+                    shared["inherited_descriptor"] = os.dup(listener.fileno())
                     async with node(known, **shared) as new, Client(new) as client:
                         await until(
                             lambda: (old.resources.process_count, new.resources.process_count) == (2, 2)
