--- a/tests/support/balancers.py
+++ b/tests/support/balancers.py
@@ -1,4 +1,4 @@
-"""Small builders that the tests share."""
+"""Settings, servers and balancers that tests of several packages build."""
 
 from __future__ import annotations
 
@@ -46,7 +46,8 @@
 
 
 def settings(**changes: Any) -> Settings:
-    given: dict[str, Any] = {
+    """Return settings with three service classes, with `changes` in place of the defaults below."""
+    defaults: dict[str, Any] = {
         "classes": (IDEMPOTENT, NON_IDEMPOTENT, IDEMPOTENT_WITH_KEY),
         "zone": "a",
         "balancer_count": 2,
@@ -56,15 +57,16 @@
         "warm_up_ms": 10000.0,
         "overload_window_ms": 1500.0,
     }
-    return Settings(**{**given, **changes})
+    return Settings(**{**defaults, **changes})
 
 
 def servers(count: int, **changes: Any) -> tuple[Server, ...]:
-    return tuple(Server(address=f"s{at}", zone="ab"[at % 2], **changes) for at in range(count))
+    """Return servers `s0`, `s1`, ..., alternately in zones `a` and `b`."""
+    return tuple(Server(address=f"s{index}", zone="ab"[index % 2], **changes) for index in range(count))
 
 
 class BalancerHarness:
-    """A balancer with a clock, a server list and a record of what it sent."""
+    """A balancer with a virtual clock and a list of `count` servers. Times are in ms."""
 
     def __init__(self, count: int = 4, seed: int = 7, **changes: Any) -> None:
         self.now = 1000.0
@@ -74,21 +76,23 @@
 
     @property
     def parts(self) -> Parts:
-        """The parts of its decisions."""
+        """The components of the balancer."""
         return self.balancer.parts
 
     @property
     def servers(self) -> dict[str, ServerStats]:
-        """Statistics of the listed servers."""
+        """The statistics of each listed server, by address."""
         return self.parts.shared.pool.servers
 
     def handle(self, event: Event, after: float = 0.0) -> list[Action]:
+        """Advance the clock by `after`, pass an event to the balancer, and return its actions."""
         self.now += after
         return self.balancer.handle(self.now, event)
 
     def receive_request(
         self, service: str = "read", timeout_ms: float = 2000.0, **more: Any
     ) -> tuple[str, list[Action]]:
+        """Receive a request with this time until its deadline; return its ID and the balancer's actions."""
         self.request_count += 1
         name = f"r{self.request_count}"
         return name, self.handle(RequestReceived(name, service, self.now + timeout_ms, **more))
@@ -102,25 +106,28 @@
         attempt: int = 0,
         **more: Any,
     ) -> list[Action]:
+        """Report the end of an attempt; by default a successful one also ends its request."""
         done = more.pop("done", result is AttemptResult.OK)
         return self.handle(AttemptFinished(name, attempt, server, result, latency, done, **more))
 
     def serve_request(self, service: str = "read", latency: float = 100.0, **more: Any) -> str:
-        """One request answered after `latency`; returns the server that took it."""
-        name, acts = self.receive_request(service)
-        server = forwarded(acts)[0].server
+        """Receive a request, end its attempt after `latency`, and return the server that was chosen."""
+        name, actions = self.receive_request(service)
+        server = forwarded(actions)[0].server
         self.now += latency
         self.finish_attempt(name, server, AttemptResult.OK, latency, **more)
         return server
 
     def end_period(self, after: float | None = None) -> list[Action]:
-        """The end of a period, a whole one later unless told otherwise."""
+        """Fire the period timer, by default after one full period."""
         return self.handle(TimerFired("period"), self.balancer.period_ms if after is None else after)
 
 
-def forwarded(acts: list[Action]) -> list[ForwardRequest]:
-    return [act for act in acts if isinstance(act, ForwardRequest)]
+def forwarded(actions: list[Action]) -> list[ForwardRequest]:
+    """Return the attempts among the actions."""
+    return [action for action in actions if isinstance(action, ForwardRequest)]
 
 
-def action_types(acts: list[Action]) -> list[type]:
-    return [type(act) for act in acts]
+def action_types(actions: list[Action]) -> list[type]:
+    """Return the type of each action, in order."""
+    return [type(action) for action in actions]
