--- a/tests/support/raw_messages.py
+++ b/tests/support/raw_messages.py
@@ -1,4 +1,4 @@
-"""Requests and responses written byte by byte, and a server that reads and writes them."""
+"""Requests and responses as raw bytes, and a server whose connections a test reads and writes itself."""
 
 from __future__ import annotations
 
@@ -8,17 +8,17 @@
 
 from tests.support.sockets import FakeServer
 
-Connected = Callable[[asyncio.StreamReader, asyncio.StreamWriter], Awaitable[None]]
+ConnectionHandler = Callable[[asyncio.StreamReader, asyncio.StreamWriter], Awaitable[None]]
 
 
 class RawServer(FakeServer):
-    """A server that passes each connection to a function of the test."""
+    """A server that passes each connection to a function of the test, instead of reading requests from it."""
 
-    def __init__(self, connected: Connected) -> None:
+    def __init__(self, connected: ConnectionHandler) -> None:
         super().__init__()
         self.connected = connected
 
-    async def _take(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.connections += 1
         self.writers.append(writer)
         with contextlib.suppress(ConnectionError, asyncio.IncompleteReadError):
@@ -26,7 +26,7 @@
 
 
 def encode_request_head(framing: str, service: str = "post", **more: str) -> bytes:
-    """The head of a request; `framing` is a header."""
+    """Return the head of a request. `framing` is a whole header line, such as `Content-Length: 3`."""
     lines = ["POST /api/k HTTP/1.1", "Host: a", "Request-Id: big", f"Request-Class: {service}"]
     lines += ["Request-Timeout-Ms: 2000", framing]
     lines += [f"{name.replace('_', '-')}: {value}" for name, value in more.items()]
@@ -34,12 +34,12 @@
 
 
 def byte_pattern(size: int) -> bytes:
-    """Bytes whose order can be checked."""
+    """Return a repeating byte pattern of this size, in which missing or reordered bytes show."""
     return (b"0123456789abcdef" * (size // 16 + 1))[:size]
 
 
 async def read_chunked_body(reader: asyncio.StreamReader) -> bytes:
-    """A chunked body."""
+    """Read and decode a chunked body without trailers."""
     body = b""
     while size := int((await reader.readline()).strip() or b"0", 16):
         body += await reader.readexactly(size)
@@ -52,5 +52,5 @@
 
 
 def encode_raw_response(framing: str, data: bytes) -> bytes:
-    """A response with this framing header."""
+    """Return a response with status 200. `framing` is a whole header line; `data` is the body as sent."""
     return b"HTTP/1.1 200 OK\r\n" + framing.encode() + b"\r\n\r\n" + data
--- a/tests/support/sockets.py
+++ b/tests/support/sockets.py
@@ -1,4 +1,4 @@
-"""Tiny peers on loopback sockets: a server and a discovery that do what a test tells them, and a client."""
+"""Fake servers, discovery services and clients on loopback sockets, and nodes that run in the test's process."""
 
 from __future__ import annotations
 
@@ -19,30 +19,41 @@
 from rosewheel.proxy.proxy import Proxy
 from tests.support.balancers import settings
 
-WAIT_S = 20.0  # a test that waits this long has failed; a good one never gets near it
+WAIT_S = 20.0  # timeout of a wait; far above any wait of a test that passes
 
-# Unfinished heads of requests, to be written to a socket.
+# Incomplete request heads.
 POST_HEAD = b"POST /x HTTP/1.1\r\nRequest-Id: a\r\nRequest-Class: post\r\n"
 TIMED_POST_HEAD = POST_HEAD + b"Request-Timeout-Ms: 900\r\n"
 
 
 def run(main: Coroutine[Any, Any, None]) -> None:
-    async def bounded() -> None:
+    """Run a test's coroutine on uvloop. Raise TimeoutError after twice WAIT_S."""
+
+    async def run_with_timeout() -> None:
         async with asyncio.timeout(WAIT_S * 2):
             await main
 
-    uvloop.run(bounded())
+    uvloop.run(run_with_timeout())
 
 
-async def until(true: Callable[[], bool]) -> None:
-    """Wait for an event that shows only as a state."""
+async def until(condition: Callable[[], bool]) -> None:
+    """Poll until the condition holds. Raise TimeoutError after WAIT_S."""
     async with asyncio.timeout(WAIT_S):
-        while not true():
+        while not condition():
             await asyncio.sleep(0.002)
 
 
 @dataclass
 class Message:
+    """An HTTP request or response.
+
+    Attributes:
+        start_line: the request line or status line.
+        headers: by name in lower case.
+        body: decoded by Content-Length.
+        connection: number of the connection on which it came, from 1; 0 if the reader doesn't count connections.
+    """
+
     start_line: str
     headers: dict[str, str]
     body: bytes
@@ -50,7 +61,7 @@
 
 
 async def read_message(reader: asyncio.StreamReader, connection: int = 0) -> Message | None:
-    """One HTTP message; None where the connection ended first."""
+    """Read one HTTP message; return None if the connection ends before the message is complete."""
     try:
         head = (await reader.readuntil(b"\r\n\r\n")).decode()
         start_line, *lines = head.strip().split("\r\n")
@@ -62,6 +73,7 @@
 
 
 def encode_response(status: int = 200, body: bytes = b"ok", **headers: str) -> bytes:
+    """Encode a response; an underscore in the name of a header stands for a hyphen."""
     lines = [f"HTTP/1.1 {status} X", f"Content-Length: {len(body)}"]
     lines += [f"{name.replace('_', '-')}: {value}" for name, value in headers.items()]
     return "\r\n".join(lines).encode() + b"\r\n\r\n" + body
@@ -71,22 +83,23 @@
 
 
 async def serve_ok(message: Message, writer: asyncio.StreamWriter) -> None:
+    """Respond to each request with status 200 at once."""
     writer.write(encode_response())
 
 
 def closed_port() -> int:
-    """A port on which nothing listens."""
+    """Return a loopback port on which nothing listens."""
     with socket.socket() as free:
         free.bind(("127.0.0.1", 0))
         return int(free.getsockname()[1])
 
 
 async def never_respond(_message: Message, _writer: asyncio.StreamWriter) -> None:
-    """A handler that receives a request and does not respond."""
+    """Receive a request without ever responding."""
 
 
 def gated_handler() -> tuple[asyncio.Event, Handler]:
-    """A handler that responds once the event is set."""
+    """Return an event, and a handler that responds once this event is set."""
     gate = asyncio.Event()
 
     async def respond(_message: Message, writer: asyncio.StreamWriter) -> None:
@@ -98,6 +111,17 @@
 
 @dataclass
 class FakeServer:
+    """A server that passes each request to a handler.
+
+    Attributes:
+        handler: writes the response, if any.
+        requests: the requests received, in order.
+        connections: the number of connections accepted.
+        closed: the number of connections that have ended.
+        port: where it listens.
+        writers: of all connections.
+    """
+
     handler: Handler = serve_ok
     requests: list[Message] = field(default_factory=list)
     connections: int = 0
@@ -105,7 +129,7 @@
     port: int = 0
     writers: list[asyncio.StreamWriter] = field(default_factory=list)
 
-    async def _take(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.connections += 1
         number = self.connections
         self.writers.append(writer)
@@ -118,7 +142,8 @@
 
     @contextlib.asynccontextmanager
     async def up(self) -> AsyncIterator[FakeServer]:
-        server = await asyncio.start_server(self._take, "127.0.0.1", 0)
+        """Listen on a free port until the context ends, then close all connections."""
+        server = await asyncio.start_server(self._serve, "127.0.0.1", 0)
         self.port = server.sockets[0].getsockname()[1]
         try:
             yield self
@@ -129,21 +154,30 @@
 
 
 def entry(host: str, port: int, **more: Any) -> dict[str, Any]:
+    """Return an entry of discovery's list for the endpoint at this loopback port."""
     row = {"host": host, "dial": f"127.0.0.1:{port}", "site": "a", "class": "m", "block": 0}
     return row | {"health": "active", "share": 1.0, "born_ms": 0} | more
 
 
 @dataclass
 class FakeDiscovery:
-    """Holds each watch open; `send_update` writes a line to the newest one."""
-
-    rejected_watches: int = 0  # how many watches to answer 503 first
-    silent: bool = False  # take watches and say nothing
+    """A discovery service that keeps each watch open and writes to the newest one what a test tells it to.
+
+    Attributes:
+        rejected_watches: how many watches to reject with status 503 before the first one is accepted.
+        silent: whether to send nothing on a watch, not even the head of a response.
+        watch_requests: the request line of each watch.
+        writers: of the accepted watches.
+        port: where it listens.
+    """
+
+    rejected_watches: int = 0
+    silent: bool = False
     watch_requests: list[str] = field(default_factory=list)
     writers: list[asyncio.StreamWriter] = field(default_factory=list)
     port: int = 0
 
-    async def _take(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         message = await read_message(reader)
         if message is None:
             return
@@ -159,14 +193,17 @@
         self.writers.append(writer)
 
     def send_bytes(self, data: bytes) -> None:
+        """Write bytes to the newest watch, as one chunk."""
         self.writers[-1].write(b"%x\r\n%b\r\n" % (len(data), data))
 
     def send_update(self, seq: int, *hosts: dict[str, Any], whole: bool = False) -> None:
+        """Write an update with these entries to the newest watch; a snapshot if `whole`."""
         self.send_bytes(orjson.dumps({"seq": seq, "whole": whole, "hosts": hosts}) + b"\n")
 
     @contextlib.asynccontextmanager
     async def up(self) -> AsyncIterator[FakeDiscovery]:
-        server = await asyncio.start_server(self._take, "127.0.0.1", 0)
+        """Listen on a free port until the context ends, then close all connections."""
+        server = await asyncio.start_server(self._serve, "127.0.0.1", 0)
         self.port = server.sockets[0].getsockname()[1]
         try:
             yield self
@@ -184,13 +221,14 @@
     inherited_descriptor: int | None = None,
     **changes: Any,
 ) -> NodeConfig:
+    """Return the configuration of a node on a free port; `changes` are fields of its settings."""
     return NodeConfig(
         name="t",
         listen_address=("127.0.0.1", 0),
         discovery_address=("127.0.0.1", discovery.port if discovery else 1),
         seed=7,
         settings=settings(poll_discovery=discovery is not None, **changes),
-        # A connect takes what it takes on a busy machine: no test here waits for it to be given up.
+        # On a busy machine a connect can take longer than the default timeout of 250 ms.
         limits=limits or Limits(connect_timeout_ms=WAIT_S * 1000.0),
         initial_endpoints=InitialEndpoints(5, servers),
         inherited_descriptor=inherited_descriptor,
@@ -205,31 +243,43 @@
     pushed: FakeDiscovery | None = None,
     **changes: Any,
 ) -> AsyncIterator[Proxy]:
-    """A node that knows these servers from its start. It asks `discovery`; `pushed` tells it unasked."""
-    told = config(servers, discovery or pushed, **changes)
+    """Run a node until the context ends.
+
+    Args:
+        servers: entries of its initial endpoint list.
+        discovery: a discovery service that the node polls.
+        pushed: a discovery service that pushes lists to the node instead.
+        changes: arguments of `config`.
+    """
+    node_config = config(servers, discovery or pushed, **changes)
     if pushed is not None:
-        told = dataclasses.replace(told, settings=settings(poll_discovery=False))
-    relay = Proxy(told)
-    if pushed is not None:  # it speaks when the test says so, and that may be after the start
-        relay.endpoints.list_wait_s = lambda _: 0.0  # type: ignore[method-assign]
-    if discovery is None and pushed is None:  # nothing listens there, and nothing is to be asked
-        relay.discovery.start = lambda: None  # type: ignore[method-assign]
-    await relay.start()
+        node_config = dataclasses.replace(node_config, settings=settings(poll_discovery=False))
+    proxy = Proxy(node_config)
+    if pushed is not None:  # the test may send the first list only after the start, so don't wait for it
+        proxy.endpoints.list_wait_s = lambda _: 0.0  # type: ignore[method-assign]
+    if discovery is None and pushed is None:  # nothing listens at the configured address
+        proxy.discovery.start = lambda: None  # type: ignore[method-assign]
+    await proxy.start()
     try:
-        yield relay
+        yield proxy
     finally:
-        relay.discovery.close()
-        relay.upstream.close()
-        relay.server.close()
-        relay.shared_state.close()
-        relay.snapshots.close()
+        proxy.discovery.close()
+        proxy.upstream.close()
+        proxy.server.close()
+        proxy.shared_state.close()
+        proxy.snapshots.close()
 
 
 class Client:
-    """One connection of a client."""
+    """A client with one connection.
+
+    Attributes:
+        port: where it connects: to `proxy` if given, else to `port`.
+        sent: the number of requests sent.
+    """
 
-    def __init__(self, relay: Proxy | None = None, port: int = 0) -> None:
-        self.port = relay.server.port if relay is not None else port
+    def __init__(self, proxy: Proxy | None = None, port: int = 0) -> None:
+        self.port = proxy.server.port if proxy is not None else port
         self.sent = 0
 
     async def __aenter__(self) -> Client:
@@ -240,6 +290,7 @@
         self.writer.close()
 
     def send(self, service: str = "read", timeout: int = 2000, body: bytes = b"", **headers: str) -> None:
+        """Write a request without waiting for the response; `timeout` is in ms."""
         self.sent += 1
         lines = [
             f"{'GET' if service == 'read' else 'POST'} /api/k?x=1 HTTP/1.1",
@@ -253,23 +304,26 @@
         self.writer.write("\r\n".join(lines).encode() + b"\r\n\r\n" + body)
 
     async def read_response(self) -> Message | None:
+        """Read a response; return None if the connection ends first."""
         async with asyncio.timeout(WAIT_S):
             return await read_message(self.reader)
 
     async def request(self, service: str = "read", **more: Any) -> Message:
+        """Send a request and return its response."""
         self.send(service, **more)
-        got = await self.read_response()
-        assert got is not None, "the connection ended with no answer"
-        return got
+        response = await self.read_response()
+        assert response is not None, "the connection ended without a response"
+        return response
 
 
 def status(message: Message | None) -> int:
-    assert message is not None, "the connection ended with no answer"
+    """Return the status code of a response; fail the test if there is none."""
+    assert message is not None, "the connection ended without a response"
     return int(message.start_line.split()[1])
 
 
 def disconnect(client: Client, how: str) -> None:
-    """End a connection: `close` it, `reset` it, or close its sending side (`half`)."""
+    """End a client's connection: `close` it, `reset` it, or close only its sending side (`half`)."""
     sock = client.writer.get_extra_info("socket")
     if how == "reset":
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
