--- a/tests/support/scripted_discovery.py
+++ b/tests/support/scripted_discovery.py
@@ -1,4 +1,4 @@
-"""Discovery services on loopback that follow a script, or end and come back."""
+"""Fake discovery services on loopback: one writes scripted bytes, one can be stopped and restarted."""
 
 from __future__ import annotations
 
@@ -15,13 +15,21 @@
 
 
 def encode_chunk(data: bytes) -> bytes:
-    """Data as one chunk of a body."""
+    """Return the data as one chunk of a chunked body."""
     return b"%x\r\n%b\r\n" % (len(data), data)
 
 
 @dataclass
 class ScriptedDiscovery:
-    """Writes to the n-th watch what its script has for it, and holds each open; without a script it is silent."""
+    """Writes scripted bytes to each watch and keeps the connection open until the client closes it.
+
+    Attributes:
+        scripts: the bytes to write, by number of the watch from 1. A watch without an entry gets no response.
+        watch_requests: the request line of each watch.
+        ended: the number of connections that the client has closed.
+        writers: of all connections.
+        port: where it listens.
+    """
 
     scripts: dict[int, bytes] = field(default_factory=dict)
     watch_requests: list[str] = field(default_factory=list)
@@ -43,7 +51,7 @@
 
     @contextlib.asynccontextmanager
     async def up(self) -> AsyncIterator[ScriptedDiscovery]:
-        """Listen on a free port."""
+        """Listen on a free port until the context ends."""
         server = await asyncio.start_server(self._serve, "127.0.0.1", 0)
         self.port = server.sockets[0].getsockname()[1]
         try:
@@ -55,9 +63,10 @@
 
 
 class RestartableDiscovery:
-    """A discovery on one port that ends and comes back, each time with another behaviour.
+    """A discovery service that can be stopped and restarted on the same port with another behaviour.
 
-    `served`: a snapshot is written; `mute`: nothing; `half`: a part of a line; `dies`: that, and a reset.
+    What it writes to a watch, by behaviour: `served` a snapshot, `mute` nothing, `half` the start of a line, `dies` the
+    start of a line before it resets the connection. `watch_count` counts the watches since the last start.
     """
 
     def __init__(self) -> None:
@@ -67,14 +76,14 @@
         self.server: asyncio.Server | None = None
 
     async def start(self, behaviour: str) -> None:
-        """Listen, on the same port as before."""
+        """Start with this behaviour, on the same port as before; a running service only changes its behaviour."""
         self.behaviour, self.watch_count = behaviour, 0
         if self.server is None:
             self.server = await asyncio.start_server(self._serve, "127.0.0.1", self.port)
             self.port = self.server.sockets[0].getsockname()[1]
 
     def stop(self) -> None:
-        """Stop listening, and reset all connections."""
+        """Stop listening and reset all connections."""
         if self.server is not None:
             self.server.close()
             self.server = None
@@ -99,7 +108,7 @@
 
 @contextlib.asynccontextmanager
 async def restartable_discovery() -> AsyncIterator[RestartableDiscovery]:
-    """A mute discovery that ends with the test."""
+    """Start a discovery service with the behaviour `mute`, and stop it at the end."""
     discovery = RestartableDiscovery()
     await discovery.start("mute")
     try:
