--- a/tests/support/configurations.py
+++ b/tests/support/configurations.py
@@ -1,10 +1,10 @@
-"""Configurations that tests start nodes with."""
+"""Configurations with which tests start nodes."""
 
 from __future__ import annotations
 
 from typing import Any
 
-# Settings as the platform and the simulator send them.
+# Settings of a node under the keys that the platform and the simulator use.
 PLATFORM_SETTINGS: dict[str, Any] = {
     "accounts": [{"name": "t", "quotaPerS": 10.0, "fraction": 1.0}],
     "bounds": {"cancel": True, "maxAttempts": 3, "maxRetryAfterMs": 500.0, "retryAfter": True},
@@ -36,10 +36,10 @@
     "tier": 0,
     "valueBy": "request",
     "locality": "a",
-    "unheardOf": {"x": 1},
+    "unheardOf": {"x": 1},  # an unknown key, which a node ignores
 }
 
-# A small file of the operator.
+# A small configuration file of an operator.
 OPERATOR_TOML = """
 [node]
 listen = "127.0.0.1:7999"
@@ -59,7 +59,7 @@
 
 
 def platform_document(**changes: Any) -> dict[str, Any]:
-    """The platform's JSON file of a node, with these keys in place of its own."""
+    """Return a node's configuration as the platform writes it, with `changes` in place of its keys."""
     document = {
         "name": "n0",
         "listen": "127.0.0.1:7999",
--- a/tests/support/control_child.py
+++ b/tests/support/control_child.py
@@ -1,8 +1,9 @@
-"""A control machine as a process that kills itself, as by `kill -9`, at one point of its nth record:
+"""Runs a control machine that kills its own process with SIGKILL while it appends the nth record to its log.
 
     python control_child.py NAME LISTEN DIRECTORY PEER=ADDRESS POINT NTH
 
-POINT is `before` the write, `half` way through it, `written` and not synced, `synced` and not acknowledged, or `never`.
+POINT says when: `before` the write, `half` (after half of the bytes), `written` (before the sync), `synced` (before the
+acknowledgement), or `never`.
 """
 
 from __future__ import annotations
@@ -20,7 +21,7 @@
 
 
 class SelfKillingLog(DurableLog):
-    """A log that kills its process at one point of the nth record."""
+    """A log that kills its process at `point` of the nth append."""
 
     def __init__(self, directory: Path, point: str, nth: int) -> None:
         self.point, self.records_left = point, nth
--- a/tests/support/control_machines.py
+++ b/tests/support/control_machines.py
@@ -1,4 +1,4 @@
-"""Control machines and subscribers on loopback, with connections between them that a test can interrupt."""
+"""Control machines and subscribers on loopback, connected over routes that a test can interrupt."""
 
 from __future__ import annotations
 
@@ -18,14 +18,17 @@
 from rosewheel.control.machine_settings import MachineSettings
 from rosewheel.control.subscriber import ConfigurationSubscriber
 
-# A host of this process: a machine that is stopped starts again on its port, which a connection from 127.0.0.1 must not
-# have taken meanwhile.
+# A loopback address that only this process uses, derived from its ID. A stopped machine restarts on the same port; on
+# 127.0.0.1 an outgoing connection of another process could have taken that port meanwhile.
 HOST = f"127.{64 + os.getpid() // 250 % 128}.{os.getpid() % 250 + 1}.1"
 
 
 class InterruptibleRoute:
-    """Forwards connections to one address. While it is interrupted nothing passes and neither end is notified. Data
-    written meanwhile arrives afterwards, as with TCP retransmission."""
+    """Forwards connections to one address, and can be interrupted.
+
+    While `passable` is clear, no data passes and neither end is notified. Data written meanwhile arrives afterwards, as
+    with TCP retransmission.
+    """
 
     def __init__(self, target: Address) -> None:
         self.target = target
@@ -40,7 +43,7 @@
 
     async def _forward(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.writers.append(writer)
-        with contextlib.suppress(asyncio.CancelledError, OSError):  # the end of the test, or of the machine
+        with contextlib.suppress(asyncio.CancelledError, OSError):  # the test or the machine ended
             await self.passable.wait()
             target_reader, target_writer = await asyncio.open_connection(*self.target)
             self.writers.append(target_writer)
@@ -62,7 +65,10 @@
 
 
 class ControlCluster:
-    """Machines c1, c2, ... that reach one another, and are reached by nodes, over interruptible routes."""
+    """Control machines `c1`, `c2`, ... and nodes that subscribe to them.
+
+    Each machine or node connects to each machine over an interruptible route of its own.
+    """
 
     def __init__(self, directory: Path, count: int = 4, initial_leader: str = "c1") -> None:
         self.directory, self.initial_leader = directory, initial_leader
@@ -74,15 +80,17 @@
         self.machines: dict[str, ControlMachine] = {}
         self.routes: dict[tuple[str, str], InterruptibleRoute] = {}
         self.nodes: dict[str, ConfigurationSubscriber] = {}
-        self.documents: dict[str, Document] = {}  # last applied, by node
-        self.applied: dict[str, list[Document]] = {}  # all applied, by node
+        self.documents: dict[str, Document] = {}  # by node: the document applied last
+        self.applied: dict[str, list[Document]] = {}  # by node: all documents applied, in order
 
     async def route(self, start: str, end: str) -> InterruptibleRoute:
+        """Return the route from a machine or node to a machine, and start it on first use."""
         if (start, end) not in self.routes:
             self.routes[start, end] = await InterruptibleRoute(self.addresses[end]).start()
         return self.routes[start, end]
 
     async def start(self, name: str) -> ControlMachine:
+        """Start a machine, on its earlier port if it was stopped."""
         peers = {peer: (await self.route(name, peer)).address for peer in self.names if peer != name}
         settings = MachineSettings(
             name, self.addresses[name], self.directory / name, peers, self.initial_leader
@@ -120,7 +128,14 @@
         cache_path: Path | None = None,
         reject: Callable[[Document], str] = lambda document: "",
     ) -> ConfigurationSubscriber:
-        """Start a node. `reject` returns the reason for which it can't apply a document, empty where it can."""
+        """Start a node.
+
+        Args:
+            name: of the node.
+            service: whose configuration the node subscribes to.
+            cache_path: file in which the node keeps its document, if any.
+            reject: returns why the node can't apply a document, or an empty string to apply it.
+        """
         machines = {machine: (await self.route(name, machine)).address for machine in self.names}
 
         def apply(document: Document) -> None:
@@ -135,6 +150,7 @@
         return node
 
     async def call(self, name: str, method: str, target: str, body: Any = None) -> tuple[int, Any]:
+        """Call a machine's HTTP API; return the status code and the decoded body."""
         client = JsonHttpClient(self.addresses[name])
         try:
             return await client.call(method, target, body, timeout_s=20.0)
@@ -142,17 +158,20 @@
             client.close()
 
     async def put(self, name: str, patch: Any, version: int | None = None, **fields: Any) -> tuple[int, Any]:
+        """Apply a patch through a machine, by default to the newest version that this machine has."""
         if version is None:
             version = self.machines[name].store.replica.last.number
         return await self.call(name, "POST", "/control/put", {"patch": patch, "version": version} | fields)
 
     async def status(self, name: str) -> Any:
+        """Return a machine's status, with all nodes listed."""
         code, body = await self.call(name, "GET", "/control/status?all=1")
         assert code == 200
         return body
 
 
 def seed_of(name: str) -> int:
+    """Return a seed that depends on the name only, unlike `hash()`, which differs between processes."""
     return int(sum(ord(letter) * 31**index for index, letter in enumerate(name)) % 2**32)
 
 
@@ -160,6 +179,7 @@
 async def control_cluster(
     directory: Path, count: int = 4, initial_leader: str = "c1"
 ) -> AsyncIterator[ControlCluster]:
+    """Start a cluster of `count` control machines, and close its machines, nodes and routes at the end."""
     cluster = ControlCluster(directory, count, initial_leader)
     for name in cluster.names:
         await cluster.start(name)
--- a/tests/support/loops.py
+++ b/tests/support/loops.py
@@ -1,10 +1,10 @@
-"""An event loop of which some methods are replaced."""
+"""An event loop with some methods replaced."""
 
 from __future__ import annotations
 
 
 class PatchedLoop:
-    """Passes everything on to a loop, but for the methods given by keyword."""
+    """Delegates to an event loop, except for the attributes given as keyword arguments."""
 
     def __init__(self, loop: object, **replaced: object) -> None:
         self._loop = loop
--- a/tests/support/processes.py
+++ b/tests/support/processes.py
@@ -1,4 +1,4 @@
-"""Processes that tests start, and connections to them."""
+"""Starts processes under test, and connects to them."""
 
 from __future__ import annotations
 
@@ -18,11 +18,11 @@
 
 
 def start_node(folder: Path, document: Any, **environ: str) -> subprocess.Popen[str]:
-    """Start a node as the platform does.
+    """Start a node as the platform does, with its configuration in a file that `LB_CONFIG` names.
 
     Args:
-        folder: where its configuration file is written.
-        document: content of that file: JSON as plain values, or bytes.
+        folder: where the configuration file is written.
+        document: content of that file: a value to encode as JSON, or bytes to write as they are.
         environ: further environment variables.
     """
     path = folder / "config.json"
@@ -37,7 +37,7 @@
 
 
 def start_command(*arguments: str) -> subprocess.Popen[str]:
-    """Start the `rosewheel` command."""
+    """Start the `rosewheel` command with these arguments."""
     return subprocess.Popen(
         [sys.executable, "-m", "rosewheel.cli", *arguments],
         cwd=ROOT,
@@ -49,13 +49,13 @@
 
 
 def free_port() -> int:
-    """A port of the loopback interface on which nothing listens."""
+    """Return a loopback port on which nothing listens."""
     with socket.create_server(("127.0.0.1", 0)) as server:
         return int(server.getsockname()[1])
 
 
 def connect(process: subprocess.Popen[str], port: int) -> socket.socket:
-    """A connection to the process, once it listens."""
+    """Connect to a port of the process, retrying until it listens."""
     deadline = time.monotonic() + CONNECT_TIMEOUT_S
     while True:
         try:
