--- a/benchmarks/processes.py
+++ b/benchmarks/processes.py
@@ -1,7 +1,7 @@
-"""Processes that benchmarks share: a server that answers at once, a node, and what the system says of them.
+"""Starts and measures the processes of a benchmark: servers that respond at once, and nodes.
 
-A benchmark starts its own file again as another process with `--role`; `start_role` does that, and `serve_role` is
-what the other process runs.
+A benchmark runs its own file as further processes with `--role`: `start_role` starts one, and `serve_role` is what it
+runs.
 """
 
 from __future__ import annotations
@@ -23,12 +23,12 @@
 
 
 def now_ms() -> float:
-    """The machine's monotonic clock, which all its processes share."""
+    """Return the machine's monotonic clock, which all its processes share, in ms."""
     return time.monotonic() * 1000.0
 
 
 class RequestReader(asyncio.Protocol):
-    """Answers each request as soon as it is complete. Requests on one connection come one at a time."""
+    """Responds to each request once it is complete. Does not support pipelining."""
 
     def __init__(self) -> None:
         self._received = b""
@@ -44,12 +44,12 @@
             self.transport.write(self.response())
 
     def response(self) -> bytes:
-        """The answer to the request that is complete now."""
+        """Return the response to the request that is now complete."""
         raise NotImplementedError
 
 
 def _content_length(head: bytes) -> int:
-    """The request's Content-Length; 0 where it has none."""
+    """Return the request's Content-Length, or 0 if it has none."""
     for line in head.lower().split(b"\r\n"):
         if line.startswith(b"content-length:"):
             return int(line.removeprefix(b"content-length:"))
@@ -57,7 +57,7 @@
 
 
 async def serve_role(factory: Callable[[], asyncio.Protocol]) -> None:
-    """Serve on a port of its own, which is printed, until the process that started this one ends."""
+    """Listen on a free port, print it, and serve until standard input is closed, as when the parent process ends."""
     loop = asyncio.get_running_loop()
     server = await loop.create_server(factory, "127.0.0.1", 0, backlog=ACCEPT_BACKLOG)
     print(server.sockets[0].getsockname()[1], flush=True)
@@ -65,10 +65,10 @@
 
 
 def start_role(script: str, role: str, *arguments: str) -> tuple[subprocess.Popen[str], int]:
-    """Start a benchmark's file as another process.
+    """Run a benchmark's file as another process.
 
     Returns:
-        The process and the port on which it serves.
+        The process and the port on which it listens.
     """
     command = [sys.executable, script, "--role", role, *arguments]
     process = subprocess.Popen(command, stdin=subprocess.PIPE, stdout=subprocess.PIPE, text=True)
@@ -77,7 +77,7 @@
 
 
 def node_document(name: str, port: int, endpoint_port: int, endpoint_count: int) -> dict[str, Any]:
-    """The platform's JSON file of a node whose endpoints all are the process at `endpoint_port`."""
+    """Return a node's configuration as the platform writes it. All its endpoints are the process at `endpoint_port`."""
     endpoints = [
         {
             "host": f"e{number}",
@@ -121,7 +121,14 @@
 def start_node(
     folder: Path, document: dict[str, Any], command: list[str], state_folder: Path | None = None
 ) -> subprocess.Popen[bytes]:
-    """Start a node with this configuration; its log and its file lie in `folder`."""
+    """Start a node.
+
+    Args:
+        folder: where its configuration file and its log are written.
+        document: its configuration.
+        command: what to run.
+        state_folder: where it keeps its state, by default `folder`.
+    """
     config = folder / "config.json"
     config.write_text(json.dumps(document))
     environ = {key: value for key, value in os.environ.items() if not key.startswith("LB_")}
@@ -131,7 +138,7 @@
 
 
 async def wait_listening(port: int) -> None:
-    """Wait until a process listens there. Ends the benchmark after READY_TIMEOUT_S."""
+    """Wait until a node listens on the port; end the benchmark with an error after READY_TIMEOUT_S."""
     started_s = time.monotonic()
     while time.monotonic() - started_s < READY_TIMEOUT_S:
         try:
@@ -141,11 +148,11 @@
             await asyncio.sleep(READY_RETRY_S)
         else:
             return
-    raise SystemExit("the node did not start")
+    raise SystemExit(f"the node did not listen on port {port} within {READY_TIMEOUT_S:g} s")
 
 
 async def free_port() -> int:
-    """A port of the loopback interface on which nothing listens."""
+    """Return a loopback port on which nothing listens."""
     server = await asyncio.start_server(lambda *_: None, "127.0.0.1", 0)
     port: int = server.sockets[0].getsockname()[1]
     server.close()
@@ -154,18 +161,18 @@
 
 
 def cpu_s(pid: int) -> float:
-    """User and system time of all threads of a process, to 10 ms."""
+    """Return the user and system time of all threads of a process in seconds, to 10 ms."""
     fields = Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()
     return (int(fields[11]) + int(fields[12])) / os.sysconf("SC_CLK_TCK")
 
 
 def resident_mb(pid: int) -> float:
-    """Resident memory of a process."""
+    """Return the resident memory of a process in MB."""
     return int(Path(f"/proc/{pid}/statm").read_text().split()[1]) * os.sysconf("SC_PAGE_SIZE") / 1e6
 
 
 def stop(processes: list[subprocess.Popen[Any]]) -> None:
-    """End the processes and wait for each."""
+    """Terminate the processes, and wait until each has ended."""
     for process in processes:
         process.terminate()
         process.wait()
