--- a/benchmarks/passthrough.py
+++ b/benchmarks/passthrough.py
@@ -1,10 +1,11 @@
-"""What a request costs a node in CPU, against a bare pass-through that reads nothing, in one run on loopback.
+"""Measures a node's CPU time per request against a proxy that copies bytes without parsing them, on loopback.
 
     python benchmarks/passthrough.py [--requests 6000] [--connections 16] [--rounds 3] [--body 200] [--equipos 10]
 
-Four processes: the clients (this one), a server that answers at once, the bare pass-through (uvloop, bytes copied both
-ways), and a node as `run` starts it. The last two take turns. The last line is JSON: microseconds of CPU a request,
-user and system, their ratio, and the node's memory at the end. All `--equipos` endpoints are the one server.
+Four processes: the clients (this one), a server that responds at once, the bare proxy (on uvloop), and a node as `run`
+starts it. Requests go through the bare proxy and the node in turns. All `--equipos` endpoints of the node are the one
+server. The last line is JSON: user and system time of each per request in microseconds, the ratio of the two, and the
+node's memory at the end.
 """
 
 from __future__ import annotations
@@ -33,19 +34,19 @@
     wait_listening,
 )
 
-WARM_UP_REQUESTS = 20  # on each connection, before anything is measured
+WARM_UP_REQUESTS = 20  # on each connection, before the measurement
 NODE_COMMAND = [sys.executable, "-m", "rosewheel"]
 
 
 class StandInServer(RequestReader):
-    """A server that answers at once."""
+    """A server that responds at once."""
 
     def response(self) -> bytes:
         return b"HTTP/1.1 200 OK\r\nContent-Length: 20\r\nServer-Load: inflight=1\r\n\r\n" + b"a" * 20
 
 
 class BareProxy(asyncio.Protocol):
-    """One side of a connection whose bytes are copied to its other side."""
+    """One side of a proxied connection, which copies its bytes to the other side."""
 
     def __init__(self, target: tuple[str, int] | None = None, other: BareProxy | None = None) -> None:
         self.target, self.other = target, other
@@ -75,10 +76,10 @@
 
 
 async def send_requests(port: int, requests: int, connections: int, body: int, round_number: int) -> int:
-    """Send requests over several connections, one at a time on each; returns how many were served."""
+    """Send requests over several connections, one at a time on each; return how many got status 200."""
     served = 0
 
-    async def send_on_one(connection: int) -> None:
+    async def send_on_connection(connection: int) -> None:
         nonlocal served
         reader, writer = await asyncio.open_connection("127.0.0.1", port)
         for number in range(requests // connections):
@@ -95,18 +96,18 @@
             served += head.startswith(b"HTTP/1.1 200")
         writer.close()
 
-    await asyncio.gather(*(send_on_one(connection) for connection in range(connections)))
+    await asyncio.gather(*(send_on_connection(connection) for connection in range(connections)))
     return served
 
 
 @dataclass
 class ForwardingPath:
-    """A process that forwards requests, and what each request cost it.
+    """A process that forwards requests, and its CPU time per request.
 
     Attributes:
-        pid: the process.
+        pid: ID of the process.
         port: where it listens.
-        cpu_us: microseconds of CPU a request, by round.
+        cpu_us: microseconds of CPU time per request, by round.
     """
 
     pid: int
@@ -115,11 +116,11 @@
 
 
 async def measure_paths(paths: dict[str, ForwardingPath], options: argparse.Namespace) -> None:
-    """Send requests through each path in turns, after some that warm it up."""
+    """Warm up each path, then send requests through the paths in turns."""
     for name, path in paths.items():
         warm_up = options.connections * WARM_UP_REQUESTS
         if not await send_requests(path.port, warm_up, options.connections, options.body, -1):
-            raise SystemExit(f"{name} serves nothing")
+            raise SystemExit(f"{name}: no request of the warm-up got status 200")
     for number in range(options.rounds):
         for path in paths.values():
             before_s = cpu_s(path.pid)
@@ -130,7 +131,7 @@
 
 
 async def measure(options: argparse.Namespace) -> dict[str, Any]:
-    """Start all processes, measure, and return the result."""
+    """Start the processes, measure both paths, and return the result."""
     with tempfile.TemporaryDirectory() as folder:
         server, server_port = start_role(__file__, "server")
         bare, bare_port = start_role(__file__, "bare", "--target", str(server_port))
@@ -155,13 +156,15 @@
 
 
 def main() -> None:
-    """Measure, or be one of the other processes."""
+    """Run the benchmark, or one of its other processes if `--role` is given."""
     parser = argparse.ArgumentParser(description=(__doc__ or "").split("\n", 1)[0])
     parser.add_argument("--requests", type=int, default=6000)
     parser.add_argument("--connections", type=int, default=16)
     parser.add_argument("--rounds", type=int, default=3)
-    parser.add_argument("--body", type=int, default=200, help="bytes of a request's body")
-    parser.add_argument("--equipos", dest="servers", type=int, default=10, help="endpoints of the node")
+    parser.add_argument("--body", type=int, default=200, help="size of a request body in bytes")
+    parser.add_argument(
+        "--equipos", dest="servers", type=int, default=10, help="number of endpoints of the node"
+    )
     parser.add_argument("--role", choices=("server", "bare"), help=argparse.SUPPRESS)
     parser.add_argument("--target", type=int, default=0, help=argparse.SUPPRESS)
     options = parser.parse_args()
