--- a/benchmarks/added_time_clients.py
+++ b/benchmarks/added_time_clients.py
@@ -1,4 +1,4 @@
-"""The clients of `added_time.py`: calls in an open loop, with the times of each."""
+"""The clients of `added_time.py`, which send requests in an open loop and record the times of each."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class ClientConnection(asyncio.Protocol):
-    """One connection of a client, with one call at a time."""
+    """A client's connection, with one request at a time."""
 
     def __init__(self) -> None:
         self.got = b""
@@ -45,14 +45,14 @@
 
 
 @dataclass
-class CallPath:
-    """A way from the clients to the stand-in.
+class RequestPath:
+    """A path from the clients to the server, directly or through a node.
 
     Attributes:
         name: `direct`, or the node's name.
         port: where the clients connect.
-        pid: the process that they connect to.
-        idle: connections without a call, the one used longest ago first.
+        pid: ID of the process that they connect to.
+        idle: connections without a request, the one used longest ago first.
     """
 
     name: str
@@ -63,39 +63,39 @@
 
 @dataclass
 class Clients:
-    """Calls in an open loop, and what each took.
+    """Sends requests in an open loop, and records the times of each.
 
     Attributes:
-        stand_in_pid: the process of the stand-in.
-        rows: one for each call that was answered.
-        failed: how many calls were not answered with 200.
+        server_pid: ID of the server's process.
+        rows: times of each request that got status 200.
+        failed: the number of requests without status 200.
     """
 
-    stand_in_pid: int
+    server_pid: int
     rows: list[dict[str, Any]] = field(default_factory=list)
     failed: int = 0
     _number: int = 0
 
-    async def call(self, path: CallPath, rate: float, due_ms: float, new_connection: bool) -> None:
-        """One call, on a connection of its own or on an idle one."""
+    async def send(self, path: RequestPath, rate: float, due_ms: float, on_new_connection: bool) -> None:
+        """Send a request and record its times. Opens a connection if `on_new_connection` is set or none is idle."""
         request = self._next_request(path)
         started_ms = now_ms()
-        connection = None if new_connection else _idle_connection(path)
+        connection = None if on_new_connection else _idle_connection(path)
         is_new = connection is None
         loop = asyncio.get_running_loop()
         if connection is None:
             _, connection = await loop.create_connection(ClientConnection, "127.0.0.1", path.port)
         connection.answer = answer = loop.create_future()
-        before = schedule_ms(path.pid), schedule_ms(self.stand_in_pid)
+        before_ms = schedule_ms(path.pid), schedule_ms(self.server_pid)
         sent_ms = now_ms()
         connection.transport.write(request)
         ended_ms, body = await answer
-        near = _since(path.pid, before[0])
-        far = _since(self.stand_in_pid, before[1])
+        near_ms = _schedule_ms_since(path.pid, before_ms[0])
+        far_ms = _schedule_ms_since(self.server_pid, before_ms[1])
         if not body:
             self.failed += 1
             return
-        if new_connection:
+        if on_new_connection:
             connection.transport.close()
         else:
             path.idle.append(connection)
@@ -112,16 +112,16 @@
             "there_ms": float(received_ms) - sent_ms,
             "back_ms": ended_ms - float(answered_ms),
             "took_ms": ended_ms - sent_ms,
-            "on_ms": near[0],
-            "ready_ms": near[1],
-            "far_on_ms": far[0],
-            "far_ready_ms": far[1],
+            "on_ms": near_ms[0],
+            "ready_ms": near_ms[1],
+            "far_on_ms": far_ms[0],
+            "far_ready_ms": far_ms[1],
             "load": os.getloadavg()[0],
         }
         self.rows.append({key: _rounded(value) for key, value in row.items()})
 
-    def _next_request(self, path: CallPath) -> bytes:
-        """A request with an id of its own."""
+    def _next_request(self, path: RequestPath) -> bytes:
+        """Encode a request with a new ID."""
         self._number += 1
         head = (
             b"POST /api/album/7 HTTP/1.1\r\nHost: app.svc\r\nRequest-Id: %d-%d\r\nRequest-Class: post\r\n"
@@ -130,25 +130,25 @@
         return head % (path.port, self._number, BODY_BYTES) + b"x" * BODY_BYTES
 
     async def run(
-        self, paths: list[CallPath], rate: float, seconds: float, new_share: float, rng: random.Random
+        self, paths: list[RequestPath], rate: float, seconds: float, new_share: float, rng: random.Random
     ) -> None:
-        """Calls on all paths, at this rate on each."""
-        calls: list[tuple[float, CallPath]] = []
+        """Send requests on all paths for this time, at this rate per second on each, and wait for all responses."""
+        schedule: list[tuple[float, RequestPath]] = []
         begin_ms = now_ms() + FIRST_CALL_DELAY_MS
         for path in paths:
             at_s = rng.expovariate(rate)
             while at_s < seconds:
-                calls.append((begin_ms + at_s * 1000.0, path))
+                schedule.append((begin_ms + at_s * 1000.0, path))
                 at_s += rng.expovariate(rate)
         tasks = []
-        for due_ms, path in sorted(calls, key=lambda call: call[0]):
+        for due_ms, path in sorted(schedule, key=lambda scheduled: scheduled[0]):
             if (wait_ms := due_ms - now_ms()) > 0.0:
                 await asyncio.sleep(wait_ms / 1000.0)
-            tasks.append(asyncio.ensure_future(self.call(path, rate, due_ms, rng.random() < new_share)))
+            tasks.append(asyncio.ensure_future(self.send(path, rate, due_ms, rng.random() < new_share)))
         await asyncio.gather(*tasks)
 
 
-def _idle_connection(path: CallPath) -> ClientConnection | None:
+def _idle_connection(path: RequestPath) -> ClientConnection | None:
     while path.idle:
         connection = path.idle.pop(0)
         if not connection.ended:
@@ -160,16 +160,16 @@
     return round(value, 3) if isinstance(value, float) else value
 
 
-def _since(pid: int, before: tuple[float, ...]) -> tuple[float, ...]:
+def _schedule_ms_since(pid: int, before: tuple[float, ...]) -> tuple[float, ...]:
     return tuple(new - old for new, old in zip(schedule_ms(pid), before, strict=True))
 
 
 @functools.cache
-def _schedstat(pid: int) -> int:
+def _open_schedstat(pid: int) -> int:
     return os.open(f"/proc/{pid}/schedstat", os.O_RDONLY)
 
 
 def schedule_ms(pid: int) -> tuple[float, ...]:
-    """How long a process ran on a core, and was ready to run without one, since its start."""
-    on, ready, _ = os.pread(_schedstat(pid), 128, 0).split()
+    """Return how long a process ran on a core, and was runnable without one, since its start."""
+    on, ready, _ = os.pread(_open_schedstat(pid), 128, 0).split()
     return int(on) / 1e6, int(ready) / 1e6
--- a/benchmarks/added_time_report.py
+++ b/benchmarks/added_time_report.py
@@ -1,4 +1,4 @@
-"""What the rows of `added_time.py` say: quantiles, what slow calls waited for, how long a node stood still."""
+"""Statistics of the rows of `added_time.py`: quantiles, causes of slow requests, and pauses of the nodes."""
 
 from __future__ import annotations
 
@@ -6,152 +6,175 @@
 from pathlib import Path
 from typing import Any
 
-TARGET_MS = 1.4  # that a node may add, to 99 in 100 calls
-UNDISTURBED_MS = 0.05  # ready to run without a core, at most, while a call was out
+TARGET_MS = 1.4  # time that a node may add, at the 99th percentile
+UNDISTURBED_MS = 0.05  # longest wait for a core during an undisturbed request
+# Connections of the client and to the server that rows are grouped by.
 CONNECTIONS = (("all", "all"), ("kept", "kept"), ("kept", "new"), ("new", "kept"), ("new", "new"))
 
 
-def part(values: list[float], quantile: float) -> float | None:
+def quantile_of(values: list[float], quantile: float) -> float | None:
+    """Return a quantile of the values; None if there are none."""
     if not values:
         return None
     ordered = sorted(values)
     return round(ordered[min(len(ordered) - 1, int(quantile * len(ordered)))], 3)
 
 
-def summary(rows: list[dict[str, Any]], ways: list[str]) -> list[dict[str, Any]]:
-    """By rate, path and kind of connections: quantiles, and what they are above those of the direct path on a kept
-    connection at the same rate. A difference of quantiles, not a quantile of differences: no call takes two paths.
-    `undisturbed`: neither the node nor the stand-in was ready to run without a core while the call was out."""
-    found = []
+def summarize(rows: list[dict[str, Any]], paths: list[str]) -> list[dict[str, Any]]:
+    """Return quantiles of each time by rate, path and kind of connections.
+
+    The time that a node adds is the difference between its quantile and that of the direct path on kept connections at
+    the same rate, as no request takes both paths. The rows `undisturbed` are of requests during which neither the node
+    nor the server waited longer than UNDISTURBED_MS for a core.
+    """
+    result = []
     for rate in dict.fromkeys(row["rate"] for row in rows):
-        mine = [row for row in rows if row["rate"] == rate]
-        base = [row["took_ms"] for row in mine if row["path"] == "direct" and row["client"] == "kept"]
-        for way in ways:
-            of_way = [row for row in mine if row["path"] == way]
-            calm = [row for row in of_way if max(row["ready_ms"], row["far_ready_ms"]) < UNDISTURBED_MS]
+        at_rate = [row for row in rows if row["rate"] == rate]
+        direct_times = [
+            row["took_ms"] for row in at_rate if row["path"] == "direct" and row["client"] == "kept"
+        ]
+        for path in paths:
+            on_path = [row for row in at_rate if row["path"] == path]
+            undisturbed = [
+                row for row in on_path if max(row["ready_ms"], row["far_ready_ms"]) < UNDISTURBED_MS
+            ]
             for client, equipo in (*CONNECTIONS, ("kept", "kept, undisturbed")):
-                some = [
+                selected = [
                     row
-                    for row in (calm if "undisturbed" in equipo else of_way)
+                    for row in (undisturbed if "undisturbed" in equipo else on_path)
                     if client in ("all", row["client"])
                     and (equipo == "all" or equipo.split(",")[0] == row["equipo"])
                 ]
-                if not some:
+                if not selected:
                     continue
-                one: dict[str, Any] = {"rate": rate, "path": way, "client": client, "equipo": equipo}
-                one["calls"] = len(some)
+                group: dict[str, Any] = {"rate": rate, "path": path, "client": client, "equipo": equipo}
+                group["calls"] = len(selected)
                 for name in ("took", "there", "back", "late", "connect", "on", "ready", "far_ready"):
-                    values = [row[f"{name}_ms"] for row in some]
-                    one |= {f"{name}_p50": part(values, 0.5), f"{name}_p99": part(values, 0.99)}
-                if way != "direct" and base:
+                    values = [row[f"{name}_ms"] for row in selected]
+                    group |= {
+                        f"{name}_p50": quantile_of(values, 0.5),
+                        f"{name}_p99": quantile_of(values, 0.99),
+                    }
+                if path != "direct" and direct_times:
                     for label, quantile in (("p50", 0.5), ("p90", 0.9), ("p99", 0.99)):
-                        took = part([row["took_ms"] for row in some], quantile) or 0.0
-                        one[f"added_{label}"] = round(took - (part(base, quantile) or 0.0), 3)
-                found.append(one)
-    return found
+                        took = quantile_of([row["took_ms"] for row in selected], quantile) or 0.0
+                        group[f"added_{label}"] = round(
+                            took - (quantile_of(direct_times, quantile) or 0.0), 3
+                        )
+                result.append(group)
+    return result
 
 
-Stop = tuple[str, float, float]  # what, when it began, how long it took in ms
+Pause = tuple[str, float, float]  # kind, start in ms, length in ms
 
 
-def stops_in(path: Path) -> list[Stop]:
+def read_pauses(path: Path) -> list[Pause]:
+    """Read the pauses that a node has recorded."""
     rows = (line.split() for line in path.read_text().splitlines())
     return [(row[0], float(row[1]), float(row[2])) for row in rows]
 
 
-def stops(rows: list[Stop], spans: dict[str, tuple[float, float]]) -> dict[str, Any]:
-    """By rate: how many collections of each generation and writes there were, and how long they took, in ms."""
-    found: dict[str, Any] = {}
+def pause_statistics(pauses: list[Pause], spans: dict[str, tuple[float, float]]) -> dict[str, Any]:
+    """Return the number and lengths in ms of the pauses of each kind, by rate."""
+    statistics: dict[str, Any] = {}
     for rate, (begin, end) in spans.items():
-        mine = [(row[0], row[2]) for row in rows if begin <= row[1] < end]
-        found[rate] = {}
-        for kind in sorted({kind for kind, _ in mine}):
-            some = [length for one, length in mine if one == kind]
+        in_span = [(pause[0], pause[2]) for pause in pauses if begin <= pause[1] < end]
+        statistics[rate] = {}
+        for kind in sorted({kind for kind, _ in in_span}):
+            lengths = [length for other, length in in_span if other == kind]
             figures = {
-                "count": len(some),
-                "median": part(some, 0.5),
-                "longest": max(some),
-                "sum": round(sum(some), 3),
+                "count": len(lengths),
+                "median": quantile_of(lengths, 0.5),
+                "longest": max(lengths),
+                "sum": round(sum(lengths), 3),
             }
-            found[rate][kind] = figures
-    return found
+            statistics[rate][kind] = figures
+    return statistics
 
 
-def during(rows: list[dict[str, Any]], noted: dict[str, list[Stop]]) -> dict[str, Any]:
-    """By node: the calls that were out while a write of what it has learned took over 1 ms."""
-    found = {}
-    for name, stops_of in noted.items():
-        spans = [(began, began + took) for kind, began, took in stops_of if kind == "snapshot" and took > 1.0]
-        some = []
+def requests_during_writes(rows: list[dict[str, Any]], pauses: dict[str, list[Pause]]) -> dict[str, Any]:
+    """Return, by node, quantiles of the requests in flight during a snapshot write of more than 1 ms."""
+    result = {}
+    for name, node_pauses in pauses.items():
+        spans = [
+            (start, start + took) for kind, start, took in node_pauses if kind == "snapshot" and took > 1.0
+        ]
+        times = []
         for row in rows:
             sent = row["at_ms"] + row["late_ms"] + row["connect_ms"]
             if row["path"] == name and any(
                 sent < end and sent + row["took_ms"] > begin for begin, end in spans
             ):
-                some.append(row["took_ms"])
-        found[name] = {
-            "calls": len(some),
-            "p50": part(some, 0.5),
-            "p90": part(some, 0.9),
-            "most": max(some, default=None),
+                times.append(row["took_ms"])
+        result[name] = {
+            "calls": len(times),
+            "p50": quantile_of(times, 0.5),
+            "p90": quantile_of(times, 0.9),
+            "most": max(times, default=None),
         }
-    return found
+    return result
+
 
+def slow_requests(
+    rows: list[dict[str, Any]], paths: list[str], pauses: dict[str, list[Pause]]
+) -> list[dict[str, Any]]:
+    """Return the slow requests and their causes, by rate and path.
 
-def slow(rows: list[dict[str, Any]], ways: list[str], noted: dict[str, list[Stop]]) -> list[dict[str, Any]]:
-    """Calls that took over `TARGET_MS` longer than the direct path's median, and what filled most of each: the first
-    of the causes that took half of its time or more."""
-    found = []
+    A request is slow if it took more than TARGET_MS longer than the median of the direct path. Its cause is the first
+    one that accounts for at least half of its time.
+    """
+    result = []
     for rate in dict.fromkeys(row["rate"] for row in rows):
-        mine = [row for row in rows if row["rate"] == rate]
-        usual = part([row["took_ms"] for row in mine if row["path"] == "direct"], 0.5) or 0.0
-        for way in ways:
-            some = [row for row in mine if row["path"] == way]
-            over = [row for row in some if row["took_ms"] > usual + TARGET_MS]
+        at_rate = [row for row in rows if row["rate"] == rate]
+        direct_ms = quantile_of([row["took_ms"] for row in at_rate if row["path"] == "direct"], 0.5) or 0.0
+        for path in paths:
+            on_path = [row for row in at_rate if row["path"] == path]
+            slow = [row for row in on_path if row["took_ms"] > direct_ms + TARGET_MS]
             causes: Counter[str] = Counter()
-            for row in over:
+            for row in slow:
                 sent = row["at_ms"] + row["late_ms"] + row["connect_ms"]
                 end, half = sent + row["took_ms"], row["took_ms"] / 2.0
-                written = sum(
-                    max(0.0, min(end, began + took) - max(sent, began))
-                    for kind, began, took in noted.get(way, [])
+                writing_ms = sum(
+                    max(0.0, min(end, start + took) - max(sent, start))
+                    for kind, start, took in pauses.get(path, [])
                     if kind == "snapshot"
                 )
-                parts = {
-                    "no core for the node": row["ready_ms"] if way != "direct" else 0.0,
+                times = {
+                    "no core for the node": row["ready_ms"] if path != "direct" else 0.0,
                     "no core for the stand-in": row["far_ready_ms"],
-                    "a write of what it learned": written,
-                    "work of the node": row["on_ms"] if way != "direct" else 0.0,
+                    "a write of what it learned": writing_ms,
+                    "work of the node": row["on_ms"] if path != "direct" else 0.0,
                 }
-                causes[next((name for name, took in parts.items() if took >= half), "not told apart")] += 1
-            found.append(
+                causes[next((name for name, took in times.items() if took >= half), "not told apart")] += 1
+            result.append(
                 {
                     "rate": rate,
-                    "path": way,
-                    "calls": len(some),
-                    "slow": len(over),
-                    "share": round(len(over) / len(some), 4) if some else None,
+                    "path": path,
+                    "calls": len(on_path),
+                    "slow": len(slow),
+                    "share": round(len(slow) / len(on_path), 4) if on_path else None,
                     "causes": dict(causes),
                 }
             )
-    return found
+    return result
 
 
-def table(found: dict[str, Any]) -> str:
+def format_table(result: dict[str, Any]) -> str:
+    """Return Markdown tables of the quantiles and of the slow requests."""
     lines = [
         "| calls a second | path | to the node | to the equipo | calls | median ms | 99th ms | added, median | 99th |"
     ]
     lines.append("| --- " * 9 + "|")
-    for one in found["paths"]:
-        added = [f"{one[key]:.2f}" if key in one else "" for key in ("added_p50", "added_p99")]
+    for group in result["paths"]:
+        added = [f"{group[key]:.2f}" if key in group else "" for key in ("added_p50", "added_p99")]
         row = [
-            one["rate"],
-            one["path"],
-            one["client"],
-            one["equipo"],
-            one["calls"],
-            one["took_p50"],
-            one["took_p99"],
+            group["rate"],
+            group["path"],
+            group["client"],
+            group["equipo"],
+            group["calls"],
+            group["took_p50"],
+            group["took_p99"],
         ]
         lines.append("| " + " | ".join(str(item) for item in [*row, *added]) + " |")
     lines += [
@@ -159,7 +182,7 @@
         "| calls a second | path | calls | slow | of them, by what filled most of it |",
         "| --- " * 5 + "|",
     ]
-    for one in found["slow"]:
-        causes = ", ".join(f"{name} {count}" for name, count in sorted(one["causes"].items()))
-        lines.append(f"| {one['rate']} | {one['path']} | {one['calls']} | {one['slow']} | {causes} |")
+    for group in result["slow"]:
+        causes = ", ".join(f"{name} {count}" for name, count in sorted(group["causes"].items()))
+        lines.append(f"| {group['rate']} | {group['path']} | {group['calls']} | {group['slow']} | {causes} |")
     return "\n".join(lines)
