--- a/benchmarks/decisions.py
+++ b/benchmarks/decisions.py
@@ -1,9 +1,10 @@
-"""What a request and its outcome cost the decision module, by the size of the pool.
+"""Measures the time that routing decisions take per request, by the number of servers.
 
     python benchmarks/decisions.py [--servers 10,100,1000,5000] [--requests 3000] [--cold 0.0] [--against FOLDER]
 
-Each size is measured in turns with the smallest, so that what else the machine does falls on both; the last line is
-JSON with medians in microseconds and their ratio to the smallest. Exits 1 where 1,000 cost more than 1.5 times 10.
+The sizes are measured in turns, so that other load on the machine affects all of them. The last line is JSON with
+medians in microseconds and their ratios to the first size. The exit code is 1 if the median with 1,000 servers is more
+than 1.5 times that of the first size. With `--against`, this version is compared with that in another folder instead.
 """
 
 from __future__ import annotations
@@ -32,13 +33,13 @@
 )
 from rosewheel.policy.settings import Idempotency, ServiceClass, Settings
 
-LIMIT = 1.5
-IN_FLIGHT_EACH = 1.5  # calls in flight for each server, up to `IN_FLIGHT_MOST`
-IN_FLIGHT_MOST = 200
+MAX_RATIO = 1.5  # of the median with 1,000 servers to that of the first size
+IN_FLIGHT_PER_SERVER = 1.5  # up to MAX_IN_FLIGHT in total
+MAX_IN_FLIGHT = 200
 
 
 class Load:
-    """A balancer with requests coming and going, so many in flight."""
+    """A balancer with a constant number of requests in flight; `cold` is the share of servers that just started."""
 
     def __init__(self, servers: int, cold: float) -> None:
         classes = (
@@ -65,62 +66,72 @@
             warm_up_initial_share=0.12,
             warm_up_ms=24000.0,
         )
-        self.rng, self.now, self.number = Random(1), 100_000.0, 0
-        self.balancer = Balancer(settings, 1, self.now)
-        born = [self.now - 1.0 if self.rng.random() < cold else None for _ in range(servers)]
-        rows = (Server(f"equipo-{at}", "ab"[at % 2], at % 7, launched_ms=born[at]) for at in range(servers))
-        self.balancer.handle(self.now, EndpointListUpdate(EndpointListForm.SNAPSHOT, tuple(rows)))
-        self.out: deque[ForwardRequest] = deque()
-        self.most = int(min(IN_FLIGHT_MOST, servers * IN_FLIGHT_EACH))
-        self.period = self.now
+        self.rng, self.now_ms, self.request_count = Random(1), 100_000.0, 0
+        self.balancer = Balancer(settings, 1, self.now_ms)
+        start_times_ms = [self.now_ms - 1.0 if self.rng.random() < cold else None for _ in range(servers)]
+        endpoints = (
+            Server(f"equipo-{index}", "ab"[index % 2], index % 7, launched_ms=start_times_ms[index])
+            for index in range(servers)
+        )
+        self.balancer.handle(self.now_ms, EndpointListUpdate(EndpointListForm.SNAPSHOT, tuple(endpoints)))
+        self.in_flight: deque[ForwardRequest] = deque()
+        self.max_in_flight = int(min(MAX_IN_FLIGHT, servers * IN_FLIGHT_PER_SERVER))
+        self.period_started_ms = self.now_ms
         self.refused = 0
 
-    def one(self) -> float:
-        """A request, and the outcome of the oldest; seconds."""
-        self.now += 1.0
-        self.number += 1
-        name = f"r{self.number}"
-        began = time.perf_counter()
-        acts = self.balancer.handle(
-            self.now, RequestReceived(name, "post" if self.number % 2 else "note", self.now + 6000.0)
+    def measure_one(self) -> float:
+        """Return the time in seconds to route a request and to handle the outcome of the oldest one."""
+        self.now_ms += 1.0
+        self.request_count += 1
+        name = f"r{self.request_count}"
+        started_s = time.perf_counter()
+        actions = self.balancer.handle(
+            self.now_ms,
+            RequestReceived(name, "post" if self.request_count % 2 else "note", self.now_ms + 6000.0),
         )
-        if len(self.out) >= self.most:
-            done = self.out.popleft()
+        if len(self.in_flight) >= self.max_in_flight:
+            oldest = self.in_flight.popleft()
             self.balancer.handle(
-                self.now,
-                AttemptFinished(done.id, 0, done.server, AttemptResult.OK, 100.0, True, {"queue": 1.0}),
+                self.now_ms,
+                AttemptFinished(oldest.id, 0, oldest.server, AttemptResult.OK, 100.0, True, {"queue": 1.0}),
             )
-        took = time.perf_counter() - began
-        sends = [act for act in acts if isinstance(act, ForwardRequest)]
-        self.out.extend(sends)
-        self.refused += not sends
-        if self.now - self.period >= self.balancer.period_ms:
-            self.period = self.now
-            self.balancer.handle(self.now, TimerFired("period"))
-        return took
-
-
-def against(given: argparse.Namespace, rounds: int = 3) -> dict[str, dict[str, float]]:
-    """Median microseconds by size, of another version (`before`) and of this one (`now`), in processes that take
-    turns."""
-    found: dict[str, dict[str, list[float]]] = {"before": {}, "now": {}}
-    here = str(Path(__file__).resolve().parent.parent)
+        elapsed_s = time.perf_counter() - started_s
+        attempts = [action for action in actions if isinstance(action, ForwardRequest)]
+        self.in_flight.extend(attempts)
+        self.refused += not attempts
+        if self.now_ms - self.period_started_ms >= self.balancer.period_ms:
+            self.period_started_ms = self.now_ms
+            self.balancer.handle(self.now_ms, TimerFired("period"))
+        return elapsed_s
+
+
+def compare_versions(options: argparse.Namespace, rounds: int = 3) -> dict[str, dict[str, float]]:
+    """Return median microseconds by size, of the version in another folder (`before`) and of this one (`now`).
+
+    Processes of the two versions run in turns.
+    """
+    medians_us: dict[str, dict[str, list[float]]] = {"before": {}, "now": {}}
+    root = str(Path(__file__).resolve().parent.parent)
     for _ in range(rounds):
-        for name, folder in (("before", given.against), ("now", here)):
-            command = [sys.executable, __file__, "--servers", given.servers, "--cold", str(given.cold)]
-            done = subprocess.run(
-                [*command, "--requests", str(given.requests)],
+        for name, folder in (("before", options.against), ("now", root)):
+            command = [sys.executable, __file__, "--servers", options.servers, "--cold", str(options.cold)]
+            completed = subprocess.run(
+                [*command, "--requests", str(options.requests)],
                 env={**os.environ, "PYTHONPATH": folder},
                 capture_output=True,
                 text=True,
-                check=False,  # 1 says that a large pool costs more than it should, as it may before
+                check=False,  # the exit code is 1 if MAX_RATIO is exceeded, which is no error here
             )
-            if not done.stdout.strip():
-                raise SystemExit(done.stderr.strip().rpartition("\n")[2] or f"{folder}: nothing measured")
-            for size, row in json.loads(done.stdout.strip().rpartition("\n")[2]).items():
-                found[name].setdefault(size, []).append(row["median_us"])
+            if not completed.stdout.strip():
+                raise SystemExit(
+                    completed.stderr.strip().rpartition("\n")[2]
+                    or f"{folder}: the benchmark printed no result"
+                )
+            for size, row in json.loads(completed.stdout.strip().rpartition("\n")[2]).items():
+                medians_us[name].setdefault(size, []).append(row["median_us"])
     return {
-        name: {size: statistics.median(row) for size, row in rows.items()} for name, rows in found.items()
+        name: {size: statistics.median(row) for size, row in rows.items()}
+        for name, rows in medians_us.items()
     }
 
 
@@ -128,30 +139,32 @@
     parser = argparse.ArgumentParser(description=__doc__.split("\n", 1)[0])
     parser.add_argument("--servers", default="10,100,1000,5000")
     parser.add_argument("--requests", type=int, default=3000)
-    parser.add_argument("--cold", type=float, default=0.0, help="share of the servers that start just now")
-    parser.add_argument("--against", help="folder of another version, measured in turns with this one")
-    given = parser.parse_args()
-    if given.against:
-        print(json.dumps(against(given)))
+    parser.add_argument("--cold", type=float, default=0.0, help="share of the servers that have just started")
+    parser.add_argument("--against", help="folder of another version to compare this one with")
+    options = parser.parse_args()
+    if options.against:
+        print(json.dumps(compare_versions(options)))
         return 0
-    sizes = [int(size) for size in given.servers.split(",")]
-    loads = {size: Load(size, given.cold) for size in sizes}
-    costs: dict[int, list[float]] = {size: [] for size in sizes}
-    for _ in range(given.requests):
+    sizes = [int(size) for size in options.servers.split(",")]
+    loads = {size: Load(size, options.cold) for size in sizes}
+    times_s: dict[int, list[float]] = {size: [] for size in sizes}
+    for _ in range(options.requests):
         for size, load in loads.items():
-            costs[size].append(load.one())
-    medians = {size: statistics.median(costs[size]) * 1e6 for size in sizes}
+            times_s[size].append(load.measure_one())
+    size_medians_us = {size: statistics.median(times_s[size]) * 1e6 for size in sizes}
     row = {
         str(size): {
-            "median_us": round(medians[size], 1),
-            "p99_us": round(sorted(costs[size])[int(len(costs[size]) * 0.99)] * 1e6, 1),
-            "ratio": round(medians[size] / medians[sizes[0]], 2),
+            "median_us": round(size_medians_us[size], 1),
+            "p99_us": round(sorted(times_s[size])[int(len(times_s[size]) * 0.99)] * 1e6, 1),
+            "ratio": round(size_medians_us[size] / size_medians_us[sizes[0]], 2),
             "refused": loads[size].refused,
         }
         for size in sizes
     }
     print(json.dumps(row))
-    return 1 if 1000 in medians and medians[1000] > LIMIT * medians[sizes[0]] else 0
+    return (
+        1 if 1000 in size_medians_us and size_medians_us[1000] > MAX_RATIO * size_medians_us[sizes[0]] else 0
+    )
 
 
 if __name__ == "__main__":
