--- a/benchmarks/sizes.py
+++ b/benchmarks/sizes.py
@@ -1,9 +1,10 @@
-"""Balance, waste and service at 10, 100 and 1,000 equipos, in virtual time, as a table and a plot.
+"""Compares load balance, wasted attempts and the share served in time at 10, 100 and 1,000 servers (simulated).
 
     python benchmarks/sizes.py [--seeds 2] [--jobs 3] [--plot sizes.png] [SCENARIO ...]
 
-Plays `size-10`, `size-100` and `size-1000` (2, 10 and 100 nodes at two thirds of what the equipos can do, with slow and
-dead ones and a deploy) under each seed. The last line is JSON; it ends with 1 where a rule broke.
+Simulates the scenarios `size-10`, `size-100` and `size-1000` under each seed: 2, 10 and 100 nodes at two thirds of the
+servers' capacity, with slow and failed servers and a deploy. Prints a table of the means over the seeds; the last line
+is JSON. The exit code is 1 if a rule was violated.
 """
 
 from __future__ import annotations
@@ -21,7 +22,7 @@
 from rosewheel.lab import scenario as scenarios
 from rosewheel.lab.simulation.simulate import simulate
 
-SHOWN = (
+PLOTTED = (  # key and title
     ("service", "service"),
     ("worst_10_s", "service, worst 10 s"),
     ("wasted", "wasted attempts"),
@@ -29,7 +30,7 @@
 )
 
 
-def play(name: str, seed: int) -> dict[str, Any]:
+def run(name: str, seed: int) -> dict[str, Any]:
     summary = simulate(plans.make(scenarios.load(name), seed))
     tier = next(iter(summary["tiers"].values()))
     return {
@@ -52,8 +53,8 @@
     mpl.use("Agg")
     import matplotlib.pyplot as plt
 
-    figure, axes = plt.subplots(1, len(SHOWN), figsize=(3.0 * len(SHOWN), 2.6))
-    for axis, (key, title) in zip(axes, SHOWN, strict=True):
+    figure, axes = plt.subplots(1, len(PLOTTED), figsize=(3.0 * len(PLOTTED), 2.6))
+    for axis, (key, title) in zip(axes, PLOTTED, strict=True):
         bars = axis.bar(list(rows), [row[key] for row in rows.values()], color="#6d9eeb")
         axis.bar_label(bars, fmt="%.3f", fontsize=8)
         axis.set_title(title, fontsize=9)
@@ -69,16 +70,16 @@
     parser.add_argument("--seeds", type=int, default=2)
     parser.add_argument("--jobs", type=int, default=3)
     parser.add_argument("--plot", type=Path)
-    given = parser.parse_args()
-    # The longest first, so that none of them begins last.
-    items = [(name, seed) for name in reversed(given.names) for seed in range(1, given.seeds + 1)]
-    with ProcessPoolExecutor(given.jobs, mp_context=multiprocessing.get_context("spawn")) as pool:
-        plays = list(pool.map(play, *zip(*items, strict=True)))
+    options = parser.parse_args()
+    # The largest scenario first: starting it last would lengthen the whole benchmark.
+    items = [(name, seed) for name in reversed(options.names) for seed in range(1, options.seeds + 1)]
+    with ProcessPoolExecutor(options.jobs, mp_context=multiprocessing.get_context("spawn")) as pool:
+        runs = list(pool.map(run, *zip(*items, strict=True)))
     rows: dict[str, dict[str, float]] = {}
-    for name in given.names:
-        mine = [one for one in plays if one["scenario"] == name]
+    for name in options.names:
+        own_runs = [run for run in runs if run["scenario"] == name]
         rows[name] = {
-            key: round(statistics.fmean(one[key] for one in mine), 4)
+            key: round(statistics.fmean(run[key] for run in own_runs), 4)
             for key in ("service", "worst_10_s", "wasted", "balance", "tipped")
         }
     print(f"{'scenario':12}  service  worst 10 s  wasted  most over mean  tipped")
@@ -87,11 +88,11 @@
             f"{name:12}  {row['service']:7.3f}  {row['worst_10_s']:10.3f}  {row['wasted']:6.3f}  "
             f"{row['balance']:14.2f}  {row['tipped']:6.1f}"
         )
-    if given.plot is not None:
-        plot(rows, given.plot)
-    good = all(one["ok"] for one in plays)
-    print(json.dumps({"ok": good, "rows": rows, "plays": plays}))
-    sys.exit(0 if good else 1)
+    if options.plot is not None:
+        plot(rows, options.plot)
+    ok = all(run["ok"] for run in runs)
+    print(json.dumps({"ok": ok, "rows": rows, "plays": runs}))
+    sys.exit(0 if ok else 1)
 
 
 if __name__ == "__main__":
