--- a/benchmarks/snapshot.py
+++ b/benchmarks/snapshot.py
@@ -1,8 +1,9 @@
-"""What a snapshot of learned state costs the running node, by the size of the pool.
+"""Measures the cost of a snapshot of learned state in a running node, by the number of servers.
 
     python benchmarks/snapshot.py [--servers 10,100,1000] [--repeat 50]
 
-Taking, encoding and writing one, against a decision of the same module in the same run; the last line is JSON.
+The time to capture, encode and write a snapshot, against the time of a routing decision and its outcome in the same
+run. The last line is JSON.
 """
 
 from __future__ import annotations
@@ -30,43 +31,46 @@
 
 
 def measure(servers: int, repeat: int) -> dict[str, float]:
-    """Medians in microseconds of a snapshot and of a decision with its outcome, and the snapshot's share of time."""
+    """Return median times of a snapshot and of a decision with its outcome, and the share of time of snapshots."""
     service = ServiceClass(
         "post", latency_objective_ms=2500, deadline_ms=6000, idempotency=Idempotency.NON_IDEMPOTENT
     )
     balancer = Balancer(Settings(classes=(service,), max_attempts=3), seed=1, now_ms=0.0)
     balancer.handle(
         0.0,
-        EndpointListUpdate(EndpointListForm.SNAPSHOT, tuple(Server(f"equipo-{at}") for at in range(servers))),
+        EndpointListUpdate(
+            EndpointListForm.SNAPSHOT, tuple(Server(f"equipo-{index}") for index in range(servers))
+        ),
     )
-    decisions: list[float] = []
-    now = 0.0
+    decision_s: list[float] = []
+    now_ms = 0.0
     for number in range(max(repeat, 2 * min(servers, 200))):
-        now += 1.0
-        began = time.perf_counter()
-        acts = balancer.handle(now, RequestReceived(f"r{number}", "post", now + 6000.0))
-        sent = next(act for act in acts if isinstance(act, ForwardRequest))
+        now_ms += 1.0
+        started_s = time.perf_counter()
+        actions = balancer.handle(now_ms, RequestReceived(f"r{number}", "post", now_ms + 6000.0))
+        sent = next(action for action in actions if isinstance(action, ForwardRequest))
         balancer.handle(
-            now + 0.5, AttemptFinished(sent.id, 0, sent.server, AttemptResult.OK, 100.0, True, {"queue": 1.0})
+            now_ms + 0.5,
+            AttemptFinished(sent.id, 0, sent.server, AttemptResult.OK, 100.0, True, {"queue": 1.0}),
         )
-        decisions.append(time.perf_counter() - began)
+        decision_s.append(time.perf_counter() - started_s)
     with tempfile.TemporaryDirectory() as folder:
         snapshots = SnapshotWriter(
-            folder, "n0", lambda: LearnedValues(balancer.capture_learned_state(now), 1.0)
+            folder, "n0", lambda: LearnedValues(balancer.capture_learned_state(now_ms), 1.0)
         )
-        costs = []
+        snapshot_s = []
         for _ in range(repeat):
             snapshots.write()
-            costs.append(snapshots.last_cost_s)
-        size = (Path(folder) / "learned.snap").stat().st_size
-    cost = statistics.median(costs)
+            snapshot_s.append(snapshots.last_cost_s)
+        size_bytes = (Path(folder) / "learned.snap").stat().st_size
+    median_s = statistics.median(snapshot_s)
     return {
         "servers": servers,
-        "snapshot_us": round(cost * 1e6, 1),
-        "decision_us": round(statistics.median(decisions) * 1e6, 1),
-        "ratio": round(cost / statistics.median(decisions), 1),
-        "share_of_time": round(cost / max(PERIOD_S, cost / MAX_TIME_SHARE), 6),
-        "bytes": size,
+        "snapshot_us": round(median_s * 1e6, 1),
+        "decision_us": round(statistics.median(decision_s) * 1e6, 1),
+        "ratio": round(median_s / statistics.median(decision_s), 1),
+        "share_of_time": round(median_s / max(PERIOD_S, median_s / MAX_TIME_SHARE), 6),
+        "bytes": size_bytes,
     }
 
 
@@ -76,8 +80,8 @@
     )
     parser.add_argument("--servers", default="10,100,1000")
     parser.add_argument("--repeat", type=int, default=50)
-    told = parser.parse_args()
-    rows = [measure(int(count), told.repeat) for count in told.servers.split(",")]
+    options = parser.parse_args()
+    rows = [measure(int(count), options.repeat) for count in options.servers.split(",")]
     for row in rows:
         print(row)
     print(json.dumps({"ok": True, "rows": rows}))
--- a/benchmarks/timers.py
+++ b/benchmarks/timers.py
@@ -1,10 +1,10 @@
-"""What a request's timers cost the node: its heap that is pruned, a wheel of 16 ms, and none at all.
+"""Measures the cost of a request's timers in a node, with its timer heap, a timer wheel, and no timers.
 
     python benchmarks/timers.py [--requests 20000] [--rounds 5] [--open 20]
 
-The three take turns on the same requests, with --open of them in flight at a time, each answered long before its
-deadline, which is the ordinary case. The last line is JSON: median microseconds of a request and its result, over
-rounds.
+The three timer queues handle the same requests in turns. `--open` requests are in flight at a time, and all end long
+before their deadlines, as most requests do. The last line is JSON: the median over the rounds of the time per request
+in microseconds.
 """
 
 from __future__ import annotations
@@ -23,17 +23,17 @@
 from rosewheel.policy.events import AttemptResult, EndpointListForm, RequestReceived, Server
 from rosewheel.policy.settings import ServiceClass, Settings
 
-SLOT_MS = 16.0
+SLOT_MS = 16.0  # of the timer wheel
 
 
 class WheelQueue(TimerQueue):
-    """Timers in slots by their moment; one that is no longer needed stays in its slot until that has passed."""
+    """A timer wheel. A timer that is no longer needed stays in its slot until the slot has passed."""
 
-    __slots__ = ("_needed", "slots")
+    __slots__ = ("_is_timer_needed", "slots")
 
     def __init__(self, is_needed: Callable[[Timer], bool]) -> None:
         super().__init__(is_needed)
-        self._needed = is_needed
+        self._is_timer_needed = is_needed
         self.slots: dict[int, list[Timer]] = {}
 
     def start(self, due_ms: float, kind: TimerKind, subject: str, attempt: int = 0) -> None:
@@ -44,7 +44,7 @@
         for slot in [slot for slot in self.slots if (slot + 1) * SLOT_MS <= now]:
             for timer in self.slots.pop(slot):
                 if timer.kind is not TimerKind.POLICY:
-                    self._needed(timer)
+                    self._is_timer_needed(timer)
 
 
 class NullQueue(TimerQueue):
@@ -64,15 +64,17 @@
     return node
 
 
-def play(queue: type[TimerQueue], requests: int, max_in_flight: int) -> float:
-    """Microseconds a request."""
+def measure(queue: type[TimerQueue], requests: int, max_in_flight: int) -> float:
+    """Return the time per request in microseconds."""
     node, now = make_node(queue), 0.0
     in_flight: deque[tuple[str, int]] = deque()
     started_s = time.perf_counter()
     for number in range(requests):
-        now += 0.25  # 4,000 requests a second
+        now += 0.25  # ms: 4,000 requests per second
         effects = node.receive_request(now, RequestReceived(f"r{number}", "post", now + 6000.0))
-        in_flight.extend((one.id, one.attempt) for one in effects if isinstance(one, StartAttempt))
+        in_flight.extend(
+            (effect.id, effect.attempt) for effect in effects if isinstance(effect, StartAttempt)
+        )
         if len(in_flight) > max_in_flight:
             id, attempt = in_flight.popleft()
             node.attempt_finished(now, id, attempt, AttemptResult.OK)
@@ -90,12 +92,12 @@
     parser.add_argument("--requests", type=int, default=20000)
     parser.add_argument("--rounds", type=int, default=5)
     parser.add_argument("--open", type=int, default=20)
-    given = parser.parse_args()
+    options = parser.parse_args()
     costs: dict[str, list[float]] = {"heap": [], "wheel": [], "none": []}
     queues = {"heap": TimerQueue, "wheel": WheelQueue, "none": NullQueue}
-    for _ in range(given.rounds):
+    for _ in range(options.rounds):
         for name, queue in queues.items():
-            costs[name].append(play(queue, given.requests, given.open))
+            costs[name].append(measure(queue, options.requests, options.open))
     print(json.dumps({name: round(statistics.median(row), 2) for name, row in costs.items()}))
 
 
