--- a/benchmarks/scale.py
+++ b/benchmarks/scale.py
@@ -1,11 +1,11 @@
-"""What control costs and how long a change takes, by the size of the fleet: a table, fitted lines and a plot.
+"""Measures the cost of the control plane and the time of a change by fleet size, with fitted lines and a plot.
 
     python benchmarks/scale.py [--sizes 60,135,270,540,1080] [--repeat 2] [--out benchmarks/results] [--plot FILE]
 
 Runs `rosewheel scale` for each size and seed, one run at a time, without faults and with the same number of changes.
 Raw rows go to `scale-rows.csv` (one for each run, phase and role) and `scale-runs.csv` (one for each run). A line is
-fitted to each measure by least squares: slope and intercept with their standard errors, and R squared, which says
-whether a line is the right form. The last line is JSON; the exit code is 1 if a run failed or left a node stale.
+fitted to each measure by least squares; the table shows slope and intercept with their standard errors, and R squared.
+The last line is JSON; the exit code is 1 if a run failed or left a node stale.
 """
 
 from __future__ import annotations
@@ -34,7 +34,7 @@
 
 @dataclass(frozen=True)
 class RowMeasure:
-    """A measure of one role in one phase: a column of `rows.csv` times a factor that gives the unit."""
+    """A measure of one role in one phase: a column of `rows.csv`, times a factor that converts it to the unit."""
 
     name: str
     unit: str
@@ -92,7 +92,7 @@
 
 @dataclass(frozen=True)
 class Fit:
-    """A line by least squares; `_se` are standard errors."""
+    """A line fitted by least squares. Fields that end in `_se` are standard errors."""
 
     slope: float
     slope_se: float
@@ -104,7 +104,7 @@
 
 @dataclass(frozen=True)
 class Series:
-    """The values of one measure, and the line through them."""
+    """The values of one measure, and the line fitted to them."""
 
     unit: str
     points: list[Point]
@@ -112,7 +112,7 @@
 
 
 def run_scale(nodes: int, seed: int, arguments: argparse.Namespace) -> tuple[Row, list[Row]]:
-    """One run: its result and its rows; RuntimeError if it failed."""
+    """Run `rosewheel scale` once; return its result and its rows. Raise RuntimeError if it prints no result."""
     with tempfile.TemporaryDirectory(prefix="rosewheel-scale-") as folder:
         options = {
             "--nodes": nodes,
@@ -131,14 +131,14 @@
         done = subprocess.run(command, capture_output=True, text=True)
         lines = done.stdout.splitlines()
         if not lines:
-            raise RuntimeError(done.stderr.strip() or f"ended with {done.returncode}")
+            raise RuntimeError(done.stderr.strip() or f"rosewheel scale exited with {done.returncode}")
         with (Path(folder) / "rows.csv").open(newline="") as file:
             rows: list[Row] = list(csv.DictReader(file))
         return json.loads(lines[-1]), rows
 
 
 def run_row(result: Row) -> Row:
-    """The row of `scale-runs.csv` for this result."""
+    """Return the row of `scale-runs.csv` for this result."""
     keys = ("nodes", "real", "services", "seconds", "seed", "load_1min", "ok")
     row: Row = {key: result[key] for key in keys}
     row["stale"] = next(
@@ -153,19 +153,19 @@
 
 
 def run_all(arguments: argparse.Namespace) -> tuple[list[Row], list[Row]]:
-    """Rows of all runs, and of their phases and roles; both are written after each run."""
+    """Run all seeds and sizes; return the rows of `scale-runs.csv` and `scale-rows.csv`, written after each run."""
     runs: list[Row] = []
     rows: list[Row] = []
-    # Sizes alternate, so that a time in which the machine is busy does not affect one size alone.
+    # Sizes alternate, so that other load on the machine does not affect the runs of one size alone.
     for seed in range(1, arguments.repeat + 1):
         for nodes in arguments.sizes:
             result, result_rows = run_scale(nodes, seed, arguments)
-            last = run_row(result)
-            runs.append(last)
+            run = run_row(result)
+            runs.append(run)
             rows += result_rows
             print(
-                f"{nodes:5} nodes, seed {seed}: acknowledged by all in {last['acked_p50_s']} s (median), "
-                f"{last['acked_most_s']} s (most), stale {last['stale']}, load {last['load_1min']}",
+                f"{nodes:5} nodes, seed {seed}: acknowledged by all in {run['acked_p50_s']} s (median), "
+                f"{run['acked_most_s']} s (most), stale {run['stale']}, load {run['load_1min']}",
                 flush=True,
             )
             write_csv(arguments.out / "scale-runs.csv", runs)
@@ -174,7 +174,7 @@
 
 
 def fit_line(points: list[Point]) -> Fit:
-    """The line through these points."""
+    """Fit a line to the points."""
     fit = stats.linregress([point.nodes for point in points], [point.value for point in points])
     return Fit(
         slope=float(fit.slope),
@@ -187,7 +187,7 @@
 
 
 def fit_measures(runs: list[Row], rows: list[Row]) -> dict[str, Series]:
-    """By name, the values of each measure and their line."""
+    """Return the values of each measure and their line, by name."""
     series: dict[str, Series] = {}
     for measure in ROW_MEASURES:
         points = [
@@ -214,7 +214,7 @@
 
 
 def plot(series: dict[str, Series], path: Path) -> None:
-    """Write a picture of the measures in `PLOTTED`."""
+    """Plot the measures in PLOTTED to an image file."""
     import matplotlib as mpl
 
     mpl.use("Agg")
@@ -237,7 +237,7 @@
 
 
 def write_csv(path: Path, rows: list[Row]) -> None:
-    """Write these rows; the columns are the keys of the first one."""
+    """Write rows as CSV; the columns are the keys of the first row."""
     with path.open("w", newline="") as file:
         writer = csv.DictWriter(file, list(rows[0]), lineterminator="\n")
         writer.writeheader()
@@ -245,11 +245,11 @@
 
 
 def parse_arguments() -> argparse.Namespace:
-    """The command line."""
+    """Parse the command line."""
     parser = argparse.ArgumentParser(description=__doc__.split("\n", 1)[0])
-    numbers: Callable[[str], list[int]] = lambda text: [int(part) for part in text.split(",")]  # noqa: E731
-    parser.add_argument("--sizes", type=numbers, default=[60, 135, 270, 540, 1080])
-    parser.add_argument("--repeat", type=int, default=2, help="seeds of each size")
+    parse_sizes: Callable[[str], list[int]] = lambda text: [int(part) for part in text.split(",")]  # noqa: E731
+    parser.add_argument("--sizes", type=parse_sizes, default=[60, 135, 270, 540, 1080])
+    parser.add_argument("--repeat", type=int, default=2, help="runs of each size, with seeds from 1")
     parser.add_argument("--seconds", type=float, default=20.0)
     parser.add_argument("--real", type=int, default=2)
     parser.add_argument("--changes", type=int, default=60)
