--- a/tests/http/test_connection_reuse.py
+++ b/tests/http/test_connection_reuse.py
@@ -10,7 +10,17 @@
 from rosewheel.node.idle_timeout import IdleTimeout
 from rosewheel.node.limits import Limits
 from rosewheel.policy.events import EndpointListForm, Server, ServerState
-from tests.support.sockets import Client, FakeServer, Message, answer, entry, node, run, status, until
+from tests.support.sockets import (
+    Client,
+    FakeServer,
+    Message,
+    encode_response,
+    entry,
+    node,
+    run,
+    status,
+    until,
+)
 
 
 def test_late_second_response_is_discarded(monkeypatch: pytest.MonkeyPatch):
@@ -24,14 +34,14 @@
 
         async def handler(message: Message, writer: asyncio.StreamWriter) -> None:
             if writers:
-                writers.pop().write(answer(200, b"surplus"))
+                writers.pop().write(encode_response(200, b"surplus"))
             writers.append(writer)
-            writer.write(answer(200, message.headers["request-id"].encode()))
+            writer.write(encode_response(200, message.headers["request-id"].encode()))
 
         async with FakeServer(handler).up() as server, node([entry("s", server.port)]) as proxy:
             async with Client(proxy) as client:
                 for index in range(2):  # the second one is sent directly after the first response
-                    response = await client.ask("post", id=f"r{index}")
+                    response = await client.request("post", id=f"r{index}")
                     assert response.body == b"r%d" % index
 
     # The quiet period never ends, so the result does not depend on the speed of the machine.
@@ -47,10 +57,10 @@
     async def main() -> None:
         async with FakeServer().up() as server, node([entry("s", server.port)]) as proxy:
             async with Client(proxy) as client:
-                assert status(await client.ask("post")) == 200
-                server.writers[0].write(answer())
+                assert status(await client.request("post")) == 200
+                server.writers[0].write(encode_response())
                 await until(lambda: proxy.upstream.open_count == 0)
-                assert status(await client.ask("post")) == 200
+                assert status(await client.request("post")) == 200
             assert server.connections == 2
 
     run(main())
@@ -63,13 +73,13 @@
 
     async def main() -> None:
         limits = Limits(idle_timeout_ms=50_000.0, connect_timeout_ms=20_000.0)
-        async with FakeServer().up() as server, node([entry("s", server.port)], bounds=limits) as proxy:
+        async with FakeServer().up() as server, node([entry("s", server.port)], limits=limits) as proxy:
             proxy.upstream._sweep_timer.cancel()
             async with Client(proxy) as client:
-                assert status(await client.ask("post")) == 200
+                assert status(await client.request("post")) == 200
                 (connection,) = proxy.upstream.idle_connections
                 connection.idle_since_s = proxy.loop.time() - idle_s
-                assert status(await client.ask("post")) == 200
+                assert status(await client.request("post")) == 200
             assert server.connections == (2 if idle_s else 1)
 
     run(main())
@@ -99,7 +109,7 @@
 
         async def respond(message: Message, writer: asyncio.StreamWriter) -> None:
             await gate.wait()
-            writer.write(answer())
+            writer.write(encode_response())
 
         async with FakeServer(respond).up() as server, node([entry("s", server.port)]) as proxy:
 
@@ -110,12 +120,12 @@
 
             async with Client(proxy) as client:
                 client.send("post")
-                await until(lambda: len(server.got) == 1)
+                await until(lambda: len(server.requests) == 1)
                 update_server(ServerState.REMOVED)
                 update_server(ServerState.UP)
                 gate.set()
-                assert status(await client.answer()) == 200
-                assert status(await client.ask("post")) == 200
+                assert status(await client.read_response()) == 200
+                assert status(await client.request("post")) == 200
             assert server.connections == 2
 
     run(main())
@@ -131,7 +141,7 @@
 
         async def respond(message: Message, writer: asyncio.StreamWriter) -> None:
             await gate.wait()
-            writer.write(answer())
+            writer.write(encode_response())
 
         async with FakeServer(respond).up() as server, node([entry("s", server.port)]) as proxy:
 
@@ -144,12 +154,12 @@
             async with Client(proxy) as client:
                 launched_at_ms = proxy.upstream.endpoints["s"].launched_ms
                 client.send("post")
-                await until(lambda: len(server.got) == 1)
+                await until(lambda: len(server.requests) == 1)
                 update_server(ServerState.DRAINING, launched_at_ms)
                 update_server(ServerState.UP, launched_at_ms if restarted_ms is None else restarted_ms)
                 gate.set()
-                assert status(await client.answer()) == 200
-                assert status(await client.ask("post")) == 200
+                assert status(await client.read_response()) == 200
+                assert status(await client.request("post")) == 200
             assert server.connections == (1 if restarted_ms is None else 2)
 
     run(main())
--- a/tests/http/test_disconnects_between_attempts.py
+++ b/tests/http/test_disconnects_between_attempts.py
@@ -21,8 +21,8 @@
     Client,
     FakeServer,
     Message,
-    answer,
     disconnect,
+    encode_response,
     entry,
     gated_handler,
     node,
@@ -60,7 +60,7 @@
 async def fail_attempt(server: FakeServer, how: str) -> None:
     """Fail the attempt in flight so that the policy may start another one."""
     if how == "rejected":
-        server.writers[-1].write(answer(503, b"", Not_Started="1"))
+        server.writers[-1].write(encode_response(503, b"", Not_Started="1"))
     else:
         server.writers[-1].transport.abort()  # type: ignore[union-attr]
 
@@ -79,13 +79,13 @@
             entries = [entry("one", one.port), entry("two", two.port)]
             async with node(entries, classes=LONG_DEADLINE_CLASSES) as proxy, Client(proxy) as client:
                 client.send(service, id="first", timeout=60000)
-                await until(lambda: one.got or two.got)
+                await until(lambda: one.requests or two.requests)
                 await pause_reading_with_pipelined(proxy, client)
                 disconnect(client, how)
                 await asyncio.sleep(0)  # lets the disconnect reach the operating system
-                await fail_attempt(one if one.got else two, end)
+                await fail_attempt(one if one.requests else two, end)
                 await until(lambda: not proxy.node.requests and not proxy.upstream.exchanges)
-                assert len(one.got) + len(two.got) == 1
+                assert len(one.requests) + len(two.requests) == 1
                 assert (
                     proxy.node.active_requests
                     == proxy.budget.used_bytes
@@ -105,11 +105,11 @@
         sock = socket.socket()
 
         async def reject_and_disconnect(message: Message, writer: asyncio.StreamWriter) -> None:
-            if message.first.startswith("GET /_load"):
-                writer.write(answer())
+            if message.start_line.startswith("GET /_load"):
+                writer.write(encode_response())
                 return
             # Both happen before the event loop runs again, so it finds them together.
-            os.write(writer.get_extra_info("socket").fileno(), answer(503, b"", Not_Started="1"))
+            os.write(writer.get_extra_info("socket").fileno(), encode_response(503, b"", Not_Started="1"))
             sock.close()
 
         async with (
@@ -126,9 +126,9 @@
                     b"POST / HTTP/1.1\r\nRequest-Id: r\r\nRequest-Class: post\r\n"
                     b"Request-Timeout-Ms: 60000\r\nContent-Length: 0\r\n\r\n"
                 )
-                await until(lambda: len(one.got) + len(two.got) >= 3)
+                await until(lambda: len(one.requests) + len(two.requests) >= 3)
                 await until(lambda: not proxy.server.connections and not proxy.node.requests)
-                assert len(one.got) + len(two.got) == 3
+                assert len(one.requests) + len(two.requests) == 3
                 assert not proxy.upstream.exchanges
                 assert proxy.node.active_requests == 0
 
@@ -144,17 +144,17 @@
             entries = [entry("one", one.port), entry("two", two.port)]
             async with node(entries, classes=LONG_DEADLINE_CLASSES) as proxy, Client(proxy) as client:
                 client.send("read", id="first", timeout=60000)
-                await until(lambda: one.got or two.got)
+                await until(lambda: one.requests or two.requests)
                 await pause_reading_with_pipelined(proxy, client)
                 disconnect(client, how)
                 await asyncio.sleep(0)
                 proxy.node.driver.apply(
-                    now_ms(), [ForwardRequest("first", "two" if one.got else "one", 50000.0)]
+                    now_ms(), [ForwardRequest("first", "two" if one.requests else "one", 50000.0)]
                 )
                 proxy.apply(proxy.node.driver.handle(now_ms()))
                 await until(lambda: not proxy.node.requests and not proxy.upstream.exchanges)
                 assert proxy.upstream.connecting_count == 0
-                assert len(one.got) + len(two.got) == 1
+                assert len(one.requests) + len(two.requests) == 1
             gate.set()
 
     run(main())
--- a/tests/http/test_drain.py
+++ b/tests/http/test_drain.py
@@ -28,16 +28,16 @@
         async with FakeServer(respond).up() as server, node([entry("s", server.port)]) as proxy:
             async with Client(proxy) as active, Client(proxy) as idle, Client(proxy) as silent:
                 active.send("post")
-                await until(lambda: len(server.got) == 1)
+                await until(lambda: len(server.requests) == 1)
                 drain = asyncio.ensure_future(proxy.drain())
                 await until(lambda: proxy.server.draining)
                 async with Client(proxy) as new_client:
                     new_client.send()
                     idle.send()
-                    await until(lambda: len(server.got) == 3)
+                    await until(lambda: len(server.requests) == 3)
                     gate.set()
                     for client in (active, idle, new_client):
-                        response = await client.answer()
+                        response = await client.read_response()
                         assert status(response) == 200
                         assert await client.reader.read() == b""  # closed after the response
                 assert await read_message(silent.reader) is None
@@ -59,19 +59,19 @@
         async with FakeServer().up() as server, node([entry("s", server.port)]) as proxy:
             async with Client(proxy) as first, Client(proxy) as second:
                 for client in (first, second):
-                    assert status(await client.ask(timeout=5000)) == 200
+                    assert status(await client.request(timeout=5000)) == 200
                 drain = asyncio.ensure_future(proxy.drain())
                 await until(lambda: proxy.server.draining)
-                response = await first.ask("post", timeout=5000)
+                response = await first.request("post", timeout=5000)
                 assert (status(response), response.headers.get("connection")) == (200, None)
                 proxy.server.drain_started_s -= 2.6  # simulates that 2.6 of the 3.5 s have passed
-                assert status(await second.ask("post", timeout=5000)) == 503
+                assert status(await second.request("post", timeout=5000)) == 503
                 assert await second.reader.read() == b""
-                assert status(await first.ask("post", timeout=600)) == 200
+                assert status(await first.request("post", timeout=600)) == 200
                 proxy.server.closing = True
-                response = await first.ask("post", timeout=600)
+                response = await first.request("post", timeout=600)
                 assert (status(response), response.headers["connection"]) == (200, "close")
-                assert len(server.got) == 5
+                assert len(server.requests) == 5
                 drain.cancel()
 
     run(main())
@@ -86,8 +86,8 @@
             async with Client(proxy) as client:
                 started_s = proxy.loop.time()
                 proxy.server.draining, proxy.server.drain_started_s = True, started_s - 1.7
-                assert status(await client.ask("points", timeout=2400, Idempotency_Key="k")) == 504
+                assert status(await client.request("points", timeout=2400, Idempotency_Key="k")) == 504
                 assert proxy.loop.time() - started_s < 2.0
-                assert len(server.got) == 1
+                assert len(server.requests) == 1
 
     run(main())
--- a/tests/http/test_forwarding.py
+++ b/tests/http/test_forwarding.py
@@ -18,8 +18,8 @@
     FakeDiscovery,
     FakeServer,
     Message,
-    answer,
     closed_port,
+    encode_response,
     entry,
     gated_handler,
     never_respond,
@@ -41,7 +41,7 @@
             Client(proxy) as client,
         ):
             for _ in range(5):
-                assert status(await client.ask()) == 200
+                assert status(await client.request()) == 200
             assert server.connections == 1
 
     run(main())
@@ -56,10 +56,10 @@
             node([entry("s", server.port)]) as proxy,
             Client(proxy) as client,
         ):
-            response = await client.ask("post", body=b"\x00debit", id="r-1", Idempotency_Key="k1")
+            response = await client.request("post", body=b"\x00debit", id="r-1", Idempotency_Key="k1")
             assert (status(response), response.body) == (200, b"ok")
-        forwarded = server.got[0]
-        assert forwarded.first == "POST /api/k?x=1 HTTP/1.1"
+        forwarded = server.requests[0]
+        assert forwarded.start_line == "POST /api/k?x=1 HTTP/1.1"
         assert (forwarded.body, forwarded.headers["request-id"], forwarded.headers["idempotency-key"]) == (
             b"\x00debit",
             "r-1",
@@ -73,10 +73,10 @@
 @pytest.mark.parametrize(
     ("first_response", "final_status", "attempts"),
     [
-        (answer(503, b"", Not_Started="1"), 200, 2),
-        (answer(504, b"", Not_Started="1"), 200, 2),
-        (answer(503, b""), 502, 1),
-        (answer(500, b""), 502, 1),
+        (encode_response(503, b"", Not_Started="1"), 200, 2),
+        (encode_response(504, b"", Not_Started="1"), 200, 2),
+        (encode_response(503, b""), 502, 1),
+        (encode_response(500, b""), 502, 1),
         (b"", 502, 1),  # the connection ends without a response
         (b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf", 502, 1),
         (b"no HTTP at all\r\n\r\n", 502, 1),
@@ -93,7 +93,7 @@
         async def respond_differently(message: Message, writer: asyncio.StreamWriter) -> None:
             nonlocal request_count
             request_count += 1
-            writer.write(first_response if request_count == 1 else answer())
+            writer.write(first_response if request_count == 1 else encode_response())
             if (
                 request_count == 1
                 and b"Not-Started" not in first_response
@@ -105,8 +105,8 @@
         async with FakeServer(respond_differently).up() as one, FakeServer(respond_differently).up() as two:
             servers = [entry("s1", one.port), entry("s2", two.port)]
             async with node(servers) as proxy, Client(proxy) as client:
-                assert status(await client.ask("post")) == final_status
-                assert len(one.got) + len(two.got) == attempts
+                assert status(await client.request("post")) == final_status
+                assert len(one.requests) + len(two.requests) == attempts
 
     run(main())
 
@@ -119,7 +119,7 @@
             servers = [entry("down", closed_port()), entry("up", server.port)]
             async with node(servers) as proxy, Client(proxy) as client:
                 for _ in range(6):
-                    assert status(await client.ask("post")) == 200
+                    assert status(await client.request("post")) == 200
 
     run(main())
 
@@ -129,7 +129,7 @@
 
     async def main() -> None:
         async with node([entry("down", closed_port())]) as proxy, Client(proxy) as client:
-            assert status(await client.ask("post")) == 503
+            assert status(await client.request("post")) == 503
 
     run(main())
 
@@ -140,7 +140,7 @@
     async def main() -> None:
         async with FakeServer(never_respond).up() as server, node([entry("s", server.port)]) as proxy:
             async with Client(proxy) as client:
-                assert status(await client.ask("post", timeout=120)) == 504
+                assert status(await client.request("post", timeout=120)) == 504
                 await until(lambda: server.closed == 1)
                 assert not proxy.node.requests
                 assert not proxy.client_requests
@@ -155,7 +155,7 @@
         async with FakeServer(never_respond).up() as server, node([entry("s", server.port)]) as proxy:
             async with Client(proxy) as client:
                 client.send("post")
-                await until(lambda: len(server.got) == 1)
+                await until(lambda: len(server.requests) == 1)
             await until(lambda: server.closed == 1)
             assert not proxy.node.requests
             assert not proxy.client_requests
@@ -171,7 +171,7 @@
         changes = {"retry_after": True, "max_retry_after_ms": 1500.0}
         async with node([entry("down", closed_port())], **changes) as proxy, Client(proxy) as client:
             proxy.node.balancer.parts.table.cursor = 4
-            response = await client.ask("post")
+            response = await client.request("post")
             assert (status(response), response.headers["retry-after"]) == (503, "0.600")
 
     run(main())
@@ -187,15 +187,15 @@
             async with Client(proxy) as client:
                 for index in range(3):
                     client.send("post", id=f"r{index}", body=b"x" * 9000)
-                await until(lambda: len(server.got) == 1)
+                await until(lambda: len(server.requests) == 1)
                 connection = next(iter(proxy.server.connections))
                 await until(lambda: connection.reading_paused)
                 gate.set()
                 for _ in range(3):
-                    assert status(await client.answer()) == 200
-                assert [message.headers["request-id"] for message in server.got] == ["r0", "r1", "r2"]
+                    assert status(await client.read_response()) == 200
+                assert [message.headers["request-id"] for message in server.requests] == ["r0", "r1", "r2"]
                 assert not connection.reading_paused
-                assert status(await client.ask("post")) == 200
+                assert status(await client.request("post")) == 200
 
     run(main())
 
@@ -208,10 +208,10 @@
         async with FakeServer(respond).up() as server, node([entry("s", server.port)]) as proxy:
             async with Client(proxy) as first, Client(proxy) as second:
                 first.send("post", id="same")
-                await until(lambda: len(server.got) == 1)
-                assert status(await second.ask("post", id="same")) == 409
+                await until(lambda: len(server.requests) == 1)
+                assert status(await second.request("post", id="same")) == 409
                 gate.set()
-                assert status(await first.answer()) == 200
+                assert status(await first.read_response()) == 200
 
     run(main())
 
@@ -224,14 +224,14 @@
         async with FakeServer(respond).up() as server, node([entry("s", server.port)]) as proxy:
             async with Client(proxy) as first_client:
                 first_client.send("post", id="same")
-                await until(lambda: len(server.got) == 1)
+                await until(lambda: len(server.requests) == 1)
                 async with Client(proxy) as duplicate:
-                    assert status(await duplicate.ask("post", id="same")) == 409
+                    assert status(await duplicate.request("post", id="same")) == 409
                     assert await duplicate.reader.read() == b""
                 await until(lambda: len(proxy.server.connections) == 1)
                 gate.set()
-                assert status(await first_client.answer()) == 200
-                assert len(server.got) == 1
+                assert status(await first_client.read_response()) == 200
+                assert len(server.requests) == 1
 
     run(main())
 
@@ -257,9 +257,9 @@
                 return actions
 
             proxy.node.balancer.handle = faulty  # type: ignore[method-assign]
-            assert status(await client.ask("post")) == 500
+            assert status(await client.request("post")) == 500
             proxy.node.balancer.handle = handle  # type: ignore[method-assign]
-            assert status(await client.ask("post")) == 200
+            assert status(await client.request("post")) == 200
             assert not proxy.client_requests
 
     run(main())
@@ -270,16 +270,16 @@
 
     async def health_status(client: Client) -> int:
         client.writer.write(b"GET /_health HTTP/1.1\r\nHost: a\r\n\r\n")
-        return status(await client.answer())
+        return status(await client.read_response())
 
     async def main() -> None:
         async with FakeDiscovery().up() as discovery, FakeServer().up() as server:
             async with node([], discovery) as proxy, Client(proxy) as client:
                 assert await health_status(client) == 503
                 await until(lambda: bool(discovery.writers))
-                discovery.tell(6, entry("s", server.port), whole=True)
+                discovery.send_update(6, entry("s", server.port), whole=True)
                 await until(lambda: proxy.node.can_serve)
                 assert await health_status(client) == 200
-                assert status(await client.ask()) == 200
+                assert status(await client.request()) == 200
 
     run(main())
--- a/tests/http/test_pipelining.py
+++ b/tests/http/test_pipelining.py
@@ -7,7 +7,17 @@
 import pytest
 
 from rosewheel.http.request_reader import MAX_PARSED_BYTES, MAX_PIPELINED_REQUESTS
-from tests.support.sockets import Client, FakeServer, Message, answer, entry, node, run, status, until
+from tests.support.sockets import (
+    Client,
+    FakeServer,
+    Message,
+    encode_response,
+    entry,
+    node,
+    run,
+    status,
+    until,
+)
 
 
 def encode_request(id: str, service: str = "read", timeout: int = 10_000, body: bytes = b"") -> bytes:
@@ -19,12 +29,12 @@
 
 async def echo_path(message: Message, writer: asyncio.StreamWriter) -> None:
     """Respond with the path of the request."""
-    writer.write(answer(200, message.first.split()[1].encode()))
+    writer.write(encode_response(200, message.start_line.split()[1].encode()))
 
 
 async def read_responses(client: Client, count: int) -> list[tuple[int, bytes]]:
     """Read the next responses; return the status and body of each."""
-    messages = [await client.answer() for _ in range(count)]
+    messages = [await client.read_response() for _ in range(count)]
     return [(status(message), message.body if message else b"") for message in messages]
 
 
@@ -53,7 +63,7 @@
         async with FakeServer(respond).up() as server, node([entry("one", server.port)]) as proxy:
             async with Client(proxy) as client:
                 client.writer.write(encode_request("first"))
-                await until(lambda: bool(server.got))
+                await until(lambda: bool(server.requests))
                 client.writer.write(b"".join(encode_request(f"r{number}") for number in range(count)))
                 (connection,) = proxy.server.connections
                 await until(lambda: connection.reading_paused)
@@ -85,16 +95,16 @@
         gate, first_gate = asyncio.Event(), asyncio.Event()
 
         async def respond(message: Message, writer: asyncio.StreamWriter) -> None:
-            await (first_gate if "/first" in message.first else gate).wait()
+            await (first_gate if "/first" in message.start_line else gate).wait()
             await echo_path(message, writer)
 
         async with FakeServer(respond).up() as server, node([entry("one", server.port)]) as proxy:
             async with Client(proxy) as other, Client(proxy) as client:
                 other.writer.write(encode_request("first"))  # its id is in use until its gate opens
-                await until(lambda: len(server.got) == 1)
+                await until(lambda: len(server.requests) == 1)
                 if earlier_count:
                     client.writer.write(encode_request("r0"))
-                    await until(lambda: len(server.got) == 2)
+                    await until(lambda: len(server.requests) == 2)
                 client.writer.write(
                     b"".join(encode_request(f"r{number}") for number in range(1, earlier_count)) + data
                 )
@@ -103,10 +113,10 @@
                 assert await read_responses(client, earlier_count) == [
                     (200, b"/r%d" % number) for number in range(earlier_count)
                 ]
-                assert status(await client.answer()) == error_status
-                assert await client.answer() is None
+                assert status(await client.read_response()) == error_status
+                assert await client.read_response() is None
                 first_gate.set()
-                assert status(await other.answer()) == 200
+                assert status(await other.read_response()) == 200
 
     run(main())
 
@@ -118,14 +128,14 @@
         gate = asyncio.Event()
 
         async def respond(message: Message, writer: asyncio.StreamWriter) -> None:
-            if "/first" in message.first:
+            if "/first" in message.start_line:
                 await gate.wait()
             await echo_path(message, writer)
 
         async with FakeServer(respond).up() as server, node([entry("one", server.port)]) as proxy:
             async with Client(proxy) as other, Client(proxy) as client:
                 other.writer.write(encode_request("first"))
-                await until(lambda: len(server.got) == 1)
+                await until(lambda: len(server.requests) == 1)
                 client.writer.write(
                     encode_request("r0")
                     + encode_request("first")
@@ -133,10 +143,10 @@
                     + encode_request("first")
                 )
                 assert await read_responses(client, 1) == [(200, b"/r0")]
-                assert status(await client.answer()) == 409
+                assert status(await client.read_response()) == 409
                 assert await read_responses(client, 1) == [(200, b"/r1")]
-                assert status(await client.answer()) == 409
-                assert await client.answer() is None
+                assert status(await client.read_response()) == 409
+                assert await client.read_response() is None
                 gate.set()
 
     run(main())
@@ -155,11 +165,11 @@
         async with FakeServer(respond).up() as server, node([entry("one", server.port)]) as proxy:
             async with Client(proxy) as other, Client(proxy) as client:
                 other.writer.write(encode_request("first"))
-                await until(lambda: len(server.got) == 1)
+                await until(lambda: len(server.requests) == 1)
                 service = "post" if code == 409 else "unknown"
                 head = encode_request("first", service, body=bytes(3 << 20))
                 client.writer.write(head[: 2 << 20])
-                assert status(await client.answer()) == code
+                assert status(await client.read_response()) == code
                 gate.set()
 
     run(main())
--- a/tests/lab/test_lab.py
+++ b/tests/lab/test_lab.py
@@ -20,7 +20,7 @@
 from rosewheel.lab.records import RecordWriter, read_records
 from rosewheel.lab.report import FaultEvent, FaultSpan, fault_spans
 from rosewheel.lab.wire import now_ms
-from tests.support.sockets import FakeServer, Message, answer, run
+from tests.support.sockets import FakeServer, Message, encode_response, run
 
 QUICK: dict[str, object] = {
     "seconds": 1.0,
@@ -48,8 +48,8 @@
 
     async def main() -> None:
         async def respond_or_report_health(message: Message, writer: asyncio.StreamWriter) -> None:
-            if message.first.startswith("GET /_health"):
-                writer.write(answer())
+            if message.start_line.startswith("GET /_health"):
+                writer.write(encode_response())
             else:
                 await handler(message, writer)
 
@@ -72,11 +72,11 @@
 
 
 async def respond(message: Message, writer: asyncio.StreamWriter) -> None:
-    writer.write(answer(body=response_body(message)))
+    writer.write(encode_response(body=response_body(message)))
 
 
 def requests(server: FakeServer) -> list[Message]:
-    return [message for message in server.got if not message.first.startswith("GET /_health")]
+    return [message for message in server.requests if not message.start_line.startswith("GET /_health")]
 
 
 def test_clients_send_on_time_while_earlier_requests_are_unanswered(tmp_path: Path):
@@ -88,7 +88,7 @@
         received.append((message, writer))
         if len(received) == count:
             for earlier, earlier_writer in received:
-                earlier_writer.write(answer(body=response_body(earlier)))
+                earlier_writer.write(encode_response(body=response_body(earlier)))
 
     ops, _, load = run_clients(tmp_path, hold)
     assert all(op["tries"][-1]["status"] == 200 for op in ops)
@@ -106,7 +106,7 @@
             await respond(message, writer)
             return
         seen.add(operation_id)
-        writer.write(answer(503 if int(operation_id.rpartition("-")[2]) % 2 else 502, b""))
+        writer.write(encode_response(503 if int(operation_id.rpartition("-")[2]) % 2 else 502, b""))
 
     ops, server, _ = run_clients(tmp_path, fail_first_attempt)
     for op in ops:
@@ -118,7 +118,7 @@
 
 def test_a_response_to_another_request_is_detected(tmp_path: Path):
     async def respond_with_foreign_body(message: Message, writer: asyncio.StreamWriter) -> None:
-        writer.write(answer(body=b"foreign body"))
+        writer.write(encode_response(body=b"foreign body"))
 
     run_clients(tmp_path, respond_with_foreign_body)
     violations = invariant_checker.check_records(scenarios.load("quiet"), tmp_path)
@@ -138,7 +138,7 @@
 
 def test_a_surplus_response_is_detected(tmp_path: Path):
     async def respond_twice(message: Message, writer: asyncio.StreamWriter) -> None:
-        writer.write(answer(body=response_body(message)) * 2)
+        writer.write(encode_response(body=response_body(message)) * 2)
 
     run_clients(tmp_path, respond_twice)
     assert invariant_checker.check_records(scenarios.load("quiet"), tmp_path).surplus_responses > 0
@@ -147,7 +147,7 @@
 def test_service_of_an_interval_counts_operations_by_planned_time(tmp_path: Path):
     async def fail_later_operations(message: Message, writer: asyncio.StreamWriter) -> None:
         fails = float(message.headers["lab-op"].rpartition("-")[2]) >= 10
-        writer.write(answer(502, b"") if fails else answer(body=response_body(message)))
+        writer.write(encode_response(502, b"") if fails else encode_response(body=response_body(message)))
 
     ops, _, load = run_clients(tmp_path, fail_later_operations)
     first_failed_ms = sorted(op["at"] for op in ops)[10]
--- a/tests/proxy/test_cordon.py
+++ b/tests/proxy/test_cordon.py
@@ -108,17 +108,17 @@
 
                 proxy.upstream.loop = _Loop(proxy.loop, connect_then_cordon)  # type: ignore[assignment]
                 client.send("post")
-                response = await client.answer()
+                response = await client.read_response()
                 assert status(response) == 503
-                assert cordoned.got == []
+                assert cordoned.requests == []
                 assert await proxy.cordon("s1")
                 assert not await proxy.cordon("nobody")
                 assert proxy.statistics().cordoned_endpoints == 1
                 proxy.upstream.loop = proxy.loop
                 assert await proxy.uncordon("s1")
-                assert status(await client.ask("post")) == 200
-                assert len(cordoned.got) == 1
-                assert other.got == []
+                assert status(await client.request("post")) == 200
+                assert len(cordoned.requests) == 1
+                assert other.requests == []
 
     run(main())
 
@@ -141,18 +141,18 @@
         with socket.create_server(("127.0.0.1", 0)) as listener:
             async with FakeServer().up() as one, FakeServer().up() as two:
                 known = [entry("one", one.port), entry("two", two.port)]
-                shared = {"state": str(tmp_path), "inherited": os.dup(listener.fileno())}
+                shared = {"state": str(tmp_path), "inherited_descriptor": os.dup(listener.fileno())}
                 async with node(known, **shared) as old:
                     assert await old.cordon("one")
-                    shared["inherited"] = os.dup(listener.fileno())
+                    shared["inherited_descriptor"] = os.dup(listener.fileno())
                     async with node(known, **shared) as new, Client(new) as client:
                         await until(
                             lambda: (old.resources.process_count, new.resources.process_count) == (2, 2)
                         )
                         assert old.resources.max_descriptors < new.config.limits.max_sockets // 2
                         for _ in range(10):
-                            assert status(await client.ask()) == 200
-                        assert (len(one.got), len(two.got)) == (0, 10)
+                            assert status(await client.request()) == 200
+                        assert (len(one.requests), len(two.requests)) == (0, 10)
                         assert await new.uncordon("one")
                         assert old.node.cordoned == set()
 
