--- a/rosewheel/hot_restart/messages_codec.py
+++ b/rosewheel/hot_restart/messages_codec.py
@@ -132,14 +132,14 @@
 
     Attributes:
         request_id: The id of the request.
-        service: The class of the request.
+        class_name: The class of the request.
         server: The server that sends the response.
         client: The state of the client's connection.
         upstream: The state of the connection to the server.
     """
 
     request_id: str
-    service: str
+    class_name: str
     server: str
     client: WireState
     upstream: WireState
@@ -149,7 +149,7 @@
     """Returns the state as an offer contains it."""
     return {
         "id": state.request_id,
-        "service": state.service,
+        "service": state.class_name,
         "server": state.server,
         "caller": state.client,
         "equipo": state.upstream,
--- a/rosewheel/hot_restart/migration.py
+++ b/rosewheel/hot_restart/migration.py
@@ -106,8 +106,8 @@
         in_progress = self._host.node.response_in_progress(request.id) if request is not None else None
         if request is None or in_progress is None:
             return False
-        service, server, attempt = in_progress
-        detachment = _ResponseDetachment(self._host, request.id, service, server, on_detached)
+        class_name, server, attempt = in_progress
+        detachment = _ResponseDetachment(self._host, request.id, class_name, server, on_detached)
         if not self._host.upstream.detach_response(request.id, attempt, detachment.upstream_detached):
             return False
         client.detach(detachment.client_detached)
@@ -172,7 +172,7 @@
     ) -> None:
         host, state = self._host, decode_response_state(connection.state)
         client = self._resumed_client(state.client, connection.pending_bytes, returned)
-        if not host.node.adopt_response(_now_ms(), state.request_id, state.service, state.server):
+        if not host.node.adopt_response(_now_ms(), state.request_id, state.class_name, state.server):
             raise MigrationError(f"request {state.request_id} is already in flight")
         upstream: UpstreamConnection | None = None
 
@@ -202,13 +202,13 @@
         self,
         host: MigrationHost,
         request_id: str,
-        service: str,
+        class_name: str,
         server: str,
         on_detached: DetachedHandler,
     ) -> None:
         self._host = host
         self._request_id = request_id
-        self._service = service
+        self._class_name = class_name
         self._server = server
         self._on_detached = on_detached
         self._client: DetachedDownstream | None = None
@@ -238,7 +238,7 @@
         host = self._host
         host.client_requests.pop(self._request_id, None)
         host.apply(host.node.response_migrated(_now_ms(), self._request_id))
-        state = ResponseState(self._request_id, self._service, self._server, client.state, upstream.state)
+        state = ResponseState(self._request_id, self._class_name, self._server, client.state, upstream.state)
         descriptors = [client.fd, upstream.fd]
         wire_state = encode_response_state(state)
         self._on_detached(
--- a/rosewheel/node/core.py
+++ b/rosewheel/node/core.py
@@ -80,7 +80,7 @@
     # ---------------------------------------------------------------- state
 
     @property
-    def service_names(self) -> KeysView[str]:
+    def class_names(self) -> KeysView[str]:
         """Names of the service classes in the settings."""
         return self._classes.keys()
 
@@ -135,7 +135,7 @@
         if request is None or request.streaming_attempt is None:
             return None
         number = request.streaming_attempt
-        return ResponseInProgress(request.service, request.attempts[number].server, number)
+        return ResponseInProgress(request.class_name, request.attempts[number].server, number)
 
     def statistics_snapshot(self) -> StatisticsSnapshot:
         """Return a copy of the current statistics of this process."""
@@ -173,11 +173,11 @@
             raise DuplicateRequestError(request.id)
         if self._table.active >= self.limits.max_open_requests:
             # The policy never receives this request, so no attempt can exist and a rejection is safe to retry.
-            self.statistics.count_request(request.service, RequestOutcome.SHED)
+            self.statistics.count_request(request.class_name, RequestOutcome.SHED)
             return [SendResponse(request.id, ResponseStatus.REJECTED)]
-        service_class = self._classes[request.service]
+        service_class = self._classes[request.class_name]
         entry = InFlightRequest(
-            request.service,
+            request.class_name,
             request.deadline_at_ms,
             self.settings.max_attempts,
             self.limits.hedging_allowed,
@@ -270,7 +270,7 @@
         self._table.finish(id, request)
         return self._handle(now)
 
-    def adopt_response(self, now: float, id: str, service: str, server: str) -> bool:
+    def adopt_response(self, now: float, id: str, class_name: str, server: str) -> bool:
         """Take over a streamed response from another process, as attempt 0 of a request unknown to the policy.
 
         The settings of this process need not contain its service class.
@@ -280,9 +280,9 @@
         """
         if id in self.requests:
             return False
-        self.statistics.track_class(service)
+        self.statistics.track_class(class_name)
         attempt = Attempt(server, now, response_started_ms=now)
-        self._table.add(id, InFlightRequest(service, now, attempts=[attempt], streaming_attempt=0))
+        self._table.add(id, InFlightRequest(class_name, now, attempts=[attempt], streaming_attempt=0))
         return True
 
     # ---------------------------------------------------------------- servers and the fleet
--- a/rosewheel/node/in_flight.py
+++ b/rosewheel/node/in_flight.py
@@ -40,7 +40,7 @@
     """A request without a final response, or with attempts in flight.
 
     Attributes:
-        service: Name of its service class.
+        class_name: Name of its service class.
         deadline_ms: When its client stops waiting.
         max_attempts: Limit of its attempts, by the settings when it was received.
         hedging_allowed: Whether several attempts may be in flight at once, by the limits when it was received.
@@ -53,7 +53,7 @@
         dedup_window_ms: How long servers remember its idempotency key.
     """
 
-    service: str
+    class_name: str
     deadline_ms: float
     max_attempts: int = 0
     hedging_allowed: bool = False
@@ -96,11 +96,11 @@
     """A response that is being streamed to its client.
 
     Attributes:
-        service: Name of the request's service class.
+        class_name: Name of the request's service class.
         server: Address of the server that sends it.
         attempt: Number of the attempt.
     """
 
-    service: str
+    class_name: str
     server: str
     attempt: int
--- a/rosewheel/node/request_table.py
+++ b/rosewheel/node/request_table.py
@@ -98,7 +98,7 @@
             return
         self.effects.append(response)
         outcome = _OUTCOME_BY_STATUS.get(response.status, RequestOutcome.ERRORS)
-        self._statistics.count_request(request.service, outcome)
+        self._statistics.count_request(request.class_name, outcome)
         self.finish(response.id, request)
 
     def finish(self, id: str, request: InFlightRequest) -> None:
--- a/rosewheel/node/statistics.py
+++ b/rosewheel/node/statistics.py
@@ -80,22 +80,22 @@
         """Return a copy of the counters by service class."""
         return {name: replace(counters) for name, counters in self.classes.items()}
 
-    def track_class(self, service: str) -> None:
+    def track_class(self, class_name: str) -> None:
         """Count requests of this class even if the settings lack it, for a request from another process."""
-        if service not in self.classes:
+        if class_name not in self.classes:
             configured = {
                 name: counters for name, counters in self.classes.items() if name in self._configured
             }
-            self.classes = {**configured, service: ClassCounters()} | self.classes
+            self.classes = {**configured, class_name: ClassCounters()} | self.classes
             self._drop_oldest_removed()
 
     def _drop_oldest_removed(self) -> None:
         while len(self.classes) > len(self._configured) + MAX_REMOVED_CLASSES:
             self.classes.popitem()
 
-    def count_request(self, service: str | None, outcome: RequestOutcome) -> None:
+    def count_request(self, class_name: str | None, outcome: RequestOutcome) -> None:
         """Count a finished request; ignored if its class is unknown."""
-        counters = self.classes.get(service or "")
+        counters = self.classes.get(class_name or "")
         if counters is None:
             return
         match outcome:
--- a/rosewheel/policy/attempts.py
+++ b/rosewheel/policy/attempts.py
@@ -31,7 +31,7 @@
             self.mean_cost_hint_ms += (hint_ms - self.mean_cost_hint_ms) * gain
             weight = min(MAX_WEIGHT, max(MIN_WEIGHT, hint_ms / self.mean_cost_hint_ms))
         self.pool_load.throughput.requested_weight += weight
-        state = RequestState(request, self.shared.classes[request.service], settings, now, weight)
+        state = RequestState(request, self.shared.classes[request.class_name], settings, now, weight)
         self.shared.requests[request.id] = state
         return state
 
--- a/rosewheel/policy/balancer.py
+++ b/rosewheel/policy/balancer.py
@@ -77,8 +77,8 @@
         return {address: server.load for address, server in servers.items() if server.load > 0.0}
 
     def _check_request(self, request: events.RequestReceived) -> None:
-        if request.service not in self.parts.shared.classes:
-            raise ValueError(f"service: {request.service!r} is not a class of the settings")
+        if request.class_name not in self.parts.shared.classes:
+            raise ValueError(f"class_name: {request.class_name!r} is not a class of the settings")
         if request.id in self.parts.shared.requests:
             raise ValueError(f"id: {request.id!r} is already in flight")
 
--- a/rosewheel/policy/events.py
+++ b/rosewheel/policy/events.py
@@ -79,7 +79,7 @@
     """
 
     id: str
-    service: str  # name of its service class
+    class_name: str
     deadline_at_ms: float
     tenant: str | None = None
     cost_hint_ms: float | None = None
--- a/rosewheel/proxy/requests.py
+++ b/rosewheel/proxy/requests.py
@@ -113,21 +113,21 @@
     def _parse(self, request: DownstreamRequest) -> RequestReceived:
         if request.method not in METHODS:
             raise BadRequestError(405, "GET and POST only")
-        id, service = request.header(b"request-id"), request.header(b"request-class")
+        id, class_name = request.header(b"request-id"), request.header(b"request-class")
         if not id or len(id) > MAX_REQUEST_ID_LENGTH:
             raise BadRequestError(400, "Request-Id is missing or too long")
-        if service not in self._context.node.service_names:
+        if class_name not in self._context.node.class_names:
             raise BadRequestError(400, "Request-Class is missing or unknown")
         timeout_ms = parse_number(request.header(b"request-timeout-ms"), "Request-Timeout-Ms", WHOLE_NUMBER)
         if timeout_ms is None or timeout_ms <= 0:
             raise BadRequestError(400, "Request-Timeout-Ms is missing or not positive")
         request.timeout_ms = timeout_ms
         timeout_ms -= self._waited_ms(request)
-        self._check_time_left(service, timeout_ms)
+        self._check_time_left(class_name, timeout_ms)
         hint = parse_number(request.header(b"work-hint"), "Work-Hint", DECIMAL_NUMBER)
         return RequestReceived(
             id=id,
-            service=service,
+            class_name=class_name,
             deadline_at_ms=clock.now_ms() + self._time_for_response_ms(timeout_ms),
             tenant=request.header(b"tenant") or None,
             cost_hint_ms=None if hint is None else hint / 1000.0,
@@ -141,12 +141,12 @@
             return 0.0
         return (self._context.loop.time() - request.completed_s) * 1000.0
 
-    def _check_time_left(self, service: str, timeout_ms: float) -> None:
+    def _check_time_left(self, class_name: str, timeout_ms: float) -> None:
         """Rejects a request during a drain that leaves too little time for its response."""
         self._longest_deadline_ms = max(self._longest_deadline_ms, min(timeout_ms, MAX_DRAIN_DEADLINE_MS))
         context = self._context
         if context.server.draining and self._time_left_ms() < min(timeout_ms, MIN_DRAIN_DEADLINE_MS):
-            context.node.statistics.count_request(service, RequestOutcome.SHED)
+            context.node.statistics.count_request(class_name, RequestOutcome.SHED)
             raise RefusedRequestError(503, "this node stops before the answer could be there")
 
     def _time_for_response_ms(self, timeout_ms: float) -> float:
--- a/rosewheel/simulator_codec.py
+++ b/rosewheel/simulator_codec.py
@@ -179,7 +179,7 @@
 def _decode_request(row: JsonObject) -> Event:
     return RequestReceived(
         id=row["txn"],
-        service=row["lane"],
+        class_name=row["lane"],
         deadline_at_ms=row["giveUpAtMs"],
         tenant=row.get("billing") or None,
         cost_hint_ms=row.get("expectedMs"),
--- a/tests/node/test_event_orders.py
+++ b/tests/node/test_event_orders.py
@@ -64,7 +64,7 @@
         )
         self.node = Node(config, Limits(hedging_allowed=hedging_allowed), seed=3, now=0.0)
         self.servers = {f"s{at}": Server(f"s{at}", zone="a", cell=at // 2) for at in range(4)}
-        self.services: dict[str, str] = {}  # class names by request id
+        self.class_names: dict[str, str] = {}  # by request id
         # By request id: its class, its limit of attempts, and whether they may be hedged, when it was received.
         self.rules: dict[str, tuple[ServiceClass, int, bool]] = {}
         self.responses: dict[str, list[int]] = {}  # status codes by request id
@@ -127,14 +127,16 @@
     def step(self, step: tuple[Any, ...]) -> None:
         node, now = self.node, self.now
         match step:
-            case ("receive", service, complete):
-                id = f"r{len(self.services)}"
-                self.services[id], self.responses[id] = service, []
-                self.rules[id] = self.current_rules(service)
+            case ("receive", class_name, complete):
+                id = f"r{len(self.class_names)}"
+                self.class_names[id], self.responses[id] = class_name, []
+                self.rules[id] = self.current_rules(class_name)
                 if not complete:
                     self.incomplete.append(id)
                 self.apply(
-                    node.receive_request(now, RequestReceived(id, service, now + 2500.0, complete=complete))
+                    node.receive_request(
+                        now, RequestReceived(id, class_name, now + 2500.0, complete=complete)
+                    )
                 )
             case ("complete", at) if self.incomplete:
                 id = self.incomplete.pop(at % len(self.incomplete))
@@ -157,8 +159,8 @@
             case ("finish again", at, result) if self.finished:
                 effects = node.attempt_finished(now, *self.finished[at % len(self.finished)], result)
                 assert not effects, "a second result of an attempt had effects"
-            case ("disconnect", at) if self.services:
-                id = sorted(self.services)[at % len(self.services)]
+            case ("disconnect", at) if self.class_names:
+                id = sorted(self.class_names)[at % len(self.class_names)]
                 if not self.responses[id] and id not in self.disconnected:
                     self.disconnected.add(id)
                     self.disconnect(id)
@@ -175,8 +177,8 @@
                 self.now += delta_ms
                 self.apply(node.tick(self.now))
 
-    def current_rules(self, service: str) -> tuple[ServiceClass, int, bool]:
-        return CLASSES[service], self.node.settings.max_attempts, self.node.limits.hedging_allowed
+    def current_rules(self, class_name: str) -> tuple[ServiceClass, int, bool]:
+        return CLASSES[class_name], self.node.settings.max_attempts, self.node.limits.hedging_allowed
 
     def disconnect(self, id: str) -> None:
         """Disconnect a client, and end its incomplete attempts as the proxy does."""
@@ -237,7 +239,7 @@
     def random_actions(_now: float, event: Event) -> list[Action]:
         actions: list[Action] = []
         for _ in range(rng.randrange(4) if not isinstance(event, AttemptFinished) else rng.randrange(2)):
-            id = f"r{rng.randrange(len(harness.services) + 1)}"
+            id = f"r{rng.randrange(len(harness.class_names) + 1)}"
             forward = ForwardRequest(id, f"s{rng.randrange(4)}", 0.0)
             actions.append(
                 rng.choice(
--- a/tests/policy/test_mechanism.py
+++ b/tests/policy/test_mechanism.py
@@ -301,21 +301,21 @@
 
 
 @pytest.mark.parametrize(
-    ("service", "name", "field"), [("unheard of", "new", "service"), ("read", "held", "id")]
+    ("class_name", "name", "field"), [("unheard of", "new", "class_name"), ("read", "held", "id")]
 )
-def test_invalid_request_raises_and_changes_nothing(service, name, field):
+def test_invalid_request_raises_and_changes_nothing(class_name, name, field):
     harness, unchanged = BalancerHarness(), BalancerHarness()
     for each in (harness, unchanged):
         each.handle(RequestReceived("held", "read", each.now + 1000.0))
     with pytest.raises(ValueError, match=field):
-        harness.handle(RequestReceived(name, service, harness.now + 1000.0))
+        harness.handle(RequestReceived(name, class_name, harness.now + 1000.0))
     assert list(harness.parts.shared.requests) == ["held"]
     assert harness.receive_request("read") == unchanged.receive_request("read")
 
 
 def test_invalid_first_event_does_not_lose_the_first_timer():
     balancer = Balancer(BalancerHarness().balancer.parts.shared.settings, 1, 0.0)
-    with pytest.raises(ValueError, match="service"):
+    with pytest.raises(ValueError, match="class_name"):
         balancer.handle(0.0, RequestReceived("x", "unheard of", 1000.0))
     assert StartTimer in action_types(balancer.handle(0.0, TimerFired("other")))
 
--- a/tests/policy/test_request_rules.py
+++ b/tests/policy/test_request_rules.py
@@ -99,7 +99,7 @@
                 self.listed = {}
             self.listed.update({endpoint.address: endpoint for endpoint in event.servers})
         if isinstance(event, RequestReceived):
-            service_class = next(each for each in CLASSES if each.name == event.service)
+            service_class = next(each for each in CLASSES if each.name == event.class_name)
             self.requests[event.id] = RequestModel(service_class, event.deadline_at_ms)
         for action in self.balancer.handle(self.now, event):
             self.check(action)
--- a/tests/policy/test_settings_change.py
+++ b/tests/policy/test_settings_change.py
@@ -100,14 +100,14 @@
                     )
                 )
                 assert self.node.settings is new_settings
-            case ("receive", service, _):
-                if service in self.node.service_names:  # requests of unknown classes are rejected earlier
+            case ("receive", class_name, _):
+                if class_name in self.node.class_names:  # requests of unknown classes are rejected earlier
                     super().step(step)
             case _:
                 super().step(step)
 
-    def current_rules(self, service: str) -> tuple[ServiceClass, int, bool]:
-        service_class = next(each for each in self.node.settings.classes if each.name == service)
+    def current_rules(self, class_name: str) -> tuple[ServiceClass, int, bool]:
+        service_class = next(each for each in self.node.settings.classes if each.name == class_name)
         return service_class, self.node.settings.max_attempts, self.node.limits.hedging_allowed
 
 
@@ -273,7 +273,7 @@
     node = make_node()
     single_effect(node.receive_request(1.0, RequestReceived("r", "read", 2500.0)), StartAttempt)
     change_settings(node, 2.0, classes=(NON_IDEMPOTENT,))
-    assert node.service_names == {"post"}
+    assert node.class_names == {"post"}
     retry = single_effect(
         node.attempt_finished(3.0, "r", 0, AttemptResult.RESET), StartAttempt
     )  # idempotent when it was received
@@ -282,7 +282,7 @@
         == 200
     )
     assert node.statistics.classes["read"].ok == 1
-    with pytest.raises(ValueError, match="service: 'read'"):
+    with pytest.raises(ValueError, match="class_name: 'read'"):
         node.balancer.handle(5.0, RequestReceived("q", "read", 2500.0))
     assert "read" not in node.balancer.parts.shared.class_latency_ms
 
--- a/tests/proxy/test_reconfiguration.py
+++ b/tests/proxy/test_reconfiguration.py
@@ -353,7 +353,7 @@
                 async with asyncio.timeout(WAIT_S):
                     assert await read_long(client.reader) == LONG
                 assert new.statistics().classes["read"].ok == 1
-                assert new.node.service_names == {"post"}
+                assert new.node.class_names == {"post"}
                 assert status(await client.ask(id="small-1")) == 400
                 await client.__aexit__()
 
