--- a/rosewheel/node/core.py
+++ b/rosewheel/node/core.py
@@ -119,9 +119,9 @@
         """Load that this process puts on each server, in weighted requests in flight; idle servers are left out."""
         return self.balancer.loads_by_server()
 
-    def is_known_server(self, server: str) -> bool:
+    def is_listed_or_cordoned(self, server: str) -> bool:
         """Return True if the server is in the endpoint list or cordoned."""
-        return self.endpoints.is_known(server)
+        return self.endpoints.is_listed_or_cordoned(server)
 
     def attempts_in_flight(self, id: str) -> list[int]:
         """Return the numbers of the request's attempts that have no result yet."""
--- a/rosewheel/node/endpoints.py
+++ b/rosewheel/node/endpoints.py
@@ -33,7 +33,7 @@
         """Return True if the server is up and not cordoned."""
         return self.servers.get(server) is ServerState.UP and server not in self.cordoned
 
-    def is_known(self, server: str) -> bool:
+    def is_listed_or_cordoned(self, server: str) -> bool:
         """Return True if the server is in the list or cordoned."""
         return server in self.servers or server in self.cordoned
 
--- a/rosewheel/proxy/proxy.py
+++ b/rosewheel/proxy/proxy.py
@@ -287,7 +287,7 @@
         return server in self.cordons.by_fleet
 
     async def _change_cordon(self, server: str, cordoned: bool) -> bool:
-        if not self.node.is_known_server(server):
+        if not self.node.is_listed_or_cordoned(server):
             return False
         await self.cordons.change_by_operator(server, cordoned, self.shared_state)
         return True
--- a/tests/discovery/test_watch_backoff.py
+++ b/tests/discovery/test_watch_backoff.py
@@ -114,7 +114,7 @@
         connections_lost_at_s=connections_lost_at_s,
         revisions_restart=revisions_restart,
     )
-    assert proxy.node.is_known_server("new"), f"connections at {network.connect_times_s}"
+    assert proxy.node.is_listed_or_cordoned("new"), f"connections at {network.connect_times_s}"
 
 
 @pytest.mark.parametrize("polls", [False, True], ids=["pushed", "polled"])
@@ -131,7 +131,7 @@
     network, proxy = simulate(
         polls, seed, last_line_s + MAX_NOTICE_S, phases=phases, change_s=21.0, always_sends_object=False
     )
-    assert proxy.node.is_known_server("new"), f"connections at {network.connect_times_s}"
+    assert proxy.node.is_listed_or_cordoned("new"), f"connections at {network.connect_times_s}"
     assert second <= last_line_s + MAX_NOTICE_S
 
 
@@ -227,11 +227,11 @@
                 for behaviour in ("mute", "dies", "half", "mute"):
                     await discovery.begin(behaviour)
                     await until(lambda: discovery.asked >= 3)
-                    assert proxy.node.is_known_server("old")
+                    assert proxy.node.is_listed_or_cordoned("old")
                     discovery.end()
                     await until(lambda: not proxy.discovery.is_open)
                 await discovery.begin("served")
-                await until(lambda: proxy.node.is_known_server("new"))
-                assert not proxy.node.is_known_server("old")
+                await until(lambda: proxy.node.is_listed_or_cordoned("new"))
+                assert not proxy.node.is_listed_or_cordoned("old")
 
     run(main())
--- a/tests/proxy/test_cordon.py
+++ b/tests/proxy/test_cordon.py
@@ -82,7 +82,7 @@
 def test_the_node_starts_no_attempt_at_a_cordoned_server_that_the_policy_chooses():
     core = Node(settings(), Limits(), seed=1, now=0.0)
     core.update_endpoints(0.0, EndpointListForm.SNAPSHOT, (Server("s", zone="a"),))
-    assert not core.is_known_server("nobody")
+    assert not core.is_listed_or_cordoned("nobody")
     core.set_cordon(0.0, "s", cordoned=True)
     core.balancer.parts.shared.pool.cordoned_since_ms.clear()  # a policy that has lost the cordon
     core.balancer.parts.shared.pool.refresh_readiness(core.balancer.parts.shared.pool.servers["s"], 0.0)
@@ -90,7 +90,7 @@
     assert not any(isinstance(effect, StartAttempt) for effect in effects)
     assert (core.can_serve, core.cordoned_endpoint_count) == (False, 1)
     core.update_endpoints(2.0, EndpointListForm.DELTA, (Server("s", state=ServerState.REMOVED),))
-    assert core.is_known_server("s"), "its cordon can be lifted although the list does not contain it"
+    assert core.is_listed_or_cordoned("s"), "its cordon can be lifted although the list does not contain it"
 
 
 def test_an_attempt_that_waits_for_its_connection_is_not_sent_after_a_cordon():
