--- a/rosewheel/policy/admission.py
+++ b/rosewheel/policy/admission.py
@@ -1,4 +1,8 @@
-"""Admission control: compares the pool's weight in flight with thresholds from the cursor table."""
+"""Admission control: compares the pool's weight in flight with thresholds from the cursor table.
+
+The weight in flight is the sum of the weights of the requests that servers are working on. A row of the table
+serves a range of priorities. T1 is the threshold of a row while the cursor is at the left end of the table.
+"""
 
 import math
 
@@ -9,13 +13,12 @@
 from rosewheel.policy.settings import ServiceClass
 from rosewheel.policy.shared_state import SharedState
 
-# A request's priority selects its row; the highest priority is 1.
 RETRY_PRIORITY_FACTOR = 0.5  # priority of a request marked as a retry, relative to its class
-HALVINGS_TO_LOWEST_ROW = 4.0  # the lowest row holds priorities of at most 2 ** -4
+HALVINGS_TO_LOWEST_ROW = 4.0  # the lowest row serves priorities of at most 2 ** -4; the highest priority is 1
 MIN_PRIORITY = 1e-6  # keeps the logarithm finite
-LOWEST_ROW_GAP = 0.25  # share by which the lowest row's T1 is below the highest row's
-# The gap of a large fleet whose pool has lost half its capacity or more. Each balancer has few requests in
-# flight there, and rows that differ by less than one request would shed high and low priority alike.
+LOWEST_ROW_GAP = 0.25  # share by which T1 of the lowest row is below T1 of the highest
+# The same gap in a large fleet whose pool has lost half its capacity or more. Each balancer has few requests
+# in flight then, and rows that differ by less than one request would shed high and low priority alike.
 LOWEST_ROW_GAP_IN_LARGE_FLEET = 0.6
 # Exponent of the table's entry in the highest row. It is 1 in the lowest, so low priority is shed first.
 HIGHEST_ROW_EXPONENT = 0.5
@@ -23,13 +26,13 @@
 LATENCY_SLACK = 0.30
 LATENCY_SLACK_IN_LARGE_FLEET = 0.15
 MARGIN_DEVIATIONS = 2.0  # standard deviations added to T1, as the load of small pools varies more
-START_UP_MS = 3000.0  # time after which completion rates are known
+START_UP_MS = 3000.0  # time until completion rates are measured reliably
 # Lower bounds of T1, as weight in flight. Those per ready server are divided among all balancers.
 MIN_T1_PER_SERVER_AT_START = 7.0
 MIN_T1_PER_SERVER = 4.0
 MIN_T1_PER_SERVER_BELOW_FIRST_TIER = 1.0  # per ready server and balancer
 MIN_T1 = 8.0  # per balancer
-DEFAULT_BASELINE_RATIO = 0.5  # used until a baseline has been learned
+DEFAULT_BASELINE_RATIO = 0.5  # baseline latency / objective until one has been learned
 
 
 class Admission:
@@ -42,8 +45,8 @@
         """Return whether the weight in flight is within the threshold of a request."""
         ready = self.shared.pool.ready
         load = sum(each.load for each in ready) if len(ready) <= SMALL_POOL_SIZE else self.shared.pool.load
-        # Adds a random fraction: with few requests in flight a threshold lies between two whole counts, and
-        # comparing whole counts would admit all requests or none.
+        # A random fraction is added: with few requests in flight a threshold lies between two whole counts,
+        # and comparing whole counts would admit all requests or none.
         dithered_load = load + self.shared.rng.random()
         return dithered_load <= self.threshold(self.priority(now, request, service_class), len(ready))
 
@@ -74,7 +77,7 @@
         rates, learned_ratio = self.pool_load.throughput, self.pool_load.baseline_ratio
         baseline = DEFAULT_BASELINE_RATIO if learned_ratio is None else learned_ratio
         slack = LATENCY_SLACK_IN_LARGE_FLEET if in_large_fleet else LATENCY_SLACK
-        # Follows the pool's present capacity: latency shows the replacement of most servers only seconds
+        # T1 follows the pool's present capacity: latency shows the replacement of most servers only seconds
         # later, when the warm ones are already overloaded.
         t1 = rates.pool_capacity * rates.peak_completion_rate * self.pool_load.mean_objective_ms
         t1 *= baseline + slack * (1.0 - baseline)
@@ -94,6 +97,7 @@
     def _lowest_row_gap(self, ready: int) -> float:
         gap = LOWEST_ROW_GAP
         if self.shared.in_large_fleet and ready:
-            loss = 2.0 * max(0.0, 1.0 - self.pool_load.throughput.pool_capacity / ready)  # 1: half is lost
+            # A loss of 1 stands for half of the capacity.
+            loss = 2.0 * max(0.0, 1.0 - self.pool_load.throughput.pool_capacity / ready)
             gap += (LOWEST_ROW_GAP_IN_LARGE_FLEET - LOWEST_ROW_GAP) * min(1.0, loss)
         return gap
--- a/rosewheel/policy/attempts.py
+++ b/rosewheel/policy/attempts.py
@@ -13,7 +13,7 @@
 # Share of the objective after which an attempt times out, for classes whose late responses are worth nothing.
 OBJECTIVE_TIMEOUT_SHARE = 0.98
 MIN_TIMEOUT_MS = 1.0  # an attempt is sent only with more time left than this
-MIN_WEIGHT, MAX_WEIGHT = 0.25, 4.0  # limits of a request's weight, which is 1 for the mean estimated work
+MIN_WEIGHT, MAX_WEIGHT = 0.25, 4.0  # limits of a request's weight, which is 1 for the mean cost hint
 
 
 class Attempts:
@@ -37,12 +37,12 @@
 
     def forward(self, now: float, state: RequestState) -> list[Action]:
         """Send the next attempt; return no action if no attempt, time or server is left."""
-        # The time of a request starts at its last byte; all of it is left until that is received.
+        # The deadline counts from the last byte of the request: until that arrives, the full time is left.
         request, service_class = state.request, state.service_class
         start_ms = now if request.complete else state.started_ms
         left_ms = request.deadline_at_ms - start_ms
         if service_class.late_weight <= 0.0 and not service_class.streaming:
-            # Late work is worth nothing and would crowd out other work.
+            # A late response is worth nothing, and its work would take capacity from other requests.
             stop_ms = state.started_ms + service_class.latency_objective_ms * OBJECTIVE_TIMEOUT_SHARE
             left_ms = min(left_ms, stop_ms - start_ms)
         exhausted = len(state.attempts) >= state.settings.max_attempts
@@ -73,7 +73,7 @@
             attempt.server.in_flight.pop((state.request.id, number), None)
 
     def on_request_completed(self, now: float, state: RequestState, event: RequestCompleted) -> None:
-        """Count open attempts as load from now on, as servers begin a request at its last byte."""
+        """Count attempts in flight as load from now on: a server begins a request at its last byte."""
         request = state.request
         request.complete, request.deadline_at_ms, state.started_ms = True, event.deadline_at_ms, now
         for number, attempt in enumerate(state.attempts):
@@ -107,7 +107,7 @@
         return self.forward(now, state) or self.respond(state)
 
     def record_load_report(self, now: float, address: str, report: dict[str, float] | None) -> None:
-        """Record a load report, if there is one, for a listed server."""
+        """Record the load report of a listed server; does nothing without a report."""
         server = self.shared.pool.servers.get(address)
         if server is not None and report:
             queue, utilisation = report.get("queue", 0.0), report.get("util", server.utilisation)
@@ -139,5 +139,5 @@
     def _cancel(self, state: RequestState, except_for: int | None = None) -> list[Action]:
         if not state.settings.may_cancel:
             return []
-        open_attempts = (number for number, attempt in enumerate(state.attempts) if attempt.result is None)
-        return [CancelAttempt(state.request.id, number) for number in open_attempts if number != except_for]
+        in_flight = (number for number, attempt in enumerate(state.attempts) if attempt.result is None)
+        return [CancelAttempt(state.request.id, number) for number in in_flight if number != except_for]
--- a/rosewheel/policy/balancer.py
+++ b/rosewheel/policy/balancer.py
@@ -1,9 +1,9 @@
 """Entry point of the decision module.
 
 Its interface is in rosewheel/policy/settings.py, rosewheel/policy/events.py and rosewheel/policy/actions.py.
-Every period the pool's load moves a cursor one step over a table of queue thresholds. A request that would
-exceed its threshold is rejected at once; others are sent to the ready server of the best rank. The module
-does no I/O, reads no clock and has a random source of its own.
+Every period the pool's load moves a cursor one step over a table of thresholds of the weight in flight. A
+request that would exceed its threshold is rejected at once; others are sent to the ready server with the best
+rank. The module does no I/O, reads no clock and has a random source of its own.
 """
 
 from rosewheel.policy import events
