--- a/rosewheel/policy/pool.py
+++ b/rosewheel/policy/pool.py
@@ -19,8 +19,8 @@
 WARM_SAMPLE_SIZE = 12  # warm candidates in a large pool, half of them from the balancer's own zone
 WARMING_SAMPLE_SIZE = 6  # warming candidates with credit in a large pool
 GROUP_SAMPLE_SIZE = 48  # candidates in a dedup group of a large pool
-CREDIT_CHECKS_PER_REQUEST = 8  # warming servers whose credit is checked
-MAX_CREDIT_CHECK_DELAY_MS = 500.0  # limits the delay, as credit is earned sooner when the request rate rises
+CREDIT_CHECKS_PER_REQUEST = 8  # limit of warming servers whose credit is checked at a request
+MAX_CREDIT_CHECK_DELAY_MS = 500.0  # longest time to a check, as credit may be earned sooner than expected
 ANY_CELL = -1  # cell of a group that holds all cells of its zone
 
 Group = tuple[str, int]  # zone and cell
@@ -160,7 +160,7 @@
             return
         server.credit_check_scheduled = True
         if len(self._credit_checks) > 2 * len(self.servers) + SMALL_POOL_SIZE:
-            # Drops checks of replaced servers, which would otherwise accumulate.
+            # Checks of replaced servers are dropped, as they would otherwise accumulate.
             servers = self.servers
             current = [
                 check for check in self._credit_checks if servers.get(check[2].endpoint.address) is check[2]
--- a/rosewheel/policy/pool_load.py
+++ b/rosewheel/policy/pool_load.py
@@ -10,18 +10,20 @@
 FALLING_SLOTS = 14  # slots after them, with falling entries
 SLOT_RATIO = 0.86  # entry of a falling slot relative to the one before it
 MAX_IDLE_PERIODS = 8  # consecutive periods without an outcome in which the cursor stays; then it steps left
-# Latency as a share of its objective. The target is the baseline plus a share of the way to the objective.
+# Latency as a share of its objective. The target is the baseline plus this share of the gap up to the
+# objective.
 LATENCY_SLACK = 0.10
-LATENCY_SLACK_WITH_REPORTS = 0.35  # utilisation shows this pool, and latency the tiers below
-# Growth of the latency target, times the share that is shed. Balancers before one pool learn different
-# baselines; in a large fleet, with few outcomes a period, the one with the lowest would shed nearly all its
-# requests. A higher growth relieves an overloaded pool less.
+LATENCY_SLACK_WITH_REPORTS = 0.35  # with load reports, which show this pool; latency shows the tiers below
+# Relative growth of the latency target, in proportion to the share that is shed. Balancers that send to one
+# pool learn different baselines; in a large fleet, with few outcomes a period, the one with the lowest would
+# shed nearly all its requests. A higher growth relieves an overloaded pool less.
 TARGET_GROWTH = 0.3
 TARGET_GROWTH_IN_LARGE_FLEET = 1.0
-HALF_WEIGHT_OUTCOMES_RISING = 10.0  # outcomes that give a period half the weight in a rising smoothed latency
-HALF_WEIGHT_OUTCOMES_FALLING = 3.0  # the same for a falling one
-# Outcomes for which the baseline equals the smoothed latency. With fewer, balancers before one pool learn
-# baselines so far apart that the lowest sheds for all. The load of these outcomes counts as baseline.
+HALF_WEIGHT_OUTCOMES_RISING = 10.0  # outcomes that give a period half the weight in a rising latency
+HALF_WEIGHT_OUTCOMES_FALLING = 3.0  # outcomes that give a period half the weight in a falling latency
+# Number of first outcomes during which the baseline equals the smoothed latency. With fewer, balancers that
+# send to one pool learn baselines so far apart that the one with the lowest sheds for all. Load that the pool
+# has during these outcomes becomes part of the baseline.
 BASELINE_LEARNING_OUTCOMES = 30
 BASELINE_FALL_GAIN = 0.1  # smoothing factor per period of a baseline (latency or errors) that falls
 BASELINE_RISE_GAIN = 0.01  # smoothing factor per period of a latency baseline that rises
@@ -32,14 +34,15 @@
 REJECTED_TARGET = 0.05  # target of the share of rejections, and of errors above their baseline
 HALF_WEIGHT_OUTCOMES_ERRORS = 20.0  # outcomes that give a period half the weight in the smoothed error share
 ERROR_BASELINE_RISE_GAIN = 0.02  # smoothing factor per period of an error baseline that rises
-# Added to that gain in a large fleet, times the share that is shed. Errors that shedding does not lessen, of
-# a tier below or of a few servers, would otherwise keep all balancers rejecting at baseline latency.
+# Added to ERROR_BASELINE_RISE_GAIN in a large fleet, in proportion to the share that is shed. Errors that
+# shedding does not lessen, of a tier below or of a few servers, would otherwise keep all balancers rejecting
+# although latency is at its baseline.
 ERROR_BASELINE_SHED_GAIN = 0.5
 SERVER_GAIN = 0.2  # smoothing factor per outcome of a server's latency and error rates
 CLASS_GAIN = 0.03  # smoothing factor per request of a class's latency and of other means
 # Half of the first backoff of a server after an attempt that it did not execute; doubled by each further one.
 BASE_BACKOFF_MS = 250.0
-MAX_BACKOFF_MS = 4000.0  # endpoint lists lag by more, but the server may only have been full
+MAX_BACKOFF_MS = 4000.0  # longest backoff; endpoint lists lag by more, but the server may only be overloaded
 MAX_BACKOFF_DOUBLINGS = 8  # bounds the exponent; MAX_BACKOFF_MS is reached before
 
 
@@ -83,11 +86,12 @@
 
     def __init__(self, shared: SharedState, table: CursorTable, throughput: Throughput) -> None:
         self.shared, self.table, self.throughput = shared, table, throughput
-        self.latency_ratios: list[float] = []  # latency / objective of attempts in this period
+        # Latency of the attempts in this period, as a share of the objective.
+        self.latency_ratios: list[float] = []
         self.outcomes = self.rejections = self.errors = 0  # attempts in this period
-        self.baseline_ratio: float | None = None  # latency without load / objective
+        self.baseline_ratio: float | None = None  # latency without load, as a share of the objective
         self.baseline_outcomes = 0  # outcomes from which the baseline was learned
-        self.smoothed_ratio = 0.0  # smoothed latency / objective
+        self.smoothed_ratio = 0.0  # smoothed latency, as a share of the objective
         # Smoothed share of errors, and its baseline, which shedding does not lessen.
         self.smoothed_error_share = self.baseline_error_share = 0.0
         objectives = shared.objectives_ms().values()
@@ -117,7 +121,8 @@
         server.error_rate += SERVER_GAIN * ((result is not AttemptResult.OK) - server.error_rate)
         has_failed = result in (AttemptResult.ERROR, AttemptResult.TIMEOUT)
         server.error_or_timeout_rate += SERVER_GAIN * (has_failed - server.error_or_timeout_rate)
-        if result in (AttemptResult.OK, AttemptResult.TIMEOUT):  # a server that fails fast is not fast
+        # Errors are left out: a server that returns them quickly is not fast.
+        if result in (AttemptResult.OK, AttemptResult.TIMEOUT):
             self._record_latency(now, state, event)
         if result is AttemptResult.OK:
             self.throughput.completed_weight += state.weight
@@ -125,7 +130,7 @@
             self.mean_objective_ms += CLASS_GAIN * (objective_ms - self.mean_objective_ms)
 
     def _record_latency(self, now: float, state: RequestState, event: AttemptFinished) -> None:
-        # Uses the present objective of the class, as learned ratios must all relate to one objective.
+        # The present objective of the class is used, as all learned ratios must relate to the same one.
         server, latency_ms = state.attempts[event.attempt].server, event.latency_ms
         name = state.service_class.name
         self.latency_ratios.append(latency_ms / self.shared.current_class(state).latency_objective_ms)
@@ -143,7 +148,7 @@
 
     def end_period(self, now: float) -> None:
         """Move the cursor by the load of this period, where 1 is the target, and begin a new period."""
-        # Ignores old reports: a balancer that rejects all requests gets no new ones.
+        # Old reports are ignored: a balancer that rejects all requests gets no new ones.
         load, oldest_ms = 0.0, now - REPORT_VALID_MS
         servers = self.shared.pool.sample(self.shared.rng, REPORT_SAMPLE_SIZE)
         reports = [server.utilisation for server in servers if server.last_report_ms >= oldest_ms]
@@ -177,9 +182,10 @@
         elif self.table.cursor == 0:  # not learned under load
             self.baseline_ratio += BASELINE_RISE_GAIN * (self.smoothed_ratio - self.baseline_ratio)
         load = self.smoothed_ratio / (self.baseline_ratio + slack * (1.0 - self.baseline_ratio))
-        # The target grows with what is shed: balancers before one pool learn different baselines, and the one
-        # with the lowest would shed for all, as others take what it sheds and its latency does not fall. This
-        # also corrects a baseline that is too low for other reasons, but relieves an overloaded pool less.
+        # The target grows with the share that is shed: balancers that send to one pool learn different
+        # baselines, and the one with the lowest would shed for all, as others take the requests that it sheds
+        # and its latency does not fall. This also corrects a baseline that is too low for other reasons, but
+        # relieves an overloaded pool less.
         growth = TARGET_GROWTH_IN_LARGE_FLEET if self.shared.in_large_fleet else TARGET_GROWTH
         return load / (1.0 + growth * (1.0 - self.table.entry))
 
@@ -187,8 +193,8 @@
         """Return the share of errors above its baseline, over its target, and update the baseline."""
         # Errors that shedding does not lessen, such as those of a faulty release, become the baseline and are
         # no load. The share is smoothed, as a single error among few outcomes would move the cursor, shedding
-        # would leave fewer outcomes still, and the balancer would reject for good. Rejections by lower tiers
-        # become baseline too if they last; latency and the servers' own rejections still count.
+        # would leave fewer outcomes still, and the balancer would never stop rejecting. Rejections by lower
+        # tiers become baseline too if they last; latency and the servers' own rejections still count.
         share = self.errors / self.outcomes
         weight = self.outcomes / (self.outcomes + HALF_WEIGHT_OUTCOMES_ERRORS)
         self.smoothed_error_share += weight * (share - self.smoothed_error_share)
@@ -203,7 +209,7 @@
         """Rescale ratios to changed objectives.
 
         Args:
-            ratio: old objectives over new ones; None forgets all ratios.
+            ratio: old objectives over new ones; None if they can't be converted, which drops all ratios.
         """
         objectives = self.shared.objectives_ms().values()
         if ratio is None:
--- a/rosewheel/policy/throughput.py
+++ b/rosewheel/policy/throughput.py
@@ -7,10 +7,11 @@
 SMOOTHING_MS = 1000.0  # time constant of the smoothed rates
 PEAK_DECAY_MS = 15000.0  # time constant with which the peak completion rate falls
 # Completions over which rates are smoothed in a large pool or fleet: both time constants are stretched there,
-# as the peak rate over fewer completions is mostly chance.
+# as the peak rate over fewer completions is mostly noise.
 MIN_SMOOTHED_COMPLETIONS = 40.0
 MAX_STRETCH = 4.0  # largest factor by which both time constants are stretched
-# Time constant of the recent capacity, as a pool that lost servers completes requests sent before the loss.
+# Time constant with which the recent capacity falls, as a pool that lost servers still completes requests
+# that were sent before the loss.
 CAPACITY_DECAY_MS = 3000.0
 MAX_PERIOD_COUNT = 1e9  # limit of the period counters when periods become shorter
 
@@ -53,7 +54,7 @@
     def adopt_configured_period(self) -> None:
         """Change the period's length to the configured one.
 
-        Only for the end of a period, as its rates are computed from its length.
+        Call it only at the end of a period, as the rates of a period are computed from its length.
         """
         if self.period_ms != self.shared.configured_period_ms:
             ratio = self.period_ms / self.shared.configured_period_ms
@@ -74,10 +75,10 @@
         self.restart_smoothing(1.0 if self.completion_rate > 0.0 else 0.0)
 
     def restart_smoothing(self, share: float) -> None:
-        """In a large fleet, set the weight of the known rates against those of later periods.
+        """In a large fleet, set the weight of the present rates against those of later periods.
 
         Args:
-            share: 0 for none, up to 1 for the weight of rates over all periods of the smoothing.
+            share: from 0 for no weight to 1 for the weight of rates smoothed over the longest time constant.
         """
         if self.shared.in_large_fleet:
             self.rate_periods = int(share * MAX_STRETCH * SMOOTHING_MS / self.period_ms)
