--- a/rosewheel/policy/ranking.py
+++ b/rosewheel/policy/ranking.py
@@ -9,9 +9,9 @@
 from rosewheel.policy.shared_state import SharedState
 from rosewheel.policy.slow_start import SlowStart
 
-# Time constants of exponential decays.
-LATENCY_DECAY_MS = 8000.0  # latency of a server without outcomes, towards the mean of its class
-QUEUE_DECAY_MS = 500.0  # a reported queue, towards 0
+# Time constants of exponential decay.
+LATENCY_DECAY_MS = 8000.0  # of a server's relative latency towards 1, while no attempt ends
+QUEUE_DECAY_MS = 500.0  # of a reported queue towards 0
 # Shorter in a large pool, where many balancers choose whichever server last reported a short queue.
 QUEUE_DECAY_IN_LARGE_POOL_MS = 200.0
 BACKOFF_RANK_FACTOR = 100.0  # multiplies a rank during a backoff
@@ -36,12 +36,12 @@
     def choose(self, now: float, state: RequestState) -> ServerStats | None:
         """Return the server for the next attempt of a request; None if there is none or a retry is unsafe."""
         group: Group | None = None
-        executed = state.possibly_executed()
-        if executed:
-            if not self._may_repeat(now, state, executed[0].sent_ms):
+        possibly_executed = state.possibly_executed()
+        if possibly_executed:
+            if not self._may_repeat(now, state, possibly_executed[0].sent_ms):
                 return None
             if state.service_class.idempotency is Idempotency.IDEMPOTENT_WITH_KEY:
-                group = dedup_group(state.service_class, executed[0].server)
+                group = dedup_group(state.service_class, possibly_executed[0].server)
         # Compared by address: a server that was removed and listed again has new statistics.
         tried = [attempt.server.endpoint.address for attempt in state.attempts]
         pool, has_credit = self.shared.pool, self.slow_start.has_credit
@@ -82,7 +82,7 @@
                 mean_ms = shared.class_latency_ms.get(shared.requests[request_id].service_class.name)
                 latency = max(latency, (now - sent_ms) / mean_ms) if mean_ms else latency
             break
-        # The larger of the two, as reports include, with a delay, the load from sibling processes.
+        # The larger of sibling load and reported queue, as reports include sibling load after a delay.
         queue = server.sibling_load
         if server.reported_queue:
             decay_ms = QUEUE_DECAY_IN_LARGE_POOL_MS if shared.pool.is_large else QUEUE_DECAY_MS
--- a/rosewheel/policy/server_stats.py
+++ b/rosewheel/policy/server_stats.py
@@ -14,15 +14,16 @@
 
     endpoint: Server
     relative_latency: float | None = None  # smoothed ratio of latency to the mean of its class
-    error_rate: float = 0.0  # smoothed share of failed attempts, rejections not counted
-    error_or_timeout_rate: float = 0.0  # as above, of errors and timeouts alone
+    error_rate: float = 0.0  # smoothed share of failed attempts; rejections are not counted
+    error_or_timeout_rate: float = 0.0  # smoothed share of attempts that ended with an error or timeout
     last_outcome_ms: float = -math.inf
     load: float = 0.0  # weight in flight from this process
     sibling_load: float = 0.0  # weight in flight from other processes of this node
-    reported_queue: float = 0.0  # requests of all balancers, from its last load report
+    reported_queue: float = 0.0  # queue length in its last load report, over all balancers
     last_report_ms: float = -math.inf
     utilisation: float | None = None  # from its last load report
-    in_flight: dict[tuple[str, int], float] = field(default_factory=dict)  # send times, oldest attempt first
+    # Send times of attempts in flight by request id and attempt number, the oldest first.
+    in_flight: dict[tuple[str, int], float] = field(default_factory=dict)
     credit: float = 0.0  # weight that it may be sent while warming up
     credit_updated_ms: float = -math.inf
     uncordoned_ms: float = -math.inf  # end of its cordon, if no later start is listed
--- a/rosewheel/policy/shared_state.py
+++ b/rosewheel/policy/shared_state.py
@@ -14,7 +14,7 @@
 def is_large_fleet(settings: Settings) -> bool:
     """Return whether many balancers send to the tier.
 
-    In a large fleet each balancer sees few outcomes, and what each is allowed to send adds up.
+    In a large fleet each balancer sees few outcomes, and the requests that all of them may send add up.
     """
     return settings.balancer_count > MAX_SMALL_FLEET_BALANCERS
 
--- a/rosewheel/policy/slow_start.py
+++ b/rosewheel/policy/slow_start.py
@@ -5,25 +5,26 @@
 from rosewheel.policy.throughput import Throughput
 
 CREDIT_EXPIRY_WINDOWS = 0.5  # overload windows after which unused credit expires
-# Share of a warming server's budget that is used. The budget is `overload_factor` times the configured share
-# of what a warm server completes. Most servers can do more than that share: paced by it, warming ones would
-# idle while the few warm ones are overloaded. The ranking avoids servers that can't use up their budget.
+# Share of a warming server's budget that is used. The budget is `overload_factor` times its capacity share by
+# the settings, times the completion rate of a warm server. Most servers can do more than that capacity share:
+# limited to it, warming ones would idle while the few warm ones are overloaded. The ranking avoids servers
+# that can't keep up with their budget.
 BUDGET_SHARE = 0.5
 ACCEPTED_ERROR_RATE = 0.5  # error rate of a warming server above which it earns less credit
 CAPACITY_SAMPLE_SIZE = 256  # servers of a large pool whose capacity is measured
 
 
 class SlowStart:
-    """Tracks the credit of warming servers, of which a request of weight 1 uses 1."""
+    """Tracks the credit of warming servers; a request uses as much credit as its weight."""
 
     def __init__(self, shared: SharedState, throughput: Throughput) -> None:
         self.shared, self.throughput = shared, throughput
 
     def has_credit(self, now: float, server: ServerStats) -> bool:
         """Return whether a server may be sent a request: it is warm, or has earned credit."""
-        # Balancers together could overload a warming server. At each it earns credit by its present share of
-        # the request rate per server. Its initial credit is random, so that many balancers with little
-        # traffic do not all send it a request at the same time.
+        # All balancers together could overload a warming server. At each balancer it earns credit at the
+        # request rate per server, times its capacity share. Its initial credit is random, so that many
+        # balancers with little traffic do not all send it a request at the same time.
         capacity_share = self.capacity_share(now, server)
         if capacity_share >= 1.0:
             return True
@@ -46,7 +47,7 @@
         requested = self.throughput.request_rate / max(1, len(self.shared.pool.ready))
         if not self.shared.in_large_fleet:
             return requested
-        # Until the first completion, as when all servers warm up, only the request rate is known.
+        # Until the first completion, as when all servers warm up, there is only a request rate.
         budget = BUDGET_SHARE * self.shared.settings.overload_factor * self.throughput.peak_completion_rate
         return max(budget, requested)
 
