--- a/rosewheel/policy/discovery_polling.py
+++ b/rosewheel/policy/discovery_polling.py
@@ -4,10 +4,10 @@
 
 from rosewheel.policy.actions import Action, StartTimer, WatchEndpoints
 
-# rosewheel/discovery/watch_client.py states the longest time without a list, which follows from these.
+# The longest time without an endpoint list follows from these: see rosewheel/discovery/watch_client.py.
 BASE_INTERVAL_MS = 250.0  # half of the interval after the first failure; doubled at each failure
 MAX_INTERVAL_MS = 4000.0  # longest interval between the starts of two polls
-MIN_WAIT_MS = 200.0  # shortest wait after a failure, if the poll or watch outlasted the interval
+MIN_WAIT_MS = 200.0  # shortest wait before jitter, after a poll or watch that outlasted the interval
 MAX_DOUBLINGS = 16  # bounds the exponent; MAX_INTERVAL_MS is reached before
 WATCH_TIMER = "watch"
 
--- a/rosewheel/policy/events.py
+++ b/rosewheel/policy/events.py
@@ -68,21 +68,21 @@
 
 @dataclass(slots=True)
 class DiscoveryAddressChanged:
-    """The address of discovery has changed; a poll of the old one no longer counts."""
+    """The address of discovery has changed; polls of the old address are obsolete."""
 
 
 @dataclass(slots=True)
 class RequestReceived:
     """A client's request has arrived; `complete` is False while its body is still being received.
 
-    An incomplete request may be forwarded. Its deadline starts with RequestCompleted.
+    An incomplete request may be forwarded. Its deadline counts from RequestCompleted.
     """
 
     id: str
     class_name: str
     deadline_at_ms: float
     tenant: str | None = None
-    cost_hint_ms: float | None = None
+    cost_hint_ms: float | None = None  # estimated work
     is_retry: bool = False
     complete: bool = True
 
@@ -125,7 +125,7 @@
 
 @dataclass(slots=True)
 class TimerFired:
-    """A timer of StartTimer has fired."""
+    """A timer started by StartTimer has fired."""
 
     name: str
 
--- a/rosewheel/policy/learned_state.py
+++ b/rosewheel/policy/learned_state.py
@@ -33,9 +33,8 @@
 
     servers: dict[str, LearnedServer] = field(default_factory=dict)
     class_latency_ms: dict[str, float] = field(default_factory=dict)
-    objectives_ms: dict[str, float] = field(
-        default_factory=dict
-    )  # by class; empty: as configured at the reader
+    # By class; empty if they equal those of the process that restores the state.
+    objectives_ms: dict[str, float] = field(default_factory=dict)
     baseline_ratio: float | None = None
     smoothed_ratio: float = 0.0
     baseline_outcomes: int = 0
--- a/rosewheel/policy/learned_state_codec.py
+++ b/rosewheel/policy/learned_state_codec.py
@@ -7,9 +7,10 @@
 from rosewheel.policy.learned_state import LearnedServer, LearnedState
 
 FORMAT_VERSION = 1
-NUMBER_LIMIT = 1e12  # exclusive; larger numbers are never learned
+NUMBER_LIMIT = 1e12  # exclusive upper bound; larger numbers are never learned
 
-# Largest difference of an age by two clocks. Beyond it, one was set or the machine has restarted.
+# Largest difference between the ages by the two clocks. A larger one means that a clock was set, or that the
+# machine has restarted.
 CLOCK_TOLERANCE_MS = 5_000.0
 
 JsonObject = dict[str, Any]
--- a/rosewheel/policy/learned_state_restore.py
+++ b/rosewheel/policy/learned_state_restore.py
@@ -14,8 +14,8 @@
 RATE_DECAY_MS = 15_000.0
 SERVER_DECAY_MS = 8_000.0
 MIN_BASELINE_SHARE = 0.1  # smallest retained share at which a baseline is restored
-MAX_OBJECTIVE_RATIO = 100.0  # objectives that changed by more can't be related
-SAME_START_TOLERANCE_MS = 1_000.0  # difference of one start time between the clocks of two processes
+MAX_OBJECTIVE_RATIO = 100.0  # largest change of objectives across which ratios are converted
+SAME_START_TOLERANCE_MS = 1_000.0  # largest difference of one start time by two processes' clocks
 
 
 def retained_share(age_ms: float, decay_ms: float) -> float:
@@ -28,7 +28,8 @@
 
     None if there is no such class, or the ratio is out of range.
     """
-    # A baseline that is too high falls within seconds; one that is too low causes minutes of shedding.
+    # The largest, as a baseline that is too high falls within seconds, and one that is too low causes minutes
+    # of shedding.
     ratio = max((old[name] / objective for name, objective in new.items() if name in old), default=0.0)
     return ratio if 1.0 / MAX_OBJECTIVE_RATIO <= ratio <= MAX_OBJECTIVE_RATIO else None
 
@@ -37,9 +38,9 @@
     """Return whether a server has not restarted since its state was saved.
 
     Args:
-        saved_ago_ms: age of its start when the state was saved; None if it started long before.
+        saved_ago_ms: age of its start when the state was saved; None if it started long ago.
         age_ms: age of the state.
-        now_ago_ms: present age of its start; None as above.
+        now_ago_ms: present age of its start; None if it started long ago.
     """
     if saved_ago_ms is None or now_ago_ms is None:
         return saved_ago_ms is now_ago_ms
@@ -47,7 +48,7 @@
 
 
 def restore(parts: Parts, now: float, learned: LearnedState, age_ms: float) -> int:
-    """Restore learned state, with weights by its age.
+    """Restore learned state; the older it is, the less weight it has.
 
     Returns:
         The number of listed servers whose statistics were restored.
@@ -76,7 +77,7 @@
 def _restore_server(server: ServerStats, saved: LearnedServer, now: float, age_ms: float) -> None:
     saved_ms = now - age_ms
     server.error_rate = min(1.0, saved.error_rate) * retained_share(age_ms, SERVER_DECAY_MS)
-    server.credit = min(server.credit, saved.credit)  # the old process may still use its own
+    server.credit = min(server.credit, saved.credit)  # the old process may still use the saved one
     if saved.relative_latency is not None and saved.last_outcome_ago_ms is not None:
         server.relative_latency = saved.relative_latency  # decays in the rank by the age of the outcome
         server.last_outcome_ms = saved_ms - saved.last_outcome_ago_ms
--- a/rosewheel/policy/parts.py
+++ b/rosewheel/policy/parts.py
@@ -16,7 +16,7 @@
 
 
 class Parts:
-    """One object for each concern of a balancer, with references to those that it uses."""
+    """The parts of a balancer, one object for each concern."""
 
     def __init__(self, settings: Settings, seed: int, now: float) -> None:
         self.shared = shared_state.SharedState(settings, seed)
--- a/rosewheel/policy/settings.py
+++ b/rosewheel/policy/settings.py
@@ -91,12 +91,12 @@
         tier: tier of this balancer; clients send to tier 0.
         balancer_count: number of balancers that send to this tier, including this one.
         poll_discovery: whether this balancer polls endpoint lists, instead of having them pushed.
-        weight_by_work: whether the weight of a request follows its estimated work.
+        weight_by_work: whether the weight of a request follows its cost hint.
         over_quota_weight: share of the priority weight of requests above their tenant's quota, 0 to 1.
         report_fields: names of the fields of a load report, in order.
         may_cancel: whether attempts may be cancelled.
-        retry_after: whether rejections tell clients how long to wait before a retry.
-        max_retry_after_ms: longest time that they are told to wait.
+        retry_after: whether rejections state how long clients should wait before a retry.
+        max_retry_after_ms: longest wait that a rejection states.
         max_attempts: largest number of attempts of one request, including the first.
         cross_zone_cost: cost of an attempt in another zone.
         warm_up_initial_share: share of its capacity that a server has at its start, up to 1.
@@ -164,6 +164,6 @@
 
 
 def _check_unique(key: str, names: Iterable[str]) -> None:
-    given = list(names)
-    if len(set(given)) != len(given):
+    all_names = list(names)
+    if len(set(all_names)) != len(all_names):
         raise InvalidSettingError(key, "duplicate name")
--- a/rosewheel/policy/settings_change.py
+++ b/rosewheel/policy/settings_change.py
@@ -7,7 +7,7 @@
 
 
 def change_settings(parts: Parts, now: float, new: Settings, started: bool) -> list[Action]:
-    """Apply new settings; if anything raises, none of them.
+    """Apply new settings, or none of them if any step raises.
 
     Raises:
         ValueError: a setting can't change while a node runs. The text names it.
--- a/rosewheel/policy/settings_codec.py
+++ b/rosewheel/policy/settings_codec.py
@@ -110,7 +110,7 @@
     fields = _list(feedback, "fields")
     if not all(isinstance(name, str) for name in fields):
         raise ValueError(f"fields: {fields!r} is not a list of strings")
-    given: JsonObject = {
+    values: JsonObject = {
         "zone": optional_text(config, "locality"),
         "tier": config.get("tier"),
         "balancer_count": config.get("siblings"),
@@ -132,7 +132,9 @@
     classes = tuple(_service_class(_object("categories", data)) for data in _list(config, "categories"))
     tenants = tuple(_tenants(config))
     try:
-        return Settings(classes, tenants, **{key: value for key, value in given.items() if value is not None})
+        return Settings(
+            classes, tenants, **{key: value for key, value in values.items() if value is not None}
+        )
     except InvalidSettingError as error:
         raise ValueError(f"{_wire_path(error.key)}: {error.reason}") from error
 
