--- a/rosewheel/node/core.py
+++ b/rosewheel/node/core.py
@@ -1,8 +1,8 @@
 """The node without sockets: turns events into effects.
 
 It drives the policy, numbers the attempts, decides which result ends a request, enforces deadlines and limits, and
-keeps the timers. An attempt that the rules forbid is reported to the policy as NOT_SENT. Times are milliseconds of one
-monotonic clock.
+manages the timers. An attempt that the rules forbid is reported to the policy as NOT_SENT. Times are milliseconds of
+one monotonic clock.
 """
 
 from __future__ import annotations
@@ -52,7 +52,7 @@
 class Node:
     """A node of the load balancer, without its sockets.
 
-    Methods that take an event return its effects. The host has to carry them out in that order.
+    Methods that take an event return its effects. The host has to carry them out in order.
 
     Attributes:
         settings: Settings of the policy.
@@ -77,8 +77,6 @@
         self.driver = PolicyDriver(self.balancer, self._table, self.endpoints, limits, self.rules)
         self._handle = self.driver.handle
 
-    # ---------------------------------------------------------------- state
-
     @property
     def class_names(self) -> KeysView[str]:
         """Names of the service classes in the settings."""
@@ -116,7 +114,7 @@
 
     @property
     def server_loads(self) -> dict[str, float]:
-        """Load that this process puts on each server, in weighted requests in flight; idle servers are left out."""
+        """Weight in flight from this process, by server; servers that have none are left out."""
         return self.balancer.loads_by_server()
 
     def is_listed_or_cordoned(self, server: str) -> bool:
@@ -161,7 +159,7 @@
         longest_ms = max(item.deadline_ms for item in self.settings.classes)
         return max(longest_ms, max(remaining_ms, default=0.0))
 
-    # ---------------------------------------------------------------- requests
+    # Requests
 
     def receive_request(self, now: float, request: RequestReceived) -> list[NodeEffect]:
         """Accept a request from a client. Its body may be incomplete.
@@ -191,7 +189,7 @@
         return self._handle(now, request)
 
     def request_completed(self, now: float, id: str, deadline_at_ms: float) -> list[NodeEffect]:
-        """Handle the last byte of an incomplete request: its timeouts and its deadline count from now."""
+        """Handle the last byte of a request's body, from which its timeouts and its deadline count."""
         request = self._table.unfinished(id)
         if request is None or request.complete:
             return []
@@ -220,7 +218,7 @@
             self._table.abort_attempt(now, id, request.streaming_attempt, AttemptResult.CANCELLED)
         return self._handle(now, ClientDisconnected(id))
 
-    # ---------------------------------------------------------------- attempts
+    # Attempts
 
     def response_started(self, now: float, id: str, attempt: int) -> list[NodeEffect] | None:
         """Start to stream the response of an attempt: it is too long to be buffered.
@@ -285,12 +283,12 @@
         self._table.add(id, InFlightRequest(class_name, now, attempts=[attempt], streaming_attempt=0))
         return True
 
-    # ---------------------------------------------------------------- servers and the fleet
+    # Servers and other processes of the node
 
     def update_endpoints(
         self, now: float, form: EndpointListForm, servers: tuple[Server, ...] = ()
     ) -> list[NodeEffect]:
-        """Apply an endpoint list or changes to it, or record that discovery could not be reached."""
+        """Apply an endpoint list or changes to it, or pass on to the policy that a watch of it has failed."""
         self.endpoints.update(form, servers)
         return self._handle(now, EndpointListUpdate(form, servers))
 
@@ -318,7 +316,7 @@
         """Pass the `server_loads` of another process of this node to the policy."""
         return self._handle(now, SiblingProcessLoad(loads))
 
-    # ---------------------------------------------------------------- settings and learned state
+    # Settings and learned state
 
     def configure(self, now: float, settings: Settings, limits: Limits) -> list[NodeEffect]:
         """Apply new settings and limits; equal ones change nothing.
@@ -356,7 +354,7 @@
         """
         return self.balancer.restore_learned_state(now, state, age_ms)
 
-    # ---------------------------------------------------------------- timers
+    # Timers
 
     def next_timer_ms(self) -> float | None:
         """Return when `tick` has to be called next; None without timers."""
--- a/rosewheel/node/effects.py
+++ b/rosewheel/node/effects.py
@@ -1,6 +1,6 @@
-"""Effects: what a node asks its host to do, such as starting an attempt or sending a response.
+"""Effects that a node returns to its host, such as starting an attempt or sending a response.
 
-The host carries out the effects of a list in order. Times are milliseconds.
+The host carries them out in order. Times are milliseconds.
 """
 
 from __future__ import annotations
@@ -27,7 +27,7 @@
         id: Id of the request.
         attempt: Number of the attempt within the request, from 0.
         server: Address of the server.
-        timeout_ms: Time that the attempt may take; when it is over, the node sends `AbortAttempt`.
+        timeout_ms: Time that the attempt may take; when it is over, the node returns `AbortAttempt`.
     """
 
     id: str
@@ -52,7 +52,7 @@
         id: Id of the request.
         status: Status code.
         body: Body of the server's response; empty unless the status is OK.
-        retry_after_ms: Time that the client should wait before it retries; 0 for no advice.
+        retry_after_ms: Time that the client should wait before it retries; 0 if the response states none.
     """
 
     id: str
--- a/rosewheel/node/idle_timeout.py
+++ b/rosewheel/node/idle_timeout.py
@@ -29,7 +29,7 @@
 
     Attributes:
         configured_s: Limit set by the configuration.
-        large_fleet: As the argument.
+        large_fleet: True if many nodes share the servers.
         stale_limit_s: Limit set by stale connections; infinite without any.
         stale_changed_at_s: When `stale_limit_s` was last changed or confirmed.
         rejection_limit_s: Limit set by rejections on new connections; infinite without any.
--- a/rosewheel/node/in_flight.py
+++ b/rosewheel/node/in_flight.py
@@ -46,7 +46,7 @@
         hedging_allowed: Whether several attempts may be in flight at once, by the limits when it was received.
         attempts: Its attempts, by number.
         finished: It has its final response, or its client has disconnected.
-        complete: Its last byte has been received, and its deadline is known.
+        complete: Its last byte has been received, from which its deadline counts.
         body_discarded: Part of its body is no longer buffered, so no further attempt can be sent.
         streaming_attempt: Number of the attempt whose response is being streamed to the client; None without one.
         idempotency: Whether it may be executed twice, by the settings when it was received.
--- a/rosewheel/node/policy_driver.py
+++ b/rosewheel/node/policy_driver.py
@@ -43,7 +43,7 @@
 
 log = logging.getLogger("rosewheel.node")
 
-POLICY_TIMER_RETRY_MS = 1000.0  # delay for a failed policy timer whose last delay is unknown
+POLICY_TIMER_RETRY_MS = 1000.0  # delay after a failure of a timer whose last delay is not recorded
 
 
 class PolicyDriver:
@@ -68,7 +68,7 @@
         self._rules = rules
         self.limits = limits
         self.timers = TimerQueue(self.is_timer_needed)
-        self._policy_delays_ms: dict[str, float] = {}  # by name of the timer, the last delay
+        self._policy_delays_ms: dict[str, float] = {}  # last delay by timer name
 
     def handle(self, now: float, event: Event | None = None) -> list[NodeEffect]:
         """Have the policy handle the event and all events that its actions cause; return their effects."""
--- a/rosewheel/node/request_table.py
+++ b/rosewheel/node/request_table.py
@@ -42,7 +42,7 @@
         self.active += 1
 
     def unfinished(self, id: str) -> InFlightRequest | None:
-        """Return the request with this id; None if it is unknown or finished."""
+        """Return the request with this id; None if it is not in flight or is finished."""
         request = self.requests.get(id)
         return None if request is None or request.finished else request
 
@@ -113,10 +113,10 @@
 
         The response is a rejection only if no server can have executed the request, because a client may retry then.
         """
-        may_have_run = any(
+        possibly_executed = any(
             attempt.result is None or not attempt.result.not_executed for attempt in request.attempts
         )
-        status = ResponseStatus.INTERNAL_ERROR if may_have_run else ResponseStatus.REJECTED
+        status = ResponseStatus.INTERNAL_ERROR if possibly_executed else ResponseStatus.REJECTED
         self.respond(SendResponse(id, status))
         for number, attempt in enumerate(request.attempts):
             if attempt.result is None:
--- a/rosewheel/node/rule_monitor.py
+++ b/rosewheel/node/rule_monitor.py
@@ -91,7 +91,7 @@
         return reason is Reason.ALLOWED
 
     def count(self, operation: CheckedOperation, reason: Reason) -> int:
-        """Return how often this verdict was given."""
+        """Return the count of this verdict."""
         return self._verdicts[operation][reason]
 
     def record_violation(self, rule: Rule, request: str, span_ms: float = 0.0) -> None:
--- a/rosewheel/node/rules.py
+++ b/rosewheel/node/rules.py
@@ -12,7 +12,7 @@
 from rosewheel.node.rule_monitor import CheckedOperation, Reason, Rule, RuleMonitor
 from rosewheel.policy.settings import Idempotency
 
-SENT_DEADLINE_TOLERANCE_MS = 150.0  # operators' allowance for a process that is stalled
+SENT_DEADLINE_TOLERANCE_MS = 150.0  # allowance that operators make for a stalled process
 
 
 class RequestRules:
@@ -107,7 +107,7 @@
             attempt: Number of the attempt.
             is_client_waiting: True if the client's connection still waits for a response.
             timeout_ms: Timeout in the request head.
-            client_left_ms: Time left to the client, by when its request was read; None if that is unknown.
+            client_left_ms: Time until the client's deadline, counted from when its request was read; None if unknown.
         """
         request = self._table.requests.get(id)
         if request is None or not is_client_waiting:
--- a/rosewheel/node/statistics.py
+++ b/rosewheel/node/statistics.py
@@ -11,7 +11,7 @@
 
 from rosewheel.node.rule_monitor import RuleCounts
 
-# Number of removed classes whose counters are kept, so that memory stays bounded when class names change often.
+# Limit of removed classes that keep their counters, so that memory stays bounded when class names change often.
 MAX_REMOVED_CLASSES = 64
 
 
