--- a/rosewheel/discovery/backoff.py
+++ b/rosewheel/discovery/backoff.py
@@ -6,7 +6,7 @@
 
 # Divisors of the drain notice, for the delay between the starts of two watches after one failure and after several. The
 # delay is a fraction of the drain notice because a node has only that long to learn of a drain, counted from when
-# discovery can be reached again. A watch that lasted longer than the delay is reopened at once.
+# discovery can be reached again. After a watch that lasted longer than the delay, the next one starts at once.
 INITIAL_DELAY_DIVISOR, MAX_DELAY_DIVISOR = 8.0, 3.0
 MAX_DELAY_S = 2.0  # longest time between the starts of two watches; see the sum in discovery/watch_client.py
 MIN_DELAY_S = 0.02  # shortest delay before jitter, so that a short drain notice does not cause a busy loop
--- a/rosewheel/discovery/endpoint_list.py
+++ b/rosewheel/discovery/endpoint_list.py
@@ -51,23 +51,23 @@
     # The entry of a removed server may have no address.
     is_removed = state is ServerState.REMOVED and not row.get("dial")
     address = NO_ADDRESS if is_removed else parse_address(row["dial"])
-    zone, block = str(row.get("site") or ""), int(row.get("block") or 0)
+    zone, cell = str(row.get("site") or ""), int(row.get("block") or 0)
     if state is ServerState.REMOVED:
         start_times.server_removed(host)
     launched_ms = start_times.launched_ms(host, float(born_ms)) if born_ms else None
-    return Server(host, zone, block, state, launched_ms), address
+    return Server(host, zone, cell, state, launched_ms), address
 
 
 class EndpointList:
-    """Passes on updates of the endpoint list; reduces those of a long list to its changes, in batches.
+    """Passes on updates of the endpoint list; those of a long list as changes, in batches.
 
     Updates of up to `MAX_ENTRIES_PER_TURN` entries are passed on as received until a longer one is received. From then
-    on, each update is compared with the known entries and passed on as changes, so that its cost depends on the number
-    of changes. Each turn of the event loop handles one batch of at most `MAX_ENTRIES_PER_TURN` entries.
+    on, each update is compared with the entries received before and passed on as changes, so that its cost depends on
+    the number of changes. Each turn of the event loop handles one batch of at most `MAX_ENTRIES_PER_TURN` entries.
 
     Attributes:
         on_update: Called with each update or batch.
-        rows: JSON entries by host, as last received; None for a host of which only the name is known.
+        rows: JSON entries by host, as last received; None for a host whose entry has not been received.
         received_long_list: An update of more than `MAX_ENTRIES_PER_TURN` entries has been received.
         start_times: Start times of the servers.
     """
@@ -127,6 +127,7 @@
     def _process_pending(self) -> None:
         self._next_turn = None
         while self._pending_updates:
+            # `next` returns `self` at the end of the iterator, which yields None only.
             is_finished = next(self._pending_updates[0], self) is self
             if is_finished:
                 self._pending_updates.popleft()
@@ -202,12 +203,12 @@
 
         Args:
             address: Address of discovery.
-            revision: Revision of the list known so far; 0 for none.
+            revision: Revision of the current list; 0 if there is none.
             on_update: Called with each update, and with `EndpointListForm.FAILED` once for each watch that has ended.
-            known_hosts: Hosts in the list known so far.
+            known_hosts: Hosts in the current list.
             silence_timeout_s: Time that a watch may receive nothing; None for the default.
             on_first_line: Called once for each watch that receives a valid line.
-            start_times: Start times of the servers known so far; None for none.
+            start_times: Start times of servers in the current list; None if there is none.
         """
         self.endpoint_list = EndpointList(on_update, known_hosts, start_times)
         super().__init__(
--- a/rosewheel/discovery/start_times.py
+++ b/rosewheel/discovery/start_times.py
@@ -9,7 +9,7 @@
 
 import time
 
-MAX_AHEAD_MS = 10_000.0  # time in the future beyond which a start time must come from a stepped clock
+MAX_AHEAD_MS = 10_000.0  # time in the future beyond which a start time is attributed to a stepped clock
 FORGET_REMOVED_AFTER_MS = 600_000.0  # time for which the start time of a removed server is kept
 
 
@@ -17,7 +17,7 @@
     """Converts start times from the wall clock to the monotonic clock, each once."""
 
     def __init__(self) -> None:
-        # By host: the start time on the wall clock, and on the monotonic clock.
+        # By host: the start time in ms of Unix time, and in ms of the monotonic clock.
         self._starts: dict[str, tuple[float, float]] = {}
         self._removed_ms: dict[str, float] = {}  # by host: time of its removal, the earliest first
         self._has_list = False
@@ -30,9 +30,9 @@
             born_ms: Its start time as sent by discovery, in milliseconds of Unix time.
         """
         self._removed_ms.pop(host, None)
-        known = self._starts.get(host)
-        if known is not None and known[0] == born_ms:
-            return known[1]
+        recorded = self._starts.get(host)
+        if recorded is not None and recorded[0] == born_ms:
+            return recorded[1]
         now_ms = time.monotonic() * 1000.0
         converted_ms = now_ms + born_ms - time.time() * 1000.0
         is_new_start = self._has_list and converted_ms < now_ms
@@ -41,7 +41,7 @@
         return launched_ms
 
     def list_applied(self) -> None:
-        """Record that a list was applied: start times that it did not contain are new from now on."""
+        """Record that a list was applied: a start time that is first received later is that of a new start."""
         self._has_list = True
 
     def server_removed(self, host: str) -> None:
--- a/rosewheel/discovery/watch_client.py
+++ b/rosewheel/discovery/watch_client.py
@@ -19,9 +19,9 @@
 
 from rosewheel.config.address import Address
 
-# Discovery sends an empty line every 2 s. A change has to be known within 6 s of the time at which discovery has it and
-# can be reached, whatever failed before. At that time the node has an open but silent watch, is opening one, or waits
-# before it opens the next one. Unless the next watch fails too, the change is known after at most
+# Discovery sends an empty line every 2 s. A node has to receive a change within 6 s of the time at which discovery has
+# it and can be reached, whatever failed before. At that time the node has an open but silent watch, is opening one, or
+# waits before it opens the next one. Unless the next watch fails too, the change is received after at most
 #
 #     max(SILENCE_TIMEOUT_S + backoff, FIRST_LINE_TIMEOUT_S + backoff, interval) + SILENCE_RECHECK_S + a round trip
 #
@@ -68,8 +68,8 @@
 
     Attributes:
         address: Address of the service.
-        revision: Revision of the last valid object; the next watch requests what follows it.
-        path_for: Returns the request target of a watch on what follows a revision.
+        revision: Revision of the last valid object; the next watch starts after it.
+        path_for: Returns the request target of a watch that starts after a revision.
         log: Logger of updates and failures.
         subject: Name of the watched resource in the log.
         silence_timeout_s: Time that a watch may receive nothing.
@@ -97,8 +97,8 @@
 
         Args:
             address: Address of the service.
-            revision: Revision of the data known so far; 0 for none.
-            path_for: Returns the request target of a watch on what follows a revision.
+            revision: Revision of the current data; 0 if there is none.
+            path_for: Returns the request target of a watch that starts after a revision.
             parse: Converts an object into an update. Raises KeyError, TypeError, ValueError or OverflowError if the
                 object is invalid.
             on_update: Called with True for a snapshot or False for changes, and with the update.
@@ -145,7 +145,7 @@
         """True if a watch is open or being opened."""
         return self._connection is not None
 
-    # --------------------------------------------------------------------------------- callbacks of the connection
+    # Called by the connection.
 
     def is_current(self, connection: _WatchConnection) -> bool:
         """Return True if this is the connection of the open watch."""
@@ -180,7 +180,7 @@
             return
         self._first_line_received(connection)
         if message.revision < self.revision and not message.is_snapshot:
-            # The service restarted its count of revisions, so its changes do not follow the known data.
+            # The service restarted its count of revisions, so its changes do not follow the current data.
             self.revision = 0
             self.connection_failed(connection, f"revision decreased to {message.revision}")
             return
@@ -253,10 +253,10 @@
 
 def _unclosed_brackets(text: bytes) -> int | None:
     """Return how many more brackets a line opens than it closes; None if it ends within a string, which is invalid."""
-    outside = JSON_STRING.sub(b"", text)  # the text outside strings
-    if b'"' in outside:
+    unquoted = JSON_STRING.sub(b"", text)
+    if b'"' in unquoted:
         return None
-    return outside.count(b"{") + outside.count(b"[") - outside.count(b"}") - outside.count(b"]")
+    return unquoted.count(b"{") + unquoted.count(b"[") - unquoted.count(b"}") - unquoted.count(b"]")
 
 
 class _WatchConnection(asyncio.Protocol):
