--- a/rosewheel/policy/discovery_polling.py
+++ b/rosewheel/policy/discovery_polling.py
@@ -28,7 +28,7 @@
 
     def restart(self, now: float, enabled: bool) -> list[Action]:
         """Forget failures and poll at once, or stop polling if it is not enabled."""
-        # Failures of an old address say nothing about a new one, whose list may be needed at once.
+        # Failures at the old address do not matter at the new one, whose list may be needed at once.
         self.failures, self.timer_is_set = 0, False
         return self.poll(now) if enabled else []
 
