--- a/rosewheel/node/core.py
+++ b/rosewheel/node/core.py
@@ -1,8 +1,8 @@
 """The node without sockets: turns events into effects.
 
 It drives the policy, numbers the attempts, decides which result ends a request, enforces deadlines and limits, and
-keeps the timers. An attempt that the rules forbid is reported to the policy as NOT_SENT. Times are milliseconds of one
-monotonic clock.
+manages the timers. An attempt that the rules forbid is reported to the policy as NOT_SENT. Times are milliseconds of
+one monotonic clock.
 """
 
 from __future__ import annotations
@@ -52,7 +52,7 @@
 class Node:
     """A node of the load balancer, without its sockets.
 
-    Methods that take an event return its effects. The host has to carry them out in that order.
+    Methods that take an event return its effects. The host has to carry them out in order.
 
     Attributes:
         settings: Settings of the policy.
@@ -77,10 +77,8 @@
         self.driver = PolicyDriver(self.balancer, self._table, self.endpoints, limits, self.rules)
         self._handle = self.driver.handle
 
-    # ---------------------------------------------------------------- state
-
     @property
-    def service_names(self) -> KeysView[str]:
+    def class_names(self) -> KeysView[str]:
         """Names of the service classes in the settings."""
         return self._classes.keys()
 
@@ -116,12 +114,12 @@
 
     @property
     def server_loads(self) -> dict[str, float]:
-        """Load that this process puts on each server, in weighted requests in flight; idle servers are left out."""
+        """Weight in flight from this process, by server; servers that have none are left out."""
         return self.balancer.loads_by_server()
 
-    def is_known_server(self, server: str) -> bool:
+    def is_listed_or_cordoned(self, server: str) -> bool:
         """Return True if the server is in the endpoint list or cordoned."""
-        return self.endpoints.is_known(server)
+        return self.endpoints.is_listed_or_cordoned(server)
 
     def attempts_in_flight(self, id: str) -> list[int]:
         """Return the numbers of the request's attempts that have no result yet."""
@@ -135,7 +133,7 @@
         if request is None or request.streaming_attempt is None:
             return None
         number = request.streaming_attempt
-        return ResponseInProgress(request.service, request.attempts[number].server, number)
+        return ResponseInProgress(request.class_name, request.attempts[number].server, number)
 
     def statistics_snapshot(self) -> StatisticsSnapshot:
         """Return a copy of the current statistics of this process."""
@@ -161,7 +159,7 @@
         longest_ms = max(item.deadline_ms for item in self.settings.classes)
         return max(longest_ms, max(remaining_ms, default=0.0))
 
-    # ---------------------------------------------------------------- requests
+    # Requests
 
     def receive_request(self, now: float, request: RequestReceived) -> list[NodeEffect]:
         """Accept a request from a client. Its body may be incomplete.
@@ -173,11 +171,11 @@
             raise DuplicateRequestError(request.id)
         if self._table.active >= self.limits.max_open_requests:
             # The policy never receives this request, so no attempt can exist and a rejection is safe to retry.
-            self.statistics.count_request(request.service, RequestOutcome.SHED)
+            self.statistics.count_request(request.class_name, RequestOutcome.SHED)
             return [SendResponse(request.id, ResponseStatus.REJECTED)]
-        service_class = self._classes[request.service]
+        service_class = self._classes[request.class_name]
         entry = InFlightRequest(
-            request.service,
+            request.class_name,
             request.deadline_at_ms,
             self.settings.max_attempts,
             self.limits.hedging_allowed,
@@ -191,7 +189,7 @@
         return self._handle(now, request)
 
     def request_completed(self, now: float, id: str, deadline_at_ms: float) -> list[NodeEffect]:
-        """Handle the last byte of an incomplete request: its timeouts and its deadline count from now."""
+        """Handle the last byte of a request's body, from which its timeouts and its deadline count."""
         request = self._table.unfinished(id)
         if request is None or request.complete:
             return []
@@ -220,7 +218,7 @@
             self._table.abort_attempt(now, id, request.streaming_attempt, AttemptResult.CANCELLED)
         return self._handle(now, ClientDisconnected(id))
 
-    # ---------------------------------------------------------------- attempts
+    # Attempts
 
     def response_started(self, now: float, id: str, attempt: int) -> list[NodeEffect] | None:
         """Start to stream the response of an attempt: it is too long to be buffered.
@@ -270,7 +268,7 @@
         self._table.finish(id, request)
         return self._handle(now)
 
-    def adopt_response(self, now: float, id: str, service: str, server: str) -> bool:
+    def adopt_response(self, now: float, id: str, class_name: str, server: str) -> bool:
         """Take over a streamed response from another process, as attempt 0 of a request unknown to the policy.
 
         The settings of this process need not contain its service class.
@@ -280,17 +278,17 @@
         """
         if id in self.requests:
             return False
-        self.statistics.track_class(service)
+        self.statistics.track_class(class_name)
         attempt = Attempt(server, now, response_started_ms=now)
-        self._table.add(id, InFlightRequest(service, now, attempts=[attempt], streaming_attempt=0))
+        self._table.add(id, InFlightRequest(class_name, now, attempts=[attempt], streaming_attempt=0))
         return True
 
-    # ---------------------------------------------------------------- servers and the fleet
+    # Servers and other processes of the node
 
     def update_endpoints(
         self, now: float, form: EndpointListForm, servers: tuple[Server, ...] = ()
     ) -> list[NodeEffect]:
-        """Apply an endpoint list or changes to it, or record that discovery could not be reached."""
+        """Apply an endpoint list or changes to it, or pass on to the policy that a watch of it has failed."""
         self.endpoints.update(form, servers)
         return self._handle(now, EndpointListUpdate(form, servers))
 
@@ -318,7 +316,7 @@
         """Pass the `server_loads` of another process of this node to the policy."""
         return self._handle(now, SiblingProcessLoad(loads))
 
-    # ---------------------------------------------------------------- settings and learned state
+    # Settings and learned state
 
     def configure(self, now: float, settings: Settings, limits: Limits) -> list[NodeEffect]:
         """Apply new settings and limits; equal ones change nothing.
@@ -356,7 +354,7 @@
         """
         return self.balancer.restore_learned_state(now, state, age_ms)
 
-    # ---------------------------------------------------------------- timers
+    # Timers
 
     def next_timer_ms(self) -> float | None:
         """Return when `tick` has to be called next; None without timers."""
--- a/rosewheel/node/in_flight.py
+++ b/rosewheel/node/in_flight.py
@@ -40,20 +40,20 @@
     """A request without a final response, or with attempts in flight.
 
     Attributes:
-        service: Name of its service class.
+        class_name: Name of its service class.
         deadline_ms: When its client stops waiting.
         max_attempts: Limit of its attempts, by the settings when it was received.
         hedging_allowed: Whether several attempts may be in flight at once, by the limits when it was received.
         attempts: Its attempts, by number.
         finished: It has its final response, or its client has disconnected.
-        complete: Its last byte has been received, and its deadline is known.
+        complete: Its last byte has been received, from which its deadline counts.
         body_discarded: Part of its body is no longer buffered, so no further attempt can be sent.
         streaming_attempt: Number of the attempt whose response is being streamed to the client; None without one.
         idempotency: Whether it may be executed twice, by the settings when it was received.
         dedup_window_ms: How long servers remember its idempotency key.
     """
 
-    service: str
+    class_name: str
     deadline_ms: float
     max_attempts: int = 0
     hedging_allowed: bool = False
@@ -96,11 +96,11 @@
     """A response that is being streamed to its client.
 
     Attributes:
-        service: Name of the request's service class.
+        class_name: Name of the request's service class.
         server: Address of the server that sends it.
         attempt: Number of the attempt.
     """
 
-    service: str
+    class_name: str
     server: str
     attempt: int
