--- a/rosewheel/admin/json_http.py
+++ b/rosewheel/admin/json_http.py
@@ -121,8 +121,6 @@
         self._timer: asyncio.TimerHandle | None = None
         self._target, self._body = b"", b""
 
-    # ---------------------------------------------------------------- connection
-
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Called by the event loop when a client has connected."""
         # A cast, because the transports of uvloop do not derive from asyncio's classes.
@@ -156,8 +154,6 @@
         elif not self.request_received:
             self._respond_and_close(JsonResponse(408, {"error": "the request did not arrive in time"}))
 
-    # ---------------------------------------------------------------- requests
-
     def data_received(self, data: bytes) -> None:
         """Called by the event loop with received data."""
         if self._last_response_written or self.streaming or self.transport is None:
@@ -252,8 +248,6 @@
         head += f"Content-Length: {len(body)}\r\nCache-Control: no-store\r\nConnection: {connection}\r\n\r\n"
         self.transport.write(head.encode() + body)
 
-    # ---------------------------------------------------------------- streams
-
     def start_stream(self) -> None:
         """Start a streamed response with chunked transfer coding."""
         self.streaming = True
--- a/rosewheel/cli/control.py
+++ b/rosewheel/cli/control.py
@@ -72,7 +72,7 @@
 json_option = click.option("--json", "as_json", is_flag=True, help="Print the response as JSON.")
 
 
-# -------------------------------------------------------------------------------- changes
+# Commands that change the configuration.
 
 
 @control.command()
@@ -156,7 +156,7 @@
         return ""
 
 
-# -------------------------------------------------------------------------------- reports
+# Commands that report.
 
 
 @control.command()
--- a/rosewheel/control/codec/calls.py
+++ b/rosewheel/control/codec/calls.py
@@ -32,7 +32,7 @@
 
 DEFAULT_HISTORY_LENGTH = 20
 
-# -------------------------------------------------------------------------------- machines
+# Calls between machines.
 
 
 def encode_heartbeat(heartbeat: Heartbeat) -> JsonObject:
@@ -110,7 +110,7 @@
         return decode_epoch(row["epoch"])
 
 
-# ------------------------------------------------------------------------ operators' requests
+# Requests of operators.
 
 
 def encode_put(request: PutRequest) -> JsonObject:
@@ -205,7 +205,7 @@
     return value
 
 
-# ----------------------------------------------------------------------- responses to operators
+# Responses to operators.
 
 
 def encode_configuration(revision: Revision, document: Document) -> JsonObject:
--- a/rosewheel/control/codec/status.py
+++ b/rosewheel/control/codec/status.py
@@ -28,7 +28,7 @@
 SECONDS_DIGITS = 1  # decimal places of durations in the report
 
 
-# ----------------------------------------------------------------------------------- calls
+# The call for the report.
 
 
 def status_target(local_only: bool = False, all_nodes: bool = False) -> str:
@@ -57,7 +57,7 @@
     return row | {"asked": contacted}
 
 
-# --------------------------------------------------------------------------------- encoding
+# Encoding of the report.
 
 
 def encode_status(report: StatusReport) -> JsonObject:
@@ -120,7 +120,7 @@
     return row
 
 
-# --------------------------------------------------------------------------------- decoding
+# Decoding of the report.
 
 
 def decode_status(row: JsonObject) -> StatusReport:
--- a/rosewheel/control/codec/watch.py
+++ b/rosewheel/control/codec/watch.py
@@ -25,7 +25,7 @@
 MAX_REASON_LENGTH = 300  # characters; a longer reason for a rejection is truncated
 
 
-# -------------------------------------------------------------------------- opening a watch
+# Opening a watch.
 
 
 def encode_watch_target(request: WatchRequest) -> str:
@@ -75,7 +75,7 @@
     return number
 
 
-# -------------------------------------------------------------------- lines of a node's watch
+# Lines of a node's watch.
 
 
 def encode_update(update: ConfigurationUpdate) -> bytes:
@@ -103,7 +103,7 @@
         return ConfigurationUpdate(revision, bool(row.get("whole")), decode_document(row["config"]))
 
 
-# -------------------------------------------------------------------- acknowledgements, statuses
+# Acknowledgements and node statuses.
 
 
 def encode_acknowledgements(acknowledgements: Iterable[NodeAcknowledgement]) -> JsonObject:
--- a/rosewheel/control/errors.py
+++ b/rosewheel/control/errors.py
@@ -13,7 +13,7 @@
     """Base of all errors of this package."""
 
 
-# ------------------------------------------------------------------ messages and documents
+# Messages and documents.
 
 
 class MalformedMessageError(ControlError, ValueError):
@@ -41,7 +41,7 @@
         self.revision, self.received = revision, received
 
 
-# ------------------------------------------------------------------------------- history
+# Revision history.
 
 
 class OutOfSequenceError(ControlError, ValueError):
@@ -84,7 +84,7 @@
         self.number, self.oldest, self.newest = number, oldest, newest
 
 
-# -------------------------------------------------------------------------------- leader
+# Leadership.
 
 
 class NotLeaderError(ControlError):
@@ -152,7 +152,7 @@
         self.machine, self.peers = machine, tuple(peers)
 
 
-# --------------------------------------------------------------------------- replication
+# Replication.
 
 
 class NotReplicatedError(ControlError):
@@ -223,7 +223,7 @@
         self.revision, self.last = revision, last
 
 
-# ----------------------------------------------------------------------------- promotion
+# Promotion.
 
 
 class NotPromotableError(ControlError):
@@ -277,7 +277,7 @@
         self.peer, self.epoch = peer, epoch
 
 
-# ----------------------------------------------------------------------------- durable log
+# Log on disk.
 
 
 class LogUnusableError(ControlError):
@@ -325,7 +325,7 @@
         self.path, self.reason = path, reason
 
 
-# ---------------------------------------------------------------------------------- calls
+# Calls between machines.
 
 
 class HttpCallError(ControlError):
--- a/rosewheel/control/machine.py
+++ b/rosewheel/control/machine.py
@@ -132,7 +132,7 @@
         if leader is not None:
             leader.notify()
 
-    # ----------------------------------------------------------------- for heartbeats
+    # Implementation of `HeartbeatOwner`.
 
     def take_node_statuses(self, all_nodes: bool) -> list[NodeStatus]:
         """Return the node statuses that changed since the last call, or those of all nodes that watch this machine."""
--- a/rosewheel/control/machine_api.py
+++ b/rosewheel/control/machine_api.py
@@ -86,8 +86,6 @@
         for connection in list(self._connections):
             connection.abort()
 
-    # -------------------------------------------------------------------- connections
-
     def connection_opened(self, connection: JsonConnection) -> None:
         """Register a new connection."""
         self._connections[connection] = None
@@ -134,7 +132,7 @@
             address = "{}:{}".format(*self._settings.peers[leader])
         return JsonResponse(409, codec.encode_error(ErrorResponse(str(error), leader, address)))
 
-    # ------------------------------------------------------------------- nodes, machines
+    # Requests of nodes and machines.
 
     async def _open_watch(self, request: WatchRequest, connection: JsonConnection) -> JsonResponse | None:
         if request.peer not in self._settings.peers and not request.node:
@@ -199,7 +197,7 @@
             self._settings.name, self._process_id, replica.highest_epoch_seen, replica.last, is_fenced
         )
 
-    # ------------------------------------------------------------------------- operators
+    # Requests of operators.
 
     async def _config(self, query: JsonObject) -> JsonResponse:
         replica = self._store.replica
--- a/rosewheel/control/messages.py
+++ b/rosewheel/control/messages.py
@@ -7,7 +7,7 @@
 from rosewheel.control.documents import Document
 from rosewheel.control.revisions import Change, Epoch, Revision
 
-# ---------------------------------------------------------------------------------- nodes
+# Messages of nodes.
 
 
 @dataclass(slots=True, frozen=True)
@@ -87,7 +87,7 @@
         return len(self.content)
 
 
-# -------------------------------------------------------------------------------- machines
+# Messages between control machines.
 
 
 @dataclass(slots=True, frozen=True)
@@ -128,7 +128,7 @@
     is_fenced: bool = False
 
 
-# ------------------------------------------------------------------------------- operators
+# Requests of operators and their responses.
 
 
 @dataclass(slots=True, frozen=True)
@@ -227,7 +227,7 @@
     current: int | None = None
 
 
-# ---------------------------------------------------------------------------------- status
+# Status report.
 
 
 @dataclass(slots=True, frozen=True)
--- a/rosewheel/control/replica.py
+++ b/rosewheel/control/replica.py
@@ -106,8 +106,6 @@
                 break
         return count
 
-    # ------------------------------------------------------------------------- state
-
     @property
     def last(self) -> Revision:
         """The newest revision in this machine's log."""
@@ -161,7 +159,7 @@
         """The log record of the highest epoch that this machine has seen."""
         return EpochObserved(self.highest_epoch_seen)
 
-    # ----------------------------------------------------------------------- leading
+    # Operations of the leader.
 
     def draft(self, request: PutRequest, created_at_s: float = 0.0) -> Change:
         """Return the change that a request makes, without appending it.
@@ -221,7 +219,7 @@
                 self.uncommitted_count = min(self.uncommitted_count, self.last.number - revision.number)
         return self.uncommitted_count != before
 
-    # --------------------------------------------------------------------- following
+    # Operations of a follower, and of the machine that sends it the log.
 
     def log_suffix(self, revision: Revision) -> LogSuffix | None:
         """Return the log after a follower's last revision; None if this machine has nothing newer to send.
@@ -268,7 +266,7 @@
         """Replace all but the newest changes with a snapshot."""
         self.history.trim(retained)
 
-    # --------------------------------------------------------------------- promotion
+    # Promotion of this machine.
 
     def next_epoch(self, seen_by_peers: Iterable[Epoch]) -> Epoch:
         """Return an epoch of this machine that is above all epochs it and its peers have seen."""
--- a/rosewheel/control/store.py
+++ b/rosewheel/control/store.py
@@ -87,7 +87,7 @@
         )
         return cls(durable_log, replica, on_change)
 
-    # ----------------------------------------------------------------------- changes
+    # Changes by operators.
 
     async def put(self, request: PutRequest) -> Change | None:
         """Write a change to this machine's log.
@@ -164,7 +164,7 @@
     def _is_committed(self, revision: Revision) -> bool:
         return self.replica.committed >= revision and self.replica.history.contains(revision)
 
-    # --------------------------------------------------------------- from other machines
+    # Records and state from other machines.
 
     async def append_suffix(self, suffix: LogSuffix) -> None:
         """Append a log suffix from another machine.
@@ -238,8 +238,6 @@
             self._notify()
             return change
 
-    # -------------------------------------------------------------------------- disk
-
     async def close(self) -> None:
         """Close the log once the operation in progress has ended."""
         async with self._lock:
--- a/rosewheel/control/subscriber.py
+++ b/rosewheel/control/subscriber.py
@@ -114,8 +114,6 @@
         """A later revision that the node could not apply; None if there is none."""
         return self.state.rejected
 
-    # -------------------------------------------------------------------------- watch
-
     def _open(self) -> None:
         if self._closed:
             return
@@ -161,8 +159,6 @@
             self.selection.return_to_preferred()
             self._open()
 
-    # ------------------------------------------------------------------------- updates
-
     def _decode(self, row: JsonObject) -> ConfigurationUpdate:
         update = decode_update(row)
         self.state.check(update)
@@ -201,8 +197,6 @@
         )
         self._save()
 
-    # ----------------------------------------------------------------- acknowledgements
-
     def _acknowledgement(self) -> NodeAcknowledgement:
         state = self.state
         return NodeAcknowledgement(
@@ -214,8 +208,6 @@
         self._stamp = max(self._stamp + 1, int(time.time() * 1000.0))
         return self._stamp
 
-    # --------------------------------------------------------------------------- cache
-
     def _load_cache(self) -> None:
         if self._cache is None:
             return
--- a/rosewheel/hot_restart/migration.py
+++ b/rosewheel/hot_restart/migration.py
@@ -67,8 +67,6 @@
         """The number of connections that this process owns but has not attached to its event loop yet."""
         return len(self._arriving)
 
-    # ------------------------------------------------------------ detaching
-
     def detach_next(self, on_detached: DetachedHandler) -> bool:
         """Starts to detach one connection.
 
@@ -113,8 +111,6 @@
         client.detach(detachment.client_detached)
         return True
 
-    # ------------------------------------------------------------- resuming
-
     def rejection_reason(self, connection: MigratedConnection) -> str:
         """Returns why this process can't resume the connection, or an empty string if it can."""
         host, kind = self._host, connection.kind
--- a/rosewheel/hot_restart/service.py
+++ b/rosewheel/hot_restart/service.py
@@ -72,8 +72,6 @@
         self._listeners_received: asyncio.Future[list[int]] | None = None
         self._negotiated: set[Channel] = set()  # channels whose protocol version is agreed
 
-    # ---------------------------------------------------------------- start
-
     def connect_to_predecessor(self) -> bool:
         """Connects to the running process of this node; returns whether there is one."""
         sock = connect(self._folder) if self._folder is not None else None
@@ -153,8 +151,6 @@
         close_descriptors([reading_end])  # already sent: the first packet of a channel is never queued
         self._report_in_flight()
 
-    # ------------------------------------------------------------- messages
-
     def _message_received(self, channel: Channel, received: ReceivedMessage) -> None:
         if isinstance(received.message, Hello):
             self._hello_received(channel, received.message, received.descriptors)
@@ -276,8 +272,6 @@
                 self.sender.channel_closed()
             self.successor = None
 
-    # ------------------------------------------------------------------ end
-
     def begin_shutdown(self) -> bool:
         """Stops listening for successors; returns whether one takes over the connections."""
         self._is_shutting_down = True
