--- a/rosewheel/control/heartbeats.py
+++ b/rosewheel/control/heartbeats.py
@@ -150,4 +150,4 @@
         self.last_contact_s = self._loop.time()
         self.last_revision = last
         await self._owner.store.observe_epoch(max(highest_epoch_seen, last.epoch))
-        self._owner.store.replica_ack(self.peer, last)
+        self._owner.store.peer_acknowledged(self.peer, last)
--- a/rosewheel/control/replica.py
+++ b/rosewheel/control/replica.py
@@ -201,7 +201,7 @@
             self.uncommitted_count += 1
         self._update_committed()
 
-    def replica_ack(self, peer: str, revision: Revision) -> bool:
+    def peer_acknowledged(self, peer: str, revision: Revision) -> bool:
         """Record that a peer has a revision on disk.
 
         Returns:
--- a/rosewheel/control/store.py
+++ b/rosewheel/control/store.py
@@ -203,9 +203,9 @@
                 log.warning("leadership lost: another machine promoted, leader=%s", epoch.leader)
             self._notify()
 
-    def replica_ack(self, peer: str, revision: Revision) -> None:
+    def peer_acknowledged(self, peer: str, revision: Revision) -> None:
         """Record that a peer has a revision on disk."""
-        if self.replica.replica_ack(peer, revision):
+        if self.replica.peer_acknowledged(peer, revision):
             self._notify()
 
     async def begin_epoch(
--- a/tests/control/test_replica.py
+++ b/tests/control/test_replica.py
@@ -95,7 +95,7 @@
         for one, two in ((self, other), (other, self)):
             one.observe(max(two.replica.highest_epoch_seen, two.replica.last.epoch))
         for one, two in ((self, other), (other, self)):
-            one.replica.replica_ack(two.name, two.replica.last)
+            one.replica.peer_acknowledged(two.name, two.replica.last)
 
     def begin_promotion(self, reached: list[Machine], force: bool = False) -> None:
         if not force:
