--- a/rosewheel/control/acknowledgement.py
+++ b/rosewheel/control/acknowledgement.py
@@ -41,7 +41,7 @@
         self._client: JsonHttpClient | None = None
         self._timer = Timer()
         self._task: asyncio.Task[None] | None = None
-        self._is_current = False  # whether the machine has the node's current state
+        self._is_sent = False  # whether the current state was sent or is being sent
 
     def use_machine(self, address: Address) -> None:
         """Send to the machine at this address from now on."""
@@ -53,7 +53,7 @@
 
     def schedule(self) -> None:
         """Send the node's changed state within `MAX_ACKNOWLEDGEMENT_DELAY_S`."""
-        self._is_current = False
+        self._is_sent = False
         if not self._timer.is_running and (self._task is None or self._task.done()):
             self._timer.start(self._random.uniform(0.0, MAX_ACKNOWLEDGEMENT_DELAY_S), self._start)
 
@@ -69,13 +69,13 @@
         self._task = asyncio.get_running_loop().create_task(self._send())
 
     async def _send(self) -> None:
-        while not self._is_current and self._client is not None:
-            self._is_current = True  # `schedule` resets it if the state changes during the call
+        while not self._is_sent and self._client is not None:
+            self._is_sent = True  # `schedule` resets it if the state changes during the call
             if not await self._call(self._client):
-                self._is_current = False
+                self._is_sent = False
                 self._timer.start(self._random.uniform(*RETRY_WAIT_RANGE_S), self._start)
                 return
-        if self._is_current:
+        if self._is_sent:
             self._on_acknowledged()
 
     async def _call(self, client: JsonHttpClient) -> bool:
@@ -84,6 +84,6 @@
             status, _ = await client.call("POST", ACKNOWLEDGE_PATH, body)
         except HttpCallError:
             status = 0
-        # Not kept open: an idle connection would cost the machine one descriptor per node.
+        # Closed after each call, since idle connections would cost the machine one descriptor per node.
         client.close()
         return status == 200
--- a/rosewheel/control/codec/cached_document.py
+++ b/rosewheel/control/codec/cached_document.py
@@ -22,7 +22,10 @@
 
 
 def encode_cached_document(service: str, revision: Revision, document: Document) -> bytes:
-    """Return the content of the file. The header has a magic word, the format, and crc32 and length of the JSON."""
+    """Return the content of the file.
+
+    The header has a magic string, the format version, and the crc32 and length of the JSON.
+    """
     body = orjson.dumps({"service": service, "at": encode_revision(revision), "document": document})
     return b"%b %d %08x %d\n" % (MAGIC, FORMAT_VERSION, zlib.crc32(body), len(body)) + body
 
--- a/rosewheel/control/codec/calls.py
+++ b/rosewheel/control/codec/calls.py
@@ -96,7 +96,7 @@
 
 
 def encode_fence(epoch: Epoch) -> JsonObject:
-    """Encode the body of a fence, which tells the receiver to reject everything below this epoch."""
+    """Encode the body of a fence, after which the receiver rejects everything below this epoch."""
     return {"epoch": encode_epoch(epoch)}
 
 
--- a/rosewheel/control/codec/watch.py
+++ b/rosewheel/control/codec/watch.py
@@ -22,7 +22,7 @@
 
 MAX_NAME_LENGTH = 200  # longest name of a node or service, in characters
 MAX_NUMBER = 2**63 - 1  # largest number that the log and messages can encode
-MAX_REASON_LENGTH = 300  # characters; a longer reason for a rejection is truncated
+MAX_REASON_LENGTH = 300  # longest reason for a rejection, in characters; longer ones are truncated
 
 
 # Opening a watch.
--- a/rosewheel/control/documents.py
+++ b/rosewheel/control/documents.py
@@ -59,7 +59,7 @@
 
 
 def _identical(one: Any, other: Any) -> bool:
-    """Return whether two JSON values are equal in value and type; Python's `==` does not tell 1, 1.0 and True apart."""
+    """Return whether two JSON values are equal in value and type; `==` does not distinguish 1, 1.0 and True."""
     if type(one) is not type(other):
         return False
     if isinstance(one, dict):
--- a/rosewheel/control/errors.py
+++ b/rosewheel/control/errors.py
@@ -241,25 +241,25 @@
 
     def __init__(self, machine: str, last: Revision, ahead: Mapping[str, Revision]) -> None:
         peers = ", ".join(f"{peer} has {revision}" for peer, revision in sorted(ahead.items()))
-        super().__init__(f"{machine} has {last}, but {peers}")
+        super().__init__(f"promotion would lose changes: {machine} has {last}, but {peers}")
         self.machine, self.last, self.ahead = machine, last, dict(ahead)
 
 
 class PromotionQuorumError(NotPromotableError):
-    """Too few machines reported revisions, so a committed change may be missing here.
+    """Too few machines reported revisions, so this machine may lack a committed change.
 
     Attributes:
-        silent: Machines that did not respond or have an empty log.
-        known: Number of machines that reported revisions, including this one.
+        missing: Machines that did not respond or have an empty log.
+        reported: Number of machines that reported revisions, including this one.
         required: Number of machines required.
     """
 
-    def __init__(self, silent: Sequence[str], known: int, required: int) -> None:
-        names = ", ".join(silent) or "all"
+    def __init__(self, missing: Sequence[str], reported: int, required: int) -> None:
+        names = ", ".join(missing) or "all"
         super().__init__(
-            f"promotion quorum not reached: {known} of {required} machines reported versions; missing: {names}"
+            f"promotion quorum not reached: {reported} of {required} machines reported versions; missing: {names}"
         )
-        self.silent, self.known, self.required = tuple(silent), known, required
+        self.missing, self.reported, self.required = tuple(missing), reported, required
 
 
 class HigherEpochSeenError(NotPromotableError):
@@ -311,7 +311,7 @@
 
 
 class LogWriteError(ControlError, OSError):
-    """A write or sync failed; the log accepts no records until its accepted ones are on a new file.
+    """A write or sync failed; the log accepts no more records until the accepted ones are rewritten to a new file.
 
     Attributes:
         path: The log's file or directory.
--- a/rosewheel/control/heartbeats.py
+++ b/rosewheel/control/heartbeats.py
@@ -18,7 +18,7 @@
 log = logging.getLogger("rosewheel.control")
 
 HEARTBEAT_INTERVAL_S = 1.0  # longest wait between two heartbeats; `notify` sends the next one at once
-HEARTBEAT_BACKOFF_S = 0.25  # wait before a notified heartbeat to an unreachable peer
+HEARTBEAT_BACKOFF_S = 0.25  # wait before a heartbeat requested by `notify` if the peer is unreachable
 PEER_LOST_AFTER_S = 6.0  # a peer without contact for this long is considered lost
 
 
@@ -53,7 +53,7 @@
         self._loop = asyncio.get_running_loop()
         self.last_contact_s = self._loop.time()
         self.last_revision: Revision | None = None
-        # Process of the peer that has received the statuses of all nodes watching this machine; empty if none has.
+        # Identifier of the peer process that has the statuses of all nodes watching this machine; empty if none has.
         self._informed_process_id = ""
         self._is_unreachable = False
         self._loss_reported = False
@@ -98,8 +98,8 @@
             self._is_unreachable = self._loss_reported = False
 
     def _report_loss(self) -> None:
-        was_known = self.last_revision is not None
-        if self._is_unreachable and not self._loss_reported and was_known and not self.alive:
+        was_contacted = self.last_revision is not None
+        if self._is_unreachable and not self._loss_reported and was_contacted and not self.alive:
             self._loss_reported = True
             self._owner.peer_lost(self.peer)
 
@@ -118,7 +118,7 @@
         if status != 200:
             raise PeerRejectedCallError(self.peer, status, decode_error(body).text)
         state = decode_machine_state(body)
-        self._note_process(state, carried_statuses=heartbeat.node_statuses is not None)
+        self._record_process(state, carried_statuses=heartbeat.node_statuses is not None)
         await self.peer_reported(state.highest_epoch_seen, state.last)
 
     def _heartbeat(self) -> Heartbeat:
@@ -134,7 +134,7 @@
             includes_all_nodes=all_nodes,
         )
 
-    def _note_process(self, state: MachineState, carried_statuses: bool) -> None:
+    def _record_process(self, state: MachineState, carried_statuses: bool) -> None:
         if self._informed_process_id and self._informed_process_id != state.process_id:
             self.notify()  # the peer restarted and has lost all node statuses
             self._informed_process_id = ""
--- a/rosewheel/control/machine.py
+++ b/rosewheel/control/machine.py
@@ -22,7 +22,7 @@
 log = logging.getLogger("rosewheel.control")
 
 MAINTENANCE_INTERVAL_S = 1.0
-EXPIRY_INTERVAL_S = 60.0  # between two removals of expired nodes
+EXPIRY_INTERVAL_S = 60.0  # interval between removals of expired nodes
 LISTEN_BACKLOG = 1024
 PROCESS_ID_BYTES = 8
 
@@ -34,7 +34,7 @@
         settings: The startup settings.
         name: Name of the machine.
         store: The replica and its log.
-        nodes: The nodes known to this machine.
+        nodes: The latest status of each node.
         watches: The watches open at this machine.
         heartbeats: Heartbeats to the other machines, by name; empty before `start`.
         replication: The watch that receives the leader's log; None before `start`.
@@ -136,7 +136,7 @@
 
     def take_node_statuses(self, all_nodes: bool) -> list[NodeStatus]:
         """Return the node statuses that changed since the last call, or those of all nodes that watch this machine."""
-        changed = self.nodes.take_changes()  # cleared in both cases: the full list includes the changes
+        changed = self.nodes.take_changes()  # also cleared for the full list, which includes the changes
         return self.nodes.statuses_of_machine(self.name) if all_nodes else changed
 
     def peer_lost(self, peer: str) -> None:
--- a/rosewheel/control/machine_api.py
+++ b/rosewheel/control/machine_api.py
@@ -144,12 +144,12 @@
         if connection.transport is None:
             return None  # disconnected in the meantime
         if not request.peer:
-            self._note_connected(request)
+            self._record_connected(request)
         node = "" if request.peer else request.node
         self._watches.open(Watch(connection, request.received, request.service, node, request.peer))
         return None
 
-    def _note_connected(self, request: WatchRequest) -> None:
+    def _record_connected(self, request: WatchRequest) -> None:
         machine, now_s = self._settings.name, self._clock.time()
         if request.received_is_applied:
             status = NodeStatus(request.node, request.service, machine, request.stamp, request.received)
--- a/rosewheel/control/machine_parts.py
+++ b/rosewheel/control/machine_parts.py
@@ -27,10 +27,10 @@
     Attributes:
         settings: The startup settings.
         store: The replica and its log.
-        nodes: The nodes known to the machine.
+        nodes: The latest status of each node.
         watches: The watches open at the machine.
         peers: Heartbeats to the other machines, by name; empty until the machine is started.
-        clock: Clock of the times in `nodes` and `peers`.
+        clock: The clock that the times in `nodes` and `peers` refer to.
     """
 
     settings: MachineSettings
--- a/rosewheel/control/machine_selection.py
+++ b/rosewheel/control/machine_selection.py
@@ -42,7 +42,7 @@
         self.random = Random(seed)
         self.order = rendezvous_order(node, machines)
         if not self.order:
-            raise ValueError("no control machines given")
+            raise ValueError("no control machine is configured")
         self.index = 0
 
     @property
--- a/rosewheel/control/messages.py
+++ b/rosewheel/control/messages.py
@@ -260,7 +260,7 @@
     Attributes:
         nodes: Number of known nodes.
         up_to_date: Number of connected nodes that have applied the committed revision.
-        behind_count: Number of connected nodes that have not.
+        behind_count: Number of connected nodes that have not applied the committed revision.
         rejected_count: Number of nodes that rejected a revision.
         disconnected_count: Number of nodes without an open watch.
         longest_behind_s: Longest `behind_for_s` of a connected node, in seconds.
@@ -291,7 +291,7 @@
     Attributes:
         machine: Name of the machine.
         last: Last revision on its disk; None before the first contact.
-        last_contact_s: Time since the last contact, in seconds; None before the first.
+        last_contact_s: Time since the last contact, in seconds; None before the first contact.
         is_leader: Whether the machine is the leader.
     """
 
--- a/rosewheel/control/node_registry.py
+++ b/rosewheel/control/node_registry.py
@@ -52,7 +52,7 @@
         return iter(self.entries.values())
 
     def record(self, status: NodeStatus, now_s: float) -> bool:
-        """Record a status unless a later one is known.
+        """Record a status unless a later one is recorded.
 
         Returns:
             Whether the node's status changed.
@@ -61,16 +61,14 @@
         if entry is None:
             self.entries[status.node] = NodeEntry(status, now_s, now_s)
         else:
-            known = entry.status
+            last = entry.status
             # A report from the node's previous machine may arrive after one from its current machine.
-            if status.stamp < known.stamp or (
-                status.stamp == known.stamp and status.machine != known.machine
-            ):
+            if status.stamp < last.stamp or (status.stamp == last.stamp and status.machine != last.machine):
                 return False
             entry.updated_at_s = now_s
-            if status == known:
+            if status == last:
                 return False
-            if (status.applied, status.rejected) != (known.applied, known.rejected):
+            if (status.applied, status.rejected) != (last.applied, last.rejected):
                 entry.unchanged_since_s = now_s
             entry.status = status
         self._changed[status.node] = None
@@ -79,8 +77,8 @@
     def connected(self, node: str, service: str, machine: str, stamp: int, now_s: float) -> None:
         """Record that a node has opened a watch at a machine, and keep its last reported revisions."""
         entry = self.entries.get(node)
-        known = entry.status if entry is not None else NodeStatus(node, service, machine, 0, INITIAL_REVISION)
-        status = replace(known, service=service, machine=machine, stamp=stamp, connected=True)
+        last = entry.status if entry is not None else NodeStatus(node, service, machine, 0, INITIAL_REVISION)
+        status = replace(last, service=service, machine=machine, stamp=stamp, connected=True)
         self.record(status, now_s)
 
     def disconnected(self, node: str, machine: str, now_s: float) -> None:
--- a/rosewheel/control/promotion_rules.py
+++ b/rosewheel/control/promotion_rules.py
@@ -34,8 +34,8 @@
     if ahead:
         raise PeersAheadError(machine, last, ahead)
     # A machine with an empty log may be the replacement of a lost one, so it does not count towards the quorum.
-    known = [revision for revision in (last, *peer_revisions.values()) if revision != INITIAL_REVISION]
+    reported = [revision for revision in (last, *peer_revisions.values()) if revision != INITIAL_REVISION]
     required = promotion_quorum(len(peers) + 1)
-    if len(known) < required:
-        silent = [peer for peer in peers if peer_revisions.get(peer, INITIAL_REVISION) == INITIAL_REVISION]
-        raise PromotionQuorumError(sorted(silent), len(known), required)
+    if len(reported) < required:
+        missing = [peer for peer in peers if peer_revisions.get(peer, INITIAL_REVISION) == INITIAL_REVISION]
+        raise PromotionQuorumError(sorted(missing), len(reported), required)
--- a/rosewheel/control/replica.py
+++ b/rosewheel/control/replica.py
@@ -123,13 +123,13 @@
             return False
         if self.last.epoch == self.highest_epoch_seen:
             return True
-        return self.highest_epoch_seen.number == FIRST_EPOCH_NUMBER and not self.peers_not_known_empty
+        return self.highest_epoch_seen.number == FIRST_EPOCH_NUMBER and not self.peers_not_reported_empty
 
     @property
-    def peers_not_known_empty(self) -> list[str]:
+    def peers_not_reported_empty(self) -> list[str]:
         """Peers that have not reported an empty log.
 
-        The initial leader writes the first revision only when there are none. Otherwise a leader that lost its disk
+        The initial leader writes the first revision only once all peers have. Otherwise a leader that lost its disk
         would start a second history with the same revision numbers.
         """
         return [peer for peer in self.peers if self.peer_revisions.get(peer) != INITIAL_REVISION]
@@ -187,10 +187,10 @@
         return NotLeaderError(self.name, leader if leader != self.name else "")
 
     def _first_change_error(self) -> WriteUnavailableError:
-        peers_with_revisions = [peer for peer in self.peers_not_known_empty if peer in self.peer_revisions]
+        peers_with_revisions = [peer for peer in self.peers_not_reported_empty if peer in self.peer_revisions]
         if peers_with_revisions:
             return LeaderLogLostError(self.name, peers_with_revisions)
-        return PeersNotContactedError(self.peers_not_known_empty)
+        return PeersNotContactedError(self.peers_not_reported_empty)
 
     def appended(self, change: Change) -> None:
         """Update the state after a change of this leader was written to its log."""
--- a/rosewheel/control/replication_source.py
+++ b/rosewheel/control/replication_source.py
@@ -9,7 +9,7 @@
 from enum import Enum, auto
 from random import Random
 
-LEADER_RETURN_DELAY_S = 1.0  # least time to watch another follower before a switch back to the leader
+LEADER_RETURN_DELAY_S = 1.0  # minimum time to watch another follower before a switch back to the leader
 
 
 class SourceAction(Enum):
@@ -51,11 +51,11 @@
         Returns:
             The action to take on the watch.
         """
-        known_leader, self._leader = self._leader, leader
+        old_leader, self._leader = self._leader, leader
         if leader in ("", self._name) or not self._peers:
             self.stop()
             return SourceAction.STOP
-        if self.current and leader == known_leader and not self._leader_returned(leader, leader_alive, now_s):
+        if self.current and leader == old_leader and not self._leader_returned(leader, leader_alive, now_s):
             return SourceAction.KEEP
         self.select(leader if leader in self._peers else self._peers[0], now_s)
         return SourceAction.OPEN
--- a/rosewheel/control/store.py
+++ b/rosewheel/control/store.py
@@ -109,7 +109,7 @@
         """Write a change that restores the document of an earlier revision.
 
         Returns:
-            As of `put`.
+            The change; None if the document already equals that of the earlier revision.
 
         Raises:
             UnknownRevisionError: The revision is not retained. Other exceptions are those of `put`.
--- a/rosewheel/control/subscriber.py
+++ b/rosewheel/control/subscriber.py
@@ -27,7 +27,7 @@
 
 log = logging.getLogger("rosewheel.control")
 
-MAX_RETURN_BACKOFF_FACTOR = 16.0  # for the wait before the node tries its preferred machine again
+MAX_RETURN_BACKOFF_FACTOR = 16.0  # limit of the growth of the wait before a return to the preferred machine
 
 ApplyDocument = Callable[[Document], None]
 
--- a/rosewheel/control/watches.py
+++ b/rosewheel/control/watches.py
@@ -51,7 +51,7 @@
         self._documents: dict[str, Document] = {}
 
     def line(self, service: str, sent: Revision) -> bytes:
-        """Return the encoded chunk that updates a node of a service from its last sent to the committed revision."""
+        """Return the encoded chunk that updates a node of a service from revision `sent` to the committed one."""
         committed = self._replica.committed
         if committed != self._committed:
             self._committed = committed
