--- a/rosewheel/hot_restart/channel.py
+++ b/rosewheel/hot_restart/channel.py
@@ -18,7 +18,7 @@
 log = logging.getLogger("rosewheel.hot_restart")
 
 MAX_DESCRIPTORS_PER_MESSAGE = 4
-PACKETS_PER_READ = 64  # limited, so that the event loop serves clients in between
+PACKETS_PER_READ = 64  # limited so that the event loop can serve clients between two reads
 UNLIMITED_PACKETS = 1 << 20
 
 
@@ -156,7 +156,7 @@
                 self.close()
                 return
             if flags & (socket.MSG_CTRUNC | socket.MSG_TRUNC):
-                # This process can't hold all descriptors. An offer without its descriptors is rejected.
+                # The process has reached its descriptor limit. An offer without its descriptors is rejected.
                 close_descriptors(descriptors)
                 descriptors = []
             self._handle_packet(packet, descriptors)
--- a/rosewheel/hot_restart/messages.py
+++ b/rosewheel/hot_restart/messages.py
@@ -39,7 +39,7 @@
 class Hello:
     """The first message of either process.
 
-    The predecessor's comes with the reading end of the revocation pipe of its `Sender`.
+    The predecessor sends the read end of its `Sender`'s revocation pipe with it.
 
     Attributes:
         versions: The protocol versions that the process supports.
--- a/rosewheel/hot_restart/messages_codec.py
+++ b/rosewheel/hot_restart/messages_codec.py
@@ -99,9 +99,9 @@
 
 def _hello_from(fields: dict[str, Any]) -> Hello:
     versions, node, pid = fields.get("versions"), fields.get("node"), fields.get("pid")
-    known = versions if isinstance(versions, list) else []
+    supported = versions if isinstance(versions, list) else []
     return Hello(
-        tuple(version for version in known if isinstance(version, int)),
+        tuple(version for version in supported if isinstance(version, int)),
         node if isinstance(node, str) else "",
         pid if isinstance(pid, int) else None,
     )
--- a/rosewheel/hot_restart/migration.py
+++ b/rosewheel/hot_restart/migration.py
@@ -29,7 +29,7 @@
 
 # Probability that an idle connection to a server is migrated before the next client. Clients that have migrated need
 # some of these connections for their next requests.
-IDLE_UPSTREAM_SHARE = 0.5
+IDLE_UPSTREAM_PROBABILITY = 0.5
 
 
 @dataclass(slots=True, eq=False)
@@ -41,7 +41,7 @@
         state: The protocol state of the connection.
         descriptors: Its sockets, owned by the holder of this object.
         pending_bytes: Unsent bytes for the client, followed by unprocessed bytes from it. The state contains the
-            number of the former.
+            number of unsent bytes.
     """
 
     kind: ConnectionKind
@@ -84,7 +84,7 @@
                 and self._detach_response(client, on_detached)
             ):
                 return True
-        if host.random.random() < IDLE_UPSTREAM_SHARE and self._detach_idle_upstream(on_detached):
+        if host.random.random() < IDLE_UPSTREAM_PROBABILITY and self._detach_idle_upstream(on_detached):
             return True
         for client in host.server.connections:
             if client.active_request is None and client.detachable:
@@ -117,13 +117,13 @@
         if len(connection.descriptors) != kind.descriptor_count:
             return "descriptors are missing"
         if host.server.draining or host.stopped:
-            return "this process shuts down too"
+            return "this process is shutting down"
         if not host.can_hold(kind.descriptor_count, idle=kind is ConnectionKind.UPSTREAM):
-            return "no descriptors left"
+            return "this process has reached its descriptor limit"
         if kind is ConnectionKind.UPSTREAM and not host.upstream.accepts_idle(connection.state):
-            return "its server is not in use here"
+            return "the idle connection or its server is not usable in this process"
         if kind is ConnectionKind.RESPONSE and request_id_of(connection.state) in host.node.requests:
-            return "its request id is in flight here"
+            return "the request is already in flight in this process"
         return ""
 
     def resume(self, connection: MigratedConnection, returned: bool = False) -> None:
--- a/rosewheel/hot_restart/receiver.py
+++ b/rosewheel/hot_restart/receiver.py
@@ -20,7 +20,7 @@
     Args:
         channel: The channel to the predecessor.
         migration: Resumes connections in this process.
-        revocation_pipe: The reading end of the pipe of the predecessor's `Sender`.
+        revocation_pipe: The read end of the revocation pipe of the predecessor's `Sender`.
 
     Attributes:
         received: Number of connections that this process has taken over, by kind.
@@ -59,7 +59,7 @@
         self._migration.resume(connection)
 
     def _is_revoked(self) -> bool:
-        """Returns whether the predecessor keeps the connections that were not acknowledged.
+        """Returns whether the predecessor has revoked the offers that were not acknowledged.
 
         It writes the revocation byte before it stops reading acknowledgements. If the channel ends without that byte,
         the predecessor was killed.
--- a/rosewheel/hot_restart/sender.py
+++ b/rosewheel/hot_restart/sender.py
@@ -24,8 +24,8 @@
     Args:
         channel: The channel to the successor.
         migration: Detaches and resumes the connections of this process.
-        revocation_pipe: The writing end of a pipe whose reading end the successor has. A byte in it tells the successor
-            that this process keeps all connections that were not acknowledged.
+        revocation_pipe: The write end of a pipe whose read end the successor has. A byte in it revokes all offers that
+            were not acknowledged.
         count_descriptors: Returns the number of descriptors that this process holds.
 
     Attributes:
@@ -112,10 +112,10 @@
             self.offer_next()
 
     def revoke(self) -> None:
-        """Ends the migration. This process keeps all connections that were not acknowledged.
+        """Ends the migration, and revokes all offers that were not acknowledged: this process keeps their connections.
 
-        The order matters: the revocation byte first, then no further acknowledgements can be sent, then those already
-        sent are read.
+        The order matters: it writes the revocation byte, then prevents further acknowledgements, then reads those
+        already sent.
         """
         self.ended = True
         with contextlib.suppress(OSError):
--- a/rosewheel/hot_restart/service.py
+++ b/rosewheel/hot_restart/service.py
@@ -33,7 +33,7 @@
 log = logging.getLogger("rosewheel.hot_restart")
 
 IN_FLIGHT_INTERVAL_S = 0.05  # interval of the reports of requests in flight
-MAX_REPORTED_SERVERS = 500  # servers with the most requests in flight; keeps a report within one packet
+MAX_REPORTED_SERVERS = 500  # limit of servers in a report, so that it fits into one packet
 LISTENERS_TIMEOUT_S = 1.0  # how long a successor waits for the listening sockets of its predecessor
 
 
@@ -142,13 +142,11 @@
             self.successor.close()
         self.successor = Channel(sock, self._message_received, self._channel_closed)
         self.successor_ready = False
-        reading_end, writing_end = os.pipe2(os.O_CLOEXEC | os.O_NONBLOCK)
-        self.sender = Sender(
-            self.successor, self._migration, writing_end, lambda: self._host.descriptor_count
-        )
+        read_end, write_end = os.pipe2(os.O_CLOEXEC | os.O_NONBLOCK)
+        self.sender = Sender(self.successor, self._migration, write_end, lambda: self._host.descriptor_count)
         self._host.successor_connected()
-        self.successor.send(self._hello(), descriptors=(reading_end,))
-        close_descriptors([reading_end])  # already sent: the first packet of a channel is never queued
+        self.successor.send(self._hello(), descriptors=(read_end,))
+        close_descriptors([read_end])  # already sent: the first packet of a channel is never queued
         self._report_in_flight()
 
     def _message_received(self, channel: Channel, received: ReceivedMessage) -> None:
@@ -191,7 +189,7 @@
         match received.message:
             case Serving():
                 self.successor_ready = True
-                log.info("successor serves")
+                log.info("successor is serving")
             case Accepted(number) if self.sender is not None:
                 self.sender.accepted(number)
             case Rejected(number, reason) if self.sender is not None:
@@ -220,7 +218,7 @@
         version = newest_common_version(hello.versions)
         if version is None or hello.node != self._node:
             log.warning(
-                "hot restart refused: reason=no common protocol version or another node, versions=%s, node=%r",
+                "sibling process rejected: reason=no common protocol version or another node, versions=%s, node=%r",
                 list(hello.versions),
                 hello.node,
             )
--- a/rosewheel/hot_restart/transfers.py
+++ b/rosewheel/hot_restart/transfers.py
@@ -1,9 +1,9 @@
 """Tracks which process owns a connection during its transfer. Performs no I/O.
 
 An offered connection belongs to the sender, which does not use it, until the receiver has sent an acknowledgement.
-After that it belongs to the receiver, which sends the acknowledgement before it uses the connection. A sender that
-stops waiting first prevents further acknowledgements, and then reads those already sent. It then owns all connections
-that are still pending.
+After that it belongs to the receiver, which sends the acknowledgement before it uses the connection. When a sender
+stops waiting, it prevents further acknowledgements and then reads those already sent. Only then does it own all
+connections that are still pending.
 """
 
 from __future__ import annotations
@@ -40,7 +40,7 @@
         self._last_number = 0
 
     @property
-    def has_room(self) -> bool:
+    def may_offer(self) -> bool:
         """Whether another offer can be made now."""
         return len(self._pending) < self.max_pending
 
@@ -64,7 +64,7 @@
         return pending.connection
 
     def reject(self, number: int) -> Connection | None:
-        """Records a rejection; returns the connection, which the sender owns again, or None as `accept` does."""
+        """Records a rejection; returns the connection, which the sender owns again, or None if it is not pending."""
         pending = self._pending.pop(number, None)
         if pending is None:
             return None
--- a/tests/hot_restart/test_transfers.py
+++ b/tests/hot_restart/test_transfers.py
@@ -34,7 +34,7 @@
         self.at_sender: set[int] = set()  # connections that returned to the sender
         self.at_receiver: set[int] = set()
 
-    @precondition(lambda self: self.sender_alive and self.channel_open and self.transfers.has_room)
+    @precondition(lambda self: self.sender_alive and self.channel_open and self.transfers.may_offer)
     @rule()
     def offer(self) -> None:
         self.connections += 1
