--- a/rosewheel/admin/codec.py
+++ b/rosewheel/admin/codec.py
@@ -26,7 +26,7 @@
 
 @dataclass(slots=True, frozen=True)
 class _Route:
-    """The method of a path, and the constructor of its request, with or without a server from the query."""
+    """The method of a path, and one of two constructors of its request: without or with a server."""
 
     method: str
     request: Callable[[], AdminRequest] | None = None
--- a/rosewheel/admin/json_http.py
+++ b/rosewheel/admin/json_http.py
@@ -19,7 +19,7 @@
 
 log = logging.getLogger("rosewheel.json_http")
 
-MAX_PIPELINED_REQUESTS = 16  # waiting requests per connection; further ones are ignored
+MAX_PIPELINED_REQUESTS = 16  # limit of waiting requests per connection; further ones are ignored
 
 REASON_PHRASES = {
     200: "OK",
@@ -93,7 +93,7 @@
         """Handle the end of a connection."""
 
     def handle(self, request: JsonRequest, connection: JsonConnection) -> Awaitable[JsonResponse | None]:
-        """Handle a request; returns its response, or None if the connection has become a stream."""
+        """Handle a request and return its response, or None if the connection has become a stream."""
 
 
 class JsonConnection(asyncio.Protocol):
@@ -101,8 +101,7 @@
 
     Attributes:
         transport: The transport, or None before the connection is made and after it is closed.
-        request_received: Whether a complete request has arrived whose response is not written yet, or the last response
-            has been written.
+        request_received: Whether a complete request waits for its response, or the last response has been written.
         streaming: Whether the response is a stream, which ends with the connection.
     """
 
@@ -114,7 +113,7 @@
         self.streaming = False
         self._handler, self._limits, self._loop = handler, limits, loop
         self._parser = httptools.HttpRequestParser(self)
-        self._bytes_read = 0  # of the current request
+        self._bytes_read = 0  # received bytes of the current request
         self._last_response_written = False
         self._pending: deque[JsonRequest] = deque()
         self._handler_task: asyncio.Task[None] | None = None
--- a/rosewheel/admin/messages.py
+++ b/rosewheel/admin/messages.py
@@ -74,7 +74,7 @@
     """
 
     def __init__(self, path: str, allowed: str) -> None:
-        super().__init__(f"{path} requires {allowed}")
+        super().__init__(f"{path} requires method {allowed}")
         self.allowed = allowed
 
 
@@ -96,4 +96,4 @@
     """The change is in force in this process, but could not be saved for later processes of the node."""
 
     def __init__(self, reason: str) -> None:
-        super().__init__(f"in force, but not saved for the next process: {reason}")
+        super().__init__(f"the change is in force, but not saved for the next process: {reason}")
--- a/rosewheel/admin/server.py
+++ b/rosewheel/admin/server.py
@@ -29,7 +29,7 @@
 
 log = logging.getLogger("rosewheel.admin")
 
-MAX_CONNECTIONS = 12  # descriptors for them are reserved
+MAX_CONNECTIONS = 12  # the process reserves a descriptor for each
 HANDLER_TIMEOUT_S = 0.9  # time limit of the backend for a request
 LISTEN_BACKLOG = 256
 LIMITS = ConnectionLimits(max_request_bytes=16 * 1024, receive_timeout_s=2.0, send_timeout_s=2.0)
@@ -55,7 +55,7 @@
         """
 
     async def uncordon(self, server: str, /) -> bool:
-        """Lift an operator's cordon of a server; returns and raises like `cordon`."""
+        """Lift an operator's cordon of a server. The result and exceptions are those of `cordon`."""
 
     def cordoned_by_fleet(self, server: str, /) -> bool:
         """Return whether the fleet's configuration cordons a server."""
--- a/rosewheel/control/machine_api.py
+++ b/rosewheel/control/machine_api.py
@@ -102,7 +102,7 @@
         path, _, query_text = request.target.partition("?")
         route = self._routes.get(path)
         if route is None:
-            return _error_response(404, "unknown path; the paths are " + ", ".join(self._routes))
+            return _error_response(404, "unknown path; available paths: " + ", ".join(self._routes))
         if request.method != route.method:
             error = ErrorResponse(f"{path} requires method {route.method}")
             return JsonResponse(405, codec.encode_error(error), allow=route.method)
