--- a/rosewheel/config/environment.py
+++ b/rosewheel/config/environment.py
@@ -1,4 +1,4 @@
-"""Values that a node takes from environment variables and the system, with either source of configuration."""
+"""Values from environment variables and the system, used with the operator's file and the platform's JSON."""
 
 from __future__ import annotations
 
--- a/rosewheel/config/fleet_document.py
+++ b/rosewheel/config/fleet_document.py
@@ -24,7 +24,7 @@
 # Keys of the merged tables that only the node's own file may set: location of the node, resources of its machine.
 NODE_ONLY_KEYS = {"limits": ("memory_mb", "sockets"), "routing": ("zone", "tier")}
 
-# Placeholders for the required tables of a node's file, for a document that is checked without one.
+# Placeholders for the required tables of a node's file, to check a document without such a file.
 PLACEHOLDER_TABLES: dict[str, Any] = {
     "node": {"listen": "127.0.0.1:1"},
     "discovery": {"address": "127.0.0.1:1"},
--- a/rosewheel/config/node_config.py
+++ b/rosewheel/config/node_config.py
@@ -1,4 +1,4 @@
-"""Configuration of one node, from either source."""
+"""Configuration of one node, as loaded from the operator's file or the platform's JSON."""
 
 from __future__ import annotations
 
--- a/rosewheel/config/operator_tables.py
+++ b/rosewheel/config/operator_tables.py
@@ -53,7 +53,7 @@
         listen_address: address that clients connect to.
         admin_address: address of the admin server; empty to run without one.
         seed: hexadecimal seed of the random number generator; empty for a random seed.
-        state_folder: folder for files that outlive the process; if empty, $TMPDIR, and without that no files are kept.
+        state_folder: folder for files that outlive the process; if empty, $TMPDIR; if that is unset, no files are kept.
     """
 
     name: NonEmptyText = "node"
@@ -109,7 +109,7 @@
         memory_mb: limit of memory, in MiB.
         sockets: limit of file descriptors; the system's limit applies if it is lower.
         max_open: limit of requests without a final response.
-        connect_timeout_ms: time that opening a connection to a server may take.
+        connect_timeout_ms: time limit for opening a connection to a server.
         connection_idle_ms: how long servers keep an idle connection open.
     """
 
