--- a/rosewheel/cli/control.py
+++ b/rosewheel/cli/control.py
@@ -36,7 +36,7 @@
 )
 from rosewheel.control.revisions import Change
 
-SHOWN_PATCH_LENGTH = 200  # characters of a patch in a line of `history`
+SHOWN_PATCH_LENGTH = 200  # limit of the patch in a line of `history`, in characters
 
 
 @click.group()
@@ -64,7 +64,7 @@
     "--alone",
     "unreplicated",
     is_flag=True,
-    help="Accept the change without a copy on another machine; it may be lost with this one.",
+    help="Accept the change without replication; it may be lost with the leader.",
 )
 expected_option = click.option(
     "--version", "expected", type=int, help="Version that the change is based on (default: the current one)."
@@ -112,7 +112,7 @@
 @click.option(
     "--force",
     is_flag=True,
-    help="Promote even if others hold newer versions or too few respond; versions may be lost.",
+    help="Promote even if others have newer versions or too few respond; versions may be lost.",
 )
 @author_option
 def promote(machine: str, force: bool, author: str | None) -> None:
@@ -122,7 +122,7 @@
     response = decode_change_response(row)
     for lost in response.lost or ():
         click.echo(f"lost: {lost}", err=True)
-    verb = "writes from" if response.changed else "already writes, at"
+    verb = "leads from" if response.changed else "already leads, at"
     revision = response.revision
     click.echo(f"{revision.leader} {verb} version {revision.number} of epoch {revision.epoch_number}")
 
@@ -146,7 +146,7 @@
     if response.changed:
         click.echo(f"version {response.revision.number}")
     else:
-        click.echo(f"nothing changes: version {response.revision.number} stays")
+        click.echo(f"no change: version {response.revision.number} is still current")
 
 
 def _user() -> str:
@@ -186,7 +186,7 @@
 @click.option("--all", "all_nodes", is_flag=True, help="List each node.")
 @json_option
 def status(machine: str, all_nodes: bool, as_json: bool) -> None:
-    """Show the current version, the machines that hold it, and the nodes that have applied it.
+    """Show the current version, the last version of each machine, and the versions that nodes have applied.
 
     Exit code 1 if a node is behind or has rejected a version, or if the machine reports a problem.
     """
@@ -206,7 +206,7 @@
     if report.problem:
         click.echo(f"! {report.problem}")
     if report.last_number > committed.number:
-        click.echo(f"! version {report.last_number} is written, but not yet copied to another machine")
+        click.echo(f"! version {report.last_number} is not replicated to another machine yet")
     for machine in report.machines:
         click.echo(_machine_line(machine))
     _print_fleet(report.fleet)
--- a/rosewheel/cli/control_serve.py
+++ b/rosewheel/cli/control_serve.py
@@ -25,7 +25,7 @@
 
 
 class MachineConfig(ConfigTable, frozen=True, kw_only=True):
-    """The TOML file of a control machine, for options that the command line lacks.
+    """The TOML file of a control machine. Options of the command line override it.
 
     Attributes:
         name: Name of the machine.
@@ -66,7 +66,7 @@
     log_level: str = "info"
 
     def with_file(self, path: str) -> _ServeOptions:
-        """Return the options, completed by those of a file. Exits if the file is invalid."""
+        """Return the options, with a file's values where the command line has none. Exits if the file is invalid."""
         try:
             table = read_file(path, MachineConfig)
         except InvalidFileError as error:
--- a/rosewheel/cli/demo.py
+++ b/rosewheel/cli/demo.py
@@ -23,7 +23,7 @@
 
 NODE_NAME = "n0"
 PROGRESS_INTERVAL_S = 1.0
-NODE_STOP_TIMEOUT_S = 5.0  # then the node's process is killed
+NODE_STOP_TIMEOUT_S = 5.0  # time from SIGTERM until the node's process is killed
 
 
 @click.command()
--- a/rosewheel/cli/scale.py
+++ b/rosewheel/cli/scale.py
@@ -20,7 +20,7 @@
 from rosewheel.lab.scale.run import ScaleRun
 from rosewheel.lab.scale.summary import Summary
 
-ALLOWANCE_S = 180.0  # time for start, convergence and shutdown, added to the plan's length
+OVERHEAD_ALLOWANCE_S = 180.0  # time for start, convergence and shutdown, added to the plan's length
 NO_FAULTS = "none"
 
 
@@ -110,5 +110,5 @@
 
 async def _run(plan: Plan, folder: Path) -> Summary:
     interrupt_to_cancel(asyncio.current_task())  # type: ignore[arg-type]
-    async with asyncio.timeout(plan.options.seconds + ALLOWANCE_S):
+    async with asyncio.timeout(plan.options.seconds + OVERHEAD_ALLOWANCE_S):
         return await ScaleRun(plan, folder).execute()
--- a/tests/control/test_control_processes.py
+++ b/tests/control/test_control_processes.py
@@ -223,7 +223,7 @@
         change = tmp_path / "change.json"
         change.write_text('{"limits": {"max_open": 500}}')
         assert put(change, addresses[1]) == (0, "version 1", "")
-        assert put(change, addresses[2]) == (0, "nothing changes: version 1 stays", "")
+        assert put(change, addresses[2]) == (0, "no change: version 1 is still current", "")
         code, _, errors = run_command("put", str(change), "--at", addresses[0], "--version", "7")
         assert (code, errors) == (1, "rosewheel: version conflict: the current version is 1, not 7")
         change.write_text('{"limits": null}')
@@ -238,7 +238,7 @@
         assert code == 1
         assert "! the leader c1 does not respond" in out
         code, out, _ = run_command("promote", "--at", addresses[1])
-        assert (code, out) == (0, "c2 writes from version 4 of epoch 2")
+        assert (code, out) == (0, "c2 leads from version 4 of epoch 2")
         change.write_text('{"cordons": ["entrada-1"]}')
         assert put(change, addresses[2]) == (0, "version 5", "")
         assert run_command("status", "--at", addresses[2])[0] == 0
