--- a/rosewheel/control/promotion.py
+++ b/rosewheel/control/promotion.py
@@ -63,7 +63,7 @@
     def _lost_revisions(self, peer_revisions: Mapping[str, Revision]) -> tuple[str, ...]:
         history = self._store.replica.history
         return tuple(
-            f"{peer} held {revision}"
+            f"{peer} had {revision}"
             for peer, revision in sorted(peer_revisions.items())
             if not history.contains(revision)
         )
--- a/tests/control/test_codec.py
+++ b/tests/control/test_codec.py
@@ -172,8 +172,8 @@
 
 def test_responses_to_operators():
     revision = {"version": 3, "epoch": 1, "writer": "c1"}
-    response = ChangeResponse(Revision(1, "c1", 3), changed=True, lost=("c2 held version 2",))
-    row = revision | {"changed": True, "lost": ["c2 held version 2"]}
+    response = ChangeResponse(Revision(1, "c1", 3), changed=True, lost=("c2 had version 2",))
+    row = revision | {"changed": True, "lost": ["c2 had version 2"]}
     assert calls.encode_change_response(response) == row
     assert calls.decode_change_response(row) == response
     unchanged = ChangeResponse(Revision(1, "c1", 3), changed=False)
--- a/tests/control/test_machine.py
+++ b/tests/control/test_machine.py
@@ -363,7 +363,7 @@
             assert "c3 has version 1 of epoch 1 (c1), but c2 has version 2 of epoch 1 (c1)" in body["error"]
             code, body = await cluster.call("c3", "POST", "/control/promote", {"force": True})
             assert (code, body["version"], body["epoch"]) == (200, 2, 2)
-            assert body["lost"] == ["c2 held version 2 of epoch 1 (c1)"]
+            assert body["lost"] == ["c2 had version 2 of epoch 1 (c1)"]
             await until(lambda: {node.applied for node in cluster.nodes.values()} == {Revision(2, "c3", 2)})
             assert all(document == LIMITS for document in cluster.documents.values())
 
