--- a/rosewheel/cli/simulate.py
+++ b/rosewheel/cli/simulate.py
@@ -174,5 +174,5 @@
 
 
 def _mean(values: Sequence[float | None]) -> float:
-    known = [value for value in values if value is not None]
-    return sum(known) / len(known) if known else float("nan")
+    numbers = [value for value in values if value is not None]
+    return sum(numbers) / len(numbers) if numbers else float("nan")
--- a/rosewheel/control/codec/status.py
+++ b/rosewheel/control/codec/status.py
@@ -124,7 +124,10 @@
 
 
 def decode_status(row: JsonObject) -> StatusReport:
-    """Decode a status report. Stamps and the leaders of nodes' revisions are not encoded; they are zero and empty.
+    """Decode a status report.
+
+    Stamps and the leaders of nodes' revisions are not encoded; they are zero and empty. A rejected revision gets the
+    epoch number of the applied one.
 
     Raises:
         MalformedMessageError: A field is missing or invalid.
--- a/rosewheel/control/messages.py
+++ b/rosewheel/control/messages.py
@@ -98,7 +98,7 @@
         machine: Name of the sender.
         highest_epoch_seen: Highest epoch that the sender has seen.
         last: Last revision on the sender's disk.
-        node_statuses: Node statuses known to the sender; None unless the receiver is the leader.
+        node_statuses: Node statuses that the sender forwards; None unless the receiver is the leader.
         includes_all_nodes: Whether `node_statuses` has all nodes that watch the sender; otherwise only changed ones.
     """
 
@@ -258,7 +258,7 @@
     """Summary of the nodes by applied revision.
 
     Attributes:
-        nodes: Number of known nodes.
+        nodes: Number of nodes in the registry.
         up_to_date: Number of connected nodes that have applied the committed revision.
         behind_count: Number of connected nodes that have not applied the committed revision.
         rejected_count: Number of nodes that rejected a revision.
