--- a/rosewheel/control/machine_api.py
+++ b/rosewheel/control/machine_api.py
@@ -86,8 +86,6 @@
         for connection in list(self._connections):
             connection.abort()
 
-    # -------------------------------------------------------------------- connections
-
     def connection_opened(self, connection: JsonConnection) -> None:
         """Register a new connection."""
         self._connections[connection] = None
@@ -104,7 +102,7 @@
         path, _, query_text = request.target.partition("?")
         route = self._routes.get(path)
         if route is None:
-            return _error_response(404, "unknown path; the paths are " + ", ".join(self._routes))
+            return _error_response(404, "unknown path; available paths: " + ", ".join(self._routes))
         if request.method != route.method:
             error = ErrorResponse(f"{path} requires method {route.method}")
             return JsonResponse(405, codec.encode_error(error), allow=route.method)
@@ -134,7 +132,7 @@
             address = "{}:{}".format(*self._settings.peers[leader])
         return JsonResponse(409, codec.encode_error(ErrorResponse(str(error), leader, address)))
 
-    # ------------------------------------------------------------------- nodes, machines
+    # Requests of nodes and machines.
 
     async def _open_watch(self, request: WatchRequest, connection: JsonConnection) -> JsonResponse | None:
         if request.peer not in self._settings.peers and not request.node:
@@ -146,12 +144,12 @@
         if connection.transport is None:
             return None  # disconnected in the meantime
         if not request.peer:
-            self._note_connected(request)
+            self._record_connected(request)
         node = "" if request.peer else request.node
         self._watches.open(Watch(connection, request.received, request.service, node, request.peer))
         return None
 
-    def _note_connected(self, request: WatchRequest) -> None:
+    def _record_connected(self, request: WatchRequest) -> None:
         machine, now_s = self._settings.name, self._clock.time()
         if request.received_is_applied:
             status = NodeStatus(request.node, request.service, machine, request.stamp, request.received)
@@ -199,7 +197,7 @@
             self._settings.name, self._process_id, replica.highest_epoch_seen, replica.last, is_fenced
         )
 
-    # ------------------------------------------------------------------------- operators
+    # Requests of operators.
 
     async def _config(self, query: JsonObject) -> JsonResponse:
         replica = self._store.replica
