--- a/tests/policy/test_guards.py
+++ b/tests/policy/test_guards.py
@@ -1,4 +1,4 @@
-"""Failures that single rules of the decision module prevent, seen from outside the module."""
+"""Failures that individual rules of the policy prevent, tested through the events and actions of a balancer."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 POSSIBLY_EXECUTED = [AttemptResult.ERROR, AttemptResult.TIMEOUT, AttemptResult.RESET, AttemptResult.CANCELLED]
 
 
-# ------------------------------------------------------- no request is executed twice
+# No request is executed twice.
 
 
 @pytest.mark.parametrize("result", NOT_EXECUTED)
@@ -103,7 +103,7 @@
     ) == [RejectRequest]
 
 
-# ---------------------------------------------------------- one final response
+# One final response.
 
 
 def test_no_actions_after_the_end_of_a_request():
@@ -132,7 +132,7 @@
 
 
 def test_attempt_is_stopped_at_the_objective_where_late_responses_earn_nothing():
-    """Late responses that earn nothing would crowd out other requests."""
+    """Attempts whose responses come too late to be of value would take capacity from other requests."""
     harness = BalancerHarness()
     assert 900.0 < forwarded(harness.receive_request("post", timeout_ms=2000.0)[1])[0].timeout_ms < 1000.0
     assert forwarded(harness.receive_request("post", timeout_ms=500.0)[1])[0].timeout_ms <= 500.0
@@ -161,7 +161,7 @@
     assert harness.finish_attempt(name, forwarded(actions)[0].server, AttemptResult.RESET, done=True) == []
 
 
-# ---------------------------------------------------------- health of servers
+# Health of servers.
 
 
 def test_no_hedged_request():
@@ -172,7 +172,7 @@
 
 
 def test_hanging_server_is_avoided_before_its_timeout():
-    """A server that accepts requests and sends no responses must not keep its rank until its timeouts."""
+    """A server that accepts requests and sends no responses must not keep its rank until attempts time out."""
     harness = BalancerHarness(count=2)
     for _ in range(20):
         harness.serve_request()
@@ -241,7 +241,7 @@
 
 
 def test_errors_at_the_first_tier_move_the_cursor():
-    """Rejections by a lower tier reach the first tier only as errors, and it must shed."""
+    """The first tier receives rejections by a lower tier only as errors, and must shed because of them."""
     cursors = []
     for tier in (0, 1):
         harness = BalancerHarness(tier=tier)
@@ -266,7 +266,7 @@
     assert harness.parts.table.cursor == 0
 
 
-# ----------------------------------------------------------------- membership
+# Membership.
 
 
 @pytest.mark.parametrize("state", [ServerState.DRAINING, ServerState.REMOVED])
@@ -312,7 +312,7 @@
     assert harness.servers["s1"].relative_latency is not None
 
 
-# -------------------------------------------------------------------- warm-up
+# Warm-up.
 
 
 def test_warming_server_gets_its_share_of_capacity():
@@ -357,12 +357,12 @@
         warming = Server("cold", "a", launched_ms=harness.now)
         harness.handle(EndpointListUpdate(EndpointListForm.DELTA, (warming,)))
         warming_requests += sum(harness.serve_request(latency=50.0) == "cold" for _ in range(2))
-    # An even share would be a tenth of the 400 requests; a warming server can do a fifth of that.
+    # An even share would be a tenth of the 400 requests; a warming server has the capacity for a fifth of that.
     assert warming_requests <= 25
 
 
 def test_one_heavy_request_does_not_reject_others_at_a_quiet_balancer():
-    """T1 must exceed the weight of a single heavy request at a balancer with little traffic."""
+    """The threshold must exceed the weight of a single heavy request at a balancer with little traffic."""
     harness = BalancerHarness(count=4, balancer_count=100, weight_by_work=True)
     for _ in range(5):
         name, actions = harness.receive_request(cost_hint_ms=10.0)
@@ -382,6 +382,6 @@
     """A retry chosen within the window may be sent up to the connect timeout later."""
     harness = BalancerHarness(connect_timeout_ms=connect_ms)
     name, actions = harness.receive_request("points", timeout_ms=5000.0)
-    harness.now += 800.0  # of a dedup window of 900
+    harness.now += 800.0  # within the dedup window of 900 ms
     actions = harness.finish_attempt(name, forwarded(actions)[0].server, AttemptResult.ERROR, 800.0)
     assert bool(forwarded(actions)) is retried
--- a/tests/policy/test_learned_state.py
+++ b/tests/policy/test_learned_state.py
@@ -173,9 +173,9 @@
     learned = harness.balancer.capture_learned_state(harness.now)
     new = BalancerHarness(count=4)
     server = new.serve_request()
-    slow = new.balancer.parts.shared.pool.servers[server].relative_latency
+    newer = new.balancer.parts.shared.pool.servers[server].relative_latency
     new.balancer.restore_learned_state(new.now, learned, 0.0)
-    assert new.balancer.parts.shared.pool.servers[server].relative_latency == slow
+    assert new.balancer.parts.shared.pool.servers[server].relative_latency == newer
 
 
 def test_snapshot_age_by_the_clock_that_is_valid():
@@ -195,7 +195,7 @@
     assert retained_share(-1.0, 1000.0) == retained_share(MAX_AGE_MS + 1.0, 1e12) == 0.0
 
 
-# ------------------------------------------------------------- snapshot file
+# Snapshot file.
 
 
 def encoded_state() -> bytes:
@@ -372,7 +372,7 @@
     assert balancer.restore_learned_state(10.0, LearnedState(), 5.0) == 0
 
 
-# ------------------------------------------------------------ sibling processes
+# Sibling processes.
 
 
 def test_credit_is_shared_between_two_processes():
@@ -390,7 +390,7 @@
 
 
 def test_load_of_a_sibling_process_counts_once():
-    """It worsens a rank like own load, and only once if the server's report includes it."""
+    """The load of a sibling worsens the rank like the process's own, but once only if the server reports it too."""
     harness = BalancerHarness(2)
     harness.handle(SiblingProcessLoad({"s0": 6.0}))
     assert {harness.serve_request() for _ in range(4)} == {"s1"}
@@ -406,7 +406,7 @@
 
 
 class BlockedDisk:
-    """Patches os.replace to wait until it is released, or for 5 s."""
+    """Patches os.replace to wait for `release`, at most 5 s."""
 
     def __init__(self, monkeypatch: pytest.MonkeyPatch) -> None:
         self.started, self.release = threading.Event(), threading.Event()
@@ -467,7 +467,7 @@
         release.set()
 
     monkeypatch.setattr(snapshots, "open", blocked, raising=False)
-    asyncio.run(main())  # waits for its threads
+    asyncio.run(main())  # waits for the threads of the writer
     assert [path.name for path in tmp_path.iterdir()] == [snapshots.SNAPSHOT_NAME]
     assert (tmp_path / snapshots.SNAPSHOT_NAME).read_bytes() == b"of the next one"
 
--- a/tests/policy/test_many_balancers.py
+++ b/tests/policy/test_many_balancers.py
@@ -1,4 +1,4 @@
-"""Many balancers before one pool: together they overload neither warm nor warming servers."""
+"""Many balancers with one pool: together they overload neither warm nor warming servers."""
 
 from __future__ import annotations
 
@@ -104,17 +104,17 @@
 
 
 def test_warming_server_gets_more_in_a_large_fleet():
-    """Paced by the configured share, warming servers would idle while the few warm ones are overloaded."""
+    """Warming servers paced as in a small fleet would idle while the few warm ones are overloaded."""
     assert requests_to_warming_server(10, 7) >= 1.5 * requests_to_warming_server(4, 7) > 0
 
 
 @pytest.mark.parametrize("balancer_count", [10, 30])
 def test_warming_server_gets_more_than_its_configured_share_in_a_large_fleet(balancer_count: int):
-    """As above, compared with the share in the settings."""
+    """Paced by the configured share alone, new servers would idle while warm ones are overloaded."""
     settings = BalancerHarness().balancer.parts.shared.settings
     share = (
         settings.warm_up_initial_share + (1.0 - settings.warm_up_initial_share) * 1000.0 / settings.warm_up_ms
-    )  # mean over the 2 s
+    )  # mean over the 2 s of requests_to_warming_server
     least = 2000.0 * share * 3.0 / BalancerHarness().balancer.period_ms / 10.0
     assert sum(requests_to_warming_server(balancer_count, seed) for seed in range(20)) >= 20 * 1.2 * least
 
@@ -253,7 +253,7 @@
 
 @pytest.mark.parametrize(("balancer_count", "at_end"), [(10, False), (4, True)])
 def test_latency_target_grows_with_shedding_in_a_large_fleet(balancer_count: int, at_end: bool):
-    """Of balancers that see one latency, the one with the lowest baseline must not shed for all others."""
+    """Where all balancers see the same latency, the one with the lowest baseline must not do all the shedding."""
     harness = loaded_harness(balancer_count, requests_per_period=6)
     baseline = harness.parts.pool_load.baseline_ratio
     assert baseline is not None
--- a/tests/policy/test_mechanism.py
+++ b/tests/policy/test_mechanism.py
@@ -58,7 +58,7 @@
 
 
 def test_fractional_threshold_admits_a_proportion():
-    """With few requests in flight, whole-numbered thresholds would admit all requests or none."""
+    """With few requests in flight, integer thresholds would admit all requests or none."""
     harness = BalancerHarness(balancer_count=100)
     harness.parts.table.cursor = len(harness.parts.table.entries) - 1
     entry = harness.parts.admission.threshold(1 / 12, 4)
@@ -223,7 +223,7 @@
         load_period(harness, 900.0)
     for _ in range(6):
         load_period(harness, 200.0, count=2)
-    assert harness.parts.table.cursor <= 5  # 9 if each period moved it right
+    assert harness.parts.table.cursor <= 5  # it would be 9 if each period moved it right
 
 
 def test_ordinary_load_is_admitted_at_start_up():
@@ -355,7 +355,7 @@
 
 
 def test_cursor_settles_at_the_same_slot_from_both_ends():
-    """One balancer must not shed for all: others take what it sheds, and its latency stays over target."""
+    """A balancer must not shed alone: the others would use the freed capacity and its latency would stay high."""
 
     def settles_at(start: int) -> int:
         harness = BalancerHarness()
--- a/tests/policy/test_pool.py
+++ b/tests/policy/test_pool.py
@@ -1,4 +1,4 @@
-"""Server pool: choice among many servers by the rules for few, at a bounded cost."""
+"""Server pool: the choice in a large pool follows the rules of a small one, at a bounded cost."""
 
 from __future__ import annotations
 
@@ -44,8 +44,8 @@
 
 
 class PoolMachine(RuleBasedStateMachine):
-    """Runs lists, cordons, requests and time in any order, on both sides of SMALL_POOL_SIZE. The incremental
-    state of the pool must equal one computed from all servers."""
+    """Applies endpoint lists, cordons, requests and time steps in any order, to pools smaller and larger than
+    SMALL_POOL_SIZE. The incremental state of the pool must equal the state computed from all servers."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -166,7 +166,7 @@
     machine.finish_attempt(0, AttemptResult.OVERLOADED)
 
 
-def count_ranked(monkeypatch: pytest.MonkeyPatch) -> list[int]:
+def count_rank_calls(monkeypatch: pytest.MonkeyPatch) -> list[int]:
     rank_calls = [0]
     rank = Ranking.rank
 
@@ -178,8 +178,8 @@
     return rank_calls
 
 
-def usable_servers(reason: str, now: float) -> list[Server]:
-    """Return a thousand servers of which s0, s1 and s2 may be chosen."""
+def mostly_unusable_servers(reason: str, now: float) -> list[Server]:
+    """Return a thousand servers, all but s0, s1 and s2 unusable for a reason (cordons are left to the caller)."""
     endpoints = []
     for at in range(LARGE_POOL):
         usable = at < 3
@@ -200,14 +200,16 @@
     reason: str, monkeypatch: pytest.MonkeyPatch
 ):
     harness = BalancerHarness(0, warm_up_initial_share=0.001, warm_up_ms=1e9)
-    harness.handle(EndpointListUpdate(EndpointListForm.SNAPSHOT, tuple(usable_servers(reason, harness.now))))
+    harness.handle(
+        EndpointListUpdate(EndpointListForm.SNAPSHOT, tuple(mostly_unusable_servers(reason, harness.now)))
+    )
     if reason == "warming":
         for stats in harness.servers.values():
             stats.credit = min(stats.credit, 0.5)
     if reason == "cordoned":
         for at in range(3, LARGE_POOL):
             harness.handle(CordonChanged(f"s{at}", True))
-    rank_calls = count_ranked(monkeypatch)
+    rank_calls = count_rank_calls(monkeypatch)
     for at in range(200):
         rank_calls[0] = 0
         assert harness.serve_request() in ("s0", "s1", "s2"), at
@@ -217,18 +219,20 @@
 def test_request_is_rejected_at_a_bounded_cost_where_no_server_is_usable(monkeypatch: pytest.MonkeyPatch):
     harness = BalancerHarness(0, warm_up_initial_share=0.001, warm_up_ms=1e9)
     harness.handle(
-        EndpointListUpdate(EndpointListForm.SNAPSHOT, tuple(usable_servers("warming", harness.now)[3:]))
+        EndpointListUpdate(
+            EndpointListForm.SNAPSHOT, tuple(mostly_unusable_servers("warming", harness.now)[3:])
+        )
     )
     for stats in harness.servers.values():
         stats.credit = 0.0
-    rank_calls = count_ranked(monkeypatch)
+    rank_calls = count_rank_calls(monkeypatch)
     _, actions = harness.receive_request()
     assert [type(action) for action in actions if not isinstance(action, StartTimer)] == [RejectRequest]
     assert rank_calls[0] <= WARM_SAMPLE_SIZE + WARMING_SAMPLE_SIZE
 
 
 def test_retry_with_key_finds_its_group_among_a_thousand(monkeypatch: pytest.MonkeyPatch):
-    """Only the three servers of its cell drop a repeated request with a key."""
+    """Only the three servers of one cell deduplicate a repeated request with a key."""
     service_class = ServiceClass(
         "points",
         latency_objective_ms=2000,
@@ -240,7 +244,7 @@
     harness = BalancerHarness(0, classes=(service_class,))
     endpoints = [Server(f"s{at}", zone="a", cell=at // 3) for at in range(LARGE_POOL)]
     harness.handle(EndpointListUpdate(EndpointListForm.SNAPSHOT, tuple(endpoints)))
-    rank_calls = count_ranked(monkeypatch)
+    rank_calls = count_rank_calls(monkeypatch)
     for _ in range(50):
         name, actions = harness.receive_request("points")
         first = forwarded(actions)[0].server
--- a/tests/policy/test_settings_change.py
+++ b/tests/policy/test_settings_change.py
@@ -1,4 +1,4 @@
-"""Settings changes of a running node: atomic, and requests in flight keep the settings of their arrival."""
+"""Settings changes of a running node are atomic; requests in flight keep the settings they were received with."""
 
 from __future__ import annotations
 
@@ -248,7 +248,7 @@
     assert not harness.parts.shared.in_large_fleet
 
 
-# ---------------------------------------------------------- requests in flight
+# Requests in flight.
 
 
 def make_node(limits: Limits | None = None, **changes: Any) -> Node:
@@ -263,8 +263,8 @@
     return node.configure(now, dataclasses.replace(node.settings, **changes), node.limits)
 
 
-def single_effect(effects: list[Any], service_class: type) -> Any:
-    found = [effect for effect in effects if isinstance(effect, service_class)]
+def single_effect(effects: list[Any], effect_type: type) -> Any:
+    found = [effect for effect in effects if isinstance(effect, effect_type)]
     assert len(found) == 1, effects
     return found[0]
 
@@ -276,7 +276,7 @@
     assert node.class_names == {"post"}
     retry = single_effect(
         node.attempt_finished(3.0, "r", 0, AttemptResult.RESET), StartAttempt
-    )  # idempotent when it was received
+    )  # its class was idempotent when it was received
     assert (
         single_effect(node.attempt_finished(4.0, "r", retry.attempt, AttemptResult.OK), SendResponse).status
         == 200
@@ -354,7 +354,7 @@
     node = make_node(Limits(hedging_allowed=before))
     node.receive_request(1.0, RequestReceived("r", "read", 2500.0))
     node.configure(2.0, node.settings, Limits(hedging_allowed=not before))
-    node.driver.apply(3.0, [ForwardRequest("r", "s3")])  # as a module with hedged requests may decide
+    node.driver.apply(3.0, [ForwardRequest("r", "s3")])  # as a balancer that hedges requests may decide
     assert (
         bool(
             [
@@ -381,7 +381,7 @@
     single_effect(node.receive_request(5.0, RequestReceived("d", "read", 2500.0)), StartAttempt)
 
 
-# ---------------------------------------------------------------- learned state
+# Learned state.
 
 
 def run_periods(harness: BalancerHarness, periods: int, latency: float, requests_per_period: int = 4) -> int:
@@ -414,7 +414,7 @@
 
 
 def test_shorter_objective_does_not_cause_shedding():
-    """With half the objective, the same latency is twice its share; the baseline must be rescaled."""
+    """Half the objective doubles the ratio of latency to objective, so the baseline must be rescaled."""
     harness = BalancerHarness(4, classes=(IDEMPOTENT,), warm_up_ms=0.0)
     run_periods(harness, 30, latency=200.0)
     assert harness.parts.pool_load.baseline_ratio == pytest.approx(0.2, rel=0.01)
@@ -446,7 +446,7 @@
         balancer.parts.shared.class_latency_ms,
         balancer.parts.pool_load.mean_objective_ms,
     ) == (None, 0.0, 0, {}, 300.0)
-    assert balancer.parts.throughput.peak_completion_rate > 0.0  # the pool is the same
+    assert balancer.parts.throughput.peak_completion_rate > 0.0  # the pool has not changed
 
 
 def test_shorter_period_begins_at_the_end_of_the_present_one():
@@ -463,12 +463,12 @@
     actions = harness.end_period()
     assert harness.parts.throughput.peak_completion_rate <= peak * 1.05
     assert [action.delay_ms for action in actions if isinstance(action, StartTimer)] == [15.0]
-    # The balancer does not start up again.
+    # The balancer does not return to its start-up phase.
     assert harness.parts.throughput.period_count * harness.balancer.period_ms >= START_UP_MS
 
 
 def rates(harness: BalancerHarness) -> tuple[float, float, float | None]:
-    """Return the smoothed and the peak completion rate, and the baseline."""
+    """Return the smoothed and the peak completion rate, and the baseline latency ratio."""
     throughput = harness.parts.throughput
     return throughput.completion_rate, throughput.peak_completion_rate, harness.parts.pool_load.baseline_ratio
 
@@ -538,7 +538,7 @@
     assert len(harness.parts.shared.pool._warm) == 0
     forwarded_count = sum(len(forwarded(harness.receive_request()[1])) for _ in range(count))
     assert forwarded_count < count  # paced by credit
-    assert run_periods(harness, 20, latency=10.0, requests_per_period=count) > count  # but not excluded
+    assert run_periods(harness, 20, latency=10.0, requests_per_period=count) > count  # paced, not excluded
     configure(harness, warm_up_ms=0.0)
     assert len(harness.parts.shared.pool._warm) == count
     assert all(forwarded(harness.receive_request()[1]) for _ in range(count))
@@ -589,7 +589,7 @@
     assert actions[0] == StartTimer(150.0, "period")
 
 
-# ----------------------------------------------------------------- statistics
+# Statistics.
 
 
 def test_statistics_of_a_removed_class_are_kept():
--- a/tests/policy/test_slow_start.py
+++ b/tests/policy/test_slow_start.py
@@ -1,4 +1,4 @@
-"""Slow start: the check of requests to a warming server, and balancers that together keep to it."""
+"""Slow start: the check for overload of a warming server, and fleets of balancers that pass it."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
 RULES = RulesTable(warm_up_initial_share=0.2, warm_up_s=10.0, overload_window_ms=1500.0, overload_factor=3.0)
 SHORT = settings(max_examples=60, deadline=None, derandomize=True)
 
-# ------------------------------------------------------------------ the check
+# The check for overload.
 
 
 @SHORT
@@ -77,7 +77,7 @@
     [found], _ = start.overloads(RULES)
     assert found.received == pytest.approx(2.0 * half)
     assert found.informed_share == pytest.approx(0.5)
-    start.arrivals = arrivals((6000.0, half, True), (4500.0, half, False))  # one whole window apart
+    start.arrivals = arrivals((6000.0, half, True), (4500.0, half, False))  # one full window apart
     assert start.overloads(RULES)[0] == []
 
 
@@ -91,14 +91,14 @@
 
 def test_small_requests_count_by_their_work() -> None:
     start = server_start()
-    requests = bound(5000.0) / 100.0
-    start.arrivals = arrivals(*[(6000.0 + at, requests, True) for at in range(120)])
+    work = bound(5000.0) / 100.0
+    start.arrivals = arrivals(*[(6000.0 + at, work, True) for at in range(120)])
     assert len(start.overloads(RULES)[0]) == 1
     start.arrivals = start.arrivals[:99]
     assert start.overloads(RULES)[0] == []
 
 
-def read(*records: Record) -> tuple[InvariantChecker, Violations]:
+def check_records(*records: Record) -> tuple[InvariantChecker, Violations]:
     checker = InvariantChecker(load("quiet"))
     for record in records:
         checker.observe(record)
@@ -129,25 +129,27 @@
     )
 
 
-@pytest.mark.parametrize(("known", "broken"), [(30, True), (21, True), (20, False), (0, False)])
-def test_overload_is_a_violation_where_most_senders_knew_of_the_start(known: int, broken: bool) -> None:
+@pytest.mark.parametrize(("informed_count", "violated"), [(30, True), (21, True), (20, False), (0, False)])
+def test_overload_is_a_violation_where_most_senders_knew_of_the_start(
+    informed_count: int, violated: bool
+) -> None:
     """The last of thirty equal requests exceeds the allowance."""
     allowed = 0.01 * allowed_work_ms(load("quiet").rules, 0.0, 130.0)
     each = (allowed + 2.0 * math.sqrt(allowed) + 2.0) / 29.5 * 200.0
-    records = [job(101.0 + at, at >= 30 - known, each) for at in range(30)]
-    checker, found = read(started(0.0), *records[:29])
+    records = [job(101.0 + at, at >= 30 - informed_count, each) for at in range(30)]
+    checker, found = check_records(started(0.0), *records[:29])
     assert checker.overloads == []
-    checker, found = read(started(0.0), *reversed(records))
+    checker, found = check_records(started(0.0), *reversed(records))
     assert len(checker.overloads) == 1
-    assert found.count() == len(found.overloaded) == broken
+    assert found.count() == len(found.overloaded) == violated
 
 
 def test_only_the_first_overload_of_each_start_counts() -> None:
-    unknown, known = [job(100.0, False, 2000.0)], [job(5000.0, True, 20_000.0)]
-    checker, found = read(started(0.0), *unknown, *known)
+    uninformed, informed = [job(100.0, False, 2000.0)], [job(5000.0, True, 20_000.0)]
+    checker, found = check_records(started(0.0), *uninformed, *informed)
     assert len(checker.overloads) == 2
     assert found.overloaded == []
-    checker, found = read(started(0.0), *unknown, started(4000.0), *known)
+    checker, found = check_records(started(0.0), *uninformed, started(4000.0), *informed)
     assert [overload.at_ms for overload in found.overloaded] == [5000.0]
 
 
@@ -162,7 +164,7 @@
     assert [chosen_nodes.count(name) / 4000 for name in names] == pytest.approx([1 / 3] * 3, abs=0.03)
 
 
-# --------------------------------------------------------------------- fleets
+# Fleets of balancers.
 
 NODES = [4, 10, 20, 30]
 
@@ -233,7 +235,7 @@
 def test_fleet_with_zone_preference_keeps_to_the_allowance(
     nodes: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Three of ten nodes are in the zone of eight of ten servers, most of which are replaced."""
+    """Three tenths of the nodes are in one zone with eight of ten servers, most of which are replaced."""
     original_init = SimulatedNode.__init__
 
     def init(
@@ -281,7 +283,7 @@
     assert informed_nodes == [("n7", "new")]
 
 
-# --------------------------------------------------------------- one balancer
+# Saved credit of a balancer.
 
 
 def test_no_credit_is_saved_for_a_draining_server() -> None:
