--- a/tests/discovery/test_endpoint_list_races.py
+++ b/tests/discovery/test_endpoint_list_races.py
@@ -146,7 +146,7 @@
 
 
 def test_timeouts_of_a_silent_watch_fit_six_seconds():
-    """A change must be known within 6 s even if two watches in a row are silent.
+    """A node must receive a change within 6 s even if two watches in a row are silent.
 
     For polled lists, whose backoff adds to these timeouts, see `test_watch_backoff.py`.
     """
@@ -158,7 +158,7 @@
     return dataclasses.replace(config, limits=Limits(drain_notice_ms=notice_ms))  # type: ignore[type-var]
 
 
-# ------------------------------------------------------------------- received data
+# Lines received by a watch.
 
 
 def watch_pieces(
--- a/tests/discovery/test_long_lists.py
+++ b/tests/discovery/test_long_lists.py
@@ -1,4 +1,4 @@
-"""Tests of long endpoint lists: handled in batches, with the same result as at once."""
+"""Tests of long endpoint lists: handling them in batches has the same result as handling them at once."""
 
 from __future__ import annotations
 
@@ -32,15 +32,15 @@
 UPDATES = st.lists(st.tuples(st.booleans(), ROWS), max_size=6)
 
 
-def _apply(known: dict[str, Any], form: EndpointListForm, endpoints: list[Endpoint]) -> None:
-    """Apply an update to the endpoints known so far."""
+def _apply(listed: dict[str, Any], form: EndpointListForm, endpoints: list[Endpoint]) -> None:
+    """Apply an update to a dictionary of listed endpoints by server address."""
     if form is EndpointListForm.SNAPSHOT:
-        known.clear()
+        listed.clear()
     for server, address in endpoints:
         if server.state is ServerState.REMOVED:
-            known.pop(server.address, None)
+            listed.pop(server.address, None)
         else:
-            known[server.address] = (server, address)
+            listed[server.address] = (server, address)
 
 
 @given(UPDATES, ROWS)
@@ -48,12 +48,12 @@
 def test_updates_in_parts_equal_whole_lists(
     updates: list[tuple[bool, list[dict[str, Any]]]], initial: list[dict[str, Any]]
 ):
-    """Updates may follow one another in any order, and before an earlier one has been handled."""
+    """Updates may arrive in any order, also while an earlier one is still being handled."""
     at_once: dict[str, Any] = {}
     in_batches: dict[str, Any] = {}
     longest = [0]
-    for known in (at_once, in_batches):
-        _apply(known, EndpointListForm.SNAPSHOT, parse_endpoints(initial, START_TIMES))
+    for listed in (at_once, in_batches):
+        _apply(listed, EndpointListForm.SNAPSHOT, parse_endpoints(initial, START_TIMES))
 
     def record(form: EndpointListForm, endpoints: list[Endpoint]) -> None:
         longest[0] = max(longest[0], len(endpoints))
--- a/tests/discovery/test_watch_backoff.py
+++ b/tests/discovery/test_watch_backoff.py
@@ -209,12 +209,12 @@
     assert first_line_s > watch_client.CONNECT_TIMEOUT_S
 
 
-# ---------------------------------------------------------------- on sockets
+# Real sockets.
 
 
 @pytest.mark.parametrize("polls", [False, True], ids=["pushed", "polled"])
 def test_node_recovers_from_every_kind_of_outage(polls: bool, monkeypatch: pytest.MonkeyPatch):
-    """Discovery is silent, resets connections, stops within a line, and recovers; timeouts are a fortieth."""
+    """Discovery is silent, resets connections, stops within a line, and recovers; all timeouts are divided by 40."""
     for name in ("SILENCE_TIMEOUT_S", "CONNECT_TIMEOUT_S", "FIRST_LINE_TIMEOUT_S"):
         monkeypatch.setattr(watch_client, name, getattr(watch_client, name) / 40.0)
     for name in ("BASE_INTERVAL_MS", "MAX_INTERVAL_MS", "MIN_WAIT_MS"):
--- a/tests/discovery/test_watch_client.py
+++ b/tests/discovery/test_watch_client.py
@@ -1,4 +1,4 @@
-"""Tests of the watch client with objects of any kind: it continues from the last valid one."""
+"""Tests of the watch client: it applies objects of any kind and continues from the last valid revision."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
     "second", [b'{"seq":9,"pairs":[]}\n', b'{"seq":9}\n', b"[]\n", b'"pairs"\n', b"\xff\n"]
 )
 def test_objects_of_any_kind_are_applied_and_invalid_ones_rejected(second: bytes):
-    """Each watch must request what follows the last valid revision."""
+    """Each watch must request the changes after the last valid revision."""
 
     async def main() -> None:
         updates: list[tuple[bool, dict[str, Any]]] = []
--- a/tests/http/test_attempt_deadlines.py
+++ b/tests/http/test_attempt_deadlines.py
@@ -57,7 +57,7 @@
 @pytest.mark.parametrize("body", [b"", b"x" * 60_000])
 def test_time_to_connect_reduces_the_timeout(body: bytes, monkeypatch: pytest.MonkeyPatch):
     async def main() -> None:
-        time = SteppedClock(monkeypatch)
+        stepped_clock = SteppedClock(monkeypatch)
         async with (
             FakeServer().up() as server,
             node([entry("one", server.port)], classes=LONG_DEADLINE_CLASSES) as proxy,
@@ -66,7 +66,7 @@
             async with Client(proxy) as client:
                 client.send("post" if body else "read", timeout=TIMEOUT_MS, body=body)
                 await until(lambda: bool(proxy.upstream.exchanges))
-                time.ahead_ms = WAITED_MS
+                stepped_clock.ahead_ms = WAITED_MS
                 gate.set()
                 assert status(await client.read_response()) == 200
                 assert timeout_ms_of(server.requests[0]) <= TIMEOUT_MS - WAITED_MS + SLACK_MS
@@ -78,7 +78,7 @@
     """Covers a connection that is opened after the deadline, but before the timer of the deadline has fired."""
 
     async def main() -> None:
-        time = SteppedClock(monkeypatch)
+        stepped_clock = SteppedClock(monkeypatch)
         async with (
             FakeServer().up() as server,
             node([entry("one", server.port)], classes=LONG_DEADLINE_CLASSES) as proxy,
@@ -87,7 +87,7 @@
             async with Client(proxy) as client:
                 client.send("post", timeout=TIMEOUT_MS)
                 await until(lambda: bool(proxy.upstream.exchanges))
-                time.ahead_ms = TIMEOUT_MS
+                stepped_clock.ahead_ms = TIMEOUT_MS
                 gate.set()
                 await until(lambda: not proxy.upstream.exchanges)
                 assert status(await client.read_response()) >= 500
@@ -98,10 +98,10 @@
 
 def test_time_of_the_first_attempt_reduces_the_timeout_of_a_retry(monkeypatch: pytest.MonkeyPatch):
     async def main() -> None:
-        time = SteppedClock(monkeypatch)
+        stepped_clock = SteppedClock(monkeypatch)
 
         async def refuse(message: Message, writer: asyncio.StreamWriter) -> None:
-            time.ahead_ms += WAITED_MS
+            stepped_clock.ahead_ms += WAITED_MS
             writer.write(encode_response(503, b"", Not_Started="1"))
 
         async with FakeServer(refuse).up() as one, FakeServer(refuse).up() as two:
--- a/tests/http/test_connection_reuse.py
+++ b/tests/http/test_connection_reuse.py
@@ -69,7 +69,7 @@
 @pytest.mark.usefixtures("immediate_reuse")
 @pytest.mark.parametrize("idle_s", [0.0, 45.0])
 def test_connection_past_its_idle_timeout_is_not_used(idle_s: float):
-    """Guards against reusing an expired connection before the sweep closes it. 40 of the configured 50 s are used."""
+    """Guards against reusing an expired connection before the sweep closes it, here after 40 of the configured 50 s."""
 
     async def main() -> None:
         limits = Limits(idle_timeout_ms=50_000.0, connect_timeout_ms=20_000.0)
--- a/tests/http/test_disconnects_between_attempts.py
+++ b/tests/http/test_disconnects_between_attempts.py
@@ -33,12 +33,12 @@
 # Deadlines and the dedup window are longer than any test takes.
 LONG_DEADLINE_CLASSES = tuple(
     dataclasses.replace(
-        kind,
+        service_class,
         latency_objective_ms=60000,
         deadline_ms=60000,
-        dedup_window_ms=100_000 if kind is IDEMPOTENT_WITH_KEY else 0.0,
+        dedup_window_ms=100_000 if service_class is IDEMPOTENT_WITH_KEY else 0.0,
     )
-    for kind in (IDEMPOTENT, NON_IDEMPOTENT, IDEMPOTENT_WITH_KEY)
+    for service_class in (IDEMPOTENT, NON_IDEMPOTENT, IDEMPOTENT_WITH_KEY)
 )
 
 
--- a/tests/http/test_drain.py
+++ b/tests/http/test_drain.py
@@ -49,7 +49,7 @@
 
 
 def test_drain_rejects_requests_that_it_has_no_time_for(monkeypatch: pytest.MonkeyPatch):
-    """Guards against requests that the end of the process interrupts.
+    """Guards against requests that are interrupted when the process ends.
 
     The time left of the drain limits the timeout of a request; if it is too short, the request is rejected.
     """
--- a/tests/http/test_overload.py
+++ b/tests/http/test_overload.py
@@ -37,7 +37,7 @@
 
 
 def failing_handler(error_interval: list[int]) -> Handler:
-    """Respond with a 500 to every n-th request, where n is the only element of the list; 0 for no errors."""
+    """Return a handler that responds with 500 to every n-th request; n is the only element of the list, 0 for none."""
     count = 0
 
     async def handler(_message: Message, writer: asyncio.StreamWriter) -> None:
--- a/tests/http/test_partial_request.py
+++ b/tests/http/test_partial_request.py
@@ -1,4 +1,4 @@
-"""Incomplete requests, and the bytes from which another parser reads them again (hot restart)."""
+"""Incomplete requests, encoded as bytes that the parser of another process can read (hot restart)."""
 
 from __future__ import annotations
 
--- a/tests/http/test_slow_clients.py
+++ b/tests/http/test_slow_clients.py
@@ -91,15 +91,15 @@
 
                 proxy.loop = PatchedLoop(proxy.loop, call_later=record_delay)  # type: ignore[assignment]
                 await until(lambda: len(discovery.watch_requests) == 7)
-                assert status(await client.request()) == 200  # served by the endpoint list known so far
+                assert status(await client.request()) == 200  # sent to a server of the initial endpoint list
                 discovery.send_update(9, entry("s", server.port), whole=True)
                 await until(lambda: proxy.endpoints.backoff.failed_watches == 0)
 
     run(main())
-    grace_s = Limits().drain_notice_ms / 1000.0
-    assert delays_s[0] <= grace_s / backoff.INITIAL_DELAY_DIVISOR
-    assert max(delays_s) > grace_s / backoff.INITIAL_DELAY_DIVISOR
-    assert max(delays_s) <= grace_s / backoff.MAX_DELAY_DIVISOR
+    drain_notice_s = Limits().drain_notice_ms / 1000.0
+    assert delays_s[0] <= drain_notice_s / backoff.INITIAL_DELAY_DIVISOR
+    assert max(delays_s) > drain_notice_s / backoff.INITIAL_DELAY_DIVISOR
+    assert max(delays_s) <= drain_notice_s / backoff.MAX_DELAY_DIVISOR
 
 
 def test_watch_without_response_fails_soon(monkeypatch: pytest.MonkeyPatch):
--- a/tests/node/test_event_orders.py
+++ b/tests/node/test_event_orders.py
@@ -65,7 +65,7 @@
         self.node = Node(config, Limits(hedging_allowed=hedging_allowed), seed=3, now=0.0)
         self.servers = {f"s{at}": Server(f"s{at}", zone="a", cell=at // 2) for at in range(4)}
         self.class_names: dict[str, str] = {}  # by request id
-        # By request id: its class, its limit of attempts, and whether they may be hedged, when it was received.
+        # Rules in force when a request was received, by its id: class, maximum of attempts, whether hedging is allowed.
         self.rules: dict[str, tuple[ServiceClass, int, bool]] = {}
         self.responses: dict[str, list[int]] = {}  # status codes by request id
         self.disconnected: set[str] = set()  # ids of requests whose clients have disconnected
@@ -198,7 +198,7 @@
         for _ in range(40):
             self.now += 100.0
             self.apply(self.node.tick(self.now))
-        for key in list(self.in_flight):  # attempts that the settings do not allow to cancel
+        for key in list(self.in_flight):  # attempts that the settings do not allow the node to cancel
             if key in self.in_flight:
                 del self.in_flight[key]
                 self.results[key] = AttemptResult.RESET
