--- a/tests/control/test_control_processes.py
+++ b/tests/control/test_control_processes.py
@@ -277,8 +277,8 @@
     damaged = tmp_path / "DAMAGED" / LOG_FILE_NAME
     damaged.write_bytes(damaged.read_bytes().replace(b"seen", b"sean", 1))
     (tmp_path / "BAD").write_text('name = "c1"\nlisten = "x"\ndir = "y"\n')
-    given = [str(tmp_path / word) if word in ("DIR", "BAD", "DAMAGED") else word for word in arguments]
-    code, out, errors = run_command("serve", *given)
+    resolved = [str(tmp_path / word) if word in ("DIR", "BAD", "DAMAGED") else word for word in arguments]
+    code, out, errors = run_command("serve", *resolved)
     assert (code, out) == (2, "")
     assert len(errors.splitlines()) == 1
     assert text in errors
--- a/tests/control/test_history.py
+++ b/tests/control/test_history.py
@@ -32,7 +32,7 @@
 
 
 def identical(one: object, other: object) -> bool:
-    """Return whether two values are equal in value and type; Python's `==` does not tell 1, 1.0 and True apart."""
+    """Return whether two values are equal in value and type; `==` does not distinguish 1, 1.0 and True."""
     return repr(one) == repr(other) or (
         isinstance(one, dict)
         and isinstance(other, dict)
--- a/tests/control/test_machine.py
+++ b/tests/control/test_machine.py
@@ -286,13 +286,13 @@
             await cluster.stop("c3")
             moved = {name for name, machine in before.items() if machine == "c3"}
             assert moved
-            left = [name for name in cluster.names if name != "c3"]
+            remaining = [name for name in cluster.names if name != "c3"]
 
             def all_moved() -> bool:
                 return all(
                     name
                     in cluster.machines[
-                        machine_selection.rendezvous_order(name, left)[0]
+                        machine_selection.rendezvous_order(name, remaining)[0]
                     ].watches.connection_by_node
                     for name in cluster.nodes
                 )
@@ -439,7 +439,7 @@
                 await until(lambda: sources(cluster) == {"c2", "c3"})  # they watch each other in the meantime
                 await cluster.start("c1")
                 peer_revisions = cluster.machines["c1"].store.replica.peer_revisions
-                await until(lambda known=peer_revisions: set(known) == {"c2", "c3"})
+                await until(lambda reported=peer_revisions: set(reported) == {"c2", "c3"})
                 code, body = await cluster.put("c1", {"limits": {"max_open": 5 + index}})
                 assert code == 200, body
 
@@ -460,7 +460,7 @@
                 if name == "c3":
                     await until(lambda: all_committed(cluster, 2))
                     peer_revisions = cluster.machines["c1"].store.replica.peer_revisions
-                    await until(lambda known=peer_revisions: known["c3"].number == 2)
+                    await until(lambda reported=peer_revisions: reported["c3"].number == 2)
             await until(lambda: set(cluster.machines["c1"].store.replica.peer_revisions) == {"c2", "c3"})
             code, body = await cluster.put("c1", LIMITS, 0)
             assert code == 503
--- a/tests/control/test_replica.py
+++ b/tests/control/test_replica.py
@@ -43,7 +43,7 @@
 
 @dataclass
 class Machine:
-    """A replica with a simulated disk, driven in the way the store drives it."""
+    """A replica with a simulated disk, used in the same way as the store uses it."""
 
     name: str
     names: tuple[str, ...] = NAMES
--- a/tests/hot_restart/test_hot_restart.py
+++ b/tests/hot_restart/test_hot_restart.py
@@ -52,7 +52,7 @@
         self.started: list[Proxy] = []
 
     async def start_next(self) -> Proxy:
-        """Starts a process, and waits until its predecessor knows that it accepts clients."""
+        """Start a process, and wait until its predecessor is notified that it accepts clients."""
         proxy = create_process(self.known, self.folder, os.dup(self.listener.fileno()), **self.changes)
         predecessor = self.started[-1] if self.started else None
         self.started.append(proxy)
@@ -69,7 +69,7 @@
 async def node_processes(
     known: list[dict[str, Any]], folder: Path, **changes: Any
 ) -> AsyncIterator[NodeProcesses]:
-    """The processes of one node; all of them are closed at the end."""
+    """Yield the processes of one node, and close all of them at the end."""
     processes = NodeProcesses(known, folder, **changes)
     try:
         yield processes
@@ -94,7 +94,7 @@
 
 
 def send_long(chunks: list[bytes], gate: asyncio.Event, framing: str) -> Any:
-    """A server's handler that sends its last five chunks only after the gate is open."""
+    """Return a handler that sends the last five chunks of a response only after the gate is open."""
 
     async def handle(message: Message, writer: asyncio.StreamWriter) -> None:
         if message.headers["request-class"] != "read" or message.headers["request-id"].startswith("small"):
@@ -130,7 +130,7 @@
 
 
 async def read_long(reader: asyncio.StreamReader) -> bytes:
-    """Returns the body of a response with a Content-Length or in chunks."""
+    """Return the body of a response with a Content-Length or in chunks."""
     head = (await reader.readuntil(b"\r\n\r\n")).lower()
     if b"content-length" in head:
         size = int(head.split(b"content-length:")[1].split(b"\r\n")[0])
@@ -175,7 +175,7 @@
 
 
 async def slow_client(old: Proxy, port: int, number: int = 0) -> Client:
-    """A client that has requested a long response and has not read any of it yet."""
+    """Return a client that has requested a long response and has not read any of it yet."""
     client = Client(port=port)
     sock = socket.socket()
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 8192)
@@ -285,12 +285,12 @@
 
 
 def message_packet(message: dict[str, Any]) -> bytes:
-    """Encodes a message without the code under test."""
+    """Encode a message without the code under test."""
     return b"M" + orjson.dumps(message)
 
 
 def message_in(packet: bytes) -> dict[str, Any] | None:
-    """Decodes the message of a packet; None if the packet is a part of an attachment."""
+    """Decode the message of a packet; return None if the packet is a part of an attachment."""
     if packet[:1] == b"P":
         return None
     assert packet[:1] == b"M"
@@ -300,7 +300,7 @@
 
 
 class FakeSuccessor:
-    """A successor that sends only the messages that a test tells it to send."""
+    """A fake successor whose messages are sent by the test."""
 
     def __init__(self, folder: Path) -> None:
         sock = unix_socket.connect(folder)
@@ -312,7 +312,7 @@
         self.sock.send(message_packet(message))
 
     async def receive(self, kind: str) -> dict[str, Any]:
-        """Returns the next message of this kind, and skips others."""
+        """Return the next message of this kind, and skip others."""
         async with asyncio.timeout(WAIT_S):
             while True:
                 try:
@@ -334,7 +334,7 @@
             self.send(t="ready")
 
     def kill(self) -> None:
-        """Closes all descriptors, as SIGKILL does."""
+        """Close all descriptors, as SIGKILL does."""
         self.sock.close()
         for fds in self.fds.values():
             unix_socket.close_descriptors(fds)
@@ -346,7 +346,7 @@
 
 @pytest.mark.parametrize("step", STEPS)
 def test_the_old_process_keeps_what_a_killed_or_hung_successor_has_not_accepted(step: str, tmp_path: Path):
-    """The old process finishes the responses that were not acknowledged, and does not use the others any more."""
+    """The old process finishes the responses that were not acknowledged, and no longer touches the others."""
 
     async def main() -> None:
         gate = asyncio.Event()
@@ -530,7 +530,7 @@
 
 
 class FakePredecessor:
-    """A predecessor that sends only the messages that a test tells it to send."""
+    """A fake predecessor whose messages are sent by the test."""
 
     def __init__(self, folder: Path) -> None:
         self.listener = unix_socket.listen(folder)
@@ -582,7 +582,7 @@
 async def new_process(
     folder: Path, **changes: Any
 ) -> AsyncIterator[tuple[FakePredecessor, Proxy, socket.socket, Client]]:
-    """A process connected to its predecessor, and a client's connection that the predecessor owns."""
+    """Yield a fake predecessor, a process connected to it, and both ends of a connection that the predecessor owns."""
     old = FakePredecessor(folder)
     async with FakeServer().up() as server:
         async with node_processes([entry("s", server.port)], folder, **changes) as processes:
@@ -601,7 +601,7 @@
 
 
 def test_the_offer_of_a_killed_predecessor_is_accepted(tmp_path: Path):
-    """It can't read the acknowledgement and has not revoked the offer, so no other process owns the connection."""
+    """The predecessor can't read the acknowledgement and didn't revoke the offer, so no other process owns it."""
 
     async def main() -> None:
         async with new_process(tmp_path) as (old, new, client_socket, client):
@@ -734,7 +734,7 @@
 
 
 def test_a_predecessor_in_shutdown_does_not_count_for_pacing(tmp_path: Path):
-    """It still runs, but starts no requests. A later successor counts again."""
+    """The predecessor still runs, but starts no requests. A later successor counts again."""
 
     async def main() -> None:
         async with node_processes([entry("s", 1)], tmp_path) as processes:
--- a/tests/hot_restart/test_transfers.py
+++ b/tests/hot_restart/test_transfers.py
@@ -106,7 +106,7 @@
         assert self.transfers.pending_count <= 3
 
     def teardown(self) -> None:
-        """If both processes are still alive, each connection has an owner at the end."""
+        """Check that each connection has an owner at the end if both processes are still alive."""
         if self.sender_alive and self.receiver_alive and self.channel_open:
             while self.offers:
                 number, connection = self.offers.pop(0)
@@ -121,7 +121,7 @@
 TestOwnership = Ownership.TestCase
 
 
-# ----------------------------------------------------------- chunked bodies
+# Chunked bodies.
 
 BODIES = st.lists(st.binary(min_size=1, max_size=40), max_size=5)
 EXTRA = st.sampled_from([b"", b";a=b", b";x"])
--- a/tests/proxy/test_cordon.py
+++ b/tests/proxy/test_cordon.py
@@ -68,7 +68,7 @@
 
 
 def test_a_server_has_a_slow_start_after_its_cordon_is_lifted():
-    """It may have been restarted while it was cordoned, and the endpoint list says so too late to prevent overload."""
+    """The server may have been restarted while cordoned, and the endpoint list reports that too late."""
     harness = BalancerHarness(2)
     share_of(harness, "s1")
     harness.handle(CordonChanged("s1", cordoned=True))
--- a/tests/proxy/test_process_state.py
+++ b/tests/proxy/test_process_state.py
@@ -1,4 +1,4 @@
-"""The shared state: kept for later processes, and exchanged between two processes of one node."""
+"""Shared state: saved for later processes, and exchanged between two processes of one node."""
 
 from __future__ import annotations
 
@@ -35,7 +35,7 @@
         await first.state.set_cordon("s2", False)
         first.state.close()
         second = Process(tmp_path)
-        second.state.start()  # applied before it returns
+        second.state.start()  # applies the saved cordons before it returns
         assert second.cordons == [frozenset({"s1"})]
         second.state.close()
         assert not first.cordons, "a process is not called back for its own changes"
@@ -104,10 +104,10 @@
         assert "state file ignored, left in place" in caplog.text
         await process.state.set_cordon("s1", True)
         process.state.close()
-        following = Process(tmp_path)
-        following.state.start()
-        assert following.cordons == [frozenset({"s1"})]
-        following.state.close()
+        successor = Process(tmp_path)
+        successor.state.start()
+        assert successor.cordons == [frozenset({"s1"})]
+        successor.state.close()
 
     run(main())
 
--- a/tests/proxy/test_reconfiguration.py
+++ b/tests/proxy/test_reconfiguration.py
@@ -1,4 +1,4 @@
-"""Reconfiguration of a running node: by SIGHUP, by the fleet, and with requests and endpoint lists in flight."""
+"""Reconfiguration of a running node, by SIGHUP and by cordons of the fleet, also while requests are in flight."""
 
 from __future__ import annotations
 
@@ -104,7 +104,7 @@
 
 
 def test_a_reload_that_fails_changes_nothing():
-    """Not even the address of discovery and the socket limit, which would be valid by themselves."""
+    """The address of discovery and the socket limit, valid by themselves, must not be applied either."""
 
     async def main() -> None:
         async with (
@@ -253,7 +253,7 @@
     run(main())
 
 
-# --------------------------------------------------------------------- cordons
+# Cordons.
 
 
 class AppliedCordons:
@@ -326,7 +326,7 @@
     run(main())
 
 
-# ---------------------------------------------------------------- hot restarts
+# Hot restarts.
 
 
 def test_a_response_of_a_class_that_the_successor_does_not_have_is_migrated(tmp_path: Path):
--- a/tests/proxy/test_shutdown.py
+++ b/tests/proxy/test_shutdown.py
@@ -24,7 +24,7 @@
     until,
 )
 
-KILL_DELAY_S = 0.7  # after the longest request timeout, limited to 3 s, the platform kills the process
+KILL_DELAY_S = 0.7  # from the longest request timeout, at most 3 s, until the platform kills the process
 
 
 def request_bytes(id: str, timeout_ms: int) -> bytes:
@@ -68,9 +68,11 @@
     """A request on a connection that is still open when the process is killed would never get a response."""
     classes = tuple(
         dataclasses.replace(
-            kind, latency_objective_ms=min(kind.latency_objective_ms, deadline_ms), deadline_ms=deadline_ms
+            service_class,
+            latency_objective_ms=min(service_class.latency_objective_ms, deadline_ms),
+            deadline_ms=deadline_ms,
         )
-        for kind in (IDEMPOTENT, NON_IDEMPOTENT, IDEMPOTENT_WITH_KEY)
+        for service_class in (IDEMPOTENT, NON_IDEMPOTENT, IDEMPOTENT_WITH_KEY)
     )
 
     async def main() -> None:
@@ -93,7 +95,7 @@
 
 @pytest.mark.parametrize("timeout_ms", [150, 6000])
 def test_every_request_during_a_drain_gets_a_response(monkeypatch: pytest.MonkeyPatch, timeout_ms: int):
-    """This holds for a request in flight, one on an open connection and one on a new connection."""
+    """Covers a request in flight, one on an open connection and one on a new connection."""
 
     async def main() -> None:
         gate = asyncio.Event()
@@ -138,7 +140,7 @@
                 sock.setblocking(False)
                 response = await asyncio.wait_for(proxy.loop.sock_recv(sock, 4096), 20.0)
                 assert response.startswith(b"HTTP/1.1 200 ")
-                assert connection.close_if_idle(0.0)  # no unread request any more
+                assert connection.close_if_idle(0.0)  # the request has been read
 
     run(main())
 
--- a/tests/proxy/test_startup.py
+++ b/tests/proxy/test_startup.py
@@ -95,7 +95,7 @@
 
 
 def own_host(number: int) -> str:
-    """A loopback address that no other process uses, so that a free port on it stays free."""
+    """Return a loopback address that no other process uses, so that a free port on it stays free."""
     return f"127.{100 + os.getpid() % 100}.{os.getpid() // 100 % 250}.{number + 1}"
 
 
@@ -111,7 +111,7 @@
 
 
 def wait_until_serving(process: subprocess.Popen[str]) -> list[str]:
-    """Waits for the log line that the node has started; returns all lines up to it."""
+    """Wait for the log line that the node has started; return all lines up to it."""
     assert process.stderr is not None
     lines = []
     for line in process.stderr:
@@ -140,16 +140,18 @@
     names |= imported_modules(rest.splitlines(keepends=True))
     assert process.returncode == 0
     assert "rosewheel.proxy.proxy" in names
-    tops = {name.partition(".")[0] for name in names}
+    top_level_names = {name.partition(".")[0] for name in names}
     # `copy` tries to import `org`, a package of Jython.
-    foreign = {top for top in tops - sys.stdlib_module_names - {"org"} if not top.startswith("_cython")}
+    foreign = {
+        top for top in top_level_names - sys.stdlib_module_names - {"org"} if not top.startswith("_cython")
+    }
     assert foreign == {"rosewheel", *THIRD_PARTY_MODULES}
     assert not names & (UNNEEDED_STANDARD_MODULES | UNNEEDED_OWN_MODULES)
     assert not [name for name in names if name.startswith(("rosewheel.lab.", "rosewheel.cli."))]
 
 
 def test_a_running_node_has_garbage_collection_enabled(tmp_path: Path):
-    """It is disabled during the start; left disabled, reference cycles would leak."""
+    """Garbage collection is disabled during the start; if it stayed disabled, reference cycles would leak."""
     host = own_host(251)
     port = free_port(host)
     with socket.create_server(("127.0.0.1", 0), backlog=8) as discovery:
