--- a/tests/lab/test_emulator.py
+++ b/tests/lab/test_emulator.py
@@ -88,7 +88,7 @@
 
 
 class PlainClient:
-    """Connection to an emulated server, without retries or pooling."""
+    """A client with one connection to an emulated server, without retries."""
 
     def __init__(self, host: EmulatedServerHost) -> None:
         self.host, self.sent = host, 0
--- a/tests/lab/test_graph.py
+++ b/tests/lab/test_graph.py
@@ -85,7 +85,7 @@
 zone = "sur-a"
 """
 
-# ------------------------------------------------------------- scenario files
+# Errors of scenario files.
 
 
 def problems(text: str) -> list[str]:
@@ -203,7 +203,7 @@
         experiment.check_emulation_supported(quiet)
 
 
-# ------------------------------------------------------------ graphs and plans
+# Graphs and plans.
 
 
 @given(st.lists(st.sets(st.integers(0, 9)), min_size=10, max_size=10))
@@ -254,7 +254,7 @@
     assert not topology.separated("sur-b", "norte-a")
 
 
-# ----------------------------------------------------------------------- runs
+# Simulated runs.
 
 
 def chain(depth: int, **changes: Any) -> Scenario:
--- a/tests/lab/test_lab.py
+++ b/tests/lab/test_lab.py
@@ -41,7 +41,7 @@
 ) -> tuple[list[dict[str, Any]], FakeServer, LoadGenerator]:
     """Run the clients of a small plan against a node with this handler.
 
-    Returns the records of operations, the server, and the load generator.
+    Return the records of operations, the server, and the load generator.
     """
     plan = plans.make(scenarios.load("quiet", QUICK | (changes or {})))
     started: list[Any] = []
--- a/tests/lab/test_scale_network.py
+++ b/tests/lab/test_scale_network.py
@@ -192,7 +192,7 @@
     )
 
 
-# ------------------------------------------------------------- simulated nodes
+# Simulated nodes.
 
 
 async def wait_until(condition: Callable[[], bool]) -> None:
--- a/tests/lab/test_scale_plan.py
+++ b/tests/lab/test_scale_plan.py
@@ -125,7 +125,7 @@
     assert "\n" not in str(caught.value)
 
 
-# ---------------------------------------------------------------- propagation
+# Propagation of changes.
 
 
 def histories(*rows: tuple[int, int, float]) -> dict[int, NodeHistory]:
@@ -176,7 +176,7 @@
     assert result.durations_ms == [max([0.0, *(at - 10.0 for at in first.values() if at is not None)])]
 
 
-# -------------------------------------------------------------------- targets
+# Checks against targets.
 
 
 def outcomes(measurements: TargetMeasurements) -> dict[str, bool | None]:
@@ -217,7 +217,7 @@
     assert outcomes(measurements)["added to 99 calls in 100"] is None
 
 
-# -------------------------------------------------------------------- backoff
+# Backoff between watches.
 
 
 def test_backoff_grows_to_a_fraction_of_the_drain_notice_and_is_reset_by_a_message() -> None:
--- a/tests/lab/test_scale_run.py
+++ b/tests/lab/test_scale_run.py
@@ -16,7 +16,7 @@
 
 TEST_TIMEOUT_S = 120.0  # fails a test that hangs
 SMALL = ("--nodes", "30", "--real", "2", "--services", "3", "--calls", "4", "--changes", "40")
-# Servers, discovery, network, four control machines, simulated nodes, two real nodes and callers.
+# Processes of a run: servers, discovery, network, four control machines, simulated nodes, two real nodes and callers.
 PROCESSES = 11
 
 
@@ -31,10 +31,10 @@
         if path.name.isdigit():
             with contextlib.suppress(OSError):
                 parents[int(path.name)] = int((path / "stat").read_text().rpartition(")")[2].split()[1])
-    known = {pid}
-    while children := {child for child, parent in parents.items() if parent in known} - known:
-        known |= children
-    return known - {pid}
+    found = {pid}
+    while children := {child for child, parent in parents.items() if parent in found} - found:
+        found |= children
+    return found - {pid}
 
 
 def running_processes(pids: set[int]) -> set[int]:
@@ -49,7 +49,7 @@
 
 @pytest.fixture
 def running_scale_run(tmp_path: Path) -> Iterator[tuple[subprocess.Popen[bytes], set[int]]]:
-    """A run whose processes have all started, and the ids of its processes."""
+    """Yield a run whose processes have all started, and the ids of its processes."""
     run = subprocess.Popen(
         command(*SMALL, "--seconds", "300", "--out", str(tmp_path)), stderr=subprocess.PIPE
     )
--- a/tests/lab/test_server_model.py
+++ b/tests/lab/test_server_model.py
@@ -63,7 +63,7 @@
 
 
 class Machine(RuleBasedStateMachine):
-    """Requests, duplicates, calls, faults and ticks in any order and at any interval."""
+    """Applies requests, duplicates, calls, faults and ticks in any order and at any interval."""
 
     @initialize(
         spec=st.sampled_from([SPEC, PAUSES, WARMING]),
--- a/tests/lab/test_simulation.py
+++ b/tests/lab/test_simulation.py
@@ -35,7 +35,7 @@
 QUICK_SETTINGS = settings(max_examples=25, deadline=None, derandomize=True)
 
 
-# ---------------------------------------------------------------- event queue
+# Event queue.
 
 
 @QUICK_SETTINGS
@@ -77,7 +77,7 @@
     assert len(queue) == 0
 
 
-# ---------------------------------------------------------------- determinism
+# Determinism.
 
 PRINT_DIGEST = (
     "from rosewheel.lab import plan, scenario; from rosewheel.lab.simulation.simulate import simulate;"
@@ -120,7 +120,7 @@
     assert msgspec.json.decode(result.output.strip().rpartition("\n")[2])["digest"] in page
 
 
-# --------------------------------------------------------------------- faults
+# Faults.
 
 SERVER_FAULTS = st.fixed_dictionaries(
     {
--- a/tests/support/balancers.py
+++ b/tests/support/balancers.py
@@ -1,4 +1,4 @@
-"""Settings, servers and balancers that tests of several packages build."""
+"""Settings, servers and balancers for the tests of several packages."""
 
 from __future__ import annotations
 
@@ -92,7 +92,7 @@
     def receive_request(
         self, service: str = "read", timeout_ms: float = 2000.0, **more: Any
     ) -> tuple[str, list[Action]]:
-        """Receive a request with this time until its deadline; return its ID and the balancer's actions."""
+        """Receive a request with `timeout_ms` until its deadline; return its ID and the balancer's actions."""
         self.request_count += 1
         name = f"r{self.request_count}"
         return name, self.handle(RequestReceived(name, service, self.now + timeout_ms, **more))
--- a/tests/support/control_child.py
+++ b/tests/support/control_child.py
@@ -2,8 +2,8 @@
 
     python control_child.py NAME LISTEN DIRECTORY PEER=ADDRESS POINT NTH
 
-POINT says when: `before` the write, `half` (after half of the bytes), `written` (before the sync), `synced` (before the
-acknowledgement), or `never`.
+POINT is the time of the kill: `before` the write, `half` (after half of the bytes), `written` (before the sync),
+`synced` (before the acknowledgement), or `never`.
 """
 
 from __future__ import annotations
--- a/tests/support/control_machines.py
+++ b/tests/support/control_machines.py
@@ -80,8 +80,8 @@
         self.machines: dict[str, ControlMachine] = {}
         self.routes: dict[tuple[str, str], InterruptibleRoute] = {}
         self.nodes: dict[str, ConfigurationSubscriber] = {}
-        self.documents: dict[str, Document] = {}  # by node: the document applied last
-        self.applied: dict[str, list[Document]] = {}  # by node: all documents applied, in order
+        self.documents: dict[str, Document] = {}  # the document applied last, by node
+        self.applied: dict[str, list[Document]] = {}  # all applied documents in order, by node
 
     async def route(self, start: str, end: str) -> InterruptibleRoute:
         """Return the route from a machine or node to a machine, and start it on first use."""
@@ -131,10 +131,10 @@
         """Start a node.
 
         Args:
-            name: of the node.
-            service: whose configuration the node subscribes to.
+            name: the node's name.
+            service: the service whose configuration the node subscribes to.
             cache_path: file in which the node keeps its document, if any.
-            reject: returns why the node can't apply a document, or an empty string to apply it.
+            reject: function that returns why the node can't apply a document, or an empty string if it can.
         """
         machines = {machine: (await self.route(name, machine)).address for machine in self.names}
 
--- a/tests/support/processes.py
+++ b/tests/support/processes.py
@@ -21,7 +21,7 @@
     """Start a node as the platform does, with its configuration in a file that `LB_CONFIG` names.
 
     Args:
-        folder: where the configuration file is written.
+        folder: folder in which the configuration file is written.
         document: content of that file: a value to encode as JSON, or bytes to write as they are.
         environ: further environment variables.
     """
--- a/tests/support/raw_messages.py
+++ b/tests/support/raw_messages.py
@@ -34,7 +34,7 @@
 
 
 def byte_pattern(size: int) -> bytes:
-    """Return a repeating byte pattern of this size, in which missing or reordered bytes show."""
+    """Return a repeating byte pattern of this size, in which missing or reordered bytes can be detected."""
     return (b"0123456789abcdef" * (size // 16 + 1))[:size]
 
 
--- a/tests/support/scripted_discovery.py
+++ b/tests/support/scripted_discovery.py
@@ -27,8 +27,8 @@
         scripts: the bytes to write, by number of the watch from 1. A watch without an entry gets no response.
         watch_requests: the request line of each watch.
         ended: the number of connections that the client has closed.
-        writers: of all connections.
-        port: where it listens.
+        writers: the writers of all connections.
+        port: the port it listens on.
     """
 
     scripts: dict[int, bytes] = field(default_factory=dict)
@@ -65,8 +65,8 @@
 class RestartableDiscovery:
     """A discovery service that can be stopped and restarted on the same port with another behaviour.
 
-    What it writes to a watch, by behaviour: `served` a snapshot, `mute` nothing, `half` the start of a line, `dies` the
-    start of a line before it resets the connection. `watch_count` counts the watches since the last start.
+    The behaviour determines what it writes to a watch: `served` a snapshot, `mute` nothing, `half` the start of a line,
+    `dies` the start of a line before it resets the connection. `watch_count` counts the watches since the last start.
     """
 
     def __init__(self) -> None:
--- a/tests/support/sockets.py
+++ b/tests/support/sockets.py
@@ -49,9 +49,9 @@
 
     Attributes:
         start_line: the request line or status line.
-        headers: by name in lower case.
-        body: decoded by Content-Length.
-        connection: number of the connection on which it came, from 1; 0 if the reader doesn't count connections.
+        headers: header values, by name in lower case.
+        body: the body, of the length in Content-Length.
+        connection: number of its connection, from 1; 0 if the reader doesn't count connections.
     """
 
     start_line: str
@@ -114,12 +114,12 @@
     """A server that passes each request to a handler.
 
     Attributes:
-        handler: writes the response, if any.
+        handler: function that writes the response, if any.
         requests: the requests received, in order.
         connections: the number of connections accepted.
         closed: the number of connections that have ended.
-        port: where it listens.
-        writers: of all connections.
+        port: the port it listens on.
+        writers: the writers of all connections.
     """
 
     handler: Handler = serve_ok
@@ -161,14 +161,14 @@
 
 @dataclass
 class FakeDiscovery:
-    """A discovery service that keeps each watch open and writes to the newest one what a test tells it to.
+    """A discovery service that keeps each watch open. Tests write to the newest one.
 
     Attributes:
         rejected_watches: how many watches to reject with status 503 before the first one is accepted.
         silent: whether to send nothing on a watch, not even the head of a response.
         watch_requests: the request line of each watch.
-        writers: of the accepted watches.
-        port: where it listens.
+        writers: the writers of the accepted watches.
+        port: the port it listens on.
     """
 
     rejected_watches: int = 0
@@ -274,7 +274,7 @@
     """A client with one connection.
 
     Attributes:
-        port: where it connects: to `proxy` if given, else to `port`.
+        port: the port it connects to: that of `proxy` if given, else `port`.
         sent: the number of requests sent.
     """
 
--- a/tests/support/virtual_discovery.py
+++ b/tests/support/virtual_discovery.py
@@ -10,10 +10,10 @@
 
 STREAM_HEAD = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 NETWORK_DELAY_S = 0.001
-HEARTBEAT_INTERVAL_S = 2.0  # between empty lines on a watch
-# When the operating system sends SYN packets while none is answered, since the start of a connect.
+HEARTBEAT_INTERVAL_S = 2.0  # interval between empty lines on a watch
+# Times of SYN packets after the start of a connect while none is answered.
 CONNECT_RETRY_TIMES_S = (0.0, 1.0, 3.0, 7.0)
-ACCEPTING_PHASES = ("up", "mute", "head", "half")  # connections are accepted
+ACCEPTING_PHASES = ("up", "mute", "head", "half")  # phases in which connections are accepted
 
 
 class VirtualLoop(asyncio.SelectorEventLoop):
@@ -62,14 +62,14 @@
     Attributes:
         loop: supplies the time.
         phases: length in seconds and kind of each phase.
-        change_s: when the endpoint list changes.
+        change_s: time at which the endpoint list changes.
         on_recovery: what happens to a silent connection when `up` begins: `served`, `silent` (it stays so) or `reset`.
         always_sends_object: whether a new watch gets an update even if nothing has changed.
         first_heartbeat_delay_s: delay of the first empty line on a connection.
-        heartbeat_delay_s: delay of each later one.
-        connections_lost_at_s: when the connections open at that time fall silent for good, if any; new ones are served.
+        heartbeat_delay_s: delay of each later empty line.
+        connections_lost_at_s: time at which all open connections fall silent for good, if any; new ones are served.
         revisions_restart: whether revisions count from 1 again once the last phase has begun.
-        connect_times_s: when each connect began.
+        connect_times_s: time at which each connect began.
         connections: the open connections.
     """
 
