--- a/tests/admin/test_admin_server.py
+++ b/tests/admin/test_admin_server.py
@@ -19,7 +19,7 @@
 
 
 class FakeBackend:
-    """A backend that knows one server, `s 1`."""
+    """A backend with one server, `s 1`."""
 
     def __init__(self) -> None:
         self.is_serving = True
--- a/tests/cli/test_run.py
+++ b/tests/cli/test_run.py
@@ -52,7 +52,7 @@
 def test_an_invalid_configuration_is_one_line_and_exit_status_2(
     tmp_path: Path, row: Any, environ: dict[str, str]
 ) -> None:
-    """Guards against a traceback, and against a node that runs with half a configuration."""
+    """Guards against a traceback, and against a node that runs with a part of a configuration."""
     process = start_node(tmp_path, row, **environ)
     _, errors = process.communicate(timeout=60)
     assert process.returncode == 2, errors
--- a/tests/config/test_fleet_document.py
+++ b/tests/config/test_fleet_document.py
@@ -39,7 +39,7 @@
     assert [item.name for item in settings.classes] == ["c"]
     assert settings.tenants == (Tenant("t", 4.0),)
     assert (settings.balancer_count, settings.may_cancel) == (30, False)
-    # Values that only the file has.
+    # Values that only the node's file sets.
     assert (settings.zone, settings.tier, settings.warm_up_initial_share) == ("a", 1, 0.2)
     assert (limits.max_open_requests, limits.max_sockets) == (9, 100)
     assert cordoned_servers(DOCUMENT) == {"equipo-1"}
--- a/tests/discovery/test_endpoint_updates.py
+++ b/tests/discovery/test_endpoint_updates.py
@@ -204,7 +204,7 @@
 
 
 def test_discovery_with_reset_revision_is_asked_for_a_snapshot():
-    """After discovery restarts its revisions, its changes do not follow the known list, so all entries are needed."""
+    """After discovery restarts its revisions, its changes do not apply to the node's list, so a snapshot is needed."""
 
     async def main() -> None:
         async with FakeDiscovery().up() as discovery, node([], discovery) as proxy:
--- a/tests/node/test_node.py
+++ b/tests/node/test_node.py
@@ -71,7 +71,7 @@
 
 
 def test_attempts_over_the_limit_are_not_sent():
-    """The policy must not exceed the limit of attempts; it is told NOT_SENT for each further one."""
+    """The policy must not exceed the limit of attempts; each further one ends with the result NOT_SENT."""
     events: list[Event] = []
     node = make_node(forwarding(5, events))
     started = of_type(node.receive_request(0.0, request(service="read")), StartAttempt)
--- a/tests/policy/test_learned_state.py
+++ b/tests/policy/test_learned_state.py
@@ -390,7 +390,7 @@
 
 
 def test_load_of_a_sibling_process_counts_once():
-    """The load of a sibling worsens the rank like the process's own, but once only if the server reports it too."""
+    """Load of a sibling worsens the rank like the process's own. If the server reports it too, it counts once."""
     harness = BalancerHarness(2)
     harness.handle(SiblingProcessLoad({"s0": 6.0}))
     assert {harness.serve_request() for _ in range(4)} == {"s1"}
--- a/tests/policy/test_many_balancers.py
+++ b/tests/policy/test_many_balancers.py
@@ -104,13 +104,13 @@
 
 
 def test_warming_server_gets_more_in_a_large_fleet():
-    """Warming servers paced as in a small fleet would idle while the few warm ones are overloaded."""
+    """Paced by the configured share, warming servers would idle while the few warm ones are overloaded."""
     assert requests_to_warming_server(10, 7) >= 1.5 * requests_to_warming_server(4, 7) > 0
 
 
 @pytest.mark.parametrize("balancer_count", [10, 30])
 def test_warming_server_gets_more_than_its_configured_share_in_a_large_fleet(balancer_count: int):
-    """Paced by the configured share alone, new servers would idle while warm ones are overloaded."""
+    """Compares with the share in the settings, not with a small fleet."""
     settings = BalancerHarness().balancer.parts.shared.settings
     share = (
         settings.warm_up_initial_share + (1.0 - settings.warm_up_initial_share) * 1000.0 / settings.warm_up_ms
--- a/tests/support/raw_messages.py
+++ b/tests/support/raw_messages.py
@@ -26,7 +26,7 @@
 
 
 def encode_request_head(framing: str, service: str = "post", **more: str) -> bytes:
-    """Return the head of a request. `framing` is a whole header line, such as `Content-Length: 3`."""
+    """Return the head of a request. `framing` is a complete header line, such as `Content-Length: 3`."""
     lines = ["POST /api/k HTTP/1.1", "Host: a", "Request-Id: big", f"Request-Class: {service}"]
     lines += ["Request-Timeout-Ms: 2000", framing]
     lines += [f"{name.replace('_', '-')}: {value}" for name, value in more.items()]
@@ -52,5 +52,5 @@
 
 
 def encode_raw_response(framing: str, data: bytes) -> bytes:
-    """Return a response with status 200. `framing` is a whole header line; `data` is the body as sent."""
+    """Return a response with status 200. `framing` is a complete header line; `data` is the body as sent."""
     return b"HTTP/1.1 200 OK\r\n" + framing.encode() + b"\r\n\r\n" + data
