--- a/Makefile
+++ b/Makefile
@@ -1,10 +1,11 @@
-# Two commands on a fresh machine with Python 3.11: `make demo` runs everything on loopback, `make check` tests it.
+# Both targets need only Python 3.11: `make demo` runs a node with emulated servers on loopback, `make check` runs
+# the checks and tests.
 PYTHON ?= python3
 BIN = .venv-dev/bin
-# Tests that fail for a real fault, one a line: `check` prints them and passes over just these.
+# Tests that fail because of a known fault, one per line: `check` prints them and does not run them.
 KNOWN_RED = grep -sE '^[^\#[:space:]]' KNOWN-RED.txt
 
-# A short soak of real processes, after the tests: beside them it would be late.
+# Options of the soak, which runs after the tests because load would delay its timers.
 SOAK = --seed 11 --seconds 20 --processes 8
 
 .PHONY: demo check
@@ -19,7 +20,7 @@
 		&& $(BIN)/pytest $$($(KNOWN_RED) | awk '{ print "--deselect", $$1 }') \
 		&& $(BIN)/rosewheel soak node $(SOAK)
 
-# Made anew when the list of requirements has changed; the mark is set only when pip has succeeded.
+# The environment is rebuilt when pyproject.toml changes. The file `complete` is created only after pip succeeded.
 .venv-dev/complete: pyproject.toml
 	rm -f $@
 	$(PYTHON) -m venv .venv-dev
