--- a/rosewheel/lab/server_model/load_report.py
+++ b/rosewheel/lab/server_model/load_report.py
@@ -10,7 +10,7 @@
 from rosewheel.lab.random_streams import lognormal_factor
 from rosewheel.lab.server_model.spec import ServerSpec
 
-MAX_BACKLOG_PERIODS = 10.0  # further reports that are overdue are skipped
+MAX_BACKLOG_PERIODS = 10.0  # report periods after which overdue reports are skipped
 
 
 class LoadReporter:
--- a/rosewheel/lab/server_model/processor.py
+++ b/rosewheel/lab/server_model/processor.py
@@ -2,7 +2,7 @@
 
 Every job is processed at the same rate, at most that of one core. One counter, the work done per job, therefore serves
 for all of them: a job ends when the counter reaches the value at its start plus its own work. An event costs O(log n).
-When `advance` is called affects neither the end times nor the order of jobs.
+Neither the end times nor the order of the jobs depend on when `advance` is called.
 """
 
 from __future__ import annotations
--- a/rosewheel/lab/server_model/server.py
+++ b/rosewheel/lab/server_model/server.py
@@ -41,8 +41,8 @@
 class EmulatedServer:
     """Model of one server.
 
-    Methods that take `now` must be called in order of time. `tick` has to be called at `next_due_ms()`; a later call
-    has the same result. The caller carries out the actions that a method returns.
+    Methods that take `now` must be called in order of time. `tick` has to be called at `next_due_ms()`; calling it
+    later has the same result. The caller carries out the actions that a method returns.
 
     Attributes:
         started_ms: when the server started; minus infinity if it is warm from the beginning.
@@ -54,7 +54,7 @@
         slow_factor: factor by which an injected fault lengthens all work.
         neighbour_share: share of the machine that another program takes, by an injected fault.
         forced_error_share: share of the requests that fail at once, by an injected fault.
-        arrived: number of requests received.
+        received: number of requests received.
         ended: number of requests answered or lost.
         rejected: number of requests rejected.
     """
@@ -78,7 +78,7 @@
         self.slow_factor = 1.0
         self.neighbour_share = 0.0
         self.forced_error_share = 0.0
-        self.arrived = self.ended = self.rejected = 0
+        self.received = self.ended = self.rejected = 0
         self._now = now
         self._busy_share = 0.0
         self._slowdown = SlowdownTracker(spec)
@@ -87,8 +87,6 @@
         self._offered_load = OfferedLoadWindow(spec.overload_window_ms)
         self._set_rate()
 
-    # ------------------------------------------------------------------ state
-
     @property
     def in_progress(self) -> int:
         """Number of requests in progress, including those that wait for the next tier."""
@@ -140,8 +138,6 @@
             due = min(due, self._now + WARM_UP_STEP_MS)
         return min(due, self._slowdown.next_check_ms(self._now))
 
-    # ----------------------------------------------------------------- events
-
     def connection_opened(self, now: float) -> bool:
         """Count a new connection. Return False if there are more than `max_connections`.
 
@@ -161,7 +157,7 @@
     def submit(self, now: float, job: Job) -> list[Action]:
         """Admit, reject or answer a request whose last byte has been received."""
         self._advance(now)
-        self.arrived += 1
+        self.received += 1
         actions = self._check_collapse(now, sum(job.segments_ms), job.sender_informed)
         if self.state is not LifecycleState.UP:
             return [*actions, self._reject(job)]
@@ -244,7 +240,7 @@
         self._set_rate()
 
     def tick(self, now: float) -> list[Action]:
-        """Process everything that is due, each at its own time, so that a late call has the same result."""
+        """Process everything that is due, each at its own time, so that a call after that time has the same result."""
         actions: list[Action] = []
         while (due := self.next_due_ms()) <= now and self.state is not LifecycleState.DOWN:
             due = max(due, self._now)
@@ -259,8 +255,6 @@
         self._advance(now)
         return actions
 
-    # ------------------------------------------------------------------- work
-
     def _advance(self, now: float) -> None:
         elapsed_ms = now - self._now
         if elapsed_ms <= 0.0:
--- a/rosewheel/lab/server_model/slowdown.py
+++ b/rosewheel/lab/server_model/slowdown.py
@@ -20,7 +20,7 @@
         self.parameters, self.cores = spec.slowdown, spec.cores
         self.slowed_since_ms: float | None = None
         self._overloaded_since_ms: float | None = None
-        self._idle_since_ms: float | None = None
+        self._recovering_since_ms: float | None = None
 
     @property
     def factor(self) -> float:
@@ -62,15 +62,15 @@
         elif now >= self._overloaded_since_ms + parameters.trigger_ms:
             # The same sum as in `next_check_ms`. A difference could round to less than `trigger_ms` at the time
             # of that check, which would then repeat without end.
-            self.slowed_since_ms, self._idle_since_ms = now, None
+            self.slowed_since_ms, self._recovering_since_ms = now, None
 
     def _is_over(
         self, now: float, parameters: OverloadSlowdown, slowed_since_ms: float, busy_share: float
     ) -> bool:
         if busy_share >= parameters.recovery_busy_share:
-            self._idle_since_ms = None
-        elif self._idle_since_ms is None:
-            self._idle_since_ms = now
-        idle_since_ms = self._idle_since_ms
-        recovered = idle_since_ms is not None and now - idle_since_ms >= parameters.recovery_ms
+            self._recovering_since_ms = None
+        elif self._recovering_since_ms is None:
+            self._recovering_since_ms = now
+        recovering_since_ms = self._recovering_since_ms
+        recovered = recovering_since_ms is not None and now - recovering_since_ms >= parameters.recovery_ms
         return recovered or now - slowed_since_ms >= parameters.max_ms
--- a/tests/lab/test_emulator.py
+++ b/tests/lab/test_emulator.py
@@ -147,7 +147,7 @@
             for number in range(3):
                 client = await stack.enter_async_context(PlainClient(host))
                 client.send(f"r{number}", work_ms=1e6)
-            await until(lambda: host.model.arrived == 3)
+            await until(lambda: host.model.received == 3)
             client = await stack.enter_async_context(PlainClient(host))
             response = await client.request("late")
             assert status(response) == 503
@@ -164,7 +164,7 @@
             host = first_host(emulator)
             async with PlainClient(host) as client:
                 client.send("r1", work_ms=60.0)
-                await until(lambda: host.model.arrived == 1)
+                await until(lambda: host.model.received == 1)
             await until(lambda: host.model.ended == 1)
 
     run(main())
@@ -177,7 +177,7 @@
             first, second = emulator.fleet.hosts.values()
             async with PlainClient(first) as first_client, PlainClient(second) as second_client:
                 first_client.send("r1", class_name="points", work_ms=80.0, key="k")
-                await until(lambda: first.model.arrived == 1)
+                await until(lambda: first.model.received == 1)
                 response = await second_client.request("r2", class_name="points", work_ms=80.0, key="k")
                 assert status(response) == 200
                 assert status(await first_client.response()) == 200
@@ -267,7 +267,7 @@
             host = first_host(emulator)
             async with PlainClient(host) as client:
                 client.send("r1", work_ms=1e6)
-                await until(lambda: host.model.arrived == 1)
+                await until(lambda: host.model.received == 1)
                 emulator.fleet.crash(host)
                 with pytest.raises(ConnectionResetError):
                     await client.reader.read()
