--- a/rosewheel/lab/simulation/clients.py
+++ b/rosewheel/lab/simulation/clients.py
@@ -24,8 +24,8 @@
 
     Attributes:
         notice_ms: time until a dead node is detected.
-        up: whether each node is considered alive, by name.
-        allowed_nodes: nodes to which an injected fault limits all requests; empty for no limit.
+        up: whether each node is considered up, by name.
+        allowed_nodes: the only nodes that receive requests, during an injected fault; empty for all nodes.
     """
 
     def __init__(self, queue: EventQueue, nodes: dict[str, SimulatedNode], notice_ms: float) -> None:
@@ -45,7 +45,7 @@
         return self._candidates
 
     def node_changed(self, name: str) -> None:
-        """Schedule the detection of a node that has died or is back. The latter is detected at once."""
+        """Schedule the detection of a dead node after `notice_ms`, or of a restarted one at once."""
         alive = not self.nodes[name].dead
         self.queue.call_later(0.0 if alive else self.notice_ms, self._detect_change, name, alive)
 
@@ -116,7 +116,7 @@
             request_id=f"{arrival.operation_id}.{len(self.attempts)}",
             class_name=self.table.name,
             operation_id=arrival.operation_id,
-            work_ms=arrival.work_ms,
+            total_work_ms=arrival.work_ms,
             dedup_key=arrival.operation_id,
             timeout_ms=self.timeout_ms,
             on_done=self._attempt_finished,
@@ -165,7 +165,7 @@
         on_finished: called with each finished operation and whether it was served in time.
         classes: request classes by name.
         open_operations: number of operations without a final outcome.
-        extra_retries: number of retries that an injected fault adds to the usual limit.
+        extra_retries: retries allowed on top of the configured number, during an injected fault.
     """
 
     def __init__(
--- a/rosewheel/lab/simulation/discovery.py
+++ b/rosewheel/lab/simulation/discovery.py
@@ -28,12 +28,12 @@
     The node counts as notified of a change once the change is written to an open watch.
 
     Attributes:
-        entries: endpoint list known to the agent, by name of the server.
+        entries: endpoint list of the agent, by name of the server.
         pending: changes of which the node has not been notified.
         stalled: whether discovery is stalled.
         isolated: whether the machine is cut off from the network.
         watch_open: whether the node has a watch open.
-        last_change_ms: when the last scheduled change reaches the agent; no change overtakes an earlier one.
+        last_due_ms: when the last scheduled change reaches the agent; no change is applied before an earlier one.
     """
 
     def __init__(
@@ -49,7 +49,7 @@
         self.stalled = False
         self.isolated = False
         self.watch_open = True
-        self.last_change_ms = 0.0
+        self.last_due_ms = 0.0
 
     def apply_change(self, entry: Server) -> None:
         """Apply a change to the list of the agent and notify the node."""
@@ -132,8 +132,8 @@
             self.endpoints[entry.address] = entry
         first_ms = self.queue.now + self._draw_delay_ms(change) + self.extra_delay_ms
         for agent in self.agents.values():
-            due_ms = max(agent.last_change_ms, first_ms + self._draw_delay_ms(DiscoveryChange.SPREAD))
-            agent.last_change_ms = due_ms
+            due_ms = max(agent.last_due_ms, first_ms + self._draw_delay_ms(DiscoveryChange.SPREAD))
+            agent.last_due_ms = due_ms
             self.queue.call_at(due_ms, self._deliver_change, agent, entry)
 
     def _draw_delay_ms(self, change: DiscoveryChange) -> float:
@@ -149,7 +149,7 @@
         if not agent.node.dead:
             agent.apply_change(entry)
 
-    def stall(self, stalled: bool) -> None:
+    def set_stalled(self, stalled: bool) -> None:
         """Stall discovery, with watches still open, or resume it."""
         for agent in self.agents.values():
             agent.stalled = stalled
--- a/rosewheel/lab/simulation/fault_injector.py
+++ b/rosewheel/lab/simulation/fault_injector.py
@@ -80,7 +80,7 @@
     def set_discovery_stalled(self, stalled: bool) -> None:
         """Stall discovery, with watches still open, or resume it."""
         for registry in self.fleet.registries:
-            registry.stall(stalled)
+            registry.set_stalled(stalled)
 
     def reset_watches(self, begins: bool) -> None:
         """Close all watches when the fault begins."""
@@ -114,7 +114,7 @@
             case FaultKind.ZONE_PARTITION:
                 self.outages.set_partitioned(step, begins)
             case _:
-                pass  # part of the arrivals of the plan, or injected into the clients
+                pass  # surges are part of the planned arrivals; retry storms are injected into the clients
 
     def _set_state(self, host: SimulatedServerHost, state: ServerState, change: DiscoveryChange) -> None:
         self.fleet.registries[host.spec.tier].set_state(host.spec.name, state, change)
--- a/rosewheel/lab/simulation/fleet.py
+++ b/rosewheel/lab/simulation/fleet.py
@@ -85,8 +85,6 @@
                 self.queue.call_later(delay_ms, self._start_local_nodes, spec)
         self.queue.call_later(spread_ms, on_ready)
 
-    # ------------------------------------------------------------------ nodes
-
     def start_client_node(self, name: str) -> None:
         """Start a node that clients use."""
         self.nodes[name] = self.new_client_node(name)
@@ -133,8 +131,6 @@
         """Count the result of an attempt."""
         self.attempt_results[node.tier][result] += 1
 
-    # -------------------------------------------------------------- discovery
-
     def _new_registry(self, tier: int) -> SimulatedRegistry:
         rng = random_stream(self.plan.seed, "run", "discovery", tier)
         return SimulatedRegistry(self.queue, self.plan, self._record_notification, self._was_notified, rng)
@@ -163,8 +159,6 @@
         spec = host.spec
         return Server(spec.name, spec.zone, spec.cell, launched_ms=self.launched_ms(host))
 
-    # ---------------------------------------------------------------- servers
-
     def add_host(self, spec: ServerSpec, warming_up: bool) -> SimulatedServerHost:
         """Add a host, which does not listen yet."""
         cell = spec.tier, spec.cell
@@ -188,7 +182,7 @@
 
     def _process_started(self, host: SimulatedServerHost) -> None:
         if host.listening and host.model.state is not LifecycleState.DOWN:
-            return  # started by another fault meanwhile
+            return  # another fault has started it meanwhile
         spec = host.spec
         self._start_local_nodes(spec)
         host.restart()
@@ -211,8 +205,6 @@
         """Remove a server from the endpoint list of its tier."""
         self.registries[host.spec.tier].set_state(host.spec.name, ServerState.REMOVED, change)
 
-    # ---------------------------------------------------------------- records
-
     def record(self, name: RecordFile, record: Record) -> None:
         """Write a record to a file."""
         self._record(name, record)
--- a/rosewheel/lab/simulation/host.py
+++ b/rosewheel/lab/simulation/host.py
@@ -87,12 +87,10 @@
         self.work: dict[int, SimulatedWork] = {}
         self._faults = ConnectionFaults()
         self._started_ms = queue.now
-        self._earlier_uptime_ms = 0.0  # of previous processes
-        self._earlier_work_ms = 0.0  # of previous processes
+        self._earlier_uptime_ms = 0.0  # uptime of the previous processes
+        self._earlier_work_ms = 0.0  # work done by the previous processes
         self._armed_ms = math.inf  # time of the scheduled `_tick`
-        self._due_ms = self.model.next_due_ms()  # as of the last event of the model
-
-    # ----------------------------------------------------------- connections
+        self._due_ms = self.model.next_due_ms()  # `next_due_ms()` after the last event of the model
 
     def connection_opened(self, connection: Connection) -> None:
         """Add a connection that a node has opened."""
@@ -180,14 +178,12 @@
         self.model.connection_closed(self.queue.now)
         self.queue.call_later(connection.one_way_ms, connection.node.connection_reset, connection)
 
-    # ----------------------------------------------------------------- faults
-
     def begin_fault(self, number: int, fault: ConnectionFault) -> None:
-        """Affect a share of the open connections and of those opened until `end_fault`."""
+        """Activate a fault that affects a share of the open connections and of those opened later."""
         self._faults.begin(number, fault, self.connections)
 
     def end_fault(self, number: int) -> None:
-        """Stop affecting new connections. Those already affected remain so."""
+        """Stop affecting new connections; connections already affected remain so until they close."""
         self._faults.end(number)
 
     def isolate(self) -> None:
@@ -243,10 +239,8 @@
         work_ms = self._earlier_work_ms + self.model.work_done_ms
         return work_ms / (uptime_ms * self.spec.cores * self.spec.speed) if uptime_ms > 0.0 else 0.0
 
-    # ------------------------------------------------------------------ timer
-
     def arm(self) -> None:
-        """Schedule the next tick of the model, unless one is scheduled before it. Called after each event."""
+        """Schedule the next tick of the model, unless an earlier one is scheduled. Called after each event."""
         self._due_ms = due_ms = self.model.next_due_ms()
         if due_ms < self._armed_ms:
             self._armed_ms = due_ms
--- a/rosewheel/lab/simulation/network.py
+++ b/rosewheel/lab/simulation/network.py
@@ -24,7 +24,7 @@
 
     Attributes:
         operation_id: id of the client operation, or of the call of a server.
-        work_ms: work over all tiers.
+        total_work_ms: work over all tiers.
         dedup_key: key by which servers detect duplicates, if the class is idempotent with a key.
         timeout_ms: time that the sender waits for the response.
         on_done: called with the outcome.
@@ -34,7 +34,7 @@
     request_id: str
     class_name: str
     operation_id: str
-    work_ms: float
+    total_work_ms: float
     dedup_key: str
     timeout_ms: float
     on_done: Callable[[AttemptOutcome], None]
--- a/rosewheel/lab/simulation/node.py
+++ b/rosewheel/lab/simulation/node.py
@@ -75,8 +75,6 @@
         self._armed_ms = math.inf
         self.queue.call_later(SWEEP_INTERVAL_S * 1000.0, self._sweep)
 
-    # ----------------------------------------------------------------- clients
-
     def submit(self, request: NodeRequest) -> None:
         """Send a request to the node, which receives it one delay later."""
         self.queue.call_later(ONE_WAY_MS, self._receive, request)
@@ -103,8 +101,6 @@
             del self.requests[request.request_id]
             self.apply(self.node.client_disconnected(self.queue.now, request.request_id))
 
-    # --------------------------------------------------------------- discovery
-
     def receive_endpoint_list(self, form: EndpointListForm, servers: tuple[Server, ...]) -> None:
         """Apply an endpoint list, or changes to it, from discovery."""
         if self.dead:
@@ -112,8 +108,6 @@
         self.pools.update(form, servers)
         self.apply(self.node.update_endpoints(self.queue.now, form, servers))
 
-    # ---------------------------------------------------------------- attempts
-
     def apply(self, effects: list[NodeEffect]) -> None:
         """Carry out the effects that the request handling has returned, and schedule its next timer."""
         for effect in effects:
@@ -257,8 +251,6 @@
             self.pools.sweep()
             self.queue.call_later(SWEEP_INTERVAL_S * 1000.0, self._sweep)
 
-    # ----------------------------------------------------------- health checks
-
     def _start_health_check(self, server: str) -> None:
         delay_ms = self._delay_to(self.environment.hosts.get(server))
         self.queue.call_later(delay_ms, self._check_health, server, self.queue.now)
@@ -280,8 +272,6 @@
             elapsed_ms = self.queue.now - started_ms
             self.apply(self.node.health_check_finished(self.queue.now, server, result, elapsed_ms, report))
 
-    # ----------------------------------------------------------------- network
-
     def _one_way_ms(self, host: SimulatedServerHost) -> float:
         return self.environment.topology.one_way_ms(self.zone, host.spec.zone)
 
@@ -291,8 +281,6 @@
     def _is_partitioned_from(self, host: SimulatedServerHost) -> bool:
         return self.environment.topology.separated(self.zone, host.spec.zone)
 
-    # ----------------------------------------------------------------- process
-
     def restore(self, learned: LearnedState, age_ms: float) -> None:
         """Restore the learned state of an earlier process.
 
--- a/rosewheel/lab/simulation/requests.py
+++ b/rosewheel/lab/simulation/requests.py
@@ -96,8 +96,6 @@
         self._call_rng = random_stream(self.plan.seed, "run", "calls")
         self._last_job_id = 0
 
-    # ---------------------------------------------------------------- arrival
-
     def accept_request(
         self, host: SimulatedServerHost, connection: Connection, attempt: Attempt
     ) -> SimulatedWork:
@@ -118,7 +116,9 @@
     ) -> Job:
         spec, table = host.spec, self._classes[request.class_name]
         parameters = self._parameters[request.class_name]
-        segments_ms = work_segments(self.plan, spec, parameters, request.work_ms, self._noise_rng, call_count)
+        segments_ms = work_segments(
+            self.plan, spec, parameters, request.total_work_ms, self._noise_rng, call_count
+        )
         if connection.request_count == 1:
             segments_ms = (segments_ms[0] + spec.handshake_work_ms, *segments_ms[1:])
         self._last_job_id += 1
@@ -148,8 +148,6 @@
             )
             self.fleet.record(RecordFile.SERVERS, record)
 
-    # ---------------------------------------------------------------- actions
-
     def apply_actions(self, host: SimulatedServerHost, actions: list[Action]) -> None:
         """Carry out the actions that the model of a server has returned."""
         for action in actions:
@@ -206,8 +204,6 @@
         )
         self.fleet.record(RecordFile.SERVERS, record)
 
-    # ------------------------------------------------------------------ calls
-
     def _send_call(self, host: SimulatedServerHost, work: SimulatedWork, number: int) -> None:
         """Send a call to another tier through the local node for that tier."""
         request, job = work.attempt.request, work.job
@@ -225,7 +221,7 @@
             request_id=f"{request.request_id}.{job.id}.{number}",
             class_name=request.class_name,
             operation_id=dedup_key if keyed else f"{request.operation_id}/{job.id}.{number}",
-            work_ms=request.work_ms,
+            total_work_ms=request.total_work_ms,
             dedup_key=dedup_key,
             timeout_ms=float(max(1, int(time_left_ms))),
             on_done=call.finish,
--- a/rosewheel/lab/simulation/simulate.py
+++ b/rosewheel/lab/simulation/simulate.py
@@ -28,7 +28,7 @@
 START_DELAY_MS = 500.0  # time between the start of the last node and the beginning of the plan
 RUN_STEP_MS = 100.0  # virtual time between two calls of the progress function
 AFTER_RESTART_MS = 10_000.0  # time after the restart of a node over which service is measured
-MAX_TAIL_MS = 120_000.0  # limit of the time after the plan in which operations may finish
+MAX_TAIL_MS = 120_000.0  # maximum time after the end of the plan until all operations have finished
 DIGEST_BYTES = 8
 
 Progress = Callable[[float, int, float], None]  # simulated s, number of events, wall-clock s
@@ -82,8 +82,8 @@
     """
     for index, fault in enumerate(scenario.faults):
         if fault.killed_process:
-            why = "a process that is killed in the middle of an upgrade is not simulated"
-            raise InvalidFileError(scenario.name, [Problem(f"trouble[{index}].kills", None, why)])
+            message = "a process that is killed in the middle of an upgrade is not simulated"
+            raise InvalidFileError(scenario.name, [Problem(f"trouble[{index}].kills", None, message)])
 
 
 class Simulation:
--- a/rosewheel/lab/simulation/statistics.py
+++ b/rosewheel/lab/simulation/statistics.py
@@ -50,7 +50,7 @@
 
     Attributes:
         offered_weight: weight of all operations, by bins of the planned time.
-        earned_weight: weight of operations served in time, by bins of the planned time.
+        in_time_weight: weight of the operations served in time, by bins of the planned time.
         rejections: number of rejected attempts, by bins of the end of the attempt.
         latency: latency histogram by class.
         counts: numbers of operations by class.
@@ -60,7 +60,7 @@
     def __init__(self, plan: Plan) -> None:
         self.plan = plan
         bins = int(plan.scenario.seconds * 1000.0 / BIN_MS) + 1
-        self.offered_weight, self.earned_weight = [0.0] * bins, [0.0] * bins
+        self.offered_weight, self.in_time_weight = [0.0] * bins, [0.0] * bins
         self.rejections = [0] * bins
         names = [row.name for row in plan.scenario.classes]
         self.latency = {name: HdrHistogram(1, MAX_LATENCY_MS, LATENCY_SIGNIFICANT_DIGITS) for name in names}
@@ -78,7 +78,7 @@
         weight = operation.table.priority_weight * arrival.work_ms
         planned_bin = int(arrival.at_ms / BIN_MS)
         self.offered_weight[planned_bin] += weight
-        self.earned_weight[planned_bin] += weight * in_time
+        self.in_time_weight[planned_bin] += weight * in_time
         if served:
             latency_ms = max(1, round(last.ended_ms - arrival.at_ms))
             self.latency[arrival.class_name].record_value(latency_ms)
@@ -96,7 +96,7 @@
         """
         first, last = round(begin_ms / BIN_MS), round(end_ms / BIN_MS)
         offered = sum(self.offered_weight[first:last])
-        return sum(self.earned_weight[first:last]) / offered if offered else 1.0
+        return sum(self.in_time_weight[first:last]) / offered if offered else 1.0
 
     @property
     def measured_span(self) -> tuple[float, float]:
--- a/rosewheel/lab/simulation/topology.py
+++ b/rosewheel/lab/simulation/topology.py
@@ -13,9 +13,8 @@
     def __init__(self, scenario: Scenario) -> None:
         self.network = scenario.network
         self._region = {zone: region.name for region in scenario.regions for zone in region.zones}
-        self._isolated: dict[
-            int, frozenset[str]
-        ] = {}  # zones that each fault cuts off, by index of the fault
+        # Zones that each fault cuts off, by index of the fault.
+        self._isolated: dict[int, frozenset[str]] = {}
 
     def one_way_ms(self, source: str, destination: str) -> float:
         """Return the delay from one zone to another, including processing at both ends."""
