--- a/rosewheel/lab/soak/clients.py
+++ b/rosewheel/lab/soak/clients.py
@@ -41,7 +41,7 @@
     Attributes:
         status: Status code.
         body: Body without the chunked encoding.
-        closes: Whether the node announced to close the connection.
+        closes: Whether the node announced that it closes the connection.
     """
 
     status: int
--- a/rosewheel/lab/soak/discovery.py
+++ b/rosewheel/lab/soak/discovery.py
@@ -76,7 +76,7 @@
         server, health = self._servers[name]
         dial = f"127.0.0.1:{server.ports[number]}"
         entry = {"host": name, "dial": dial, "site": "a", "class": "m", "block": 0, "share": 1.0}
-        return entry | {"health": health, "born_ms": server.born_ms}
+        return entry | {"health": health, "born_ms": server.launched_ms}
 
     def _handler(
         self, number: int
--- a/rosewheel/lab/soak/plan.py
+++ b/rosewheel/lab/soak/plan.py
@@ -92,8 +92,8 @@
 
 def select_faults(plan: SoakPlan, numbers: Collection[int]) -> SoakPlan:
     """Return the plan with only the faults of these numbers, to narrow down a violation."""
-    kept = tuple(fault for number, fault in enumerate(plan.faults) if number in numbers)
-    return msgspec.structs.replace(plan, faults=kept)
+    selected = tuple(fault for number, fault in enumerate(plan.faults) if number in numbers)
+    return msgspec.structs.replace(plan, faults=selected)
 
 
 def encode_plan(plan: SoakPlan) -> bytes:
--- a/rosewheel/lab/soak/records.py
+++ b/rosewheel/lab/soak/records.py
@@ -42,7 +42,7 @@
         is_reused: Whether the connection had carried a request before.
         sent_s: When the last byte was written; None before that.
         disconnected_s: When the client closed or half-closed the connection; None if it did not.
-        closed_s: When the client saw the connection end without a response; None if it did not.
+        closed_s: When the connection ended without a response; None if it did not.
         responses: Time, status and body of each response.
     """
 
@@ -84,12 +84,12 @@
 
 @dataclass(slots=True)
 class NodeExit:
-    """The exit of a node process that was asked to stop or killed.
+    """The exit of a node process after SIGTERM or SIGKILL.
 
     Attributes:
         node: Name of the node process.
         term_s: When SIGTERM was sent; None if only SIGKILL was sent.
-        exited_s: When the process was seen to have exited.
+        exited_s: When the exit of the process was detected.
         exit_code: Exit code; negative for a signal.
     """
 
--- a/rosewheel/lab/soak/run.py
+++ b/rosewheel/lab/soak/run.py
@@ -24,7 +24,7 @@
 DOWN_S = 0.5  # time from the crash of a server to its restart, and between attempts to restart it
 SETTLE_S = 4.5  # time for abandoned requests to end
 LAG_POLL_S = 0.01
-MAX_LISTED = 12  # violations listed in the result
+MAX_LISTED_VIOLATIONS = 12
 SERVER_FAULTS = (
     FaultKind.SERVER_HANG,
     FaultKind.SERVER_RESET,
@@ -68,7 +68,7 @@
         lag_task = asyncio.create_task(self._measure_lag())
         await self._discovery.start(self.plan.nodes)
         for _ in range(SERVERS):
-            await self._add_server(is_cold=False)
+            await self._add_server(warming_up=False)
         for node in self._nodes:
             self._write_config(node, {})
         await asyncio.gather(*(node.start() for node in self._nodes))
@@ -113,11 +113,11 @@
         known = self._discovery.endpoint_list(node.number)
         node.write_config(self._discovery.ports[node.number], known, changes)
 
-    async def _add_server(self, is_cold: bool) -> SoakServer:
+    async def _add_server(self, warming_up: bool) -> SoakServer:
         server = SoakServer(f"s{self._started_servers}", self.records, self._node_name, self._fork_rng())
         self._started_servers += 1
-        if is_cold:
-            server.born_ms = int(time.time() * 1000.0)
+        if warming_up:
+            server.launched_ms = int(time.time() * 1000.0)
         await server.start(self.plan.nodes)
         self._servers.append(server)
         self._discovery.set_state(server, "active")
@@ -182,7 +182,7 @@
             return
         self._servers.remove(server)
         self._discovery.set_state(server, "leaving")
-        await self._add_server(is_cold=True)
+        await self._add_server(warming_up=True)
         await asyncio.sleep(DRAIN_S)
         self._discovery.set_state(server, "left")
         await asyncio.sleep(SETTLE_S)
@@ -194,7 +194,7 @@
         server.crash()
         await asyncio.sleep(DOWN_S)
         if server in self._servers:
-            server.born_ms = int(time.time() * 1000.0)
+            server.launched_ms = int(time.time() * 1000.0)
             while not await self._try_start(server):
                 await asyncio.sleep(DOWN_S)
             self._discovery.set_state(server, "active")
@@ -240,5 +240,5 @@
         "statuses": dict(statuses),
         "max_lag_s": round(records.max_lag_s, 3),
         "rules": dict(rules),
-        "breaches": [f"{v.rule} {v.subject}: {v.detail}" for v in violations[:MAX_LISTED]],
+        "breaches": [f"{v.rule} {v.subject}: {v.detail}" for v in violations[:MAX_LISTED_VIOLATIONS]],
     }
--- a/rosewheel/lab/soak/servers.py
+++ b/rosewheel/lab/soak/servers.py
@@ -51,7 +51,7 @@
         node_name: Returns the name of a node process by the number of the node.
         rng: Random generator of service times and faults.
         faults: Active faults.
-        born_ms: Time of the last start in Unix milliseconds; 0 if it was long ago.
+        launched_ms: Start of the server in ms since the Unix epoch; 0 if it was started with the fleet.
         ports: Ports of the listeners by the number of the node.
     """
 
@@ -60,7 +60,7 @@
     node_name: NodeName
     rng: random.Random
     faults: set[FaultKind] = field(default_factory=set)
-    born_ms: int = 0
+    launched_ms: int = 0
     ports: list[int] = field(default_factory=list)
     _listeners: list[asyncio.Server] = field(default_factory=list)
     _writers: set[asyncio.StreamWriter] = field(default_factory=set)
