--- a/rosewheel/lab/experiment.py
+++ b/rosewheel/lab/experiment.py
@@ -13,7 +13,7 @@
 from rosewheel.config.errors import InvalidFileError, Problem
 from rosewheel.lab import plan as plans
 from rosewheel.lab import scenario as scenarios
-from rosewheel.lab.fault_table import ZONE_FAULT_KINDS
+from rosewheel.lab.fault_table import WHOLE_ZONE_FAULT_KINDS
 from rosewheel.lab.run import ExperimentRun
 from rosewheel.lab.scenario import Scenario
 from rosewheel.lab.tables import NetworkTable
@@ -61,11 +61,11 @@
         "network": scenario.network != NetworkTable(),
     }
     for index, fault in enumerate(scenario.faults):
-        simulated_only[f"trouble[{index}].kind"] = fault.kind in ZONE_FAULT_KINDS
+        simulated_only[f"trouble[{index}].kind"] = fault.kind in WHOLE_ZONE_FAULT_KINDS
     for key, present in simulated_only.items():
         if present:
-            why = "services, regions, network delays and zone faults are supported only by `simulate`"
-            raise InvalidFileError(scenario.name, [Problem(key, None, why)])
+            message = "services, regions, network delays and zone faults are supported only by `simulate`"
+            raise InvalidFileError(scenario.name, [Problem(key, None, message)])
 
 
 def parse_value(text: str) -> object:
--- a/rosewheel/lab/fault_table.py
+++ b/rosewheel/lab/fault_table.py
@@ -56,10 +56,10 @@
 
 
 # Faults that affect everything in a zone or region.
-ZONE_FAULT_KINDS = (FaultKind.ZONE_LOSS, FaultKind.ZONE_PARTITION)
+WHOLE_ZONE_FAULT_KINDS = (FaultKind.ZONE_LOSS, FaultKind.ZONE_PARTITION)
 # Faults that may be restricted to a zone or region.
-ZONAL_FAULT_KINDS = (
-    *ZONE_FAULT_KINDS,
+ZONE_RESTRICTABLE_FAULT_KINDS = (
+    *WHOLE_ZONE_FAULT_KINDS,
     FaultKind.SLOW,
     FaultKind.NEIGHBOUR,
     FaultKind.ERRORS,
@@ -187,9 +187,9 @@
         if self.zone and self.region:
             raise InvalidValueError("region", "must not be given together with zone")
         place = "zone" if self.zone else "region" if self.region else ""
-        if place and self.kind not in ZONAL_FAULT_KINDS:
+        if place and self.kind not in ZONE_RESTRICTABLE_FAULT_KINDS:
             raise InvalidValueError(place, f"a fault of kind {kind} cannot be restricted to a {place}")
-        if self.kind not in ZONE_FAULT_KINDS:
+        if self.kind not in WHOLE_ZONE_FAULT_KINDS:
             return
         if not place:
             raise InvalidValueError("zone", f"a fault of kind {kind} needs a zone or a region")
--- a/tests/lab/test_simulation.py
+++ b/tests/lab/test_simulation.py
@@ -18,7 +18,7 @@
 from rosewheel.config.errors import InvalidFileError
 from rosewheel.lab import invariant_checker, plan, scenario
 from rosewheel.lab.discovery_delays import DiscoveryChange
-from rosewheel.lab.fault_table import ZONE_FAULT_KINDS, FaultKind
+from rosewheel.lab.fault_table import WHOLE_ZONE_FAULT_KINDS, FaultKind
 from rosewheel.lab.outcomes import AttemptOutcome
 from rosewheel.lab.scenario import Scenario
 from rosewheel.lab.simulation.clients import SimulatedOperation
@@ -124,7 +124,9 @@
 
 SERVER_FAULTS = st.fixed_dictionaries(
     {
-        "kind": st.sampled_from([kind for kind in FaultKind if kind not in ("faults", *ZONE_FAULT_KINDS)]),
+        "kind": st.sampled_from(
+            [kind for kind in FaultKind if kind not in ("faults", *WHOLE_ZONE_FAULT_KINDS)]
+        ),
         "at_s": st.floats(0.5, 5.0),
         "for_s": st.floats(0.2, 4.0),
         "size": st.sampled_from([0.4, 0.9]),
@@ -134,7 +136,7 @@
 )
 ZONE_FAULTS = st.fixed_dictionaries(
     {
-        "kind": st.sampled_from(ZONE_FAULT_KINDS),
+        "kind": st.sampled_from(WHOLE_ZONE_FAULT_KINDS),
         "at_s": st.floats(0.5, 5.0),
         "for_s": st.floats(0.2, 4.0),
         "zone": st.just("sala"),
