--- a/rosewheel/lab/connection_faults.py
+++ b/rosewheel/lab/connection_faults.py
@@ -46,15 +46,17 @@
     def __init__(self) -> None:
         self._active: dict[int, ConnectionFault] = {}
 
-    def begin(self, number: int, fault: ConnectionFault, connections: Iterable[FaultableConnection]) -> None:
+    def begin(
+        self, fault_index: int, fault: ConnectionFault, connections: Iterable[FaultableConnection]
+    ) -> None:
         """Activate a fault: it affects a share of the open connections and of those opened later."""
-        self._active[number] = fault
+        self._active[fault_index] = fault
         for connection in connections:
             _affect(connection, fault)
 
-    def end(self, number: int) -> None:
+    def end(self, fault_index: int) -> None:
         """Stop affecting new connections; connections already affected remain so until they close."""
-        self._active.pop(number, None)
+        self._active.pop(fault_index, None)
 
     def affect_new(self, connection: FaultableConnection) -> None:
         """Decide at random which active fault, if any, affects a new connection."""
--- a/rosewheel/lab/emulator_child.py
+++ b/rosewheel/lab/emulator_child.py
@@ -21,16 +21,16 @@
 EXIT_TIMEOUT_S = 10.0
 
 
-class EmulatorReady(msgspec.Struct, frozen=True):
+class EmulatorReady(msgspec.Struct, frozen=True, rename={"initial_endpoints": "known"}):
     """Message of the child: its servers are ready.
 
     Attributes:
         agents: addresses of the discovery agents by name of the node.
-        known: endpoint list of discovery.
+        initial_endpoints: endpoint list, as a discovery message.
     """
 
     agents: dict[str, Address]
-    known: dict[str, Any]
+    initial_endpoints: dict[str, Any]
 
 
 class StartClock(msgspec.Struct, frozen=True, rename={"start_ms": "t0"}):
--- a/rosewheel/lab/emulator_process.py
+++ b/rosewheel/lab/emulator_process.py
@@ -51,12 +51,12 @@
 
 
 async def _start_agents(emulator: Emulator, count: int) -> EmulatorReady:
-    agents, known = {}, {}
+    agents, initial_endpoints = {}, {}
     for number in range(count):
         agent = emulator.fleet.add_agent(f"n{number}")
         agents[agent.node] = await agent.start()
-        known = agent.snapshot_record()
-    return EmulatorReady(agents, known)
+        initial_endpoints = agent.snapshot_record()
+    return EmulatorReady(agents, initial_endpoints)
 
 
 def main() -> int:
--- a/rosewheel/lab/fault_injector.py
+++ b/rosewheel/lab/fault_injector.py
@@ -27,10 +27,10 @@
     def arm(self) -> None:
         """Set the timer to the next event of the model."""
 
-    def begin_fault(self, number: int, fault: ConnectionFault) -> None:
-        """Activate a fault that affects a share of the connections."""
+    def begin_fault(self, fault_index: int, fault: ConnectionFault) -> None:
+        """Activate a fault that affects a share of the open connections and of those opened later."""
 
-    def end_fault(self, number: int) -> None:
+    def end_fault(self, fault_index: int) -> None:
         """Stop affecting new connections."""
 
 
@@ -45,7 +45,7 @@
 
     def inject(self, step: FaultStep) -> None:
         """Record one fault step and inject it."""
-        fault = self.plan.scenario.faults[step.fault]
+        fault = self.plan.scenario.faults[step.fault_index]
         self.record_step(fault.kind, step)
         targets = [self.hosts[name] for name in step.targets if name in self.hosts]
         now = self.now_ms()
@@ -120,11 +120,11 @@
                 if name in step.targets:
                     self.set_accepting(host, not begins)
             elif begins:
-                rng = random_stream(self.plan.seed, "run", "fault", step.fault, name)
+                rng = random_stream(self.plan.seed, "run", "fault", step.fault_index, name)
                 connection_fault = ConnectionFault(fault.connection_fault, fault.share, fault.delay_ms, rng)
-                host.begin_fault(step.fault, connection_fault)
+                host.begin_fault(step.fault_index, connection_fault)
             else:
-                host.end_fault(step.fault)
+                host.end_fault(step.fault_index)
 
     @abstractmethod
     def now_ms(self) -> float:
--- a/rosewheel/lab/node_settings.py
+++ b/rosewheel/lab/node_settings.py
@@ -55,7 +55,7 @@
 
 
 def node_configuration(
-    plan: Plan, tier: int, balancer_count: int, seed: int, known: dict[str, Any]
+    plan: Plan, tier: int, balancer_count: int, seed: int, initial_endpoints: dict[str, Any]
 ) -> dict[str, Any]:
     """Return the configuration of a node process, without its addresses.
 
@@ -64,13 +64,13 @@
         tier: index of the tier to which the node sends requests.
         balancer_count: number of nodes that send requests to the tier.
         seed: seed of the node.
-        known: initial endpoint list, as a discovery message.
+        initial_endpoints: endpoint list, as a discovery message.
     """
     nodes = plan.scenario.nodes
     return {
         "seed": f"{seed:x}",
         "limits": {"memory_mb": nodes.memory_mb, "sockets": nodes.sockets},
-        "known": known,
+        "known": initial_endpoints,
         "settings": platform_settings(plan, tier, balancer_count),
     }
 
--- a/rosewheel/lab/plan.py
+++ b/rosewheel/lab/plan.py
@@ -52,13 +52,15 @@
     def fault_duration_ms(self, step: FaultStep) -> float:
         """Return the time from this step to the end of its fault; 0 if the fault has no end."""
         ends = [
-            other.at_ms for other in self.steps if other.fault == step.fault and other.phase is FaultPhase.END
+            other.at_ms
+            for other in self.steps
+            if other.fault_index == step.fault_index and other.phase is FaultPhase.END
         ]
         return ends[0] - step.at_ms if ends else 0.0
 
 
 def make(scenario: Scenario, seed: int | None = None) -> Plan:
-    """Return the plan of a scenario for this seed; for None, for the seed of the scenario."""
+    """Return the plan of a scenario; if the seed is None, the seed of the scenario is used."""
     seed = scenario.seed if seed is None else seed
     servers = tuple(draw_servers(scenario, seed))
     steps, deployed_servers = schedule_faults(scenario, seed, servers)
--- a/rosewheel/lab/plan_codec.py
+++ b/rosewheel/lab/plan_codec.py
@@ -119,7 +119,7 @@
 def _step(step: FaultStep) -> dict[str, object]:
     return {
         "at_ms": step.at_ms,
-        "trouble": step.fault,
+        "trouble": step.fault_index,
         "what": step.phase.value,
         "equipos": step.targets,
         "size": step.size,
--- a/rosewheel/lab/plan_faults.py
+++ b/rosewheel/lab/plan_faults.py
@@ -13,8 +13,8 @@
 from rosewheel.lab.server_model import ServerSpec
 from rosewheel.lab.tables import Range
 
-REPLACEMENT_SPEED = (0.9, 1.1)  # speed of a replacement as a factor of the replaced server's speed
-NEIGHBOUR_PHASE = (0.5, 1.5)  # length of a phase of a noisy neighbour as a factor of the mean
+REPLACEMENT_SPEED = (0.9, 1.1)  # speed of a replacement as a multiple of that of the replaced server
+NEIGHBOUR_PHASE = (0.5, 1.5)  # length of a phase of a noisy neighbour as a multiple of the mean
 
 
 class FaultPhase(StrEnum):
@@ -35,14 +35,14 @@
 
     Attributes:
         at_ms: time from the start of the plan.
-        fault: index of the fault in the scenario.
+        fault_index: index of the fault in the scenario.
         targets: names of the affected servers; for `node-loss` and `front-shift` of the affected nodes.
         size: drawn size of the fault.
         share: `share` of the fault's table.
     """
 
     at_ms: float
-    fault: int
+    fault_index: int
     phase: FaultPhase
     targets: tuple[str, ...] = ()
     size: float = 0.0
@@ -63,7 +63,7 @@
     scheduler = _FaultScheduler(scenario, seed, servers)
     for index, fault in enumerate(scenario.faults):
         scheduler.add(index, fault)
-    steps = sorted(scheduler.steps, key=lambda step: (step.at_ms, step.fault))
+    steps = sorted(scheduler.steps, key=lambda step: (step.at_ms, step.fault_index))
     return tuple(steps), tuple(scheduler.deployed)
 
 
@@ -81,7 +81,7 @@
     size: float
 
     def draw(self, value: Range, key: str) -> float:
-        """Draw from a range by the random stream of this fault and key."""
+        """Draw from a range with the random stream of this fault and key."""
         return draw_range(value, self.seed, "trouble", self.index, key)
 
 
--- a/rosewheel/lab/random_streams.py
+++ b/rosewheel/lab/random_streams.py
@@ -28,7 +28,7 @@
 
 
 def draw_range(value: Range, seed: int, *names: object) -> float:
-    """Return a uniform draw from a range by the stream of these names; a single number is returned unchanged."""
+    """Return a uniform draw from a range with the stream of these names; a single number is returned unchanged."""
     if not isinstance(value, tuple):
         return float(value)
     return float(random_stream(seed, *names).uniform(value[0], value[1]))
--- a/rosewheel/lab/run.py
+++ b/rosewheel/lab/run.py
@@ -91,7 +91,7 @@
 
     def _inject(self, step: FaultStep, load: LoadGenerator) -> None:
         """Inject a fault step of nodes or clients; the emulator injects all others."""
-        fault, begins = self.plan.scenario.faults[step.fault], step.phase is FaultPhase.BEGIN
+        fault, begins = self.plan.scenario.faults[step.fault_index], step.phase is FaultPhase.BEGIN
         match fault.kind:
             case FaultKind.CLIENT_SHIFT:
                 load.dispatcher.allowed_nodes = step.targets if begins else ()
--- a/rosewheel/lab/run_nodes.py
+++ b/rosewheel/lab/run_nodes.py
@@ -78,7 +78,7 @@
             name,
             self.folder / "nodes",
             self._ready.agents[name],
-            node_configuration(self.plan, 0, count, seed, self._ready.known),
+            node_configuration(self.plan, 0, count, seed, self._ready.initial_endpoints),
             self._sockets.get(name),
             admin=True,
             predecessor=predecessor,
@@ -93,19 +93,19 @@
             match fault.kind:
                 case FaultKind.NODE_UPGRADE:
                     self.records.write(NodeUpgradeRecord(at_ms, name))
-                    self._run_task(self._upgrade(name, step.fault))
+                    self._run_task(self._upgrade(name, step.fault_index))
                     continue
                 case FaultKind.NODE_CRASH:
                     self.records.write(NodeCrashRecord(at_ms, name))
                 case _:
                     self.records.write(NodeLossRecord(at_ms, name))
             down_s = self.plan.fault_duration_ms(step) / 1000.0
-            work = self._crash(name, down_s)
+            crash = self._crash(name, down_s)
             self.records.write(NodeKilledRecord(self.clock.plan_time(), name))
-            self._run_task(work)
+            self._run_task(crash)
 
-    def _run_task(self, work: Coroutine[None, None, None]) -> None:
-        task = asyncio.get_running_loop().create_task(work)
+    def _run_task(self, coroutine: Coroutine[None, None, None]) -> None:
+        task = asyncio.get_running_loop().create_task(coroutine)
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
@@ -116,10 +116,10 @@
         old.kill(keep_address=True)
         self._replaced.append(old)
         await asyncio.sleep(down_s)
-        self._forget_learned_state(old)
+        self._delete_learned_state(old)
         self.processes[name] = self._new_process(name, predecessor=old)
         if await self.processes[name].wait_healthy():
-            self._record_back(name)
+            self._record_ready(name)
 
     async def _upgrade(self, name: str, fault_index: int) -> None:
         """Start a new process of a node, and stop the old one when the new one is healthy.
@@ -129,7 +129,7 @@
         killed = self.plan.scenario.faults[fault_index].killed_process
         kill_delay_s = self._draw_kill_delay_s(fault_index)
         old = self.processes[name]
-        self._forget_learned_state(old)
+        self._delete_learned_state(old)
         new = self._new_process(name)
         if killed is KilledProcess.STARTING:
             await asyncio.sleep(kill_delay_s)
@@ -138,7 +138,7 @@
         self.processes[name] = new
         self._replaced.append(old)
         await self._wait_admin_healthy(new)
-        self._record_back(name)
+        self._record_ready(name)
         self.ended_cpu_s += old.cpu_s()
         old.terminate()
         if killed:
@@ -167,7 +167,7 @@
                 return
             await asyncio.sleep(HEALTH_POLL_S)
 
-    def _forget_learned_state(self, process: NodeProcess) -> None:
+    def _delete_learned_state(self, process: NodeProcess) -> None:
         """Delete the snapshot of the learned state of a process, unless the scenario keeps it."""
         if not self.plan.scenario.nodes.keep_learned_state:
             (process.folder / "tmp" / snapshots.SNAPSHOT_NAME).unlink(missing_ok=True)
@@ -176,7 +176,7 @@
         self.records.write(NodeKilledRecord(self.clock.plan_time(), process.name))
         process.kill()
 
-    def _record_back(self, name: str) -> None:
+    def _record_ready(self, name: str) -> None:
         self.records.write(NodeReadyRecord(self.clock.plan_time(), name))
 
     def record_resources(self) -> None:
--- a/rosewheel/lab/run_tables.py
+++ b/rosewheel/lab/run_tables.py
@@ -81,7 +81,7 @@
         client_shares: relative weights of the first nodes in the clients' choice; all other nodes have weight 1.
         notice_ms: time until clients notice that a node is down or ready again.
         keep_learned_state: whether a restarted node restores the learned state of its previous process.
-        start_spread_s: `simulate`: interval over which the starts of the nodes, and thus their timers, are spread.
+        start_spread_s: in `simulate`, interval over which the starts of the nodes, and thus their timers, are spread.
     """
 
     count: Count = 2
--- a/rosewheel/lab/server_host.py
+++ b/rosewheel/lab/server_host.py
@@ -195,13 +195,13 @@
             filler.close()
         self._queue_fillers.clear()
 
-    def begin_fault(self, number: int, fault: ConnectionFault) -> None:
+    def begin_fault(self, fault_index: int, fault: ConnectionFault) -> None:
         """Activate a fault that affects a share of the open connections and of those opened later."""
-        self._faults.begin(number, fault, self.connections)
+        self._faults.begin(fault_index, fault, self.connections)
 
-    def end_fault(self, number: int) -> None:
-        """Stop affecting new connections."""
-        self._faults.end(number)
+    def end_fault(self, fault_index: int) -> None:
+        """Stop affecting new connections; connections already affected remain so until they close."""
+        self._faults.end(fault_index)
 
     def connection_opened(self, connection: HostConnection) -> None:
         """Add a connection that a client has opened."""
--- a/rosewheel/lab/simulation/host.py
+++ b/rosewheel/lab/simulation/host.py
@@ -178,13 +178,13 @@
         self.model.connection_closed(self.queue.now)
         self.queue.call_later(connection.one_way_ms, connection.node.connection_reset, connection)
 
-    def begin_fault(self, number: int, fault: ConnectionFault) -> None:
+    def begin_fault(self, fault_index: int, fault: ConnectionFault) -> None:
         """Activate a fault that affects a share of the open connections and of those opened later."""
-        self._faults.begin(number, fault, self.connections)
+        self._faults.begin(fault_index, fault, self.connections)
 
-    def end_fault(self, number: int) -> None:
+    def end_fault(self, fault_index: int) -> None:
         """Stop affecting new connections; connections already affected remain so until they close."""
-        self._faults.end(number)
+        self._faults.end(fault_index)
 
     def isolate(self) -> None:
         """Cut the machine off from the network. Nothing is received on open connections, and no new ones open."""
--- a/rosewheel/lab/simulation/outages.py
+++ b/rosewheel/lab/simulation/outages.py
@@ -22,7 +22,7 @@
         """Lose all machines of the zones at once, including those of nodes."""
         fleet, zones = self.fleet, self._zones(step)
         lost = [host for host in fleet.hosts.values() if host.spec.zone in zones and host.listening]
-        self._lost_hosts[step.fault] = lost
+        self._lost_hosts[step.fault_index] = lost
         for host in lost:
             host.catch_up(fleet.queue.now)
             fleet.requests.record_lost_jobs(host)
@@ -35,7 +35,7 @@
 
     def restore_zones(self, step: FaultStep) -> None:
         """Restart the lost servers, which warm up."""
-        for host in self._lost_hosts.pop(step.fault, ()):
+        for host in self._lost_hosts.pop(step.fault_index, ()):
             self.fleet.stop(host, DiscoveryChange.SERVER_DIED)
             self.fleet.launch(host)
 
@@ -44,9 +44,9 @@
         fleet, zones = self.fleet, self._zones(step)
         separated_before = {host: self._separated_connections(host) for host in fleet.hosts.values()}
         if partitioned:
-            fleet.topology.isolate(step.fault, zones)
+            fleet.topology.isolate(step.fault_index, zones)
         else:
-            fleet.topology.heal(step.fault)
+            fleet.topology.heal(step.fault_index)
         for host, before in separated_before.items():
             after = self._separated_connections(host)
             changed = (
@@ -71,7 +71,7 @@
 
     def _zones(self, step: FaultStep) -> frozenset[str]:
         scenario = self.fleet.plan.scenario
-        return frozenset(fault_zones(scenario, scenario.faults[step.fault]))
+        return frozenset(fault_zones(scenario, scenario.faults[step.fault_index]))
 
     def _separated_connections(self, host: SimulatedServerHost) -> list[Connection]:
         """Return the connections of a host that cross a partition."""
--- a/rosewheel/lab/simulation/simulate.py
+++ b/rosewheel/lab/simulation/simulate.py
@@ -113,7 +113,7 @@
         )
         injector = SimulatedFaultInjector(self.fleet, dispatcher)
         for step in plan.steps:
-            if plan.scenario.faults[step.fault].kind is FaultKind.RETRY_STORM:
+            if plan.scenario.faults[step.fault_index].kind is FaultKind.RETRY_STORM:
                 extra_retries = round(step.size) if step.phase is FaultPhase.BEGIN else 0
                 queue.call_at(step.at_ms, self._set_extra_retries, clients, extra_retries)
             else:
--- a/rosewheel/lab/simulation/topology.py
+++ b/rosewheel/lab/simulation/topology.py
@@ -30,14 +30,14 @@
             (zone in isolated) is not (other in isolated) for isolated in self._isolated.values()
         )
 
-    def isolate(self, fault: int, zones: frozenset[str]) -> None:
+    def isolate(self, fault_index: int, zones: frozenset[str]) -> None:
         """Partition zones from all others until `heal`.
 
         Args:
-            fault: index of the fault in the scenario.
+            fault_index: index of the fault in the scenario.
         """
-        self._isolated[fault] = zones
+        self._isolated[fault_index] = zones
 
-    def heal(self, fault: int) -> None:
+    def heal(self, fault_index: int) -> None:
         """End the partition of a fault."""
-        self._isolated.pop(fault, None)
+        self._isolated.pop(fault_index, None)
--- a/tests/lab/test_graph.py
+++ b/tests/lab/test_graph.py
@@ -237,7 +237,7 @@
 
 def test_a_fault_of_a_zone_is_restricted_to_it() -> None:
     graph_plan = plan.make(parse_text(GOOD, Scenario, "s"))
-    lost, failing = (next(step for step in graph_plan.steps if step.fault == fault) for fault in (0, 1))
+    lost, failing = (next(step for step in graph_plan.steps if step.fault_index == fault) for fault in (0, 1))
     assert sorted(lost.targets) == sorted(spec.name for spec in graph_plan.servers if spec.zone == "norte-a")
     assert sorted(failing.targets) == ["archivo-0", "archivo-2"]
 
--- a/tests/lab/test_scenario.py
+++ b/tests/lab/test_scenario.py
@@ -168,7 +168,7 @@
 def test_a_fault_of_deployed_servers_affects_only_servers_that_a_deploy_has_started():
     plan = plans.make(scenarios.load("fleet-join"))
     last_fault = len(plan.scenario.faults) - 1
-    targets = {name for step in plan.steps if step.fault == last_fault for name in step.targets}
+    targets = {name for step in plan.steps if step.fault_index == last_fault for name in step.targets}
     assert targets
     assert targets <= {spec.name for spec in plan.deployed_servers}
 
