--- a/rosewheel/lab/emulated_fleet.py
+++ b/rosewheel/lab/emulated_fleet.py
@@ -47,7 +47,7 @@
         # clock has no effect.
         self._epoch_offset_ms = time.time() * 1000.0 - now_ms()
         self.hosts: dict[str, EmulatedServerHost] = {}
-        self.registries = [self._registry(tier) for tier in range(len(plan.scenario.tiers))]
+        self.registries = [self._new_registry(tier) for tier in range(len(plan.scenario.tiers))]
         self.requests = EmulatedRequests(self)
         self.local_nodes = LocalNodes(plan, folder, self.registries)
         self._dedup_tables: dict[tuple[int, int], DedupTable] = {}  # by tier and cell
@@ -116,12 +116,14 @@
         """Return the last notification about a server that was sent to a node."""
         return self._notifications.get((node, server), Notification())
 
-    def _registry(self, tier: int) -> DiscoveryRegistry:
+    def _new_registry(self, tier: int) -> DiscoveryRegistry:
         rng = random_stream(self.plan.seed, "run", "discovery", tier)
         table = self.plan.scenario.discovery
-        return DiscoveryRegistry(lambda change: discovery_delay_ms(table, rng, change), self._notified)
+        return DiscoveryRegistry(
+            lambda change: discovery_delay_ms(table, rng, change), self._record_notification
+        )
 
-    def _notified(self, node: str, server: str, entry: DiscoveryEntry, at_ms: float) -> None:
+    def _record_notification(self, node: str, server: str, entry: DiscoveryEntry, at_ms: float) -> None:
         self._notifications[node, server] = Notification(entry.health, at_ms, entry.launched_ms)
         self.records.write(NotifiedRecord(self.clock.plan_time(at_ms), node, server, entry.health))
 
@@ -184,8 +186,8 @@
         at_ms = self.clock.plan_time(host.model.started_ms)
         self.records.write(start_record(self.plan, host.spec, at_ms))
 
-    def run_task(self, work: Coroutine[None, None, None]) -> None:
+    def run_task(self, coroutine: Coroutine[None, None, None]) -> None:
         """Run a coroutine in the background; `close` cancels it."""
-        task = asyncio.get_running_loop().create_task(work)
+        task = asyncio.get_running_loop().create_task(coroutine)
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
--- a/rosewheel/lab/emulator_faults.py
+++ b/rosewheel/lab/emulator_faults.py
@@ -50,8 +50,8 @@
 
     def set_unreachable(self, host: EmulatedServerHost, unreachable: bool, new_process: bool) -> None:
         """Cut a machine off from the network, or reconnect it with its process or a new one."""
-        work = self.fleet.isolate(host) if unreachable else self.fleet.rejoin(host, new_process)
-        self.fleet.run_task(work)
+        change = self.fleet.isolate(host) if unreachable else self.fleet.rejoin(host, new_process)
+        self.fleet.run_task(change)
 
     def set_accepting(self, host: EmulatedServerHost, accepting: bool) -> None:
         """Refuse or accept new connections."""
--- a/rosewheel/lab/emulator_requests.py
+++ b/rosewheel/lab/emulator_requests.py
@@ -35,7 +35,7 @@
 from rosewheel.policy.settings import Idempotency
 
 HTTP_OK = 200
-MIN_CALL_TIME_MS = 1.0  # shortest remaining time with which a call is sent
+MIN_CALL_TIME_MS = 1.0  # a call with less time left is not sent
 
 
 @dataclass(slots=True, frozen=True)
@@ -119,9 +119,9 @@
         self._classes = {row.name: row for row in plan.scenario.classes}
         self._parameters = {row.name: row for row in plan.classes}
         self._work: dict[int, ServerWork] = {}
-        self._calls: dict[tuple[int, int], _PendingCall] = {}  # by job ID and call number
-        self._noise = random_stream(plan.seed, "run", "noise")
-        self._call_draws = random_stream(plan.seed, "run", "calls")
+        self._calls: dict[tuple[int, int], _PendingCall] = {}  # by job id and call number
+        self._noise_rng = random_stream(plan.seed, "run", "noise")
+        self._call_rng = random_stream(plan.seed, "run", "calls")
         self._last_job_id = 0
 
     def record_timer_lag(self, lag_ms: float) -> None:
@@ -142,7 +142,7 @@
         work = ServerWork(
             host=host,
             connection=connection,
-            job=self._job(host, request, incoming, notification),
+            job=self._new_job(host, request, incoming, notification),
             identity=identity,
             received_ms=request.received_ms,
             first_byte_ms=request.first_byte_ms,
@@ -151,7 +151,7 @@
         )
         self._work[work.job.id] = work
         if notification.health != "active":
-            self._check_drain(work, notification)
+            self._record_if_after_drain(work, notification)
         return work
 
     def _parse(self, request: HttpRequest) -> _IncomingRequest:
@@ -184,7 +184,7 @@
             timeout_ms=timeout_ms,
         )
 
-    def _job(
+    def _new_job(
         self,
         host: EmulatedServerHost,
         request: HttpRequest,
@@ -192,9 +192,9 @@
         notification: Notification,
     ) -> Job:
         class_name, spec = incoming.identity.class_name, host.spec
-        call_count = len(call_targets(self.plan, spec.tier, self._call_draws))
+        call_count = len(call_targets(self.plan, spec.tier, self._call_rng))
         segments_ms = work_segments(
-            self.plan, spec, self._parameters[class_name], incoming.total_work_ms, self._noise, call_count
+            self.plan, spec, self._parameters[class_name], incoming.total_work_ms, self._noise_rng, call_count
         )
         if request.first_on_connection:
             segments_ms = (segments_ms[0] + spec.handshake_work_ms, *segments_ms[1:])
@@ -205,13 +205,13 @@
             f"{class_name}/{incoming.dedup_key}" if incoming.dedup_key else None,
             incoming.table.dedup_window_ms,
         )
-        # The sender is informed if it was notified of this start of the server, or if the request names no sender.
+        # A request without a sender counts as sent by a node that was notified of this start of the server.
         launched_ms = self.fleet.launched_ms(host)
         informed = notification.launched_ms == launched_ms > 0
         job.sender_informed = not incoming.identity.sender or informed
         return job
 
-    def _check_drain(self, work: ServerWork, notification: Notification) -> None:
+    def _record_if_after_drain(self, work: ServerWork, notification: Notification) -> None:
         """Record a request received too long after its sender was notified of a drain or removal of the server."""
         rules, identity = self.plan.scenario.rules, work.identity
         allowed_ms = rules.drain_ms + rules.drain_slack_ms
@@ -235,7 +235,7 @@
                 case Reply(job_id, result):
                     self._reply(job_id, result)
                 case CallNextTier(job_id, call_number):
-                    self._call(self._work[job_id], call_number)
+                    self._send_call(self._work[job_id], call_number)
                 case JobStarted():
                     pass
                 case ServerCollapsed(informed_share):
@@ -246,7 +246,7 @@
     def record_lost_jobs(self, host: EmulatedServerHost) -> None:
         """Record all requests in progress at a server as lost, since its process ends."""
         for job_id in [job_id for job_id, work in self._work.items() if work.host is host]:
-            self._record(self._work.pop(job_id), LOST_JOB, now_ms())
+            self._record_job(self._work.pop(job_id), LOST_JOB, now_ms())
 
     def _reply(self, job_id: int, result: JobResult) -> None:
         work = self._work.pop(job_id, None)
@@ -258,16 +258,16 @@
         served = result is JobResult.SERVED
         if served:
             self.served[work.host.spec.tier] += 1
-        self._record(work, result.value, now)
+        self._record_job(work, result.value, now)
         work.host.reply(work, result, self._body(work) if served else b"")
 
     def _body(self, work: ServerWork) -> bytes:
-        """Return a response body that begins with the ID of the request, so that the client can check it."""
+        """Return a response body that begins with the id of the request, so that the client can check it."""
         size = self._classes[work.identity.class_name].answer_bytes
         request_id = work.identity.request_id.encode("latin-1")
         return (request_id + b"\n").ljust(size, b".") if size else b""
 
-    def _record(self, work: ServerWork, outcome: str, now: float) -> None:
+    def _record_job(self, work: ServerWork, outcome: str, now: float) -> None:
         clock = self.fleet.clock
         self.fleet.records.write(
             job_record(
@@ -282,13 +282,13 @@
             )
         )
 
-    def _call(self, work: ServerWork, number: int) -> None:
+    def _send_call(self, work: ServerWork, number: int) -> None:
         """Send a call to the next tier through the local node of the server."""
         identity, spec = work.identity, work.host.spec
         table, client = self._classes[identity.class_name], self.fleet.call_client(spec.name)
         propagate = self.plan.scenario.propagate_deadline
-        left_ms = work.deadline_ms - now_ms() if propagate else table.deadline_ms
-        if client is None or left_ms < MIN_CALL_TIME_MS:
+        time_left_ms = work.deadline_ms - now_ms() if propagate else table.deadline_ms
+        if client is None or time_left_ms < MIN_CALL_TIME_MS:
             no_response = HttpResponse(0, failure=AttemptFailure.NO_TIME_LEFT)
             self.loop.call_soon(self._call_finished, work, number, no_response)
             return
@@ -298,7 +298,7 @@
             class_name=identity.class_name,
             idempotency=table.idempotency,
             request_id=f"{identity.request_id}.{work.job.id}.{number}",
-            timeout_ms=left_ms,
+            timeout_ms=time_left_ms,
             sender=local_node_name(spec),
             operation_id=dedup_key if keyed else f"{identity.operation_id}/{work.job.id}.{number}",
             total_work_ms=work.total_work_ms,
@@ -306,7 +306,7 @@
             body_bytes=0,
         )
         pending = client.send(request.encode(), lambda response: self._call_finished(work, number, response))
-        timer = self.loop.call_later(left_ms / 1000.0, self._abandon_call, work, number)
+        timer = self.loop.call_later(time_left_ms / 1000.0, self._abandon_call, work, number)
         self._calls[work.job.id, number] = _PendingCall(pending, timer)
 
     def _abandon_call(self, work: ServerWork, number: int) -> None:
--- a/rosewheel/lab/http_client.py
+++ b/rosewheel/lab/http_client.py
@@ -28,7 +28,7 @@
         status: status of the response; 0 without one.
         body: complete body.
         retry_after_s: value of the `Retry-After` header; None without one.
-        failure: reason for which there is no response.
+        failure: reason for the missing response.
     """
 
     status: int
@@ -97,7 +97,7 @@
 
     @property
     def usable(self) -> bool:
-        """Return whether the connection is open."""
+        """Whether the connection is open."""
         return self.transport is not None and not self.transport.is_closing()
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
--- a/rosewheel/lab/invariant_checker.py
+++ b/rosewheel/lab/invariant_checker.py
@@ -31,7 +31,7 @@
 from rosewheel.lab.slow_start import Overload, ServerArrival, ServerStart
 from rosewheel.policy.settings import DedupScope, Idempotency
 
-# Largest share of the load from nodes that had been notified of a server's start for which an overload is no violation.
+# An overload of a warming server is a violation if informed nodes sent more than this share of the load.
 INFORMED_SHARE_LIMIT = 2.0 / 3.0
 SUM_ROUNDING = 1e-9  # tolerance for rounding errors of sums
 MAX_LISTED = 20  # violations of each rule in a summary
--- a/rosewheel/lab/load.py
+++ b/rosewheel/lab/load.py
@@ -92,7 +92,7 @@
         attempts: records of the finished attempts.
         pending: the attempt in flight.
         timeout_ms: timeout of each attempt.
-        request_id: request ID of the attempt in flight.
+        request_id: request id of the attempt in flight.
         node: name of the node to which the attempt in flight was sent.
         sent_ms: start of the attempt in flight, in ms of the plan.
         timer: timeout of the attempt in flight.
@@ -169,12 +169,12 @@
     Attributes:
         planned_ms: planned start, in ms of the plan.
         offered: weight of the operation.
-        earned: the same weight if it was served in time, else 0.
+        in_time: the same weight if it was served in time, else 0.
     """
 
     planned_ms: float
     offered: float
-    earned: float
+    in_time: float
 
 
 class LoadGenerator:
@@ -204,7 +204,7 @@
         self.extra_retries = 0
         self.lag_max_ms = 0.0
         self._stopping = False
-        self._random = random_stream(plan.seed, "run", "clients")
+        self._rng = random_stream(plan.seed, "run", "clients")
         self._next_arrival = 0
         self._done = asyncio.Event()
         self._timers: set[asyncio.TimerHandle] = set()
@@ -253,17 +253,17 @@
         begin = self.plan.scenario.warm_up_s * 1000.0 if begin_ms is None else begin_ms
         weights = [weight for weight in self.weights if begin <= weight.planned_ms < end_ms]
         offered = sum(weight.offered for weight in weights)
-        return sum(weight.earned for weight in weights) / offered if offered else 1.0
+        return sum(weight.in_time for weight in weights) / offered if offered else 1.0
 
     def pick_node(self) -> str:
         """Return the name of a random node."""
         nodes = self.plan.scenario.nodes
         weight = nodes.client_share if nodes.client_shares else None
-        return weighted_choice(self._random, self.dispatcher.candidates(), weight)
+        return weighted_choice(self._rng, self.dispatcher.candidates(), weight)
 
     def draw_new_connection(self) -> bool:
         """Decide at random whether a request is sent on a new connection."""
-        return self.plan.scenario.clients.new_connection_share > self._random.random()
+        return self.plan.scenario.clients.new_connection_share > self._rng.random()
 
     def retry_delay_ms(self, operation: ClientOperation, response: HttpResponse) -> float | None:
         """Return the time until the next attempt, in ms; None if the client gives up."""
@@ -275,7 +275,7 @@
             AttemptOutcome(response.status, response.failure, response.retry_after_s),
             len(operation.attempts),
             self.clock.elapsed_ms() - operation.arrival.at_ms,
-            self._random,
+            self._rng,
             self.extra_retries,
         )
 
--- a/rosewheel/lab/node_process.py
+++ b/rosewheel/lab/node_process.py
@@ -72,7 +72,7 @@
         Args:
             folder: parent of the folder of the node.
             config: configuration without addresses; see `node_settings.node_configuration`.
-            inherited_socket: listening socket to inherit, as if the platform held it.
+            inherited_socket: listening socket that the process inherits; None if it opens its own.
             admin: whether to start an admin server.
             predecessor: killed process whose listen address is reused.
         """
@@ -82,10 +82,10 @@
         if inherited_socket is None:
             self._reserved = reserve_address() if predecessor is None else predecessor._reserved
         self._reserved_admin = reserve_address() if admin else None
-        clients = inherited_socket or self._reserved
-        if clients is None:
+        listen_socket = inherited_socket or self._reserved
+        if listen_socket is None:
             raise ValueError("predecessor has no reserved address to reuse and there is no inherited socket")
-        self.listen_address: Address = clients.getsockname()[:2]
+        self.listen_address: Address = listen_socket.getsockname()[:2]
         self.admin_address: Address | None = (
             None if self._reserved_admin is None else self._reserved_admin.getsockname()[:2]
         )
@@ -125,15 +125,14 @@
 
     @property
     def alive(self) -> bool:
-        """Return whether the process is running."""
+        """Whether the process is running."""
         return self.process.poll() is None
 
     async def wait_healthy(self, need_endpoints: bool = True) -> bool:
         """Wait until the node is healthy, and return whether it is within `START_TIMEOUT_S`.
 
         Args:
-            need_endpoints: whether the node must be healthy; if False, any response suffices, which a node without
-                endpoints sends too.
+            need_endpoints: if False, an unhealthy response suffices too, such as that of a node without endpoints.
         """
         loop = asyncio.get_running_loop()
         deadline = loop.time() + START_TIMEOUT_S
--- a/rosewheel/lab/plan_clock.py
+++ b/rosewheel/lab/plan_clock.py
@@ -6,7 +6,7 @@
 
 
 class PlanClock:
-    """Converts between times of the plan and of `wire.now_ms`; until `start` the plan begins at construction.
+    """Converts between times of the plan and of `wire.now_ms`. Before `start`, the plan begins at construction.
 
     Attributes:
         started_ms: start of the plan, as a time of `wire.now_ms`.
--- a/rosewheel/lab/request_work.py
+++ b/rosewheel/lab/request_work.py
@@ -23,7 +23,7 @@
     spec: ServerSpec,
     parameters: ClassParameters,
     total_work_ms: float,
-    noise: np.random.Generator,
+    rng: np.random.Generator,
     call_count: int,
 ) -> tuple[float, ...]:
     """Draw the work of a request at one server, as segments with one call between each two.
@@ -33,14 +33,14 @@
         spec: the server.
         parameters: parameters of the request's class.
         total_work_ms: work of the request over all tiers, in ms of a reference core.
-        noise: random stream of the variation of work between servers.
+        rng: random stream of the variation of work between servers.
         call_count: number of calls to the next tiers.
 
     Returns:
         Work of each segment, in ms of a reference core.
     """
     tier_share = plan.scenario.tiers[spec.tier].work
-    own_work_ms = total_work_ms * tier_share * lognormal_factor(noise, parameters.attempt_noise)
+    own_work_ms = total_work_ms * tier_share * lognormal_factor(rng, parameters.attempt_noise)
     if not call_count:
         return (own_work_ms,)
     return (own_work_ms / 2.0, *([0.0] * (call_count - 1)), own_work_ms / 2.0)
