--- a/rosewheel/lab/scale/discovery_server.py
+++ b/rosewheel/lab/scale/discovery_server.py
@@ -117,7 +117,7 @@
         since = int(parameters["since"]) if parameters.get("since", "").isdigit() else 0
         service_list = self.services[service]
         self.watches_opened += 1
-        request.connection.current_work = service_list
+        request.connection.owner_data = service_list
         request.connection.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
         self._send_update(service_list, request.connection, since)
 
@@ -128,8 +128,8 @@
 
     def _connection_closed(self, connection: ServerConnection) -> None:
         self.connections.discard(connection)
-        if connection.current_work is not None:
-            connection.current_work.watch_versions.pop(connection, None)
+        if connection.owner_data is not None:
+            connection.owner_data.watch_versions.pop(connection, None)
 
     def _send_update(self, service_list: ServiceList, watch: ServerConnection, since: int) -> None:
         if since != service_list.version:
--- a/rosewheel/lab/wire.py
+++ b/rosewheel/lab/wire.py
@@ -67,7 +67,7 @@
         transport: transport of the connection; None unless it is open.
         silent: whether the connection ignores what it receives and sends nothing, as an injected fault.
         request_count: number of requests received.
-        current_work: state of the request in progress, for use by the owner.
+        owner_data: data that the owner of the connection attaches to it.
     """
 
     def __init__(
@@ -80,7 +80,7 @@
         self.transport: asyncio.Transport | None = None
         self.silent = False
         self.request_count = 0
-        self.current_work: Any = None
+        self.owner_data: Any = None
         self._parser: httptools.HttpRequestParser | None = httptools.HttpRequestParser(self)
         self._first_byte_ms = 0.0
         self._begin_request()
