--- a/rosewheel/lab/scale/discovery_worker.py
+++ b/rosewheel/lab/scale/discovery_worker.py
@@ -30,14 +30,14 @@
 
     def __init__(self, setup: DiscoverySetup) -> None:
         self.services = [
-            ServiceList([DiscoveryEntry(row.host, row.dial, row.site, row.block) for row in rows])
+            ServiceList([DiscoveryEntry(row.name, row.address, row.zone, row.cell) for row in rows])
             for rows in setup.services
         ]
         self.server = DiscoveryServer(self.services, setup.service_of_address)
         self._initial_endpoints = {
             endpoint.name: endpoint for service in self.services for endpoint in service.endpoints.values()
         }
-        self._lost_hosts: set[str] = set()
+        self._lost_endpoints: set[str] = set()
 
     async def start(self) -> DiscoveryReady:
         """Start the server."""
@@ -53,20 +53,20 @@
                 return self._statistics()
 
     def _accept(self, change: EndpointChange, returning: bool) -> bool:
-        """Update the set of lost hosts, and return whether the change is published.
+        """Update the set of lost endpoints, and return whether the change is published.
 
-        After a host has left, its changes are not published until its machine returns.
+        After an endpoint has left, its changes are not published until its machine returns.
         """
         if change.health == EndpointHealth.LEFT:
-            self._lost_hosts.add(change.host)
+            self._lost_endpoints.add(change.name)
         elif returning:
-            self._lost_hosts.discard(change.host)
-        return change.health == EndpointHealth.LEFT or change.host not in self._lost_hosts
+            self._lost_endpoints.discard(change.name)
+        return change.health == EndpointHealth.LEFT or change.name not in self._lost_endpoints
 
     def _publish(self, change: EndpointChange) -> PublishedList:
-        initial = self._initial_endpoints[change.host]
+        initial = self._initial_endpoints[change.name]
         at_ms = now_ms()
-        endpoint = DiscoveryEntry(change.host, initial.address, initial.zone, initial.cell, change.health)
+        endpoint = DiscoveryEntry(change.name, initial.address, initial.zone, initial.cell, change.health)
         return PublishedList(change.service, self.server.publish(change.service, endpoint), at_ms)
 
     def _statistics(self) -> DiscoveryStatistics:
--- a/rosewheel/lab/scale/fleet.py
+++ b/rosewheel/lab/scale/fleet.py
@@ -126,7 +126,7 @@
             name, self.folder, EMULATOR_MODULE, str(path), seed, str(self.folder)
         )
         ready = await worker.receive(EmulatorReady)
-        return [endpoint.address for endpoint in ready.discovery.endpoints]
+        return [endpoint.address for endpoint in ready.initial_endpoints.endpoints]
 
     def _discovery_setup(self, servers: list[str]) -> DiscoverySetup:
         services: list[list[EndpointSetup]] = [[] for _ in range(self.options.services)]
@@ -202,7 +202,7 @@
         )
 
     async def _start_calls(self, servers: list[str]) -> None:
-        targets = {node.machine.name: node.listen for node in self.real.values()}
+        targets = {node.machine.name: node.listen_address for node in self.real.values()}
         for number in range(direct_targets(self.options)):
             host, _, port = servers[number % len(servers)].rpartition(":")
             targets[f"{DIRECT_PREFIX}-{number}"] = (host, int(port))
--- a/rosewheel/lab/scale/messages.py
+++ b/rosewheel/lab/scale/messages.py
@@ -22,7 +22,7 @@
     """Request the statistics of the worker."""
 
 
-# ---------------------------------------------------------------------- network
+# Messages of the network worker.
 
 
 class TrafficKind(StrEnum):
@@ -47,20 +47,24 @@
     caller: str = ""
 
 
-class NetworkSetup(msgspec.Struct, frozen=True, rename={"regions": "places", "listeners": "doors"}):
+class NetworkSetup(
+    msgspec.Struct,
+    frozen=True,
+    rename={"regions": "places", "listeners": "doors", "region_delay_s": "far_s"},
+):
     """Setup of the network worker.
 
     Attributes:
         regions: Regions of all machines and control machines, by name.
         machines: Names of the machines, by address.
         listeners: The listening ports to open.
-        far_s: One-way delay between regions, in seconds.
+        region_delay_s: One-way delay between regions, in seconds.
     """
 
     regions: dict[str, int]
     machines: dict[str, str]
     listeners: list[ListenerSetup]
-    far_s: float
+    region_delay_s: float
 
 
 class NetworkReady(msgspec.Struct, frozen=True, rename={"addresses": "doors"}):
@@ -113,16 +117,20 @@
     targets: TrafficTable
 
 
-# -------------------------------------------------------------------- discovery
+# Messages of the discovery worker.
 
 
-class EndpointSetup(msgspec.Struct, frozen=True):
-    """An endpoint in the first list of a service."""
+class EndpointSetup(
+    msgspec.Struct,
+    frozen=True,
+    rename={"name": "host", "address": "dial", "zone": "site", "cell": "block"},
+):
+    """An endpoint in the first list of a service; see `discovery.DiscoveryEntry`."""
 
-    host: str
-    dial: str
-    site: str
-    block: int
+    name: str
+    address: str
+    zone: str
+    cell: int
 
 
 class DiscoverySetup(msgspec.Struct, frozen=True, rename={"service_of_address": "homes"}):
@@ -142,12 +150,12 @@
     """New health of an endpoint."""
 
     service: int
-    host: str
+    name: str
     health: str
 
 
 class ChangeLists(Command, frozen=True, tag="change", rename={"returning": "back"}):
-    """Change endpoint lists; `returning` tells that the machines of the endpoints were lost and have returned."""
+    """Change endpoint lists; `returning` is set if the machines of the endpoints were lost and have returned."""
 
     changes: list[EndpointChange]
     returning: bool
@@ -189,7 +197,7 @@
     updates_sent: int
 
 
-# -------------------------------------------------------------- simulated nodes
+# Messages of the workers of simulated nodes.
 
 
 class SimulatedNodeSetup(msgspec.Struct, frozen=True, array_like=True):
@@ -275,7 +283,7 @@
     counts: list[int]
 
 
-# ------------------------------------------------------------------------ calls
+# Messages of the calls worker.
 
 
 class CallsSetup(msgspec.Struct, frozen=True):
@@ -320,7 +328,7 @@
     lag_max_ms: float
 
 
-# --------------------------------------------------------------------- emulator
+# Messages of the emulator process.
 
 
 class EmulatedEndpoint(msgspec.Struct, frozen=True, rename={"address": "dial"}):
@@ -335,7 +343,7 @@
     endpoints: list[EmulatedEndpoint]
 
 
-class EmulatorReady(msgspec.Struct, frozen=True, rename={"discovery": "known"}):
+class EmulatorReady(msgspec.Struct, frozen=True, rename={"initial_endpoints": "known"}):
     """First message of the emulator process; keys that are not used here are ignored."""
 
-    discovery: EmulatedEndpoints
+    initial_endpoints: EmulatedEndpoints
--- a/rosewheel/lab/scale/network_worker.py
+++ b/rosewheel/lab/scale/network_worker.py
@@ -23,7 +23,7 @@
 
 async def main(setup: NetworkSetup) -> None:
     """Relay connections until standard input ends."""
-    network = Network(setup.regions, setup.machines, setup.far_s)
+    network = Network(setup.regions, setup.machines, setup.region_delay_s)
 
     async def start() -> NetworkReady:
         """Open the listeners."""
--- a/rosewheel/lab/scale/real_node.py
+++ b/rosewheel/lab/scale/real_node.py
@@ -77,8 +77,8 @@
         self.machine = setup.machine
         self.folder.mkdir(parents=True, exist_ok=True)
         self._reserved: list[socket.socket] = [reserve_address(), reserve_address()]
-        self.listen: Address = self._reserved[0].getsockname()[:2]
-        self.admin: Address = self._reserved[1].getsockname()[:2]
+        self.listen_address: Address = self._reserved[0].getsockname()[:2]
+        self.admin_address: Address = self._reserved[1].getsockname()[:2]
         self.config_path = self.folder / "node.toml"
         self.config_path.write_text(self._config(setup))
 
@@ -86,8 +86,8 @@
         machines = (f'"{name}={_host_and_port(address)}"' for name, address in setup.control_machines.items())
         return CONFIG.format(
             name=setup.machine.name,
-            listen=_host_and_port(self.listen),
-            ops=_host_and_port(self.admin),
+            listen=_host_and_port(self.listen_address),
+            ops=_host_and_port(self.admin_address),
             state=self.folder,
             discovery=_host_and_port(setup.discovery),
             zone=zone_name(setup.machine.zone),
@@ -105,7 +105,7 @@
         """Wait until the node reports that it is healthy; return whether it does within `HEALTHY_TIMEOUT_S`."""
         deadline_s = asyncio.get_running_loop().time() + HEALTHY_TIMEOUT_S
         while self.alive and asyncio.get_running_loop().time() < deadline_s:
-            if await check_health(self.listen) == HTTP_OK:
+            if await check_health(self.listen_address) == HTTP_OK:
                 return True
             await asyncio.sleep(HEALTH_CHECK_INTERVAL_S)
         return False
@@ -134,7 +134,7 @@
 
     async def endpoint_count(self) -> int | None:
         """Return the number of endpoints that the node may use, from its admin API; None if it could not be read."""
-        client = JsonHttpClient(self.admin)
+        client = JsonHttpClient(self.admin_address)
         try:
             status, body = await client.call("GET", "/admin/stats")
         except HttpCallError:
