--- a/rosewheel/lab/scale/call_statistics.py
+++ b/rosewheel/lab/scale/call_statistics.py
@@ -1,6 +1,6 @@
 """Latency that a real node adds to calls, from the records of callers and servers.
 
-The latency of a call is the caller's time minus the server's time from the first byte of the request to its response.
+The latency of a call is the caller's time minus the server's time from the last byte of the request to its response.
 It includes the overhead of the emulator and the caller. Direct calls, which are sent to a server without a node,
 measure this overhead alone.
 """
@@ -36,11 +36,11 @@
 
 
 class _ServerJob(
-    msgspec.Struct, rename={"request_id": "rid", "ended_ms": "t", "started_ms": "came", "outcome": "verdict"}
+    msgspec.Struct, rename={"request_id": "rid", "ended_ms": "t", "received_ms": "came", "outcome": "verdict"}
 ):
     request_id: str
     ended_ms: float
-    started_ms: float
+    received_ms: float
     outcome: str
 
 
@@ -111,7 +111,7 @@
         for row in read_records(folder / "equipos.jsonl")
         if row["e"] == "job"
     )
-    return {job.request_id: job.ended_ms - job.started_ms for job in jobs if job.outcome == "served"}
+    return {job.request_id: job.ended_ms - job.received_ms for job in jobs if job.outcome == "served"}
 
 
 def _operations(folder: Path) -> Iterator[_Operation]:
--- a/rosewheel/lab/scale/control_operator.py
+++ b/rosewheel/lab/scale/control_operator.py
@@ -88,7 +88,7 @@
         return msgspec.convert(body, ControlStatus)
 
     async def publish(self, patch: Document) -> PublishedConfig:
-        """Publish a change, with new attempts until the leader accepts it.
+        """Publish a change, with retries until the leader accepts it.
 
         Raises:
             ProcessError: The change was not accepted within `PUBLISH_TIMEOUT_S`.
--- a/rosewheel/lab/scale/planning.py
+++ b/rosewheel/lab/scale/planning.py
@@ -34,7 +34,7 @@
 # Address of a machine: 127.(ADDRESS_ZONE_BASE + zone).(rack + 1).(position in the rack + 1)
 ADDRESS_ZONE_BASE = 10
 QUIET_FRACTION, CHANGES_FRACTION = 0.15, 0.15  # fractions of the run's length
-NODES_PER_LIST_CHANGE_PER_S = 180.0  # one server per this many nodes begins to drain each second
+NODES_PER_DRAIN_PER_S = 180.0  # number of nodes for each drain that begins in a second
 DRAIN_S = 1.5  # time from `leaving` until the server is `active` again
 
 
@@ -66,9 +66,9 @@
     machines = []
     for number in range(options.nodes):
         position = int(order[number])
-        zone, place = position % zones, position // zones
-        rack = place % RACKS_PER_ZONE
-        address = f"127.{ADDRESS_ZONE_BASE + zone}.{rack + 1}.{place // RACKS_PER_ZONE + 1}"
+        zone, index_in_zone = position % zones, position // zones
+        rack = index_in_zone % RACKS_PER_ZONE
+        address = f"127.{ADDRESS_ZONE_BASE + zone}.{rack + 1}.{index_in_zone // RACKS_PER_ZONE + 1}"
         machines.append(Machine(number, number % options.services, zone, rack, address, number in real))
     return tuple(machines)
 
@@ -180,7 +180,7 @@
     """Yield two changes per drained server: `leaving`, and `active` after `DRAIN_S`."""
     rng = random_stream(options.seed, "scale", "lists")
     begin_s = options.seconds * QUIET_FRACTION
-    count = max(1, round(options.nodes / NODES_PER_LIST_CHANGE_PER_S * (options.seconds - begin_s)))
+    count = max(1, round(options.nodes / NODES_PER_DRAIN_PER_S * (options.seconds - begin_s)))
     for at_s in sorted(rng.uniform(begin_s, options.seconds, count).tolist()):
         node = int(rng.integers(options.nodes))
         service = node % options.services
--- a/rosewheel/lab/scale/reachability.py
+++ b/rosewheel/lab/scale/reachability.py
@@ -7,7 +7,7 @@
 
 
 class Reachability:
-    """Tells which machines can reach each other, given lost machines and a partition between regions.
+    """Determines which machines can reach each other, given lost machines and a partition between regions.
 
     Attributes:
         regions: Region of each machine, by name.
--- a/rosewheel/lab/scale/relay.py
+++ b/rosewheel/lab/scale/relay.py
@@ -52,7 +52,7 @@
         self.connection = connection
         self.transport: asyncio.Transport | None = None
         self.closed = False
-        self._paused = False  # the write buffer of the other end is full
+        self._paused = False  # whether the write buffer of the other end is full
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Set the transport (called by asyncio)."""
@@ -107,7 +107,7 @@
         self.downstream, self.upstream = _RelayEnd(self), _RelayEnd(self)
         self.caller, self.target = listener.caller, ""
         self.blocked = False
-        self._machine_lost = False  # since the connection was opened; it is reset on the return
+        self._machine_lost = False  # whether caller or target has been lost since the connection was opened
         self._closed = False
         self._delay_s = 0.0
         # Data that waits for the delay between regions or for the upstream end to connect, and its destination.
--- a/rosewheel/lab/scale/report_codec.py
+++ b/rosewheel/lab/scale/report_codec.py
@@ -149,10 +149,10 @@
         "rss_mb_each": usage.rss_mb_per_member,
         "rss_mb_most": usage.rss_mb_max,
         "files": usage.open_files,
-        "out_bytes_s": traffic.out_bytes_s,
-        "in_bytes_s": traffic.in_bytes_s,
-        "messages_s": traffic.messages_s,
-        "worst_bytes_s": traffic.max_bytes_s,
+        "out_bytes_s": traffic.out_bytes_per_s,
+        "in_bytes_s": traffic.in_bytes_per_s,
+        "messages_s": traffic.reads_per_s,
+        "worst_bytes_s": traffic.max_bytes_per_s,
         "state": record.state,
     }
 
--- a/rosewheel/lab/scale/role_statistics.py
+++ b/rosewheel/lab/scale/role_statistics.py
@@ -49,16 +49,16 @@
     """Traffic of the members of a role in one phase; None for roles whose traffic is not measured.
 
     Attributes:
-        out_bytes_s: Bytes sent per second, mean of the members.
-        in_bytes_s: Bytes received per second, mean of the members.
-        messages_s: Reads by the network per second in both directions, mean of the members.
-        max_bytes_s: Bytes sent and received per second, largest value of a member.
+        out_bytes_per_s: Bytes sent per second, mean of the members.
+        in_bytes_per_s: Bytes received per second, mean of the members.
+        reads_per_s: Reads by the network per second in both directions, mean of the members.
+        max_bytes_per_s: Bytes sent and received per second, largest value of a member.
     """
 
-    out_bytes_s: float | None = None
-    in_bytes_s: float | None = None
-    messages_s: float | None = None
-    max_bytes_s: float | None = None
+    out_bytes_per_s: float | None = None
+    in_bytes_per_s: float | None = None
+    reads_per_s: float | None = None
+    max_bytes_per_s: float | None = None
 
 
 @dataclass(slots=True, frozen=True)
@@ -147,10 +147,10 @@
         rates = np.array([msgspec.structs.astuple(member) for member in counters]) / self.seconds
         byte_rates, read_rates = rates[:, 1:3], rates[:, 3:]
         return RoleTraffic(
-            out_bytes_s=round(float(rates[:, 1].mean()), 2),
-            in_bytes_s=round(float(rates[:, 2].mean()), 2),
-            messages_s=round(float(read_rates.sum(axis=1).mean()), 3),
-            max_bytes_s=round(float(byte_rates.sum(axis=1).max()), 2),
+            out_bytes_per_s=round(float(rates[:, 1].mean()), 2),
+            in_bytes_per_s=round(float(rates[:, 2].mean()), 2),
+            reads_per_s=round(float(read_rates.sum(axis=1).mean()), 3),
+            max_bytes_per_s=round(float(byte_rates.sum(axis=1).max()), 2),
         )
 
     def _member_counters(self, role: Role) -> list[TrafficCounters]:
--- a/rosewheel/lab/scale/sampling.py
+++ b/rosewheel/lab/scale/sampling.py
@@ -53,10 +53,10 @@
 
 
 async def count_stale_nodes(fleet: Fleet) -> int:
-    """Return the larger of two numbers of nodes.
+    """Return the number of nodes that are not up to date.
 
-    They are the nodes that are stopped or lack the last list or configuration, and the nodes that have not acknowledged
-    the last configuration to the leader.
+    It is the larger of two counts: the nodes that are stopped or lack the last list or configuration, and the nodes
+    that have not acknowledged the last configuration to the leader.
     """
     discovery = await fleet.discovery.request(ReadStatistics(), DiscoveryStatistics)
     machines = fleet.plan.machines
--- a/rosewheel/lab/scale/simulated_node.py
+++ b/rosewheel/lab/scale/simulated_node.py
@@ -46,7 +46,7 @@
         self.loop = asyncio.get_running_loop()
         self.watch: DiscoveryWatch | None = None
         self.subscriber: ConfigurationSubscriber | None = None
-        self.configs_applied = 0  # over all restarts
+        self.configs_applied = 0  # number of configurations applied, over all restarts
         self._starts = 0
         self._context = contextvars.copy_context()
         self._context.run(SOURCE_ADDRESS.set, setup.address)
--- a/rosewheel/lab/scale/summary.py
+++ b/rosewheel/lab/scale/summary.py
@@ -84,7 +84,9 @@
         stale_nodes=stale_nodes,
         cpu_max=phase_maximum(Role.SIMULATED_NODES, lambda row: row.usage.cpu_per_member),
         memory_max_mb=phase_maximum(Role.REAL_NODES, lambda row: row.usage.rss_mb_max),
-        traffic_max_kb_s=phase_maximum(Role.SIMULATED_NODES, lambda row: row.traffic.max_bytes_s, 1000.0),
+        traffic_max_kb_per_s=phase_maximum(
+            Role.SIMULATED_NODES, lambda row: row.traffic.max_bytes_per_s, 1000.0
+        ),
         added_p99_ms=None if calls is None else calls.added_p99_ms,
         direct_p99_ms=None if calls is None else calls.direct.p99_ms,
         calls_per_s=None if calls is None else round(calls.sent / measurements.plan.options.seconds, 1),
--- a/rosewheel/lab/scale/targets.py
+++ b/rosewheel/lab/scale/targets.py
@@ -10,7 +10,7 @@
 MAX_ADDED_P99_MS = 1.4
 MAX_NODE_CPU = 0.034  # cores, for discovery and control
 MAX_NODE_MEMORY_MB = 256.0
-MAX_NODE_TRAFFIC_KB_S = 15.0  # for discovery and control
+MAX_NODE_TRAFFIC_KB_PER_S = 15.0  # for discovery and control
 TARGET_CALLS_PER_S = 54_000.0
 MAX_PROCESSES = 150
 MAX_RUN_MEMORY_GB = 12.0
@@ -62,7 +62,7 @@
         stale_nodes: Number of nodes without the last list or configuration at the end.
         cpu_max: Largest mean CPU usage of a simulated node in a phase, in cores.
         memory_max_mb: Largest memory of a real node.
-        traffic_max_kb_s: Largest traffic, sent and received, of a simulated node in a phase.
+        traffic_max_kb_per_s: Largest traffic, sent and received, of a simulated node in a phase.
         added_p99_ms: 99th percentile of latency through a node minus that of direct calls.
         direct_p99_ms: 99th percentile of latency of direct calls, without a node.
         calls_per_s: Calls sent per second.
@@ -75,7 +75,7 @@
     stale_nodes: int
     cpu_max: float | None
     memory_max_mb: float | None
-    traffic_max_kb_s: float | None
+    traffic_max_kb_per_s: float | None
     added_p99_ms: float | None
     direct_p99_ms: float | None
     calls_per_s: float | None
@@ -96,9 +96,9 @@
         ),
         _at_most(
             Target.NODE_TRAFFIC,
-            MAX_NODE_TRAFFIC_KB_S,
+            MAX_NODE_TRAFFIC_KB_PER_S,
             "KB/s",
-            measurements.traffic_max_kb_s,
+            measurements.traffic_max_kb_per_s,
             "in and out, worst node in the worst phase",
         ),
         _check_added_latency(measurements),
--- a/rosewheel/lab/scale/worker.py
+++ b/rosewheel/lab/scale/worker.py
@@ -95,7 +95,7 @@
             await self.process.wait()
 
 
-# ------------------------------------------------------------- in the worker process
+# Functions of the worker process.
 
 
 async def serve_commands(
--- a/tests/lab/test_scale_report.py
+++ b/tests/lab/test_scale_report.py
@@ -45,7 +45,7 @@
     rss_mb_max=40.0,
     open_files=60,
 )
-TRAFFIC = RoleTraffic(out_bytes_s=10.0, in_bytes_s=20.0, messages_s=3.0, max_bytes_s=31.0)
+TRAFFIC = RoleTraffic(out_bytes_per_s=10.0, in_bytes_per_s=20.0, reads_per_s=3.0, max_bytes_per_s=31.0)
 SUMMARY = Summary(
     options=Options(nodes=24, real=2, services=4, seconds=20.0, seed=1),
     load_1min=7.5,
