--- a/rosewheel/lab/fault_table.py
+++ b/rosewheel/lab/fault_table.py
@@ -50,8 +50,8 @@
     """Process that is killed during a node upgrade. The values are used in scenario files."""
 
     NONE = ""
-    STARTING = "starting"  # the new process, before the old one is asked to stop
-    NEW = "new"  # the new process, after the old one was asked to stop
+    STARTING = "starting"  # the new process, before SIGTERM is sent to the old one
+    NEW = "new"  # the new process, after SIGTERM was sent to the old one
     OLD = "old"
 
 
--- a/rosewheel/lab/scale/targets.py
+++ b/rosewheel/lab/scale/targets.py
@@ -8,9 +8,9 @@
 
 MAX_PROPAGATION_S = 6.0
 MAX_ADDED_P99_MS = 1.4
-MAX_NODE_CPU = 0.034  # cores, for discovery and control
+MAX_NODE_CPU = 0.034  # cores that discovery and control use
 MAX_NODE_MEMORY_MB = 256.0
-MAX_NODE_TRAFFIC_KB_PER_S = 15.0  # for discovery and control
+MAX_NODE_TRAFFIC_KB_PER_S = 15.0  # traffic with discovery and control
 TARGET_CALLS_PER_S = 54_000.0
 MAX_PROCESSES = 150
 MAX_RUN_MEMORY_GB = 12.0
--- a/rosewheel/lab/simulation/fleet.py
+++ b/rosewheel/lab/simulation/fleet.py
@@ -205,9 +205,9 @@
         """Remove a server from the endpoint list of its tier."""
         self.registries[host.spec.tier].set_state(host.spec.name, ServerState.REMOVED, change)
 
-    def record(self, name: RecordFile, record: Record) -> None:
+    def record(self, file: RecordFile, record: Record) -> None:
         """Write a record to a file."""
-        self._record(name, record)
+        self._record(file, record)
 
     def plan_time(self) -> float:
         """Return the current time for records, in ms since the plan began, rounded to 0.1."""
--- a/rosewheel/lab/simulation/requests.py
+++ b/rosewheel/lab/simulation/requests.py
@@ -55,7 +55,7 @@
     plan: Plan
     queue: EventQueue
 
-    def record(self, name: RecordFile, record: Record) -> None:
+    def record(self, file: RecordFile, record: Record) -> None:
         """Write a record to a file."""
 
     def plan_time(self) -> float:
--- a/rosewheel/lab/simulation/simulate.py
+++ b/rosewheel/lab/simulation/simulate.py
@@ -52,11 +52,11 @@
         if folder is not None:
             self._files = {name: RecordWriter(folder / f"{name}.jsonl") for name in RecordFile}
 
-    def write(self, name: RecordFile, record: Record) -> None:
+    def write(self, file: RecordFile, record: Record) -> None:
         """Process a record.
 
         Args:
-            name: file to which it is written.
+            file: file to which it is written, if there is a folder.
         """
         self.record_count += 1
         line = self._encode(record)
@@ -65,7 +65,7 @@
         if isinstance(record, NodeReadyRecord):
             self.restarts_ms.append(record.at_ms)
         if self._files:
-            self._files[name].write_line(line)
+            self._files[file].write_line(line)
 
     def close(self) -> str:
         """Close the files and return the digest of all records."""
--- a/rosewheel/lab/soak/nodes.py
+++ b/rosewheel/lab/soak/nodes.py
@@ -88,12 +88,14 @@
         """Path of the log, which all processes of the node append to."""
         return self._folder / "log"
 
-    def write_config(self, discovery_port: int, known: dict[str, Any], changes: dict[str, Any]) -> None:
+    def write_config(
+        self, discovery_port: int, initial_endpoints: dict[str, Any], changes: dict[str, Any]
+    ) -> None:
         """Write the configuration file.
 
         Args:
             discovery_port: Port of the node's discovery agent.
-            known: Initial endpoint list.
+            initial_endpoints: Endpoint list, as a discovery message.
             changes: Settings that replace those of `SETTINGS`.
         """
         host, port = self.address
@@ -104,7 +106,7 @@
             "ops": f"{admin_host}:{admin_port}",
             "discovery": f"127.0.0.1:{discovery_port}",
             "limits": {"memory_mb": 192, "sockets": 512},
-            "known": known,
+            "known": initial_endpoints,
             "settings": SETTINGS | {"siblings": self._count} | changes,
         }
         (self._folder / "config.json").write_bytes(msgspec.json.encode(document))
--- a/rosewheel/lab/soak/run.py
+++ b/rosewheel/lab/soak/run.py
@@ -110,8 +110,8 @@
             self.records.max_lag_s = max(self.records.max_lag_s, loop.time() - due_s)
 
     def _write_config(self, node: SoakNode, changes: dict[str, Any]) -> None:
-        known = self._discovery.endpoint_list(node.number)
-        node.write_config(self._discovery.ports[node.number], known, changes)
+        initial_endpoints = self._discovery.endpoint_list(node.number)
+        node.write_config(self._discovery.ports[node.number], initial_endpoints, changes)
 
     async def _add_server(self, warming_up: bool) -> SoakServer:
         server = SoakServer(f"s{self._started_servers}", self.records, self._node_name, self._fork_rng())
