--- a/rosewheel/lab/simulation/simulate.py
+++ b/rosewheel/lab/simulation/simulate.py
@@ -28,7 +28,7 @@
 START_DELAY_MS = 500.0  # time between the start of the last node and the beginning of the plan
 RUN_STEP_MS = 100.0  # virtual time between two calls of the progress function
 AFTER_RESTART_MS = 10_000.0  # time after the restart of a node over which service is measured
-MAX_TAIL_MS = 120_000.0  # limit of the time after the plan in which operations may finish
+MAX_TAIL_MS = 120_000.0  # maximum time after the end of the plan until all operations have finished
 DIGEST_BYTES = 8
 
 Progress = Callable[[float, int, float], None]  # simulated s, number of events, wall-clock s
@@ -52,11 +52,11 @@
         if folder is not None:
             self._files = {name: RecordWriter(folder / f"{name}.jsonl") for name in RecordFile}
 
-    def write(self, name: RecordFile, record: Record) -> None:
+    def write(self, file: RecordFile, record: Record) -> None:
         """Process a record.
 
         Args:
-            name: file to which it is written.
+            file: file to which it is written, if there is a folder.
         """
         self.record_count += 1
         line = self._encode(record)
@@ -65,7 +65,7 @@
         if isinstance(record, NodeReadyRecord):
             self.restarts_ms.append(record.at_ms)
         if self._files:
-            self._files[name].write_line(line)
+            self._files[file].write_line(line)
 
     def close(self) -> str:
         """Close the files and return the digest of all records."""
@@ -82,8 +82,8 @@
     """
     for index, fault in enumerate(scenario.faults):
         if fault.killed_process:
-            why = "a process that is killed in the middle of an upgrade is not simulated"
-            raise InvalidFileError(scenario.name, [Problem(f"trouble[{index}].kills", None, why)])
+            message = "a process that is killed in the middle of an upgrade is not simulated"
+            raise InvalidFileError(scenario.name, [Problem(f"trouble[{index}].kills", None, message)])
 
 
 class Simulation:
@@ -113,7 +113,7 @@
         )
         injector = SimulatedFaultInjector(self.fleet, dispatcher)
         for step in plan.steps:
-            if plan.scenario.faults[step.fault].kind is FaultKind.RETRY_STORM:
+            if plan.scenario.faults[step.fault_index].kind is FaultKind.RETRY_STORM:
                 extra_retries = round(step.size) if step.phase is FaultPhase.BEGIN else 0
                 queue.call_at(step.at_ms, self._set_extra_retries, clients, extra_retries)
             else:
