--- a/rosewheel/control/codec/status.py
+++ b/rosewheel/control/codec/status.py
@@ -1,4 +1,4 @@
-"""JSON of the status report."""
+"""JSON encoding of the status report, and of the call for it."""
 
 from __future__ import annotations
 
@@ -7,11 +7,11 @@
 from rosewheel.control.codec.paths import STATUS_PATH
 from rosewheel.control.codec.values import (
     JsonObject,
-    decode_answer_revision,
     decode_epoch,
+    decode_response_revision,
     decode_revision,
-    encode_answer_revision,
     encode_epoch,
+    encode_response_revision,
     encode_revision,
     malformed_on_error,
 )
@@ -25,35 +25,35 @@
 )
 from rosewheel.control.revisions import Revision
 
-SECONDS_DIGITS = 1  # decimal places of times in the report
+SECONDS_DIGITS = 1  # decimal places of durations in the report
 
 
 # ----------------------------------------------------------------------------------- calls
 
 
 def status_target(local_only: bool = False, all_nodes: bool = False) -> str:
-    """Return path and query of a status call.
+    """Return the path and query of a status call.
 
     Args:
-        local_only: The machine is to answer by its own knowledge, without asking the leader.
-        all_nodes: The report is to list each node.
+        local_only: Whether to request the called machine's own report instead of the leader's.
+        all_nodes: Whether to list all nodes.
     """
     options = [*(["here=1"] if local_only else []), *(["all=1"] if all_nodes else [])]
     return STATUS_PATH + ("?" + "&".join(options) if options else "")
 
 
 def decode_local_only(query: JsonObject) -> bool:
-    """Read whether the machine is to answer by its own knowledge."""
+    """Decode whether the called machine's own report is requested."""
     return query.get("here") == "1"
 
 
 def decode_all_nodes(query: JsonObject) -> bool:
-    """Read whether the report is to list each node."""
+    """Decode whether the report is to list all nodes."""
     return query.get("all") == "1"
 
 
 def relay_status(row: JsonObject, contacted: str) -> JsonObject:
-    """Return the leader's answer as the contacted machine passes it on."""
+    """Return the leader's encoded report as relayed by the contacted machine."""
     return row | {"asked": contacted}
 
 
@@ -61,12 +61,12 @@
 
 
 def encode_status(report: StatusReport) -> JsonObject:
-    """Return the status report."""
+    """Encode a status report."""
     return {
         "asked": report.contacted,
         "machine": report.machine,
         "problem": report.problem,
-        **encode_answer_revision(report.committed),
+        **encode_response_revision(report.committed),
         "written": report.last_number,
         "seen": encode_epoch(report.highest_epoch_seen),
         "machines": [_encode_machine(machine) for machine in report.machines],
@@ -92,7 +92,7 @@
         "away": report.disconnected_count,
         "longest_behind_s": round(report.longest_behind_s, SECONDS_DIGITS),
         "versions": [
-            encode_answer_revision(count.revision) | {"nodes": count.nodes} for count in report.revisions
+            encode_response_revision(count.revision) | {"nodes": count.nodes} for count in report.revisions
         ],
         "behind_nodes": [_encode_node(node) for node in report.behind],
         "refused_nodes": [_encode_node(node) for node in report.rejected],
@@ -124,17 +124,17 @@
 
 
 def decode_status(row: JsonObject) -> StatusReport:
-    """Read a status report. It does not name the leaders of nodes' revisions, nor nodes' stamps; these are empty.
+    """Decode a status report. Stamps and the leaders of nodes' revisions are not encoded; they are zero and empty.
 
     Raises:
-        MalformedMessageError: It is none.
+        MalformedMessageError: A field is missing or invalid.
     """
     with malformed_on_error():
         return StatusReport(
             contacted=row["asked"],
             machine=row["machine"],
             problem=row["problem"],
-            committed=decode_answer_revision(row),
+            committed=decode_response_revision(row),
             last_number=int(row["written"]),
             highest_epoch_seen=decode_epoch(row["seen"]),
             machines=tuple(_decode_machine(value) for value in row["machines"]),
@@ -159,7 +159,7 @@
         disconnected_count=row["away"],
         longest_behind_s=row["longest_behind_s"],
         revisions=tuple(
-            RevisionCount(decode_answer_revision(value), value["nodes"]) for value in row["versions"]
+            RevisionCount(decode_response_revision(value), value["nodes"]) for value in row["versions"]
         ),
         behind=_decode_nodes(row["behind_nodes"]),
         rejected=_decode_nodes(row["refused_nodes"]),
--- a/rosewheel/control/machine_api.py
+++ b/rosewheel/control/machine_api.py
@@ -1,4 +1,4 @@
-"""HTTP API of a control machine: watches of nodes and machines, heartbeats, and the calls of operators."""
+"""HTTP API of a control machine: watches of nodes and machines, heartbeats, and operator requests."""
 
 from __future__ import annotations
 
@@ -28,9 +28,9 @@
 from rosewheel.control.machine_parts import MachineParts
 from rosewheel.control.machine_status import StatusReporter
 from rosewheel.control.messages import (
-    ChangeAnswer,
-    ErrorAnswer,
-    HistoryAnswer,
+    ChangeResponse,
+    ErrorResponse,
+    HistoryResponse,
     MachineState,
     NodeStatus,
     WatchRequest,
@@ -42,7 +42,7 @@
 
 log = logging.getLogger("rosewheel.control")
 
-# A call carries a change, or a batch of statuses: those of all 540 nodes are 120 kB.
+# The largest bodies are a document and a batch of node statuses (120 kB for 540 nodes).
 CALL_LIMITS = ConnectionLimits(
     max_request_bytes=4 * MAX_DOCUMENT_BYTES, receive_timeout_s=5.0, send_timeout_s=5.0, idle_timeout_s=30.0
 )
@@ -54,14 +54,14 @@
 
 
 class MachineApi:
-    """Answers calls; the handler of its connections."""
+    """Handles the requests of all connections to one control machine."""
 
     def __init__(self, parts: MachineParts, process_id: str) -> None:
         """Set up the routes.
 
         Args:
-            parts: Of this machine.
-            process_id: Random identity of this process.
+            parts: Parts of the machine.
+            process_id: Random identifier of this process.
         """
         self._process_id = process_id
         self._settings, self._store, self._nodes = parts.settings, parts.store, parts.nodes
@@ -89,24 +89,24 @@
     # -------------------------------------------------------------------- connections
 
     def connection_opened(self, connection: JsonConnection) -> None:
-        """A connection was opened."""
+        """Register a new connection."""
         self._connections[connection] = None
 
     def connection_closed(self, connection: JsonConnection) -> None:
-        """A connection has ended."""
+        """Remove an ended connection; if it was a node's watch, record that the node is disconnected."""
         self._connections.pop(connection, None)
         node = self._watches.closed(connection)
         if node:
             self._nodes.disconnected(node, self._settings.name, self._clock.time())
 
     async def handle(self, request: JsonRequest, connection: JsonConnection) -> JsonResponse | None:
-        """Return the answer to a call; None where the connection has become a watch."""
+        """Return the response to a request; None if the connection has become a watch."""
         path, _, query_text = request.target.partition("?")
         route = self._routes.get(path)
         if route is None:
-            return _error_response(404, "no such call; there are " + ", ".join(self._routes))
+            return _error_response(404, "unknown path; the paths are " + ", ".join(self._routes))
         if request.method != route.method:
-            error = ErrorAnswer(f"{path} takes {route.method}")
+            error = ErrorResponse(f"{path} requires method {route.method}")
             return JsonResponse(405, codec.encode_error(error), allow=route.method)
         query = {key: values[-1] for key, values in parse_qs(query_text, keep_blank_values=True).items()}
         try:
@@ -121,28 +121,30 @@
             return _error_response(409, str(error), self._store.replica.last.number)
         except (WriteUnavailableError, NotReplicatedError) as error:
             return _error_response(503, str(error), self._store.replica.last.number)
-        except ValueError as error:  # the request's own fault: malformed, or an invalid document
+        except ValueError as error:  # malformed request or invalid document
             return _error_response(400, str(error))
         except OSError as error:
             log.error("call failed: %s, path=%s", error, path)
-            return _error_response(500, f"{self._settings.name} can't keep it: {error}")
+            return _error_response(500, f"{self._settings.name} could not write to its log: {error}")
 
     def _not_leader_response(self, error: NotLeaderError) -> JsonResponse:
         leader = self._store.replica.highest_epoch_seen.leader
         address = ""
         if leader in self._settings.peers:
             address = "{}:{}".format(*self._settings.peers[leader])
-        return JsonResponse(409, codec.encode_error(ErrorAnswer(str(error), leader, address)))
+        return JsonResponse(409, codec.encode_error(ErrorResponse(str(error), leader, address)))
 
     # ------------------------------------------------------------------- nodes, machines
 
     async def _open_watch(self, request: WatchRequest, connection: JsonConnection) -> JsonResponse | None:
         if request.peer not in self._settings.peers and not request.node:
-            return _error_response(400, "who follows? node=NAME")
-        # A node or follower that has seen a later epoch makes it known here.
+            return _error_response(
+                400, "a watch requires the parameter node, or peer with the name of a control machine"
+            )
+        # The watcher may have seen a higher epoch than this machine.
         await self._store.observe_epoch(request.received.epoch)
         if connection.transport is None:
-            return None  # it has disconnected meanwhile
+            return None  # disconnected in the meantime
         if not request.peer:
             self._note_connected(request)
         node = "" if request.peer else request.node
@@ -178,7 +180,7 @@
         peer = self._peers.get(heartbeat.machine)
         if peer is None:
             name = self._settings.name
-            raise MalformedMessageError(f"machine: {heartbeat.machine!r} is no peer of {name}")
+            raise MalformedMessageError(f"machine: {heartbeat.machine!r} is not a peer of {name}")
         await peer.peer_reported(heartbeat.highest_epoch_seen, heartbeat.last)
         now_s = self._clock.time()
         for status in heartbeat.node_statuses or ():
@@ -189,7 +191,7 @@
         epoch = codec.decode_fence(row)
         await self._store.observe_epoch(epoch)
         is_fenced = self._store.replica.highest_epoch_seen == epoch
-        return JsonResponse(200, codec.encode_fence_answer(self._state(is_fenced)))
+        return JsonResponse(200, codec.encode_fence_response(self._state(is_fenced)))
 
     def _state(self, is_fenced: bool = False) -> MachineState:
         replica = self._store.replica
@@ -216,38 +218,38 @@
 
     async def _change_response(self, change: Change | None) -> JsonResponse:
         if change is None:
-            answer = ChangeAnswer(self._store.replica.last, changed=False)
+            response = ChangeResponse(self._store.replica.last, changed=False)
         else:
             await self._store.wait_committed(change.revision, COMMIT_TIMEOUT_S)
-            answer = ChangeAnswer(change.revision, changed=True)
-        return JsonResponse(200, codec.encode_change_answer(answer))
+            response = ChangeResponse(change.revision, changed=True)
+        return JsonResponse(200, codec.encode_change_response(response))
 
     async def _history(self, query: JsonObject) -> JsonResponse:
         limit = codec.decode_history_limit(query)
         history = self._store.replica.history
-        answer = HistoryAnswer(
+        response = HistoryResponse(
             self._settings.name,
             oldest=history.snapshot.revision.number,
             changes=tuple(reversed(history.changes[-limit:])),
         )
-        return JsonResponse(200, codec.encode_history(answer))
+        return JsonResponse(200, codec.encode_history(response))
 
     async def _status(self, query: JsonObject) -> JsonResponse:
         return JsonResponse(
-            200, await self._status_reporter.answer(decode_local_only(query), decode_all_nodes(query))
+            200, await self._status_reporter.encoded_report(decode_local_only(query), decode_all_nodes(query))
         )
 
     async def _promote(self, row: JsonObject) -> JsonResponse:
-        answer = await self._promotion.run(codec.decode_promote(row))
-        return JsonResponse(200, codec.encode_change_answer(answer))
+        response = await self._promotion.run(codec.decode_promote(row))
+        return JsonResponse(200, codec.encode_change_response(response))
 
 
 def _json_object(body: bytes) -> JsonObject:
     row = orjson.loads(body or b"{}")
     if not isinstance(row, dict):
-        raise MalformedMessageError("not an object")
+        raise MalformedMessageError("body is not a JSON object")
     return row
 
 
 def _error_response(status: int, text: str, current: int | None = None) -> JsonResponse:
-    return JsonResponse(status, codec.encode_error(ErrorAnswer(text, current=current)))
+    return JsonResponse(status, codec.encode_error(ErrorResponse(text, current=current)))
--- a/rosewheel/control/promotion.py
+++ b/rosewheel/control/promotion.py
@@ -11,34 +11,33 @@
 from rosewheel.control.errors import HigherEpochSeenError, HttpCallError
 from rosewheel.control.heartbeats import PeerHeartbeat
 from rosewheel.control.machine_parts import MachineParts
-from rosewheel.control.messages import ChangeAnswer, Heartbeat, MachineState, PromoteRequest
+from rosewheel.control.messages import ChangeResponse, Heartbeat, MachineState, PromoteRequest
 from rosewheel.control.revisions import Revision
 
-# How long a change may take to reach another machine. One that turns to a new leader needs 2 s.
-COMMIT_TIMEOUT_S = 4.0
+COMMIT_TIMEOUT_S = 4.0  # limit of the wait for a commit; a follower needs up to 2 s to switch to a new leader
 PEER_CALL_TIMEOUT_S = 1.5
 
 
 class Promotion:
-    """Promotes this machine."""
+    """Promotes this machine to leader."""
 
     def __init__(self, parts: MachineParts) -> None:
-        """Promote the machine of these parts."""
+        """Set the machine to promote."""
         self._name, self._store, self._peers = parts.name, parts.store, parts.peers
 
-    async def run(self, request: PromoteRequest) -> ChangeAnswer:
-        """Begin an epoch of this machine above all that were seen.
+    async def run(self, request: PromoteRequest) -> ChangeResponse:
+        """Promote this machine: fence the peers at a new epoch, then write the first revision of that epoch.
 
         Raises:
-            NotPromotableError: Others have more, or may have. Nothing has changed unless peers were fenced already.
-            PromotionSupersededError: Another machine was promoted meanwhile.
-            NotReplicatedError: No other machine has the first revision of the epoch yet.
+            NotPromotableError: Peers have, or may have, later revisions. Peers may already be fenced.
+            PromotionSupersededError: Another machine was promoted in the meantime.
+            NotReplicatedError: The first revision of the epoch is not replicated yet.
             OSError: The log can't be written.
         """
         replica = self._store.replica
         if replica.is_leader:
-            return ChangeAnswer(replica.last, changed=False)
-        # Peers are asked before they are fenced, so that nothing changes where this machine may not be promoted.
+            return ChangeResponse(replica.last, changed=False)
+        # Check before fencing, so that a promotion that is not allowed leaves the current leader in place.
         heartbeat = Heartbeat(self._name, replica.highest_epoch_seen, replica.last)
         states = await self._call_peers(HEARTBEAT_PATH, encode_heartbeat(heartbeat))
         if not request.force:
@@ -47,13 +46,13 @@
         await self._store.observe_epoch(epoch)
         fenced = await self._call_peers(FENCE_PATH, encode_fence(epoch))
         await self._check_fenced(fenced)
-        # Fenced peers take nothing older, so what they have now is all that can have been committed.
+        # Once fenced, peers accept nothing from older epochs, so these are their last revisions of those epochs.
         peer_revisions = _last_revisions(fenced)
         change = await self._store.begin_epoch(epoch, peer_revisions, request.force, request.author)
         lost = self._lost_revisions(peer_revisions)
         if peer_revisions:
             await self._store.wait_committed(change.revision, COMMIT_TIMEOUT_S)
-        return ChangeAnswer(change.revision, changed=True, lost=lost)
+        return ChangeResponse(change.revision, changed=True, lost=lost)
 
     async def _check_fenced(self, states: Mapping[str, MachineState]) -> None:
         for peer, state in states.items():
@@ -70,7 +69,7 @@
         )
 
     async def _call_peers(self, path: str, body: JsonObject) -> dict[str, MachineState]:
-        """Return the states of the peers that answered."""
+        """Return the states of the peers that responded."""
         peers = list(self._peers.values())
         states = await asyncio.gather(*(_call_peer(peer, path, body) for peer in peers))
         return {peer.peer: state for peer, state in zip(peers, states, strict=True) if state is not None}
@@ -78,10 +77,10 @@
 
 async def _call_peer(peer: PeerHeartbeat, path: str, body: JsonObject) -> MachineState | None:
     try:
-        status, answer = await peer.client.call("POST", path, body, PEER_CALL_TIMEOUT_S)
+        status, response = await peer.client.call("POST", path, body, PEER_CALL_TIMEOUT_S)
     except HttpCallError:
         return None
-    return decode_machine_state(answer) if status == 200 else None
+    return decode_machine_state(response) if status == 200 else None
 
 
 def _last_revisions(states: Mapping[str, MachineState]) -> dict[str, Revision]:
--- a/rosewheel/lab/scale/faults.py
+++ b/rosewheel/lab/scale/faults.py
@@ -1,4 +1,4 @@
-"""Injects the faults of a scale run into its processes and its network."""
+"""Injects faults into the processes and the network of a scale run."""
 
 from __future__ import annotations
 
@@ -23,14 +23,14 @@
 
 
 class FaultInjector:
-    """Carries out fault steps and records which nodes could not be reached."""
+    """Carries out fault steps and records the outages of nodes."""
 
     def __init__(self, fleet: Fleet, measurements: Measurements, publisher: ChangePublisher) -> None:
         self.fleet, self.measurements, self.publisher = fleet, measurements, publisher
         self._restarts: set[asyncio.Task[None]] = set()
 
     async def apply(self, step: FaultStep) -> None:
-        """Carry out one step."""
+        """Carry out a step."""
         match step.action:
             case StepAction.LOSE:
                 await self._lose(step)
@@ -40,10 +40,10 @@
                 self._restart(step)
             case StepAction.PARTITION:
                 self.fleet.network.send(SetPartition(True))
-                self.measurements.regions_partitioned(now_ms())
+                self.measurements.record_partition(now_ms())
             case StepAction.HEAL:
                 self.fleet.network.send(SetPartition(False))
-                self.measurements.regions_joined(now_ms())
+                self.measurements.record_partition_healed(now_ms())
 
     async def _lose(self, step: FaultStep) -> None:
         at_ms = now_ms()
@@ -53,7 +53,7 @@
             node.kill()
         for name in step.control_machines:
             self.fleet.control_machines[name].kill()
-        self.measurements.nodes_lost(step.nodes, at_ms)
+        self.measurements.record_nodes_lost(step.nodes, at_ms)
         await self.publisher.publish_health(step.nodes, EndpointHealth.LEFT)
 
     async def _restore(self, step: FaultStep) -> None:
@@ -63,7 +63,7 @@
             self.fleet.control_machines[name].restart()
         for node in self._real_nodes(step.nodes):
             node.start()
-        self.measurements.nodes_restored(step.nodes, now_ms())
+        self.measurements.record_nodes_restored(step.nodes, now_ms())
         await self.publisher.publish_health(step.nodes, EndpointHealth.ACTIVE, returning=True)
 
     def _restart(self, step: FaultStep) -> None:
@@ -73,8 +73,8 @@
             task = asyncio.get_running_loop().create_task(node.restart())
             self._restarts.add(task)
             task.add_done_callback(self._restarts.discard)
-        self.measurements.nodes_lost(step.nodes, at_ms)
-        self.measurements.nodes_restored(step.nodes, now_ms())
+        self.measurements.record_nodes_lost(step.nodes, at_ms)
+        self.measurements.record_nodes_restored(step.nodes, now_ms())
 
     def _send_to_simulated(self, command: Command) -> None:
         for worker in self.fleet.simulated:
@@ -84,12 +84,12 @@
         return [self.fleet.real[number] for number in numbers if number in self.fleet.real]
 
     async def wait_for_restarts(self, timeout_s: float) -> None:
-        """Wait until real nodes that are restarting have started, at most this long."""
+        """Wait until the restarts of real nodes have finished, up to a timeout."""
         if self._restarts:
             await asyncio.wait(self._restarts, timeout=timeout_s)
 
     def close(self) -> None:
-        """Abandon restarts."""
+        """Cancel the pending restarts."""
         for task in self._restarts:
             task.cancel()
 
--- a/rosewheel/lab/server_host.py
+++ b/rosewheel/lab/server_host.py
@@ -91,7 +91,7 @@
     """One server: its listening socket, its connections, and the timer that drives its model.
 
     Attributes:
-        reports: whether responses carry the load report.
+        sends_load_reports: whether responses carry the load report.
         isolated: the machine is cut off from the network.
     """
 
@@ -102,10 +102,10 @@
         dedup_table: DedupTable,
         rng: np.random.Generator,
         warming_up: bool,
-        reports: bool,
+        sends_load_reports: bool,
     ) -> None:
         self.owner, self.spec, self.dedup_table, self.rng = owner, spec, dedup_table, rng
-        self.reports = reports
+        self.sends_load_reports = sends_load_reports
         self.loop = asyncio.get_running_loop()
         self.model = EmulatedServer(spec, dedup_table, rng, now_ms(), warming_up)
         self.address: Address = ("127.0.0.1", 0)
@@ -202,7 +202,7 @@
             connection.silent = True
         self._faults.affect_new(connection)
         self.catch_up(now := now_ms())
-        self.model.connect(now)
+        self.model.connection_opened(now)
         self.arm()
 
     def connection_closed(self, connection: HostConnection) -> None:
@@ -211,7 +211,7 @@
         if connection.work is not None:
             connection.work.client_connected = False
         self.catch_up(now := now_ms())
-        self.model.disconnect(now)
+        self.model.connection_closed(now)
         self.arm()
 
     def receive(self, connection: HostConnection, request: HttpRequest) -> None:
@@ -231,13 +231,13 @@
             return
         connection.work = work
         self.catch_up(now := now_ms())
-        self.owner.apply_actions(self, self.model.arrive(now, work.job))
+        self.owner.apply_actions(self, self.model.submit(now, work.job))
         self.arm()
 
     def _answer_health_check(self, connection: HostConnection, path: bytes) -> None:
         self.catch_up(now := now_ms())
         up = self.model.check_health(now)
-        body = self._load_report().encode() if path == LOAD_PATH and self.reports else b""
+        body = self._load_report().encode() if path == LOAD_PATH and self.sends_load_reports else b""
         connection.respond(200 if up else 503, body)
         self.arm()
 
@@ -249,7 +249,9 @@
         if not work.client_connected or connection.transport is None:
             return
         status = STATUS_BY_RESULT[result]
-        headers = b"Server-Load: TEXT %b\r\n" % self._load_report().encode() if self.reports else b""
+        headers = (
+            b"Server-Load: TEXT %b\r\n" % self._load_report().encode() if self.sends_load_reports else b""
+        )
         if result is JobResult.REJECTED:
             headers += NOT_STARTED_HEADER
         fault = connection.fault
--- a/rosewheel/proxy/parts.py
+++ b/rosewheel/proxy/context.py
@@ -1,4 +1,4 @@
-"""The parts of a proxy, as its other parts see them."""
+"""The context of a proxy: the interface through which its components reach each other and their shared state."""
 
 from __future__ import annotations
 
@@ -20,22 +20,24 @@
     from rosewheel.admin.server import AdminServer
 
 
-class ProxyParts(Protocol):
-    """What the parts of one proxy share.
+class ProxyContext(Protocol):
+    """Gives the components of one proxy access to each other, to the configuration and to the event loop.
+
+    `Proxy` implements it.
 
     Attributes:
-        config: The configuration that is applied.
+        config: The configuration in force.
         loop: The event loop of the process.
-        stopped: Whether the process has ended its work.
-        node: The requests in flight, and the balancing policy.
+        stopped: Whether the process has finished its drain.
+        node: The requests in flight and the balancing policy.
         server: The connections of clients.
         upstream: The connections to servers.
-        budget: The memory for the bodies of requests.
+        budget: The memory budget for request bodies.
         discovery: The watch of the endpoint list.
-        admin: The admin server, where there is one.
-        shared_state: What the processes of this node share.
-        migration: The connections that leave for another process or arrive from one.
-        calls: The requests of clients by id, until each has its response.
+        admin: The admin server, if the configuration has an address for one.
+        shared_state: The persistent state that the processes of this node share.
+        migration: Migrates connections to and from another process of this node.
+        client_requests: The client requests without a final response, by id.
     """
 
     config: NodeConfig
@@ -49,7 +51,7 @@
     admin: AdminServer | None
     shared_state: SharedState
     migration: Migration
-    calls: dict[str, DownstreamRequest]
+    client_requests: dict[str, DownstreamRequest]
 
     def apply(self, effects: list[NodeEffect]) -> None:
-        """Carries out what the node has decided."""
+        """Executes effects that the node has decided on."""
--- a/rosewheel/proxy/effects.py
+++ b/rosewheel/proxy/effects.py
@@ -1,4 +1,4 @@
-"""Carries out what the node decides, and wakes it when one of its timers is due."""
+"""Executes the effects that the node decides on, and calls the node when one of its timers is due."""
 
 from __future__ import annotations
 
@@ -17,10 +17,10 @@
     StartAttempt,
     StartHealthCheck,
 )
-from rosewheel.node.rule_monitor import Act, Reason, Rule
+from rosewheel.node.rule_monitor import CheckedOperation, Reason, Rule
 from rosewheel.policy.events import AttemptResult
 from rosewheel.proxy import clock
-from rosewheel.proxy.parts import ProxyParts
+from rosewheel.proxy.context import ProxyContext
 
 log = logging.getLogger("rosewheel.proxy")
 
@@ -28,25 +28,25 @@
 
 
 class EffectRunner:
-    """Carries out the effects of one node.
+    """Executes the effects of one node.
 
     Args:
-        parts: The sockets on which effects act.
-        on_attempt_finished: Called where an attempt ends before it is sent.
+        context: The components of the proxy that effects act on.
+        on_attempt_finished: Called for an attempt that ends before it is sent.
     """
 
-    def __init__(self, parts: ProxyParts, on_attempt_finished: AttemptHandler) -> None:
-        self._parts = parts
+    def __init__(self, context: ProxyContext, on_attempt_finished: AttemptHandler) -> None:
+        self._context = context
         self._on_attempt_finished = on_attempt_finished
         self._timer: asyncio.TimerHandle | None = None
         self._timer_due_ms = 0.0
 
     def apply(self, effects: list[NodeEffect]) -> None:
-        """Carries out effects in order."""
+        """Executes effects in order."""
         for effect in effects:
             try:
-                self._carry_out(effect)
-            except Exception:  # a fault in one request must not end the others
+                self._execute(effect)
+            except Exception:  # an error in one request must not affect the others
                 log.exception("effect failed: type=%s", type(effect).__name__)
         self._start_timer()
 
@@ -55,56 +55,61 @@
         if self._timer is not None:
             self._timer.cancel()
 
-    def _carry_out(self, effect: NodeEffect) -> None:
+    def _execute(self, effect: NodeEffect) -> None:
         match effect:
             case StartAttempt():
                 self._start_attempt(effect)
             case AbortAttempt():
-                self._parts.upstream.abort_attempt(effect.id, effect.attempt)
+                self._context.upstream.abort_attempt(effect.id, effect.attempt)
             case SendResponse():
                 self._send_response(effect)
             case OpenEndpointWatch():
-                self._parts.discovery.start()
+                self._context.discovery.start()
             case StartHealthCheck():
-                self._parts.upstream.check_health(effect.server)
+                self._context.upstream.check_health(effect.server)
 
     def _start_attempt(self, effect: StartAttempt) -> None:
-        request = self._parts.calls.get(effect.id)
-        # Checked at each attempt: a loop that is late reads the end of a client after that of an attempt.
+        request = self._context.client_requests.get(effect.id)
+        # Checked for each attempt: a busy event loop may read the client's disconnect only after this effect.
         if request is None or request.connection.close_if_disconnected():
-            self._parts.loop.call_soon(
+            self._context.loop.call_soon(
                 self._on_attempt_finished, effect.id, effect.attempt, AttemptResult.CANCELLED, None, b""
             )
             return
         id, attempt, length = effect.id, effect.attempt, request.forwarded_length
-        rules = self._parts.node.rules
+        rules = self._context.node.rules
 
         def encode_head() -> bytes:
-            told_ms = rules.time_left_ms(clock.now_ms(), id, attempt)
-            is_client_known = self._parts.calls.get(id) is request
-            rules.check_sent(id, attempt, is_client_known, told_ms, self._client_left_ms(request))
-            return request.upstream_head(told_ms, length)
+            timeout_ms = rules.time_left_ms(clock.now_ms(), id, attempt)
+            is_client_known = self._context.client_requests.get(id) is request
+            rules.record_send_violations(
+                id, attempt, is_client_known, timeout_ms, self._client_time_left_ms(request)
+            )
+            return request.upstream_head(timeout_ms, length)
 
         def is_wanted() -> bool:
             return rules.may_send(clock.now_ms(), id, attempt, request.connection.is_connected())
 
-        self._parts.upstream.start_attempt(
+        self._context.upstream.start_attempt(
             id, attempt, effect.server, encode_head, request.body, length is None, is_wanted
         )
 
-    def _client_left_ms(self, request: DownstreamRequest) -> float | None:
-        """What the client has left, by when its request was read; None if it was not complete then."""
+    def _client_time_left_ms(self, request: DownstreamRequest) -> float | None:
+        """Returns the rest of the client's timeout in milliseconds, or None if the request is not complete."""
         if request.completed_s is None:
             return None
-        return request.timeout_ms - (self._parts.loop.time() - request.completed_s) * 1000.0
+        return request.timeout_ms - (self._context.loop.time() - request.completed_s) * 1000.0
 
     def _send_response(self, effect: SendResponse) -> None:
-        request, monitor = self._parts.calls.pop(effect.id, None), self._parts.node.rules.monitor
+        request, monitor = (
+            self._context.client_requests.pop(effect.id, None),
+            self._context.node.rules.monitor,
+        )
         reason = Reason.CLIENT_DISCONNECTED if request is None else Reason.ALLOWED
-        if not monitor.is_allowed(Act.RESPOND, reason) or request is None:
+        if not monitor.is_allowed(CheckedOperation.RESPOND, reason) or request is None:
             return
         if request.has_final_response:
-            monitor.violated(Rule.ONE_RESPONSE, effect.id)
+            monitor.record_violation(Rule.ONE_RESPONSE, effect.id)
             return
         request.has_final_response = True
         connection = request.connection
@@ -116,17 +121,17 @@
             connection.abort_response(request)
 
     def _start_timer(self) -> None:
-        """Starts the one timer of the event loop that stands for all timers of the node."""
-        due_ms = self._parts.node.next_timer_ms()
+        """Schedules one event-loop timer for the node's earliest timer."""
+        due_ms = self._context.node.next_timer_ms()
         if due_ms is None or (self._timer is not None and self._timer_due_ms <= due_ms):
             return
         if self._timer is not None:
             self._timer.cancel()
         self._timer_due_ms = due_ms
-        # Rounded up to the loop's whole milliseconds: a timer that fires early would have to be started again.
+        # Rounded up to the event loop's resolution of 1 ms, so that the timer does not fire early.
         delay_ms = max(0, math.ceil(due_ms - clock.now_ms()))
-        self._timer = self._parts.loop.call_later(delay_ms / 1000.0, self._timer_fired)
+        self._timer = self._context.loop.call_later(delay_ms / 1000.0, self._timer_fired)
 
     def _timer_fired(self) -> None:
         self._timer = None
-        self.apply(self._parts.node.tick(clock.now_ms()))
+        self.apply(self._context.node.tick(clock.now_ms()))
--- a/tests/control/test_history.py
+++ b/tests/control/test_history.py
@@ -1,4 +1,4 @@
-"""Documents and revisions: patches, changes after a revision, rollback, the part of a service."""
+"""Documents and revision history: patches, documents of services, changes after a revision, rollback."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
 
 
 def identical(one: object, other: object) -> bool:
-    """Equal in type too: 1, 1.0 and True are equal to Python."""
+    """Return whether two values are equal in value and type; Python's `==` does not tell 1, 1.0 and True apart."""
     return repr(one) == repr(other) or (
         isinstance(one, dict)
         and isinstance(other, dict)
@@ -45,7 +45,7 @@
 def test_a_patch_turns_one_document_into_the_other(old: Document, new: Document):
     before = repr(old)
     assert identical(apply_patch(old, make_patch(old, new)), new)
-    assert repr(old) == before, "the original is not changed"
+    assert repr(old) == before, "the original document must not change"
     assert make_patch(new, new) == {}
 
 
@@ -76,7 +76,7 @@
 
 
 @given(st.lists(PATCHES, max_size=8), st.data())
-def test_changes_after_a_revision_lead_to_the_last_one_after_trimming_too(
+def test_changes_after_a_revision_give_the_last_document_also_after_trimming(
     patches: list[Document], data: st.DataObject
 ):
     history = history_of(patches)
@@ -87,7 +87,7 @@
         changes = history.changes_after(revision)
         if revision.number < history.snapshot.revision.number:
             assert changes is None
-            with pytest.raises(UnknownRevisionError, match="are"):
+            with pytest.raises(UnknownRevisionError, match="is not retained; retained versions are"):
                 history.rollback_patch(revision.number)
             continue
         assert document is not None
@@ -109,7 +109,7 @@
 
 def test_a_change_for_another_revision_conflicts_and_a_gap_is_refused():
     history = history_of([{"a": 1}])
-    with pytest.raises(RevisionConflictError, match="version is 1, not 0"):
+    with pytest.raises(RevisionConflictError, match="the current version is 1, not 0"):
         history.draft(Epoch(1, "c1"), PutRequest({}, expected=0))
     for revision in (Revision(1, "c1", 3), Revision(1, "c1", 1), Revision(0, "", 2)):
         with pytest.raises(OutOfSequenceError, match="does not follow"):
--- a/tests/control/test_machine.py
+++ b/tests/control/test_machine.py
@@ -30,7 +30,7 @@
 
 
 async def until_contacted(cluster: ControlCluster) -> None:
-    """Wait until all machines have had contact with one another."""
+    """Wait until all machines have been in contact with one another."""
     await until(
         lambda: all(
             heartbeat.last_revision is not None
@@ -41,7 +41,7 @@
 
 
 async def until_watching(cluster: ControlCluster, nodes: int) -> None:
-    """Wait for contact between all machines, start nodes, and wait until each has a watch."""
+    """Wait for contact between all machines, start nodes, and wait until each node has a watch."""
     await until_contacted(cluster)
     for index in range(nodes):
         await cluster.start_node(f"n{index}")
@@ -51,7 +51,7 @@
 
 
 async def until_status(cluster: ControlCluster, name: str, **expected: int) -> Any:
-    """Ask a machine for its status until these counts are as expected."""
+    """Poll a machine's status until its counts are as expected, and return it."""
     status = await cluster.status(name)
     while any(status[key] != count for key, count in expected.items()):
         status = await cluster.status(name)
@@ -81,7 +81,7 @@
                 sock = connection.transport.get_extra_info("socket")
                 timeout_ms = sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT)
                 assert timeout_ms == 10000, (
-                    "a node whose machine is lost does not look connected for a quarter of an hour"
+                    "a lost node must not stay connected for the system's default of about 15 minutes"
                 )
             assert cluster.documents["n0"] == LIMITS
             assert cluster.documents["n1"] == LIMITS | {"cordons": ["entrada-3"]}
@@ -96,7 +96,7 @@
             )
             await until(lambda: applied_numbers(cluster) == {2})
             assert all(len(documents) == 1 for documents in cluster.applied.values()), (
-                "a change of another service is not applied"
+                "a change of another service must not be applied"
             )
 
     run(main())
@@ -106,22 +106,25 @@
     ("patch", "text"),
     [
         ({"limits": {"max_open": "many"}}, "limits.max_open: Expected `int`, got `str`"),
-        ({"limits": {"memory_mb": 64}}, "limits.memory_mb: is each node's own"),
+        ({"limits": {"memory_mb": 64}}, "limits.memory_mb: can be set only in the node's own file"),
         ({"limits": {"max_opne": 1}}, "limits.max_opne: unknown key"),
         (
             {"services": {"fotos": {"routing": {"siblings": 0}}}},
             "services.fotos.routing.siblings: Expected `int` >= 1",
         ),
-        ({"services": {"fotos": {"node": {"name": "x"}}}}, "services.fotos.node: is each node's own"),
+        (
+            {"services": {"fotos": {"node": {"name": "x"}}}},
+            "services.fotos.node: can be set only in the node's own file",
+        ),
         ({"services": []}, "services: not a table"),
         (
             {"class": [{"name": "a", "aim_ms": 9, "give_up_ms": 5}]},
-            "class[0].aim_ms: an answer is wanted after",
+            "class[0].aim_ms: longer than give_up_ms",
         ),
         ({"class": [{"name": "a", "give_up_ms": 5}]}, "class[0].aim_ms: missing"),
         ({"services": {"fotos": 1}}, "services.fotos: not a table"),
-        ({"cordons": [None]}, "cordons: not a list of equipos' names"),
-        ("no object", "a patch is an object"),
+        ({"cordons": [None]}, "cordons: not a list of server names"),
+        ("no object", "patch: not an object"),
     ],
 )
 def test_an_invalid_change_names_its_key_and_is_not_written(tmp_path: Path, patch: Any, text: str):
@@ -140,17 +143,20 @@
     run(main())
 
 
-def test_one_of_two_changes_for_the_same_revision_conflicts_and_a_follower_names_the_leader(tmp_path: Path):
+def test_concurrent_changes_conflict_and_a_follower_names_the_leader(tmp_path: Path):
     async def main() -> None:
         async with control_cluster(tmp_path, 2) as cluster:
             await until_contacted(cluster)
-            answers = await asyncio.gather(
+            responses = await asyncio.gather(
                 *(cluster.put("c1", {"limits": {"max_open": value}}, 0) for value in (5, 6))
             )
-            assert sorted(code for code, _ in answers) == [200, 409]
-            assert next(body["error"] for code, body in answers if code == 409) == "version is 1, not 0"
+            assert sorted(code for code, _ in responses) == [200, 409]
+            assert next(body["error"] for code, body in responses if code == 409) == (
+                "version conflict: the current version is 1, not 0"
+            )
             code, body = await cluster.put("c2", LIMITS, 1)
-            assert (code, body["error"], body["writer"]) == (409, "c1 writes, not c2", "c1")
+            assert (code, body["writer"]) == (409, "c1")
+            assert body["error"] == "c2 is not the leader; the leader is c1"
             assert body["address"] == "{}:{}".format(*cluster.routes["c2", "c1"].address)
 
     run(main())
@@ -171,7 +177,7 @@
             changes = [(change["version"], change["note"], change["by"]) for change in history["versions"]]
             assert changes == [(3, "back to version 1", ""), (2, "why", "ana")]
             code, body = await cluster.call("c1", "POST", "/control/rollback", {"to": 9, "version": 3})
-            assert (code, body["error"]) == (404, "version 9 is not kept; 0 to 3 are")
+            assert (code, body["error"]) == (404, "version 9 is not retained; retained versions are 0 to 3")
 
     run(main())
 
@@ -218,7 +224,7 @@
             node.close()
             cluster.partition({"n1"}, {"c1", "c2"})
             restarted = await cluster.start_node("n1", cache_path=cache)
-            assert restarted.applied.number == 1, "the document is applied when start returns"
+            assert restarted.applied.number == 1, "the cached document must be applied when start returns"
             assert cluster.documents["n1"] == LIMITS
             restarted.close()
             content = cache.read_bytes()
@@ -248,12 +254,12 @@
             assert near_nodes
             assert far_nodes
             cluster.partition(near | near_nodes, far | far_nodes)
-            assert (await cluster.put("c1", LIMITS))[0] == 200, "c2 has it too"
+            assert (await cluster.put("c1", LIMITS))[0] == 200, "c2 must replicate the change"
             await until(lambda: {cluster.nodes[name].applied.number for name in near_nodes} == {1})
             assert (await cluster.put("c1", {"cordons": ["entrada-1"]}))[0] == 200
             code, body = await cluster.call("c3", "POST", "/control/promote", {})
-            assert code == 409, "what the leader has acknowledged meanwhile is not known there"
-            assert "held is not known" in body["error"]
+            assert code == 409, "c3 can't know which changes the leader has committed in the meantime"
+            assert "promotion quorum not reached" in body["error"]
             assert {cluster.nodes[name].applied.number for name in far_nodes} == {0}
             cluster.heal(near | near_nodes, far | far_nodes)
             await until(lambda: applied_numbers(cluster) == {2} and all_committed(cluster, 2))
@@ -309,10 +315,10 @@
             await until(lambda: all_committed(cluster, 1) and applied_numbers(cluster) == {1})
             others = set(cluster.names[1:])
             cluster.partition({"c1"}, others)
-            # The partitioned leader writes, but no other machine has the change: no node is shown it.
+            # The partitioned leader writes the change, but can't replicate it, so no node receives it.
             code, body = await cluster.put("c1", {"limits": {"max_open": 1}})
             assert code == 503
-            assert "no other machine has it yet" in body["error"]
+            assert "not replicated to another machine yet" in body["error"]
             code, body = await cluster.call("c2", "POST", "/control/promote", {"by": "ana"})
             assert (code, body["epoch"], body["version"], body["lost"]) == (200, 2, 2, [])
             assert (await cluster.put("c2", {"limits": {"max_open": 600}}))[0] == 200
@@ -327,10 +333,10 @@
                 for documents in cluster.applied.values()
                 for document in documents
             ]
-            assert 1 not in values, "an uncommitted change was applied nowhere"
+            assert 1 not in values, "an uncommitted change must not be applied"
             code, body = await cluster.put("c1", LIMITS)
-            assert (code, body["error"]) == (409, "c2 writes, not c1")
-            # The epoch and the document are on its disk.
+            assert (code, body["error"]) == (409, "c1 is not the leader; the leader is c2")
+            # The epoch and the document survive a restart of c1.
             await cluster.stop("c1")
             await cluster.start("c1")
             assert cluster.machines["c1"].store.replica.highest_epoch_seen == Epoch(2, "c2")
@@ -351,12 +357,10 @@
             cluster.heal({"c2"}, {"c3"})
             replication = cluster.machines["c3"].replication
             assert replication is not None
-            replication.close()  # so that it does not catch up
+            replication.close()  # keeps c3 behind c2
             code, body = await cluster.call("c3", "POST", "/control/promote", {})
             assert code == 409
-            assert (
-                "c3 holds version 1 of epoch 1 (c1), but c2 holds version 2 of epoch 1 (c1)" in body["error"]
-            )
+            assert "c3 has version 1 of epoch 1 (c1), but c2 has version 2 of epoch 1 (c1)" in body["error"]
             code, body = await cluster.call("c3", "POST", "/control/promote", {"force": True})
             assert (code, body["version"], body["epoch"]) == (200, 2, 2)
             assert body["lost"] == ["c2 held version 2 of epoch 1 (c1)"]
@@ -366,7 +370,7 @@
     run(main())
 
 
-def test_a_node_that_has_seen_a_later_epoch_takes_no_earlier_update_and_makes_the_epoch_known(tmp_path: Path):
+def test_a_node_rejects_updates_of_a_lower_epoch_and_reports_its_epoch_to_the_machine(tmp_path: Path):
     async def main() -> None:
         async with control_cluster(tmp_path / "one", 1) as cluster:
             node = await cluster.start_node("n1")
@@ -378,9 +382,9 @@
             machine.watches.close()
             await until(lambda: machine.store.replica.highest_epoch_seen == Epoch(3, "c2"))
             code, body = await cluster.put("c1", {"cordons": ["x"]})
-            assert (code, body["error"]) == (409, "c2 writes, not c1")
+            assert (code, body["error"]) == (409, "c1 is not the leader; the leader is c2")
             line = {"seq": 9, "epoch": 2, "writer": "c9", "whole": True, "config": {}}
-            with pytest.raises(StaleUpdateError, match="is from before version 1 of epoch 3"):
+            with pytest.raises(StaleUpdateError, match="is older than version 1 of epoch 3"):
                 node._decode(line)
             assert node.applied == later
 
@@ -392,7 +396,7 @@
 ):
     monkeypatch.setattr(store, "RETAINED_REVISIONS", 5)
     monkeypatch.setattr(replica.Replica, "trim", lambda self: self.history.trim(5))
-    # Syncs are covered by test_durable_log. Here some hundred syncs on a busy disk took 40 s, which is the bound.
+    # Hundreds of syncs on a busy disk can exceed the test's time limit; test_durable_log covers syncs.
     monkeypatch.setattr("rosewheel.control.durable_log.os.fsync", lambda file: None)
 
     async def main() -> None:
@@ -401,8 +405,8 @@
             assert (await cluster.put("c1", LIMITS))[0] == 200
             await until(lambda: all_committed(cluster, 1) and applied_numbers(cluster) == {1})
             await cluster.stop("c3")
-            away = cluster.nodes["n0"]
-            away.close()
+            disconnected = cluster.nodes["n0"]
+            disconnected.close()
             for index in range(30):
                 assert (await cluster.put("c1", {"limits": {"max_open": 100 + index}}))[0] == 200
             assert cluster.machines["c1"].store.log.record_count <= 12
@@ -411,8 +415,8 @@
             expected = {"limits": {"max_open": 129}}
             assert cluster.machines["c3"].store.replica.committed_document == expected
             cluster.machines["c1"].store.replica.trim()
-            away._closed = False
-            away._open()
+            disconnected._closed = False
+            disconnected._open()
             await until(lambda: applied_numbers(cluster) == {31})
             assert cluster.documents["n0"] == expected
             await cluster.stop("c1")
@@ -422,7 +426,7 @@
     run(main())
 
 
-def test_followers_turn_to_a_restarted_leader_before_a_change_times_out(tmp_path: Path):
+def test_followers_return_to_a_restarted_leader_before_a_change_times_out(tmp_path: Path):
     def sources(cluster: ControlCluster) -> set[str]:
         replications = [cluster.machines[name].replication for name in ("c2", "c3")]
         return {replication.source for replication in replications if replication is not None}
@@ -432,7 +436,7 @@
             await until_contacted(cluster)
             for index in range(2):
                 await cluster.stop("c1")
-                await until(lambda: sources(cluster) == {"c2", "c3"})  # they follow one another meanwhile
+                await until(lambda: sources(cluster) == {"c2", "c3"})  # they watch each other in the meantime
                 await cluster.start("c1")
                 peer_revisions = cluster.machines["c1"].store.replica.peer_revisions
                 await until(lambda known=peer_revisions: set(known) == {"c2", "c3"})
@@ -442,7 +446,7 @@
     run(main())
 
 
-def test_a_replacement_machine_gets_everything_and_a_leader_that_lost_its_disk_writes_nothing(tmp_path: Path):
+def test_a_replacement_machine_gets_the_log_and_a_leader_that_lost_its_disk_accepts_no_change(tmp_path: Path):
     async def main() -> None:
         async with control_cluster(tmp_path, 3) as cluster:
             await until_contacted(cluster)
@@ -460,7 +464,9 @@
             await until(lambda: set(cluster.machines["c1"].store.replica.peer_revisions) == {"c2", "c3"})
             code, body = await cluster.put("c1", LIMITS, 0)
             assert code == 503
-            assert body["error"] == "c2, c3 hold versions, and c1 none: promote one of those that do"
+            assert body["error"] == (
+                "c1 has an empty log, but peers have versions; promote one of them: c2, c3"
+            )
             assert (await cluster.call("c2", "POST", "/control/promote", {}))[0] == 200
             await until(lambda: all_committed(cluster, 3))
             expected = {"limits": {"max_open": 6}}
@@ -469,7 +475,7 @@
     run(main())
 
 
-def test_nodes_make_their_epoch_known_to_empty_machines_and_follow_once_one_is_promoted(tmp_path: Path):
+def test_nodes_report_their_epoch_to_empty_machines_and_follow_the_one_that_is_promoted(tmp_path: Path):
     async def main() -> None:
         async with control_cluster(tmp_path, 2) as cluster:
             await until_contacted(cluster)
--- a/tests/http/test_forwarding.py
+++ b/tests/http/test_forwarding.py
@@ -1,4 +1,4 @@
-"""Requests on their way from a client to a server and back."""
+"""Requests that are forwarded to servers, and the responses to them."""
 
 from __future__ import annotations
 
@@ -32,13 +32,13 @@
 
 @pytest.mark.usefixtures("no_quiet_period")
 def test_connections_are_kept_alive():
-    """Guards against a new handshake for each attempt (3056 for 2985 attempts on the first day)."""
+    """Guards against a new connection for each attempt."""
 
     async def main() -> None:
         async with (
             FakeServer().up() as server,
-            node([entry("s", server.port)]) as relay,
-            Client(relay) as client,
+            node([entry("s", server.port)]) as proxy,
+            Client(proxy) as client,
         ):
             for _ in range(5):
                 assert status(await client.ask()) == 200
@@ -48,70 +48,76 @@
 
 
 def test_request_is_forwarded_unchanged():
-    """Guards the forms that servers check: method, path, query, body, id, key and the time left."""
+    """Covers what servers depend on: method, target, body, id, idempotency key and timeout."""
 
     async def main() -> None:
         async with (
             FakeServer().up() as server,
-            node([entry("s", server.port)]) as relay,
-            Client(relay) as client,
+            node([entry("s", server.port)]) as proxy,
+            Client(proxy) as client,
         ):
-            got = await client.ask("post", body=b"\x00debit", id="r-1", Idempotency_Key="k1")
-            assert (status(got), got.body) == (200, b"ok")
-        seen = server.got[0]
-        assert seen.first == "POST /api/k?x=1 HTTP/1.1"
-        assert (seen.body, seen.headers["request-id"], seen.headers["idempotency-key"]) == (
+            response = await client.ask("post", body=b"\x00debit", id="r-1", Idempotency_Key="k1")
+            assert (status(response), response.body) == (200, b"ok")
+        forwarded = server.got[0]
+        assert forwarded.first == "POST /api/k?x=1 HTTP/1.1"
+        assert (forwarded.body, forwarded.headers["request-id"], forwarded.headers["idempotency-key"]) == (
             b"\x00debit",
             "r-1",
             "k1",
         )
-        assert 900 < int(seen.headers["request-timeout-ms"]) <= 980
+        assert 900 < int(forwarded.headers["request-timeout-ms"]) <= 980
 
     run(main())
 
 
 @pytest.mark.parametrize(
-    ("first", "final", "tries"),
+    ("first_response", "final_status", "attempts"),
     [
         (answer(503, b"", Not_Started="1"), 200, 2),
         (answer(504, b"", Not_Started="1"), 200, 2),
         (answer(503, b""), 502, 1),
         (answer(500, b""), 502, 1),
-        (b"", 502, 1),  # the connection breaks
+        (b"", 502, 1),  # the connection ends without a response
         (b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf", 502, 1),
         (b"no HTTP at all\r\n\r\n", 502, 1),
     ],
 )
-def test_non_idempotent_request_is_retried_only_if_not_executed(first: bytes, final: int, tries: int):
-    """Guards against doubled postings, and against failing what is known not to have run."""
+def test_non_idempotent_request_is_retried_only_if_not_executed(
+    first_response: bytes, final_status: int, attempts: int
+):
+    """Guards against executing a request twice, and against failing one that was not executed."""
 
     async def main() -> None:
-        calls = 0
-
-        async def once(message: Message, writer: asyncio.StreamWriter) -> None:
-            nonlocal calls
-            calls += 1
-            writer.write(first if calls == 1 else answer())
-            if calls == 1 and b"Not-Started" not in first and not first.startswith(b"HTTP/1.1 50"):
+        request_count = 0
+
+        async def respond_differently(message: Message, writer: asyncio.StreamWriter) -> None:
+            nonlocal request_count
+            request_count += 1
+            writer.write(first_response if request_count == 1 else answer())
+            if (
+                request_count == 1
+                and b"Not-Started" not in first_response
+                and not first_response.startswith(b"HTTP/1.1 50")
+            ):
                 await writer.drain()
                 writer.close()
 
-        async with FakeServer(once).up() as one, FakeServer(once).up() as two:
+        async with FakeServer(respond_differently).up() as one, FakeServer(respond_differently).up() as two:
             servers = [entry("s1", one.port), entry("s2", two.port)]
-            async with node(servers) as relay, Client(relay) as client:
-                assert status(await client.ask("post")) == final
-                assert len(one.got) + len(two.got) == tries
+            async with node(servers) as proxy, Client(proxy) as client:
+                assert status(await client.ask("post")) == final_status
+                assert len(one.got) + len(two.got) == attempts
 
     run(main())
 
 
 def test_refused_connection_counts_as_not_executed():
-    """Guards an unsafe request against failing on a server that is down: the other one serves it."""
+    """Guards against failing a non-idempotent request because one server is down."""
 
     async def main() -> None:
         async with FakeServer().up() as server:
             servers = [entry("down", closed_port()), entry("up", server.port)]
-            async with node(servers) as relay, Client(relay) as client:
+            async with node(servers) as proxy, Client(proxy) as client:
                 for _ in range(6):
                     assert status(await client.ask("post")) == 200
 
@@ -119,72 +125,72 @@
 
 
 def test_request_is_rejected_without_a_reachable_server():
-    """A refusal promises that nothing ran, and where no connection came up, nothing did."""
+    """A 503 states that the request was not executed, which holds if no connection could be opened."""
 
     async def main() -> None:
-        async with node([entry("down", closed_port())]) as relay, Client(relay) as client:
+        async with node([entry("down", closed_port())]) as proxy, Client(proxy) as client:
             assert status(await client.ask("post")) == 503
 
     run(main())
 
 
 def test_expired_attempt_is_failed_and_aborted():
-    """Guards the one final answer: a silent server must not leave a request unanswered."""
+    """Guards against a request without a response because its server sends none."""
 
     async def main() -> None:
-        async with FakeServer(never_respond).up() as server, node([entry("s", server.port)]) as relay:
-            async with Client(relay) as client:
+        async with FakeServer(never_respond).up() as server, node([entry("s", server.port)]) as proxy:
+            async with Client(proxy) as client:
                 assert status(await client.ask("post", timeout=120)) == 504
                 await until(lambda: server.closed == 1)
-                assert not relay.node.requests
-                assert not relay.calls
+                assert not proxy.node.requests
+                assert not proxy.client_requests
 
     run(main())
 
 
 def test_disconnected_client_ends_its_attempts():
-    """Guards the servers against work for nobody, and the node's tables against what is over."""
+    """Guards against work that no client waits for, and against entries that are never removed."""
 
     async def main() -> None:
-        async with FakeServer(never_respond).up() as server, node([entry("s", server.port)]) as relay:
-            async with Client(relay) as client:
+        async with FakeServer(never_respond).up() as server, node([entry("s", server.port)]) as proxy:
+            async with Client(proxy) as client:
                 client.send("post")
                 await until(lambda: len(server.got) == 1)
             await until(lambda: server.closed == 1)
-            assert not relay.node.requests
-            assert not relay.calls
-            assert not relay.upstream.exchanges
+            assert not proxy.node.requests
+            assert not proxy.client_requests
+            assert not proxy.upstream.exchanges
 
     run(main())
 
 
 def test_rejection_has_retry_after():
-    """Retry-After comes from the module, in seconds."""
+    """Retry-After is set by the policy and sent in seconds."""
 
     async def main() -> None:
         changes = {"retry_after": True, "max_retry_after_ms": 1500.0}
-        async with node([entry("down", closed_port())], **changes) as relay, Client(relay) as client:
-            relay.node.balancer.parts.table.cursor = 4
-            got = await client.ask("post")
-            assert (status(got), got.headers["retry-after"]) == (503, "0.600")
+        async with node([entry("down", closed_port())], **changes) as proxy, Client(proxy) as client:
+            proxy.node.balancer.parts.table.cursor = 4
+            response = await client.ask("post")
+            assert (status(response), response.headers["retry-after"]) == (503, "0.600")
 
     run(main())
 
 
 def test_pipelined_requests_are_answered_in_order():
-    """Guards the order of answers, and memory: what is sent ahead is left unread while an answer is owed."""
+    """Guards the order of responses, and memory: pipelined requests beyond the connection's share are not read."""
 
     async def main() -> None:
-        free, slow = gated_handler()
-        async with FakeServer(slow).up() as server, node([entry("s", server.port)]) as relay:
-            relay.budget.limit_bytes = CONNECTION_SHARE_DIVISOR * 16384  # so that a connection may hold 16 KB
-            async with Client(relay) as client:
-                for at in range(3):
-                    client.send("post", id=f"r{at}", body=b"x" * 9000)
+        gate, respond = gated_handler()
+        async with FakeServer(respond).up() as server, node([entry("s", server.port)]) as proxy:
+            proxy.budget.limit_bytes = CONNECTION_SHARE_DIVISOR * 16384  # 16 KB for each connection
+            async with Client(proxy) as client:
+                for index in range(3):
+                    client.send("post", id=f"r{index}", body=b"x" * 9000)
                 await until(lambda: len(server.got) == 1)
-                connection = next(iter(relay.server.connections))
+                connection = next(iter(proxy.server.connections))
                 await until(lambda: connection.reading_paused)
-                free.set()
+                gate.set()
                 for _ in range(3):
                     assert status(await client.answer()) == 200
                 assert [message.headers["request-id"] for message in server.got] == ["r0", "r1", "r2"]
@@ -195,86 +201,85 @@
 
 
 def test_request_id_in_flight_is_not_accepted_twice():
-    """Guards the module against a second request of one id, and the first request against the second."""
+    """The policy identifies requests by id, so a second one with the same id must not reach it."""
 
     async def main() -> None:
-        free, slow = gated_handler()
-        async with FakeServer(slow).up() as server, node([entry("s", server.port)]) as relay:
-            async with Client(relay) as first, Client(relay) as second:
+        gate, respond = gated_handler()
+        async with FakeServer(respond).up() as server, node([entry("s", server.port)]) as proxy:
+            async with Client(proxy) as first, Client(proxy) as second:
                 first.send("post", id="same")
                 await until(lambda: len(server.got) == 1)
                 assert status(await second.ask("post", id="same")) == 409
-                free.set()
+                gate.set()
                 assert status(await first.answer()) == 200
 
     run(main())
 
 
 def test_duplicate_request_id_does_not_affect_the_first_request():
-    """Guards the owner of an id: whoever else sends it is turned away, and its leaving changes nothing."""
+    """Neither a second request with the id nor the disconnect of its client cancels the first request."""
 
     async def main() -> None:
-        free, slow = gated_handler()
-        async with FakeServer(slow).up() as server, node([entry("s", server.port)]) as relay:
-            async with Client(relay) as owner:
-                owner.send("post", id="same")
+        gate, respond = gated_handler()
+        async with FakeServer(respond).up() as server, node([entry("s", server.port)]) as proxy:
+            async with Client(proxy) as first_client:
+                first_client.send("post", id="same")
                 await until(lambda: len(server.got) == 1)
-                async with Client(relay) as thief:
-                    assert status(await thief.ask("post", id="same")) == 409
-                    assert await thief.reader.read() == b""
-                await until(lambda: len(relay.server.connections) == 1)
-                free.set()
-                assert status(await owner.answer()) == 200
+                async with Client(proxy) as duplicate:
+                    assert status(await duplicate.ask("post", id="same")) == 409
+                    assert await duplicate.reader.read() == b""
+                await until(lambda: len(proxy.server.connections) == 1)
+                gate.set()
+                assert status(await first_client.answer()) == 200
                 assert len(server.got) == 1
 
     run(main())
 
 
 def test_policy_error_fails_one_request():
-    """Guards the node: an exception in a handler fails that request with 500 and nothing else."""
+    """Guards against an exception in the policy that fails more than one request."""
 
     async def main() -> None:
         async with (
             FakeServer().up() as server,
-            node([entry("s", server.port)]) as relay,
-            Client(relay) as client,
+            node([entry("s", server.port)]) as proxy,
+            Client(proxy) as client,
         ):
-            handle = relay.node.balancer.handle
+            handle = proxy.node.balancer.handle
 
             def faulty(now: float, event: Event) -> list[Action]:
                 if isinstance(event, AttemptFinished):
                     raise RuntimeError("a fault")
-                acts = handle(now, event)
-                if isinstance(
-                    event, RequestReceived
-                ):  # an attempt that ends at once, so that the fault comes early
-                    acts.append(CancelAttempt(event.id, 0))
-                return acts
-
-            relay.node.balancer.handle = faulty  # type: ignore[method-assign]
+                actions = handle(now, event)
+                if isinstance(event, RequestReceived):
+                    # Ends the attempt, which raises the error at once.
+                    actions.append(CancelAttempt(event.id, 0))
+                return actions
+
+            proxy.node.balancer.handle = faulty  # type: ignore[method-assign]
             assert status(await client.ask("post")) == 500
-            relay.node.balancer.handle = handle  # type: ignore[method-assign]
+            proxy.node.balancer.handle = handle  # type: ignore[method-assign]
             assert status(await client.ask("post")) == 200
-            assert not relay.calls
+            assert not proxy.client_requests
 
     run(main())
 
 
 def test_health_endpoint_needs_a_server():
-    """Guards the start: a node is used once it has answered 200, so it must be able to serve by then."""
+    """Guards against a node that reports itself healthy, and so receives requests, before it can serve them."""
 
-    async def health(client: Client) -> int:
+    async def health_status(client: Client) -> int:
         client.writer.write(b"GET /_health HTTP/1.1\r\nHost: a\r\n\r\n")
         return status(await client.answer())
 
     async def main() -> None:
         async with FakeDiscovery().up() as discovery, FakeServer().up() as server:
-            async with node([], discovery) as relay, Client(relay) as client:
-                assert await health(client) == 503
+            async with node([], discovery) as proxy, Client(proxy) as client:
+                assert await health_status(client) == 503
                 await until(lambda: bool(discovery.writers))
                 discovery.tell(6, entry("s", server.port), whole=True)
-                await until(lambda: relay.node.can_serve)
-                assert await health(client) == 200
+                await until(lambda: proxy.node.can_serve)
+                assert await health_status(client) == 200
                 assert status(await client.ask()) == 200
 
     run(main())
