--- a/rosewheel/admin/json_http.py
+++ b/rosewheel/admin/json_http.py
@@ -19,7 +19,7 @@
 
 log = logging.getLogger("rosewheel.json_http")
 
-MAX_PIPELINED_REQUESTS = 16  # waiting requests per connection; further ones are ignored
+MAX_PIPELINED_REQUESTS = 16  # limit of waiting requests per connection; further ones are ignored
 
 REASON_PHRASES = {
     200: "OK",
@@ -93,7 +93,7 @@
         """Handle the end of a connection."""
 
     def handle(self, request: JsonRequest, connection: JsonConnection) -> Awaitable[JsonResponse | None]:
-        """Handle a request; returns its response, or None if the connection has become a stream."""
+        """Handle a request and return its response, or None if the connection has become a stream."""
 
 
 class JsonConnection(asyncio.Protocol):
@@ -101,8 +101,7 @@
 
     Attributes:
         transport: The transport, or None before the connection is made and after it is closed.
-        request_received: Whether a complete request has arrived whose response is not written yet, or the last response
-            has been written.
+        request_received: Whether a complete request waits for its response, or the last response has been written.
         streaming: Whether the response is a stream, which ends with the connection.
     """
 
@@ -114,15 +113,13 @@
         self.streaming = False
         self._handler, self._limits, self._loop = handler, limits, loop
         self._parser = httptools.HttpRequestParser(self)
-        self._bytes_read = 0  # of the current request
+        self._bytes_read = 0  # received bytes of the current request
         self._last_response_written = False
         self._pending: deque[JsonRequest] = deque()
         self._handler_task: asyncio.Task[None] | None = None
         self._timer: asyncio.TimerHandle | None = None
         self._target, self._body = b"", b""
 
-    # ---------------------------------------------------------------- connection
-
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Called by the event loop when a client has connected."""
         # A cast, because the transports of uvloop do not derive from asyncio's classes.
@@ -156,8 +153,6 @@
         elif not self.request_received:
             self._respond_and_close(JsonResponse(408, {"error": "the request did not arrive in time"}))
 
-    # ---------------------------------------------------------------- requests
-
     def data_received(self, data: bytes) -> None:
         """Called by the event loop with received data."""
         if self._last_response_written or self.streaming or self.transport is None:
@@ -252,8 +247,6 @@
         head += f"Content-Length: {len(body)}\r\nCache-Control: no-store\r\nConnection: {connection}\r\n\r\n"
         self.transport.write(head.encode() + body)
 
-    # ---------------------------------------------------------------- streams
-
     def start_stream(self) -> None:
         """Start a streamed response with chunked transfer coding."""
         self.streaming = True
--- a/rosewheel/cli/experiment.py
+++ b/rosewheel/cli/experiment.py
@@ -65,7 +65,7 @@
     try:
         variants = experiments.variants(names, parse_variations(vary, seconds))
         for variant in variants:
-            experiments.check_emulated(variant.scenario)
+            experiments.check_emulation_supported(variant.scenario)
     except InvalidFileError as error:
         exit_invalid_file(error)
     return variants
@@ -73,7 +73,7 @@
 
 def _execute_run(run: experiments.PlannedRun, folder: Path) -> RunSummary:
     click.echo(f"running {run.variant.name}, seed {run.seed} ...", err=True)
-    summary = run_until_interrupted(experiments.play_run(run))
+    summary = run_until_interrupted(experiments.execute_run(run))
     if summary is None:
         exit_interrupted(f"interrupted; records so far are in {folder}")
     void = "  VOID: the emulator or the clients were late" if summary["void"] else ""
--- a/rosewheel/control/messages.py
+++ b/rosewheel/control/messages.py
@@ -7,7 +7,7 @@
 from rosewheel.control.documents import Document
 from rosewheel.control.revisions import Change, Epoch, Revision
 
-# ---------------------------------------------------------------------------------- nodes
+# Messages of nodes.
 
 
 @dataclass(slots=True, frozen=True)
@@ -87,7 +87,7 @@
         return len(self.content)
 
 
-# -------------------------------------------------------------------------------- machines
+# Messages between control machines.
 
 
 @dataclass(slots=True, frozen=True)
@@ -98,7 +98,7 @@
         machine: Name of the sender.
         highest_epoch_seen: Highest epoch that the sender has seen.
         last: Last revision on the sender's disk.
-        node_statuses: Node statuses known to the sender; None unless the receiver is the leader.
+        node_statuses: Node statuses that the sender forwards; None unless the receiver is the leader.
         includes_all_nodes: Whether `node_statuses` has all nodes that watch the sender; otherwise only changed ones.
     """
 
@@ -128,7 +128,7 @@
     is_fenced: bool = False
 
 
-# ------------------------------------------------------------------------------- operators
+# Requests of operators and their responses.
 
 
 @dataclass(slots=True, frozen=True)
@@ -227,7 +227,7 @@
     current: int | None = None
 
 
-# ---------------------------------------------------------------------------------- status
+# Status report.
 
 
 @dataclass(slots=True, frozen=True)
@@ -258,9 +258,9 @@
     """Summary of the nodes by applied revision.
 
     Attributes:
-        nodes: Number of known nodes.
+        nodes: Number of nodes in the registry.
         up_to_date: Number of connected nodes that have applied the committed revision.
-        behind_count: Number of connected nodes that have not.
+        behind_count: Number of connected nodes that have not applied the committed revision.
         rejected_count: Number of nodes that rejected a revision.
         disconnected_count: Number of nodes without an open watch.
         longest_behind_s: Longest `behind_for_s` of a connected node, in seconds.
@@ -291,7 +291,7 @@
     Attributes:
         machine: Name of the machine.
         last: Last revision on its disk; None before the first contact.
-        last_contact_s: Time since the last contact, in seconds; None before the first.
+        last_contact_s: Time since the last contact, in seconds; None before the first contact.
         is_leader: Whether the machine is the leader.
     """
 
--- a/rosewheel/control/replica.py
+++ b/rosewheel/control/replica.py
@@ -106,8 +106,6 @@
                 break
         return count
 
-    # ------------------------------------------------------------------------- state
-
     @property
     def last(self) -> Revision:
         """The newest revision in this machine's log."""
@@ -125,13 +123,13 @@
             return False
         if self.last.epoch == self.highest_epoch_seen:
             return True
-        return self.highest_epoch_seen.number == FIRST_EPOCH_NUMBER and not self.peers_not_known_empty
+        return self.highest_epoch_seen.number == FIRST_EPOCH_NUMBER and not self.peers_not_reported_empty
 
     @property
-    def peers_not_known_empty(self) -> list[str]:
+    def peers_not_reported_empty(self) -> list[str]:
         """Peers that have not reported an empty log.
 
-        The initial leader writes the first revision only when there are none. Otherwise a leader that lost its disk
+        The initial leader writes the first revision only once all peers have. Otherwise a leader that lost its disk
         would start a second history with the same revision numbers.
         """
         return [peer for peer in self.peers if self.peer_revisions.get(peer) != INITIAL_REVISION]
@@ -161,7 +159,7 @@
         """The log record of the highest epoch that this machine has seen."""
         return EpochObserved(self.highest_epoch_seen)
 
-    # ----------------------------------------------------------------------- leading
+    # Operations of the leader.
 
     def draft(self, request: PutRequest, created_at_s: float = 0.0) -> Change:
         """Return the change that a request makes, without appending it.
@@ -189,10 +187,10 @@
         return NotLeaderError(self.name, leader if leader != self.name else "")
 
     def _first_change_error(self) -> WriteUnavailableError:
-        peers_with_revisions = [peer for peer in self.peers_not_known_empty if peer in self.peer_revisions]
+        peers_with_revisions = [peer for peer in self.peers_not_reported_empty if peer in self.peer_revisions]
         if peers_with_revisions:
             return LeaderLogLostError(self.name, peers_with_revisions)
-        return PeersNotContactedError(self.peers_not_known_empty)
+        return PeersNotContactedError(self.peers_not_reported_empty)
 
     def appended(self, change: Change) -> None:
         """Update the state after a change of this leader was written to its log."""
@@ -203,7 +201,7 @@
             self.uncommitted_count += 1
         self._update_committed()
 
-    def replica_ack(self, peer: str, revision: Revision) -> bool:
+    def peer_acknowledged(self, peer: str, revision: Revision) -> bool:
         """Record that a peer has a revision on disk.
 
         Returns:
@@ -221,7 +219,7 @@
                 self.uncommitted_count = min(self.uncommitted_count, self.last.number - revision.number)
         return self.uncommitted_count != before
 
-    # --------------------------------------------------------------------- following
+    # Operations of a follower, and of the machine that sends it the log.
 
     def log_suffix(self, revision: Revision) -> LogSuffix | None:
         """Return the log after a follower's last revision; None if this machine has nothing newer to send.
@@ -268,7 +266,7 @@
         """Replace all but the newest changes with a snapshot."""
         self.history.trim(retained)
 
-    # --------------------------------------------------------------------- promotion
+    # Promotion of this machine.
 
     def next_epoch(self, seen_by_peers: Iterable[Epoch]) -> Epoch:
         """Return an epoch of this machine that is above all epochs it and its peers have seen."""
--- a/rosewheel/control/store.py
+++ b/rosewheel/control/store.py
@@ -87,7 +87,7 @@
         )
         return cls(durable_log, replica, on_change)
 
-    # ----------------------------------------------------------------------- changes
+    # Changes by operators.
 
     async def put(self, request: PutRequest) -> Change | None:
         """Write a change to this machine's log.
@@ -109,7 +109,7 @@
         """Write a change that restores the document of an earlier revision.
 
         Returns:
-            As of `put`.
+            The change; None if the document already equals that of the earlier revision.
 
         Raises:
             UnknownRevisionError: The revision is not retained. Other exceptions are those of `put`.
@@ -164,7 +164,7 @@
     def _is_committed(self, revision: Revision) -> bool:
         return self.replica.committed >= revision and self.replica.history.contains(revision)
 
-    # --------------------------------------------------------------- from other machines
+    # Records and state from other machines.
 
     async def append_suffix(self, suffix: LogSuffix) -> None:
         """Append a log suffix from another machine.
@@ -203,9 +203,9 @@
                 log.warning("leadership lost: another machine promoted, leader=%s", epoch.leader)
             self._notify()
 
-    def replica_ack(self, peer: str, revision: Revision) -> None:
+    def peer_acknowledged(self, peer: str, revision: Revision) -> None:
         """Record that a peer has a revision on disk."""
-        if self.replica.replica_ack(peer, revision):
+        if self.replica.peer_acknowledged(peer, revision):
             self._notify()
 
     async def begin_epoch(
@@ -238,8 +238,6 @@
             self._notify()
             return change
 
-    # -------------------------------------------------------------------------- disk
-
     async def close(self) -> None:
         """Close the log once the operation in progress has ended."""
         async with self._lock:
--- a/rosewheel/hot_restart/migration.py
+++ b/rosewheel/hot_restart/migration.py
@@ -29,7 +29,7 @@
 
 # Probability that an idle connection to a server is migrated before the next client. Clients that have migrated need
 # some of these connections for their next requests.
-IDLE_UPSTREAM_SHARE = 0.5
+IDLE_UPSTREAM_PROBABILITY = 0.5
 
 
 @dataclass(slots=True, eq=False)
@@ -41,7 +41,7 @@
         state: The protocol state of the connection.
         descriptors: Its sockets, owned by the holder of this object.
         pending_bytes: Unsent bytes for the client, followed by unprocessed bytes from it. The state contains the
-            number of the former.
+            number of unsent bytes.
     """
 
     kind: ConnectionKind
@@ -67,8 +67,6 @@
         """The number of connections that this process owns but has not attached to its event loop yet."""
         return len(self._arriving)
 
-    # ------------------------------------------------------------ detaching
-
     def detach_next(self, on_detached: DetachedHandler) -> bool:
         """Starts to detach one connection.
 
@@ -86,7 +84,7 @@
                 and self._detach_response(client, on_detached)
             ):
                 return True
-        if host.random.random() < IDLE_UPSTREAM_SHARE and self._detach_idle_upstream(on_detached):
+        if host.random.random() < IDLE_UPSTREAM_PROBABILITY and self._detach_idle_upstream(on_detached):
             return True
         for client in host.server.connections:
             if client.active_request is None and client.detachable:
@@ -106,28 +104,26 @@
         in_progress = self._host.node.response_in_progress(request.id) if request is not None else None
         if request is None or in_progress is None:
             return False
-        service, server, attempt = in_progress
-        detachment = _ResponseDetachment(self._host, request.id, service, server, on_detached)
+        class_name, server, attempt = in_progress
+        detachment = _ResponseDetachment(self._host, request.id, class_name, server, on_detached)
         if not self._host.upstream.detach_response(request.id, attempt, detachment.upstream_detached):
             return False
         client.detach(detachment.client_detached)
         return True
 
-    # ------------------------------------------------------------- resuming
-
     def rejection_reason(self, connection: MigratedConnection) -> str:
         """Returns why this process can't resume the connection, or an empty string if it can."""
         host, kind = self._host, connection.kind
         if len(connection.descriptors) != kind.descriptor_count:
             return "descriptors are missing"
         if host.server.draining or host.stopped:
-            return "this process shuts down too"
+            return "this process is shutting down"
         if not host.can_hold(kind.descriptor_count, idle=kind is ConnectionKind.UPSTREAM):
-            return "no descriptors left"
+            return "this process has reached its descriptor limit"
         if kind is ConnectionKind.UPSTREAM and not host.upstream.accepts_idle(connection.state):
-            return "its server is not in use here"
+            return "the idle connection or its server is not usable in this process"
         if kind is ConnectionKind.RESPONSE and request_id_of(connection.state) in host.node.requests:
-            return "its request id is in flight here"
+            return "the request is already in flight in this process"
         return ""
 
     def resume(self, connection: MigratedConnection, returned: bool = False) -> None:
@@ -172,7 +168,7 @@
     ) -> None:
         host, state = self._host, decode_response_state(connection.state)
         client = self._resumed_client(state.client, connection.pending_bytes, returned)
-        if not host.node.adopt_response(_now_ms(), state.request_id, state.service, state.server):
+        if not host.node.adopt_response(_now_ms(), state.request_id, state.class_name, state.server):
             raise MigrationError(f"request {state.request_id} is already in flight")
         upstream: UpstreamConnection | None = None
 
@@ -202,13 +198,13 @@
         self,
         host: MigrationHost,
         request_id: str,
-        service: str,
+        class_name: str,
         server: str,
         on_detached: DetachedHandler,
     ) -> None:
         self._host = host
         self._request_id = request_id
-        self._service = service
+        self._class_name = class_name
         self._server = server
         self._on_detached = on_detached
         self._client: DetachedDownstream | None = None
@@ -238,7 +234,7 @@
         host = self._host
         host.client_requests.pop(self._request_id, None)
         host.apply(host.node.response_migrated(_now_ms(), self._request_id))
-        state = ResponseState(self._request_id, self._service, self._server, client.state, upstream.state)
+        state = ResponseState(self._request_id, self._class_name, self._server, client.state, upstream.state)
         descriptors = [client.fd, upstream.fd]
         wire_state = encode_response_state(state)
         self._on_detached(
--- a/rosewheel/node/request_table.py
+++ b/rosewheel/node/request_table.py
@@ -42,7 +42,7 @@
         self.active += 1
 
     def unfinished(self, id: str) -> InFlightRequest | None:
-        """Return the request with this id; None if it is unknown or finished."""
+        """Return the request with this id; None if it is not in flight or is finished."""
         request = self.requests.get(id)
         return None if request is None or request.finished else request
 
@@ -98,7 +98,7 @@
             return
         self.effects.append(response)
         outcome = _OUTCOME_BY_STATUS.get(response.status, RequestOutcome.ERRORS)
-        self._statistics.count_request(request.service, outcome)
+        self._statistics.count_request(request.class_name, outcome)
         self.finish(response.id, request)
 
     def finish(self, id: str, request: InFlightRequest) -> None:
@@ -113,10 +113,10 @@
 
         The response is a rejection only if no server can have executed the request, because a client may retry then.
         """
-        may_have_run = any(
+        possibly_executed = any(
             attempt.result is None or not attempt.result.not_executed for attempt in request.attempts
         )
-        status = ResponseStatus.INTERNAL_ERROR if may_have_run else ResponseStatus.REJECTED
+        status = ResponseStatus.INTERNAL_ERROR if possibly_executed else ResponseStatus.REJECTED
         self.respond(SendResponse(id, status))
         for number, attempt in enumerate(request.attempts):
             if attempt.result is None:
--- a/tests/discovery/test_endpoint_updates.py
+++ b/tests/discovery/test_endpoint_updates.py
@@ -40,20 +40,20 @@
             servers = [entry("s1", first.port), entry("s2", second.port)]
             async with node(servers, discovery) as proxy, Client(proxy) as client:
                 await until(lambda: bool(discovery.writers))
-                assert discovery.asked == ["GET /catalog/members?follow=1&since=5 HTTP/1.1"]
+                assert discovery.watch_requests == ["GET /catalog/members?follow=1&since=5 HTTP/1.1"]
                 for _ in range(4):
-                    await client.ask()
-                discovery.tell_bytes(b"\n")
-                discovery.tell(6, {"host": "bad"}, entry("s1", first.port, health="leaving"))
+                    await client.request()
+                discovery.send_bytes(b"\n")
+                discovery.send_update(6, {"host": "bad"}, entry("s1", first.port, health="leaving"))
                 await until(lambda: proxy.discovery.revision == 6)
                 assert not proxy.upstream.endpoints["s1"].idle_connections
-                received_before = len(first.got)
+                received_before = len(first.requests)
                 for _ in range(6):
-                    assert status(await client.ask()) == 200
-                assert len(first.got) == received_before
+                    assert status(await client.request()) == 200
+                assert len(first.requests) == received_before
                 line = b'{"seq":7,"whole":false,"hosts":[{"host":"s1","health":"left"}]}\n'
-                discovery.tell_bytes(line[:20])
-                discovery.tell_bytes(line[20:])
+                discovery.send_bytes(line[:20])
+                discovery.send_bytes(line[20:])
                 await until(lambda: proxy.discovery.revision == 7)
                 assert list(proxy.upstream.endpoints) == ["s2"]
 
@@ -80,8 +80,8 @@
                 )
 
             proxy.upstream.start_attempt = start_and_drain  # type: ignore[method-assign]
-            assert status(await client.ask("post")) == 503
-            assert not server.got
+            assert status(await client.request("post")) == 503
+            assert not server.requests
 
     run(main())
 
@@ -91,7 +91,7 @@
     """The policy must learn of the end of each watch exactly once, or the list is no longer updated."""
 
     async def main() -> None:
-        async with FakeDiscovery(refuse=1 if end == "refused" else 0).up() as discovery:
+        async with FakeDiscovery(rejected_watches=1 if end == "refused" else 0).up() as discovery:
             failures = 0
             async with node([], discovery) as proxy:
                 update_endpoints = proxy.node.update_endpoints
@@ -105,15 +105,15 @@
                 if end != "refused":
                     await until(lambda: bool(discovery.writers))
                     if end == "garbage":
-                        discovery.tell_bytes(b"{no json\n")
+                        discovery.send_bytes(b"{no json\n")
                     elif end == "closed":
                         discovery.writers[-1].close()
                     else:
                         discovery.writers[-1].transport.abort()
-                await until(lambda: len(discovery.asked) == 2)
+                await until(lambda: len(discovery.watch_requests) == 2)
                 await until(lambda: len(discovery.writers) == (1 if end == "refused" else 2))
                 assert failures == 1
-                discovery.tell(9, entry("s", 1), whole=True)
+                discovery.send_update(9, entry("s", 1), whole=True)
                 await until(lambda: proxy.node.can_serve)
 
     run(main())
@@ -125,7 +125,7 @@
 
     async def main() -> None:
         async with FakeDiscovery().up() as discovery, node([], discovery):
-            await until(lambda: len(discovery.asked) == 2)
+            await until(lambda: len(discovery.watch_requests) == 2)
 
     run(main())
 
@@ -138,7 +138,7 @@
         async with FakeDiscovery().up() as old, FakeDiscovery().up() as new, FakeDiscovery().up() as newer:
             async with node([], old) as proxy:
                 await until(lambda: bool(old.writers))
-                old.tell(8)
+                old.send_update(8)
                 await until(lambda: proxy.discovery.revision == 8)
                 proxy.node.balancer.parts.polling.failures = 9  # delays the next poll by up to 4 s
                 for discovery in (new, newer):
@@ -146,13 +146,17 @@
                     proxy.reload(with_discovery(proxy, discovery))
                     await until(lambda: bool(discovery.writers))  # noqa: B023
                     assert proxy.loop.time() - started_s < 1.0
-                    assert discovery.asked == ["GET /catalog/members?follow=1&since=8 HTTP/1.1"]
+                    assert discovery.watch_requests == ["GET /catalog/members?follow=1&since=8 HTTP/1.1"]
                 for writer in (*old.writers, *new.writers):
                     writer.transport.abort()
-                newer.tell(9, entry("s", 1))
+                newer.send_update(9, entry("s", 1))
                 await until(lambda: proxy.node.can_serve)
                 assert proxy.node.balancer.parts.polling.failures == 0
-                assert (len(old.asked), len(new.asked), len(newer.asked)) == (1, 1, 1)
+                assert (len(old.watch_requests), len(new.watch_requests), len(newer.watch_requests)) == (
+                    1,
+                    1,
+                    1,
+                )
 
     run(main())
 
@@ -169,9 +173,9 @@
                 proxy.reload(with_discovery(proxy, new))
                 await until(lambda: bool(new.writers))
                 proxy.apply(proxy.node.tick(max(timer.due_ms for timer in proxy.node.timers) + 5000.0))
-                new.tell(6, entry("s", 1), whole=True)
+                new.send_update(6, entry("s", 1), whole=True)
                 await until(lambda: proxy.node.can_serve)
-                assert (len(old.asked), len(new.asked)) == (1, 1)
+                assert (len(old.watch_requests), len(new.watch_requests)) == (1, 1)
 
     run(main())
 
@@ -185,16 +189,16 @@
             async with node([entry("s", server.port)], old) as proxy, Client(proxy) as client:
                 await until(lambda: bool(old.writers))
                 client.send("post")
-                await until(lambda: len(server.got) == 1)
+                await until(lambda: len(server.requests) == 1)
                 drain = asyncio.ensure_future(proxy.drain())
                 await until(lambda: proxy.server.draining)
                 proxy.reload(with_discovery(proxy, new))
                 await until(lambda: bool(new.writers))
                 gate.set()
-                assert status(await client.answer()) == 200
+                assert status(await client.read_response()) == 200
                 await drain
                 proxy.reload(with_discovery(proxy, old))  # has no effect after the drain
-                assert len(old.asked) == 1
+                assert len(old.watch_requests) == 1
 
     run(main())
 
@@ -205,9 +209,9 @@
     async def main() -> None:
         async with FakeDiscovery().up() as discovery, node([], discovery) as proxy:
             await until(lambda: bool(discovery.writers))
-            discovery.tell(3, entry("s", 1))
+            discovery.send_update(3, entry("s", 1))
             await until(lambda: len(discovery.writers) == 2)
-            assert discovery.asked[-1] == "GET /catalog/members?follow=1&since=0 HTTP/1.1"
+            assert discovery.watch_requests[-1] == "GET /catalog/members?follow=1&since=0 HTTP/1.1"
             assert not proxy.node.can_serve
 
     run(main())
--- a/tests/hot_restart/test_hot_restart.py
+++ b/tests/hot_restart/test_hot_restart.py
@@ -31,8 +31,8 @@
     Client,
     FakeServer,
     Message,
-    answer,
     config,
+    encode_response,
     entry,
     run,
     status,
@@ -80,7 +80,7 @@
 
 
 def create_process(known: list[dict[str, Any]], folder: Path, inherited: int | None, **changes: Any) -> Proxy:
-    proxy = Proxy(config(known, inherited=inherited, state=str(folder), **changes))
+    proxy = Proxy(config(known, inherited_descriptor=inherited, state=str(folder), **changes))
     proxy.discovery.start = proxy.endpoints.list_received.set  # type: ignore[method-assign]
     return proxy
 
@@ -98,7 +98,7 @@
 
     async def handle(message: Message, writer: asyncio.StreamWriter) -> None:
         if message.headers["request-class"] != "read" or message.headers["request-id"].startswith("small"):
-            writer.write(answer())
+            writer.write(encode_response())
             return
         total = sum(map(len, chunks))
         head = {
@@ -165,7 +165,7 @@
                     assert await read_long(client.reader) == LONG
                 assert new.statistics().classes["read"].ok == 1
                 assert old.statistics().classes["read"].ok == 0
-                response = await client.ask(id="small-1")
+                response = await client.request(id="small-1")
                 assert status(response) == 200
                 assert len(new.server.connections) == 1
                 assert server.connections >= 1
@@ -201,7 +201,7 @@
 
         async def serve(message: Message, writer: asyncio.StreamWriter) -> None:
             await gate.wait()  # keeps all requests in flight, so that each needs its own connection
-            writer.write(answer())
+            writer.write(encode_response())
 
         async def send_at_once(proxy: Proxy, senders: list[Client], server: FakeServer) -> None:
             # A connection is not reused until it has been idle for a while. Without this wait the number of connections
@@ -214,13 +214,13 @@
                 )
             )
             gate.clear()
-            before = len(server.got)
+            before = len(server.requests)
             for client in senders:
                 client.send()
-            await until(lambda: len(server.got) == before + len(senders))
+            await until(lambda: len(server.requests) == before + len(senders))
             gate.set()
             for client in senders:
-                response = await client.answer()
+                response = await client.read_response()
                 assert response is not None
                 assert (status(response), response.headers.get("connection")) == (200, None)
             await until(lambda: len(proxy.upstream.idle_connections) == len(senders))
@@ -269,15 +269,15 @@
                     client.send(id=f"x{at}")
                     if at % 3 == 0:
                         await asyncio.sleep(0)
-                responses = [await client.answer() for client in clients]
+                responses = [await client.read_response() for client in clients]
                 await draining
                 served = [one for one in responses if status(one) == 200]
                 assert len(served) >= 5
                 assert {status(one) for one in responses} <= {200, 503}, (
                     "further requests are rejected at once"
                 )
-                assert len(server.got) == len(served)
-                assert len({one.headers["request-id"] for one in server.got}) == len(served)
+                assert len(server.requests) == len(served)
+                assert len({one.headers["request-id"] for one in server.requests}) == len(served)
                 for client in clients:
                     await client.__aexit__()
 
@@ -405,7 +405,7 @@
             async with node_processes([entry("s", server.port)], tmp_path) as processes:
                 old = await processes.start_next()
                 async with processes.client() as client:
-                    assert status(await client.ask()) == 200
+                    assert status(await client.request()) == 200
                     new = FakeSuccessor(tmp_path)
                     await new.handshake()
                     await until(lambda: old.hot_restart.successor_ready)
@@ -417,7 +417,9 @@
                     await draining
                     assert old.hot_restart.sender is not None
                     assert old.hot_restart.sender.migrated == {ConnectionKind.CLIENT: 1}
-                    assert await client.answer() is None, "the connection ends with the process that owns it"
+                    assert await client.read_response() is None, (
+                        "the connection ends with the process that owns it"
+                    )
 
     run(main())
 
@@ -431,7 +433,7 @@
             async with node_processes([entry("s", server.port)], tmp_path) as processes:
                 old = await processes.start_next()
                 async with processes.client() as client:
-                    assert status(await client.ask(id="a")) == 200
+                    assert status(await client.request(id="a")) == 200
                     new = FakeSuccessor(tmp_path)
                     new.send(t="hello", versions=list(versions), node=name, pid=1)
                     await until(
@@ -439,7 +441,7 @@
                     )
                     draining = asyncio.ensure_future(old.drain())
                     await until(lambda: old.server.draining)
-                    response = await client.ask(id="b")
+                    response = await client.request(id="b")
                     assert (status(response), response.headers.get("connection")) == (200, "close")
                     await draining
                     new.kill()
@@ -493,7 +495,7 @@
         else:
             length = int(head.lower().split(b"content-length:")[1].split(b"\r\n")[0])
             bodies.append(await reader.readexactly(length))
-        writer.write(answer())
+        writer.write(encode_response())
 
     bodies: list[bytes] = []
 
@@ -519,7 +521,7 @@
                 client.writer.write(second)
                 await client.writer.drain()
                 client.writer.write(third)
-                assert status(await client.answer()) == 200
+                assert status(await client.read_response()) == 200
                 assert sum(map(len, bodies)) == size
                 assert size != 19 or b"".join(bodies) == b"abc0123456789abcdef"
         server.close()
@@ -606,7 +608,7 @@
             old.offer(1, client_socket)
             client_socket.close()
             old.kill()
-            assert status(await client.ask()) == 200
+            assert status(await client.request()) == 200
             assert len(new.server.connections) == 1
 
     run(main())
@@ -666,7 +668,7 @@
             async with node_processes([entry("s", server.port)], tmp_path) as processes:
                 old = await processes.start_next()
                 async with processes.client() as client:
-                    assert status(await client.ask(id="a")) == 200
+                    assert status(await client.request(id="a")) == 200
                     new = await processes.start_next()
                     new.server.max_connections = 0
                     new.siblings.predecessor_descriptors_reported = lambda descriptors: None  # type: ignore[method-assign]
@@ -677,7 +679,7 @@
                             and old.hot_restart.sender.transfers.returned_count > 0
                         )
                     )
-                    response = await client.ask(id="b")
+                    response = await client.request(id="b")
                     assert (status(response), response.headers.get("connection")) == (200, "close")
                     await draining
 
@@ -693,13 +695,13 @@
             async with node_processes([entry("s", server.port)], tmp_path) as processes:
                 old = await processes.start_next()
                 async with processes.client() as client:
-                    assert status(await client.ask(id="a")) == 200
+                    assert status(await client.request(id="a")) == 200
                     new = create_process(processes.known, tmp_path, os.dup(processes.listener.fileno()))
                     processes.started.append(new)
                     await new.start()
                     draining = asyncio.ensure_future(old.drain())
                     await until(lambda: old.server.draining)
-                    response = await client.ask(id="b")
+                    response = await client.request(id="b")
                     assert (status(response), response.headers.get("connection")) == (200, "close")
                     await draining
         assert not list(tmp_path.glob("handover.*.part"))
@@ -717,15 +719,15 @@
             new = Proxy(dataclasses.replace(config(known, state=str(tmp_path)), listen_address=address))
             new.discovery.start = new.endpoints.list_received.set  # type: ignore[method-assign]
             async with Client(port=address[1]) as client:
-                assert status(await client.ask(id="a")) == 200
+                assert status(await client.request(id="a")) == 200
                 await new.start()
                 assert new.server.port == address[1]
                 await until(lambda: old.hot_restart.successor_ready)
                 await old.drain()
-                response = await client.ask(id="b")
+                response = await client.request(id="b")
                 assert (status(response), response.headers.get("connection")) == (200, None)
                 async with Client(port=address[1]) as other:
-                    assert status(await other.ask(id="c")) == 200
+                    assert status(await other.request(id="c")) == 200
             close_process(new)
 
     run(main())
@@ -769,7 +771,7 @@
                 descriptor_counts: list[int] = []
                 async with processes.client() as client:
                     for at in range(10):
-                        assert status(await client.ask(id=f"small-{at}")) == 200
+                        assert status(await client.request(id=f"small-{at}")) == 200
                         old, new = processes.started[-1], await processes.start_next()
                         await old.drain()
                         assert not old.server.connections
--- a/tests/http/test_descriptor_limit.py
+++ b/tests/http/test_descriptor_limit.py
@@ -85,7 +85,7 @@
         with contextlib.suppress(ConnectionError):
             async with Client(port=port) as client:
                 client.send(timeout=2000)
-                if (response := await client.answer()) is not None and status(response) == 200:
+                if (response := await client.read_response()) is not None and status(response) == 200:
                     return
         await asyncio.sleep(0.01)
 
@@ -99,8 +99,8 @@
         async with FakeServer().up() as one, FakeServer().up() as two, contextlib.AsyncExitStack() as stack:
             port, admin_port = free_port(), free_port()
             discovery = RestartableDiscovery()
-            await discovery.begin("mute")
-            stack.callback(discovery.end)
+            await discovery.start("mute")
+            stack.callback(discovery.stop)
             document = platform_document(
                 listen=f"127.0.0.1:{port}",
                 ops=f"127.0.0.1:{admin_port}",
@@ -110,7 +110,7 @@
                 limits={"sockets": max_descriptors, "memory_mb": 200},
             )
             process = await stack.enter_async_context(limited_node(tmp_path, document, max_descriptors))
-            await until(lambda: discovery.asked > 0)
+            await until(lambda: discovery.watch_count > 0)
             await wait_until_served(port)
             connections: list[HeldConnection] = []
             stopped = asyncio.Event()
@@ -143,18 +143,18 @@
                 assert [status(answer) for answer in await asyncio.gather(*calls)] == [200] * 3
                 await asyncio.gather(*clients)
             await wait_until_served(port)
-            discovery.end()  # connections to discovery are refused from here on
+            discovery.stop()  # connections to discovery are refused from here on
             await wait_until_served(port)
             assert status(await call_admin(admin_port, "/admin/stats")) == 200
-            await discovery.begin("mute")
-            await until(lambda: discovery.asked > 0)  # a descriptor was free for discovery
+            await discovery.start("mute")
+            await until(lambda: discovery.watch_count > 0)  # a descriptor was free for discovery
             await wait_until_served(port)
-            discovery.end()
+            discovery.stop()
             discovery.host, discovery.dial = "two", f"127.0.0.1:{two.port}"
-            await discovery.begin("served")
-            await until(lambda: discovery.asked > 0)
-            before = len(two.got)
-            while len(two.got) == before:  # a descriptor is free for a connection to a new server
+            await discovery.start("served")
+            await until(lambda: discovery.watch_count > 0)
+            before = len(two.requests)
+            while len(two.requests) == before:  # a descriptor is free for a connection to a new server
                 await wait_until_served(port)
             assert status(await call_admin(admin_port, "/admin/stats")) == 200
             stopped.set()
--- a/tests/http/test_idle_connections.py
+++ b/tests/http/test_idle_connections.py
@@ -14,7 +14,7 @@
     Client,
     FakeServer,
     Message,
-    answer,
+    encode_response,
     entry,
     node,
     run,
@@ -29,12 +29,12 @@
 
     async def main() -> None:
         limits = Limits(idle_timeout_ms=1.0)
-        async with FakeServer().up() as server, node([entry("s", server.port)], bounds=limits) as proxy:
+        async with FakeServer().up() as server, node([entry("s", server.port)], limits=limits) as proxy:
             async with Client(proxy) as client:
-                assert status(await client.ask("post")) == 200
+                assert status(await client.request("post")) == 200
                 await until(lambda: server.closed == 1)
                 assert proxy.upstream.open_count == 0
-                assert status(await client.ask("post")) == 200
+                assert status(await client.request("post")) == 200
                 assert server.connections == 2
 
     run(main())
@@ -53,10 +53,10 @@
 
         async def serve_two_connections(message: Message, writer: asyncio.StreamWriter) -> None:
             if message.connection > 2:
-                writer.write(answer(503, b"", Not_Started="1"))
+                writer.write(encode_response(503, b"", Not_Started="1"))
                 return
             await gate.wait()
-            writer.write(answer())
+            writer.write(encode_response())
 
         async with FakeServer(serve_two_connections).up() as server:
             async with (
@@ -66,12 +66,12 @@
                 clients = [await stack.enter_async_context(Client(proxy)) for _ in range(3)]
                 for index, client in enumerate(clients):
                     client.send("post")
-                    await until(lambda index=index: len(server.got) == index + 1)
-                assert status(await clients[2].answer()) == 503
-                assert status(await clients[2].ask("post")) == 503, "rejected by the server, not failed"
+                    await until(lambda index=index: len(server.requests) == index + 1)
+                assert status(await clients[2].read_response()) == 503
+                assert status(await clients[2].request("post")) == 503, "rejected by the server, not failed"
                 gate.set()
                 for client in clients[:2]:
-                    assert status(await client.answer()) == 200
+                    assert status(await client.read_response()) == 200
                 if closes_idle:
                     await until(lambda: server.closed == server.connections)
                 assert (proxy.upstream.idle_timeout.close_after_s == 0.0) is closes_idle
@@ -89,13 +89,13 @@
             node([entry("s", server.port)]) as proxy,
             Client(proxy) as client,
         ):
-            assert status(await client.ask("post")) == 200
+            assert status(await client.request("post")) == 200
             if data:
                 server.writers[0].write(data)
             else:
                 server.writers[0].close()
             await until(lambda: proxy.upstream.open_count == 0)
-            assert status(await client.ask("post")) == 200
+            assert status(await client.request("post")) == 200
 
     run(main())
 
@@ -118,17 +118,17 @@
                 sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
                 writer.transport.abort()
             else:
-                writer.write(answer())
+                writer.write(encode_response())
 
         async with FakeServer(reset_after_idle).up() as server, node([entry("s", server.port)]) as proxy:
             async with Client(proxy) as client:
-                assert status(await client.ask("post")) == 200
+                assert status(await client.request("post")) == 200
                 await asyncio.sleep(0.15)
-                assert status(await client.ask("post")) == 502, "it may have been executed"
+                assert status(await client.request("post")) == 502, "it may have been executed"
                 assert 0.05 <= proxy.upstream.idle_timeout.stale_limit_s < 5.0
                 proxy.upstream.idle_timeout.stale_limit_s = 0.07
                 for _ in range(3):
-                    assert status(await client.ask("post")) == 200
+                    assert status(await client.request("post")) == 200
                     await asyncio.sleep(0.15)
                 assert proxy.upstream.idle_timeout.stale_limit_s == 0.07
                 proxy.upstream.idle_timeout.stale_changed_at_s -= 60.0
@@ -150,19 +150,19 @@
 
         async def handler(message: Message, writer: asyncio.StreamWriter) -> None:
             # Responds to both requests at once, so that each has its own connection.
-            if len(server.got) >= 2 and not silent:
+            if len(server.requests) >= 2 and not silent:
                 for each in server.writers:
-                    each.write(answer())
+                    each.write(encode_response())
 
         server = FakeServer(handler)
         async with server.up(), node([entry("s", server.port)]) as proxy:
             async with Client(proxy) as one, Client(proxy) as two:
                 one.send("post")
                 two.send("post")
-                assert status(await one.answer()) == status(await two.answer()) == 200
+                assert status(await one.read_response()) == status(await two.read_response()) == 200
                 assert proxy.upstream.open_count == 2
                 silent = True
-                assert status(await one.ask("post", timeout=700)) == 504
+                assert status(await one.request("post", timeout=700)) == 504
                 await until(lambda: proxy.upstream.open_count == 0)
                 assert server.connections == 2
 
@@ -180,8 +180,8 @@
                 client.send("post")
                 peer, _ = await loop.sock_accept(listener)
                 await loop.sock_recv(peer, 4096)
-                await loop.sock_sendall(peer, answer())
-                assert status(await client.answer()) == 200
+                await loop.sock_sendall(peer, encode_response())
+                assert status(await client.read_response()) == 200
                 idle = proxy.upstream.endpoints["s"].idle_connections[0]
                 assert idle.is_usable()
                 peer.close()  # the event loop does not run before the next line
@@ -214,7 +214,7 @@
                     )
 
                 for _ in range(60):
-                    assert status(await client.ask()) == 200
+                    assert status(await client.request()) == 200
                     assert indexes_agree()
                     assert proxy.resources.descriptor_count <= proxy.resources.max_descriptors
                 assert len(upstream.idle_connections) > 1
@@ -237,14 +237,14 @@
 
     async def main() -> None:
         async def handler(message: Message, writer: asyncio.StreamWriter) -> None:
-            writer.write(answer(body=message.body))
+            writer.write(encode_response(body=message.body))
             await writer.drain()
-            asyncio.get_running_loop().call_later(0.0005, writer.write, answer(body=message.body))
+            asyncio.get_running_loop().call_later(0.0005, writer.write, encode_response(body=message.body))
 
         async with FakeServer(handler).up() as server, node([entry("s", server.port)]) as proxy:
             async with Client(proxy) as client:
                 for index in range(20):
-                    response = await client.ask("post", body=b"%d" % index)
+                    response = await client.request("post", body=b"%d" % index)
                     assert (status(response), response.body) == (200, b"%d" % index)
 
     run(main())
--- a/tests/http/test_responses.py
+++ b/tests/http/test_responses.py
@@ -17,7 +17,7 @@
     Client,
     FakeServer,
     Message,
-    answer,
+    encode_response,
     entry,
     node,
     run,
@@ -31,7 +31,9 @@
 
     async def main() -> None:
         async def reject(message: Message, writer: asyncio.StreamWriter) -> None:
-            writer.write(answer(503, b"", Not_Started="1", Server_Load="TEXT depth=41, load_share=0.5"))
+            writer.write(
+                encode_response(503, b"", Not_Started="1", Server_Load="TEXT depth=41, load_share=0.5")
+            )
 
         events: list[Event] = []
         async with FakeServer(reject).up() as server, node([entry("s", server.port)]) as proxy:
@@ -43,7 +45,7 @@
 
             proxy.node.balancer.handle = record_event  # type: ignore[method-assign]
             async with Client(proxy) as client:
-                assert status(await client.ask("post")) == 503
+                assert status(await client.request("post")) == 503
         finished = [event for event in events if isinstance(event, AttemptFinished)]
         assert [(event.result, event.request_ended, event.report) for event in finished] == [
             (AttemptResult.OVERLOADED, False, {"queue": 41.0, "util": 0.5})
@@ -94,14 +96,14 @@
         async with FakeServer(handler).up() as server, node([entry("s", server.port)]) as proxy:
             async with Client(proxy) as client:
                 for _ in range(2):
-                    response = await client.ask("post")
+                    response = await client.request("post")
                     assert (status(response), response.body) == (200, b"ok")
                 assert server.connections == (1 if reused else 2)
 
     run(main())
 
 
-RESPONSE = answer(body=b"mine")
+RESPONSE = encode_response(body=b"mine")
 
 
 @pytest.mark.parametrize(
@@ -120,7 +122,7 @@
         async with FakeServer(handler).up() as server, node([entry("s", server.port)]) as proxy:
             async with Client(proxy) as client:
                 for _ in range(2):
-                    response = await client.ask("post")
+                    response = await client.request("post")
                     assert (status(response), response.body) == (200, b"mine")
                 assert server.connections == 2 or not surplus.strip()
 
@@ -159,18 +161,18 @@
 
         async def handler(message: Message, writer: asyncio.StreamWriter) -> None:
             nonlocal respond_invalid
-            writer.write(response_bytes if respond_invalid else answer())
+            writer.write(response_bytes if respond_invalid else encode_response())
             respond_invalid = False
 
         async with FakeServer(handler).up() as one, FakeServer(handler).up() as two:
             servers = [entry("s1", one.port), entry("s2", two.port)]
             async with node(servers) as proxy, Client(proxy) as client:
                 started_s = proxy.loop.time()
-                assert status(await client.ask("post", timeout=3000)) == 502
-                assert len(one.got) + len(two.got) == 1
+                assert status(await client.request("post", timeout=3000)) == 502
+                assert len(one.requests) + len(two.requests) == 1
                 respond_invalid = True
-                assert status(await client.ask("read", timeout=3000)) == 200
-                assert len(one.got) + len(two.got) == 3
+                assert status(await client.request("read", timeout=3000)) == 200
+                assert len(one.requests) + len(two.requests) == 3
                 assert proxy.loop.time() - started_s < 1.9
                 await until(lambda: proxy.upstream.open_count == 1)
 
--- a/tests/http/test_slow_clients.py
+++ b/tests/http/test_slow_clients.py
@@ -35,7 +35,7 @@
                         await until(
                             lambda: all(connection.raw_bytes > 0 for connection in proxy.server.connections)
                         )
-                assert status(await slow.answer()) == 200
+                assert status(await slow.read_response()) == 200
                 assert len(proxy.server.connections) <= 5
 
     run(main())
@@ -51,8 +51,8 @@
                 connection.last_received_s -= 1.0
                 proxy.server.max_connections = 1
                 async with Client(proxy) as other:
-                    assert status(await other.ask()) == 200
-                assert status(await partial_client.answer()) == 408
+                    assert status(await other.request()) == 200
+                assert status(await partial_client.read_response()) == 408
 
     run(main())
 
@@ -62,7 +62,7 @@
     """The limits also leave descriptors for connections that get a 503 and for the admin server."""
 
     async def main() -> None:
-        async with node([], bounds=Limits(max_sockets=sockets)) as proxy:
+        async with node([], limits=Limits(max_sockets=sockets)) as proxy:
             for processes in (1, 2):
                 proxy.resources.process_count = processes
                 proxy.resources.divide(sockets)
@@ -79,7 +79,7 @@
     delays_s: list[float] = []
 
     async def main() -> None:
-        async with FakeServer().up() as server, FakeDiscovery(refuse=6).up() as discovery:
+        async with FakeServer().up() as server, FakeDiscovery(rejected_watches=6).up() as discovery:
             async with node([entry("s", server.port)], pushed=discovery) as proxy, Client(proxy) as client:
                 call_later = proxy.loop.call_later
 
@@ -90,9 +90,9 @@
                     return call_later(delay_s, callback, *args)  # type: ignore[arg-type]
 
                 proxy.loop = PatchedLoop(proxy.loop, call_later=record_delay)  # type: ignore[assignment]
-                await until(lambda: len(discovery.asked) == 7)
-                assert status(await client.ask()) == 200  # served by the endpoint list known so far
-                discovery.tell(9, entry("s", server.port), whole=True)
+                await until(lambda: len(discovery.watch_requests) == 7)
+                assert status(await client.request()) == 200  # served by the endpoint list known so far
+                discovery.send_update(9, entry("s", server.port), whole=True)
                 await until(lambda: proxy.endpoints.backoff.failed_watches == 0)
 
     run(main())
@@ -106,7 +106,7 @@
     monkeypatch.setattr(watch_client, "FIRST_LINE_TIMEOUT_S", 0.05)
 
     async def main() -> None:
-        async with FakeDiscovery(mute=True).up() as discovery, node([], pushed=discovery):
-            await until(lambda: len(discovery.asked) >= 2)
+        async with FakeDiscovery(silent=True).up() as discovery, node([], pushed=discovery):
+            await until(lambda: len(discovery.watch_requests) >= 2)
 
     run(main())
--- a/tests/proxy/test_cordon.py
+++ b/tests/proxy/test_cordon.py
@@ -82,7 +82,7 @@
 def test_the_node_starts_no_attempt_at_a_cordoned_server_that_the_policy_chooses():
     core = Node(settings(), Limits(), seed=1, now=0.0)
     core.update_endpoints(0.0, EndpointListForm.SNAPSHOT, (Server("s", zone="a"),))
-    assert not core.is_known_server("nobody")
+    assert not core.is_listed_or_cordoned("nobody")
     core.set_cordon(0.0, "s", cordoned=True)
     core.balancer.parts.shared.pool.cordoned_since_ms.clear()  # a policy that has lost the cordon
     core.balancer.parts.shared.pool.refresh_readiness(core.balancer.parts.shared.pool.servers["s"], 0.0)
@@ -90,7 +90,7 @@
     assert not any(isinstance(effect, StartAttempt) for effect in effects)
     assert (core.can_serve, core.cordoned_endpoint_count) == (False, 1)
     core.update_endpoints(2.0, EndpointListForm.DELTA, (Server("s", state=ServerState.REMOVED),))
-    assert core.is_known_server("s"), "its cordon can be lifted although the list does not contain it"
+    assert core.is_listed_or_cordoned("s"), "its cordon can be lifted although the list does not contain it"
 
 
 def test_an_attempt_that_waits_for_its_connection_is_not_sent_after_a_cordon():
@@ -108,17 +108,17 @@
 
                 proxy.upstream.loop = _Loop(proxy.loop, connect_then_cordon)  # type: ignore[assignment]
                 client.send("post")
-                response = await client.answer()
+                response = await client.read_response()
                 assert status(response) == 503
-                assert cordoned.got == []
+                assert cordoned.requests == []
                 assert await proxy.cordon("s1")
                 assert not await proxy.cordon("nobody")
                 assert proxy.statistics().cordoned_endpoints == 1
                 proxy.upstream.loop = proxy.loop
                 assert await proxy.uncordon("s1")
-                assert status(await client.ask("post")) == 200
-                assert len(cordoned.got) == 1
-                assert other.got == []
+                assert status(await client.request("post")) == 200
+                assert len(cordoned.requests) == 1
+                assert other.requests == []
 
     run(main())
 
@@ -141,18 +141,18 @@
         with socket.create_server(("127.0.0.1", 0)) as listener:
             async with FakeServer().up() as one, FakeServer().up() as two:
                 known = [entry("one", one.port), entry("two", two.port)]
-                shared = {"state": str(tmp_path), "inherited": os.dup(listener.fileno())}
+                shared = {"state": str(tmp_path), "inherited_descriptor": os.dup(listener.fileno())}
                 async with node(known, **shared) as old:
                     assert await old.cordon("one")
-                    shared["inherited"] = os.dup(listener.fileno())
+                    shared["inherited_descriptor"] = os.dup(listener.fileno())
                     async with node(known, **shared) as new, Client(new) as client:
                         await until(
                             lambda: (old.resources.process_count, new.resources.process_count) == (2, 2)
                         )
                         assert old.resources.max_descriptors < new.config.limits.max_sockets // 2
                         for _ in range(10):
-                            assert status(await client.ask()) == 200
-                        assert (len(one.got), len(two.got)) == (0, 10)
+                            assert status(await client.request()) == 200
+                        assert (len(one.requests), len(two.requests)) == (0, 10)
                         assert await new.uncordon("one")
                         assert old.node.cordoned == set()
 
--- a/tests/proxy/test_reconfiguration.py
+++ b/tests/proxy/test_reconfiguration.py
@@ -64,7 +64,7 @@
 
             async def is_rejected(service: str) -> bool:
                 async with Client(port=port) as client:  # a new connection, since the rejection closes it
-                    return status(await client.ask(service)) == 400
+                    return status(await client.request(service)) == 400
 
             process = start_node(tmp_path, document)
             log = log_lines(process)
@@ -74,7 +74,7 @@
                 connected.close()
                 async with Client(port=port) as old, Client(port=port) as new:
                     old.send("post", id="old")
-                    await until(lambda: len(server.got) == 1)
+                    await until(lambda: len(server.requests) == 1)
                     added = {"name": "late", "aimMs": 900.0, "giveUpMs": 2000.0, "effect": effect}
                     kept = [one for one in PLATFORM_SETTINGS["categories"] if one["name"] != "post"]
                     changed = document["settings"] | {"categories": [*kept, added]}
@@ -89,10 +89,10 @@
                     await reload(changed, "configuration applied: classes=3")
                     assert await is_rejected("post")
                     new.send("late")
-                    await until(lambda: len(server.got) == 2)
+                    await until(lambda: len(server.requests) == 2)
                     gate.set()
                     for client in (old, new):
-                        assert status(await client.answer()) == 200
+                        assert status(await client.read_response()) == 200
                 process.send_signal(signal.SIGTERM)
                 await asyncio.to_thread(process.wait, WAIT_S)
                 assert process.returncode == 0
@@ -127,7 +127,7 @@
             assert proxy.node.limits is before.limits
             assert proxy.discovery.address == before.discovery_address
             assert all(value is balancer_before[key] for key, value in vars(proxy.node.balancer).items())
-            assert status(await client.ask("post")) == 200
+            assert status(await client.request("post")) == 200
 
     run(main())
 
@@ -183,7 +183,7 @@
                 clients = [await stack.enter_async_context(Client(proxy)) for _ in range(40)]
                 for client in clients[:6]:
                     client.send("read")
-                await until(lambda: len(server.got) == 6 and len(proxy.server.connections) == 40)
+                await until(lambda: len(server.requests) == 6 and len(proxy.server.connections) == 40)
                 for connection in proxy.server.connections:
                     connection.last_activity_s -= 10.0  # past the grace period of new connections
                 proxy.configure(
@@ -199,7 +199,7 @@
                 await until(lambda: len(proxy.server.connections) == 6)
                 gate.set()
                 for client in clients[:6]:
-                    assert status(await client.answer()) == 200
+                    assert status(await client.read_response()) == 200
 
     run(main())
 
@@ -299,21 +299,21 @@
                 proxy.set_fleet_cordons(frozenset({"one", "later"}))
                 assert await proxy.cordon("one")
                 for _ in range(5):
-                    assert status(await client.ask()) == 200
-                assert len(one.got) == 0
+                    assert status(await client.request()) == 200
+                assert len(one.requests) == 0
                 response = await respond_to(proxy, "POST", "/admin/uncordon?member=one")
                 assert response.body == {"member": "one", "cordoned": True, "by": "fleet"}
                 assert proxy.statistics().cordoned_endpoints == 1
-                assert status(await client.ask()) == 200
-                assert len(one.got) == 0
+                assert status(await client.request()) == 200
+                assert len(one.requests) == 0
                 # A server is cordoned as soon as the list adds it.
                 await proxy.cordon("two")
-                discovery.tell(9, entry("later", two.port))
+                discovery.send_update(9, entry("later", two.port))
                 await until(lambda: "later" in proxy.node.servers)
-                assert status(await client.ask()) == 503
+                assert status(await client.request()) == 503
                 proxy.set_fleet_cordons(frozenset())
                 assert proxy.node.cordoned == {"two"}
-                assert status(await client.ask()) == 200
+                assert status(await client.request()) == 200
                 response = await respond_to(proxy, "POST", "/admin/uncordon?member=two")
                 assert response.body == {"member": "two", "cordoned": False}
                 # Only cordons by operators are saved.
@@ -353,8 +353,8 @@
                 async with asyncio.timeout(WAIT_S):
                     assert await read_long(client.reader) == LONG
                 assert new.statistics().classes["read"].ok == 1
-                assert new.node.service_names == {"post"}
-                assert status(await client.ask(id="small-1")) == 400
+                assert new.node.class_names == {"post"}
+                assert status(await client.request(id="small-1")) == 400
                 await client.__aexit__()
 
     run(main())
